--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -10,7 +10,7 @@
 from crowdeck import chain
 from crowdeck import http
 from crowdeck.platform import names
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 
 # Set by us, or meant for us alone: a caller's own value never goes on.
@@ -73,7 +73,7 @@
 def onward(
     request: requests.CallerRequest,
     upstream: chain.Upstream,
-    dispatch: reach.Dispatch,
+    dispatch: interfaces.Dispatch,
 ) -> http.RawHeaders:
     """Return the headers with which a request goes to an upstream."""
     dropped = _OURS | _HOP | _named_by_connection(request.headers)
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -21,7 +21,7 @@
 from crowdeck.platform import callers
 from crowdeck.platform import names
 from crowdeck.platform import upstreams
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 
 # A report or an order is answered at once by a sound engine; a link
@@ -71,7 +71,7 @@
         return self._response.find(names.CULPRIT).decode("latin-1")
 
     @property
-    def load(self) -> reach.Load | None:
+    def load(self) -> interfaces.Load | None:
         """The load that the upstream tells, if it does."""
         return _load(self._response)
 
@@ -106,9 +106,9 @@
 
     def __init__(self, client: http.HttpClient) -> None:
         self._client = client
-        self._listeners: list[reach.NoticeListener] = []
+        self._listeners: list[interfaces.NoticeListener] = []
 
-    def subscribe(self, listener: reach.NoticeListener) -> None:
+    def subscribe(self, listener: interfaces.NoticeListener) -> None:
         """Call ``listener`` with what each answer tells of its sender."""
         self._listeners.append(listener)
 
@@ -117,7 +117,7 @@
         self,
         upstream: chain.Upstream,
         request: requests.CallerRequest,
-        dispatch: reach.Dispatch,
+        dispatch: interfaces.Dispatch,
         timeouts: http.Timeouts,
     ) -> typing.AsyncIterator[UpstreamAnswer]:
         """Send a request and yield its answer once the head is here.
@@ -192,7 +192,7 @@
 
     async def repath(
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
-    ) -> reach.RepathOutcome:
+    ) -> interfaces.RepathOutcome:
         """Have a running request go on along another path.
 
         :param path: begins with the same first part as before.
@@ -205,10 +205,10 @@
         try:
             status, body, _ = await self._order(head, order)
         except errors.CrowdeckError:
-            return reach.RepathOutcome(is_done=False, is_known=False)
+            return interfaces.RepathOutcome(is_done=False, is_known=False)
         if status in (200, 202):
-            return reach.RepathOutcome(is_done=True, is_known=True)
-        return reach.RepathOutcome(
+            return interfaces.RepathOutcome(is_done=True, is_known=True)
+        return interfaces.RepathOutcome(
             is_done=False, is_known=status != 404, culprit=_address_in(body)
         )
 
@@ -250,20 +250,20 @@
         """
         if response.status == _MISDIRECTED:
             return
-        notice = reach.Notice(
+        notice = interfaces.Notice(
             _backpressure(response), _load(response), answers_request
         )
         for listener in self._listeners:
             listener(upstream, notice)
 
 
-def _load(response: http.OpenResponse) -> reach.Load | None:
+def _load(response: http.OpenResponse) -> interfaces.Load | None:
     parts = response.find(names.LOAD).split(b",")
     try:
         running, waiting, slots = (int(part) for part in parts)
     except ValueError:
         return None
-    return reach.Load(running, waiting, slots)
+    return interfaces.Load(running, waiting, slots)
 
 
 def _backpressure(response: http.OpenResponse) -> pressures.Backpressure:
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -16,7 +16,7 @@
 from crowdeck.relay import context as contexts
 from crowdeck.relay import events
 from crowdeck.relay import live
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
@@ -85,7 +85,7 @@
             come to its end.
         """
         left = self._deadline - anyio.current_time()
-        dispatch = reach.Dispatch(
+        dispatch = interfaces.Dispatch(
             self._admitted.team,
             self._admitted.priority,
             left,
@@ -108,7 +108,7 @@
             culprit=self._path.head.name,
         )
 
-    async def _pass_on(self, answer: reach.Answer) -> None:
+    async def _pass_on(self, answer: interfaces.Answer) -> None:
         self._stream.sends.arrive()
         if answer.load is not None:
             self._context.usage.note_load(self._path.head, answer.load.running)
@@ -134,7 +134,7 @@
 
     async def _pass_event(
         self,
-        answer: reach.Answer,
+        answer: interfaces.Answer,
         event: events.Event,
     ) -> None:
         stream = self._stream
@@ -154,7 +154,7 @@
         if event.id is not None:
             stream.last_event = event.id
 
-    def _refusal(self, answer: reach.Answer) -> errors.CrowdeckError:
+    def _refusal(self, answer: interfaces.Answer) -> errors.CrowdeckError:
         culprit = self._culprit(answer)
         if culprit.name != self._path.head.name:
             self._watch.suspect(culprit)
@@ -172,7 +172,7 @@
             culprit=culprit.name,
         )
 
-    def _culprit(self, answer: reach.Answer) -> chain.Upstream:
+    def _culprit(self, answer: interfaces.Answer) -> chain.Upstream:
         """Return the engine that a refusal is due to.
 
         It names an address; who was meant is whom the path has there.
@@ -182,7 +182,7 @@
                 return hop.upstream
         return self._context.book.at(answer.culprit) or self._path.head
 
-    async def _pass_failure(self, answer: reach.Answer) -> None:
+    async def _pass_failure(self, answer: interfaces.Answer) -> None:
         body = await answer.read(BODY_LIMIT)
         if self._sink.has_started or answer.status in requests.PROMISES:
             raise self._wrong(f"status {answer.status}")
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -20,7 +20,7 @@
 from crowdeck.quarantine import ledger as ledgers
 from crowdeck.relay import attempt as attempts
 from crowdeck.relay import context as contexts
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 from crowdeck import route as routes
 from crowdeck.routing import balance
@@ -298,7 +298,7 @@
         return left
 
     async def _exchange(self, upstream: chain.Upstream) -> _Answer:
-        dispatch = reach.Dispatch(
+        dispatch = interfaces.Dispatch(
             self._admitted.team,
             self._admitted.priority,
             self._left(),
@@ -314,7 +314,7 @@
             return await self._read(upstream, answer)
 
     async def _read(
-        self, upstream: chain.Upstream, answer: reach.Answer
+        self, upstream: chain.Upstream, answer: interfaces.Answer
     ) -> _Answer:
         if answer.load is not None:
             self._balancer.note_load(upstream, answer.load)
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -21,7 +21,7 @@
 from crowdeck.relay import gaps as layer_gaps
 from crowdeck.relay import lateness
 from crowdeck.relay import needs as instance_needs
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import returns
 from crowdeck.relay import waiting
 from crowdeck.routing import budget as budgets
@@ -66,7 +66,7 @@
 
     zone: str
     book: books.UpstreamBook
-    client: reach.Upstreams
+    client: interfaces.Upstreams
     usage: usages.InFlight
     planner: hops.HopPlanner
     terms: BudgetTerms
@@ -161,7 +161,7 @@
             self.ledger.note_end(upstream.name)
 
     def _take_notice(
-        self, upstream: chain.Upstream, notice: reach.Notice
+        self, upstream: chain.Upstream, notice: interfaces.Notice
     ) -> None:
         """Take what an answer tells of the instance that gave it."""
         asked = notice.backpressure
--- a/src/crowdeck/relay/detours.py
+++ b/src/crowdeck/relay/detours.py
@@ -16,7 +16,7 @@
 from crowdeck.relay import context as contexts
 from crowdeck.relay import live
 from crowdeck.relay import probes
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.routing import hops
 
 
@@ -228,7 +228,7 @@
         )
 
 
-def _words(outcome: reach.RepathOutcome) -> str:
+def _words(outcome: interfaces.RepathOutcome) -> str:
     if outcome.is_done:
         return "done"
     if not outcome.is_known:
--- a/src/crowdeck/relay/ingress.py
+++ b/src/crowdeck/relay/ingress.py
@@ -15,7 +15,7 @@
 from crowdeck import http
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 from crowdeck import verdict as verdicts
 
@@ -124,7 +124,7 @@
 class Ingress:
     """Reads requests, has them served, and tells callers of failures."""
 
-    def __init__(self, server: Server, codec: reach.CallerCodec) -> None:
+    def __init__(self, server: Server, codec: interfaces.CallerCodec) -> None:
         self._server = server
         self._codec = codec
 
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -14,7 +14,7 @@
 from crowdeck import errors
 from crowdeck.observe import counters
 from crowdeck.relay import lateness
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 
 # An engine that says nothing for so many beats is taken for silent. Sound
 # ones answer within 2 ms, those of another zone within 3; with 60 ms
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        upstreams: reach.Upstreams,
+        upstreams: interfaces.Upstreams,
         may_ask: typing.Callable[[str], bool],
     ) -> None:
         self._upstreams = upstreams
--- a/src/crowdeck/standin/chain_answer.py
+++ b/src/crowdeck/standin/chain_answer.py
@@ -10,7 +10,7 @@
 
 from crowdeck import backpressure as pressures
 from crowdeck import http
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 
 
@@ -26,7 +26,7 @@
         has_not_run: bool = False,
         culprit: str = "",
         backpressure: pressures.Backpressure = pressures.NONE,
-        load: reach.Load | None = None,
+        load: interfaces.Load | None = None,
     ) -> None:
         self.status = status
         self.has_not_run = has_not_run
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -26,7 +26,7 @@
 from crowdeck import instance as instances
 from crowdeck import pipeline
 from crowdeck.placement import plan
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 from crowdeck.standin import chain_answer
 from crowdeck.standin import repeats
@@ -115,11 +115,11 @@
         )
 
     @property
-    def load(self) -> reach.Load | None:
+    def load(self) -> interfaces.Load | None:
         """The load that it tells, if it does."""
         if not self.tells_load:
             return None
-        return reach.Load(self.running, 0, self.listed.slots)
+        return interfaces.Load(self.running, 0, self.listed.slots)
 
 
 @attrs.frozen
@@ -201,7 +201,7 @@
         self,
         upstream: chain.Upstream,
         request: requests.CallerRequest,
-        dispatch: reach.Dispatch,
+        dispatch: interfaces.Dispatch,
         timeouts: http.Timeouts,
     ) -> typing.AsyncIterator[chain_answer.StandinAnswer]:
         """Send a request."""
@@ -270,27 +270,27 @@
 
     async def repath(
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
-    ) -> reach.RepathOutcome:
+    ) -> interfaces.RepathOutcome:
         """Have a running request go on along another path."""
         await self._dial(head, 0.25)
         if request_id not in self._paths:
-            return reach.RepathOutcome(is_done=False, is_known=False)
+            return interfaces.RepathOutcome(is_done=False, is_known=False)
         if self.at(head.address).keeps_paths:
-            return reach.RepathOutcome(is_done=False, is_known=True)
+            return interfaces.RepathOutcome(is_done=False, is_known=True)
         for hop in path.hops:
             part = self._upstreams.get(str(hop.upstream.address))
             if part is not None and part.is_dark:
                 await anyio.sleep(DARK_PART_SECONDS)
-                return reach.RepathOutcome(
+                return interfaces.RepathOutcome(
                     False, True, str(hop.upstream.address)
                 )
             if not self._holds(hop):
-                return reach.RepathOutcome(
+                return interfaces.RepathOutcome(
                     False, True, str(hop.upstream.address)
                 )
         self._paths[request_id] = path
         self.repaths.append(request_id)
-        return reach.RepathOutcome(is_done=True, is_known=True)
+        return interfaces.RepathOutcome(is_done=True, is_known=True)
 
     async def place(
         self, move: plan.Move, expected_orders: int, fencing_token: int
@@ -377,7 +377,7 @@
         self,
         target: StandinUpstream,
         request: requests.CallerRequest,
-        dispatch: reach.Dispatch,
+        dispatch: interfaces.Dispatch,
     ) -> chain_answer.StandinAnswer:
         request_id = request.id
         if target.forges:
@@ -416,7 +416,7 @@
         self,
         target: StandinUpstream,
         request: requests.CallerRequest,
-        dispatch: reach.Dispatch,
+        dispatch: interfaces.Dispatch,
     ) -> typing.AsyncIterator[bytes]:
         sent = 0
         if target.hangs:
@@ -519,9 +519,9 @@
     def __init__(self, fleet: ChainFleet) -> None:
         self._fleet = fleet
         self.arrivals: list[Arrival] = []
-        self._listeners: list[reach.NoticeListener] = []
+        self._listeners: list[interfaces.NoticeListener] = []
 
-    def subscribe(self, listener: reach.NoticeListener) -> None:
+    def subscribe(self, listener: interfaces.NoticeListener) -> None:
         """Call ``listener`` with what each answer tells of its sender."""
         self._listeners.append(listener)
 
@@ -530,16 +530,16 @@
         self,
         upstream: chain.Upstream,
         request: requests.CallerRequest,
-        dispatch: reach.Dispatch,
+        dispatch: interfaces.Dispatch,
         timeouts: http.Timeouts,
-    ) -> typing.AsyncIterator[reach.Answer]:
+    ) -> typing.AsyncIterator[interfaces.Answer]:
         """Send a request."""
         self._note(upstream, What.REQUEST, request.arrived)
         async with self._fleet.open(
             upstream, request, dispatch, timeouts
         ) as answer:
             self._tell(
-                upstream, reach.Notice(answer.backpressure, answer.load)
+                upstream, interfaces.Notice(answer.backpressure, answer.load)
             )
             yield answer
 
@@ -552,7 +552,7 @@
 
     async def repath(
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
-    ) -> reach.RepathOutcome:
+    ) -> interfaces.RepathOutcome:
         """Have a running request go on along another path."""
         self._note(head, What.ORDER)
         outcome = await self._fleet.repath(head, request_id, path)
@@ -567,9 +567,11 @@
 
     def _tell_other(self, upstream: chain.Upstream) -> None:
         told = self._fleet.at(upstream.address).backpressure
-        self._tell(upstream, reach.Notice(told, answers_request=False))
+        self._tell(upstream, interfaces.Notice(told, answers_request=False))
 
-    def _tell(self, upstream: chain.Upstream, notice: reach.Notice) -> None:
+    def _tell(
+        self, upstream: chain.Upstream, notice: interfaces.Notice
+    ) -> None:
         for listener in self._listeners:
             listener(upstream, notice)
 
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -26,7 +26,7 @@
 from crowdeck.placement import plan
 from crowdeck.platform import callers
 from crowdeck.platform import names
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.standin import chain_fleet
 from crowdeck.standin import store as standin_store
 
@@ -118,7 +118,7 @@
         )
         assert request is not None, "the system sends an id"
         hops = headers.get(names.HOPS, b"").decode()
-        dispatch = reach.Dispatch(
+        dispatch = interfaces.Dispatch(
             team=headers.get(names.TEAM, b"").decode(),
             priority=0,
             seconds_left=request.patience or 0.0,
@@ -239,7 +239,7 @@
 
 
 def _notice(
-    backpressure: pressures.Backpressure, load: reach.Load | None
+    backpressure: pressures.Backpressure, load: interfaces.Load | None
 ) -> http.RawHeaders:
     """Return the headers in which an instance tells what it can bear."""
     found: http.RawHeaders = []
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -15,7 +15,7 @@
 import pytest
 
 from crowdeck import chain
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 from crowdeck import route as routes
 from tests import fleet_system
@@ -154,7 +154,7 @@
 
             async def note(
                 head: chain.Upstream, request_id: str, path: chain.ChainPath
-            ) -> reach.RepathOutcome:
+            ) -> interfaces.RepathOutcome:
                 asked.append(anyio.current_time())
                 return await repath(head, request_id, path)
 
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -22,7 +22,7 @@
 from crowdeck.platform import engines
 from crowdeck.platform import names
 from crowdeck.relay import probes
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import survey as surveys
 from crowdeck.settings import config as configs
 from crowdeck import timers
@@ -95,7 +95,7 @@
         headers = callers.onward(
             typing.cast(typing.Any, requests[0]),
             a_run(7),
-            reach.Dispatch("kiosks", 0, 1.0),
+            interfaces.Dispatch("kiosks", 0, 1.0),
         )
         assert (names.EXPECTED_INSTANCE, b"e") in headers
 
@@ -124,7 +124,7 @@
 
     def test_is_no_silence(self) -> None:
         async def body() -> None:
-            client = typing.cast(reach.Upstreams, UnreadableReports())
+            client = typing.cast(interfaces.Upstreams, UnreadableReports())
             prober = probes.Prober(client, lambda _: True)
             probe = await prober.ask(a_run(7))
             assert not probe.is_silent
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -27,7 +27,7 @@
 from crowdeck.platform import names
 from crowdeck.platform import store as platform_store
 from crowdeck.platform import upstreams
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 from crowdeck import route as routes
 from crowdeck.state import objects as stores
@@ -246,7 +246,9 @@
         request = caller_request()
         upstream = fleet_system.upstream("i-9")
         hop = chain.Hop(upstream, pipeline.LayerRange(0, 80))
-        dispatch = reach.Dispatch("hule", 12, 1.5, chain.ChainPath((hop,)), 30)
+        dispatch = interfaces.Dispatch(
+            "hule", 12, 1.5, chain.ChainPath((hop,)), 30
+        )
         headers = dict(callers.onward(request, upstream, dispatch))
         assert b"authorization" not in headers
         assert b"x-local" not in headers and b"connection" not in headers
@@ -262,7 +264,7 @@
 
     def test_own_last_event_stays_as_it_was_sent(self) -> None:
         request = caller_request()
-        dispatch = reach.Dispatch("hule", 1, 1.5, last_event=12)
+        dispatch = interfaces.Dispatch("hule", 1, 1.5, last_event=12)
         headers = callers.onward(
             request, fleet_system.upstream("i-9"), dispatch
         )
@@ -361,7 +363,9 @@
             outcome = await client.repath(
                 upstream, "r", chain.ChainPath((hop,))
             )
-            assert outcome == reach.RepathOutcome(False, True, "10.0.0.1:7")
+            assert outcome == interfaces.RepathOutcome(
+                False, True, "10.0.0.1:7"
+            )
 
         anyio.run(body)
 
@@ -383,7 +387,7 @@
             async with client.open(
                 fleet_system.upstream("i-9"),
                 request,
-                reach.Dispatch("t", 1, 1.0),
+                interfaces.Dispatch("t", 1, 1.0),
                 http.Timeouts(1.0, 1.0),
             ) as found:
                 assert found.has_not_run is has_not_run
@@ -397,10 +401,10 @@
     ask: typing.Callable[
         [engines.UpstreamClient, chain.Upstream], typing.Awaitable[object]
     ],
-) -> list[reach.Notice]:
+) -> list[interfaces.Notice]:
     """Return what is told of an answer to whatever ``ask`` asks."""
     client = client_of(answer)
-    told: list[reach.Notice] = []
+    told: list[interfaces.Notice] = []
     client.subscribe(lambda _, notice: told.append(notice))
     try:
         await ask(client, fleet_system.upstream("i-9"))
@@ -413,7 +417,7 @@
 async def ask_request(
     client: engines.UpstreamClient, upstream: chain.Upstream
 ) -> None:
-    dispatch = reach.Dispatch("t", 1, 1.0)
+    dispatch = interfaces.Dispatch("t", 1, 1.0)
     async with client.open(
         upstream, caller_request(), dispatch, http.Timeouts(1.0, 1.0)
     ):
