--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -20,7 +20,7 @@
 from crowdeck.quarantine import ledger as ledgers
 from crowdeck.relay import gaps as layer_gaps
 from crowdeck.relay import lateness
-from crowdeck.relay import needs as instance_needs
+from crowdeck.relay import backpressure_monitor as instance_needs
 from crowdeck.relay import interfaces
 from crowdeck.relay import returns
 from crowdeck.relay import waiting
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -399,7 +399,7 @@
         }
         # What tells callers and operators of layers that no engine holds, and
         # of what instances ask for.
-        again |= {"crowdeck.relay.gaps", "crowdeck.relay.needs"}
+        again |= {"crowdeck.relay.gaps", "crowdeck.relay.backpressure_monitor"}
         assert len(own - again) <= 77
         assert len(loaded - again) <= 440
 
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -23,7 +23,7 @@
 from crowdeck.observe import counters
 from crowdeck.observe import explain
 from crowdeck.observe import losses
-from crowdeck.relay import needs
+from crowdeck.relay import backpressure_monitor
 from crowdeck.relay import returns
 from crowdeck import route as routes
 from crowdeck.standin import store_http
@@ -101,7 +101,7 @@
                 system.fleet.at(first(system, number).address).limit = 6.0
             await call(system, 20.0, 0.05)
             found = {one.key: one for one in system.context.needs.now()}
-            one = found[(first(system).name, needs.Kind.LIMIT)]
+            one = found[(first(system).name, backpressure_monitor.Kind.LIMIT)]
             assert one.per_second == 6.0
             assert one.share == pytest.approx(1.0)
             since = anyio.current_time() - 5.0
@@ -119,7 +119,7 @@
             system.book.back_off(first(system).name, 3.0)
             await anyio.sleep(1.0)
             (one,) = system.context.needs.now()
-            assert one.kind is needs.Kind.REST
+            assert one.kind is backpressure_monitor.Kind.REST
             assert one.since == 0.0
             assert one.seconds_left == pytest.approx(2.0)
             # One that goes on is no new one.
@@ -136,7 +136,7 @@
             system.book.note_leaving(first(system).name)
             await anyio.sleep(1.0)
             (one,) = system.context.needs.now()
-            assert one.kind is needs.Kind.LEAVING
+            assert one.kind is backpressure_monitor.Kind.LEAVING
             system.book.on_changed((), (first(system).life.id,))
             assert not system.context.needs.now()
 
@@ -159,7 +159,11 @@
             assert line["service"] == PLAIN
             assert line["zone"] == "plateau"
             assert line["upstream"] == "records-0"
-        assert 3.0 <= ended["seconds"] <= 3.0 + 2 * needs.LOOK_SECONDS
+        assert (
+            3.0
+            <= ended["seconds"]
+            <= 3.0 + 2 * backpressure_monitor.LOOK_SECONDS
+        )
 
     def test_hundreds_at_once_have_few_lines(self, lines: Lines) -> None:
         async def work(system: System) -> None:
@@ -169,10 +173,10 @@
 
         play(work, plain=300)
         for what in ("need_begun", "need_ended"):
-            assert len(of(what, lines)) == needs.LINES_MOST
+            assert len(of(what, lines)) == backpressure_monitor.LINES_MOST
             (others,) = of(f"{what}_by_others", lines)
             assert others["instances"] == {
-                f"{PLAIN} plateau rest": 300 - needs.LINES_MOST
+                f"{PLAIN} plateau rest": 300 - backpressure_monitor.LINES_MOST
             }
 
     def test_gauges_by_service_and_zone(self) -> None:
@@ -385,7 +389,7 @@
     """What ``crowdeck status`` shows."""
 
     def row(
-        self, name: str, needs: list[entry_status.Row]
+        self, name: str, backpressure_monitor: list[entry_status.Row]
     ) -> dict[str, object]:
         return {
             "instance": name,
@@ -393,7 +397,7 @@
             "state": "up",
             "running": 3,
             "generation": 7,
-            "needs": needs,
+            "needs": backpressure_monitor,
             "unheld": [
                 {
                     "service": "m",
