--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -22,7 +22,7 @@
 from crowdeck.relay import lateness
 from crowdeck.relay import backpressure_monitor as instance_needs
 from crowdeck.relay import interfaces
-from crowdeck.relay import returns
+from crowdeck.relay import retry_advice
 from crowdeck.relay import waiting
 from crowdeck.routing import budget as budgets
 from crowdeck.routing import heads
@@ -77,7 +77,7 @@
     chance: random.Random = attrs.field(factory=random.Random)
     ledger: ledgers.Ledger = attrs.field(factory=ledgers.Ledger)
     limits: rate_limits.RateLimits = attrs.field(init=False)
-    return_times: returns.ReturnTimes = attrs.field(init=False)
+    return_times: retry_advice.ReturnTimes = attrs.field(init=False)
     gaps: layer_gaps.LayerGaps = attrs.field(init=False)
     needs: instance_needs.Needs = attrs.field(init=False)
     subset: subsets.EngineSubset = attrs.field(init=False)
@@ -85,7 +85,7 @@
     _lines: dict[str, waiting.WaitingLine] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        self.return_times = returns.ReturnTimes(self.chance)
+        self.return_times = retry_advice.ReturnTimes(self.chance)
         self.gaps = layer_gaps.LayerGaps(self.book)
         self.subset = subsets.EngineSubset(self.name, self.zone)
         self.limits = rate_limits.RateLimits(self.usage, self.chance)
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -14,7 +14,7 @@
 from crowdeck.relay import context as contexts
 from crowdeck.relay import gaps
 from crowdeck.relay import live
-from crowdeck.relay import returns
+from crowdeck.relay import retry_advice
 from crowdeck.relay import waiting
 from crowdeck.routing import hops
 
@@ -185,7 +185,9 @@
             counters.COUNTERS.add("relay.unheld")
             left = gap.seconds_left
             if left is not None:
-                advice = left + chance.uniform(0.0, returns.WINDOW_SECONDS)
+                advice = left + chance.uniform(
+                    0.0, retry_advice.WINDOW_SECONDS
+                )
             return _no_path(_lack_of(gap), advice)
         seconds = self.seconds_until_taken()
         if seconds:
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -17,7 +17,7 @@
 from crowdeck.relay import context as contexts
 from crowdeck.relay import lateness
 from crowdeck.relay import request as requests
-from crowdeck.relay import returns
+from crowdeck.relay import retry_advice
 from crowdeck.relay import streams
 from crowdeck import route as routes
 from crowdeck.routing import routes as tables
@@ -240,5 +240,5 @@
         return errors.CrowdeckError(
             errors.Code.STORE_DOWN,
             f"the config was last known to be current {age:.1f} s ago",
-            retry_after=returns.ELSEWHERE_SECONDS,
+            retry_after=retry_advice.ELSEWHERE_SECONDS,
         )
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -24,7 +24,7 @@
 from crowdeck.observe import explain
 from crowdeck.observe import losses
 from crowdeck.relay import backpressure_monitor
-from crowdeck.relay import returns
+from crowdeck.relay import retry_advice
 from crowdeck import route as routes
 from crowdeck.standin import store_http
 from crowdeck.wire import questions
@@ -271,7 +271,7 @@
             caller = await system.ask(system.request(STREAM))
             assert caller.error is not None
             assert caller.error.retry_after is not None
-            assert caller.error.retry_after <= returns.MOST_SECONDS
+            assert caller.error.retry_after <= retry_advice.MOST_SECONDS
 
         play(work)
 
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -10,7 +10,7 @@
 import anyio
 
 from crowdeck.relay import request as requests
-from crowdeck.relay import returns
+from crowdeck.relay import retry_advice
 from tests import virtual
 
 
@@ -19,8 +19,8 @@
 
     def test_a_lone_refusal_comes_back_soon(self) -> None:
         async def body() -> None:
-            times = returns.ReturnTimes(random.Random(1))
-            assert times.advise() == returns.LEAST_SECONDS
+            times = retry_advice.ReturnTimes(random.Random(1))
+            assert times.advise() == retry_advice.LEAST_SECONDS
 
         virtual.run(body)
 
@@ -28,23 +28,23 @@
         # A burst's 600 refusals were all told 0.3 s, came back into it
         # together, and 200 of them were refused for good.
         async def body() -> None:
-            times = returns.ReturnTimes(random.Random(1))
+            times = retry_advice.ReturnTimes(random.Random(1))
             for _ in range(20):
                 times.note_end()
             told = [times.advise() for _ in range(40)]
             assert max(told) > 2.0
             assert min(told) < 0.5
-            assert max(told) <= returns.MOST_SECONDS
+            assert max(told) <= retry_advice.MOST_SECONDS
 
         virtual.run(body)
 
     def test_what_lies_back_is_forgotten(self) -> None:
         async def body() -> None:
-            times = returns.ReturnTimes(random.Random(1))
+            times = retry_advice.ReturnTimes(random.Random(1))
             for _ in range(40):
                 times.advise()
-            await anyio.sleep(returns.WINDOW_SECONDS + 0.1)
-            assert times.advise() == returns.LEAST_SECONDS
+            await anyio.sleep(retry_advice.WINDOW_SECONDS + 0.1)
+            assert times.advise() == retry_advice.LEAST_SECONDS
 
         virtual.run(body)
 
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -30,7 +30,7 @@
 from crowdeck.placement import plan
 from crowdeck.platform import names
 from crowdeck.relay import gaps
-from crowdeck.relay import returns
+from crowdeck.relay import retry_advice
 from crowdeck import route as routes
 from crowdeck import verdict as verdicts
 from tests import fleet_system
@@ -176,7 +176,7 @@
                 least = load + gaps.ORDERED_SECONDS
                 assert least - 0.1 <= comes_at
                 # Noticed half a second late, and spread.
-                most = least + gaps.LOOK_SECONDS + returns.WINDOW_SECONDS
+                most = least + gaps.LOOK_SECONDS + retry_advice.WINDOW_SECONDS
                 assert comes_at <= most + 0.1
                 assert "20-40" in error.message
 
@@ -188,7 +188,7 @@
             await anyio.sleep(0.6)
             error = await refused(system)
             assert error.retry_after is not None
-            assert error.retry_after <= returns.MOST_SECONDS
+            assert error.retry_after <= retry_advice.MOST_SECONDS
             assert "10-20" in error.message
             assert "those left can hold" in error.message
 
@@ -203,7 +203,7 @@
             assert gap.seconds_left is None
             error = await refused(system)
             assert error.retry_after is not None
-            assert error.retry_after <= returns.MOST_SECONDS
+            assert error.retry_after <= retry_advice.MOST_SECONDS
 
         play(work, "large")
 
@@ -223,7 +223,7 @@
             least = came_at + load + gaps.ORDERED_SECONDS
             comes_at = anyio.current_time() + error.retry_after
             assert least - 0.1 <= comes_at
-            assert comes_at <= least + 0.6 + returns.WINDOW_SECONDS
+            assert comes_at <= least + 0.6 + retry_advice.WINDOW_SECONDS
 
         play(work, "small", 8)
 
@@ -256,7 +256,7 @@
                 fresh.tell(system.listed[name])
             error = await refused(fresh)
             assert error.retry_after is not None
-            assert error.retry_after <= returns.MOST_SECONDS
+            assert error.retry_after <= retry_advice.MOST_SECONDS
 
         play(work, "large")
 
