--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -19,7 +19,7 @@
 from crowdeck.observe import logs
 from crowdeck.quarantine import ledger as ledgers
 from crowdeck.relay import gaps as layer_gaps
-from crowdeck.relay import lateness
+from crowdeck.relay import loop_lag
 from crowdeck.relay import backpressure_monitor as instance_needs
 from crowdeck.relay import interfaces
 from crowdeck.relay import retry_advice
@@ -73,7 +73,7 @@
     began: float = float("-inf")
     name: str = ""
     membership: budgets.Membership = budgets.FixedMembership()
-    loop: lateness.LatenessMeter = attrs.field(factory=lateness.LatenessMeter)
+    loop: loop_lag.LatenessMeter = attrs.field(factory=loop_lag.LatenessMeter)
     chance: random.Random = attrs.field(factory=random.Random)
     ledger: ledgers.Ledger = attrs.field(factory=ledgers.Ledger)
     limits: rate_limits.RateLimits = attrs.field(init=False)
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -13,7 +13,7 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck.observe import counters
-from crowdeck.relay import lateness
+from crowdeck.relay import loop_lag
 from crowdeck.relay import interfaces
 
 # An engine that says nothing for so many beats is taken for silent. Sound
@@ -178,7 +178,7 @@
     """Wait for the beats of a silent engine; true if enough were on time."""
     on_time = 0
     for _ in range(BEATS_MOST):
-        if await lateness.beat() <= lateness.LATE_SECONDS:
+        if await loop_lag.beat() <= loop_lag.LATE_SECONDS:
             on_time += 1
         if on_time >= SILENT_BEATS:
             return True
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -15,7 +15,7 @@
 from crowdeck.relay import attempt as attempts
 from crowdeck.relay import calls
 from crowdeck.relay import context as contexts
-from crowdeck.relay import lateness
+from crowdeck.relay import loop_lag
 from crowdeck.relay import request as requests
 from crowdeck.relay import retry_advice
 from crowdeck.relay import streams
@@ -208,7 +208,7 @@
         :raises CrowdeckError: ``OVERLOADED``, not run.
         """
         late = self._context.loop.recent()
-        if late > lateness.OVERLOAD_SECONDS:
+        if late > loop_lag.OVERLOAD_SECONDS:
             counters.COUNTERS.add("relay.shed")
             raise errors.CrowdeckError(
                 errors.Code.OVERLOADED,
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -14,7 +14,7 @@
 
 from crowdeck import chain
 from crowdeck import errors
-from crowdeck.relay import lateness
+from crowdeck.relay import loop_lag
 from crowdeck.relay import request as requests
 from crowdeck.relay import streams
 from crowdeck import route as routes
@@ -545,7 +545,7 @@
             assert caller.error.verdict is verdicts.Verdict.NOT_RUN
             assert caller.error.retry_after
             assert system.fleet.runs_of(request.id) == []
-            await anyio.sleep(lateness.RECENT_SECONDS + 0.1)
+            await anyio.sleep(loop_lag.RECENT_SECONDS + 0.1)
             later = system.request(STREAM)
             assert_whole(await system.ask(later), later, system.fleet.events)
 
