--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -80,7 +80,7 @@
         }
 
 
-class Needs:
+class BackpressureMonitor:
     """Gathers what instances ask of this entry, or of all."""
 
     def __init__(
