--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class Need:
+class BackpressureSignal:
     """What one instance asks for.
 
     :ivar since: the loop's time at which this entry learned of it.
@@ -88,10 +88,10 @@
     ) -> None:
         self._book = book
         self._limits = limits
-        self._known: dict[tuple[str, Kind], Need] = {}
+        self._known: dict[tuple[str, Kind], BackpressureSignal] = {}
         self._gauges: set[str] = set()
 
-    def now(self) -> tuple[Need, ...]:
+    def now(self) -> tuple[BackpressureSignal, ...]:
         """Return what is asked for now."""
         return (*self._limited(), *self._resting(), *self._leaving())
 
@@ -120,11 +120,11 @@
             self._look()
             await anyio.sleep(LOOK_SECONDS)
 
-    def _limited(self) -> typing.Iterator[Need]:
+    def _limited(self) -> typing.Iterator[BackpressureSignal]:
         for one in self._limits.views():
             upstream = self._book.find(one.name)
             if upstream is not None:
-                yield Need(
+                yield BackpressureSignal(
                     upstream,
                     Kind.LIMIT,
                     one.since,
@@ -133,19 +133,21 @@
                     share=one.share,
                 )
 
-    def _resting(self) -> typing.Iterator[Need]:
+    def _resting(self) -> typing.Iterator[BackpressureSignal]:
         now = anyio.current_time()
         for name, since, until in self._book.resting():
             upstream = self._book.find(name)
             if upstream is not None:
                 left = until - now
-                yield Need(upstream, Kind.REST, since, seconds_left=left)
+                yield BackpressureSignal(
+                    upstream, Kind.REST, since, seconds_left=left
+                )
 
-    def _leaving(self) -> typing.Iterator[Need]:
+    def _leaving(self) -> typing.Iterator[BackpressureSignal]:
         for name, since in self._book.said_leaving():
             upstream = self._book.find(name)
             if upstream is not None:
-                yield Need(upstream, Kind.LEAVING, since)
+                yield BackpressureSignal(upstream, Kind.LEAVING, since)
 
     def _look(self) -> None:
         found = {one.key: one for one in self.now()}
@@ -156,7 +158,7 @@
         self._known = found
         self._set_gauges(found.values())
 
-    def _set_gauges(self, found: typing.Iterable[Need]) -> None:
+    def _set_gauges(self, found: typing.Iterable[BackpressureSignal]) -> None:
         levels: dict[str, float] = collections.defaultdict(float)
         for one in found:
             where = f"{one.upstream.service}.{one.upstream.availability_zone}"
@@ -171,7 +173,7 @@
             counters.COUNTERS.set_gauge(name, levels[name])
 
 
-def _log(what: str, needs: list[Need]) -> None:
+def _log(what: str, needs: list[BackpressureSignal]) -> None:
     for one in needs[:LINES_MOST]:
         logs.change(what, **one.as_fields())
     others = needs[LINES_MOST:]
