--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -20,7 +20,7 @@
 from crowdeck.quarantine import ledger as ledgers
 from crowdeck.relay import gaps as layer_gaps
 from crowdeck.relay import loop_lag
-from crowdeck.relay import backpressure_monitor as instance_needs
+from crowdeck.relay import backpressure_monitor as backpressure_monitor
 from crowdeck.relay import interfaces
 from crowdeck.relay import retry_advice
 from crowdeck.relay import waiting
@@ -79,7 +79,7 @@
     limits: rate_limits.RateLimits = attrs.field(init=False)
     return_times: retry_advice.ReturnTimes = attrs.field(init=False)
     gaps: layer_gaps.LayerGaps = attrs.field(init=False)
-    needs: instance_needs.BackpressureMonitor = attrs.field(init=False)
+    needs: backpressure_monitor.BackpressureMonitor = attrs.field(init=False)
     subset: subsets.EngineSubset = attrs.field(init=False)
     _budgets: dict[str, budgets.SharedBudget] = attrs.field(factory=dict)
     _lines: dict[str, waiting.WaitingLine] = attrs.field(factory=dict)
@@ -89,7 +89,9 @@
         self.gaps = layer_gaps.LayerGaps(self.book)
         self.subset = subsets.EngineSubset(self.name, self.zone)
         self.limits = rate_limits.RateLimits(self.usage, self.chance)
-        self.needs = instance_needs.BackpressureMonitor(self.book, self.limits)
+        self.needs = backpressure_monitor.BackpressureMonitor(
+            self.book, self.limits
+        )
         self.book.subscribe_ends(self.note_end)
         self.client.subscribe(self._take_notice)
 
