--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -164,7 +164,7 @@
         context.follow(view.roster)
         for part in (*view.parts, lease.run, watch.run):
             tasks.start_soon(part)
-        tasks.start_soon(context.needs.run)
+        tasks.start_soon(context.backpressure.run)
         tasks.start_soon(context.gaps.run, lambda: view.holder.services)
         tasks.start_soon(_place, lease, view.book, upstreams, view.holder)
         tasks.start_soon(self._survey, context, view)
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -194,7 +194,9 @@
         :raises CrowdeckError: ``NO_PATH`` where none takes a call in time.
         """
         until = self._request.arrived + WAIT_SHARE * self._route.objective
-        self._held_back = self._context.needs.held_back(self._service.name)
+        self._held_back = self._context.backpressure.held_back(
+            self._service.name
+        )
         line = self._context.line(self._service.name)
         # One that is tried again is not held up by those that can go to
         # instances which it has left behind.
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -79,7 +79,9 @@
     limits: rate_limits.RateLimits = attrs.field(init=False)
     return_times: retry_advice.ReturnTimes = attrs.field(init=False)
     gaps: layer_gaps.LayerGaps = attrs.field(init=False)
-    needs: backpressure_monitor.BackpressureMonitor = attrs.field(init=False)
+    backpressure: backpressure_monitor.BackpressureMonitor = attrs.field(
+        init=False
+    )
     subset: subsets.EngineSubset = attrs.field(init=False)
     _budgets: dict[str, budgets.SharedBudget] = attrs.field(factory=dict)
     _lines: dict[str, waiting.WaitingLine] = attrs.field(factory=dict)
@@ -89,7 +91,7 @@
         self.gaps = layer_gaps.LayerGaps(self.book)
         self.subset = subsets.EngineSubset(self.name, self.zone)
         self.limits = rate_limits.RateLimits(self.usage, self.chance)
-        self.needs = backpressure_monitor.BackpressureMonitor(
+        self.backpressure = backpressure_monitor.BackpressureMonitor(
             self.book, self.limits
         )
         self.book.subscribe_ends(self.note_end)
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -72,7 +72,9 @@
         if has_begun:
             path = await self._await_begun()
         elif self._has_turns(line) or (path := self._plan()) is None:
-            self._waited_for = self._context.needs.held_back(self._service)
+            self._waited_for = self._context.backpressure.held_back(
+                self._service
+            )
             path = await self._wait_in(line)
         if path is None:
             self._note_no_path()
@@ -173,7 +175,7 @@
 
     def held_back(self) -> str:
         """Return which engines are in need, or were when a wait began."""
-        now = self._context.needs.held_back(self._service)
+        now = self._context.backpressure.held_back(self._service)
         return now or self._waited_for
 
     def refusal(self) -> errors.CrowdeckError:
--- a/src/crowdeck/relay/status.py
+++ b/src/crowdeck/relay/status.py
@@ -71,7 +71,9 @@
             "is_ready": self._relay.is_ready,
             "running": self._relay.in_progress,
             "generation": table.version if table is not None else 0,
-            "needs": [one.as_fields() for one in self._context.needs.now()],
+            "needs": [
+                one.as_fields() for one in self._context.backpressure.now()
+            ],
             "unheld": [one.as_fields() for one in self._context.gaps.known],
         }
 
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -73,7 +73,7 @@
                 )
             )
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(system.context.needs.run)
+            tasks.start_soon(system.context.backpressure.run)
             await fleet_system.run_with(system, work)
             tasks.cancel_scope.cancel()
 
@@ -100,7 +100,7 @@
             for number in range(2):
                 system.fleet.at(first(system, number).address).limit = 6.0
             await call(system, 20.0, 0.05)
-            found = {one.key: one for one in system.context.needs.now()}
+            found = {one.key: one for one in system.context.backpressure.now()}
             one = found[(first(system).name, backpressure_monitor.Kind.LIMIT)]
             assert one.per_second == 6.0
             assert one.share == pytest.approx(1.0)
@@ -118,16 +118,16 @@
         async def work(system: System) -> None:
             system.book.back_off(first(system).name, 3.0)
             await anyio.sleep(1.0)
-            (one,) = system.context.needs.now()
+            (one,) = system.context.backpressure.now()
             assert one.kind is backpressure_monitor.Kind.REST
             assert one.since == 0.0
             assert one.seconds_left == pytest.approx(2.0)
             # One that goes on is no new one.
             system.book.back_off(first(system).name, 3.0)
-            (one,) = system.context.needs.now()
+            (one,) = system.context.backpressure.now()
             assert one.since == 0.0
             await anyio.sleep(3.1)
-            assert not system.context.needs.now()
+            assert not system.context.backpressure.now()
 
         play(work)
 
@@ -135,10 +135,10 @@
         async def work(system: System) -> None:
             system.book.note_leaving(first(system).name)
             await anyio.sleep(1.0)
-            (one,) = system.context.needs.now()
+            (one,) = system.context.backpressure.now()
             assert one.kind is backpressure_monitor.Kind.LEAVING
             system.book.on_changed((), (first(system).life.id,))
-            assert not system.context.needs.now()
+            assert not system.context.backpressure.now()
 
         play(work)
 
