--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -31,7 +31,7 @@
     """What an instance asks for."""
 
     LIMIT = "limit"
-    REST = "rest"
+    BACKOFF = "rest"
     LEAVING = "leaving"
 
 
@@ -140,7 +140,7 @@
             if upstream is not None:
                 left = until - now
                 yield BackpressureSignal(
-                    upstream, Kind.REST, since, seconds_left=left
+                    upstream, Kind.BACKOFF, since, seconds_left=left
                 )
 
     def _leaving(self) -> typing.Iterator[BackpressureSignal]:
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -119,7 +119,7 @@
             system.book.back_off(first(system).name, 3.0)
             await anyio.sleep(1.0)
             (one,) = system.context.backpressure.now()
-            assert one.kind is backpressure_monitor.Kind.REST
+            assert one.kind is backpressure_monitor.Kind.BACKOFF
             assert one.since == 0.0
             assert one.seconds_left == pytest.approx(2.0)
             # One that goes on is no new one.
