--- a/src/crowdeck/relay/retry_advice.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -24,7 +24,7 @@
 ELSEWHERE_SECONDS = 0.25
 
 
-class ReturnTimes:
+class RetryAdvisor:
     """Spreads returns over the time in which room comes for them.
 
     Told the same short time, all that were refused in a burst come back
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -19,7 +19,7 @@
 
     def test_a_lone_refusal_comes_back_soon(self) -> None:
         async def body() -> None:
-            times = retry_advice.ReturnTimes(random.Random(1))
+            times = retry_advice.RetryAdvisor(random.Random(1))
             assert times.advise() == retry_advice.LEAST_SECONDS
 
         virtual.run(body)
@@ -28,7 +28,7 @@
         # A burst's 600 refusals were all told 0.3 s, came back into it
         # together, and 200 of them were refused for good.
         async def body() -> None:
-            times = retry_advice.ReturnTimes(random.Random(1))
+            times = retry_advice.RetryAdvisor(random.Random(1))
             for _ in range(20):
                 times.note_end()
             told = [times.advise() for _ in range(40)]
@@ -40,7 +40,7 @@
 
     def test_what_lies_back_is_forgotten(self) -> None:
         async def body() -> None:
-            times = retry_advice.ReturnTimes(random.Random(1))
+            times = retry_advice.RetryAdvisor(random.Random(1))
             for _ in range(40):
                 times.advise()
             await anyio.sleep(retry_advice.WINDOW_SECONDS + 0.1)
