--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -77,7 +77,7 @@
     chance: random.Random = attrs.field(factory=random.Random)
     ledger: ledgers.Ledger = attrs.field(factory=ledgers.Ledger)
     limits: rate_limits.RateLimits = attrs.field(init=False)
-    return_times: retry_advice.RetryAdvisor = attrs.field(init=False)
+    retry_advisor: retry_advice.RetryAdvisor = attrs.field(init=False)
     gaps: layer_gaps.LayerGaps = attrs.field(init=False)
     backpressure: backpressure_monitor.BackpressureMonitor = attrs.field(
         init=False
@@ -87,7 +87,7 @@
     _lines: dict[str, waiting.WaitingLine] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        self.return_times = retry_advice.RetryAdvisor(self.chance)
+        self.retry_advisor = retry_advice.RetryAdvisor(self.chance)
         self.gaps = layer_gaps.LayerGaps(self.book)
         self.subset = subsets.EngineSubset(self.name, self.zone)
         self.limits = rate_limits.RateLimits(self.usage, self.chance)
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -105,7 +105,7 @@
         if gap is not None and not gap.closes_by(until):
             until = gap.since + MISSING_WAIT_SECONDS
         until = min(until, self._deadline)
-        expected = self._context.return_times.seconds_for(len(line) + 1)
+        expected = self._context.retry_advisor.seconds_for(len(line) + 1)
         expected = max(expected, self.seconds_until_taken())
         if line.is_full or now + expected > until:
             return None
@@ -181,7 +181,7 @@
     def refusal(self) -> errors.CrowdeckError:
         """Return the refusal of a stream that found no path."""
         chance = self._context.chance
-        advice = self._context.return_times.advise()
+        advice = self._context.retry_advisor.advise()
         gap = self._gap()
         if gap is not None:
             counters.COUNTERS.add("relay.unheld")
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -228,7 +228,7 @@
     def _note_end(self, path: chain.ChainPath) -> None:
         stream = self._stream
         self._context.ledger.note_served(stream.fingerprint)
-        self._context.return_times.note_end()
+        self._context.retry_advisor.note_end()
         now = anyio.current_time()
         arrived = self._request.arrived
         first = (stream.first_event_at or now) - arrived
@@ -372,6 +372,6 @@
             error.message,
             verdict=verdict,
             retry_after=error.retry_after
-            or self._context.return_times.advise(),
+            or self._context.retry_advisor.advise(),
             culprit=error.culprit,
         )
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -113,7 +113,7 @@
     def test_is_refused_at_once_where_room_comes_too_late(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             fill(system, 3.0)
-            system.context.return_times.note_end()
+            system.context.retry_advisor.note_end()
             began = anyio.current_time()
             caller = await system.ask(system.request(STREAM))
             assert caller.error is not None
