--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -73,7 +73,7 @@
     began: float = float("-inf")
     name: str = ""
     membership: budgets.Membership = budgets.FixedMembership()
-    loop: loop_lag.LatenessMeter = attrs.field(factory=loop_lag.LatenessMeter)
+    loop: loop_lag.LoopLagMeter = attrs.field(factory=loop_lag.LoopLagMeter)
     chance: random.Random = attrs.field(factory=random.Random)
     ledger: ledgers.Ledger = attrs.field(factory=ledgers.Ledger)
     limits: rate_limits.RateLimits = attrs.field(init=False)
--- a/src/crowdeck/relay/loop_lag.py
+++ b/src/crowdeck/relay/loop_lag.py
@@ -33,7 +33,7 @@
 OVERLOAD_SECONDS = 0.15
 
 
-class LatenessMeter:
+class LoopLagMeter:
     """Measures how late the event loop runs its tasks."""
 
     def __init__(self) -> None:
