--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -93,7 +93,7 @@
         return await self._poll(until)
 
     async def _wait_in(
-        self, line: waiting.WaitingLine
+        self, line: waiting.WaitQueue
     ) -> chain.ChainPath | None:
         """Return a path once it is this request's turn and there is one.
 
@@ -169,7 +169,7 @@
             for layer in range(run.first, run.end)
         )
 
-    def _has_turns(self, line: waiting.WaitingLine) -> bool:
+    def _has_turns(self, line: waiting.WaitQueue) -> bool:
         """Whether others wait, for what will come."""
         return bool(len(line)) and self._gap() is None
 
--- a/src/crowdeck/relay/waiting.py
+++ b/src/crowdeck/relay/waiting.py
@@ -18,7 +18,7 @@
 MOST_WAITING = 100
 
 
-class WaitingLine:
+class WaitQueue:
     """Requests for one service, first come first served.
 
     Only the first looks for a path: each look costs about a millisecond,
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -52,7 +52,7 @@
 
     def test_first_come_first_served(self) -> None:
         async def body() -> None:
-            line = waiting.WaitingLine()
+            line = waiting.WaitQueue()
             served: list[int] = []
 
             async def wait(number: int) -> None:
@@ -72,7 +72,7 @@
 
     def test_one_that_gives_up_leaves_its_place(self) -> None:
         async def body() -> None:
-            line = waiting.WaitingLine()
+            line = waiting.WaitQueue()
             outcomes: list[tuple[str, bool]] = []
 
             async def wait(name: str, until: float, hold: float) -> None:
