--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -144,7 +144,7 @@
         view = store_view.StoreView(store, self._config, peers)
         upstreams = self._open_upstreams(stack)
         context = self._context(upstreams, view)
-        watch = stalls.StallWatch(context)
+        watch = stalls.StallMonitor(context)
         self._relay = relays.Relay(
             context,
             view.holder,
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -70,7 +70,7 @@
     head: chain.EngineReport | None = None
 
 
-class StallWatch:
+class StallMonitor:
     """Looks after the streams of one entry."""
 
     def __init__(self, context: contexts.RelayContext) -> None:
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -184,7 +184,7 @@
         self.config = a_config()
         self.holder = relays.ConfigHolder(lambda _: self.config, "main")
         self.age = 0.0
-        self.watch = stalls.StallWatch(self.context)
+        self.watch = stalls.StallMonitor(self.context)
         self.relay = relays.Relay(
             self.context, self.holder, self.watch, lambda: self.age, 3.5
         )
