--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -28,7 +28,7 @@
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
 
-class Watch(typing.Protocol):
+class StreamMonitor(typing.Protocol):
     """Looks after streams in progress."""
 
     def add(self, stream: live.LiveStream) -> None:
@@ -61,7 +61,7 @@
     def __init__(
         self,
         context: contexts.RelayContext,
-        watch: Watch,
+        watch: StreamMonitor,
         stream: live.LiveStream,
         admitted: tables.Admitted,
         sink: requests.Sink,
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -62,7 +62,7 @@
     """Passes calls on to the instances of plain services."""
 
     def __init__(
-        self, context: contexts.RelayContext, watch: attempts.Watch
+        self, context: contexts.RelayContext, watch: attempts.StreamMonitor
     ) -> None:
         self._context = context
         self._watch = watch
@@ -106,7 +106,7 @@
     def __init__(
         self,
         context: contexts.RelayContext,
-        watch: attempts.Watch,
+        watch: attempts.StreamMonitor,
         balancer: balance.Balancer,
         request: requests.CallerRequest,
         admitted: tables.Admitted,
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -112,7 +112,7 @@
         self,
         context: contexts.RelayContext,
         holder: ConfigHolder,
-        watch: attempts.Watch,
+        watch: attempts.StreamMonitor,
         age: Age,
         trust_seconds: float,
     ) -> None:
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -41,7 +41,7 @@
     """Passes streams on, over paths of engines that it chooses."""
 
     def __init__(
-        self, context: contexts.RelayContext, watch: attempts.Watch
+        self, context: contexts.RelayContext, watch: attempts.StreamMonitor
     ) -> None:
         self._context = context
         self._watch = watch
@@ -97,7 +97,7 @@
     def __init__(
         self,
         context: contexts.RelayContext,
-        watch: attempts.Watch,
+        watch: attempts.StreamMonitor,
         stream: live.LiveStream,
         admitted: tables.Admitted,
         sink: requests.Sink,
