--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -184,7 +184,10 @@
 
     async def _pass_failure(self, answer: interfaces.Answer) -> None:
         body = await answer.read(BODY_LIMIT)
-        if self._sink.has_started or answer.status in requests.PROMISES:
+        if (
+            self._sink.has_started
+            or answer.status in requests.NOT_RUN_STATUSES
+        ):
             raise self._wrong(f"status {answer.status}")
         if self._route.is_resumable and answer.status >= 500:
             raise self._wrong(f"status {answer.status}")
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -331,7 +331,7 @@
         if answer.status < 300 and not answer.is_signed:
             raise _wrong(upstream, "it bears no signature")
         body = await answer.read(CALL_BYTES)
-        if answer.status in requests.PROMISES:
+        if answer.status in requests.NOT_RUN_STATUSES:
             raise _wrong(upstream, f"{answer.status} without a promise")
         return _Answer(
             answer.status,
--- a/src/crowdeck/relay/ingress.py
+++ b/src/crowdeck/relay/ingress.py
@@ -229,7 +229,11 @@
             return
         headers: http.RawHeaders = [_JSON_TYPE]
         has_not_run = error.verdict is verdicts.Verdict.NOT_RUN
-        if has_not_run and error.retry_after and status in requests.PROMISES:
+        if (
+            has_not_run
+            and error.retry_after
+            and status in requests.NOT_RUN_STATUSES
+        ):
             headers.append(self._codec.retry_after(error.retry_after))
         body = orjson.dumps(attrs.asdict(errors.ErrorReport.of(error)))
         await sink.reply(status, headers, body)
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -104,7 +104,7 @@
 
 
 # Statuses by which a caller is promised that its request has not run.
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 UNKNOWN_STATUS = 502
 LATE_STATUS = 504
 
@@ -118,4 +118,4 @@
         return status
     if error.code is errors.Code.DEADLINE:
         return LATE_STATUS
-    return UNKNOWN_STATUS if status in PROMISES else max(status, 500)
+    return UNKNOWN_STATUS if status in NOT_RUN_STATUSES else max(status, 500)
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -303,5 +303,5 @@
             if verdict is verdicts.Verdict.NOT_RUN:
                 assert status < 500 or status == 503
             else:
-                assert status not in requests.PROMISES
+                assert status not in requests.NOT_RUN_STATUSES
                 assert status >= 500
