--- a/src/crowdeck/relay/ingress.py
+++ b/src/crowdeck/relay/ingress.py
@@ -37,7 +37,7 @@
         ...
 
     @property
-    def sends_callers_away(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether callers are to use other connections from now on."""
         ...
 
@@ -74,7 +74,7 @@
         """Send the head of an answer whose body follows in pieces."""
         self._has_started = True
         headers = [pair for pair in headers if pair[0] != b"content-length"]
-        if self._server.sends_callers_away:
+        if self._server.closes_connections:
             headers.append(_CLOSE)
         await self._send(
             {
@@ -102,7 +102,7 @@
         length = (b"content-length", str(len(body)).encode())
         self._has_started = True
         headers = [*headers, length]
-        if self._server.sends_callers_away:
+        if self._server.closes_connections:
             headers.append(_CLOSE)
         await self._send(
             {
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -134,7 +134,7 @@
         return limits.body_bytes
 
     @property
-    def sends_callers_away(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether callers are to use other connections from now on.
 
         A planned stop has begun, or requests will soon be refused because
@@ -145,7 +145,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether new connections are welcome."""
-        return self._holder.table is not None and not self.sends_callers_away
+        return self._holder.table is not None and not self.closes_connections
 
     @property
     def _is_current(self) -> bool:
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -238,10 +238,10 @@
         # entry that the store turned away refused all that came meanwhile.
         async def work(system: fleet_system.FleetSystem) -> None:
             assert system.relay.is_ready
-            assert not system.relay.sends_callers_away
+            assert not system.relay.closes_connections
             system.age = 1.9
             assert not system.relay.is_ready
-            assert system.relay.sends_callers_away
+            assert system.relay.closes_connections
             caller = await system.ask(system.request(ONCE))
             assert caller.status == 200
 
