--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -78,7 +78,7 @@
         self._asking: dict[str, anyio.Event] = {}
 
     @property
-    def is_asking(self) -> bool:
+    def is_probing(self) -> bool:
         """Whether an engine was asked and has not answered yet."""
         return bool(self._asking)
 
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -88,9 +88,9 @@
         context.ledger.subscribe(self._stop_culprits)
 
     @property
-    def is_asking(self) -> bool:
+    def is_probing(self) -> bool:
         """Whether an engine was asked and has not answered yet."""
-        return self._prober.is_asking
+        return self._prober.is_probing
 
     def add(self, stream: live.LiveStream) -> None:
         """Look after a stream from now on."""
