--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -409,7 +409,7 @@
                 retry_after=RETRY_AFTER,
             )
         counters.COUNTERS.add("relay.limited")
-        spread = self._context.chance.uniform(0.0, RETRY_AFTER)
+        spread = self._context.rng.uniform(0.0, RETRY_AFTER)
         return errors.CrowdeckError(
             errors.Code.NO_PATH,
             "all instances are at their limits or want rest",
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -74,7 +74,7 @@
     name: str = ""
     membership: budgets.Membership = budgets.FixedMembership()
     loop: loop_lag.LoopLagMeter = attrs.field(factory=loop_lag.LoopLagMeter)
-    chance: random.Random = attrs.field(factory=random.Random)
+    rng: random.Random = attrs.field(factory=random.Random)
     ledger: ledgers.Ledger = attrs.field(factory=ledgers.Ledger)
     limits: rate_limits.RateLimits = attrs.field(init=False)
     retry_advisor: retry_advice.RetryAdvisor = attrs.field(init=False)
@@ -87,10 +87,10 @@
     _lines: dict[str, waiting.WaitQueue] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        self.retry_advisor = retry_advice.RetryAdvisor(self.chance)
+        self.retry_advisor = retry_advice.RetryAdvisor(self.rng)
         self.gaps = layer_gaps.LayerGaps(self.book)
         self.subset = subsets.EngineSubset(self.name, self.zone)
-        self.limits = rate_limits.RateLimits(self.usage, self.chance)
+        self.limits = rate_limits.RateLimits(self.usage, self.rng)
         self.backpressure = backpressure_monitor.BackpressureMonitor(
             self.book, self.limits
         )
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -180,16 +180,14 @@
 
     def refusal(self) -> errors.CrowdeckError:
         """Return the refusal of a stream that found no path."""
-        chance = self._context.chance
+        rng = self._context.rng
         advice = self._context.retry_advisor.advise()
         gap = self._gap()
         if gap is not None:
             counters.COUNTERS.add("relay.unheld")
             left = gap.seconds_left
             if left is not None:
-                advice = left + chance.uniform(
-                    0.0, retry_advice.WINDOW_SECONDS
-                )
+                advice = left + rng.uniform(0.0, retry_advice.WINDOW_SECONDS)
             return _no_path(_lack_of(gap), advice)
         seconds = self.seconds_until_taken()
         if seconds:
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -195,7 +195,7 @@
             )
         admitted = self._admit(table, request)
         self._refuse_overload()
-        name = tables.pick_service(admitted.route, self._context.chance)
+        name = tables.pick_service(admitted.route, self._context.rng)
         service = table.service(name) or routes.Service(name, 0)
         if service.profile is not None:
             await self._streams.serve(request, admitted, service, sink)
--- a/src/crowdeck/relay/retry_advice.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -31,8 +31,8 @@
     into it together, and are refused again.
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self._chance = rng
         self._refused: collections.deque[float] = collections.deque()
         self._ended: collections.deque[float] = collections.deque()
 
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -178,7 +178,7 @@
             began=began,
             name=name,
             # Entries that draw alike would do the same at one moment.
-            chance=random.Random(name or 1),
+            rng=random.Random(name or 1),
             ledger=ledgers.Ledger(anyio.current_time),
         )
         self.config = a_config()
