--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -95,7 +95,7 @@
     return lines
 
 
-def _status_row(answer: operators.Answered) -> dict[str, Data]:
+def _status_row(answer: operators.InstanceReply) -> dict[str, Data]:
     if not isinstance(answer.reply, questions.Status):
         why = answer.error.message if answer.error else "no status"
         return {"instance": answer.name, "state": "lost", "error": why}
--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class Answered:
+class InstanceReply:
     """What one instance said, or why it did not."""
 
     name: str
@@ -124,16 +124,18 @@
             raise reply.as_error()
         return reply
 
-    async def ask_all(self, question: questions.Question) -> list[Answered]:
+    async def ask_all(
+        self, question: questions.Question
+    ) -> list[InstanceReply]:
         """Ask every listed instance at once; the lost ones are said so."""
-        answers: list[Answered] = []
+        answers: list[InstanceReply] = []
 
         async def ask_one(name: str) -> None:
             try:
                 reply = await self.ask(name, question)
-                answers.append(Answered(name, reply, None))
+                answers.append(InstanceReply(name, reply, None))
             except errors.CrowdeckError as error:
-                answers.append(Answered(name, None, error))
+                answers.append(InstanceReply(name, None, error))
 
         listed = await self.instances()
         async with anyio.create_task_group() as tasks:
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -373,7 +373,7 @@
 
     async def ask_all(
         self, question: questions.Question
-    ) -> list[operators.Answered]:
+    ) -> list[operators.InstanceReply]:
         return []
 
     async def entries(self) -> list[entry_status.Row]:
