--- a/src/crowdeck/cmd/daemon.py
+++ b/src/crowdeck/cmd/daemon.py
@@ -52,7 +52,7 @@
         """Take a configuration that was read again."""
         ...
 
-    async def stop(self, hurry: bool = False) -> None:
+    async def stop(self, force: bool = False) -> None:
         """Stop as planned."""
         ...
 
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -108,13 +108,13 @@
         self._config = config
         logs.change("reconfigured", instance=config.name)
 
-    async def stop(self, hurry: bool = False) -> None:
+    async def stop(self, force: bool = False) -> None:
         """Stop as planned: no new callers, then the end of what runs."""
         if self._relay is None or self._server is None:
             self._stopped.set()
             return
         grace = float(self._config.fleet["grace_seconds"]) - STOP_MARGIN
-        if hurry:
+        if force:
             self._stopped.set()
             return
         if self._is_stopping:
--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -120,9 +120,9 @@
             part.admission.limit = int(config.entry["request_limit"])
         logs.change("reconfigured", instance=self._config.name)
 
-    async def stop(self, hurry: bool = False) -> None:
+    async def stop(self, force: bool = False) -> None:
         """Begin a planned stop; ``hurry`` cuts its wait short."""
-        limit = 0.0 if hurry else self._config.stop_seconds
+        limit = 0.0 if force else self._config.stop_seconds
         await self.running.part.drain(limit)
 
     def _greeting(self) -> messages.Greeting:
