--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class BudgetTerms:
+class RetryBudgetSettings:
     """The terms of the retry budget, as the operator sets them."""
 
     ratio: float
@@ -69,7 +69,7 @@
     client: interfaces.Upstreams
     usage: usages.InFlight
     planner: hops.HopPlanner
-    terms: BudgetTerms
+    terms: RetryBudgetSettings
     began: float = float("-inf")
     name: str = ""
     membership: budgets.Membership = budgets.FixedMembership()
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -174,7 +174,7 @@
             client=self.client,
             usage=self.usage,
             planner=hops.HopPlanner(self.usage),
-            terms=contexts.BudgetTerms(0.2, 100.0, 10.0),
+            terms=contexts.RetryBudgetSettings(0.2, 100.0, 10.0),
             began=began,
             name=name,
             # Entries that draw alike would do the same at one moment.
