--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -139,7 +139,7 @@
     return ""
 
 
-def _size(first: dict[bytes, bytes]) -> requests.PromptSize | None:
+def _size(first: dict[bytes, bytes]) -> requests.TokenCounts | None:
     counts = first.get(names.TOKEN_COUNTS, b"").split(b",")
     if len(counts) != 2:
         return None
@@ -147,7 +147,7 @@
     if prompt is None or most is None:
         return None
     guess = _number(first.get(names.LENGTH_HINT, b"")) or 0
-    return requests.PromptSize(int(prompt), int(most), int(guess))
+    return requests.TokenCounts(int(prompt), int(most), int(guess))
 
 
 def _number(text: bytes) -> float | None:
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class PromptSize:
+class TokenCounts:
     """What a model request asks for, in tokens.
 
     :ivar prompt: tokens of the prompt.
@@ -63,7 +63,7 @@
     body: bytes = attrs.field(repr=False)
     patience: float | None
     arrived: float
-    size: PromptSize | None = None
+    size: TokenCounts | None = None
     last_event: int = -1
 
 
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -61,7 +61,7 @@
         budget = self._context.budget(service.name)
         budget.earn()
         sends = budget.open_sends()
-        size = request.size or requests.PromptSize(0, 0)
+        size = request.size or requests.TokenCounts(0, 0)
         stream = live.LiveStream(
             request=request,
             service=service,
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -244,7 +244,7 @@
             body=b"",
             patience=20.0,
             arrived=anyio.current_time(),
-            size=requests.PromptSize(700, 400, 100),
+            size=requests.TokenCounts(700, 400, 100),
         )
         return attrs.evolve(request, **changes)
 
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -236,7 +236,7 @@
         assert request.key == "k1"
         assert request.patience == 2.5
         assert request.last_event == 12
-        assert request.size == requests.PromptSize(642, 430, 64)
+        assert request.size == requests.TokenCounts(642, 430, 64)
         assert "k1" not in repr(request)
 
     def test_without_an_id_it_is_none(self) -> None:
