--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -121,7 +121,7 @@
         logs.change("reconfigured", instance=self._config.name)
 
     async def stop(self, force: bool = False) -> None:
-        """Begin a planned stop; ``hurry`` cuts its wait short."""
+        """Begin a planned stop; ``force`` cuts its wait short."""
         limit = 0.0 if force else self._config.stop_seconds
         await self.running.part.drain(limit)
 
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -5,7 +5,7 @@
 
 """A stand-in for upstreams that chain their stages themselves.
 
-It serves the relay in process, over ``relay.reach.Upstreams``, and keeps
+It serves the relay in process, over ``relay.interfaces.Upstreams``, and keeps
 what a test asks afterwards: what ran where, and how often. Streams are
 event N of request R as ``id: N``, ``data: R:N``, so that a missing, doubled
 or foreign event shows.
@@ -511,7 +511,7 @@
 
 
 class FleetClient:
-    """One entry's way to a fleet; implements ``relay.reach.Upstreams``.
+    """One entry's way to a fleet; implements ``relay.interfaces.Upstreams``.
 
     :ivar arrivals: all that the entry sent.
     """
