--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -15,8 +15,8 @@
 from crowdeck.membership import upstreams as books
 from crowdeck.relay import context as contexts
 from crowdeck.relay import events
-from crowdeck.relay import live
 from crowdeck.relay import interfaces
+from crowdeck.relay import live
 from crowdeck.relay import request as requests
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -18,10 +18,10 @@
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.quarantine import ledger as ledgers
-from crowdeck.relay import gaps as layer_gaps
-from crowdeck.relay import loop_lag
 from crowdeck.relay import backpressure_monitor
+from crowdeck.relay import gaps as layer_gaps
 from crowdeck.relay import interfaces
+from crowdeck.relay import loop_lag
 from crowdeck.relay import retry_advice
 from crowdeck.relay import waiting
 from crowdeck.routing import budget as budgets
--- a/src/crowdeck/relay/detours.py
+++ b/src/crowdeck/relay/detours.py
@@ -14,9 +14,9 @@
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.relay import context as contexts
+from crowdeck.relay import interfaces
 from crowdeck.relay import live
 from crowdeck.relay import probes
-from crowdeck.relay import interfaces
 from crowdeck.routing import hops
 
 
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -13,8 +13,8 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck.observe import counters
-from crowdeck.relay import loop_lag
 from crowdeck.relay import interfaces
+from crowdeck.relay import loop_lag
 
 # An engine that says nothing for so many beats is taken for silent. Sound
 # ones answer within 2 ms, those of another zone within 3; with 60 ms
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -21,8 +21,8 @@
 from crowdeck.platform import callers
 from crowdeck.platform import engines
 from crowdeck.platform import names
-from crowdeck.relay import probes
 from crowdeck.relay import interfaces
+from crowdeck.relay import probes
 from crowdeck.relay import survey as surveys
 from crowdeck.settings import config as configs
 from crowdeck import timers
