--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -121,8 +121,8 @@
         self._admitted = admitted
         self._service = service
         self._route = admitted.route
-        patience = request.patience or self._route.timeout
-        limit = min(patience, self._route.timeout)
+        timeout_seconds = request.timeout_seconds or self._route.timeout
+        limit = min(timeout_seconds, self._route.timeout)
         self._deadline = request.arrived + limit - ANSWER_MARGIN
         self._tried: set[str] = set()
         self._sent = 0
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -61,7 +61,7 @@
     key: str = attrs.field(repr=False)
     headers: http.RawHeaders = attrs.field(repr=False)
     body: bytes = attrs.field(repr=False)
-    patience: float | None
+    timeout_seconds: float | None
     arrived: float
     size: TokenCounts | None = None
     last_event: int = -1
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -109,8 +109,8 @@
         self._route = admitted.route
         self._request = stream.request
         self._sink = sink
-        patience = self._request.patience or self._route.timeout
-        limit = min(patience, self._route.timeout)
+        timeout_seconds = self._request.timeout_seconds or self._route.timeout
+        limit = min(timeout_seconds, self._route.timeout)
         self._deadline = self._request.arrived + limit - ANSWER_MARGIN
         self._ran_on: set[str] = set()
         self._refusals = 0
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -121,7 +121,7 @@
         dispatch = interfaces.Dispatch(
             team=headers.get(names.TEAM, b"").decode(),
             priority=0,
-            seconds_left=request.patience or 0.0,
+            seconds_left=request.timeout_seconds or 0.0,
             path=self._path(hops) if hops else None,
             last_event=request.last_event,
         )
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -242,7 +242,7 @@
             key="secret",
             headers=[],
             body=b"",
-            patience=20.0,
+            timeout_seconds=20.0,
             arrived=anyio.current_time(),
             size=requests.TokenCounts(700, 400, 100),
         )
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -234,7 +234,7 @@
         assert request.path == "/a/x"
         assert request.host == "desk.example"
         assert request.key == "k1"
-        assert request.patience == 2.5
+        assert request.timeout_seconds == 2.5
         assert request.last_event == 12
         assert request.size == requests.TokenCounts(642, 430, 64)
         assert "k1" not in repr(request)
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -748,7 +748,7 @@
         # broken, tlg-dakar mix, seed 127132938107).
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 60
-            request = system.request(STREAM, patience=6.0)
+            request = system.request(STREAM, timeout_seconds=6.0)
             caller: list[fleet_system.Caller] = []
 
             async def ask() -> None:
@@ -774,7 +774,7 @@
         # broken, turnos-lima scale-2, seed 37817520442).
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 150
-            request = system.request(STREAM, patience=8.0)
+            request = system.request(STREAM, timeout_seconds=8.0)
 
             async def silence_heads() -> None:
                 for _ in range(2):
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -243,7 +243,7 @@
             system.install(system.config)
             system.add_model()
             request = system.request(routes.Repeat.STREAM)
-            sleep_through(request.patience or 0.0)
+            sleep_through(request.timeout_seconds or 0.0)
             caller = await system.ask(request)
             assert caller.error is not None
             assert system.fleet.runs == []
