--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -26,7 +26,7 @@
     """
 
     prompt: int
-    most: int
+    max_answer: int
     guess: int = 0
 
     def held(self, usual_answer: float) -> float:
@@ -39,7 +39,9 @@
         answer = usual_answer
         if self.guess:
             answer = (self.guess + usual_answer) / 2.0
-        return self.prompt + min(float(self.most or answer), answer) / 2.0
+        return (
+            self.prompt + min(float(self.max_answer or answer), answer) / 2.0
+        )
 
 
 @attrs.frozen
