--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -27,7 +27,7 @@
 
     prompt: int
     max_answer: int
-    guess: int = 0
+    answer_hint: int = 0
 
     def held(self, usual_answer: float) -> float:
         """Return the tokens that the request holds on average as it runs.
@@ -37,8 +37,8 @@
         by half and more, so each counts as much as the mean answer does.
         """
         answer = usual_answer
-        if self.guess:
-            answer = (self.guess + usual_answer) / 2.0
+        if self.answer_hint:
+            answer = (self.answer_hint + usual_answer) / 2.0
         return (
             self.prompt + min(float(self.max_answer or answer), answer) / 2.0
         )
