--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -29,7 +29,7 @@
     max_answer: int
     answer_hint: int = 0
 
-    def held(self, usual_answer: float) -> float:
+    def mean_tokens(self, usual_answer: float) -> float:
         """Return the tokens that the request holds on average as it runs.
 
         Half of its answer, not the whole: of the many that an engine runs
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -54,12 +54,12 @@
 
     def test_holds_half_of_its_answer_on_average(self) -> None:
         size = requests.TokenCounts(700, 400)
-        assert size.held(200.0) == 800.0
+        assert size.mean_tokens(200.0) == 800.0
 
     def test_a_guess_counts_as_much_as_the_usual(self) -> None:
         size = requests.TokenCounts(700, 400, 100)
-        assert size.held(200.0) == 775.0
+        assert size.mean_tokens(200.0) == 775.0
 
     def test_never_holds_more_than_it_may(self) -> None:
         size = requests.TokenCounts(700, 10, 100)
-        assert size.held(200.0) == 705.0
+        assert size.mean_tokens(200.0) == 705.0
