--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -197,10 +197,10 @@
         self._held_back = self._context.backpressure.held_back(
             self._service.name
         )
-        line = self._context.line(self._service.name)
+        wait_queue = self._context.wait_queue(self._service.name)
         # One that is tried again is not held up by those that can go to
         # instances which it has left behind.
-        if self._tried or not len(line):
+        if self._tried or not len(wait_queue):
             upstream = self._pick()
             if upstream is not None:
                 return upstream
@@ -208,10 +208,10 @@
             return await self._await_turn(until)
         # Counted before its wait: all that wait for one instance cannot be
         # served by the next request that it takes.
-        seconds = self._seconds_until(len(line))
+        seconds = self._seconds_until(len(wait_queue))
         if not self._may_wait(seconds, until):
             raise self._failure(self._none_left(seconds))
-        async with line.turn(until) as is_first:
+        async with wait_queue.turn(until) as is_first:
             if not is_first:
                 raise self._failure(self._none_left(self._seconds_until()))
             return await self._await_turn(until)
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -210,7 +210,7 @@
             self.book.seconds_backing_off(upstream.name),
         )
 
-    def line(self, service: str) -> waiting.WaitQueue:
+    def wait_queue(self, service: str) -> waiting.WaitQueue:
         """Return the line of requests that wait for a service's engines."""
         return self._lines.setdefault(service, waiting.WaitQueue())
 
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -67,15 +67,15 @@
         :param has_begun: whether the caller has a part of the answer; such
             streams pass by the line, and wait longer.
         """
-        line = self._context.line(self._service)
+        wait_queue = self._context.wait_queue(self._service)
         path = None
         if has_begun:
             path = await self._await_begun()
-        elif self._has_turns(line) or (path := self._plan()) is None:
+        elif self._has_turns(wait_queue) or (path := self._plan()) is None:
             self._waited_for = self._context.backpressure.held_back(
                 self._service
             )
-            path = await self._wait_in(line)
+            path = await self._wait_in(wait_queue)
         if path is None:
             self._note_no_path()
         return path
@@ -93,7 +93,7 @@
         return await self._poll(until)
 
     async def _wait_in(
-        self, line: waiting.WaitQueue
+        self, wait_queue: waiting.WaitQueue
     ) -> chain.ChainPath | None:
         """Return a path once it is this request's turn and there is one.
 
@@ -105,11 +105,11 @@
         if gap is not None and not gap.closes_by(until):
             until = gap.since + MISSING_WAIT_SECONDS
         until = min(until, self._deadline)
-        expected = self._context.retry_advisor.seconds_for(len(line) + 1)
+        expected = self._context.retry_advisor.seconds_for(len(wait_queue) + 1)
         expected = max(expected, self.seconds_until_taken())
-        if line.is_full or now + expected > until:
+        if wait_queue.is_full or now + expected > until:
             return None
-        async with line.turn(until) as is_first:
+        async with wait_queue.turn(until) as is_first:
             if not is_first:
                 return None
             return await self._poll(until, LINE_STEP)
@@ -137,7 +137,7 @@
             for one in self._context.book.usable_soon(self._service)
             if one.layers is not None and one.layers.first == 0
         ]
-        ahead = len(self._context.line(self._service))
+        ahead = len(self._context.wait_queue(self._service))
         until_first = self._context.seconds_until_any(firsts, ahead)
         return max(until_first, self._seconds_until_rested())
 
@@ -169,9 +169,9 @@
             for layer in range(run.first, run.end)
         )
 
-    def _has_turns(self, line: waiting.WaitQueue) -> bool:
+    def _has_turns(self, wait_queue: waiting.WaitQueue) -> bool:
         """Whether others wait, for what will come."""
-        return bool(len(line)) and self._gap() is None
+        return bool(len(wait_queue)) and self._gap() is None
 
     def held_back(self) -> str:
         """Return which engines are in need, or were when a wait began."""
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -58,7 +58,7 @@
         assert system.usage.own(one) == 0
     assert not system.watch._streams
     assert not system.watch._looking
-    assert len(system.context.line(fleet_system.MODEL)) == 0
+    assert len(system.context.wait_queue(fleet_system.MODEL)) == 0
     assert not system.context.heads._records or not any(
         record.waiting for record in system.context.heads._records.values()
     )
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -52,12 +52,12 @@
 
     def test_first_come_first_served(self) -> None:
         async def body() -> None:
-            line = waiting.WaitQueue()
+            wait_queue = waiting.WaitQueue()
             served: list[int] = []
 
             async def wait(number: int) -> None:
                 await anyio.sleep(number * 0.01)
-                async with line.turn(10.0) as is_first:
+                async with wait_queue.turn(10.0) as is_first:
                     assert is_first
                     await anyio.sleep(0.5)
                     served.append(number)
@@ -66,17 +66,17 @@
                 for number in (2, 0, 1):
                     tasks.start_soon(wait, number)
             assert served == [0, 1, 2]
-            assert len(line) == 0
+            assert len(wait_queue) == 0
 
         virtual.run(body)
 
     def test_one_that_gives_up_leaves_its_place(self) -> None:
         async def body() -> None:
-            line = waiting.WaitQueue()
+            wait_queue = waiting.WaitQueue()
             outcomes: list[tuple[str, bool]] = []
 
             async def wait(name: str, until: float, hold: float) -> None:
-                async with line.turn(until) as is_first:
+                async with wait_queue.turn(until) as is_first:
                     outcomes.append((name, is_first))
                     if is_first:
                         await anyio.sleep(hold)
@@ -143,14 +143,14 @@
             async def ask() -> None:
                 callers.append(await system.ask(system.request(STREAM)))
 
-            line = system.context.line(fleet_system.MODEL)
+            wait_queue = system.context.wait_queue(fleet_system.MODEL)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.05)
                 tasks.start_soon(ask)
                 await anyio.sleep(0.05)
-                assert len(line) == 2
-            assert len(line) == 0
+                assert len(wait_queue) == 2
+            assert len(wait_queue) == 0
             assert all(one.is_whole for one in callers)
             assert callers[0].times[0] <= callers[1].times[0]
 
