--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -84,7 +84,7 @@
     )
     subset: subsets.EngineSubset = attrs.field(init=False)
     _budgets: dict[str, budgets.SharedBudget] = attrs.field(factory=dict)
-    _lines: dict[str, waiting.WaitQueue] = attrs.field(factory=dict)
+    _wait_queues: dict[str, waiting.WaitQueue] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
         self.retry_advisor = retry_advice.RetryAdvisor(self.rng)
@@ -212,7 +212,7 @@
 
     def wait_queue(self, service: str) -> waiting.WaitQueue:
         """Return the line of requests that wait for a service's engines."""
-        return self._lines.setdefault(service, waiting.WaitQueue())
+        return self._wait_queues.setdefault(service, waiting.WaitQueue())
 
     def may_begin_anew(self, service: str) -> bool:
         """Whether the budget allows a stream to begin again elsewhere."""
