--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -73,7 +73,9 @@
     began: float = float("-inf")
     name: str = ""
     membership: budgets.Membership = budgets.FixedMembership()
-    loop: loop_lag.LoopLagMeter = attrs.field(factory=loop_lag.LoopLagMeter)
+    lag_meter: loop_lag.LoopLagMeter = attrs.field(
+        factory=loop_lag.LoopLagMeter
+    )
     rng: random.Random = attrs.field(factory=random.Random)
     ledger: ledgers.Ledger = attrs.field(factory=ledgers.Ledger)
     limits: rate_limits.RateLimits = attrs.field(init=False)
@@ -105,7 +107,7 @@
         with all callers, an entry took sound engines for lost, 219 times
         in three seconds, and made each time a new connection.
         """
-        return CONNECT_SECONDS + LATE_FACTOR * self.loop.recent()
+        return CONNECT_SECONDS + LATE_FACTOR * self.lag_meter.recent()
 
     @property
     def heads(self) -> heads.HeadRecords:
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -207,7 +207,7 @@
 
         :raises CrowdeckError: ``OVERLOADED``, not run.
         """
-        late = self._context.loop.recent()
+        late = self._context.lag_meter.recent()
         if late > loop_lag.OVERLOAD_SECONDS:
             counters.COUNTERS.add("relay.shed")
             raise errors.CrowdeckError(
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -75,7 +75,7 @@
 
     def __init__(self, context: contexts.RelayContext) -> None:
         self._context = context
-        self._lateness = context.loop
+        self._lateness = context.lag_meter
         self._prober = probes.Prober(context.client, context.book.may_ask)
         self._streams: set[live.LiveStream] = set()
         self._looking: set[live.LiveStream] = set()
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -129,9 +129,9 @@
             await self._refuse_culprit()
             if not await self._may_go_on(path, error):
                 raise self._failure(error)
-            if self._context.loop.is_overloaded:
+            if self._context.lag_meter.is_overloaded:
                 # Another attempt at once would make us later still.
-                await anyio.sleep(self._context.loop.recent())
+                await anyio.sleep(self._context.lag_meter.recent())
 
     async def _await_path(self) -> chain.ChainPath:
         """Return a path, waiting a little where there is none yet."""
