--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -144,11 +144,11 @@
         view = store_view.StoreView(store, self._config, peers)
         upstreams = self._open_upstreams(stack)
         context = self._context(upstreams, view)
-        watch = stalls.StallMonitor(context)
+        monitor = stalls.StallMonitor(context)
         self._relay = relays.Relay(
             context,
             view.holder,
-            watch,
+            monitor,
             view.config_age,
             TRUST_SHARE * revocation,
         )
@@ -162,7 +162,7 @@
         )
         self._lease = lease
         context.follow(view.roster)
-        for part in (*view.parts, lease.run, watch.run):
+        for part in (*view.parts, lease.run, monitor.run):
             tasks.start_soon(part)
         tasks.start_soon(context.backpressure.run)
         tasks.start_soon(context.gaps.run, lambda: view.holder.services)
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -228,7 +228,7 @@
         roster.watch_age(mirror.age)
         entry.context.follow(roster)
         scope = anyio.CancelScope()
-        parts = (entry.watch.run, roster.run, mirror.run)
+        parts = (entry.monitor.run, roster.run, mirror.run)
         self._tasks.start_soon(_run_all, scope, parts)
         return scope
 
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -184,9 +184,9 @@
         self.config = a_config()
         self.holder = relays.ConfigHolder(lambda _: self.config, "main")
         self.age = 0.0
-        self.watch = stalls.StallMonitor(self.context)
+        self.monitor = stalls.StallMonitor(self.context)
         self.relay = relays.Relay(
-            self.context, self.holder, self.watch, lambda: self.age, 3.5
+            self.context, self.holder, self.monitor, lambda: self.age, 3.5
         )
         # Ids of an entry that was started again are others than before.
         self._prefix = f"{name}r" if began < 0.0 else f"{name}@{began:.3f}r"
@@ -281,6 +281,6 @@
 ) -> None:
     """Run a test's work beside the watch over streams."""
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(system.watch.run)
+        tasks.start_soon(system.monitor.run)
         await work(system)
         tasks.cancel_scope.cancel()
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -56,8 +56,8 @@
     for one in system.listed.values():
         assert system.usage.sequences(one) == 0
         assert system.usage.own(one) == 0
-    assert not system.watch._streams
-    assert not system.watch._looking
+    assert not system.monitor._streams
+    assert not system.monitor._looking
     assert len(system.context.wait_queue(fleet_system.MODEL)) == 0
     assert not system.context.heads._records or not any(
         record.waiting for record in system.context.heads._records.values()
@@ -163,7 +163,7 @@
                 tasks.start_soon(strike)
                 await leave_after(system, request, 0.1 + after)
             left = anyio.current_time()
-            assert not system.watch._streams
+            assert not system.monitor._streams
             await anyio.sleep(LATER_SECONDS)
             assert all(at <= left for at in asked)
             assert len(system.fleet.runs) == 1
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -209,7 +209,7 @@
     async def body() -> None:
         playing = playing_of()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(playing.system.watch.run)
+            tasks.start_soon(playing.system.monitor.run)
             tasks.start_soon(playing.beat)
             tasks.start_soon(playing.duty().run)
             await anyio.sleep(3.0)
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -505,7 +505,7 @@
                 # when an engine has been asked and its answer is due.
                 loop = asyncio.get_running_loop()
                 assert isinstance(loop, virtual.VirtualLoop)
-                while not system.watch.is_probing:
+                while not system.monitor.is_probing:
                     await anyio.sleep(0.0002)
                 loop.pass_time(0.08)
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -216,7 +216,7 @@
             relay = relays.Relay(
                 system.context,
                 system.holder,
-                system.watch,
+                system.monitor,
                 lambda: anyio.current_time() - proved_at,
                 3.5,
             )
