--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -109,7 +109,7 @@
                 if target.answers:
                     known = system.listed.get(target.listed.name)
                     if known not in (None, target.listed):
-                        system.tell(target.listed)
+                        system.list_instance(target.listed)
                     held = target.listed.layers
                     if target.is_loading:
                         held = target.kept
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -99,7 +99,7 @@
         entry = fleet_system.FleetSystem(self.fleet, name, began)
         entry.install(entry.config)
         for listed in self._listed.values():
-            entry.tell(listed)
+            entry.list_instance(listed)
         self._entries.append(entry)
         self._scopes.append(self._begin(entry))
         return entry
@@ -113,7 +113,7 @@
         )
         fresh.install(fresh.config)
         for listed in self._listed.values():
-            fresh.tell(listed)
+            fresh.list_instance(listed)
         self._entries[number] = fresh
         self._scopes[number] = self._begin(fresh)
 
@@ -284,7 +284,7 @@
     def _tell(self, listed: chain.Upstream) -> None:
         self._listed[listed.name] = listed
         for entry in self._entries:
-            entry.tell(listed)
+            entry.list_instance(listed)
 
 
 async def _run_all(
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -202,10 +202,10 @@
     def add(self, listed: chain.Upstream) -> chain_fleet.StandinUpstream:
         """Add an upstream instance, and list it."""
         target = self.fleet.add(listed)
-        self.tell(listed)
+        self.list_instance(listed)
         return target
 
-    def tell(self, listed: chain.Upstream) -> None:
+    def list_instance(self, listed: chain.Upstream) -> None:
         """List an instance as it is now."""
         entry = listed.life.id
         self.listed[entry] = listed
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -159,7 +159,7 @@
             other = System(system.fleet, "other")
             other.install(other.config)
             for one in system.listed.values():
-                other.tell(one)
+                other.list_instance(one)
             first = next(iter(system.listed.values()))
             system.book.back_off(first.name, REST_SECONDS)
             assert not system.book.is_usable(first.name)
@@ -324,7 +324,7 @@
         async def work(system: System) -> None:
             for target in system.fleet.upstreams:
                 target.listed = attrs.evolve(target.listed, layers=None)
-                system.tell(target.listed)
+                system.list_instance(target.listed)
             ordered = system.fleet.upstreams[0]
             system.book.back_off(ordered.listed.name, 8.0)
             duty = duties.PlacementDuty(
@@ -433,8 +433,8 @@
             one = next(iter(system.listed.values()))
             system.book.note_leaving(one.name)
             assert not system.book.is_usable(one.name)
-            system.tell(one)
-            system.tell(attrs.evolve(one, slots=one.slots + 1))
+            system.list_instance(one)
+            system.list_instance(attrs.evolve(one, slots=one.slots + 1))
             assert not system.book.is_usable(one.name)
 
         play(work)
@@ -458,7 +458,7 @@
             system.book.note_leaving(one.name)
             system.book.on_changed((), (one.life.id,))
             await anyio.sleep(LEAVING_SECONDS)
-            system.tell(one)
+            system.list_instance(one)
             assert not system.book.is_usable(one.name)
             assert one.name not in {
                 it.name for it in system.book.last_resort(one.service)
@@ -479,7 +479,7 @@
             one = next(iter(system.listed.values()))
             system.book.note_leaving(one.name)
             life = chain.Life(one.life.id, 5)
-            system.tell(
+            system.list_instance(
                 attrs.evolve(
                     one, name=life.name, instance_id=life.id, born=life.born
                 )
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -406,7 +406,7 @@
     for one in list(system.listed.values()):
         target = system.fleet.at(one.address)
         if target.answers:
-            system.tell(target.listed)
+            system.list_instance(target.listed)
 
 
 class TestDuty:
@@ -497,7 +497,7 @@
                 for one in system.listed.values()
                 if one.layers and counts[one.layers.end - 1] == 1
             )
-            system.tell(attrs.evolve(old, is_leaving=True))
+            system.list_instance(attrs.evolve(old, is_leaving=True))
             await anyio.sleep(0.1)
             assert new.orders_taken == 1
             assert new.listed.layers is not None
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -64,7 +64,7 @@
 def leave_by_store(system: System, name: str) -> None:
     target = system.fleet.at(system.listed[name].address)
     target.listed = attrs.evolve(target.listed, is_leaving=True)
-    system.tell(target.listed)
+    system.list_instance(target.listed)
 
 
 def leave_by_answers(system: System, name: str) -> None:
@@ -129,7 +129,7 @@
                 name = target.listed.name
                 known = self.system.listed.get(name)
                 if target.answers and known not in (None, target.listed):
-                    self.system.tell(target.listed)
+                    self.system.list_instance(target.listed)
             await anyio.sleep(HEARTBEAT_SECONDS)
 
     async def share_served(self) -> float:
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -926,7 +926,7 @@
     def test_without_any_path_it_has_not_run(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in list(system.listed.values()):
-                system.tell(attrs.evolve(one, is_leaving=True))
+                system.list_instance(attrs.evolve(one, is_leaving=True))
             await anyio.sleep(1.1)
             began = anyio.current_time()
             request = system.request(STREAM)
@@ -945,12 +945,12 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in list(system.listed.values()):
                 if one.name in ("plateau-0-2", "plateau-1-2"):
-                    system.tell(attrs.evolve(one, is_leaving=True))
+                    system.list_instance(attrs.evolve(one, is_leaving=True))
             first = system.request(STREAM)
             assert_whole(await system.ask(first), first, system.fleet.events)
             for one in list(system.listed.values()):
                 if one.name.startswith("almadies"):
-                    system.tell(attrs.evolve(one, is_leaving=True))
+                    system.list_instance(attrs.evolve(one, is_leaving=True))
             last = system.request(STREAM)
             assert_whole(await system.ask(last), last, system.fleet.events)
             zones = [
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -402,7 +402,7 @@
             system = fleet_system.FleetSystem()
             one = fleet_system.upstream("a")
             system.add(one)
-            system.tell(attrs.evolve(one, is_leaving=True))
+            system.list_instance(attrs.evolve(one, is_leaving=True))
             system.listed["a"] = one
             old = stores.StoredObject("upstreams", "a", 1, b"{}")
             system.book.on_listed((old,))
@@ -410,7 +410,7 @@
             await anyio.sleep(books.LAST_WORK_SECONDS)
             assert system.book.last_resort(one.service) == ()
             # What it writes itself from then on is believed.
-            system.tell(one)
+            system.list_instance(one)
             assert system.book.usable(one.service) == (one,)
 
         virtual.run(body)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -291,7 +291,7 @@
             one = fleet_system.upstream("e", layers=(0, 80), card="large")
             system.add(one)
             leaving = fleet_system.attrs.evolve(one, is_leaving=True)
-            system.tell(leaving)
+            system.list_instance(leaving)
             assert system.book.last_resort(fleet_system.MODEL)
             sleep_through(seconds)
             left = system.book.last_resort(fleet_system.MODEL)
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -253,7 +253,7 @@
             fresh = System(system.fleet, "other")
             fresh.install(fresh.config)
             for name in ("e-0", "e-2", "e-3"):
-                fresh.tell(system.listed[name])
+                fresh.list_instance(system.listed[name])
             error = await refused(fresh)
             assert error.retry_after is not None
             assert error.retry_after <= retry_advice.MOST_SECONDS
@@ -263,7 +263,7 @@
     def test_one_that_leaves_holds_nothing_but_its_last_work(self) -> None:
         async def work(system: System) -> None:
             one = system.listed["e-1"]
-            system.tell(attrs.evolve(one, is_leaving=True))
+            system.list_instance(attrs.evolve(one, is_leaving=True))
             caller = await system.ask(system.request(STREAM))
             assert caller.error is None
             await anyio.sleep(1.5)
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -210,7 +210,7 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             names = sorted(system.listed)
             empty = attrs.evolve(system.listed[names[0]], layers=None)
-            system.tell(empty)
+            system.list_instance(empty)
             client = _Reports(silent=names[1])
             system.context.client = client  # type: ignore[assignment]
             await surveys.Survey(system.context).run(system.holder.services)
@@ -234,7 +234,7 @@
             for number in range(60):
                 zone = fleet_system.ZONES[number % 2]
                 name = f"more-{number}"
-                system.tell(fleet_system.upstream(name, zone, (0, 9)))
+                system.list_instance(fleet_system.upstream(name, zone, (0, 9)))
             client = _Reports(silent="")
             system.context.client = client  # type: ignore[assignment]
             await surveys.Survey(system.context).run(system.holder.services)
