--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -76,7 +76,7 @@
     )
 
 
-def a_route(repeat: routes.Repeat, **changes: typing.Any) -> routes.Route:
+def make_route(repeat: routes.Repeat, **changes: typing.Any) -> routes.Route:
     """Return a route of the host ``desk``."""
     is_stream = repeat is routes.Repeat.STREAM
     service = MODEL if is_stream else PLAIN
@@ -102,7 +102,7 @@
 ) -> routes.FleetConfig:
     """Return a config with a route of each kind and one team."""
     if listed is None:
-        listed = tuple(a_route(repeat) for repeat in routes.Repeat)
+        listed = tuple(make_route(repeat) for repeat in routes.Repeat)
     return routes.FleetConfig(
         version=version,
         routes=listed,
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -349,7 +349,7 @@
     ) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem(name="entry")
-            route = fleet_system.a_route(
+            route = fleet_system.make_route(
                 IDEMPOTENT, objective=objective, timeout=4.0
             )
             system.install(fleet_system.a_config(listed=(route,)))
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -255,14 +255,14 @@
             caller = await system.ask(system.request(ONCE))
             assert caller.error is not None
             assert caller.error.retry_after is not None
-            objective = fleet_system.a_route(ONCE).objective
+            objective = fleet_system.make_route(ONCE).objective
             assert caller.error.retry_after <= objective / 2
 
         play(work)
 
     def test_anonymous_route_goes_on_with_an_old_config(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            route = fleet_system.a_route(ONCE, is_anonymous=True)
+            route = fleet_system.make_route(ONCE, is_anonymous=True)
             system.install(fleet_system.a_config(2, (route,)))
             system.age = 60.0
             caller = await system.ask(system.request(ONCE, key=""))
