--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -97,7 +97,7 @@
     return attrs.evolve(route, **changes)
 
 
-def a_config(
+def make_config(
     version: int = 1, listed: tuple[routes.Route, ...] | None = None
 ) -> routes.FleetConfig:
     """Return a config with a route of each kind and one team."""
@@ -181,7 +181,7 @@
             rng=random.Random(name or 1),
             ledger=ledgers.Ledger(anyio.current_time),
         )
-        self.config = a_config()
+        self.config = make_config()
         self.holder = relays.ConfigHolder(lambda _: self.config, "main")
         self.age = 0.0
         self.monitor = stalls.StallMonitor(self.context)
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -35,7 +35,7 @@
 def play(work: Work) -> None:
     async def body() -> None:
         system = System()
-        system.install(fleet_system.a_config())
+        system.install(fleet_system.make_config())
         system.add_model()
         await fleet_system.run_with(system, work)
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -352,7 +352,7 @@
             route = fleet_system.make_route(
                 IDEMPOTENT, objective=objective, timeout=4.0
             )
-            system.install(fleet_system.a_config(listed=(route,)))
+            system.install(fleet_system.make_config(listed=(route,)))
             found = []
             for number in range(count):
                 one = fleet_system.upstream(
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -263,7 +263,7 @@
     def test_anonymous_route_goes_on_with_an_old_config(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             route = fleet_system.make_route(ONCE, is_anonymous=True)
-            system.install(fleet_system.a_config(2, (route,)))
+            system.install(fleet_system.make_config(2, (route,)))
             system.age = 60.0
             caller = await system.ask(system.request(ONCE, key=""))
             assert caller.status == 200
@@ -282,8 +282,8 @@
 
     def test_older_config_never_comes_back(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            system.install(fleet_system.a_config(9))
-            system.install(fleet_system.a_config(8, ()))
+            system.install(fleet_system.make_config(9))
+            system.install(fleet_system.make_config(8, ()))
             caller = await system.ask(system.request(ONCE))
             assert caller.status == 200
             table = system.holder.table
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -658,7 +658,7 @@
     def test_stream_that_must_not_go_on_is_cut(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             route = fleet_system.make_route(STREAM, is_resumable=False)
-            system.install(fleet_system.a_config(2, (route,)))
+            system.install(fleet_system.make_config(2, (route,)))
             request = system.request(STREAM)
 
             def strike() -> None:
@@ -724,7 +724,7 @@
         # Its first engine is silent, and it may run nowhere else.
         async def work(system: fleet_system.FleetSystem) -> None:
             route = fleet_system.make_route(STREAM, is_resumable=False)
-            system.install(fleet_system.a_config(2, (route,)))
+            system.install(fleet_system.make_config(2, (route,)))
             system.fleet.events = 60
             ended: list[fleet_system.Caller] = []
             request = system.request(STREAM)
