--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -47,7 +47,7 @@
         """Ask an instance whose connection broke; true if it is gone."""
         ...
 
-    def suspect(self, upstream: chain.Upstream) -> None:
+    def check_now(self, upstream: chain.Upstream) -> None:
         """Look at once into all streams that pass an engine."""
         ...
 
@@ -157,7 +157,7 @@
     def _refusal(self, answer: interfaces.Answer) -> errors.CrowdeckError:
         culprit = self._culprit(answer)
         if culprit.name != self._path.head.name:
-            self._watch.suspect(culprit)
+            self._watch.check_now(culprit)
             # Full, or gone: one that answers is merely full.
             self._watch.verify(culprit)
         is_stale = answer.status == STALE_STATUS
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -132,7 +132,7 @@
             if stream.begins and ledger.is_culprit(stream.fingerprint):
                 stream.abandon("it ends the engines that begin it")
 
-    def suspect(self, upstream: chain.Upstream) -> None:
+    def check_now(self, upstream: chain.Upstream) -> None:
         """Look at once into all streams that pass an engine.
 
         A first engine refused a request because of it, which it knows
