--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -181,7 +181,7 @@
     def refusal(self) -> errors.CrowdeckError:
         """Return the refusal of a stream that found no path."""
         rng = self._context.rng
-        advice = self._context.retry_advisor.advise()
+        advice = self._context.retry_advisor.estimate_delay()
         gap = self._gap()
         if gap is not None:
             counters.COUNTERS.add("relay.unheld")
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -214,7 +214,7 @@
                 errors.Code.OVERLOADED,
                 f"this entry is {late:.2f} s late with {self._in_progress} "
                 "requests under way",
-                retry_after=self._context.retry_advisor.advise(),
+                retry_after=self._context.retry_advisor.estimate_delay(),
             )
 
     def _admit(
--- a/src/crowdeck/relay/retry_advice.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -51,7 +51,7 @@
             return 0.0
         return WINDOW_SECONDS * count / len(self._ended)
 
-    def advise(self) -> float:
+    def estimate_delay(self) -> float:
         """Return when one that is refused now should come back, in seconds.
 
         As many as were refused lately need as many ends to have room.
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -372,6 +372,6 @@
             error.message,
             verdict=verdict,
             retry_after=error.retry_after
-            or self._context.retry_advisor.advise(),
+            or self._context.retry_advisor.estimate_delay(),
             culprit=error.culprit,
         )
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -20,7 +20,7 @@
     def test_a_lone_refusal_comes_back_soon(self) -> None:
         async def body() -> None:
             times = retry_advice.RetryAdvisor(random.Random(1))
-            assert times.advise() == retry_advice.LEAST_SECONDS
+            assert times.estimate_delay() == retry_advice.LEAST_SECONDS
 
         virtual.run(body)
 
@@ -31,7 +31,7 @@
             times = retry_advice.RetryAdvisor(random.Random(1))
             for _ in range(20):
                 times.note_end()
-            told = [times.advise() for _ in range(40)]
+            told = [times.estimate_delay() for _ in range(40)]
             assert max(told) > 2.0
             assert min(told) < 0.5
             assert max(told) <= retry_advice.MOST_SECONDS
@@ -42,9 +42,9 @@
         async def body() -> None:
             times = retry_advice.RetryAdvisor(random.Random(1))
             for _ in range(40):
-                times.advise()
+                times.estimate_delay()
             await anyio.sleep(retry_advice.WINDOW_SECONDS + 0.1)
-            assert times.advise() == retry_advice.LEAST_SECONDS
+            assert times.estimate_delay() == retry_advice.LEAST_SECONDS
 
         virtual.run(body)
 
