--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -105,7 +105,9 @@
         if gap is not None and not gap.closes_by(until):
             until = gap.since + MISSING_WAIT_SECONDS
         until = min(until, self._deadline)
-        expected = self._context.retry_advisor.seconds_for(len(wait_queue) + 1)
+        expected = self._context.retry_advisor.seconds_until_room(
+            len(wait_queue) + 1
+        )
         expected = max(expected, self.seconds_until_taken())
         if wait_queue.is_full or now + expected > until:
             return None
--- a/src/crowdeck/relay/retry_advice.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -41,7 +41,7 @@
         self._ended.append(anyio.current_time())
         self._forget(self._ended)
 
-    def seconds_for(self, count: int) -> float:
+    def seconds_until_room(self, count: int) -> float:
         """Return in how long room comes for ``count`` more, in seconds.
 
         0 where no stream was seen to end lately: nothing is known then.
