--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -23,7 +23,7 @@
 ROOM_REQUESTS = 4.0
 # Where what is left can hold the model it is whole again after the longest
 # load, and so much for noticing the loss, ordering and telling.
-ORDERED_SECONDS = 3.0
+ORDER_DELAY_SECONDS = 3.0
 LOOK_SECONDS = 0.5
 # Hundreds of requests a second find no path while layers are missing, and a
 # look at 1,000 engines takes a millisecond. No path is looked for more often.
@@ -75,7 +75,7 @@
         """
         if not self.can_be_held or not self.was_whole:
             return None
-        ready_at = self.engines_since + self.load_seconds + ORDERED_SECONDS
+        ready_at = self.engines_since + self.load_seconds + ORDER_DELAY_SECONDS
         left = ready_at - anyio.current_time()
         return left if left > 0.0 else None
 
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -173,7 +173,7 @@
                 error = await refused(system)
                 assert error.retry_after is not None
                 comes_at = anyio.current_time() + error.retry_after - lost_at
-                least = load + gaps.ORDERED_SECONDS
+                least = load + gaps.ORDER_DELAY_SECONDS
                 assert least - 0.1 <= comes_at
                 # Noticed half a second late, and spread.
                 most = least + gaps.LOOK_SECONDS + retry_advice.WINDOW_SECONDS
@@ -220,7 +220,7 @@
             error = await refused(system)
             assert error.retry_after is not None
             load = PROFILE.load_seconds * 10 / PROFILE.layer_count
-            least = came_at + load + gaps.ORDERED_SECONDS
+            least = came_at + load + gaps.ORDER_DELAY_SECONDS
             comes_at = anyio.current_time() + error.retry_after
             assert least - 0.1 <= comes_at
             assert comes_at <= least + 0.6 + retry_advice.WINDOW_SECONDS
