--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -258,7 +258,7 @@
         return caller
 
 
-def spend(budget: budgets.SharedBudget) -> bool:
+def spend_retry(budget: budgets.SharedBudget) -> bool:
     """Have a request sent again that arrives at once, if it may be."""
     with contextlib.closing(budget.open_sends()) as sends:
         if not sends.reserve():
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -298,7 +298,7 @@
                 )
                 for _ in range(50):
                     one.earn()
-                while fleet_system.spend(one):
+                while fleet_system.spend_retry(one):
                     spent += 1
             assert 0 < spent <= 0.2 * 200 + 100
 
@@ -311,16 +311,16 @@
         async def body() -> None:
             former = budgets.SharedBudget(0.2, 100.0, 10.0)
             spent = 0
-            while fleet_system.spend(former):
+            while fleet_system.spend_retry(former):
                 spent += 1
             await anyio.sleep(1.5)
             after = budgets.SharedBudget(
                 0.2, 100.0, 10.0, anyio.current_time()
             )
-            assert not fleet_system.spend(after)
+            assert not fleet_system.spend_retry(after)
             for _ in range(80):
                 await anyio.sleep(0.1)
-                while fleet_system.spend(after):
+                while fleet_system.spend_retry(after):
                     spent += 1
             assert 80 < spent <= 100
             await anyio.sleep(10.0)
@@ -331,12 +331,12 @@
     def test_is_earned_again_as_the_window_slides(self) -> None:
         async def body() -> None:
             one = budgets.SharedBudget(0.2, 10.0, 10.0)
-            while fleet_system.spend(one):
+            while fleet_system.spend_retry(one):
                 pass
             await anyio.sleep(5.0)
-            assert not fleet_system.spend(one)
+            assert not fleet_system.spend_retry(one)
             # What was spent in one part of the window leaves with it.
             await anyio.sleep(5.0 + 10.0 / budgets.WINDOW_PARTS)
-            assert fleet_system.spend(one)
+            assert fleet_system.spend_retry(one)
 
         virtual.run(body)
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -175,7 +175,7 @@
         async def work(system: System) -> None:
             request = system.request(STREAM)
             budget = system.context.budget(fleet_system.MODEL)
-            while fleet_system.spend(budget):
+            while fleet_system.spend_retry(budget):
                 pass
 
             async def strike() -> None:
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -187,7 +187,7 @@
     def test_spent_budget_ends_repeats(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             budget = system.context.budget(fleet_system.PLAIN)
-            while fleet_system.spend(budget):
+            while fleet_system.spend_retry(budget):
                 pass
             each(system, loses=9)
             request = system.request(IDEMPOTENT)
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -623,7 +623,7 @@
         # cut at once: its caller got neither the rest nor a refusal.
         async def work(system: fleet_system.FleetSystem) -> None:
             budget = system.context.budget(fleet_system.MODEL)
-            while fleet_system.spend(budget):
+            while fleet_system.spend_retry(budget):
                 pass
             await anyio.sleep(9.2)
             request = system.request(STREAM)
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -46,7 +46,7 @@
 
 def _spend_all(budget: budgets.SharedBudget) -> int:
     spent = 0
-    while fleet_system.spend(budget):
+    while fleet_system.spend_retry(budget):
         spent += 1
     return spent
 
@@ -253,7 +253,7 @@
                 assert sends.reserve()
                 sends.send()
                 sends.give_up()
-            assert fleet_system.spend(budget)
+            assert fleet_system.spend_retry(budget)
             await anyio.sleep(WINDOW / 2)
             assert budget.left < 1.0
 
