--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -50,7 +50,7 @@
         "path": "/stream/x",
         "host": "desk",
         "body": b"{}",
-        "patience": None,
+        "timeout_seconds": None,
         "arrived": 0.0,
         **parts,
     }
