--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -52,7 +52,7 @@
         return None
     path = raw_path.decode("latin-1")
     target = path + ("?" + query.decode("latin-1") if query else "")
-    timeout_seconds = _number(first.get(names.DEADLINE, b""))
+    timeout_ms = _number(first.get(names.DEADLINE, b""))
     host = first.get(_HOST, b"").decode("latin-1").lower()
     return requests.CallerRequest(
         id=request_id.decode("latin-1"),
@@ -63,9 +63,7 @@
         key=_key(first.get(names.AUTHORIZATION, b"")),
         headers=headers,
         body=body,
-        timeout_seconds=None
-        if timeout_seconds is None
-        else timeout_seconds / 1000.0,
+        timeout_seconds=None if timeout_ms is None else timeout_ms / 1000.0,
         arrived=arrived,
         size=_size(first),
         last_event=int(_number(first.get(names.LAST_EVENT_ID, b"")) or -1),
