--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -27,7 +27,7 @@
 NAMED_MOST = 5
 
 
-class Kind(enum.StrEnum):
+class SignalKind(enum.StrEnum):
     """What an instance asks for."""
 
     LIMIT = "limit"
@@ -47,7 +47,7 @@
     """
 
     upstream: chain.Upstream
-    kind: Kind
+    kind: SignalKind
     since: float
     per_second: float | None = None
     used: float | None = None
@@ -55,7 +55,7 @@
     seconds_left: float | None = None
 
     @property
-    def key(self) -> tuple[str, Kind]:
+    def key(self) -> tuple[str, SignalKind]:
         """What tells it from others."""
         return self.upstream.name, self.kind
 
@@ -88,7 +88,7 @@
     ) -> None:
         self._book = book
         self._limits = limits
-        self._known: dict[tuple[str, Kind], BackpressureSignal] = {}
+        self._known: dict[tuple[str, SignalKind], BackpressureSignal] = {}
         self._gauges: set[str] = set()
 
     def now(self) -> tuple[BackpressureSignal, ...]:
@@ -126,7 +126,7 @@
             if upstream is not None:
                 yield BackpressureSignal(
                     upstream,
-                    Kind.LIMIT,
+                    SignalKind.LIMIT,
                     one.since,
                     per_second=one.per_second,
                     used=one.used,
@@ -140,14 +140,14 @@
             if upstream is not None:
                 left = until - now
                 yield BackpressureSignal(
-                    upstream, Kind.BACKOFF, since, seconds_left=left
+                    upstream, SignalKind.BACKOFF, since, seconds_left=left
                 )
 
     def _leaving(self) -> typing.Iterator[BackpressureSignal]:
         for name, since in self._book.said_leaving():
             upstream = self._book.find(name)
             if upstream is not None:
-                yield BackpressureSignal(upstream, Kind.LEAVING, since)
+                yield BackpressureSignal(upstream, SignalKind.LEAVING, since)
 
     def _look(self) -> None:
         found = {one.key: one for one in self.now()}
@@ -163,7 +163,7 @@
         for one in found:
             where = f"{one.upstream.service}.{one.upstream.availability_zone}"
             levels[f"needs.{one.kind}.{where}"] += 1
-            if one.kind is Kind.LIMIT:
+            if one.kind is SignalKind.LIMIT:
                 allowed = f"needs.allowed_per_second.{where}"
                 used = f"needs.used_per_second.{where}"
                 levels[allowed] += one.per_second or 0.0
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -101,7 +101,9 @@
                 system.fleet.at(first(system, number).address).limit = 6.0
             await call(system, 20.0, 0.05)
             found = {one.key: one for one in system.context.backpressure.now()}
-            one = found[(first(system).name, backpressure_monitor.Kind.LIMIT)]
+            one = found[
+                (first(system).name, backpressure_monitor.SignalKind.LIMIT)
+            ]
             assert one.per_second == 6.0
             assert one.share == pytest.approx(1.0)
             since = anyio.current_time() - 5.0
@@ -119,7 +121,7 @@
             system.book.back_off(first(system).name, 3.0)
             await anyio.sleep(1.0)
             (one,) = system.context.backpressure.now()
-            assert one.kind is backpressure_monitor.Kind.BACKOFF
+            assert one.kind is backpressure_monitor.SignalKind.BACKOFF
             assert one.since == 0.0
             assert one.seconds_left == pytest.approx(2.0)
             # One that goes on is no new one.
@@ -136,7 +138,7 @@
             system.book.note_leaving(first(system).name)
             await anyio.sleep(1.0)
             (one,) = system.context.backpressure.now()
-            assert one.kind is backpressure_monitor.Kind.LEAVING
+            assert one.kind is backpressure_monitor.SignalKind.LEAVING
             system.book.on_changed((), (first(system).life.id,))
             assert not system.context.backpressure.now()
 
