--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -87,7 +87,7 @@
         return []
     needs = entry_status.list_needs(rows)
     columns = ("upstream", "need", "seconds", "per_second", "used", "entry")
-    shown = needs[: entry_status.SHOWN_MOST]
+    shown = needs[: entry_status.MAX_SHOWN]
     lines = ["", "instances in need:", table(sums, tuple(sums[0]))]
     lines += ["", table(shown, columns)]
     if len(needs) > len(shown):
--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -23,7 +23,7 @@
 # Questions under way at once; a status of hundreds of needs is some 100 KB.
 AT_ONCE = 16
 # Instances that are shown to people; programs get all.
-SHOWN_MOST = 30
+MAX_SHOWN = 30
 
 Row = dict[str, typing.Any]
 
