--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -21,7 +21,7 @@
 # Without a path a new request waits for streams to end and leave room.
 # Callers give up what shows nothing for two seconds; with what is left of
 # them after this, a sound engine begins even while it is crowded.
-NEW_WAIT_SECONDS = 1.2
+QUEUE_WAIT_SECONDS = 1.2
 # Where a layer is held by no engine that is listed, waiting does not help
 # within that time: loading takes longer. A watch may lag by so much after
 # the layer was first missed.
@@ -100,7 +100,7 @@
         Where the turn cannot be expected in time, nothing is waited for.
         """
         now = anyio.current_time()
-        until = self._arrived + NEW_WAIT_SECONDS
+        until = self._arrived + QUEUE_WAIT_SECONDS
         gap = self._gap()
         if gap is not None and not gap.closes_by(until):
             until = gap.since + MISSING_WAIT_SECONDS
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -48,7 +48,7 @@
 PER_SECOND = 30.0
 LIMIT = 3.2
 # New streams wait for room for so long at the most, calls shorter.
-LONGEST_WAIT = paths.NEW_WAIT_SECONDS + 0.1
+LONGEST_WAIT = paths.QUEUE_WAIT_SECONDS + 0.1
 # A stream takes two seconds, as usual.
 EVENTS = 100
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -105,7 +105,7 @@
             caller = await system.ask(system.request(STREAM))
             assert caller.error is None
             assert caller.is_whole
-            assert 0.4 < caller.times[0] < paths.NEW_WAIT_SECONDS
+            assert 0.4 < caller.times[0] < paths.QUEUE_WAIT_SECONDS
             assert not system.fleet.rejected
 
         play(work)
@@ -131,7 +131,7 @@
             caller = await system.ask(system.request(STREAM))
             assert caller.error is not None
             waited = anyio.current_time() - began
-            assert waited < paths.NEW_WAIT_SECONDS + paths.LINE_STEP
+            assert waited < paths.QUEUE_WAIT_SECONDS + paths.LINE_STEP
 
         play(work)
 
