--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -33,7 +33,7 @@
 # In a line each look is in vain but one, and a look in vain at a full fleet
 # of 38 engines takes 30 ms of a small entry's time: every 20 ms it left no
 # time for the streams under way.
-LINE_STEP = 0.08
+QUEUE_POLL_SECONDS = 0.08
 ALL_IN_NEED = "all engines of some layers are at their limits or want rest"
 
 
@@ -114,7 +114,7 @@
         async with wait_queue.turn(until) as is_first:
             if not is_first:
                 return None
-            return await self._poll(until, LINE_STEP)
+            return await self._poll(until, QUEUE_POLL_SECONDS)
 
     async def _poll(
         self, until: float, step: float = WAIT_STEP
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -131,7 +131,7 @@
             caller = await system.ask(system.request(STREAM))
             assert caller.error is not None
             waited = anyio.current_time() - began
-            assert waited < paths.QUEUE_WAIT_SECONDS + paths.LINE_STEP
+            assert waited < paths.QUEUE_WAIT_SECONDS + paths.QUEUE_POLL_SECONDS
 
         play(work)
 
