--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -22,7 +22,7 @@
 
 # Attempts that an engine refused without running them: each shows some
 # engine that holds other layers or is full, so a few are worth making.
-REFUSED_TRIES = 4
+MAX_REFUSALS = 4
 # An answer that has begun is lost to its caller when it is cut, so more
 # are worth it; each waits for a path with room and for the budget. Three
 # times as many, by judgement and not by measurement.
@@ -324,7 +324,7 @@
     def _refusals_most(self) -> int:
         if self._sink.has_started:
             return REFUSED_TRIES_BEGUN
-        return REFUSED_TRIES
+        return MAX_REFUSALS
 
     async def _reserve(self) -> bool:
         """Reserve one repeat of the budget; false where none can be had.
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -651,7 +651,7 @@
             caller = await during(system, request, 0.15, strike)
             assert_whole(caller, request, system.fleet.events)
             rejected = sum(system.fleet.rejected.values())
-            assert rejected > streams.REFUSED_TRIES
+            assert rejected > streams.MAX_REFUSALS
 
         play(work)
 
