--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -67,7 +67,7 @@
     for number in range(COUNT):
         layers = (10 * number, 10 * number + 10)
         system.add(fleet_system.upstream(f"e{number}", "zone", layers, "card"))
-    duty = duties.PlacementDuty(
+    duty = duties.PlacementController(
         typing.cast(leases.Lease, _Ledger()),
         system.book,
         system.fleet,
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -274,7 +274,7 @@
     from crowdeck.placement import duty
     from crowdeck.platform import orders
 
-    placement = duty.PlacementDuty(
+    placement = duty.PlacementController(
         lease,
         book,
         orders.EngineOrders(upstreams),
--- a/src/crowdeck/placement/duty.py
+++ b/src/crowdeck/placement/duty.py
@@ -112,7 +112,7 @@
     last_at: float
 
 
-class PlacementDuty:
+class PlacementController:
     """Keeps the layers of every model in place while the lease is held."""
 
     def __init__(
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -327,7 +327,7 @@
                 system.list_instance(target.listed)
             ordered = system.fleet.upstreams[0]
             system.book.back_off(ordered.listed.name, 8.0)
-            duty = duties.PlacementDuty(
+            duty = duties.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
                 system.book,
                 system.fleet,
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -116,7 +116,7 @@
     def test_all_get_layers(self, monkeypatch: pytest.MonkeyPatch) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
-            duty = duties.PlacementDuty(
+            duty = duties.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
                 system.book,
                 system.fleet,
@@ -184,7 +184,7 @@
     def test_every_layer_is_ordered_in_time(self) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
-            duty = duties.PlacementDuty(
+            duty = duties.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
                 system.book,
                 CostlyOrders(system.fleet),
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -383,7 +383,7 @@
             # A second model, whose looks must not disturb the first's.
             routes.Service("other", 100, PROFILE),
         )
-        duty = duties.PlacementDuty(
+        duty = duties.PlacementController(
             typing.cast(leases.Lease, ledger),
             system.book,
             system.fleet,
@@ -574,7 +574,7 @@
         system = fleet_system.FleetSystem()
         listed = fleet_system.upstream("b", "plateau", (0, 24), "large")
         system.add(listed)
-        duty = duties.PlacementDuty(
+        duty = duties.PlacementController(
             typing.cast(leases.Lease, _Ledger()),
             system.book,
             system.fleet,
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -113,9 +113,9 @@
 
     def duty(
         self, orders: duties.Orders | None = None
-    ) -> duties.PlacementDuty:
+    ) -> duties.PlacementController:
         """Return a giver of orders that knows nothing yet."""
-        return duties.PlacementDuty(
+        return duties.PlacementController(
             typing.cast(leases.Lease, self.ledger),
             self.system.book,
             orders or self.system.fleet,
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -114,7 +114,7 @@
             store = standin_store.StandinStore()
             lease = leases.Lease(store, "placement", "one")
             orders = SleepyOrders(system.fleet, asks)
-            placement = duties.PlacementDuty(
+            placement = duties.PlacementController(
                 lease, system.book, orders, lambda: system.holder.services
             )
             async with anyio.create_task_group() as tasks:
