--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -17,7 +17,7 @@
 import attrs
 
 from crowdeck import chain
-from crowdeck.placement import duty as duties
+from crowdeck.placement import controller as duties
 from crowdeck.placement import patience
 from crowdeck.standin import chain_fleet
 from crowdeck.state import leases
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -271,10 +271,10 @@
     await lease.wait_held()
     # One entry of a fleet needs this, and every entry serves nobody while
     # it starts: with the placement's modules that took a tenth longer.
-    from crowdeck.placement import duty
+    from crowdeck.placement import controller
     from crowdeck.platform import orders
 
-    placement = duty.PlacementController(
+    placement = controller.PlacementController(
         lease,
         book,
         orders.EngineOrders(upstreams),
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -21,7 +21,7 @@
 from crowdeck import chain
 from crowdeck.membership import leavers
 from crowdeck.membership import upstreams as books
-from crowdeck.placement import duty as duties
+from crowdeck.placement import controller as duties
 from crowdeck.placement import losses
 from crowdeck import route as routes
 from crowdeck.standin import chain_fleet
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -28,7 +28,7 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import pipeline
-from crowdeck.placement import duty as duties
+from crowdeck.placement import controller as duties
 from crowdeck.placement import plan
 from crowdeck import route as routes
 from crowdeck.standin import chain_fleet
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -20,7 +20,7 @@
 from crowdeck import errors
 from crowdeck import pipeline
 from crowdeck.placement import arrangement
-from crowdeck.placement import duty as duties
+from crowdeck.placement import controller as duties
 from crowdeck.placement import plan
 from crowdeck import route as routes
 from crowdeck.routing import bound
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -17,7 +17,7 @@
 import pytest
 
 from crowdeck import errors
-from crowdeck.placement import duty as duties
+from crowdeck.placement import controller as duties
 from crowdeck.placement import plan
 from crowdeck.relay import relay as relays
 from crowdeck import route as routes
