--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -129,7 +129,7 @@
         self._pending: dict[str, _Pending] = {}
         self._doubts: dict[str, _Doubt] = {}
         self._term = 0
-        self._losses = losses.LossWatch(book, orders, services)
+        self._losses = losses.FailureDetector(book, orders, services)
         self._arrivals: dict[str, _Arrivals] = {}
         self._empty_since: dict[str, dict[str, float]] = {}
         self._patience: dict[str, patience.Patience] = {}
--- a/src/crowdeck/placement/losses.py
+++ b/src/crowdeck/placement/losses.py
@@ -45,7 +45,7 @@
         ...
 
 
-class LossWatch:
+class FailureDetector:
     """Asks engines that failed whether they live; all, once one does not."""
 
     def __init__(
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -277,7 +277,7 @@
         async def work(system: System) -> None:
             lost, resting, *_ = system.listed.values()
             asked = chain_fleet.FleetClient(system.fleet)
-            watch = losses.LossWatch(
+            watch = losses.FailureDetector(
                 system.book, asked, lambda: system.config.services
             )
             system.fleet.at(lost.address).is_dead = True
@@ -308,7 +308,7 @@
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             asked = chain_fleet.FleetClient(system.fleet)
-            watch = losses.LossWatch(
+            watch = losses.FailureDetector(
                 system.book, asked, lambda: system.config.services
             )
             system.book.avoid(one.name, "silent")
