--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -17,7 +17,7 @@
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck import pipeline
-from crowdeck.placement import losses
+from crowdeck.placement import failure_detector
 from crowdeck.placement import patience
 from crowdeck.placement import plan
 from crowdeck.placement import rearrangement
@@ -129,7 +129,7 @@
         self._pending: dict[str, _Pending] = {}
         self._doubts: dict[str, _Doubt] = {}
         self._term = 0
-        self._losses = losses.FailureDetector(book, orders, services)
+        self._losses = failure_detector.FailureDetector(book, orders, services)
         self._arrivals: dict[str, _Arrivals] = {}
         self._empty_since: dict[str, dict[str, float]] = {}
         self._patience: dict[str, patience.Patience] = {}
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -22,7 +22,7 @@
 from crowdeck.membership import leavers
 from crowdeck.membership import upstreams as books
 from crowdeck.placement import controller as duties
-from crowdeck.placement import losses
+from crowdeck.placement import failure_detector
 from crowdeck import route as routes
 from crowdeck.standin import chain_fleet
 from crowdeck.state import leases
@@ -277,13 +277,13 @@
         async def work(system: System) -> None:
             lost, resting, *_ = system.listed.values()
             asked = chain_fleet.FleetClient(system.fleet)
-            watch = losses.FailureDetector(
+            watch = failure_detector.FailureDetector(
                 system.book, asked, lambda: system.config.services
             )
             system.fleet.at(lost.address).is_dead = True
             system.book.avoid(lost.name, "silent")
             system.book.back_off(resting.name, REST_SECONDS)
-            for _ in range(losses.UNANSWERED_QUESTIONS + 1):
+            for _ in range(failure_detector.UNANSWERED_QUESTIONS + 1):
                 await watch.look()
             names = {one.upstream for one in asked.arrivals}
             assert len(names) > 2
@@ -308,12 +308,12 @@
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             asked = chain_fleet.FleetClient(system.fleet)
-            watch = losses.FailureDetector(
+            watch = failure_detector.FailureDetector(
                 system.book, asked, lambda: system.config.services
             )
             system.book.avoid(one.name, "silent")
             system.book.back_off(one.name, REST_SECONDS)
-            for _ in range(losses.UNANSWERED_QUESTIONS + 1):
+            for _ in range(failure_detector.UNANSWERED_QUESTIONS + 1):
                 await watch.look()
             assert not asked.arrivals
             assert not watch.is_lost(one.name)
