--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -20,7 +20,7 @@
 # An engine that failed a request is gone for the plan only after so many
 # questions, one at each look, went unanswered too: moving layers costs
 # loads, and takes engines out of paths that were well.
-UNANSWERED_QUESTIONS = 2
+FAILURE_THRESHOLD_PROBES = 2
 # An engine that is lost is seldom the only one: a rack, a switch. All are
 # asked then, so often, instead of each being found by the requests that it
 # fails: thirteen of 39 that died together were known three seconds later,
@@ -67,7 +67,7 @@
 
     def is_lost(self, name: str) -> bool:
         """Whether an engine left enough questions unanswered."""
-        return self._unanswered[name] >= UNANSWERED_QUESTIONS
+        return self._unanswered[name] >= FAILURE_THRESHOLD_PROBES
 
     async def _question_avoided(self) -> None:
         """Ask the engines that failed a request whether they live."""
@@ -124,7 +124,7 @@
             await self._engines.report(upstream)
         except errors.CrowdeckError as error:
             self._unanswered[upstream.name] += 1
-            if self._unanswered[upstream.name] == UNANSWERED_QUESTIONS:
+            if self._unanswered[upstream.name] == FAILURE_THRESHOLD_PROBES:
                 logs.change(
                     "engine_lost",
                     upstream=upstream.name,
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -283,7 +283,7 @@
             system.fleet.at(lost.address).is_dead = True
             system.book.avoid(lost.name, "silent")
             system.book.back_off(resting.name, REST_SECONDS)
-            for _ in range(failure_detector.UNANSWERED_QUESTIONS + 1):
+            for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await watch.look()
             names = {one.upstream for one in asked.arrivals}
             assert len(names) > 2
@@ -313,7 +313,7 @@
             )
             system.book.avoid(one.name, "silent")
             system.book.back_off(one.name, REST_SECONDS)
-            for _ in range(failure_detector.UNANSWERED_QUESTIONS + 1):
+            for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await watch.look()
             assert not asked.arrivals
             assert not watch.is_lost(one.name)
