--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -132,7 +132,7 @@
         self._losses = failure_detector.FailureDetector(book, orders, services)
         self._arrivals: dict[str, _Arrivals] = {}
         self._empty_since: dict[str, dict[str, float]] = {}
-        self._patience: dict[str, patience.Patience] = {}
+        self._patience: dict[str, patience.RearrangementDelay] = {}
         self._changed = anyio.Event()
         book.subscribe(self._wake)
 
@@ -204,7 +204,9 @@
         """
         engines = chain.fitting(self._engines(service), profile.layer_count)
         missing = rearrangement.missing_layers(engines, profile)
-        known = self._patience.setdefault(service.name, patience.Patience())
+        known = self._patience.setdefault(
+            service.name, patience.RearrangementDelay()
+        )
         now = anyio.current_time()
         if not missing or len(missing) == profile.layer_count:
             known.forget()
--- a/src/crowdeck/placement/patience.py
+++ b/src/crowdeck/placement/patience.py
@@ -24,7 +24,7 @@
 
 
 @attrs.define
-class Patience:
+class RearrangementDelay:
     """When the engines of one service are rearranged.
 
     :ivar due: the loop's time at which layers have been missed for long
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -734,7 +734,7 @@
     @pytest.mark.parametrize("is_told", (True, False))
     def test_rounds_of_an_hour_are_bounded(self, is_told: bool) -> None:
         # A layer is missing again as soon as it was ordered.
-        known = patience.Patience()
+        known = patience.RearrangementDelay()
         rounds: list[float] = []
         now = 0.0
         while now < 4 * patience.WINDOW_SECONDS:
