--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -18,7 +18,7 @@
 
 from crowdeck import chain
 from crowdeck.placement import controller as duties
-from crowdeck.placement import patience
+from crowdeck.placement import rearrangement_delay
 from crowdeck.standin import chain_fleet
 from crowdeck.state import leases
 from tests import fleet_system
@@ -122,14 +122,14 @@
 
 def main() -> None:
     """Play all ways and print a line for each case."""
-    decided = patience.GONE_SECONDS
+    decided = rearrangement_delay.GONE_SECONDS
     print("lost restart keeps | " + " | ".join(f"wait {w:g}" for w in WAYS))
     for lost in (1, 2):
         for restart in RESTARTS:
             for keeps in (False, True) if restart else (False,):
                 cells = []
                 for way in WAYS:
-                    patience.GONE_SECONDS = way
+                    rearrangement_delay.GONE_SECONDS = way
                     played = [
                         virtual.run(_play, seed, lost, restart, keeps)
                         for seed in range(SEEDS)
@@ -138,7 +138,7 @@
                     layers = sum(one[1] for one in played) / SEEDS
                     cells.append(f"{seconds:.1f} s, {layers:.0f}")
                 print(lost, restart, keeps, "|", " | ".join(cells), flush=True)
-    patience.GONE_SECONDS = decided
+    rearrangement_delay.GONE_SECONDS = decided
 
 
 if __name__ == "__main__":
--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -18,7 +18,7 @@
 from crowdeck.observe import logs
 from crowdeck import pipeline
 from crowdeck.placement import failure_detector
-from crowdeck.placement import patience
+from crowdeck.placement import rearrangement_delay
 from crowdeck.placement import plan
 from crowdeck.placement import rearrangement
 from crowdeck.placement import relayout
@@ -132,7 +132,7 @@
         self._losses = failure_detector.FailureDetector(book, orders, services)
         self._arrivals: dict[str, _Arrivals] = {}
         self._empty_since: dict[str, dict[str, float]] = {}
-        self._patience: dict[str, patience.RearrangementDelay] = {}
+        self._patience: dict[str, rearrangement_delay.RearrangementDelay] = {}
         self._changed = anyio.Event()
         book.subscribe(self._wake)
 
@@ -205,7 +205,7 @@
         engines = chain.fitting(self._engines(service), profile.layer_count)
         missing = rearrangement.missing_layers(engines, profile)
         known = self._patience.setdefault(
-            service.name, patience.RearrangementDelay()
+            service.name, rearrangement_delay.RearrangementDelay()
         )
         now = anyio.current_time()
         if not missing or len(missing) == profile.layer_count:
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -29,7 +29,7 @@
 from crowdeck import errors
 from crowdeck import pipeline
 from crowdeck.placement import controller as duties
-from crowdeck.placement import patience
+from crowdeck.placement import rearrangement_delay
 from crowdeck.placement import plan
 from crowdeck.placement import rearrangement
 from crowdeck.platform import names
@@ -614,7 +614,7 @@
                 )
                 await anyio.sleep(12.0)
                 assert playing.is_whole
-            assert rounds <= patience.ROUNDS_AN_HOUR_MOST
+            assert rounds <= rearrangement_delay.ROUNDS_AN_HOUR_MOST
 
         play_orders(work)
 
@@ -720,7 +720,7 @@
             tasks.start_soon(playing.duty(orders).run)
             await anyio.sleep(1.0)
             end(playing.system, "e1")
-            await anyio.sleep(patience.GONE_SECONDS - 0.02)
+            await anyio.sleep(rearrangement_delay.GONE_SECONDS - 0.02)
             assert not orders.given
             await anyio.sleep(0.07)
             assert orders.given
@@ -734,10 +734,10 @@
     @pytest.mark.parametrize("is_told", (True, False))
     def test_rounds_of_an_hour_are_bounded(self, is_told: bool) -> None:
         # A layer is missing again as soon as it was ordered.
-        known = patience.RearrangementDelay()
+        known = rearrangement_delay.RearrangementDelay()
         rounds: list[float] = []
         now = 0.0
-        while now < 4 * patience.WINDOW_SECONDS:
+        while now < 4 * rearrangement_delay.WINDOW_SECONDS:
             now += 0.5
             if known.is_over(now, is_told, (7,)):
                 known.note_round(now)
@@ -747,10 +747,10 @@
             within = [
                 at
                 for at in rounds
-                if first <= at < first + patience.WINDOW_SECONDS
+                if first <= at < first + rearrangement_delay.WINDOW_SECONDS
             ]
-            assert len(within) <= patience.ROUNDS_AN_HOUR_MOST
-        assert rounds[-1] > 3 * patience.WINDOW_SECONDS
+            assert len(within) <= rearrangement_delay.ROUNDS_AN_HOUR_MOST
+        assert rounds[-1] > 3 * rearrangement_delay.WINDOW_SECONDS
 
 
 class TestOverSockets:
