--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -122,14 +122,14 @@
 
 def main() -> None:
     """Play all ways and print a line for each case."""
-    decided = rearrangement_delay.GONE_SECONDS
+    decided = rearrangement_delay.RESTART_GRACE_SECONDS
     print("lost restart keeps | " + " | ".join(f"wait {w:g}" for w in WAYS))
     for lost in (1, 2):
         for restart in RESTARTS:
             for keeps in (False, True) if restart else (False,):
                 cells = []
                 for way in WAYS:
-                    rearrangement_delay.GONE_SECONDS = way
+                    rearrangement_delay.RESTART_GRACE_SECONDS = way
                     played = [
                         virtual.run(_play, seed, lost, restart, keeps)
                         for seed in range(SEEDS)
@@ -138,7 +138,7 @@
                     layers = sum(one[1] for one in played) / SEEDS
                     cells.append(f"{seconds:.1f} s, {layers:.0f}")
                 print(lost, restart, keeps, "|", " | ".join(cells), flush=True)
-    rearrangement_delay.GONE_SECONDS = decided
+    rearrangement_delay.RESTART_GRACE_SECONDS = decided
 
 
 if __name__ == "__main__":
--- a/src/crowdeck/placement/rearrangement_delay.py
+++ b/src/crowdeck/placement/rearrangement_delay.py
@@ -12,7 +12,7 @@
 # An engine that ended may come back with its layers, or empty: then it loads
 # what is missing, and nobody else changes. Restarts take about two seconds,
 # and the new entry shows within a heartbeat.
-GONE_SECONDS = 2.3
+RESTART_GRACE_SECONDS = 2.3
 # Engines that come and go by turns would have the others rearranged each
 # time. Beyond so many rounds of orders an hour each waits twice as long as
 # the one before: 10 rounds, 8 until the longest wait, 11 in what is left of
@@ -50,11 +50,13 @@
             self._since = now
         self._missing = found
         self._rounds = [at for at in self._rounds if now - at < WINDOW_SECONDS]
-        wait = 0.0 if is_told else GONE_SECONDS
+        wait = 0.0 if is_told else RESTART_GRACE_SECONDS
         began = self._since
         beyond = len(self._rounds) - FREE_ROUNDS
         if beyond >= 0:
-            wait = min(MOST_SECONDS, GONE_SECONDS * 2.0 ** (beyond + 1))
+            wait = min(
+                MOST_SECONDS, RESTART_GRACE_SECONDS * 2.0 ** (beyond + 1)
+            )
             began = max(began, self._rounds[-1])
         self.due = began + wait
         return now >= self.due
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -720,7 +720,7 @@
             tasks.start_soon(playing.duty(orders).run)
             await anyio.sleep(1.0)
             end(playing.system, "e1")
-            await anyio.sleep(rearrangement_delay.GONE_SECONDS - 0.02)
+            await anyio.sleep(rearrangement_delay.RESTART_GRACE_SECONDS - 0.02)
             assert not orders.given
             await anyio.sleep(0.07)
             assert orders.given
