--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -614,7 +614,7 @@
                 )
                 await anyio.sleep(12.0)
                 assert playing.is_whole
-            assert rounds <= rearrangement_delay.ROUNDS_AN_HOUR_MOST
+            assert rounds <= rearrangement_delay.MAX_ROUNDS_PER_HOUR
 
         play_orders(work)
 
@@ -749,7 +749,7 @@
                 for at in rounds
                 if first <= at < first + rearrangement_delay.WINDOW_SECONDS
             ]
-            assert len(within) <= rearrangement_delay.ROUNDS_AN_HOUR_MOST
+            assert len(within) <= rearrangement_delay.MAX_ROUNDS_PER_HOUR
         assert rounds[-1] > 3 * rearrangement_delay.WINDOW_SECONDS
 
 
