--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -182,7 +182,7 @@
         """
         relied = [self._relied_on(one) for one in engines]
         batches = plan.iter_moves(engines, profile, self._is_idle, relied)
-        gaps = plan.Gaps(engines, profile)
+        gaps = plan.CoverageGaps(engines, profile)
         limiter = anyio.CapacityLimiter(ORDERS_AT_ONCE)
         async with anyio.create_task_group() as tasks:
             for batch in batches:
@@ -296,7 +296,7 @@
         service: routes.Service,
         engines: list[chain.Upstream],
         moves: list[plan.Move],
-        gaps: plan.Gaps,
+        gaps: plan.CoverageGaps,
     ) -> list[plan.Move]:
         """Leave out moves of engines that had better wait a little."""
         now = anyio.current_time()
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -117,7 +117,7 @@
     return 0 in counts[layers.first : layers.end]
 
 
-class Gaps:
+class CoverageGaps:
     """Which layers no engine of a cell holds, found once for all moves."""
 
     def __init__(
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -103,7 +103,7 @@
         fleet = a_fleet()
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
         counted = _count_coverage(monkeypatch)
-        gaps = plan.Gaps(fleet, PROFILE)
+        gaps = plan.CoverageGaps(fleet, PROFILE)
         filling = [move for move in moves if gaps.is_filled_by(move)]
         assert len(counted) <= len(ZONES)
         # Each zone lacks most of the layers that the others hold.
