--- a/src/crowdeck/placement/arrangement.py
+++ b/src/crowdeck/placement/arrangement.py
@@ -88,7 +88,7 @@
         self, engines: list[chain.Upstream], layout: Layout, sweeps: int
     ) -> float:
         """Move one engine after the other to where it is worth most."""
-        rooms = capacity.Rooms(self._profile, self._need)
+        rooms = capacity.LayerCapacity(self._profile, self._need)
         for engine in engines:
             if engine.name in layout:
                 rooms.add(engine, layout[engine.name])
@@ -99,7 +99,7 @@
 
     def _sweep(
         self,
-        rooms: capacity.Rooms,
+        rooms: capacity.LayerCapacity,
         engines: list[chain.Upstream],
         layout: Layout,
     ) -> bool:
--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -76,7 +76,7 @@
     gain: float
 
 
-class Rooms:
+class LayerCapacity:
     """The room at each layer of a group of engines that serve together.
 
     :param need: tokens that each layer should have room for.
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -360,14 +360,14 @@
         held = [*self._held, attrs.evolve(engine, layers=layers)]
         return exposure.predict(held, self._profile, self._need)
 
-    def _tier(self, engine: chain.Upstream) -> capacity.Rooms | None:
+    def _tier(self, engine: chain.Upstream) -> capacity.LayerCapacity | None:
         for names, rooms in self._tiers:
             if engine.name in names:
                 return rooms
         return None
 
-    def _rooms_of(self, engines: _Cell) -> capacity.Rooms:
-        rooms = capacity.Rooms(self._profile, self._need)
+    def _rooms_of(self, engines: _Cell) -> capacity.LayerCapacity:
+        rooms = capacity.LayerCapacity(self._profile, self._need)
         for engine in engines:
             if engine.layers is not None:
                 rooms.add(engine, engine.layers)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -89,16 +89,16 @@
         # only thread for 17 s, and for 1.0 s where 19 engines could hold
         # half of the model each.
         looks = 0
-        best_window = capacity.Rooms.best_window
+        best_window = capacity.LayerCapacity.best_window
 
         def counted(
-            rooms: capacity.Rooms, engine: chain.Upstream, most: int
+            rooms: capacity.LayerCapacity, engine: chain.Upstream, most: int
         ) -> capacity.Window | None:
             nonlocal looks
             looks += 1
             return best_window(rooms, engine, most)
 
-        monkeypatch.setattr(capacity.Rooms, "best_window", counted)
+        monkeypatch.setattr(capacity.LayerCapacity, "best_window", counted)
         fleet = [an_engine(at, cards[at % len(cards)]) for at in range(count)]
         rooms = rooms_of(fleet, self.layout(fleet))
         assert looks <= len(fleet)
@@ -109,7 +109,7 @@
     """What one more engine had better hold."""
 
     def test_a_missing_layer_comes_first(self) -> None:
-        rooms = capacity.Rooms(MIXED, capacity.needed_tokens(MIXED))
+        rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
         rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 30))
         rooms.add(an_engine(1, "wide"), pipeline.LayerRange(36, 80))
         window = rooms.best_window(an_engine(2, "narrow"), 8)
@@ -118,7 +118,7 @@
         assert window.layers.end >= 36
 
     def test_the_narrowest_layers_come_next(self) -> None:
-        rooms = capacity.Rooms(MIXED, capacity.needed_tokens(MIXED))
+        rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
         rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
         rooms.add(an_engine(1, "wide"), pipeline.LayerRange(40, 80))
         rooms.add(an_engine(2, "middle"), pipeline.LayerRange(0, 10))
@@ -129,7 +129,7 @@
         assert window.layers.end <= 70
 
     def test_counts_come_back_to_nothing(self) -> None:
-        rooms = capacity.Rooms(MIXED, capacity.needed_tokens(MIXED))
+        rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
         before = rooms.worth
         rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
         assert rooms.worth > before
