--- a/bench/placement.py
+++ b/bench/placement.py
@@ -178,7 +178,7 @@
 
 def together(engines: Engines, profile: chain.EngineProfile) -> Engines:
     """Lay each zone's engines out as one group, whatever their pace."""
-    arranger = arrangement.Arranger(
+    arranger = arrangement.InitialLayoutSearch(
         profile,
         lambda one, room: plan.quota(one, profile, room),
         plan.ROOM_LEAST * capacity.request_tokens(profile),
--- a/src/crowdeck/placement/arrangement.py
+++ b/src/crowdeck/placement/arrangement.py
@@ -33,7 +33,7 @@
 Limit = typing.Callable[[chain.Upstream, float], int]
 
 
-class Arranger:
+class InitialLayoutSearch:
     """Finds layers for engines that serve one model together.
 
     :param limit: how many layers leave an engine so many tokens of room.
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -281,7 +281,7 @@
 
 def _first_moves(engines: _Cell, profile: chain.EngineProfile) -> list[Move]:
     """Return the moves of engines that begin together."""
-    arranger = arrangement.Arranger(
+    arranger = arrangement.InitialLayoutSearch(
         profile,
         lambda engine, room: quota(engine, profile, room),
         _least_room(profile),
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -50,7 +50,7 @@
     """Engines that begin together share the layers for service."""
 
     def layout(self, fleet: list[chain.Upstream]) -> arrangement.Layout:
-        arranger = arrangement.Arranger(
+        arranger = arrangement.InitialLayoutSearch(
             MIXED,
             lambda one, room: plan.quota(one, MIXED, room),
             plan.ROOM_LEAST * capacity.request_tokens(MIXED),
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -296,16 +296,16 @@
         # One part of 600 took 3.8 s of a full core, in which its giver of
         # orders lost the lease; nobody ever ordered anything.
         sizes: list[int] = []
-        arrange = arrangement.Arranger.arrange
+        arrange = arrangement.InitialLayoutSearch.arrange
 
         def note(
-            arranger: arrangement.Arranger,
+            arranger: arrangement.InitialLayoutSearch,
             engines: typing.Sequence[chain.Upstream],
         ) -> arrangement.Layout:
             sizes.append(len(engines))
             return arrange(arranger, engines)
 
-        monkeypatch.setattr(arrangement.Arranger, "arrange", note)
+        monkeypatch.setattr(arrangement.InitialLayoutSearch, "arrange", note)
         fleet = [attrs.evolve(one, layers=None) for one in paths.a_fleet(600)]
         moves = plan.next_moves(fleet, paths.PROFILE, lambda _: True)
         assert max(sizes) <= plan.GROUP_MOST
@@ -328,10 +328,10 @@
     def test_the_lease_is_renewed_while_layers_are_found(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        arrange = arrangement.Arranger.arrange
+        arrange = arrangement.InitialLayoutSearch.arrange
 
         def take_time(
-            arranger: arrangement.Arranger,
+            arranger: arrangement.InitialLayoutSearch,
             engines: typing.Sequence[chain.Upstream],
         ) -> arrangement.Layout:
             loop = asyncio.get_running_loop()
@@ -340,7 +340,9 @@
             loop.pass_time(0.13 * (len(engines) / 40.0) ** 2)
             return arrange(arranger, engines)
 
-        monkeypatch.setattr(arrangement.Arranger, "arrange", take_time)
+        monkeypatch.setattr(
+            arrangement.InitialLayoutSearch, "arrange", take_time
+        )
 
         async def work(
             system: fleet_system.FleetSystem, ledger: _Ledger
