--- a/bench/placement.py
+++ b/bench/placement.py
@@ -26,7 +26,7 @@
 
 from crowdeck import chain
 from crowdeck import instance as instances
-from crowdeck.placement import arrangement
+from crowdeck.placement import initial_layout
 from crowdeck.placement import capacity
 from crowdeck.placement import plan
 from crowdeck.routing import cheapest
@@ -178,7 +178,7 @@
 
 def together(engines: Engines, profile: chain.EngineProfile) -> Engines:
     """Lay each zone's engines out as one group, whatever their pace."""
-    arranger = arrangement.InitialLayoutSearch(
+    arranger = initial_layout.InitialLayoutSearch(
         profile,
         lambda one, room: plan.quota(one, profile, room),
         plan.ROOM_LEAST * capacity.request_tokens(profile),
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -11,7 +11,7 @@
 
 from crowdeck import chain
 from crowdeck import pipeline
-from crowdeck.placement import arrangement
+from crowdeck.placement import initial_layout
 from crowdeck.placement import capacity
 from crowdeck.placement import exposure
 from crowdeck.placement import tiers
@@ -281,7 +281,7 @@
 
 def _first_moves(engines: _Cell, profile: chain.EngineProfile) -> list[Move]:
     """Return the moves of engines that begin together."""
-    arranger = arrangement.InitialLayoutSearch(
+    arranger = initial_layout.InitialLayoutSearch(
         profile,
         lambda engine, room: quota(engine, profile, room),
         _least_room(profile),
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,7 +10,7 @@
 
 from crowdeck import chain
 from crowdeck import pipeline
-from crowdeck.placement import arrangement
+from crowdeck.placement import initial_layout
 from crowdeck.placement import capacity
 from crowdeck.placement import plan
 from tests import fleet_system
@@ -34,7 +34,7 @@
 
 
 def rooms_of(
-    fleet: list[chain.Upstream], layout: arrangement.Layout
+    fleet: list[chain.Upstream], layout: initial_layout.Layout
 ) -> list[float]:
     """Return the tokens of room at each layer."""
     rooms = [0.0] * MIXED.layer_count
@@ -49,8 +49,8 @@
 class TestArrangement:
     """Engines that begin together share the layers for service."""
 
-    def layout(self, fleet: list[chain.Upstream]) -> arrangement.Layout:
-        arranger = arrangement.InitialLayoutSearch(
+    def layout(self, fleet: list[chain.Upstream]) -> initial_layout.Layout:
+        arranger = initial_layout.InitialLayoutSearch(
             MIXED,
             lambda one, room: plan.quota(one, MIXED, room),
             plan.ROOM_LEAST * capacity.request_tokens(MIXED),
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,7 +19,7 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import pipeline
-from crowdeck.placement import arrangement
+from crowdeck.placement import initial_layout
 from crowdeck.placement import controller as duties
 from crowdeck.placement import plan
 from crowdeck import route as routes
@@ -296,16 +296,18 @@
         # One part of 600 took 3.8 s of a full core, in which its giver of
         # orders lost the lease; nobody ever ordered anything.
         sizes: list[int] = []
-        arrange = arrangement.InitialLayoutSearch.arrange
+        arrange = initial_layout.InitialLayoutSearch.arrange
 
         def note(
-            arranger: arrangement.InitialLayoutSearch,
+            arranger: initial_layout.InitialLayoutSearch,
             engines: typing.Sequence[chain.Upstream],
-        ) -> arrangement.Layout:
+        ) -> initial_layout.Layout:
             sizes.append(len(engines))
             return arrange(arranger, engines)
 
-        monkeypatch.setattr(arrangement.InitialLayoutSearch, "arrange", note)
+        monkeypatch.setattr(
+            initial_layout.InitialLayoutSearch, "arrange", note
+        )
         fleet = [attrs.evolve(one, layers=None) for one in paths.a_fleet(600)]
         moves = plan.next_moves(fleet, paths.PROFILE, lambda _: True)
         assert max(sizes) <= plan.GROUP_MOST
@@ -328,12 +330,12 @@
     def test_the_lease_is_renewed_while_layers_are_found(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        arrange = arrangement.InitialLayoutSearch.arrange
+        arrange = initial_layout.InitialLayoutSearch.arrange
 
         def take_time(
-            arranger: arrangement.InitialLayoutSearch,
+            arranger: initial_layout.InitialLayoutSearch,
             engines: typing.Sequence[chain.Upstream],
-        ) -> arrangement.Layout:
+        ) -> initial_layout.Layout:
             loop = asyncio.get_running_loop()
             assert isinstance(loop, virtual.VirtualLoop)
             # As on an entry with 0.4 of a core.
@@ -341,7 +343,7 @@
             return arrange(arranger, engines)
 
         monkeypatch.setattr(
-            arrangement.InitialLayoutSearch, "arrange", take_time
+            initial_layout.InitialLayoutSearch, "arrange", take_time
         )
 
         async def work(
