--- a/src/crowdeck/placement/initial_layout.py
+++ b/src/crowdeck/placement/initial_layout.py
@@ -21,7 +21,7 @@
 # Larger groups are swept once, from one start: the search takes as long as
 # the square of their number. 13 engines take 0.2 s of processor time, 107
 # would take 4.8 s, in which the process does nothing else.
-SEARCHED_MOST = 24
+MAX_SEARCHED_ENGINES = 24
 # The search also takes as long as the layers that each may hold: 19 engines
 # of 41 took 1.0 s beside other work, 13 of a zone with 4 kinds of cards,
 # 185 to 400 layers in all, 0.1 to 0.25 s.
@@ -55,7 +55,7 @@
             engines,
             key=lambda one: (-self._limit(one, self._least), one.name),
         )
-        is_large = len(ordered) > SEARCHED_MOST or (
+        is_large = len(ordered) > MAX_SEARCHED_ENGINES or (
             sum(self._limit(one, self._least) for one in ordered)
             > SEARCHED_LAYERS_MOST
         )
