--- a/bench/placement.py
+++ b/bench/placement.py
@@ -180,7 +180,7 @@
     """Lay each zone's engines out as one group, whatever their pace."""
     arranger = initial_layout.InitialLayoutSearch(
         profile,
-        lambda one, room: plan.quota(one, profile, room),
+        lambda one, room: plan.fitting_layer_count(one, profile, room),
         plan.ROOM_LEAST * capacity.request_tokens(profile),
     )
     found: Engines = []
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -49,7 +49,7 @@
 _Cell = list[chain.Upstream]
 
 
-def quota(
+def fitting_layer_count(
     engine: chain.Upstream, profile: chain.EngineProfile, room: float
 ) -> int:
     """Return how many layers leave an engine ``room`` tokens of memory."""
@@ -167,7 +167,7 @@
 
 def most_layers(engine: chain.Upstream, profile: chain.EngineProfile) -> int:
     """Return how many layers an engine can hold and still serve."""
-    return quota(engine, profile, _least_room(profile))
+    return fitting_layer_count(engine, profile, _least_room(profile))
 
 
 def _holds_model(engines: _Cell, profile: chain.EngineProfile) -> bool:
@@ -257,7 +257,9 @@
     return tiers.Tiers(
         engines,
         profile,
-        lambda engine, room: quota(engine, profile, max(room, least)),
+        lambda engine, room: fitting_layer_count(
+            engine, profile, max(room, least)
+        ),
     )
 
 
@@ -283,7 +285,7 @@
     """Return the moves of engines that begin together."""
     arranger = initial_layout.InitialLayoutSearch(
         profile,
-        lambda engine, room: quota(engine, profile, room),
+        lambda engine, room: fitting_layer_count(engine, profile, room),
         _least_room(profile),
     )
     layout = arranger.arrange(engines)
--- a/src/crowdeck/placement/rearrangement.py
+++ b/src/crowdeck/placement/rearrangement.py
@@ -95,7 +95,10 @@
     found = []
     for share in ROOM_SHARES:
         room = share * need
-        mosts = {one.name: plan.quota(one, profile, room) for one in engines}
+        mosts = {
+            one.name: plan.fitting_layer_count(one, profile, room)
+            for one in engines
+        }
         if sum(mosts.values()) >= profile.layer_count:
             found.append(mosts)
     return found
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -52,7 +52,7 @@
     def layout(self, fleet: list[chain.Upstream]) -> initial_layout.Layout:
         arranger = initial_layout.InitialLayoutSearch(
             MIXED,
-            lambda one, room: plan.quota(one, MIXED, room),
+            lambda one, room: plan.fitting_layer_count(one, MIXED, room),
             plan.ROOM_LEAST * capacity.request_tokens(MIXED),
         )
         return arranger.arrange(fleet)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -72,7 +72,8 @@
 
 def capacity(fleet: list[chain.Upstream]) -> int:
     return sum(
-        plan.quota(one, PROFILE, plan.ROOM_LEAST * 900.0) for one in fleet
+        plan.fitting_layer_count(one, PROFILE, plan.ROOM_LEAST * 900.0)
+        for one in fleet
     )
 
 
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -110,7 +110,9 @@
             for at, card in enumerate(cards)
         ]
         least = plan.ROOM_LEAST * capacity.request_tokens(PROFILE)
-        most = sum(plan.quota(one, PROFILE, least) for one in fleet)
+        most = sum(
+            plan.fitting_layer_count(one, PROFILE, least) for one in fleet
+        )
         fleet = in_tiers(fleet)
         if most >= 2 * PROFILE.layer_count:
             assert 0 not in chain.coverage(fleet, PROFILE.layer_count)
