--- a/bench/placement.py
+++ b/bench/placement.py
@@ -181,7 +181,7 @@
     arranger = initial_layout.InitialLayoutSearch(
         profile,
         lambda one, room: plan.fitting_layer_count(one, profile, room),
-        plan.ROOM_LEAST * capacity.request_tokens(profile),
+        plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(profile),
     )
     found: Engines = []
     for zone in dict.fromkeys(one.availability_zone for one in engines):
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -18,7 +18,7 @@
 
 # Requests at once that an engine has memory for in any case. Fewer would
 # have it refuse or preempt with every second request.
-ROOM_LEAST = 4.0
+MIN_CONCURRENT_REQUESTS = 4.0
 # Engines of a zone that begin together are laid out in groups of about the
 # second number once they are more than the first. The search takes as long
 # as the square of a group: 600 engines at once took 3.8 s of a full core in
@@ -162,7 +162,7 @@
 
 
 def _least_room(profile: chain.EngineProfile) -> float:
-    return ROOM_LEAST * capacity.request_tokens(profile)
+    return MIN_CONCURRENT_REQUESTS * capacity.request_tokens(profile)
 
 
 def most_layers(engine: chain.Upstream, profile: chain.EngineProfile) -> int:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -53,7 +53,7 @@
         arranger = initial_layout.InitialLayoutSearch(
             MIXED,
             lambda one, room: plan.fitting_layer_count(one, MIXED, room),
-            plan.ROOM_LEAST * capacity.request_tokens(MIXED),
+            plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(MIXED),
         )
         return arranger.arrange(fleet)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -72,7 +72,9 @@
 
 def capacity(fleet: list[chain.Upstream]) -> int:
     return sum(
-        plan.fitting_layer_count(one, PROFILE, plan.ROOM_LEAST * 900.0)
+        plan.fitting_layer_count(
+            one, PROFILE, plan.MIN_CONCURRENT_REQUESTS * 900.0
+        )
         for one in fleet
     )
 
@@ -239,7 +241,7 @@
     def test_holds_four_fifths_of_the_best(self) -> None:
         for cards in itertools.combinations_with_replacement(MOST_LAYERS, 3):
             best = max(at_once(fleet) for fleet in every_placement(cards))
-            if best < plan.ROOM_LEAST:
+            if best < plan.MIN_CONCURRENT_REQUESTS:
                 # Too little memory to serve with: nothing is planned for.
                 continue
             fleet = [
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -109,7 +109,7 @@
             fleet_system.upstream(f"e{at}", "plateau", None, card)
             for at, card in enumerate(cards)
         ]
-        least = plan.ROOM_LEAST * capacity.request_tokens(PROFILE)
+        least = plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(PROFILE)
         most = sum(
             plan.fitting_layer_count(one, PROFILE, least) for one in fleet
         )
