--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -24,7 +24,7 @@
 # as the square of a group: 600 engines at once took 3.8 s of a full core in
 # each of five zones, longer than the lease under which they are ordered
 # lasts, and no engine of a fleet of 2,997 ever got a layer. 40 take 0.05 s.
-GROUP_MOST = 60
+MAX_GROUP_SIZE = 60
 GROUP_SIZE = 40
 # Places are found for so many newcomers at a time. For more, one by one, the
 # lease would lapse before any of them is ordered.
@@ -269,7 +269,7 @@
     Each group gets an even part of each kind of card. Where the parts would
     be too few to hold the model there are fewer and larger ones.
     """
-    if len(engines) <= GROUP_MOST:
+    if len(engines) <= MAX_GROUP_SIZE:
         return [engines]
     ordered = sorted(
         engines, key=lambda one: (-most_layers(one, profile), one.name)
@@ -321,7 +321,7 @@
         self._profile = profile
         self._need = capacity.needed_tokens(profile)
         self._held = [one for one in cell if one.layers is not None]
-        self._is_small = len(cell) <= GROUP_MOST
+        self._is_small = len(cell) <= MAX_GROUP_SIZE
         self._rooms = self._rooms_of(cell)
         self._tiers = [
             (frozenset(one.name for one in tier), self._rooms_of(tier))
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -68,7 +68,7 @@
     def test_is_made_in_small_parts(self) -> None:
         batches = list(plan.iter_moves(a_fleet(), PROFILE, lambda _: True))
         assert sum(map(len, batches)) == COUNT - HELD
-        assert max(map(len, batches)) <= plan.GROUP_MOST
+        assert max(map(len, batches)) <= plan.MAX_GROUP_SIZE
 
     def test_a_crowd_is_laid_out_in_groups_that_hold_the_model(self) -> None:
         for batch in plan.iter_moves(a_fleet(), PROFILE, lambda _: True):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -313,7 +313,7 @@
         )
         fleet = [attrs.evolve(one, layers=None) for one in paths.a_fleet(600)]
         moves = plan.next_moves(fleet, paths.PROFILE, lambda _: True)
-        assert max(sizes) <= plan.GROUP_MOST
+        assert max(sizes) <= plan.MAX_GROUP_SIZE
         assert {one.upstream.name for one in moves} == {
             one.name for one in fleet
         }
