--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -28,7 +28,7 @@
 GROUP_SIZE = 40
 # Places are found for so many newcomers at a time. For more, one by one, the
 # lease would lapse before any of them is ordered.
-FILL_SIZE = 10
+FILL_BATCH_SIZE = 10
 
 
 @attrs.frozen
@@ -308,7 +308,7 @@
         if layers is not None:
             filling.add(engine, layers)
             moves.append(Move(engine, layers))
-        if len(moves) == FILL_SIZE:
+        if len(moves) == FILL_BATCH_SIZE:
             yield moves
             moves = []
     yield moves
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -81,10 +81,10 @@
 
     def test_of_a_few_is_made_in_small_parts(self) -> None:
         fleet = [one for one in a_fleet() if one.layers is not None]
-        fleet += a_fleet()[-9 * plan.FILL_SIZE :]
+        fleet += a_fleet()[-9 * plan.FILL_BATCH_SIZE :]
         batches = list(plan.iter_moves(fleet, PROFILE, lambda _: True))
-        assert sum(map(len, batches)) == 9 * plan.FILL_SIZE
-        assert max(map(len, batches)) <= plan.FILL_SIZE
+        assert sum(map(len, batches)) == 9 * plan.FILL_BATCH_SIZE
+        assert max(map(len, batches)) <= plan.FILL_BATCH_SIZE
 
     def test_is_the_same_as_in_one_piece(self) -> None:
         fleet = a_fleet()
