--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -40,7 +40,7 @@
 # An engine that comes while every layer is held waits this long for its
 # layers: in a planned replacement the old one leaves soon after, and the
 # new one had better load what that held than be moved again.
-NEWCOMER_SECONDS = 2.0
+EMPTY_ENGINE_DELAY_SECONDS = 2.0
 # An order whose answer was lost may be done up to twelve seconds late.
 # Asking the engine what it holds settles it sooner, not before this.
 UNKNOWN_SECONDS = 0.6
@@ -310,7 +310,7 @@
             move
             for move in moves
             if move.upstream.layers is not None
-            or now - since[move.upstream.name] >= NEWCOMER_SECONDS
+            or now - since[move.upstream.name] >= EMPTY_ENGINE_DELAY_SECONDS
             or gaps.is_filled_by(move)
         ]
 
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -132,7 +132,7 @@
                 counted = _count_coverage(monkeypatch)
                 for one in fleet[HELD:]:
                     system.add(one)
-                await anyio.sleep(duties.NEWCOMER_SECONDS / 2)
+                await anyio.sleep(duties.EMPTY_ENGINE_DELAY_SECONDS / 2)
                 # Of all looks until then, and not of each newcomer.
                 assert len(counted) < COUNT
                 await anyio.sleep(6.0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -463,7 +463,7 @@
             target.listed = attrs.evolve(target.listed, layers=None)
             target.orders_taken = 0
             tell_all(system)
-            await anyio.sleep(duties.NEWCOMER_SECONDS + 1.0)
+            await anyio.sleep(duties.EMPTY_ENGINE_DELAY_SECONDS + 1.0)
             assert target.orders_taken == 1
             assert target.listed.layers is not None
 
@@ -479,7 +479,7 @@
             new = system.add(
                 fleet_system.upstream("new", "plateau", None, "large")
             )
-            await anyio.sleep(duties.NEWCOMER_SECONDS + 1.0)
+            await anyio.sleep(duties.EMPTY_ENGINE_DELAY_SECONDS + 1.0)
             assert new.orders_taken == 1
 
         play_duty(work)
@@ -570,7 +570,7 @@
                     await anyio.sleep(0.01)
             assert ledger.memo == ("e0@0",)
             tell_all(system)
-            await anyio.sleep(duties.NEWCOMER_SECONDS + 2.0)
+            await anyio.sleep(duties.EMPTY_ENGINE_DELAY_SECONDS + 2.0)
             # Ordered again, with the same count: the late one fits no more.
             assert system.fleet.at(system.listed["e0"].address).orders_taken
             assert ledger.memo == ()
