--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -54,7 +54,7 @@
 TURN_SECONDS = 0.005
 
 
-class Orders(typing.Protocol):
+class OrderClient(typing.Protocol):
     """Reaches engines with orders."""
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
@@ -119,7 +119,7 @@
         self,
         lease: leases.Lease,
         book: books.UpstreamBook,
-        orders: Orders,
+        orders: OrderClient,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
         self._lease = lease
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -112,7 +112,7 @@
             self.system.add(one)
 
     def duty(
-        self, orders: duties.Orders | None = None
+        self, orders: duties.OrderClient | None = None
     ) -> duties.PlacementController:
         """Return a giver of orders that knows nothing yet."""
         return duties.PlacementController(
