--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -277,7 +277,7 @@
     placement = controller.PlacementController(
         lease,
         book,
-        orders.EngineOrders(upstreams),
+        orders.PlacementOrderClient(upstreams),
         lambda: holder.services,
     )
     await placement.run()
--- a/src/crowdeck/platform/orders.py
+++ b/src/crowdeck/platform/orders.py
@@ -12,7 +12,7 @@
 from crowdeck import verdict as verdicts
 
 
-class EngineOrders:
+class PlacementOrderClient:
     """Implements ``placement.duty.Orders`` over engines' own calls."""
 
     def __init__(self, client: engines.UpstreamClient) -> None:
