--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -70,7 +70,7 @@
     )
 
 
-def onward(
+def upstream_request_headers(
     request: requests.CallerRequest,
     upstream: chain.Upstream,
     dispatch: interfaces.Dispatch,
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -127,7 +127,7 @@
         async with self._client.open(
             request.method,
             f"http://{upstream.address}{request.target}",
-            callers.onward(request, upstream, dispatch),
+            callers.upstream_request_headers(request, upstream, dispatch),
             request.body,
             timeouts,
         ) as response:
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -92,7 +92,7 @@
             requests.append(system.request(entries_system.STREAM))
 
         virtual.run(body)
-        headers = callers.onward(
+        headers = callers.upstream_request_headers(
             typing.cast(typing.Any, requests[0]),
             a_run(7),
             interfaces.Dispatch("kiosks", 0, 1.0),
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -249,7 +249,9 @@
         dispatch = interfaces.Dispatch(
             "hule", 12, 1.5, chain.ChainPath((hop,)), 30
         )
-        headers = dict(callers.onward(request, upstream, dispatch))
+        headers = dict(
+            callers.upstream_request_headers(request, upstream, dispatch)
+        )
         assert b"authorization" not in headers
         assert b"x-local" not in headers and b"connection" not in headers
         assert headers[b"x-tenant"] == b"hule"
@@ -265,7 +267,7 @@
     def test_own_last_event_stays_as_it_was_sent(self) -> None:
         request = caller_request()
         dispatch = interfaces.Dispatch("hule", 1, 1.5, last_event=12)
-        headers = callers.onward(
+        headers = callers.upstream_request_headers(
             request, fleet_system.upstream("i-9"), dispatch
         )
         assert headers.count((b"last-event-id", b"12")) == 1
