--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -103,7 +103,7 @@
     return headers
 
 
-def back(headers: http.RawHeaders) -> http.RawHeaders:
+def caller_response_headers(headers: http.RawHeaders) -> http.RawHeaders:
     """Return the headers of an upstream's answer that go to the caller."""
     dropped = _HOP | _UPSTREAMS
     return [
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -51,7 +51,7 @@
     @property
     def caller_headers(self) -> http.RawHeaders:
         """The headers that go to the caller."""
-        return callers.back(self._response.headers)
+        return callers.caller_response_headers(self._response.headers)
 
     @property
     def has_not_run(self) -> bool:
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -273,7 +273,7 @@
         assert headers.count((b"last-event-id", b"12")) == 1
 
     def test_answer_goes_back_without_what_is_between_us(self) -> None:
-        back = callers.back(
+        caller_response_headers = callers.caller_response_headers(
             [
                 (b"X-Response-Signature", b"s"),
                 (b"X-Server-Load", b"1,2,3"),
@@ -281,7 +281,7 @@
                 (b"Content-Length", b"3"),
             ]
         )
-        assert back == [(b"x-response-signature", b"s")]
+        assert caller_response_headers == [(b"x-response-signature", b"s")]
 
     @pytest.mark.parametrize(
         ("event", "number"),
@@ -507,7 +507,7 @@
             (b"Server-Leaving", b"1"),
             (b"x-other", b"2"),
         ]
-        assert callers.back(told) == [(b"x-other", b"2")]
+        assert callers.caller_response_headers(told) == [(b"x-other", b"2")]
 
 
 class _Calls:
