--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -71,7 +71,7 @@
             or body.get(names.TIMEOUT_MS, DEFAULT_TIMEOUT_MS)
         ),
         gap=_seconds(body.get(names.GAP_MS) or 0),
-        priority=int(body.get(names.RANK) or 0),
+        priority=int(body.get(names.CONFIG_PRIORITY) or 0),
         is_anonymous=bool(body.get(names.ANONYMOUS, False)),
         is_resumable=is_resumable,
     )
@@ -131,7 +131,7 @@
 
 
 def _team(body: Json) -> routes.TeamKeys:
-    priority = body.get(names.RANK)
+    priority = body.get(names.CONFIG_PRIORITY)
     return routes.TeamKeys(
         name=str(body[names.NAME]),
         keys=frozenset(str(key) for key in body.get(names.API_KEYS) or ()),
