--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -32,7 +32,7 @@
 _EVENT_ID = re.compile(rb"(?:^|[\r\n])id:[ ]?(\d+)[ ]*(?=[\r\n]|$)")
 LEAST_DEADLINE_MS = 1
 # The least urgent rank that engines know.
-LAST_RANK = 9
+LOWEST_PRIORITY = 9
 
 
 def decode(
@@ -85,7 +85,7 @@
     headers.append((names.DEADLINE, str(milliseconds).encode()))
     headers.append((names.EXPECTED_INSTANCE, upstream.life.id.encode()))
     headers.append(
-        (names.PRIORITY, str(min(LAST_RANK, dispatch.priority)).encode())
+        (names.PRIORITY, str(min(LOWEST_PRIORITY, dispatch.priority)).encode())
     )
     if dispatch.team:
         headers.append((names.TEAM, dispatch.team.encode()))
