--- a/src/crowdeck/platform/fields.py
+++ b/src/crowdeck/platform/fields.py
@@ -15,7 +15,7 @@
 
 # Whole numbers that every reader of JSON keeps exact. Nothing that is
 # counted here comes near.
-WHOLE_MOST = 2**53
+MAX_EXACT_INTEGER = 2**53
 _REQUIRED: typing.Any = object()
 
 
@@ -54,7 +54,7 @@
         raise TypeError(
             f"{name} holds {found!r:.40}, which is no whole number"
         )
-    if not 0 <= found <= WHOLE_MOST:
+    if not 0 <= found <= MAX_EXACT_INTEGER:
         raise ValueError(f"{name} holds {found}")
     return found
 
@@ -69,7 +69,7 @@
     found = _find(body, name, default)
     if type(found) not in (int, float):
         raise TypeError(f"{name} holds {found!r:.40}, which is no number")
-    if not 0 <= found <= WHOLE_MOST:
+    if not 0 <= found <= MAX_EXACT_INTEGER:
         raise ValueError(f"{name} holds {found}")
     return float(found)
 
