--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -18,7 +18,7 @@
 
 _STATES = frozenset({names.STATE_READY, names.STATE_DRAINING})
 # Layers that a model may have at most; what counts them makes room for each.
-LAYERS_MOST = 65_536
+MAX_LAYER_COUNT = 65_536
 # What reading a body of wrong types or sizes may raise.
 _WRONG = (AttributeError, KeyError, OverflowError, TypeError, ValueError)
 
@@ -100,7 +100,7 @@
         return None
     first = fields.whole(told, names.FIRST_LAYER)
     end = fields.whole(told, names.END_LAYER)
-    if end > LAYERS_MOST:
+    if end > MAX_LAYER_COUNT:
         raise ValueError(f"no model has {end} layers")
     return pipeline.LayerRange(first, end) if end > first else None
 
