--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -151,7 +151,7 @@
         self, what: str, target: chain_fleet.StandinUpstream, value: float
     ) -> None:
         if what == "dark":
-            target.is_dark = True
+            target.is_unresponsive = True
         elif what == "dead":
             target.is_dead = True
             self._store.remove(names.UPSTREAM_KIND, target.listed.life.id)
@@ -203,7 +203,7 @@
                 layers=None,
             )
             target.orders_taken = 0
-        target.is_dead = target.is_dark = False
+        target.is_dead = target.is_unresponsive = False
 
     def _write_foreign(self, number: int) -> None:
         """Write an entry as another program would, or spoil one's own."""
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -76,7 +76,7 @@
     listed: chain.Upstream
     orders_taken: int = 0
     is_dead: bool = False
-    is_dark: bool = False
+    is_unresponsive: bool = False
     is_frozen: bool = False
     rejects: int = 0
     loses: int = 0
@@ -105,7 +105,7 @@
     @property
     def answers(self) -> bool:
         """Whether it answers at all."""
-        return not self.is_dead and not self.is_dark
+        return not self.is_dead and not self.is_unresponsive
 
     @property
     def backpressure(self) -> pressures.Backpressure:
@@ -279,7 +279,7 @@
             return interfaces.RepathOutcome(is_done=False, is_known=True)
         for hop in path.hops:
             part = self._upstreams.get(str(hop.upstream.address))
-            if part is not None and part.is_dark:
+            if part is not None and part.is_unresponsive:
                 await anyio.sleep(DARK_PART_SECONDS)
                 return interfaces.RepathOutcome(
                     False, True, str(hop.upstream.address)
@@ -315,7 +315,7 @@
         self, upstream: chain.Upstream, timeout: float
     ) -> StandinUpstream:
         target = self._upstreams.get(str(upstream.address))
-        if target is not None and target.is_dark:
+        if target is not None and target.is_unresponsive:
             await anyio.sleep(timeout)
         else:
             for _ in range(DIAL_STEPS):
@@ -323,7 +323,7 @@
                 await self._await_link()
         if target is None or target.is_dead:
             raise errors.InstanceGone("the upstream was lost")
-        if target.is_dark:
+        if target.is_unresponsive:
             raise _lost(verdicts.Verdict.NOT_RUN)
         if target.resets:
             target.resets -= 1
@@ -409,7 +409,7 @@
     ) -> None:
         await anyio.sleep(target.seconds)
         await self._fall_over(target, request)
-        if target.is_dark:
+        if target.is_unresponsive:
             await anyio.sleep_forever()
 
     async def _stream(
@@ -458,7 +458,7 @@
     ) -> None:
         waited = 0.0
         while True:
-            if target.is_dark:
+            if target.is_unresponsive:
                 await anyio.sleep_forever()
             if target.is_dead or waited > STALL_SECONDS:
                 raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -231,7 +231,7 @@
                 )
                 system.book.back_off(head.listed.name, REST_SECONDS)
                 since = anyio.current_time()
-                second.is_dark = True
+                second.is_unresponsive = True
             whole = fleet_system.whole_answer(request.id, 150)
             assert caller.body == whole
             until = since + REST_SECONDS
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -92,12 +92,12 @@
     def test_while_its_engine_is_dialled(self) -> None:
         async def work(system: System) -> None:
             for target in system.fleet.upstreams:
-                target.is_dark = True
+                target.is_unresponsive = True
             request = system.request(STREAM)
             await leave_after(system, request, 0.05)
             assert_forgotten(system)
             for target in system.fleet.upstreams:
-                target.is_dark = False
+                target.is_unresponsive = False
             await anyio.sleep(LATER_SECONDS)
             assert not system.fleet.runs
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -668,11 +668,11 @@
             await anyio.sleep(3.0)
             tell_all(system)
             for one in list(system.listed.values()):
-                system.fleet.at(one.address).is_dark = True
+                system.fleet.at(one.address).is_unresponsive = True
             system.book.avoid("e0", "refused")
             await anyio.sleep(3.0)
             for one in list(system.listed.values()):
-                system.fleet.at(one.address).is_dark = False
+                system.fleet.at(one.address).is_unresponsive = False
             assert {one.name for one in system.book.avoided()} == {"e0"}
             await anyio.sleep(1.0)
             assert all(
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -161,7 +161,7 @@
                 tasks.start_soon(ask, second)
                 await anyio.sleep(0.15)
                 shared = path_of(system, first)[2]
-                shared.is_dark = True
+                shared.is_unresponsive = True
             passes = [
                 request.id
                 for request in (first, second)
@@ -177,7 +177,7 @@
             request = system.request(STREAM)
 
             def strike() -> None:
-                path_of(system, request)[1].is_dark = True
+                path_of(system, request)[1].is_unresponsive = True
 
             await during(system, request, 0.15, strike)
             after = system.request(STREAM)
@@ -211,7 +211,7 @@
                 for request in asked:
                     tasks.start_soon(ask, request)
                 await anyio.sleep(0.15)
-                path_of(system, asked[0])[2].is_dark = True
+                path_of(system, asked[0])[2].is_unresponsive = True
             assert all(caller.is_whole for caller in callers)
             assert len(system.fleet.repaths) == len(set(system.fleet.repaths))
 
@@ -235,8 +235,8 @@
                 and one.listed.availability_zone == fleet_system.ZONES[0]
                 and one is not part
             ]
-            part.is_dark = True
-            others[0].is_dark = True
+            part.is_unresponsive = True
+            others[0].is_unresponsive = True
 
     def test_the_pause_stays_in_time(self) -> None:
         # Each lost part was found by a refusal, one after the other: the
@@ -263,7 +263,7 @@
             def strike() -> None:
                 path = path_of(system, request)
                 path[0].keeps_paths = True
-                path[2].is_dark = True
+                path[2].is_unresponsive = True
 
             caller = await during(system, request, 0.15, strike)
             assert_whole(caller, request, system.fleet.events)
@@ -710,7 +710,7 @@
                     # Its first engine is sound each time: only a later
                     # part of the path fails, and the zone has no other.
                     await anyio.sleep(0.3)
-                    path_of(system, request)[2].is_dark = True
+                    path_of(system, request)[2].is_unresponsive = True
             # The first time it goes on in another zone, the second time it
             # may not: a detour through the third is all that is left.
             assert_whole(callers[0], request, 60)
@@ -735,7 +735,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.2)
-                path_of(system, request)[0].is_dark = True
+                path_of(system, request)[0].is_unresponsive = True
                 await anyio.sleep(1.0)
                 tasks.cancel_scope.cancel()
             assert ended == []
@@ -759,9 +759,9 @@
                 for _ in range(2):
                     await anyio.sleep(0.3)
                     head = path_of(system, request)[0]
-                    head.is_dark = True
+                    head.is_unresponsive = True
                     await anyio.sleep(0.3)
-                    head.is_dark = False
+                    head.is_unresponsive = False
                 await anyio.sleep(3.0)
                 tasks.cancel_scope.cancel()
             assert len(system.fleet.runs_of(request.id)) == 2
@@ -779,7 +779,7 @@
             async def silence_heads() -> None:
                 for _ in range(2):
                     await anyio.sleep(0.3)
-                    path_of(system, request)[0].is_dark = True
+                    path_of(system, request)[0].is_unresponsive = True
                     await anyio.sleep(2.0)
 
             async with anyio.create_task_group() as tasks:
