--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -77,7 +77,7 @@
     orders_taken: int = 0
     is_dead: bool = False
     is_unresponsive: bool = False
-    is_frozen: bool = False
+    is_suspended: bool = False
     rejects: int = 0
     loses: int = 0
     breaks_after: int = -1
@@ -334,16 +334,16 @@
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
         """Count a request once its instance reads it."""
-        if target.is_frozen:
+        if target.is_suspended:
             self._unread.append((target, request.id))
-            while target.is_frozen:
+            while target.is_suspended:
                 await anyio.sleep(POLL_SECONDS)
             return
         self._note_arrival(target, request.id)
 
     def thaw(self, target: StandinUpstream) -> None:
         """Have a frozen instance go on."""
-        target.is_frozen = False
+        target.is_suspended = False
         for one, request_id in self._unread:
             if one is target:
                 self._note_arrival(one, request_id)
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -85,7 +85,7 @@
     def freeze(self) -> None:
         """Have no instance of the service read anything."""
         for one in self._instances():
-            one.is_frozen = True
+            one.is_suspended = True
 
     def thaw(self) -> None:
         """Have them read what came, and go on."""
