--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -488,7 +488,7 @@
         )
 
 
-class What(enum.Enum):
+class CallKind(enum.Enum):
     """What an instance may be sent."""
 
     REQUEST = "request"
@@ -505,7 +505,7 @@
     """
 
     upstream: str
-    what: What
+    what: CallKind
     at: float
     arrived: float
 
@@ -534,7 +534,7 @@
         timeouts: http.Timeouts,
     ) -> typing.AsyncIterator[interfaces.Answer]:
         """Send a request."""
-        self._note(upstream, What.REQUEST, request.arrived)
+        self._note(upstream, CallKind.REQUEST, request.arrived)
         async with self._fleet.open(
             upstream, request, dispatch, timeouts
         ) as answer:
@@ -545,7 +545,7 @@
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
         """Return what an engine says of itself."""
-        self._note(upstream, What.QUESTION)
+        self._note(upstream, CallKind.QUESTION)
         report = await self._fleet.report(upstream)
         self._tell_other(upstream)
         return report
@@ -554,13 +554,13 @@
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
     ) -> interfaces.RepathOutcome:
         """Have a running request go on along another path."""
-        self._note(head, What.ORDER)
+        self._note(head, CallKind.ORDER)
         outcome = await self._fleet.repath(head, request_id, path)
         self._tell_other(head)
         return outcome
 
     def _note(
-        self, upstream: chain.Upstream, what: What, arrived: float = 0.0
+        self, upstream: chain.Upstream, what: CallKind, arrived: float = 0.0
     ) -> None:
         now = anyio.current_time()
         self.arrivals.append(Arrival(upstream.name, what, now, arrived))
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -420,7 +420,7 @@
             late = [
                 one
                 for one in sent(system, target.listed, said_at)
-                if one.what is chain_fleet.What.REQUEST
+                if one.what is chain_fleet.CallKind.REQUEST
                 and one.arrived > said_at + LEAVING_SECONDS
             ]
             assert not late
