--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -136,7 +136,7 @@
 
 
 @attrs.frozen
-class Fall:
+class EngineCrash:
     """One time that a request ended the upstream which had begun it."""
 
     target: StandinUpstream
@@ -167,7 +167,7 @@
         self.rejected: collections.Counter[str] = collections.Counter()
         self.repaths: list[str] = []
         self.ends_upstreams: set[bytes] = set()
-        self.falls: list[Fall] = []
+        self.falls: list[EngineCrash] = []
         self.accounts: dict[str, repeats.RepeatAccount] = (
             collections.defaultdict(repeats.RepeatAccount)
         )
@@ -445,7 +445,7 @@
         if not target.is_dead:
             target.is_dead = True
             now = anyio.current_time()
-            fall = Fall(target, target.listed.name, request.body, now)
+            fall = EngineCrash(target, target.listed.name, request.body, now)
             self.falls.append(fall)
         raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
 
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -144,7 +144,9 @@
         living.sort(key=lambda one: -busy[one.listed.name])
         for target in living[:count]:
             target.is_dead = True
-            fall = chain_fleet.Fall(target, target.listed.name, b"", now)
+            fall = chain_fleet.EngineCrash(
+                target, target.listed.name, b"", now
+            )
             self.fleet.falls.append(fall)
 
     def tell_all_leaving(self) -> None:
