--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -235,7 +235,7 @@
         }
         return responses.Response(
             orjson.dumps(
-                [numbers[id(one.target)] for one in self._fleet.falls]
+                [numbers[id(one.target)] for one in self._fleet.crashes]
             )
         )
 
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -167,7 +167,7 @@
         self.rejected: collections.Counter[str] = collections.Counter()
         self.repaths: list[str] = []
         self.ends_upstreams: set[bytes] = set()
-        self.falls: list[EngineCrash] = []
+        self.crashes: list[EngineCrash] = []
         self.accounts: dict[str, repeats.RepeatAccount] = (
             collections.defaultdict(repeats.RepeatAccount)
         )
@@ -446,7 +446,7 @@
             target.is_dead = True
             now = anyio.current_time()
             fall = EngineCrash(target, target.listed.name, request.body, now)
-            self.falls.append(fall)
+            self.crashes.append(fall)
         raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
 
     async def _await_link(self) -> None:
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -147,7 +147,7 @@
             fall = chain_fleet.EngineCrash(
                 target, target.listed.name, b"", now
             )
-            self.fleet.falls.append(fall)
+            self.fleet.crashes.append(fall)
 
     def tell_all_leaving(self) -> None:
         """List every engine as one that is about to end."""
@@ -187,9 +187,9 @@
             known = 0
             while True:
                 await anyio.sleep(LOOK_SECONDS)
-                for fall in self.fleet.falls[known:]:
+                for fall in self.fleet.crashes[known:]:
                     tasks.start_soon(self._bring_back, fall.upstream)
-                known = len(self.fleet.falls)
+                known = len(self.fleet.crashes)
 
     def told_of(self, body: bytes) -> list[Told]:
         """Return what callers of a request were told."""
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -47,9 +47,9 @@
 ) -> float:
     """Return when the ``count``th instance had ended."""
     with anyio.move_on_after(limit):
-        while len(entries.fleet.falls) < count:
+        while len(entries.fleet.crashes) < count:
             await anyio.sleep(entries_system.LOOK_SECONDS)
-    return entries.fleet.falls[count - 1].at
+    return entries.fleet.crashes[count - 1].at
 
 
 class TestRequestThatEndsEngines:
@@ -59,7 +59,7 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.ends_upstreams.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
-            third = entries.fleet.falls[ENDS_MOST - 1].at
+            third = entries.fleet.crashes[ENDS_MOST - 1].at
             late = entries.arrivals(BODY, third + KNOWN_SECONDS)
             assert late <= SENDS_MOST
 
@@ -70,7 +70,7 @@
             entries.fleet.ends_upstreams.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
             await anyio.sleep(3.0)
-            third = entries.fleet.falls[ENDS_MOST - 1].at
+            third = entries.fleet.crashes[ENDS_MOST - 1].at
             beside = entries.told_beside(third + 1.0)
             assert len(beside) > 20
             assert [one for one in beside if not one.was_served] == []
@@ -89,7 +89,7 @@
             entries.fleet.ends_upstreams.add(BODY)
             entries.ask_soon(0, repeat, BODY)
             await anyio.sleep(10.0)
-            assert len(entries.fleet.falls) <= ENDS_MOST
+            assert len(entries.fleet.crashes) <= ENDS_MOST
 
         entries_system.play(work, count=1)
 
@@ -98,8 +98,8 @@
             entries.keeps_ids = True
             entries.fleet.ends_upstreams.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
-            assert len(entries.fleet.falls) <= ENDS_MOST + 1
-            third = entries.fleet.falls[ENDS_MOST - 1].at
+            assert len(entries.fleet.crashes) <= ENDS_MOST + 1
+            third = entries.fleet.crashes[ENDS_MOST - 1].at
             beside = entries.told_beside(third + 1.0)
             assert [one for one in beside if not one.was_served] == []
 
@@ -121,7 +121,7 @@
             before = budget.left
             entries.ask_soon(0, entries_system.STREAM, BODY)
             await anyio.sleep(3.0)
-            assert len(entries.fleet.falls) == ENDS_MOST
+            assert len(entries.fleet.crashes) == ENDS_MOST
             error = entries.told_of(BODY)[0].caller.error
             assert error is not None
             assert error.code is errors.Code.QUARANTINED
@@ -185,7 +185,7 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.ends_upstreams.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
-            third = entries.fleet.falls[ENDS_MOST - 1].at
+            third = entries.fleet.crashes[ENDS_MOST - 1].at
             refused = [
                 one
                 for one in entries.told_of(BODY)
@@ -211,7 +211,7 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.ends_upstreams.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
-            assert len(entries.fleet.falls) <= ENDS_MOST + 2
+            assert len(entries.fleet.crashes) <= ENDS_MOST + 2
 
         entries_system.play(work, count=count)
 
@@ -219,12 +219,12 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.ends_upstreams.add(BODY)
             await entries.ask_for(5.0, BODY, PAUSE)
-            ends = len(entries.fleet.falls)
+            ends = len(entries.fleet.crashes)
             for number in range(3):
                 entries.stop(number)
             await anyio.sleep(0.5)
             await entries.ask_for(5.0, BODY, PAUSE)
-            assert len(entries.fleet.falls) == ends
+            assert len(entries.fleet.crashes) == ends
 
         entries_system.play(work)
 
@@ -259,9 +259,9 @@
                 for one in others:
                     tasks.start_soon(entries.ask_for, 15.0, one, PAUSE)
                     await anyio.sleep(0.05)
-            since = entries.fleet.falls[-1].at + KNOWN_SECONDS
+            since = entries.fleet.crashes[-1].at + KNOWN_SECONDS
             assert since < 10.0
-            assert len(entries.fleet.falls) <= 2 * ENDS_MOST + 3
+            assert len(entries.fleet.crashes) <= 2 * ENDS_MOST + 3
 
         entries_system.play(work)
 
@@ -269,7 +269,7 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.ends_upstreams.add(BODY)
             await entries.ask_for(30.0, BODY, PAUSE, entries_system.REPEATABLE)
-            third = entries.fleet.falls[ENDS_MOST - 1].at
+            third = entries.fleet.crashes[ENDS_MOST - 1].at
             late = entries.arrivals(BODY, third + KNOWN_SECONDS)
             assert late <= SENDS_MOST
 
@@ -319,7 +319,7 @@
             told = entries.told_of(alike)
             assert len(told) == 140
             assert sum(one.was_served for one in told) >= 138
-            assert len(entries.fleet.falls) <= ENDS_MOST + 2
+            assert len(entries.fleet.crashes) <= ENDS_MOST + 2
 
         entries_system.play(work, count=6)
 
@@ -336,7 +336,7 @@
             entries.fleet.ends_upstreams.clear()
             await anyio.sleep(0.2)
             cause = frozenset({fingerprint.Fingerprint("cause")})
-            names = [fall.upstream for fall in entries.fleet.falls]
+            names = [fall.upstream for fall in entries.fleet.crashes]
             now = anyio.current_time()
             entries[0].context.ledger.take(
                 "other",
@@ -402,7 +402,7 @@
                 entries.ask_soon(number, entries_system.STREAM, BODY)
                 await anyio.sleep(0.1)
             await anyio.sleep(2.0)
-            assert entries.fleet.falls
+            assert entries.fleet.crashes
             assert all(
                 entries[number].context.ledger.is_empty for number in range(3)
             )
