--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -141,7 +141,7 @@
         elif what == "foreign":
             self._write_foreign(order["number"])
         elif what == "ending":
-            self._fleet.ends_upstreams.add(order["body"].encode())
+            self._fleet.crashing_bodies.add(order["body"].encode())
         else:
             target = self._fleet.upstreams[order["upstream"]]
             self._strike(what, target, float(order.get("value", 0.0)))
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -166,7 +166,7 @@
         self.runs: list[Run] = []
         self.rejected: collections.Counter[str] = collections.Counter()
         self.repaths: list[str] = []
-        self.ends_upstreams: set[bytes] = set()
+        self.crashing_bodies: set[bytes] = set()
         self.crashes: list[EngineCrash] = []
         self.accounts: dict[str, repeats.RepeatAccount] = (
             collections.defaultdict(repeats.RepeatAccount)
@@ -439,7 +439,7 @@
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
         """End an upstream that has begun a request which ends it."""
-        if request.body not in self.ends_upstreams:
+        if request.body not in self.crashing_bodies:
             return
         await anyio.sleep(FALL_SECONDS)
         if not target.is_dead:
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -57,7 +57,7 @@
 
     def test_is_sent_on_no_more_once_three_have_ended(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
             third = entries.fleet.crashes[ENDS_MOST - 1].at
             late = entries.arrivals(BODY, third + KNOWN_SECONDS)
@@ -67,7 +67,7 @@
 
     def test_those_beside_it_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
             await anyio.sleep(3.0)
             third = entries.fleet.crashes[ENDS_MOST - 1].at
@@ -86,7 +86,7 @@
         # A request that may be repeated went from one instance to the next
         # as long as each ended: those that end did not count as runs.
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             entries.ask_soon(0, repeat, BODY)
             await anyio.sleep(10.0)
             assert len(entries.fleet.crashes) <= ENDS_MOST
@@ -96,7 +96,7 @@
     def test_instances_that_come_back_under_their_ids(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.keeps_ids = True
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
             assert len(entries.fleet.crashes) <= ENDS_MOST + 1
             third = entries.fleet.crashes[ENDS_MOST - 1].at
@@ -114,7 +114,7 @@
         monkeypatch.setattr(chain_fleet, "FALL_SECONDS", fall_seconds)
 
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             # The budget is none before.
             await entries.know_each_other()
             budget = entries[0].context.budget(fleet_system.MODEL)
@@ -133,7 +133,7 @@
 
     def test_a_call_is_a_suspect_as_soon_as_its_instance_ends(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             entries.ask_soon(0, entries_system.REPEATABLE, BODY)
             await anyio.sleep(1.0)
             request = entries.told_of(BODY)[0].request
@@ -161,7 +161,7 @@
         # Two more are at engines that have not begun them when the third
         # engine ends.
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             ledger = entries[0].context.ledger
             content = entries[0].request(entries_system.STREAM, body=BODY)
             known = requests.fingerprint_of(content, "kiosks")
@@ -183,7 +183,7 @@
 
     def test_is_refused_at_once_and_truly(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
             third = entries.fleet.crashes[ENDS_MOST - 1].at
             refused = [
@@ -209,7 +209,7 @@
         # Twelve entries that told one another nothing would each pass it on
         # until three engines had ended there.
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
             assert len(entries.fleet.crashes) <= ENDS_MOST + 2
 
@@ -217,7 +217,7 @@
 
     def test_an_entry_that_starts_passes_it_on_no_more(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(5.0, BODY, PAUSE)
             ends = len(entries.fleet.crashes)
             for number in range(3):
@@ -230,7 +230,7 @@
 
     def test_an_entry_that_was_cut_off_learns_of_it(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             entries.store.is_down = True
             await entries.ask_for(3.0, BODY, PAUSE)
             entries.store.is_down = False
@@ -243,7 +243,7 @@
 
     def test_others_of_its_caller_and_path_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(5.0, BODY, PAUSE)
             entries.ask_soon(0, entries_system.STREAM, BODY + b"?")
             await anyio.sleep(3.0)
@@ -254,7 +254,7 @@
     def test_two_of_them_at_once(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             others = [BODY + b"1", BODY + b"2"]
-            entries.fleet.ends_upstreams.update(others)
+            entries.fleet.crashing_bodies.update(others)
             async with anyio.create_task_group() as tasks:
                 for one in others:
                     tasks.start_soon(entries.ask_for, 15.0, one, PAUSE)
@@ -267,7 +267,7 @@
 
     def test_a_call_of_a_plain_service_that_does_the_same(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(30.0, BODY, PAUSE, entries_system.REPEATABLE)
             third = entries.fleet.crashes[ENDS_MOST - 1].at
             late = entries.arrivals(BODY, third + KNOWN_SECONDS)
@@ -284,7 +284,7 @@
         # next coming of the cause finds those that it cut a moment before.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.event_seconds = 0.1
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(entries.ask_for, 12.0, BODY, 0.3)
                 for number in range(400):
@@ -309,7 +309,7 @@
             for number in range(20):
                 entries.ask_soon(number, entries_system.STREAM, alike)
                 await anyio.sleep(0.1)
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(entries.ask_for, 6.0, BODY, PAUSE)
                 for number in range(120):
@@ -330,10 +330,10 @@
         # third engine ended; until then this one knows its own part only.
         async def work(entries: entries_system.Entries) -> None:
             beside = b"beside"
-            entries.fleet.ends_upstreams.add(beside)
+            entries.fleet.crashing_bodies.add(beside)
             entries.ask_soon(0, entries_system.STREAM, beside)
             await wait_for_falls(entries, ENDS_MOST)
-            entries.fleet.ends_upstreams.clear()
+            entries.fleet.crashing_bodies.clear()
             await anyio.sleep(0.2)
             cause = frozenset({fingerprint.Fingerprint("cause")})
             names = [fall.upstream for fall in entries.fleet.crashes]
@@ -396,7 +396,7 @@
 
     def test_engines_that_end_as_planned_are_held_against_nobody(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             entries.tell_all_leaving()
             for number in range(6):
                 entries.ask_soon(number, entries_system.STREAM, BODY)
