--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -193,7 +193,7 @@
         self._epoch += 1
         self._tell()
 
-    def fall_silent(self) -> None:
+    def stop_answering(self) -> None:
         """Answer nothing any more, watches under way included."""
         self._is_silent = True
         self._silences += 1
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -178,7 +178,7 @@
             slow: _Follower,
             config: mirrors.Mirror,
         ) -> None:
-            store.fall_silent()
+            store.stop_answering()
             await anyio.sleep(2.9)
             store.speak()
             store.write("s", "leaving", b"1")
@@ -193,7 +193,7 @@
             slow: _Follower,
             config: mirrors.Mirror,
         ) -> None:
-            store.fall_silent()
+            store.stop_answering()
             await anyio.sleep(0.2)
             store.speak()
             store.write("s", "leaving", b"1")
@@ -209,7 +209,7 @@
             slow: _Follower,
             config: mirrors.Mirror,
         ) -> None:
-            store.fall_silent()
+            store.stop_answering()
             await anyio.sleep(5.0)
             assert config.age() > 4.9
             store.speak()
