--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -198,7 +198,7 @@
         self._is_silent = True
         self._silences += 1
 
-    def speak(self) -> None:
+    def resume_answering(self) -> None:
         """Answer what comes from now on."""
         self._is_silent = False
 
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -180,7 +180,7 @@
         ) -> None:
             store.stop_answering()
             await anyio.sleep(2.9)
-            store.speak()
+            store.resume_answering()
             store.write("s", "leaving", b"1")
             await anyio.sleep(1.5)
             assert slow.values == {"leaving": b"1"}
@@ -195,7 +195,7 @@
         ) -> None:
             store.stop_answering()
             await anyio.sleep(0.2)
-            store.speak()
+            store.resume_answering()
             store.write("s", "leaving", b"1")
             await anyio.sleep(2.6)
             assert slow.values == {"leaving": b"1"}
@@ -212,7 +212,7 @@
             store.stop_answering()
             await anyio.sleep(5.0)
             assert config.age() > 4.9
-            store.speak()
+            store.resume_answering()
             await anyio.sleep(1.0)
             assert config.age() < 0.9
 
