--- a/src/crowdeck/standin/network.py
+++ b/src/crowdeck/standin/network.py
@@ -90,7 +90,7 @@
             if node.greeting.instance in (one, other):
                 node.close_to(other if node.greeting.instance == one else one)
 
-    def mend(self, one: str, other: str) -> None:
+    def reconnect(self, one: str, other: str) -> None:
         """Allow links between two processes again."""
         self._cut.discard(frozenset((one, other)))
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -172,7 +172,7 @@
                     await anyio.sleep(0.5)
                     system.network.cut("e0", "r0")
                     await anyio.sleep(0.5)
-                    system.network.mend("e0", "r0")
+                    system.network.reconnect("e0", "r0")
                 assert replies[0].body == b"a run 1"
 
         virtual.run(check)
@@ -192,7 +192,7 @@
                     await anyio.sleep(0.5)
                     system.network.cut("e0", "r0")
                     await anyio.sleep(0.2)
-                    system.network.mend("e0", "r0")
+                    system.network.reconnect("e0", "r0")
                 assert replies[0].body == b"a run 1"
                 assert system.service.runs == {"a": 1}
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -153,7 +153,7 @@
                     tasks.start_soon(_disturb, zone, chance)
                     await _play_restores(zone, chance)
                     tasks.cancel_scope.cancel()
-                zone.mend()
+                zone.reconnect()
                 # A peer that was silent is left alone for some seconds.
                 await anyio.sleep(3.0)
                 await require_known(zone, f"new-{seed}".encode())
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -137,7 +137,7 @@
             case "cut":
                 system.network.cut(fault.target, fault.other)
                 await anyio.sleep(fault.seconds)
-                system.network.mend(fault.target, fault.other)
+                system.network.reconnect(fault.target, fault.other)
             case "leave":
                 if not system.nodes[fault.target].scope.cancel_called:
                     system.sidecar(fault.target).begin_drain(10.0)
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -152,7 +152,7 @@
         entry = self.entries[name] = self._entry(name, self._ranking)
         self._tasks.start_soon(self._live, entry)
 
-    def mend(self) -> None:
+    def reconnect(self) -> None:
         """Let everything answer again."""
         self.store.is_down = False
         for entry in self.entries.values():
