--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -86,7 +86,7 @@
     hangs: int = 0
     forges: int = 0
     resets: int = 0
-    keeps_paths: bool = False
+    refuses_repaths: bool = False
     backoff: float = 0.0
     tells_leaving: bool = False
     limit: float | None = None
@@ -275,7 +275,7 @@
         await self._dial(head, 0.25)
         if request_id not in self._paths:
             return interfaces.RepathOutcome(is_done=False, is_known=False)
-        if self.at(head.address).keeps_paths:
+        if self.at(head.address).refuses_repaths:
             return interfaces.RepathOutcome(is_done=False, is_known=True)
         for hop in path.hops:
             part = self._upstreams.get(str(hop.upstream.address))
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -262,7 +262,7 @@
 
             def strike() -> None:
                 path = path_of(system, request)
-                path[0].keeps_paths = True
+                path[0].refuses_repaths = True
                 path[2].is_unresponsive = True
 
             caller = await during(system, request, 0.15, strike)
