--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -170,7 +170,7 @@
         elif what == "leave":
             target.tells_leaving = True
         elif what == "fail_all":
-            target.fails, target.breaks_after = ALWAYS, 1
+            target.fails, target.break_stream_after = ALWAYS, 1
             target.keeps_breaking = True
         elif what == "lose_all":
             target.loses = ALWAYS
@@ -178,7 +178,7 @@
             target.rejects = ALWAYS
         elif what == "mend":
             target.fails = target.loses = target.rejects = 0
-            target.breaks_after, target.keeps_breaking = -1, False
+            target.break_stream_after, target.keeps_breaking = -1, False
         elif what == "calm":
             target.limit = None
             target.rejects, target.backoff = 0, 0.0
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -80,7 +80,7 @@
     is_suspended: bool = False
     rejects: int = 0
     loses: int = 0
-    breaks_after: int = -1
+    break_stream_after: int = -1
     keeps_breaking: bool = False
     fails: int = 0
     hangs: int = 0
@@ -427,9 +427,9 @@
             await anyio.sleep(self.event_seconds)
             await self._await_path(target, request.id)
             await self._await_link()
-            if target.breaks_after == sent:
+            if target.break_stream_after == sent:
                 if not target.keeps_breaking:
-                    target.breaks_after = -1
+                    target.break_stream_after = -1
                 yield event(request.id, number)[:5]
                 raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
             yield event(request.id, number)
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -106,7 +106,7 @@
     def _fail(self, fails: bool) -> None:
         for one in self.entries.fleet.upstreams:
             one.fails = FAILURES if fails else 0
-            one.breaks_after = 1 if fails else -1
+            one.break_stream_after = 1 if fails else -1
 
 
 Scenario = typing.Callable[[Demand], typing.Awaitable[None]]
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -675,7 +675,7 @@
     def test_stream_broken_in_an_event_has_no_torn_one(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for target in list(system.listed.values()):
-                system.fleet.at(target.address).breaks_after = 5
+                system.fleet.at(target.address).break_stream_after = 5
             request = system.request(STREAM)
             caller = await system.ask(request)
             assert not caller.is_whole or caller.body == (
@@ -796,7 +796,7 @@
         # for its end, and the request ran at a third one.
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
-                system.fleet.at(one.address).breaks_after = 3
+                system.fleet.at(one.address).break_stream_after = 3
             request = system.request(STREAM)
 
             async def reset_heads() -> None:
@@ -836,7 +836,7 @@
     def test_full_engine_counts_as_one_that_ran_it(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
-                system.fleet.at(one.address).breaks_after = 3
+                system.fleet.at(one.address).break_stream_after = 3
             request = system.request(STREAM)
 
             async def refuse_others() -> None:
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -155,7 +155,9 @@
                 tasks.start_soon(ask)
                 await anyio.sleep(0.5)
                 lose(system, "e-0")
-                system.fleet.at(system.listed["e-0"].address).breaks_after = 30
+                system.fleet.at(
+                    system.listed["e-0"].address
+                ).break_stream_after = 30
                 await anyio.sleep(0.8)
                 broken_at = anyio.current_time()
             assert caller.has_started
