--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -171,14 +171,14 @@
             target.tells_leaving = True
         elif what == "fail_all":
             target.fails, target.break_stream_after = ALWAYS, 1
-            target.keeps_breaking = True
+            target.breaks_every_stream = True
         elif what == "lose_all":
             target.loses = ALWAYS
         elif what == "reject_all":
             target.rejects = ALWAYS
         elif what == "mend":
             target.fails = target.loses = target.rejects = 0
-            target.break_stream_after, target.keeps_breaking = -1, False
+            target.break_stream_after, target.breaks_every_stream = -1, False
         elif what == "calm":
             target.limit = None
             target.rejects, target.backoff = 0, 0.0
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -81,7 +81,7 @@
     rejects: int = 0
     loses: int = 0
     break_stream_after: int = -1
-    keeps_breaking: bool = False
+    breaks_every_stream: bool = False
     fails: int = 0
     hangs: int = 0
     forges: int = 0
@@ -428,7 +428,7 @@
             await self._await_path(target, request.id)
             await self._await_link()
             if target.break_stream_after == sent:
-                if not target.keeps_breaking:
+                if not target.breaks_every_stream:
                     target.break_stream_after = -1
                 yield event(request.id, number)[:5]
                 raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
