--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -168,7 +168,7 @@
         elif what == "rest":
             target.rejects, target.backoff = 3, value
         elif what == "leave":
-            target.tells_leaving = True
+            target.announces_leaving = True
         elif what == "fail_all":
             target.fails, target.break_stream_after = ALWAYS, 1
             target.breaks_every_stream = True
@@ -182,7 +182,7 @@
         elif what == "calm":
             target.limit = None
             target.rejects, target.backoff = 0, 0.0
-            target.tells_leaving = False
+            target.announces_leaving = False
 
     def _restart(
         self, target: chain_fleet.StandinUpstream, keeps_id: bool
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -88,7 +88,7 @@
     resets: int = 0
     refuses_repaths: bool = False
     backoff: float = 0.0
-    tells_leaving: bool = False
+    announces_leaving: bool = False
     limit: float | None = None
     tells_load: bool = False
     running: int = 0
@@ -111,7 +111,7 @@
     def backpressure(self) -> pressures.Backpressure:
         """What it says in an answer that turns nobody away."""
         return pressures.Backpressure(
-            limit=self.limit, is_leaving=self.tells_leaving
+            limit=self.limit, is_leaving=self.announces_leaving
         )
 
     @property
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -414,7 +414,7 @@
         async def work(system: System) -> None:
             await send(system, repeat, 1.0)
             target = busiest(system)
-            target.tells_leaving = True
+            target.announces_leaving = True
             said_at = anyio.current_time()
             told = await send(system, repeat, 5.0)
             late = [
@@ -491,7 +491,7 @@
     def test_a_question_is_answered_with_it_as_well(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.fleet.at(one.address).tells_leaving = True
+            system.fleet.at(one.address).announces_leaving = True
             await system.client.report(one)
             assert not system.book.is_usable(one.name)
 
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -300,7 +300,7 @@
     def test_one_that_says_it_leaves_gets_no_more_streams(self) -> None:
         async def work(running: Running) -> None:
             for target in running.fleet.upstreams:
-                target.tells_leaving = True
+                target.announces_leaving = True
             await running.send("/a/x", "first")
             await anyio.sleep(1.1)
             answer = await running.send("/a/x", "second")
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -69,7 +69,7 @@
 
 def leave_by_answers(system: System, name: str) -> None:
     target = system.fleet.at(system.listed[name].address)
-    target.tells_leaving = True
+    target.announces_leaving = True
     system.book.note_leaving(name)
 
 
@@ -154,7 +154,7 @@
             one.name: self.system.fleet.at(one.address).listed.layers
             for one in self.system.listed.values()
             if not one.is_leaving
-            and not self.system.fleet.at(one.address).tells_leaving
+            and not self.system.fleet.at(one.address).announces_leaving
         }
 
     @property
@@ -775,7 +775,7 @@
             if way == "store":
                 lost.listed = attrs.evolve(lost.listed, is_leaving=True)
             elif way == "answers":
-                lost.tells_leaving = True
+                lost.announces_leaving = True
             else:
                 lost.is_dead = True
                 running.store.remove(names.UPSTREAM_KIND, lost.listed.life.id)
