--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -84,7 +84,7 @@
     breaks_every_stream: bool = False
     fails: int = 0
     hangs: int = 0
-    forges: int = 0
+    misattributed_answers: int = 0
     resets: int = 0
     refuses_repaths: bool = False
     backoff: float = 0.0
@@ -380,8 +380,8 @@
         dispatch: interfaces.Dispatch,
     ) -> chain_answer.StandinAnswer:
         request_id = request.id
-        if target.forges:
-            target.forges -= 1
+        if target.misattributed_answers:
+            target.misattributed_answers -= 1
             request_id = "another"
         if dispatch.path is not None:
             pieces = self._stream(target, request, dispatch)
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -90,7 +90,7 @@
 
     def test_forged_answer_is_no_answer(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, forges=1)
+            each(system, misattributed_answers=1)
             caller = await system.ask(system.request(ONCE))
             assert caller.body == b""
             assert caller.error is not None
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -964,7 +964,7 @@
     def test_foreign_answer_is_not_passed_on(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
-                system.fleet.at(one.address).forges = 1
+                system.fleet.at(one.address).misattributed_answers = 1
             request = system.request(STREAM)
             caller = await system.ask(request)
             if caller.body:
