--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -17,7 +17,7 @@
 import attrs
 
 from crowdeck import chain
-from crowdeck.placement import controller as duties
+from crowdeck.placement import controller as controllers
 from crowdeck.placement import rearrangement_delay
 from crowdeck.standin import chain_fleet
 from crowdeck.state import leases
@@ -67,7 +67,7 @@
     for number in range(COUNT):
         layers = (10 * number, 10 * number + 10)
         system.add(fleet_system.upstream(f"e{number}", "zone", layers, "card"))
-    duty = duties.PlacementController(
+    duty = controllers.PlacementController(
         typing.cast(leases.Lease, _Ledger()),
         system.book,
         system.fleet,
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -21,7 +21,7 @@
 from crowdeck import chain
 from crowdeck.membership import leavers
 from crowdeck.membership import upstreams as books
-from crowdeck.placement import controller as duties
+from crowdeck.placement import controller as controllers
 from crowdeck.placement import failure_detector
 from crowdeck import route as routes
 from crowdeck.standin import chain_fleet
@@ -327,7 +327,7 @@
                 system.list_instance(target.listed)
             ordered = system.fleet.upstreams[0]
             system.book.back_off(ordered.listed.name, 8.0)
-            duty = duties.PlacementController(
+            duty = controllers.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
                 system.book,
                 system.fleet,
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -28,7 +28,7 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import pipeline
-from crowdeck.placement import controller as duties
+from crowdeck.placement import controller as controllers
 from crowdeck.placement import plan
 from crowdeck import route as routes
 from crowdeck.standin import chain_fleet
@@ -116,7 +116,7 @@
     def test_all_get_layers(self, monkeypatch: pytest.MonkeyPatch) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
-            duty = duties.PlacementController(
+            duty = controllers.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
                 system.book,
                 system.fleet,
@@ -127,12 +127,12 @@
                 for one in fleet[:HELD]:
                     system.add(one)
                 tasks.start_soon(duty.run)
-                await anyio.sleep(duties.LIST_QUIET_SECONDS + 1.0)
+                await anyio.sleep(controllers.LIST_QUIET_SECONDS + 1.0)
                 test_placement.tell_all(system)
                 counted = _count_coverage(monkeypatch)
                 for one in fleet[HELD:]:
                     system.add(one)
-                await anyio.sleep(duties.EMPTY_ENGINE_DELAY_SECONDS / 2)
+                await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS / 2)
                 # Of all looks until then, and not of each newcomer.
                 assert len(counted) < COUNT
                 await anyio.sleep(6.0)
@@ -184,7 +184,7 @@
     def test_every_layer_is_ordered_in_time(self) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
-            duty = duties.PlacementController(
+            duty = controllers.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
                 system.book,
                 CostlyOrders(system.fleet),
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -20,7 +20,7 @@
 from crowdeck import errors
 from crowdeck import pipeline
 from crowdeck.placement import initial_layout
-from crowdeck.placement import controller as duties
+from crowdeck.placement import controller as controllers
 from crowdeck.placement import plan
 from crowdeck import route as routes
 from crowdeck.routing import bound
@@ -390,7 +390,7 @@
             # A second model, whose looks must not disturb the first's.
             routes.Service("other", 100, PROFILE),
         )
-        duty = duties.PlacementController(
+        duty = controllers.PlacementController(
             typing.cast(leases.Lease, ledger),
             system.book,
             system.fleet,
@@ -463,7 +463,7 @@
             target.listed = attrs.evolve(target.listed, layers=None)
             target.orders_taken = 0
             tell_all(system)
-            await anyio.sleep(duties.EMPTY_ENGINE_DELAY_SECONDS + 1.0)
+            await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 1.0)
             assert target.orders_taken == 1
             assert target.listed.layers is not None
 
@@ -479,7 +479,7 @@
             new = system.add(
                 fleet_system.upstream("new", "plateau", None, "large")
             )
-            await anyio.sleep(duties.EMPTY_ENGINE_DELAY_SECONDS + 1.0)
+            await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 1.0)
             assert new.orders_taken == 1
 
         play_duty(work)
@@ -570,7 +570,7 @@
                     await anyio.sleep(0.01)
             assert ledger.memo == ("e0@0",)
             tell_all(system)
-            await anyio.sleep(duties.EMPTY_ENGINE_DELAY_SECONDS + 2.0)
+            await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 2.0)
             # Ordered again, with the same count: the late one fits no more.
             assert system.fleet.at(system.listed["e0"].address).orders_taken
             assert ledger.memo == ()
@@ -581,7 +581,7 @@
         system = fleet_system.FleetSystem()
         listed = fleet_system.upstream("b", "plateau", (0, 24), "large")
         system.add(listed)
-        duty = duties.PlacementController(
+        duty = controllers.PlacementController(
             typing.cast(leases.Lease, _Ledger()),
             system.book,
             system.fleet,
@@ -607,7 +607,7 @@
             # Nor can it go itself, which it could: a is sure.
             system.book.back_off("b", 60.0)
             moved = system.fleet.at(system.listed["a"].address)
-            await anyio.sleep(duties.LATE_ORDER_SECONDS - 1.0)
+            await anyio.sleep(controllers.LATE_ORDER_SECONDS - 1.0)
             assert not moved.orders_taken
             await anyio.sleep(2.0)
             assert moved.orders_taken == 1
@@ -634,7 +634,7 @@
                 system.listed.values(), PROFILE.layer_count
             )
             assert min(counts) >= 1
-            await anyio.sleep(duties.LATE_ORDER_SECONDS)
+            await anyio.sleep(controllers.LATE_ORDER_SECONDS)
             assert not moved.orders_taken
             assert (
                 system.fleet.at(system.listed["b"].address).listed
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -28,7 +28,7 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import pipeline
-from crowdeck.placement import controller as duties
+from crowdeck.placement import controller as controllers
 from crowdeck.placement import rearrangement_delay
 from crowdeck.placement import plan
 from crowdeck.placement import rearrangement
@@ -112,10 +112,10 @@
             self.system.add(one)
 
     def duty(
-        self, orders: duties.OrderClient | None = None
-    ) -> duties.PlacementController:
+        self, orders: controllers.OrderClient | None = None
+    ) -> controllers.PlacementController:
         """Return a giver of orders that knows nothing yet."""
-        return duties.PlacementController(
+        return controllers.PlacementController(
             typing.cast(leases.Lease, self.ledger),
             self.system.book,
             orders or self.system.fleet,
@@ -361,7 +361,7 @@
             tasks.start_soon(playing.duty(orders).run)
             await anyio.sleep(1.0)
             end(playing.system, "e1")
-            for _ in range(2 * int(duties.LATE_ORDER_SECONDS)):
+            for _ in range(2 * int(controllers.LATE_ORDER_SECONDS)):
                 await anyio.sleep(1.0)
                 if is_late:
                     await orders.carry_out_late()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -17,7 +17,7 @@
 import pytest
 
 from crowdeck import errors
-from crowdeck.placement import controller as duties
+from crowdeck.placement import controller as controllers
 from crowdeck.placement import plan
 from crowdeck.relay import relay as relays
 from crowdeck import route as routes
@@ -114,7 +114,7 @@
             store = standin_store.StandinStore()
             lease = leases.Lease(store, "placement", "one")
             orders = SleepyOrders(system.fleet, asks)
-            placement = duties.PlacementController(
+            placement = controllers.PlacementController(
                 lease, system.book, orders, lambda: system.holder.services
             )
             async with anyio.create_task_group() as tasks:
