--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -90,7 +90,7 @@
         self._worths: dict[tuple[float, ...], float] = {}
 
     @property
-    def worth(self) -> float:
+    def score(self) -> float:
         """What the placement is worth, greater where it is better."""
         return sum(self._layer_worth(held) for held in self._held)
 
@@ -147,12 +147,12 @@
         return gains
 
     def _layer_worth(self, held: tuple[float, ...]) -> float:
-        worth = self._worths.get(held)
-        if worth is None:
+        score = self._worths.get(held)
+        if score is None:
             if len(self._worths) >= _WORTHS_MOST:
                 self._worths.clear()
-            worth = self._worths[held] = _held_worth(held)
-        return worth
+            score = self._worths[held] = _held_worth(held)
+        return score
 
 
 def _held_worth(held: tuple[float, ...]) -> float:
@@ -161,10 +161,10 @@
         return UNHELD_WORTH
     total = sum(held)
     losses = LOSS_CHANCE * len(held)
-    worth = max(0.0, 1.0 - losses) * _looked_up(total)
+    score = max(0.0, 1.0 - losses) * _looked_up(total)
     for room in held:
-        worth += LOSS_CHANCE * _looked_up(total - room)
-    return worth
+        score += LOSS_CHANCE * _looked_up(total - room)
+    return score
 
 
 def _best_run(gains: list[float], count: int) -> tuple[int, float]:
--- a/src/crowdeck/placement/initial_layout.py
+++ b/src/crowdeck/placement/initial_layout.py
@@ -65,9 +65,9 @@
         most = float("-inf")
         for start in starts:
             layout = self._lay_out(ordered, start * self._need)
-            worth = self._improve(ordered, layout, sweeps)
-            if worth > most + 1e-9:
-                best, most = layout, worth
+            score = self._improve(ordered, layout, sweeps)
+            if score > most + 1e-9:
+                best, most = layout, score
         return best
 
     def _lay_out(self, engines: list[chain.Upstream], room: float) -> Layout:
@@ -95,7 +95,7 @@
         for _ in range(sweeps):
             if not self._sweep(rooms, engines, layout):
                 break
-        return rooms.worth
+        return rooms.score
 
     def _sweep(
         self,
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -130,8 +130,8 @@
 
     def test_counts_come_back_to_nothing(self) -> None:
         rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
-        before = rooms.worth
+        before = rooms.score
         rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
-        assert rooms.worth > before
+        assert rooms.score > before
         rooms.drop(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
-        assert rooms.worth == before
+        assert rooms.score == before
