--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -212,7 +212,10 @@
             known.forget()
             return
         is_told = self._are_leaving(service.name, missing)
-        if not known.is_over(now, is_told, missing) or not self._lease.is_held:
+        if (
+            not known.is_expired(now, is_told, missing)
+            or not self._lease.is_held
+        ):
             return
         relied = [self._relied_on(one) for one in engines]
         parts = rearrangement.steps_in_parts(
@@ -248,7 +251,7 @@
         Returns whether any was sent.
         """
         limiter = anyio.CapacityLimiter(ORDERS_AT_ONCE)
-        is_over = {step.move.upstream.name: anyio.Event() for step in steps}
+        is_expired = {step.move.upstream.name: anyio.Event() for step in steps}
         taken: set[str] = set()
         sent: set[str] = set()
 
@@ -256,7 +259,7 @@
             name = step.move.upstream.name
             try:
                 for other in step.after:
-                    await is_over[other].wait()
+                    await is_expired[other].wait()
                 if not step.after <= taken:
                     # The next look plans again, from what they hold then.
                     return
@@ -266,7 +269,7 @@
                 if outcome is _Outcome.TAKEN:
                     taken.add(name)
             finally:
-                is_over[name].set()
+                is_expired[name].set()
 
         async with anyio.create_task_group() as tasks:
             for step in steps:
--- a/src/crowdeck/placement/rearrangement_delay.py
+++ b/src/crowdeck/placement/rearrangement_delay.py
@@ -36,7 +36,7 @@
     _missing: frozenset[int] = frozenset()
     _rounds: list[float] = attrs.field(factory=list)
 
-    def is_over(
+    def is_expired(
         self, now: float, is_told: bool, missing: typing.Iterable[int]
     ) -> bool:
         """Whether layers that are missing now were waited for.
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -739,7 +739,7 @@
         now = 0.0
         while now < 4 * rearrangement_delay.WINDOW_SECONDS:
             now += 0.5
-            if known.is_over(now, is_told, (7,)):
+            if known.is_expired(now, is_told, (7,)):
                 known.note_round(now)
                 known.forget()
                 rounds.append(now)
