--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -44,7 +44,7 @@
 DIAL_STEP_SECONDS = 0.0003
 # An engine falls over this long after it began a request that ends it;
 # 0.06 to 0.12 s were seen.
-FALL_SECONDS = 0.1
+CRASH_DELAY_SECONDS = 0.1
 
 
 @attrs.define(eq=False)
@@ -441,7 +441,7 @@
         """End an upstream that has begun a request which ends it."""
         if request.body not in self.crashing_bodies:
             return
-        await anyio.sleep(FALL_SECONDS)
+        await anyio.sleep(CRASH_DELAY_SECONDS)
         if not target.is_dead:
             target.is_dead = True
             now = anyio.current_time()
