--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -37,7 +37,7 @@
 POLL_SECONDS = 0.005
 # A first engine that is to go on through one that says nothing refuses
 # after this long; 70 to 100 ms were seen.
-DARK_PART_SECONDS = 0.085
+UNRESPONSIVE_HOP_SECONDS = 0.085
 # A connection, a question and an answer: each needs the loop of whoever
 # asks to run once more, which a single pause would hide.
 DIAL_STEPS = 4
@@ -280,7 +280,7 @@
         for hop in path.hops:
             part = self._upstreams.get(str(hop.upstream.address))
             if part is not None and part.is_unresponsive:
-                await anyio.sleep(DARK_PART_SECONDS)
+                await anyio.sleep(UNRESPONSIVE_HOP_SECONDS)
                 return interfaces.RepathOutcome(
                     False, True, str(hop.upstream.address)
                 )
