--- a/bench/placement.py
+++ b/bench/placement.py
@@ -26,8 +26,8 @@
 
 from crowdeck import chain
 from crowdeck import instance as instances
-from crowdeck.placement import initial_layout
 from crowdeck.placement import capacity
+from crowdeck.placement import initial_layout
 from crowdeck.placement import plan
 from crowdeck.routing import cheapest
 from crowdeck.routing import hops
--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -18,9 +18,9 @@
 from crowdeck.observe import logs
 from crowdeck import pipeline
 from crowdeck.placement import failure_detector
-from crowdeck.placement import rearrangement_delay
 from crowdeck.placement import plan
 from crowdeck.placement import rearrangement
+from crowdeck.placement import rearrangement_delay
 from crowdeck.placement import relayout
 from crowdeck import route as routes
 from crowdeck.state import leases
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -11,9 +11,9 @@
 
 from crowdeck import chain
 from crowdeck import pipeline
-from crowdeck.placement import initial_layout
 from crowdeck.placement import capacity
 from crowdeck.placement import exposure
+from crowdeck.placement import initial_layout
 from crowdeck.placement import tiers
 
 # Requests at once that an engine has memory for in any case. Fewer would
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,8 +10,8 @@
 
 from crowdeck import chain
 from crowdeck import pipeline
-from crowdeck.placement import initial_layout
 from crowdeck.placement import capacity
+from crowdeck.placement import initial_layout
 from crowdeck.placement import plan
 from tests import fleet_system
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,8 +19,8 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import pipeline
-from crowdeck.placement import initial_layout
 from crowdeck.placement import controller as controllers
+from crowdeck.placement import initial_layout
 from crowdeck.placement import plan
 from crowdeck import route as routes
 from crowdeck.routing import bound
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -29,9 +29,9 @@
 from crowdeck import errors
 from crowdeck import pipeline
 from crowdeck.placement import controller as controllers
-from crowdeck.placement import rearrangement_delay
 from crowdeck.placement import plan
 from crowdeck.placement import rearrangement
+from crowdeck.placement import rearrangement_delay
 from crowdeck.platform import names
 from crowdeck import route as routes
 from crowdeck.standin import chain_fleet
