--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -111,7 +111,7 @@
     ) -> None:
         # However quickly an engine ends, that is known before the request is
         # sent to the next; and nothing of the budget is spent on a fourth.
-        monkeypatch.setattr(chain_fleet, "FALL_SECONDS", fall_seconds)
+        monkeypatch.setattr(chain_fleet, "CRASH_DELAY_SECONDS", fall_seconds)
 
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -129,7 +129,7 @@
 
         play(work)
 
-    @pytest.mark.parametrize("how", ["is_dead", "is_dark"])
+    @pytest.mark.parametrize("how", ["is_dead", "is_unresponsive"])
     def test_while_it_is_led_around_an_engine(
         self, how: str, monkeypatch: pytest.MonkeyPatch
     ) -> None:
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -130,7 +130,7 @@
 class TestFailedStage:
     """An engine that is not the first fails in the middle of a stream."""
 
-    @pytest.mark.parametrize("how", ["is_dead", "is_dark"])
+    @pytest.mark.parametrize("how", ["is_dead", "is_unresponsive"])
     def test_stream_is_led_around_it(self, how: str) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
@@ -602,7 +602,7 @@
 class TestFailedHead:
     """A stream's first engine fails."""
 
-    @pytest.mark.parametrize("how", ["is_dead", "is_dark"])
+    @pytest.mark.parametrize("how", ["is_dead", "is_unresponsive"])
     def test_stream_goes_on_at_another(self, how: str) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
