--- a/src/crowdeck/platform/orders.py
+++ b/src/crowdeck/platform/orders.py
@@ -13,7 +13,7 @@
 
 
 class PlacementOrderClient:
-    """Implements ``placement.duty.Orders`` over engines' own calls."""
+    """Implements ``placement.controller.OrderClient`` by calls to engines."""
 
     def __init__(self, client: engines.UpstreamClient) -> None:
         self._client = client
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -52,20 +52,21 @@
     """One upstream instance and what a test makes of it.
 
     :ivar is_dead: refuses connections.
-    :ivar is_dark: does not answer, nor does it refuse.
-    :ivar is_frozen: takes connections, and reads what came by them once it
+    :ivar is_unresponsive: does not answer, nor does it refuse.
+    :ivar is_suspended: takes connections, and reads what came by them once it
         goes on, also what was given up meanwhile.
     :ivar rejects: how many of the next requests it refuses as not run.
     :ivar loses: how many of the next answers it loses after running.
-    :ivar breaks_after: breaks a stream off after so many events, once.
-    :ivar keeps_breaking: breaks off every stream so, not only one.
+    :ivar break_stream_after: breaks a stream off after so many events, once.
+    :ivar breaks_every_stream: breaks off every stream so, not only one.
     :ivar hangs: how many of the next streams it takes and leaves alone.
     :ivar fails: how many of the next calls it answers with 500.
-    :ivar forges: how many of the next answers bear another's id.
+    :ivar misattributed_answers: how many of the next answers carry the id of
+        another request.
     :ivar resets: how many of the next connections it resets.
-    :ivar keeps_paths: refuses every other path, and does not say why.
+    :ivar refuses_repaths: refuses every other path, and does not say why.
     :ivar backoff: asks those whom it turns away for so many seconds of rest.
-    :ivar tells_leaving: says in its answers that it leaves.
+    :ivar announces_leaving: says in its answers that it leaves.
     :ivar limit: names this limit in its answers, in requests a second.
     :ivar tells_load: tells in its answers how many requests it runs.
     :ivar running: requests that it runs.
@@ -148,8 +149,8 @@
 class ChainFleet:
     """Upstreams by address, in one process.
 
-    A request whose body is one of ``ends_upstreams`` ends each upstream that
-    begins it; ``falls`` keeps which and when.
+    A request whose body is one of ``crashing_bodies`` ends each upstream that
+    begins it; ``crashes`` keeps which and when.
 
     ``accounts`` has what each service got, by its name.
 
@@ -295,7 +296,7 @@
     async def place(
         self, move: plan.Move, expected_orders: int, fencing_token: int
     ) -> bool:
-        """Give an order, as ``placement.duty.Orders`` has it."""
+        """Give an order, as ``placement.controller.OrderClient`` has it."""
         target = await self._dial(move.upstream, 0.25)
         if target.orders_taken != expected_orders or target.is_loading:
             return False
--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -35,9 +35,9 @@
 
     Tests set ``is_down``, ``lost_replies`` (how many of the next writes
     take effect while their reply is lost) and ``delay``. ``calls`` counts
-    what the platform would charge for. After :meth:`fall_silent` nothing
-    that waits, or comes before :meth:`speak`, is answered at all: such
-    calls fail when a client's patience ends.
+    what the platform would charge for. After :meth:`stop_answering`
+    nothing that waits, or comes before :meth:`resume_answering`, is
+    answered: such calls fail with the client's timeout.
     """
 
     def __init__(self, delay: float = DEFAULT_DELAY) -> None:
