--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -162,11 +162,11 @@
         elif what == "lose_answers":
             target.loses += 2
         elif what == "reject":
-            target.rejects += 3
+            target.rejected_requests += 3
         elif what == "limit":
             target.limit = value
         elif what == "rest":
-            target.rejects, target.backoff = 3, value
+            target.rejected_requests, target.backoff = 3, value
         elif what == "leave":
             target.announces_leaving = True
         elif what == "fail_all":
@@ -175,13 +175,13 @@
         elif what == "lose_all":
             target.loses = ALWAYS
         elif what == "reject_all":
-            target.rejects = ALWAYS
+            target.rejected_requests = ALWAYS
         elif what == "mend":
-            target.fails = target.loses = target.rejects = 0
+            target.fails = target.loses = target.rejected_requests = 0
             target.break_stream_after, target.breaks_every_stream = -1, False
         elif what == "calm":
             target.limit = None
-            target.rejects, target.backoff = 0, 0.0
+            target.rejected_requests, target.backoff = 0, 0.0
             target.announces_leaving = False
 
     def _restart(
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -79,7 +79,7 @@
     is_dead: bool = False
     is_unresponsive: bool = False
     is_suspended: bool = False
-    rejects: int = 0
+    rejected_requests: int = 0
     loses: int = 0
     break_stream_after: int = -1
     breaks_every_stream: bool = False
@@ -209,8 +209,8 @@
         target = await self._dial(upstream, timeouts.connect)
         await self._arrive(target, request)
         is_other = target.listed.life.id != upstream.life.id
-        if is_other or target.rejects:
-            target.rejects = max(0, target.rejects - 1)
+        if is_other or target.rejected_requests:
+            target.rejected_requests = max(0, target.rejected_requests - 1)
             self.rejected[target.listed.name] += 1
             yield self._rejection(target, request, 503, "")
             return
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -113,10 +113,10 @@
             await send(system, repeat, 1.0)
             target = busiest(system)
             target.backoff = REST_SECONDS
-            target.rejects = 1
+            target.rejected_requests = 1
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(send, system, repeat, 6.0)
-                while target.rejects:
+                while target.rejected_requests:
                     await anyio.sleep(0.001)
                 asked_at = anyio.current_time()
             until = asked_at + REST_SECONDS - 0.002
@@ -134,7 +134,7 @@
             await send(system, repeat, 1.0)
             target = busiest(system)
             target.backoff = REST_SECONDS
-            target.rejects = 1
+            target.rejected_requests = 1
             await send(system, repeat, REST_SECONDS + 1.0)
             since = anyio.current_time()
             await send(system, repeat, 2.0)
@@ -255,7 +255,7 @@
         async def work(system: System) -> None:
             await send(system, ONCE, 1.0)
             target = busiest(system)
-            target.rejects = 1000
+            target.rejected_requests = 1000
             told = await send(system, ONCE, 5.0)
             refused = [one for one in told if one.error is not None]
             # One in two seconds at the most, as its failure is forgotten.
@@ -349,7 +349,7 @@
             await send(system, ONCE, 1.0)
             target = busiest(system)
             target.backoff = REST_SECONDS
-            target.rejects = 1000
+            target.rejected_requests = 1000
             told = await send(system, ONCE, 9.0)
             refused = [one for one in told if one.error is not None]
             # One each time that it is asked again.
@@ -387,10 +387,10 @@
             await call(system, 3.0 + chance.random())
             target = busiest(system)
             target.backoff = REST_SECONDS
-            target.rejects = 1
+            target.rejected_requests = 1
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call, system, 8.0)
-                while target.rejects:
+                while target.rejected_requests:
                     await anyio.sleep(0.001)
                 over = anyio.current_time() + REST_SECONDS
             first = sent(system, target.listed, over - 0.002)[0]
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -288,12 +288,12 @@
     def test_an_instance_that_wants_rest_gets_nothing(self) -> None:
         async def work(running: Running) -> None:
             target = self.plain(running)
-            target.rejects = 100
+            target.rejected_requests = 100
             target.backoff = 60.0
             for number in range(5):
                 answer = await running.send("/a/b/x", f"b{number}")
                 assert answer.status == 503
-            assert target.rejects == 99
+            assert target.rejected_requests == 99
 
         anyio.run(run_entry, work)
 
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -110,7 +110,7 @@
 
     def test_all_refused_is_a_true_refusal(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, rejects=5)
+            each(system, rejected_requests=5)
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert caller.error is not None
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -569,7 +569,9 @@
     def test_another_attempt_waits_while_it_lasts(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for name in ("plateau-0-0", "plateau-1-0"):
-                system.fleet.at(system.listed[name].address).rejects = 1
+                system.fleet.at(
+                    system.listed[name].address
+                ).rejected_requests = 1
             loop = asyncio.get_running_loop()
             assert isinstance(loop, virtual.VirtualLoop)
             callers: list[fleet_system.Caller] = []
@@ -646,7 +648,7 @@
                 head.is_dead = True
                 for one in system.listed.values():
                     if one.name.endswith("-0") and one != head.listed:
-                        system.fleet.at(one.address).rejects = 2
+                        system.fleet.at(one.address).rejected_requests = 2
 
             caller = await during(system, request, 0.15, strike)
             assert_whole(caller, request, system.fleet.events)
@@ -886,7 +888,7 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
                 if one.name == "plateau-0-0":
-                    system.fleet.at(one.address).rejects = 1
+                    system.fleet.at(one.address).rejected_requests = 1
             request = system.request(STREAM)
             caller = await system.ask(request)
             assert_whole(caller, request, system.fleet.events)
