--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -160,7 +160,7 @@
         elif what == "back_under_its_id":
             self._restart(target, keeps_id=True)
         elif what == "lose_answers":
-            target.loses += 2
+            target.lost_answers += 2
         elif what == "reject":
             target.rejected_requests += 3
         elif what == "limit":
@@ -173,11 +173,11 @@
             target.fails, target.break_stream_after = ALWAYS, 1
             target.breaks_every_stream = True
         elif what == "lose_all":
-            target.loses = ALWAYS
+            target.lost_answers = ALWAYS
         elif what == "reject_all":
             target.rejected_requests = ALWAYS
         elif what == "mend":
-            target.fails = target.loses = target.rejected_requests = 0
+            target.fails = target.lost_answers = target.rejected_requests = 0
             target.break_stream_after, target.breaks_every_stream = -1, False
         elif what == "calm":
             target.limit = None
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -80,7 +80,7 @@
     is_unresponsive: bool = False
     is_suspended: bool = False
     rejected_requests: int = 0
-    loses: int = 0
+    lost_answers: int = 0
     break_stream_after: int = -1
     breaks_every_stream: bool = False
     fails: int = 0
@@ -236,8 +236,8 @@
                 self._paths[request.id] = dispatch.path
             else:
                 await self._work(target, request)
-            if target.loses:
-                target.loses -= 1
+            if target.lost_answers:
+                target.lost_answers -= 1
                 raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
             yield self._answer(target, request, dispatch)
         finally:
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -443,7 +443,7 @@
 
             monkeypatch.setattr(entries.fleet, "report", know_engines_alone)
             for one in entries.fleet.upstreams:
-                one.loses = 0 if one.listed.card else 1
+                one.lost_answers = 0 if one.listed.card else 1
             entries.ask_soon(0, entries_system.REPEATABLE, b"lost")
             await anyio.sleep(2.0)
             assert entries[0].book.avoided() == ()
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -54,7 +54,7 @@
 
     def test_lost_answer_is_not_tried_again(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, loses=1)
+            each(system, lost_answers=1)
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert len(system.fleet.runs_of(request.id)) == 1
@@ -126,7 +126,7 @@
     def test_lost_answer_is_tried_at_another(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             first = next(iter(system.listed.values()))
-            system.fleet.at(first.address).loses = 1
+            system.fleet.at(first.address).lost_answers = 1
             for _ in range(3):
                 caller = await system.ask(system.request(IDEMPOTENT))
                 assert caller.status == 200
@@ -145,15 +145,15 @@
 
     def test_failure_stands_where_the_second_try_is_lost(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, fails=1, loses=0)
+            each(system, fails=1, lost_answers=0)
             request = system.request(IDEMPOTENT)
 
             async def lose_the_second() -> None:
                 while not system.fleet.runs:
                     await anyio.sleep(0.001)
-                each(system, loses=1)
+                each(system, lost_answers=1)
                 first = system.fleet.runs[0].upstream
-                system.fleet.at(system.listed[first].address).loses = 0
+                system.fleet.at(system.listed[first].address).lost_answers = 0
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(lose_the_second)
@@ -165,7 +165,7 @@
 
     def test_runs_at_no_more_instances_than_allowed(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, loses=9)
+            each(system, lost_answers=9)
             request = system.request(IDEMPOTENT)
             caller = await system.ask(request)
             assert caller.error is not None
@@ -189,7 +189,7 @@
             budget = system.context.budget(fleet_system.PLAIN)
             while fleet_system.spend_retry(budget):
                 pass
-            each(system, loses=9)
+            each(system, lost_answers=9)
             request = system.request(IDEMPOTENT)
             await system.ask(request)
             assert len(system.fleet.runs_of(request.id)) == 1
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -873,7 +873,7 @@
     def test_one_lost_answer_is_no_proof_against_an_engine(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             head = system.listed["plateau-0-0"]
-            system.fleet.at(head.address).loses = 1
+            system.fleet.at(head.address).lost_answers = 1
             caller = await system.ask(system.request(STREAM))
             assert caller.is_whole
             assert system.book.is_usable(head.name)
