--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -84,7 +84,7 @@
     break_stream_after: int = -1
     breaks_every_stream: bool = False
     fails: int = 0
-    hangs: int = 0
+    hanging_streams: int = 0
     misattributed_answers: int = 0
     resets: int = 0
     refuses_repaths: bool = False
@@ -420,8 +420,8 @@
         dispatch: interfaces.Dispatch,
     ) -> typing.AsyncIterator[bytes]:
         sent = 0
-        if target.hangs:
-            target.hangs -= 1
+        if target.hanging_streams:
+            target.hanging_streams -= 1
             await anyio.sleep_forever()
         await self._fall_over(target, request)
         for number in range(dispatch.last_event + 1, self.events):
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -166,7 +166,7 @@
             content = entries[0].request(entries_system.STREAM, body=BODY)
             known = requests.fingerprint_of(content, "kiosks")
             for one in entries.fleet.upstreams:
-                one.hangs = 1
+                one.hanging_streams = 1
             entries.ask_soon(0, entries_system.STREAM, BODY)
             await anyio.sleep(0.05)
             for number in range(ENDS_MOST):
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -106,7 +106,7 @@
     def test_before_its_first_event(self) -> None:
         async def work(system: System) -> None:
             for target in system.fleet.upstreams:
-                target.hangs = 5
+                target.hanging_streams = 5
             request = system.request(STREAM)
             await leave_after(system, request, 0.1)
             runs = len(system.fleet.runs)
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -80,7 +80,7 @@
 
 def each_hangs(system: fleet_system.FleetSystem, count: int) -> None:
     for one in system.listed.values():
-        system.fleet.at(one.address).hangs = count
+        system.fleet.at(one.address).hanging_streams = count
 
 
 class TestCalmStream:
@@ -357,7 +357,7 @@
                 if one.listed.availability_zone != fleet_system.ZONES[0]
             ]
             for one in system.fleet.upstreams:
-                one.hangs = 0 if one in foreign else 100
+                one.hanging_streams = 0 if one in foreign else 100
             # Streams in the other zone show that they begin at once there.
             zone = system.context.zone
             system.context.zone = fleet_system.ZONES[1]
