--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -170,14 +170,16 @@
         elif what == "leave":
             target.announces_leaving = True
         elif what == "fail_all":
-            target.fails, target.break_stream_after = ALWAYS, 1
+            target.failed_calls, target.break_stream_after = ALWAYS, 1
             target.breaks_every_stream = True
         elif what == "lose_all":
             target.lost_answers = ALWAYS
         elif what == "reject_all":
             target.rejected_requests = ALWAYS
         elif what == "mend":
-            target.fails = target.lost_answers = target.rejected_requests = 0
+            target.failed_calls = target.lost_answers = (
+                target.rejected_requests
+            ) = 0
             target.break_stream_after, target.breaks_every_stream = -1, False
         elif what == "calm":
             target.limit = None
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -83,7 +83,7 @@
     lost_answers: int = 0
     break_stream_after: int = -1
     breaks_every_stream: bool = False
-    fails: int = 0
+    failed_calls: int = 0
     hanging_streams: int = 0
     misattributed_answers: int = 0
     resets: int = 0
@@ -394,8 +394,8 @@
                 load=target.load,
             )
         status = 200
-        if target.fails:
-            target.fails -= 1
+        if target.failed_calls:
+            target.failed_calls -= 1
             status = 500
         return chain_answer.StandinAnswer(
             status,
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -321,7 +321,7 @@
             named_at = anyio.current_time()
             for it in one.fleet.upstreams:
                 if it is not target:
-                    it.fails = 1000
+                    it.failed_calls = 1000
             await one.send(10.0, PER_SECOND, IDEMPOTENT)
             times = one.counted(target, named_at)
             assert_kept(times, LIMIT)
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -100,7 +100,7 @@
 
     def test_failure_is_passed_on_as_it_is(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, fails=1)
+            each(system, failed_calls=1)
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert caller.status == 500
@@ -136,7 +136,7 @@
     def test_failure_is_tried_at_another(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             first = next(iter(system.listed.values()))
-            system.fleet.at(first.address).fails = 1
+            system.fleet.at(first.address).failed_calls = 1
             for _ in range(3):
                 caller = await system.ask(system.request(IDEMPOTENT))
                 assert caller.status == 200
@@ -145,7 +145,7 @@
 
     def test_failure_stands_where_the_second_try_is_lost(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, fails=1, lost_answers=0)
+            each(system, failed_calls=1, lost_answers=0)
             request = system.request(IDEMPOTENT)
 
             async def lose_the_second() -> None:
