--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -86,7 +86,7 @@
     failed_calls: int = 0
     hanging_streams: int = 0
     misattributed_answers: int = 0
-    resets: int = 0
+    reset_connections: int = 0
     refuses_repaths: bool = False
     backoff: float = 0.0
     announces_leaving: bool = False
@@ -326,8 +326,8 @@
             raise errors.InstanceGone("the upstream was lost")
         if target.is_unresponsive:
             raise _lost(verdicts.Verdict.NOT_RUN)
-        if target.resets:
-            target.resets -= 1
+        if target.reset_connections:
+            target.reset_connections -= 1
             raise _lost(verdicts.Verdict.NOT_RUN)
         return target
 
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -806,7 +806,7 @@
                     await anyio.sleep(0.005)
                     for run in system.fleet.runs_of(request.id):
                         head = system.listed[run.upstream]
-                        system.fleet.at(head.address).resets = 5
+                        system.fleet.at(head.address).reset_connections = 5
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(reset_heads)
