--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -16,7 +16,7 @@
 from crowdeck import verdict as verdicts
 
 # How long a client waits beyond the time that a watch may take.
-PATIENCE = 0.5
+REPLY_TIMEOUT_SECONDS = 0.5
 DEFAULT_DELAY = 0.002
 
 
@@ -103,7 +103,7 @@
                 await self._changed.wait()
                 self._raise_if_down()
         if silences != self._silences:
-            await anyio.sleep_until(began + wait + PATIENCE)
+            await anyio.sleep_until(began + wait + REPLY_TIMEOUT_SECONDS)
             raise _no_answer()
         self._raise_if_down()
         self._raise_if_forgotten(after)
@@ -230,7 +230,7 @@
     async def _travel(self, call: str, wait: float = 0.0) -> None:
         self.calls[call] += 1
         if self._is_silent:
-            await anyio.sleep(wait + PATIENCE)
+            await anyio.sleep(wait + REPLY_TIMEOUT_SECONDS)
             raise _no_answer()
         await anyio.sleep(self.delay)
         self._raise_if_down()
