--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -32,7 +32,7 @@
 
 HOST = "127.0.0.1"
 HEARTBEAT_SECONDS = 0.2
-PATIENCE = http.Timeouts(1.0, 60.0)
+CALL_TIMEOUTS = http.Timeouts(1.0, 60.0)
 
 Json = dict[str, typing.Any]
 Scope = dict[str, typing.Any]
@@ -130,7 +130,7 @@
             self._target.listed, name=expected, instance_id=expected
         )
         async with self._fleet.open(
-            listed, request, dispatch, PATIENCE
+            listed, request, dispatch, CALL_TIMEOUTS
         ) as answer:
             head = [(names.REQUEST_ID, request.id.encode())]
             head += _notice(answer.backpressure, answer.load)
