--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -101,7 +101,7 @@
             listed,
             tasks,
             port=one["port"],
-            known_as=listed.address,
+            advertised_address=listed.address,
         )
         self._fleet.at(listed.address).seconds = CALL_SECONDS
 
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -190,7 +190,7 @@
     tasks: anyio.abc.TaskGroup,
     *,
     port: int = 0,
-    known_as: instances.Address | None = None,
+    advertised_address: instances.Address | None = None,
 ) -> chain.Upstream:
     """Serve an instance; returns it with its address.
 
@@ -200,7 +200,7 @@
     """
     app = _Deferred()
     port = await tasks.start(http_server.serve_http, app, HOST, port)
-    address = known_as or instances.Address(HOST, port)
+    address = advertised_address or instances.Address(HOST, port)
     placed = attrs.evolve(listed, address=address)
     fleet.add(placed)
     app.app = UpstreamApp(fleet, placed.address)
