--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -55,15 +55,17 @@
     :ivar is_unresponsive: does not answer, nor does it refuse.
     :ivar is_suspended: takes connections, and reads what came by them once it
         goes on, also what was given up meanwhile.
-    :ivar rejects: how many of the next requests it refuses as not run.
-    :ivar loses: how many of the next answers it loses after running.
+    :ivar rejected_requests: how many of the next requests it refuses,
+        none of which has run.
+    :ivar lost_answers: how many of the next answers it loses after running.
     :ivar break_stream_after: breaks a stream off after so many events, once.
     :ivar breaks_every_stream: breaks off every stream so, not only one.
-    :ivar hangs: how many of the next streams it takes and leaves alone.
-    :ivar fails: how many of the next calls it answers with 500.
+    :ivar hanging_streams: how many of the next streams it accepts and never
+        answers.
+    :ivar failed_calls: how many of the next calls it answers with 500.
     :ivar misattributed_answers: how many of the next answers carry the id of
         another request.
-    :ivar resets: how many of the next connections it resets.
+    :ivar reset_connections: how many of the next connections it resets.
     :ivar refuses_repaths: refuses every other path, and does not say why.
     :ivar backoff: asks those whom it turns away for so many seconds of rest.
     :ivar announces_leaving: says in its answers that it leaves.
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -195,8 +195,8 @@
     """Serve an instance; returns it with its address.
 
     :param port: where it listens, 0 for any free port.
-    :param known_as: the address under which it is listed, where something
-        stands in between.
+    :param advertised_address: the address under which it is listed, where a
+        proxy stands in between.
     """
     app = _Deferred()
     port = await tasks.start(http_server.serve_http, app, HOST, port)
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -105,7 +105,7 @@
 
     def _fail(self, fails: bool) -> None:
         for one in self.entries.fleet.upstreams:
-            one.fails = FAILURES if fails else 0
+            one.failed_calls = FAILURES if fails else 0
             one.break_stream_after = 1 if fails else -1
 
 
