--- a/src/crowdeck/membership/links.py
+++ b/src/crowdeck/membership/links.py
@@ -14,7 +14,7 @@
 from crowdeck.wire import link
 
 
-class AddressBook(typing.Protocol):
+class InstanceResolver(typing.Protocol):
     """Where instances are reached, by name."""
 
     def find(self, name: str) -> instances.Instance | None:
@@ -33,7 +33,9 @@
     messages are never dialled.
     """
 
-    def __init__(self, book: AddressBook, transport: link.Transport) -> None:
+    def __init__(
+        self, book: InstanceResolver, transport: link.Transport
+    ) -> None:
         self._book = book
         self._transport = transport
         self._peers: dict[str, link.Peer] = {}
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -47,7 +47,7 @@
         name: str,
         engine: upstream.Engine | None,
         services: dict[str, upstream.PlainService],
-        book: links_module.AddressBook,
+        book: links_module.InstanceResolver,
         timer_service: timers.TimerService,
         tracer: traces.Tracer,
         tasks: anyio.abc.TaskGroup,
