--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -191,7 +191,7 @@
             name=self._config.name,
             engine=self._open_engine(stack),
             services=self._open_services(stack),
-            book=directory,
+            resolver=directory,
             timer_service=self._timers,
             tracer=tracer,
             tasks=tasks,
--- a/src/crowdeck/membership/links.py
+++ b/src/crowdeck/membership/links.py
@@ -34,9 +34,9 @@
     """
 
     def __init__(
-        self, book: InstanceResolver, transport: link.Transport
+        self, resolver: InstanceResolver, transport: link.Transport
     ) -> None:
-        self._book = book
+        self._book = resolver
         self._transport = transport
         self._peers: dict[str, link.Peer] = {}
         self._dialling: dict[str, anyio.Lock] = {}
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -47,7 +47,7 @@
         name: str,
         engine: upstream.Engine | None,
         services: dict[str, upstream.PlainService],
-        book: links_module.InstanceResolver,
+        resolver: links_module.InstanceResolver,
         timer_service: timers.TimerService,
         tracer: traces.Tracer,
         tasks: anyio.abc.TaskGroup,
@@ -58,7 +58,7 @@
         self._tracer = tracer
         self._tasks = tasks
         self._engine = engine
-        self._book = book
+        self._book = resolver
         self._offer: pipeline.Offer | None = None
         self._gate = gates.Gate(
             incarnation or instances.new_incarnation(), timer_service
--- a/tests/system.py
+++ b/tests/system.py
@@ -262,12 +262,12 @@
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as tasks:
                 timer_service = timers.TimerService()
-                book = _Book(self.store)
+                resolver = _Book(self.store)
                 sidecar = sidecars.Sidecar(
                     name=name,
                     engine=engine,
                     services=services,
-                    book=book,
+                    resolver=resolver,
                     timer_service=timer_service,
                     tracer=TRACER,
                     tasks=tasks,
