--- a/src/crowdeck/membership/links.py
+++ b/src/crowdeck/membership/links.py
@@ -36,7 +36,7 @@
     def __init__(
         self, resolver: InstanceResolver, transport: link.Transport
     ) -> None:
-        self._book = resolver
+        self._resolver = resolver
         self._transport = transport
         self._peers: dict[str, link.Peer] = {}
         self._dialling: dict[str, anyio.Lock] = {}
@@ -59,12 +59,12 @@
             return self.current(name) or await self._dial(name)
 
     async def _dial(self, name: str) -> link.Peer:
-        listed = self._book.find(name)
+        listed = self._resolver.find(name)
         if listed is None:
             # A peer that started after our last look, most likely: a
             # path must not fail for the second that the next one is off.
-            await self._book.refresh()
-            listed = self._book.find(name)
+            await self._resolver.refresh()
+            listed = self._resolver.find(name)
         if listed is None:
             raise errors.LinkLost(
                 f"{name} is not in the instance list",
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -58,7 +58,7 @@
         self._tracer = tracer
         self._tasks = tasks
         self._engine = engine
-        self._book = resolver
+        self._resolver = resolver
         self._offer: pipeline.Offer | None = None
         self._gate = gates.Gate(
             incarnation or instances.new_incarnation(), timer_service
@@ -103,7 +103,7 @@
             self._engine, self._timers, self._offer.batch_limit
         )
         self._tasks.start_soon(self._batcher.run)
-        links = links_module.Links(self._book, transport)
+        links = links_module.Links(self._resolver, transport)
         self._stage = stages.Stage(
             instance=self._name,
             gate=self._gate,
