--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -263,7 +263,7 @@
 
 async def _place(
     lease: leases.Lease,
-    book: books.UpstreamBook,
+    book: books.UpstreamRegistry,
     upstreams: engines.UpstreamClient,
     holder: relays.ConfigHolder,
 ) -> None:
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -48,7 +48,7 @@
         config: configs.Config,
         peers: readers.PeerStore,
     ) -> None:
-        self.book = books.UpstreamBook(platform_upstreams.decode)
+        self.book = books.UpstreamRegistry(platform_upstreams.decode)
         self.holder = relays.ConfigHolder(
             platform_config.decode, names.CONFIG_NAME
         )
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -77,7 +77,7 @@
         return bool(self.failures and self.upstream.card)
 
 
-class UpstreamBook:
+class UpstreamRegistry:
     """Upstream instances as listed, less those that were seen to fail.
 
     It is a follower of the mirror of the instances' entries.
--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -118,7 +118,7 @@
     def __init__(
         self,
         lease: leases.Lease,
-        book: books.UpstreamBook,
+        book: books.UpstreamRegistry,
         orders: OrderClient,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        book: books.UpstreamBook,
+        book: books.UpstreamRegistry,
         engines: Reporter,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -84,7 +84,7 @@
     """Gathers what instances ask of this entry, or of all."""
 
     def __init__(
-        self, book: books.UpstreamBook, limits: rate_limits.RateLimits
+        self, book: books.UpstreamRegistry, limits: rate_limits.RateLimits
     ) -> None:
         self._book = book
         self._limits = limits
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -65,7 +65,7 @@
     """
 
     zone: str
-    book: books.UpstreamBook
+    book: books.UpstreamRegistry
     client: interfaces.Upstreams
     usage: usages.InFlight
     planner: hops.HopPlanner
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -127,7 +127,7 @@
 class LayerGaps:
     """Finds the layers that no engine holds, and tells operators."""
 
-    def __init__(self, book: books.UpstreamBook) -> None:
+    def __init__(self, book: books.UpstreamRegistry) -> None:
         self._book = book
         self._gaps: dict[str, Gap] = {}
         self._looked_at: dict[str, float] = {}
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -165,7 +165,7 @@
         self.fleet = fleet or chain_fleet.ChainFleet()
         self.name = name
         self.listed: dict[str, chain.Upstream] = {}
-        self.book = books.UpstreamBook(lambda one: self.listed[one.name])
+        self.book = books.UpstreamRegistry(lambda one: self.listed[one.name])
         self.usage = usages.InFlight()
         self.client = chain_fleet.FleetClient(self.fleet)
         self.context = contexts.RelayContext(
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -296,9 +296,9 @@
         self.play(work)
 
 
-def a_book() -> tuple[books.UpstreamBook, dict[str, object]]:
+def a_book() -> tuple[books.UpstreamRegistry, dict[str, object]]:
     listed: dict[str, object] = {}
-    book = books.UpstreamBook(
+    book = books.UpstreamRegistry(
         lambda stored: listed[stored.name]  # type: ignore[return-value]
     )
     return book, listed
@@ -309,7 +309,7 @@
 
 
 def tell(
-    book: books.UpstreamBook,
+    book: books.UpstreamRegistry,
     listed: dict[str, object],
     name: str,
     version: int = 1,
@@ -318,7 +318,7 @@
     book.on_changed((entry(name, version),), ())
 
 
-def names_of(book: books.UpstreamBook) -> set[str]:
+def names_of(book: books.UpstreamRegistry) -> set[str]:
     return {one.name for one in book.usable(fleet_system.MODEL)}
 
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -245,7 +245,7 @@
             good = orjson.dumps(ENTRY)
             content = listing(item("a", good), spoilt, item("z", good))
             changes = await ask(content).list("servers")
-            one = books.UpstreamBook(upstreams.decode)
+            one = books.UpstreamRegistry(upstreams.decode)
             one.on_listed(changes.objects)
             usable = one.usable(fleet_system.MODEL)
             # Both have one address, of which the newer one keeps it.
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -50,7 +50,7 @@
     """A book of upstreams, and the ends that it told of."""
 
     def __init__(self) -> None:
-        self.book = books.UpstreamBook(upstreams.decode)
+        self.book = books.UpstreamRegistry(upstreams.decode)
         self.ends: list[str] = []
         self.book.subscribe_ends(lambda one: self.ends.append(one.name))
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -436,7 +436,7 @@
             store = standin_store.StandinStore()
             contact = contacts.StoreContact()
             listed = {"a": fleet_system.upstream("a")}
-            book = books.UpstreamBook(lambda one: listed[one.name])
+            book = books.UpstreamRegistry(lambda one: listed[one.name])
             book.watch_store(lambda: contact.failed_at)
             mirror = mirrors.Mirror(
                 store, "upstreams", book, 0.8, contact=contact
