--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -69,7 +69,7 @@
         system.add(fleet_system.upstream(f"e{number}", "zone", layers, "card"))
     duty = controllers.PlacementController(
         typing.cast(leases.Lease, _Ledger()),
-        system.book,
+        system.registry,
         system.fleet,
         lambda: system.holder.services,
     )
@@ -89,7 +89,7 @@
         await anyio.sleep(at)
         target = system.fleet.at(system.listed.pop(name).address)
         target.is_dead = True
-        system.book.on_changed((), (name,))
+        system.registry.on_changed((), (name,))
         if restart is None:
             return
         await anyio.sleep(restart)
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -166,7 +166,7 @@
             tasks.start_soon(part)
         tasks.start_soon(context.backpressure.run)
         tasks.start_soon(context.gaps.run, lambda: view.holder.services)
-        tasks.start_soon(_place, lease, view.book, upstreams, view.holder)
+        tasks.start_soon(_place, lease, view.registry, upstreams, view.holder)
         tasks.start_soon(self._survey, context, view)
         status = statuses.EntryStatus(
             self._config.name, context, view.holder, self._relay
@@ -215,7 +215,7 @@
         usage = usages.InFlight()
         return contexts.RelayContext(
             zone=self._config.availability_zone,
-            book=view.book,
+            registry=view.registry,
             ledger=view.ledger,
             client=upstreams,
             usage=usage,
@@ -263,7 +263,7 @@
 
 async def _place(
     lease: leases.Lease,
-    book: books.UpstreamRegistry,
+    registry: books.UpstreamRegistry,
     upstreams: engines.UpstreamClient,
     holder: relays.ConfigHolder,
 ) -> None:
@@ -276,7 +276,7 @@
 
     placement = controller.PlacementController(
         lease,
-        book,
+        registry,
         orders.PlacementOrderClient(upstreams),
         lambda: holder.services,
     )
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -48,7 +48,7 @@
         config: configs.Config,
         peers: readers.PeerStore,
     ) -> None:
-        self.book = books.UpstreamRegistry(platform_upstreams.decode)
+        self.registry = books.UpstreamRegistry(platform_upstreams.decode)
         self.holder = relays.ConfigHolder(
             platform_config.decode, names.CONFIG_NAME
         )
@@ -61,10 +61,10 @@
             config.name, self.roster.ranking, peers, self._contact
         )
         self._contact.pace_tries(self.readers.pause)
-        self.book.know_services(
+        self.registry.know_services(
             lambda: frozenset(one.name for one in self.holder.services)
         )
-        self.book.watch_store(lambda: self._contact.failed_at)
+        self.registry.watch_store(lambda: self._contact.failed_at)
         self._store = store
         revocation = float(config.fleet["revocation_ms"]) / 1000.0
         self._config_mirror = self._mirror(
@@ -84,7 +84,7 @@
             self._config_mirror,
             self._mirror(
                 names.UPSTREAM_KIND,
-                self.book,
+                self.registry,
                 UPSTREAM_WAIT,
                 self.roster.linger,
             ),
--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -118,23 +118,25 @@
     def __init__(
         self,
         lease: leases.Lease,
-        book: books.UpstreamRegistry,
+        registry: books.UpstreamRegistry,
         orders: OrderClient,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
         self._lease = lease
-        self._book = book
+        self._book = registry
         self._orders = orders
         self._services = services
         self._pending: dict[str, _Pending] = {}
         self._doubts: dict[str, _Doubt] = {}
         self._term = 0
-        self._losses = failure_detector.FailureDetector(book, orders, services)
+        self._losses = failure_detector.FailureDetector(
+            registry, orders, services
+        )
         self._arrivals: dict[str, _Arrivals] = {}
         self._empty_since: dict[str, dict[str, float]] = {}
         self._patience: dict[str, rearrangement_delay.RearrangementDelay] = {}
         self._changed = anyio.Event()
-        book.subscribe(self._wake)
+        registry.subscribe(self._wake)
 
     async def run(self) -> None:
         """Look at the plan whenever something changed, until cancelled."""
--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -50,11 +50,11 @@
 
     def __init__(
         self,
-        book: books.UpstreamRegistry,
+        registry: books.UpstreamRegistry,
         engines: Reporter,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
-        self._book = book
+        self._book = registry
         self._engines = engines
         self._services = services
         self._unanswered: collections.Counter[str] = collections.Counter()
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -129,7 +129,7 @@
             raise self._wrong("it ends in the middle of an event")
         if not self._sink.has_started:
             raise self._wrong("it holds no event")
-        self._context.book.trust(self._path.head.name)
+        self._context.registry.trust(self._path.head.name)
         await self._sink.finish()
 
     async def _pass_event(
@@ -161,7 +161,7 @@
             # Full, or gone: one that answers is merely full.
             self._watch.verify(culprit)
         is_stale = answer.status == STALE_STATUS
-        self._context.book.pause(
+        self._context.registry.pause(
             culprit.name,
             books.STALE_SECONDS if is_stale else books.FULL_SECONDS,
             f"refused with {answer.status}",
@@ -180,7 +180,7 @@
         for hop in self._path.hops:
             if str(hop.upstream.address) == answer.culprit:
                 return hop.upstream
-        return self._context.book.at(answer.culprit) or self._path.head
+        return self._context.registry.at(answer.culprit) or self._path.head
 
     async def _pass_failure(self, answer: interfaces.Answer) -> None:
         body = await answer.read(BODY_LIMIT)
--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -84,9 +84,9 @@
     """Gathers what instances ask of this entry, or of all."""
 
     def __init__(
-        self, book: books.UpstreamRegistry, limits: rate_limits.RateLimits
+        self, registry: books.UpstreamRegistry, limits: rate_limits.RateLimits
     ) -> None:
-        self._book = book
+        self._book = registry
         self._limits = limits
         self._known: dict[tuple[str, SignalKind], BackpressureSignal] = {}
         self._gauges: set[str] = set()
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -232,7 +232,7 @@
                 errors.CrowdeckError(errors.Code.DEADLINE, "no time is left")
             )
         limits = self._context.limits
-        usable = self._context.book.usable(self._service.name)
+        usable = self._context.registry.usable(self._service.name)
         fresh = self._fresh(usable)
         upstream = self._balancer.pick(filter(limits.allows, fresh))
         if upstream is not None:
@@ -245,8 +245,8 @@
 
         :param ahead: calls that are served before it.
         """
-        book = self._context.book
-        soon = self._fresh(book.usable_soon(self._service.name))
+        registry = self._context.registry
+        soon = self._fresh(registry.usable_soon(self._service.name))
         return self._context.seconds_until_any(soon, ahead)
 
     @staticmethod
@@ -281,7 +281,7 @@
             self._context.usage.leave_call(upstream)
         took = anyio.current_time() - began
         self._balancer.note_answer(upstream, took, answer.has_failed)
-        self._context.book.trust(upstream.name)
+        self._context.registry.trust(upstream.name)
         logs.decision(
             "call_answered",
             self._request.id,
@@ -351,8 +351,8 @@
             # No connection was had, so it was not sent after all.
             self._sent -= 1
             self._sends.fail_to_send()
-            self._context.book.avoid(upstream.name, error.message)
-        elif not self._context.book.seconds_backing_off(upstream.name):
+            self._context.registry.avoid(upstream.name, error.message)
+        elif not self._context.registry.seconds_backing_off(upstream.name):
             # One that refuses at once has nothing under way, and would look
             # like the freest to the next call. One that says for how long it
             # wants rest is sent nothing until then, and is sound afterwards.
@@ -397,7 +397,7 @@
             "no_instance",
             self._request.id,
             service=self._service.name,
-            listed=len(self._context.book.listed(self._service.name)),
+            listed=len(self._context.registry.listed(self._service.name)),
             held_back=self._held_back,
             ready_in=round(seconds, 3) if seconds else None,
             waited=round(anyio.current_time() - self._request.arrived, 3),
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -65,7 +65,7 @@
     """
 
     zone: str
-    book: books.UpstreamRegistry
+    registry: books.UpstreamRegistry
     client: interfaces.Upstreams
     usage: usages.InFlight
     planner: hops.HopPlanner
@@ -90,13 +90,13 @@
 
     def __attrs_post_init__(self) -> None:
         self.retry_advisor = retry_advice.RetryAdvisor(self.rng)
-        self.gaps = layer_gaps.LayerGaps(self.book)
+        self.gaps = layer_gaps.LayerGaps(self.registry)
         self.subset = subsets.EngineSubset(self.name, self.zone)
         self.limits = rate_limits.RateLimits(self.usage, self.rng)
         self.backpressure = backpressure_monitor.BackpressureMonitor(
-            self.book, self.limits
+            self.registry, self.limits
         )
-        self.book.subscribe_ends(self.note_end)
+        self.registry.subscribe_ends(self.note_end)
         self.client.subscribe(self._take_notice)
 
     @property
@@ -172,9 +172,9 @@
         """Take what an answer tells of the instance that gave it."""
         asked = notice.backpressure
         if asked.backoff:
-            self.book.back_off(upstream.name, asked.backoff)
+            self.registry.back_off(upstream.name, asked.backoff)
         if asked.is_leaving:
-            self.book.note_leaving(upstream.name)
+            self.registry.note_leaving(upstream.name)
         load = notice.load
         self.limits.note(
             upstream,
@@ -209,7 +209,7 @@
     def _seconds_until(self, upstream: chain.Upstream) -> float:
         return max(
             self.limits.seconds_until(upstream),
-            self.book.seconds_backing_off(upstream.name),
+            self.registry.seconds_backing_off(upstream.name),
         )
 
     def wait_queue(self, service: str) -> waiting.WaitQueue:
--- a/src/crowdeck/relay/detours.py
+++ b/src/crowdeck/relay/detours.py
@@ -92,7 +92,7 @@
         path: chain.ChainPath,
         culprit: chain.Upstream,
     ) -> None:
-        failed = {one.name for one in self._context.book.avoided()}
+        failed = {one.name for one in self._context.registry.avoided()}
         refused = {culprit.name}
         refused |= {hop.upstream.name for hop in path.hops} & failed
         while True:
@@ -110,7 +110,7 @@
             if silent:
                 refused |= silent
                 continue
-            if not self._context.book.may_ask(path.head.name):
+            if not self._context.registry.may_ask(path.head.name):
                 self._give_up(stream, path)
                 return
             outcome = await self._context.client.repath(
@@ -123,7 +123,7 @@
                 stream.take_path(other)
                 counters.COUNTERS.add("relay.repathed")
                 return
-            named = self._context.book.at(outcome.culprit)
+            named = self._context.registry.at(outcome.culprit)
             if not outcome.is_known:
                 return
             if named is None or named.name in refused:
@@ -199,7 +199,7 @@
     ) -> chain.ChainPath | None:
         usable = [
             one
-            for one in self._context.book.usable(stream.service.name)
+            for one in self._context.registry.usable(stream.service.name)
             if one.name not in refused
         ]
         wanted = hops.Wanted(
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -127,8 +127,8 @@
 class LayerGaps:
     """Finds the layers that no engine holds, and tells operators."""
 
-    def __init__(self, book: books.UpstreamRegistry) -> None:
-        self._book = book
+    def __init__(self, registry: books.UpstreamRegistry) -> None:
+        self._book = registry
         self._gaps: dict[str, Gap] = {}
         self._looked_at: dict[str, float] = {}
         self._whole: set[str] = set()
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -136,7 +136,7 @@
         """
         firsts = [
             one
-            for one in self._context.book.usable_soon(self._service)
+            for one in self._context.registry.usable_soon(self._service)
             if one.layers is not None and one.layers.first == 0
         ]
         ahead = len(self._context.wait_queue(self._service))
@@ -149,20 +149,20 @@
         0 where there is one without them, or layers are missing all the
         same.
         """
-        book = self._context.book
-        if not book.resting():
+        registry = self._context.registry
+        if not registry.resting():
             return 0.0
         count = self._stream.profile.layer_count
-        usable = chain.fitting(book.usable(self._service), count)
+        usable = chain.fitting(registry.usable(self._service), count)
         missing = gaps.missing_layers(usable, count)
-        soon = chain.fitting(book.usable_soon(self._service), count)
+        soon = chain.fitting(registry.usable_soon(self._service), count)
         if not missing or gaps.missing_layers(soon, count):
             return 0.0
         soonest = [float("inf")] * count
         for one in soon:
-            if one.layers is None or book.is_usable(one.name):
+            if one.layers is None or registry.is_usable(one.name):
                 continue
-            left = book.seconds_backing_off(one.name)
+            left = registry.seconds_backing_off(one.name)
             for layer in range(one.layers.first, one.layers.end):
                 soonest[layer] = min(soonest[layer], left)
         return max(
@@ -202,8 +202,8 @@
         return self._context.gaps.look(self._service, self._stream.profile)
 
     def _note_no_path(self) -> None:
-        book = self._context.book
-        usable = book.usable(self._service)
+        registry = self._context.registry
+        usable = registry.usable(self._service)
         count = self._stream.profile.layer_count
         held = chain.coverage(usable, count)
         missing = [layer for layer, copies in enumerate(held) if not copies]
@@ -212,7 +212,7 @@
         logs.decision(
             "no_path",
             self._stream.request.id,
-            listed=len(book.listed(self._service)),
+            listed=len(registry.listed(self._service)),
             usable=len(usable),
             missing_layers=len(missing),
             first_missing=missing[0] if missing else None,
@@ -225,7 +225,7 @@
         )
 
     def _plan(self) -> chain.ChainPath | None:
-        book = self._context.book
+        registry = self._context.registry
         wanted = hops.Wanted(
             self._stream.profile,
             self._stream.tokens,
@@ -235,14 +235,14 @@
         )
         usable = [
             one
-            for one in book.usable(self._service)
+            for one in registry.usable(self._service)
             if one.name not in self._excluded
         ]
         path = self._best_path(usable, wanted)
         if path is None or path.crossings:
             last = [
                 one
-                for one in book.last_resort(self._service)
+                for one in registry.last_resort(self._service)
                 if one.name not in self._excluded
             ]
             if last:
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -76,7 +76,7 @@
     def __init__(self, context: contexts.RelayContext) -> None:
         self._context = context
         self._lateness = context.lag_meter
-        self._prober = probes.Prober(context.client, context.book.may_ask)
+        self._prober = probes.Prober(context.client, context.registry.may_ask)
         self._streams: set[live.LiveStream] = set()
         self._looking: set[live.LiveStream] = set()
         self._detours = detours.Detours(
@@ -84,7 +84,7 @@
         )
         self._to_verify: dict[str, chain.Upstream] = {}
         self._woken = anyio.Event()
-        context.book.subscribe_lapses(self.verify)
+        context.registry.subscribe_lapses(self.verify)
         context.ledger.subscribe(self._stop_culprits)
 
     @property
@@ -114,7 +114,9 @@
         """
         probe = await self._prober.ask(upstream)
         if probe.is_gone:
-            self._context.book.avoid(upstream.name, probe.reason, is_gone=True)
+            self._context.registry.avoid(
+                upstream.name, probe.reason, is_gone=True
+            )
             await self._detours.lead_around(upstream)
         elif upstream.card:
             # Plain services answer no such question otherwise.
@@ -154,7 +156,7 @@
                 for upstream in self._to_verify.values():
                     tasks.start_soon(self._verify, upstream)
                 self._to_verify.clear()
-                for upstream in self._context.book.due_for_proof():
+                for upstream in self._context.registry.due_for_proof():
                     tasks.start_soon(self._verify, upstream)
                 if self._lateness.is_settling():
                     continue
@@ -192,12 +194,12 @@
     async def _verify(self, upstream: chain.Upstream) -> None:
         probe = await self._prober.ask(upstream)
         if await self._is_lost(probe, ()):
-            self._context.book.avoid(
+            self._context.registry.avoid(
                 upstream.name, probe.reason, is_gone=probe.is_gone
             )
             await self._detours.lead_around(upstream)
         elif probe.report is not None:
-            self._context.book.trust(upstream.name)
+            self._context.registry.trust(upstream.name)
 
     async def _is_lost(
         self, probe: probes.Probe, others: tuple[chain.Upstream, ...]
@@ -212,7 +214,7 @@
             return False
         if probe.was_refused:
             return True
-        usable = self._context.book.usable(probe.upstream.service)
+        usable = self._context.registry.usable(probe.upstream.service)
         controls = [*others, *probes.controls(probe.upstream, usable)]
         answers: list[probes.Probe] = []
 
@@ -274,7 +276,7 @@
             waiting=found.head.waiting if found.head else None,
         )
         for culprit in found.culprits:
-            self._context.book.avoid(culprit.name, "silent in a stream")
+            self._context.registry.avoid(culprit.name, "silent in a stream")
         await self._detours.lead_around_all(found.culprits)
         if not found.culprits and self._is_hung(stream, path, found):
             self._give_up_hung(stream, path)
@@ -362,7 +364,7 @@
                 return _Finding([path.head], True)
             return _Finding([], False)
         named = [
-            self._context.book.at(stall.address)
+            self._context.registry.at(stall.address)
             for stall in head.report.stalls
             if stall.request == stream.request.id
         ]
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -361,8 +361,8 @@
         silent for a moment does.
         """
         names = self._ran_on | {running_on} if running_on else self._ran_on
-        book = self._context.book
-        sound = sum(1 for name in names if not book.has_ended(name))
+        registry = self._context.registry
+        sound = sum(1 for name in names if not registry.has_ended(name))
         return self._route.max_attempts - sound
 
     def _failure(self, error: errors.CrowdeckError) -> errors.CrowdeckError:
--- a/src/crowdeck/relay/survey.py
+++ b/src/crowdeck/relay/survey.py
@@ -60,7 +60,7 @@
             found = [
                 one
                 for service in services
-                for one in self._context.book.listed(service.name)
+                for one in self._context.registry.listed(service.name)
             ]
             if found:
                 return self._nearest(
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -165,12 +165,14 @@
         self.fleet = fleet or chain_fleet.ChainFleet()
         self.name = name
         self.listed: dict[str, chain.Upstream] = {}
-        self.book = books.UpstreamRegistry(lambda one: self.listed[one.name])
+        self.registry = books.UpstreamRegistry(
+            lambda one: self.listed[one.name]
+        )
         self.usage = usages.InFlight()
         self.client = chain_fleet.FleetClient(self.fleet)
         self.context = contexts.RelayContext(
             zone=ZONES[0],
-            book=self.book,
+            registry=self.registry,
             client=self.client,
             usage=self.usage,
             planner=hops.HopPlanner(self.usage),
@@ -209,7 +211,7 @@
         """List an instance as it is now."""
         entry = listed.life.id
         self.listed[entry] = listed
-        self.book.on_changed(
+        self.registry.on_changed(
             (stores.StoredObject("upstreams", entry, 1, b"{}"),), ()
         )
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -145,12 +145,12 @@
     def test_a_shorter_time_takes_nothing_back(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.back_off(one.name, REST_SECONDS)
-            system.book.back_off(one.name, 0.1)
+            system.registry.back_off(one.name, REST_SECONDS)
+            system.registry.back_off(one.name, 0.1)
             await anyio.sleep(REST_SECONDS - 0.1)
-            assert not system.book.is_usable(one.name)
+            assert not system.registry.is_usable(one.name)
             await anyio.sleep(0.2)
-            assert system.book.is_usable(one.name)
+            assert system.registry.is_usable(one.name)
 
         play(work)
 
@@ -161,9 +161,9 @@
             for one in system.listed.values():
                 other.list_instance(one)
             first = next(iter(system.listed.values()))
-            system.book.back_off(first.name, REST_SECONDS)
-            assert not system.book.is_usable(first.name)
-            assert other.book.is_usable(first.name)
+            system.registry.back_off(first.name, REST_SECONDS)
+            assert not system.registry.is_usable(first.name)
+            assert other.registry.is_usable(first.name)
 
         play(work)
 
@@ -173,7 +173,7 @@
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
-                system.book.back_off(one.name, REST_SECONDS)
+                system.registry.back_off(one.name, REST_SECONDS)
             (told,) = await send(system, repeat, 0.01)
             assert told.error is not None
             assert told.error.verdict is verdicts.Verdict.NOT_RUN
@@ -194,7 +194,7 @@
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
-                system.book.back_off(one.name, 0.2)
+                system.registry.back_off(one.name, 0.2)
             (told,) = await send(system, repeat, 0.01)
             assert told.error is None
 
@@ -209,7 +209,7 @@
                 tasks.start_soon(system.relay.serve, request, caller)
                 await anyio.sleep(0.5)
                 for one in system.listed.values():
-                    system.book.back_off(one.name, REST_SECONDS)
+                    system.registry.back_off(one.name, REST_SECONDS)
             whole = fleet_system.whole_answer(request.id, 150)
             assert caller.body == whole
             assert not system.fleet.repaths
@@ -229,7 +229,7 @@
                 second = system.fleet.at(
                     run.path.split(",")[1].partition("=")[0]
                 )
-                system.book.back_off(head.listed.name, REST_SECONDS)
+                system.registry.back_off(head.listed.name, REST_SECONDS)
                 since = anyio.current_time()
                 second.is_unresponsive = True
             whole = fleet_system.whole_answer(request.id, 150)
@@ -244,9 +244,9 @@
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             for _ in range(2):
-                system.book.back_off(one.name, REST_SECONDS)
-                assert system.book.may_ask(one.name)
-                assert not system.book.may_ask(one.name)
+                system.registry.back_off(one.name, REST_SECONDS)
+                assert system.registry.may_ask(one.name)
+                assert not system.registry.may_ask(one.name)
                 await anyio.sleep(REST_SECONDS)
 
         play(work)
@@ -266,10 +266,10 @@
     def test_one_that_also_leaves_is_no_last_resort(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.note_leaving(one.name)
-            assert system.book.last_resort(one.service)
-            system.book.back_off(one.name, REST_SECONDS)
-            assert not system.book.last_resort(one.service)
+            system.registry.note_leaving(one.name)
+            assert system.registry.last_resort(one.service)
+            system.registry.back_off(one.name, REST_SECONDS)
+            assert not system.registry.last_resort(one.service)
 
         play(work)
 
@@ -278,11 +278,11 @@
             lost, resting, *_ = system.listed.values()
             asked = chain_fleet.FleetClient(system.fleet)
             watch = failure_detector.FailureDetector(
-                system.book, asked, lambda: system.config.services
+                system.registry, asked, lambda: system.config.services
             )
             system.fleet.at(lost.address).is_dead = True
-            system.book.avoid(lost.name, "silent")
-            system.book.back_off(resting.name, REST_SECONDS)
+            system.registry.avoid(lost.name, "silent")
+            system.registry.back_off(resting.name, REST_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await watch.look()
             names = {one.upstream for one in asked.arrivals}
@@ -294,13 +294,13 @@
     def test_one_that_failed_is_not_asked_whether_it_is_back(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.avoid(one.name, "silent")
-            system.book.back_off(one.name, REST_SECONDS)
+            system.registry.avoid(one.name, "silent")
+            system.registry.back_off(one.name, REST_SECONDS)
             await anyio.sleep(REST_SECONDS - 0.1)
             assert not system.client.arrivals
             await anyio.sleep(1.0)
             assert system.client.arrivals
-            assert system.book.is_usable(one.name)
+            assert system.registry.is_usable(one.name)
 
         play(work)
 
@@ -309,10 +309,10 @@
             one = next(iter(system.listed.values()))
             asked = chain_fleet.FleetClient(system.fleet)
             watch = failure_detector.FailureDetector(
-                system.book, asked, lambda: system.config.services
+                system.registry, asked, lambda: system.config.services
             )
-            system.book.avoid(one.name, "silent")
-            system.book.back_off(one.name, REST_SECONDS)
+            system.registry.avoid(one.name, "silent")
+            system.registry.back_off(one.name, REST_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await watch.look()
             assert not asked.arrivals
@@ -326,10 +326,10 @@
                 target.listed = attrs.evolve(target.listed, layers=None)
                 system.list_instance(target.listed)
             ordered = system.fleet.upstreams[0]
-            system.book.back_off(ordered.listed.name, 8.0)
+            system.registry.back_off(ordered.listed.name, 8.0)
             duty = controllers.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
-                system.book,
+                system.registry,
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
             )
@@ -431,23 +431,23 @@
     def test_stays_so_whatever_its_entry_says(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.note_leaving(one.name)
-            assert not system.book.is_usable(one.name)
+            system.registry.note_leaving(one.name)
+            assert not system.registry.is_usable(one.name)
             system.list_instance(one)
             system.list_instance(attrs.evolve(one, slots=one.slots + 1))
-            assert not system.book.is_usable(one.name)
+            assert not system.registry.is_usable(one.name)
 
         play(work)
 
     def test_one_whose_entry_lapsed_is_dropped_all_the_same(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.watch_store(anyio.current_time)
-            system.book.on_changed((), (one.life.id,))
-            system.book.note_leaving(one.name)
+            system.registry.watch_store(anyio.current_time)
+            system.registry.on_changed((), (one.life.id,))
+            system.registry.note_leaving(one.name)
             await anyio.sleep(books.LAPSE_SECONDS + 0.1)
             assert one.name not in {
-                it.name for it in system.book.listed(one.service)
+                it.name for it in system.registry.listed(one.service)
             }
 
         play(work)
@@ -455,13 +455,13 @@
     def test_stays_so_though_its_entry_goes_and_comes_again(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.note_leaving(one.name)
-            system.book.on_changed((), (one.life.id,))
+            system.registry.note_leaving(one.name)
+            system.registry.on_changed((), (one.life.id,))
             await anyio.sleep(LEAVING_SECONDS)
             system.list_instance(one)
-            assert not system.book.is_usable(one.name)
+            assert not system.registry.is_usable(one.name)
             assert one.name not in {
-                it.name for it in system.book.last_resort(one.service)
+                it.name for it in system.registry.last_resort(one.service)
             }
 
         play(work)
@@ -469,22 +469,22 @@
     def test_remembers_only_so_many(self) -> None:
         async def work(system: System) -> None:
             for number in range(leavers.LEAVERS_MOST + 5):
-                system.book.note_leaving(f"gone-{number}")
-            assert len(system.book._leavers) == leavers.LEAVERS_MOST
+                system.registry.note_leaving(f"gone-{number}")
+            assert len(system.registry._leavers) == leavers.LEAVERS_MOST
 
         play(work)
 
     def test_another_run_of_it_does_not_leave(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.note_leaving(one.name)
+            system.registry.note_leaving(one.name)
             life = chain.Life(one.life.id, 5)
             system.list_instance(
                 attrs.evolve(
                     one, name=life.name, instance_id=life.id, born=life.born
                 )
             )
-            assert system.book.is_usable(life.name)
+            assert system.registry.is_usable(life.name)
 
         play(work)
 
@@ -493,7 +493,7 @@
             one = next(iter(system.listed.values()))
             system.fleet.at(one.address).announces_leaving = True
             await system.client.report(one)
-            assert not system.book.is_usable(one.name)
+            assert not system.registry.is_usable(one.name)
 
         play(work)
 
@@ -503,7 +503,7 @@
                 one for one in system.listed.values() if "-1" in one.name
             ]
             for one in passed:
-                system.book.note_leaving(one.name)
+                system.registry.note_leaving(one.name)
             await anyio.sleep(LEAVING_SECONDS)
             await send(system, STREAM, 1.0)
             for run in system.fleet.runs:
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -298,10 +298,10 @@
 
 def a_book() -> tuple[books.UpstreamRegistry, dict[str, object]]:
     listed: dict[str, object] = {}
-    book = books.UpstreamRegistry(
+    registry = books.UpstreamRegistry(
         lambda stored: listed[stored.name]  # type: ignore[return-value]
     )
-    return book, listed
+    return registry, listed
 
 
 def entry(name: str, version: int = 1) -> stores.StoredObject:
@@ -309,17 +309,17 @@
 
 
 def tell(
-    book: books.UpstreamRegistry,
+    registry: books.UpstreamRegistry,
     listed: dict[str, object],
     name: str,
     version: int = 1,
 ) -> None:
     listed[name] = listed.get(name) or fleet_system.upstream(name)
-    book.on_changed((entry(name, version),), ())
+    registry.on_changed((entry(name, version),), ())
 
 
-def names_of(book: books.UpstreamRegistry) -> set[str]:
-    return {one.name for one in book.usable(fleet_system.MODEL)}
+def names_of(registry: books.UpstreamRegistry) -> set[str]:
+    return {one.name for one in registry.usable(fleet_system.MODEL)}
 
 
 class TestBook:
@@ -327,36 +327,36 @@
 
     def test_leaving_ones_get_none(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
-            tell(book, listed, "b")
+            registry, listed = a_book()
+            tell(registry, listed, "a")
+            tell(registry, listed, "b")
             listed["a"] = attrs.evolve(
                 fleet_system.upstream("a"), is_leaving=True
             )
-            tell(book, listed, "a")
-            assert names_of(book) == {"b"}
+            tell(registry, listed, "a")
+            assert names_of(registry) == {"b"}
 
         virtual.run(body)
 
     def test_failed_ones_are_left_alone_longer_each_time(self) -> None:
         # Plain services are not asked: a call finds out by itself.
         async def body() -> None:
-            book, listed = a_book()
+            registry, listed = a_book()
             listed["a"] = fleet_system.upstream("a", card="")
-            tell(book, listed, "a")
+            tell(registry, listed, "a")
             pauses = []
             for _ in range(4):
-                book.avoid("a", "refused")
+                registry.avoid("a", "refused")
                 began = anyio.current_time()
-                while not names_of(book):
+                while not names_of(registry):
                     await anyio.sleep(0.1)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses == sorted(pauses)
             assert pauses[-1] >= 4 * pauses[0]
-            book.trust("a")
-            book.avoid("a", "refused")
+            registry.trust("a")
+            registry.avoid("a", "refused")
             await anyio.sleep(books.AVOID_SECONDS + 0.1)
-            assert names_of(book) == {"a"}
+            assert names_of(registry) == {"a"}
 
         virtual.run(body)
 
@@ -364,82 +364,82 @@
         # Streams used to be sent to find out, by each entry again and
         # again, and each was refused and repeated at a dead engine's cost.
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
+            registry, listed = a_book()
+            tell(registry, listed, "a")
             pauses = []
             for _ in range(4):
-                book.avoid("a", "refused")
+                registry.avoid("a", "refused")
                 began = anyio.current_time()
-                while not book.due_for_proof():
-                    assert names_of(book) == set()
+                while not registry.due_for_proof():
+                    assert names_of(registry) == set()
                     await anyio.sleep(0.1)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses == sorted(pauses)
             assert pauses[-1] >= 4 * pauses[0]
-            assert names_of(book) == set()
-            book.trust("a")
-            assert names_of(book) == {"a"}
+            assert names_of(registry) == set()
+            registry.trust("a")
+            assert names_of(registry) == {"a"}
 
         virtual.run(body)
 
     def test_an_engine_asked_in_vain_is_asked_again_soon(self) -> None:
         # The question says nothing while our own link is full.
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
-            book.avoid("a", "refused")
+            registry, listed = a_book()
+            tell(registry, listed, "a")
+            registry.avoid("a", "refused")
             await anyio.sleep(books.AVOID_SECONDS + 0.1)
-            assert [one.name for one in book.due_for_proof()] == ["a"]
-            assert book.due_for_proof() == ()
+            assert [one.name for one in registry.due_for_proof()] == ["a"]
+            assert registry.due_for_proof() == ()
             await anyio.sleep(books.UNSURE_SECONDS + 0.01)
-            assert [one.name for one in book.due_for_proof()] == ["a"]
+            assert [one.name for one in registry.due_for_proof()] == ["a"]
 
         virtual.run(body)
 
     def test_full_ones_are_left_alone_longer_while_they_refuse(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
+            registry, listed = a_book()
+            tell(registry, listed, "a")
             pauses = []
             for _ in range(4):
-                book.pause("a", books.FULL_SECONDS, "refused with 503")
+                registry.pause("a", books.FULL_SECONDS, "refused with 503")
                 began = anyio.current_time()
-                while not names_of(book):
+                while not names_of(registry):
                     await anyio.sleep(0.05)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses[-1] >= 3 * pauses[0]
             await anyio.sleep(books.APART_SECONDS + 0.1)
-            book.pause("a", books.FULL_SECONDS, "refused with 503")
+            registry.pause("a", books.FULL_SECONDS, "refused with 503")
             await anyio.sleep(books.FULL_SECONDS + 0.05)
-            assert names_of(book) == {"a"}
+            assert names_of(registry) == {"a"}
 
         virtual.run(body)
 
     def test_gone_is_gone_at_once_while_the_store_is_well(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
-            book.on_changed((), ("a",))
-            assert names_of(book) == set()
+            registry, listed = a_book()
+            tell(registry, listed, "a")
+            registry.on_changed((), ("a",))
+            assert names_of(registry) == set()
 
         virtual.run(body)
 
     def test_lapsed_with_the_store_serves_once_it_has_answered(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            book.watch_store(anyio.current_time)
+            registry, listed = a_book()
+            registry.watch_store(anyio.current_time)
             asked: list[str] = []
-            book.subscribe_lapses(lambda one: asked.append(one.name))
-            tell(book, listed, "a")
-            tell(book, listed, "b")
-            book.on_listed(())
+            registry.subscribe_lapses(lambda one: asked.append(one.name))
+            tell(registry, listed, "a")
+            tell(registry, listed, "b")
+            registry.on_listed(())
             assert asked == ["a", "b"]
-            assert names_of(book) == set()
-            book.trust("a")
-            assert names_of(book) == {"a"}
+            assert names_of(registry) == set()
+            registry.trust("a")
+            assert names_of(registry) == {"a"}
             # An entry that is missing after all is taken as gone.
             await anyio.sleep(books.LAPSE_SECONDS + 0.1)
-            assert names_of(book) == set()
+            assert names_of(registry) == set()
 
         virtual.run(body)
 
@@ -451,44 +451,44 @@
         # entry was taken for lapsed. Its instance had left, and a call came
         # to it 2.18 s later; two seconds are allowed.
         async def body() -> None:
-            book, listed = a_book()
-            book.watch_store(anyio.current_time)
+            registry, listed = a_book()
+            registry.watch_store(anyio.current_time)
             listed["a"] = fleet_system.upstream("a", card=card)
-            tell(book, listed, "a")
-            book.on_changed((), ("a",))
-            book.trust("a")
-            assert names_of(book) == {"a"}
+            tell(registry, listed, "a")
+            registry.on_changed((), ("a",))
+            registry.trust("a")
+            assert names_of(registry) == {"a"}
             await anyio.sleep(1.9)
-            assert names_of(book) == set()
+            assert names_of(registry) == set()
 
         virtual.run(body)
 
     def test_lapsed_entry_that_comes_back_serves_at_once(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            book.watch_store(anyio.current_time)
-            tell(book, listed, "a")
-            book.on_listed(())
-            tell(book, listed, "a")
-            assert names_of(book) == {"a"}
+            registry, listed = a_book()
+            registry.watch_store(anyio.current_time)
+            tell(registry, listed, "a")
+            registry.on_listed(())
+            tell(registry, listed, "a")
+            assert names_of(registry) == {"a"}
             await anyio.sleep(books.LAPSE_SECONDS + 0.1)
-            assert names_of(book) == {"a"}
+            assert names_of(registry) == {"a"}
 
         virtual.run(body)
 
     def test_leaving_ones_are_a_last_resort_for_a_while(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
+            registry, listed = a_book()
+            tell(registry, listed, "a")
             listed["a"] = attrs.evolve(
                 fleet_system.upstream("a"), is_leaving=True
             )
-            tell(book, listed, "a")
+            tell(registry, listed, "a")
             service = fleet_system.MODEL
-            assert [one.name for one in book.last_resort(service)] == ["a"]
+            assert [one.name for one in registry.last_resort(service)] == ["a"]
             # Well before the two seconds after which none may reach it.
             await anyio.sleep(books.LAST_WORK_SECONDS + 0.01)
-            assert book.last_resort(service) == ()
+            assert registry.last_resort(service) == ()
             assert books.LAST_WORK_SECONDS <= 1.0
 
         virtual.run(body)
@@ -497,14 +497,14 @@
         # An engine crashed while the store was away and was started again:
         # its former entry stayed, and every path through it was refused.
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "former")
+            registry, listed = a_book()
+            tell(registry, listed, "former")
             listed["after"] = attrs.evolve(
                 fleet_system.upstream("former"), name="after"
             )
-            tell(book, listed, "after", version=2)
-            assert names_of(book) == {"after"}
-            assert book.has_ended("former")
+            tell(registry, listed, "after", version=2)
+            assert names_of(registry) == {"after"}
+            assert registry.has_ended("former")
 
         virtual.run(body)
 
@@ -514,10 +514,10 @@
             after = attrs.evolve(former, name="after")
             entries = (entry("former", 1), entry("after", 2))
             for order in (entries, entries[::-1]):
-                book, listed = a_book()
+                registry, listed = a_book()
                 listed.update(former=former, after=after)
-                book.on_listed(order)
-                assert names_of(book) == {"after"}
+                registry.on_listed(order)
+                assert names_of(registry) == {"after"}
 
         virtual.run(body)
 
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -151,7 +151,7 @@
             with anyio.move_on_after(0.05):
                 await entry.ask(request)
             name = entries.fleet.runs_of(request.id)[0].upstream
-            entry.book.avoid(name, "nobody listens", is_gone=True)
+            entry.registry.avoid(name, "nobody listens", is_gone=True)
             content = requests.fingerprint_of(request, "kiosks")
             assert entry.context.ledger.is_suspect(content)
 
@@ -420,7 +420,7 @@
             trial = ledgers.Trial(known, None)
             entry.context.ledger.note_lost(name, trial)
             assert entry.context.ledger.is_empty
-            entry.book.on_changed((), (name,))
+            entry.registry.on_changed((), (name,))
             assert entry.context.ledger.is_suspect(known)
 
         entries_system.play(work, count=1)
@@ -446,7 +446,7 @@
                 one.lost_answers = 0 if one.listed.card else 1
             entries.ask_soon(0, entries_system.REPEATABLE, b"lost")
             await anyio.sleep(2.0)
-            assert entries[0].book.avoided() == ()
+            assert entries[0].registry.avoided() == ()
             assert entries[0].context.ledger.is_empty
 
         entries_system.play(work, count=1)
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -118,7 +118,7 @@
             system = fleet_system.FleetSystem()
             duty = controllers.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
-                system.book,
+                system.registry,
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
             )
@@ -186,7 +186,7 @@
             system = fleet_system.FleetSystem()
             duty = controllers.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
-                system.book,
+                system.registry,
                 CostlyOrders(system.fleet),
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
             )
@@ -204,7 +204,7 @@
                     await anyio.sleep(0.1)
                     assert anyio.current_time() < began + ORDERED_SECONDS
                 tasks.cancel_scope.cancel()
-            assert not system.book.avoided()
+            assert not system.registry.avoided()
 
         virtual.run(body)
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -50,16 +50,16 @@
     """A book of upstreams, and the ends that it told of."""
 
     def __init__(self) -> None:
-        self.book = books.UpstreamRegistry(upstreams.decode)
+        self.registry = books.UpstreamRegistry(upstreams.decode)
         self.ends: list[str] = []
-        self.book.subscribe_ends(lambda one: self.ends.append(one.name))
+        self.registry.subscribe_ends(lambda one: self.ends.append(one.name))
 
     def take(self, *entries: stores.StoredObject) -> None:
-        self.book.on_changed(entries, ())
+        self.registry.on_changed(entries, ())
 
     @property
     def usable(self) -> list[chain.Upstream]:
-        return list(self.book.usable(fleet_system.MODEL))
+        return list(self.registry.usable(fleet_system.MODEL))
 
 
 def in_time(test):  # type: ignore[no-untyped-def]
@@ -93,14 +93,14 @@
     async def test_nothing_believed_before_counts(self) -> None:
         one = Book()
         one.take(an_entry(1, born=100))
-        one.book.avoid("e#100", "failed", is_gone=True)
+        one.registry.avoid("e#100", "failed", is_gone=True)
         assert one.usable == []
         one.take(an_entry(2, born=200, layers=None))
         assert [it.name for it in one.usable] == ["e#200"]
         assert one.usable[0].layers is None
         assert one.usable[0].life.id == "e"
-        assert one.book.has_ended("e#100")
-        assert not one.book.has_ended("e#200")
+        assert one.registry.has_ended("e#100")
+        assert not one.registry.has_ended("e#200")
 
     @in_time
     async def test_the_earlier_run_is_told_to_have_ended_once(self) -> None:
@@ -108,7 +108,7 @@
         one.take(an_entry(1, born=100))
         one.take(an_entry(2, born=200))
         assert one.ends == ["e#100"]
-        one.book.on_changed((), ("e",))
+        one.registry.on_changed((), ("e",))
         assert one.ends == ["e#100", "e#200"]
 
     @in_time
@@ -126,7 +126,7 @@
         # The list that follows holds the new run's entry only.
         one = Book()
         one.take(an_entry(1, born=100))
-        one.book.on_listed((an_entry(7, born=200),))
+        one.registry.on_listed((an_entry(7, born=200),))
         assert [it.name for it in one.usable] == ["e#200"]
         assert one.ends == ["e#100"]
 
@@ -134,7 +134,7 @@
     async def test_an_end_known_already_is_told_no_second_time(self) -> None:
         one = Book()
         one.take(an_entry(1, born=100))
-        one.book.avoid("e#100", "nobody listens", is_gone=True)
+        one.registry.avoid("e#100", "nobody listens", is_gone=True)
         one.take(an_entry(2, born=200))
         assert one.ends == ["e#100"]
 
@@ -142,9 +142,9 @@
     async def test_an_end_is_told_while_it_is_left_alone(self) -> None:
         one = Book()
         one.take(an_entry(1, born=100))
-        one.book.avoid("e#100", "silent")
+        one.registry.avoid("e#100", "silent")
         assert one.ends == []
-        one.book.avoid("e#100", "nobody listens", is_gone=True)
+        one.registry.avoid("e#100", "nobody listens", is_gone=True)
         assert one.ends == ["e#100"]
 
     @hypothesis.settings(
@@ -166,7 +166,7 @@
             newest = 0
             for version, step in enumerate(steps, 1):
                 if step == "gone":
-                    one.book.on_changed((), ("e",))
+                    one.registry.on_changed((), ("e",))
                     newest = 0
                     assert one.usable == []
                     continue
@@ -221,7 +221,7 @@
     async def test_of_an_unknown_service_takes_nobodys_place(self) -> None:
         # It names the address of a sound engine.
         one = Book()
-        one.book.know_services(lambda: frozenset({fleet_system.MODEL}))
+        one.registry.know_services(lambda: frozenset({fleet_system.MODEL}))
         one.take(an_entry(1))
         foreign = an_entry(9, service="nobody's")
         one.take(attrs.evolve(foreign, name="foreign"))
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -118,14 +118,14 @@
 
     def test_a_rest_and_its_end(self) -> None:
         async def work(system: System) -> None:
-            system.book.back_off(first(system).name, 3.0)
+            system.registry.back_off(first(system).name, 3.0)
             await anyio.sleep(1.0)
             (one,) = system.context.backpressure.now()
             assert one.kind is backpressure_monitor.SignalKind.BACKOFF
             assert one.since == 0.0
             assert one.seconds_left == pytest.approx(2.0)
             # One that goes on is no new one.
-            system.book.back_off(first(system).name, 3.0)
+            system.registry.back_off(first(system).name, 3.0)
             (one,) = system.context.backpressure.now()
             assert one.since == 0.0
             await anyio.sleep(3.1)
@@ -135,11 +135,11 @@
 
     def test_one_that_leaves_by_its_word(self) -> None:
         async def work(system: System) -> None:
-            system.book.note_leaving(first(system).name)
+            system.registry.note_leaving(first(system).name)
             await anyio.sleep(1.0)
             (one,) = system.context.backpressure.now()
             assert one.kind is backpressure_monitor.SignalKind.LEAVING
-            system.book.on_changed((), (first(system).life.id,))
+            system.registry.on_changed((), (first(system).life.id,))
             assert not system.context.backpressure.now()
 
         play(work)
@@ -150,7 +150,7 @@
 
     def test_each_begin_and_end_has_a_line(self, lines: Lines) -> None:
         async def work(system: System) -> None:
-            system.book.back_off(first(system).name, 3.0)
+            system.registry.back_off(first(system).name, 3.0)
             await anyio.sleep(5.0)
 
         play(work)
@@ -170,7 +170,7 @@
     def test_hundreds_at_once_have_few_lines(self, lines: Lines) -> None:
         async def work(system: System) -> None:
             for number in range(300):
-                system.book.back_off(first(system, number).name, 3.0)
+                system.registry.back_off(first(system, number).name, 3.0)
             await anyio.sleep(5.0)
 
         play(work, plain=300)
@@ -183,7 +183,7 @@
 
     def test_gauges_by_service_and_zone(self) -> None:
         async def work(system: System) -> None:
-            system.book.back_off(first(system).name, 3.0)
+            system.registry.back_off(first(system).name, 3.0)
             system.fleet.at(first(system, 1).address).limit = 6.0
             await call(system, 2.0, 0.05)
             gauge = counters.COUNTERS.gauge
@@ -203,7 +203,7 @@
 
     def test_one_that_went_elsewhere_names_it(self, lines: Lines) -> None:
         async def work(system: System) -> None:
-            system.book.back_off(first(system).name, 3.0)
+            system.registry.back_off(first(system).name, 3.0)
             await system.ask(system.request(ONCE))
 
         play(work)
@@ -240,7 +240,7 @@
         async def work(system: System) -> None:
             for one in system.listed.values():
                 if one.layers is not None and one.layers.first:
-                    system.book.back_off(one.name, 3.0)
+                    system.registry.back_off(one.name, 3.0)
             began = anyio.current_time()
             caller = await system.ask(system.request(STREAM, id="r1"))
             # At once, and not before it can be served.
@@ -267,9 +267,9 @@
         async def work(system: System) -> None:
             for one in system.listed.values():
                 if one.layers is not None and one.layers.first == 20:
-                    system.book.back_off(one.name, 3.0)
+                    system.registry.back_off(one.name, 3.0)
                 if one.layers is not None and one.layers.first == 40:
-                    system.book.avoid(one.name, "silent")
+                    system.registry.avoid(one.name, "silent")
             caller = await system.ask(system.request(STREAM))
             assert caller.error is not None
             assert caller.error.retry_after is not None
@@ -303,7 +303,7 @@
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
-                system.book.back_off(one.name, 3.0)
+                system.registry.back_off(one.name, 3.0)
             await system.ask(system.request(repeat, id="r1"))
 
         play(work)
@@ -323,7 +323,7 @@
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
-                system.book.back_off(one.name, 0.8)
+                system.registry.back_off(one.name, 0.8)
             await system.ask(system.request(STREAM))
 
         play(work)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -392,7 +392,7 @@
         )
         duty = controllers.PlacementController(
             typing.cast(leases.Lease, ledger),
-            system.book,
+            system.registry,
             system.fleet,
             lambda: listed,
         )
@@ -535,7 +535,7 @@
             await anyio.sleep(3.0)
             tell_all(system)
             system.fleet.at(system.listed["e0"].address).is_dead = True
-            system.book.avoid("e0", "refused")
+            system.registry.avoid("e0", "refused")
             await anyio.sleep(1.5)
             tell_all(system)
             await anyio.sleep(0.1)
@@ -583,7 +583,7 @@
         system.add(listed)
         duty = controllers.PlacementController(
             typing.cast(leases.Lease, _Ledger()),
-            system.book,
+            system.registry,
             system.fleet,
             lambda: (),
         )
@@ -605,7 +605,7 @@
             ):
                 system.add(one)
             # Nor can it go itself, which it could: a is sure.
-            system.book.back_off("b", 60.0)
+            system.registry.back_off("b", 60.0)
             moved = system.fleet.at(system.listed["a"].address)
             await anyio.sleep(controllers.LATE_ORDER_SECONDS - 1.0)
             assert not moved.orders_taken
@@ -654,9 +654,9 @@
             lost = {"e0", "e1", "e2"}
             for name in lost:
                 system.fleet.at(system.listed[name].address).is_dead = True
-            system.book.avoid("e0", "refused")
+            system.registry.avoid("e0", "refused")
             await anyio.sleep(0.7)
-            assert {one.name for one in system.book.avoided()} == lost
+            assert {one.name for one in system.registry.avoided()} == lost
 
         play_duty(work, count=8)
 
@@ -669,11 +669,11 @@
             tell_all(system)
             for one in list(system.listed.values()):
                 system.fleet.at(one.address).is_unresponsive = True
-            system.book.avoid("e0", "refused")
+            system.registry.avoid("e0", "refused")
             await anyio.sleep(3.0)
             for one in list(system.listed.values()):
                 system.fleet.at(one.address).is_unresponsive = False
-            assert {one.name for one in system.book.avoided()} == {"e0"}
+            assert {one.name for one in system.registry.avoided()} == {"e0"}
             await anyio.sleep(1.0)
             assert all(
                 system.fleet.at(one.address).orders_taken == 1
@@ -689,13 +689,13 @@
             await anyio.sleep(3.0)
             tell_all(system)
             await anyio.sleep(0.1)
-            system.book.avoid("e0", "a connection broke")
+            system.registry.avoid("e0", "a connection broke")
             await anyio.sleep(2.0)
             assert all(
                 system.fleet.at(one.address).orders_taken == 1
                 for one in system.listed.values()
             )
-            assert system.book.is_usable("e0")
+            assert system.registry.is_usable("e0")
 
         play_duty(work, count=8)
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -410,7 +410,7 @@
                 request = system.request(IDEMPOTENT)
                 callers.append(await system.ask(request))
 
-            system.book.back_off(found[0].name, 0.2)
+            system.registry.back_off(found[0].name, 0.2)
             async with anyio.create_task_group() as tasks:
                 for _ in range(300):
                     tasks.start_soon(ask)
@@ -429,11 +429,11 @@
             async def ask() -> None:
                 waiting.append(await system.ask(system.request(IDEMPOTENT)))
 
-            system.book.back_off(found[0].name, 0.2)
+            system.registry.back_off(found[0].name, 0.2)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.1)
-                system.book.on_changed((), (found[0].life.id,))
+                system.registry.on_changed((), (found[0].life.id,))
                 began = anyio.current_time()
                 caller = await system.ask(system.request(IDEMPOTENT))
                 assert caller.error is not None
@@ -478,7 +478,7 @@
         ) -> None:
             await system.ask(system.request(IDEMPOTENT))
             assert system.context.limits.per_second(one) <= 1.0
-            system.book.on_changed((), (one.life.id,))
+            system.registry.on_changed((), (one.life.id,))
             assert system.context.limits.per_second(one) == float("inf")
 
         self.play(work)
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -70,14 +70,14 @@
 def leave_by_answers(system: System, name: str) -> None:
     target = system.fleet.at(system.listed[name].address)
     target.announces_leaving = True
-    system.book.note_leaving(name)
+    system.registry.note_leaving(name)
 
 
 def end(system: System, name: str) -> None:
     target = system.fleet.at(system.listed[name].address)
     target.is_dead = True
     del system.listed[name]
-    system.book.on_changed((), (name,))
+    system.registry.on_changed((), (name,))
 
 
 LOSSES = (leave_by_store, leave_by_answers, end)
@@ -117,7 +117,7 @@
         """Return a giver of orders that knows nothing yet."""
         return controllers.PlacementController(
             typing.cast(leases.Lease, self.ledger),
-            self.system.book,
+            self.system.registry,
             orders or self.system.fleet,
             lambda: self.system.holder.services,
         )
@@ -705,7 +705,7 @@
         ) -> None:
             tasks.start_soon(playing.duty(orders).run)
             await anyio.sleep(1.0)
-            playing.system.book.back_off("e0", 60.0)
+            playing.system.registry.back_off("e0", 60.0)
             end(playing.system, "e1")
             await anyio.sleep(SERVED_SECONDS)
             assert playing.is_whole
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -309,7 +309,7 @@
                 await anyio.sleep(0.3)
                 system.fleet.is_cut_off = False
             assert_whole(callers[0], request, system.fleet.events)
-            assert system.book.avoided() == ()
+            assert system.registry.avoided() == ()
             assert len(system.fleet.runs_of(request.id)) == 1
 
         play(work)
@@ -520,7 +520,7 @@
                 tasks.start_soon(hog)
             assert_whole(callers[0], request, system.fleet.events)
             assert len(system.fleet.runs_of(request.id)) == 1
-            assert system.book.avoided() == ()
+            assert system.registry.avoided() == ()
 
         play(work)
 
@@ -845,7 +845,7 @@
                 while True:
                     await anyio.sleep(0.005)
                     for run in system.fleet.runs_of(request.id):
-                        system.book.pause(run.upstream, 5.0, "full")
+                        system.registry.pause(run.upstream, 5.0, "full")
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(refuse_others)
@@ -876,7 +876,7 @@
             system.fleet.at(head.address).lost_answers = 1
             caller = await system.ask(system.request(STREAM))
             assert caller.is_whole
-            assert system.book.is_usable(head.name)
+            assert system.registry.is_usable(head.name)
 
         play(work)
 
@@ -903,13 +903,13 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             stale = system.fleet.at(system.listed["plateau-0-2"].address)
             stale.listed = attrs.evolve(stale.listed, layers=None)
-            monkeypatch.setattr(system.book, "at", lambda _: None)
+            monkeypatch.setattr(system.registry, "at", lambda _: None)
             for _ in range(3):
                 caller = await system.ask(system.request(STREAM))
                 assert caller.is_whole
-            assert not system.book.is_usable("plateau-0-2")
-            assert system.book.is_usable("plateau-0-0")
-            assert system.book.is_usable("plateau-1-0")
+            assert not system.registry.is_usable("plateau-0-2")
+            assert system.registry.is_usable("plateau-0-0")
+            assert system.registry.is_usable("plateau-1-0")
 
         play(work)
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -405,13 +405,13 @@
             system.list_instance(attrs.evolve(one, is_leaving=True))
             system.listed["a"] = one
             old = stores.StoredObject("upstreams", "a", 1, b"{}")
-            system.book.on_listed((old,))
-            assert system.book.usable(one.service) == ()
+            system.registry.on_listed((old,))
+            assert system.registry.usable(one.service) == ()
             await anyio.sleep(books.LAST_WORK_SECONDS)
-            assert system.book.last_resort(one.service) == ()
+            assert system.registry.last_resort(one.service) == ()
             # What it writes itself from then on is believed.
             system.list_instance(one)
-            assert system.book.usable(one.service) == (one,)
+            assert system.registry.usable(one.service) == (one,)
 
         virtual.run(body)
 
@@ -424,8 +424,8 @@
             again = attrs.evolve(again, instance_id="a")
             system.listed["a"] = again
             entry = stores.StoredObject("upstreams", "a", 2, b"{}")
-            system.book.on_listed((entry,))
-            assert system.book.usable(one.service) == (again,)
+            system.registry.on_listed((entry,))
+            assert system.registry.usable(one.service) == (again,)
 
         virtual.run(body)
 
@@ -436,10 +436,10 @@
             store = standin_store.StandinStore()
             contact = contacts.StoreContact()
             listed = {"a": fleet_system.upstream("a")}
-            book = books.UpstreamRegistry(lambda one: listed[one.name])
-            book.watch_store(lambda: contact.failed_at)
+            registry = books.UpstreamRegistry(lambda one: listed[one.name])
+            registry.watch_store(lambda: contact.failed_at)
             mirror = mirrors.Mirror(
-                store, "upstreams", book, 0.8, contact=contact
+                store, "upstreams", registry, 0.8, contact=contact
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
@@ -449,7 +449,9 @@
                 await anyio.sleep(1.0)
                 store.restore(backup)
                 await anyio.sleep(1.0)
-                assert [one.name for one in book.listed("assistant")] == ["a"]
+                assert [one.name for one in registry.listed("assistant")] == [
+                    "a"
+                ]
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -115,7 +115,7 @@
             lease = leases.Lease(store, "placement", "one")
             orders = SleepyOrders(system.fleet, asks)
             placement = controllers.PlacementController(
-                lease, system.book, orders, lambda: system.holder.services
+                lease, system.registry, orders, lambda: system.holder.services
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(lease.run)
@@ -275,7 +275,7 @@
                 assert whole.startswith(caller.body)
                 assert caller.is_whole is (caller.body == whole)
                 # Nobody is blamed for our own sleep.
-                assert one.book.avoided() == ()
+                assert one.registry.avoided() == ()
 
             await fleet_system.run_with(system, work)
 
@@ -292,9 +292,9 @@
             system.add(one)
             leaving = fleet_system.attrs.evolve(one, is_leaving=True)
             system.list_instance(leaving)
-            assert system.book.last_resort(fleet_system.MODEL)
+            assert system.registry.last_resort(fleet_system.MODEL)
             sleep_through(seconds)
-            left = system.book.last_resort(fleet_system.MODEL)
+            left = system.registry.last_resort(fleet_system.MODEL)
             assert bool(left) is (seconds < 1.0)
 
         virtual.run(body)
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -75,7 +75,7 @@
     """End engines, and remove their entries."""
     for name in names:
         system.fleet.at(system.listed[name].address).is_dead = True
-        system.book.on_changed((), (name,))
+        system.registry.on_changed((), (name,))
 
 
 def told_lines(kind: str, lines: list[dict[str, typing.Any]]) -> list[str]:
@@ -277,7 +277,7 @@
 
     def test_one_that_ended_holds_nothing_though_it_is_listed(self) -> None:
         async def work(system: System) -> None:
-            system.book.avoid("e-1", "refused", is_gone=True)
+            system.registry.avoid("e-1", "refused", is_gone=True)
             await anyio.sleep(0.6)
             assert [str(one) for one in system.context.gaps.known] == ["20-40"]
             began = anyio.current_time()
