--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -123,7 +123,7 @@
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
         self._lease = lease
-        self._book = registry
+        self._registry = registry
         self._orders = orders
         self._services = services
         self._pending: dict[str, _Pending] = {}
@@ -238,13 +238,13 @@
     def _are_leaving(self, service: str, missing: list[int]) -> bool:
         """Whether those that hold some layers say that they leave."""
         left = set(missing)
-        for one in self._book.listed(service):
+        for one in self._registry.listed(service):
             if one.is_leaving and one.layers is not None:
                 left -= set(range(one.layers.first, one.layers.end))
         return not left
 
     def _can_be_ordered(self, upstream: chain.Upstream) -> bool:
-        resting = self._book.seconds_backing_off(upstream.name)
+        resting = self._registry.seconds_backing_off(upstream.name)
         return self._is_idle(upstream) and not resting
 
     async def _take(self, steps: list[rearrangement.Step]) -> bool:
@@ -322,7 +322,7 @@
     def _engines(self, service: routes.Service) -> list[chain.Upstream]:
         """Return the engines that live, with what they are going to hold."""
         found = []
-        for one in self._book.listed(service.name):
+        for one in self._registry.listed(service.name):
             if one.is_leaving or self._losses.is_lost(one.name):
                 continue
             pending = self._pending.get(one.name)
@@ -334,7 +334,7 @@
         name = expected.name
         if name in self._doubts:
             return attrs.evolve(expected, layers=None)
-        listed = self._book.find(name)
+        listed = self._registry.find(name)
         held = listed.layers if listed is not None else None
         return attrs.evolve(expected, layers=_common(held, expected.layers))
 
@@ -363,7 +363,7 @@
     def _forget_pending(self) -> None:
         now = anyio.current_time()
         for name, pending in list(self._pending.items()):
-            listed = self._book.find(name)
+            listed = self._registry.find(name)
             is_done = (
                 listed is None or listed.layers == pending.expected.layers
             )
@@ -385,14 +385,14 @@
 
     async def _order(self, move: plan.Move) -> "_Outcome":
         name = move.upstream.name
-        if self._book.seconds_backing_off(name):
+        if self._registry.seconds_backing_off(name):
             # Planned again at the next look.
             return _Outcome.NOT_SENT
         self._expect(move, UNKNOWN_SECONDS)
         try:
             report = await self._orders.report(move.upstream)
         except errors.CrowdeckError as error:
-            self._book.avoid(name, f"no report: {error.message}")
+            self._registry.avoid(name, f"no report: {error.message}")
             return _Outcome.NOT_SENT
         if report.is_busy or report.layers != move.upstream.layers:
             # It carries out an order already, or its entry lags behind:
--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -54,7 +54,7 @@
         engines: Reporter,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
-        self._book = registry
+        self._registry = registry
         self._engines = engines
         self._services = services
         self._unanswered: collections.Counter[str] = collections.Counter()
@@ -71,13 +71,13 @@
 
     async def _question_avoided(self) -> None:
         """Ask the engines that failed a request whether they live."""
-        avoided = self._book.avoided()
+        avoided = self._registry.avoided()
         for name in set(self._unanswered) - {one.name for one in avoided}:
             del self._unanswered[name]
         asked = [
             one
             for one in avoided
-            if one.card and not self._book.seconds_backing_off(one.name)
+            if one.card and not self._registry.seconds_backing_off(one.name)
         ]
         await _each(self._question, asked)
 
@@ -86,14 +86,14 @@
         if not self._sweeps_left:
             return
         self._sweeps_left -= 1
-        avoided = {one.name for one in self._book.avoided()}
+        avoided = {one.name for one in self._registry.avoided()}
         asked = [
             one
             for service in self._services()
-            for one in self._book.listed(service.name)
+            for one in self._registry.listed(service.name)
             if one.card
             and one.name not in avoided
-            and not self._book.seconds_backing_off(one.name)
+            and not self._registry.seconds_backing_off(one.name)
         ]
         silent: list[chain.Upstream] = []
 
@@ -117,7 +117,7 @@
         for one in silent:
             # They are asked once more before anything is moved.
             self._unanswered[one.name] += 1
-            self._book.avoid(one.name, "no report when all were asked")
+            self._registry.avoid(one.name, "no report when all were asked")
 
     async def _question(self, upstream: chain.Upstream) -> None:
         try:
@@ -133,7 +133,7 @@
                 )
                 self._sweeps_left = SWEEPS
             return
-        self._book.trust(upstream.name)
+        self._registry.trust(upstream.name)
 
 
 async def _each(
--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -86,7 +86,7 @@
     def __init__(
         self, registry: books.UpstreamRegistry, limits: rate_limits.RateLimits
     ) -> None:
-        self._book = registry
+        self._registry = registry
         self._limits = limits
         self._known: dict[tuple[str, SignalKind], BackpressureSignal] = {}
         self._gauges: set[str] = set()
@@ -101,16 +101,18 @@
         The first few of them; they are named with a request.
         """
         names = itertools.chain(
-            (name for name, _, _ in self._book.resting()),
-            (name for name, _ in self._book.said_leaving()),
+            (name for name, _, _ in self._registry.resting()),
+            (name for name, _ in self._registry.said_leaving()),
             self._limits.names(),
         )
         found = (
             str(one.address)
             for name in dict.fromkeys(names)
-            if (one := self._book.find(name)) is not None
+            if (one := self._registry.find(name)) is not None
             and one.service == service
-            and not (self._book.is_usable(name) and self._limits.allows(one))
+            and not (
+                self._registry.is_usable(name) and self._limits.allows(one)
+            )
         )
         return ",".join(itertools.islice(found, NAMED_MOST))
 
@@ -122,7 +124,7 @@
 
     def _limited(self) -> typing.Iterator[BackpressureSignal]:
         for one in self._limits.views():
-            upstream = self._book.find(one.name)
+            upstream = self._registry.find(one.name)
             if upstream is not None:
                 yield BackpressureSignal(
                     upstream,
@@ -135,8 +137,8 @@
 
     def _resting(self) -> typing.Iterator[BackpressureSignal]:
         now = anyio.current_time()
-        for name, since, until in self._book.resting():
-            upstream = self._book.find(name)
+        for name, since, until in self._registry.resting():
+            upstream = self._registry.find(name)
             if upstream is not None:
                 left = until - now
                 yield BackpressureSignal(
@@ -144,8 +146,8 @@
                 )
 
     def _leaving(self) -> typing.Iterator[BackpressureSignal]:
-        for name, since in self._book.said_leaving():
-            upstream = self._book.find(name)
+        for name, since in self._registry.said_leaving():
+            upstream = self._registry.find(name)
             if upstream is not None:
                 yield BackpressureSignal(upstream, SignalKind.LEAVING, since)
 
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -128,7 +128,7 @@
     """Finds the layers that no engine holds, and tells operators."""
 
     def __init__(self, registry: books.UpstreamRegistry) -> None:
-        self._book = registry
+        self._registry = registry
         self._gaps: dict[str, Gap] = {}
         self._looked_at: dict[str, float] = {}
         self._whole: set[str] = set()
@@ -148,8 +148,9 @@
         staying = chain.fitting(
             (
                 one
-                for one in self._book.listed(service)
-                if not one.is_leaving and not self._book.has_ended(one.name)
+                for one in self._registry.listed(service)
+                if not one.is_leaving
+                and not self._registry.has_ended(one.name)
             ),
             profile.layer_count,
         )
