--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -18,7 +18,7 @@
 from crowdeck import http
 from crowdeck import instance as instances
 from crowdeck.membership import peer_http
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.platform import callers
@@ -263,7 +263,7 @@
 
 async def _place(
     lease: leases.Lease,
-    registry: books.UpstreamRegistry,
+    registry: registries.UpstreamRegistry,
     upstreams: engines.UpstreamClient,
     holder: relays.ConfigHolder,
 ) -> None:
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -10,7 +10,7 @@
 from crowdeck import instance as instances
 from crowdeck.membership import readers
 from crowdeck.membership import roster as rosters
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.platform import config as platform_config
 from crowdeck.platform import names
 from crowdeck.platform import upstreams as platform_upstreams
@@ -48,7 +48,7 @@
         config: configs.Config,
         peers: readers.PeerStore,
     ) -> None:
-        self.registry = books.UpstreamRegistry(platform_upstreams.decode)
+        self.registry = registries.UpstreamRegistry(platform_upstreams.decode)
         self.holder = relays.ConfigHolder(
             platform_config.decode, names.CONFIG_NAME
         )
--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -13,7 +13,7 @@
 
 from crowdeck import chain
 from crowdeck import errors
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck import pipeline
@@ -118,7 +118,7 @@
     def __init__(
         self,
         lease: leases.Lease,
-        registry: books.UpstreamRegistry,
+        registry: registries.UpstreamRegistry,
         orders: OrderClient,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -12,7 +12,7 @@
 
 from crowdeck import chain
 from crowdeck import errors
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck import route as routes
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        registry: books.UpstreamRegistry,
+        registry: registries.UpstreamRegistry,
         engines: Reporter,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -12,7 +12,7 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import http
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.relay import context as contexts
 from crowdeck.relay import events
 from crowdeck.relay import interfaces
@@ -163,7 +163,7 @@
         is_stale = answer.status == STALE_STATUS
         self._context.registry.pause(
             culprit.name,
-            books.STALE_SECONDS if is_stale else books.FULL_SECONDS,
+            registries.STALE_SECONDS if is_stale else registries.FULL_SECONDS,
             f"refused with {answer.status}",
         )
         return errors.CrowdeckError(
--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -14,7 +14,7 @@
 import attrs
 
 from crowdeck import chain
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.routing import rate_limits
@@ -84,7 +84,9 @@
     """Gathers what instances ask of this entry, or of all."""
 
     def __init__(
-        self, registry: books.UpstreamRegistry, limits: rate_limits.RateLimits
+        self,
+        registry: registries.UpstreamRegistry,
+        limits: rate_limits.RateLimits,
     ) -> None:
         self._registry = registry
         self._limits = limits
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -14,7 +14,7 @@
 
 from crowdeck import chain
 from crowdeck.membership import roster as rosters
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.quarantine import ledger as ledgers
@@ -65,7 +65,7 @@
     """
 
     zone: str
-    registry: books.UpstreamRegistry
+    registry: registries.UpstreamRegistry
     client: interfaces.Upstreams
     usage: usages.InFlight
     planner: hops.HopPlanner
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -12,7 +12,7 @@
 import attrs
 
 from crowdeck import chain
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck import pipeline
@@ -127,7 +127,7 @@
 class LayerGaps:
     """Finds the layers that no engine holds, and tells operators."""
 
-    def __init__(self, registry: books.UpstreamRegistry) -> None:
+    def __init__(self, registry: registries.UpstreamRegistry) -> None:
         self._registry = registry
         self._gaps: dict[str, Gap] = {}
         self._looked_at: dict[str, float] = {}
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -16,7 +16,7 @@
 from crowdeck import errors
 from crowdeck import http
 from crowdeck import instance as instances
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck import pipeline
 from crowdeck.quarantine import ledger as ledgers
 from crowdeck.relay import context as contexts
@@ -165,7 +165,7 @@
         self.fleet = fleet or chain_fleet.ChainFleet()
         self.name = name
         self.listed: dict[str, chain.Upstream] = {}
-        self.registry = books.UpstreamRegistry(
+        self.registry = registries.UpstreamRegistry(
             lambda one: self.listed[one.name]
         )
         self.usage = usages.InFlight()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -20,7 +20,7 @@
 
 from crowdeck import chain
 from crowdeck.membership import leavers
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.placement import controller as controllers
 from crowdeck.placement import failure_detector
 from crowdeck import route as routes
@@ -445,7 +445,7 @@
             system.registry.watch_store(anyio.current_time)
             system.registry.on_changed((), (one.life.id,))
             system.registry.note_leaving(one.name)
-            await anyio.sleep(books.LAPSE_SECONDS + 0.1)
+            await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
             assert one.name not in {
                 it.name for it in system.registry.listed(one.service)
             }
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -11,7 +11,7 @@
 
 from crowdeck import errors
 from crowdeck.membership import roster as rosters
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.standin import store as standin_store
 from crowdeck.state import contact as contacts
 from crowdeck.state import mirror as mirrors
@@ -296,9 +296,9 @@
         self.play(work)
 
 
-def a_book() -> tuple[books.UpstreamRegistry, dict[str, object]]:
+def a_book() -> tuple[registries.UpstreamRegistry, dict[str, object]]:
     listed: dict[str, object] = {}
-    registry = books.UpstreamRegistry(
+    registry = registries.UpstreamRegistry(
         lambda stored: listed[stored.name]  # type: ignore[return-value]
     )
     return registry, listed
@@ -309,7 +309,7 @@
 
 
 def tell(
-    registry: books.UpstreamRegistry,
+    registry: registries.UpstreamRegistry,
     listed: dict[str, object],
     name: str,
     version: int = 1,
@@ -318,7 +318,7 @@
     registry.on_changed((entry(name, version),), ())
 
 
-def names_of(registry: books.UpstreamRegistry) -> set[str]:
+def names_of(registry: registries.UpstreamRegistry) -> set[str]:
     return {one.name for one in registry.usable(fleet_system.MODEL)}
 
 
@@ -355,7 +355,7 @@
             assert pauses[-1] >= 4 * pauses[0]
             registry.trust("a")
             registry.avoid("a", "refused")
-            await anyio.sleep(books.AVOID_SECONDS + 0.1)
+            await anyio.sleep(registries.AVOID_SECONDS + 0.1)
             assert names_of(registry) == {"a"}
 
         virtual.run(body)
@@ -388,10 +388,10 @@
             registry, listed = a_book()
             tell(registry, listed, "a")
             registry.avoid("a", "refused")
-            await anyio.sleep(books.AVOID_SECONDS + 0.1)
+            await anyio.sleep(registries.AVOID_SECONDS + 0.1)
             assert [one.name for one in registry.due_for_proof()] == ["a"]
             assert registry.due_for_proof() == ()
-            await anyio.sleep(books.UNSURE_SECONDS + 0.01)
+            await anyio.sleep(registries.UNSURE_SECONDS + 0.01)
             assert [one.name for one in registry.due_for_proof()] == ["a"]
 
         virtual.run(body)
@@ -402,15 +402,17 @@
             tell(registry, listed, "a")
             pauses = []
             for _ in range(4):
-                registry.pause("a", books.FULL_SECONDS, "refused with 503")
+                registry.pause(
+                    "a", registries.FULL_SECONDS, "refused with 503"
+                )
                 began = anyio.current_time()
                 while not names_of(registry):
                     await anyio.sleep(0.05)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses[-1] >= 3 * pauses[0]
-            await anyio.sleep(books.APART_SECONDS + 0.1)
-            registry.pause("a", books.FULL_SECONDS, "refused with 503")
-            await anyio.sleep(books.FULL_SECONDS + 0.05)
+            await anyio.sleep(registries.APART_SECONDS + 0.1)
+            registry.pause("a", registries.FULL_SECONDS, "refused with 503")
+            await anyio.sleep(registries.FULL_SECONDS + 0.05)
             assert names_of(registry) == {"a"}
 
         virtual.run(body)
@@ -438,7 +440,7 @@
             registry.trust("a")
             assert names_of(registry) == {"a"}
             # An entry that is missing after all is taken as gone.
-            await anyio.sleep(books.LAPSE_SECONDS + 0.1)
+            await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
             assert names_of(registry) == set()
 
         virtual.run(body)
@@ -471,7 +473,7 @@
             registry.on_listed(())
             tell(registry, listed, "a")
             assert names_of(registry) == {"a"}
-            await anyio.sleep(books.LAPSE_SECONDS + 0.1)
+            await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
             assert names_of(registry) == {"a"}
 
         virtual.run(body)
@@ -487,9 +489,9 @@
             service = fleet_system.MODEL
             assert [one.name for one in registry.last_resort(service)] == ["a"]
             # Well before the two seconds after which none may reach it.
-            await anyio.sleep(books.LAST_WORK_SECONDS + 0.01)
+            await anyio.sleep(registries.LAST_WORK_SECONDS + 0.01)
             assert registry.last_resort(service) == ()
-            assert books.LAST_WORK_SECONDS <= 1.0
+            assert registries.LAST_WORK_SECONDS <= 1.0
 
         virtual.run(body)
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -24,7 +24,7 @@
 from crowdeck import instance as instances
 from crowdeck.membership import peer_http
 from crowdeck.membership import roster as rosters
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.placement import plan
 from crowdeck.platform import config
 from crowdeck.platform import names
@@ -245,7 +245,7 @@
             good = orjson.dumps(ENTRY)
             content = listing(item("a", good), spoilt, item("z", good))
             changes = await ask(content).list("servers")
-            one = books.UpstreamRegistry(upstreams.decode)
+            one = registries.UpstreamRegistry(upstreams.decode)
             one.on_listed(changes.objects)
             usable = one.usable(fleet_system.MODEL)
             # Both have one address, of which the newer one keeps it.
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -16,7 +16,7 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import instance as instances
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck import pipeline
 from crowdeck.platform import names
 from crowdeck.platform import upstreams
@@ -50,7 +50,7 @@
     """A book of upstreams, and the ends that it told of."""
 
     def __init__(self) -> None:
-        self.registry = books.UpstreamRegistry(upstreams.decode)
+        self.registry = registries.UpstreamRegistry(upstreams.decode)
         self.ends: list[str] = []
         self.registry.subscribe_ends(lambda one: self.ends.append(one.name))
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -36,7 +36,7 @@
 from crowdeck import errors
 from crowdeck import instance as instances
 from crowdeck.membership import roster as rosters
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.quarantine import fingerprint as fingerprints
 from crowdeck.quarantine import ledger as ledgers
 from crowdeck.standin import store as standin_store
@@ -407,7 +407,7 @@
             old = stores.StoredObject("upstreams", "a", 1, b"{}")
             system.registry.on_listed((old,))
             assert system.registry.usable(one.service) == ()
-            await anyio.sleep(books.LAST_WORK_SECONDS)
+            await anyio.sleep(registries.LAST_WORK_SECONDS)
             assert system.registry.last_resort(one.service) == ()
             # What it writes itself from then on is believed.
             system.list_instance(one)
@@ -436,7 +436,9 @@
             store = standin_store.StandinStore()
             contact = contacts.StoreContact()
             listed = {"a": fleet_system.upstream("a")}
-            registry = books.UpstreamRegistry(lambda one: listed[one.name])
+            registry = registries.UpstreamRegistry(
+                lambda one: listed[one.name]
+            )
             registry.watch_store(lambda: contact.failed_at)
             mirror = mirrors.Mirror(
                 store, "upstreams", registry, 0.8, contact=contact
