--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -52,7 +52,7 @@
         self.holder = relays.ConfigHolder(
             platform_config.decode, names.CONFIG_NAME
         )
-        self.ledger = ledgers.Ledger()
+        self.ledger = ledgers.QuarantineTracker()
         self.roster = rosters.Roster(
             store, config.name, _note(config), self.ledger
         )
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -76,12 +76,12 @@
         store: stores.ObjectStore,
         name: str,
         note: Note,
-        ledger: ledgers.Ledger | None = None,
+        ledger: ledgers.QuarantineTracker | None = None,
     ) -> None:
         self._store = store
         self._name = name
         self._note = note
-        self._ledger = ledger or ledgers.Ledger()
+        self._ledger = ledger or ledgers.QuarantineTracker()
         self._must_write = anyio.Event()
         self._ledger.subscribe_own(self._tell)
         self._notes: dict[str, Note] = {name: note}
--- a/src/crowdeck/quarantine/ledger.py
+++ b/src/crowdeck/quarantine/ledger.py
@@ -81,7 +81,7 @@
     until: float
 
 
-class Ledger:
+class QuarantineTracker:
     """Ends of instances, as this entry and the others saw them.
 
     :param clock: returns the time of day, in seconds.
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -77,7 +77,9 @@
         factory=loop_lag.LoopLagMeter
     )
     rng: random.Random = attrs.field(factory=random.Random)
-    ledger: ledgers.Ledger = attrs.field(factory=ledgers.Ledger)
+    ledger: ledgers.QuarantineTracker = attrs.field(
+        factory=ledgers.QuarantineTracker
+    )
     limits: rate_limits.RateLimits = attrs.field(init=False)
     retry_advisor: retry_advice.RetryAdvisor = attrs.field(init=False)
     gaps: layer_gaps.LayerGaps = attrs.field(init=False)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -154,8 +154,8 @@
         return self.now
 
 
-def ledger_after(ends: int, clock: Clock) -> ledgers.Ledger:
-    one = ledgers.Ledger(clock)
+def ledger_after(ends: int, clock: Clock) -> ledgers.QuarantineTracker:
+    one = ledgers.QuarantineTracker(clock)
     for number in range(ends):
         one.note_lost(f"e{number}", ledgers.Trial(CAUSE, None))
         one.note_end(f"e{number}")
@@ -182,7 +182,7 @@
 
     def test_a_lost_connection_alone_is_no_end(self) -> None:
         def body() -> None:
-            one = ledgers.Ledger(Clock())
+            one = ledgers.QuarantineTracker(Clock())
             for number in range(5):
                 one.note_lost(f"e{number}", ledgers.Trial(CAUSE, None))
             assert one.is_empty
@@ -191,7 +191,7 @@
 
     def test_an_end_without_a_lost_attempt_tells_nothing(self) -> None:
         def body() -> None:
-            one = ledgers.Ledger(Clock())
+            one = ledgers.QuarantineTracker(Clock())
             one.note_end("e")
             assert one.is_empty and not one.own
 
@@ -199,7 +199,7 @@
 
     def test_an_attempt_that_ran_well_is_no_suspect(self) -> None:
         def body() -> None:
-            one = ledgers.Ledger(Clock())
+            one = ledgers.QuarantineTracker(Clock())
             sound = ledgers.SOUND_SECONDS + 0.01
             one.note_lost("e", ledgers.Trial(CAUSE, sound))
             one.note_end("e")
@@ -209,7 +209,7 @@
 
     def test_an_end_that_comes_too_late_is_another_matter(self) -> None:
         async def body() -> None:
-            one = ledgers.Ledger(Clock())
+            one = ledgers.QuarantineTracker(Clock())
             one.note_lost("e", ledgers.Trial(CAUSE, None))
             await anyio.sleep(ledgers.PENDING_SECONDS + 0.1)
             one.note_end("e")
@@ -222,7 +222,7 @@
     ) -> None:
         async def body() -> None:
             for seconds, is_suspect in ((0.1, True), (1.1, False)):
-                one = ledgers.Ledger(Clock())
+                one = ledgers.QuarantineTracker(Clock())
                 one.note_left("e", ledgers.Trial(CAUSE, None))
                 await anyio.sleep(seconds)
                 one.note_end("e")
@@ -232,7 +232,7 @@
 
     def test_a_planned_end_is_no_evidence(self) -> None:
         def body() -> None:
-            one = ledgers.Ledger(Clock())
+            one = ledgers.QuarantineTracker(Clock())
             one.note_lost("e", ledgers.Trial(CAUSE, None))
             one.forget("e")
             one.note_end("e")
@@ -254,7 +254,7 @@
     def test_what_claims_to_be_of_the_future_counts_for_nothing(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = ledgers.Ledger(clock)
+            one = ledgers.QuarantineTracker(clock)
             late = clock.now + 2 * ledgers.AHEAD_SECONDS
             one.take(
                 "spoilt",
@@ -300,7 +300,10 @@
     def test_entries_add_up_what_they_saw(self) -> None:
         def body() -> None:
             clock = Clock()
-            one, other = ledger_after(1, clock), ledgers.Ledger(clock)
+            one, other = (
+                ledger_after(1, clock),
+                ledgers.QuarantineTracker(clock),
+            )
             for name in ("x", "y"):
                 other.note_lost(name, ledgers.Trial(CAUSE, None))
                 other.note_end(name)
@@ -313,7 +316,10 @@
     def test_what_others_saw_of_one_served_here_is_answered(self) -> None:
         def body() -> None:
             clock = Clock()
-            one, other = ledgers.Ledger(clock), ledger_after(3, clock)
+            one, other = (
+                ledgers.QuarantineTracker(clock),
+                ledger_after(3, clock),
+            )
             one.note_served(CAUSE)
             assert not one.own
             one.take("other", other.own)
@@ -326,7 +332,7 @@
     def test_what_had_begun_is_blamed_once_all_can_have_told(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = ledgers.Ledger(clock)
+            one = ledgers.QuarantineTracker(clock)
             for number in range(3):
                 one.note_lost(f"e{number}", ledgers.Trial(CAUSE, 0.1))
                 one.note_end(f"e{number}")
@@ -360,7 +366,7 @@
     def test_listeners_hear_of_it_once(self) -> None:
         def body() -> None:
             heard = collections.Counter[str]()
-            one = ledgers.Ledger(Clock())
+            one = ledgers.QuarantineTracker(Clock())
             one.subscribe(lambda: heard.update(["culprit"]))
             for number in range(5):
                 one.note_lost(f"e{number}", ledgers.Trial(CAUSE, None))
@@ -519,7 +525,7 @@
         self.play(2, body)
 
 
-def lose(one: ledgers.Ledger, count: int, name: str = "e") -> None:
+def lose(one: ledgers.QuarantineTracker, count: int, name: str = "e") -> None:
     """Have instances end under the cause at an entry."""
     for number in range(count):
         one.note_lost(f"{name}{number}", ledgers.Trial(CAUSE, None))
@@ -530,9 +536,9 @@
     store: standin_store.StandinStore,
     name: str,
     tasks: anyio.abc.TaskGroup,
-) -> ledgers.Ledger:
+) -> ledgers.QuarantineTracker:
     """Start an entry's part in the notes; returns its memory."""
-    one = ledgers.Ledger(anyio.current_time)
+    one = ledgers.QuarantineTracker(anyio.current_time)
     roster = rosters.Roster(store, name, rosters.Note("a"), one)
     mirror = mirrors.Mirror(
         store, rosters.KIND, roster, 10.0, lambda: rosters.NOTES_LINGER
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -275,7 +275,7 @@
         self.store = standin_store.StandinStore()
         self.empty = self.store.back_up()
         self.rosters: dict[str, rosters.Roster] = {}
-        self.ledgers: dict[str, ledgers.Ledger] = {}
+        self.ledgers: dict[str, ledgers.QuarantineTracker] = {}
         self.lives: dict[str, anyio.CancelScope] = {}
         self._tasks = tasks
 
@@ -284,7 +284,9 @@
         self.stop(name)
         address = instances.Address("10.0.0.1", 7340)
         note = rosters.Note("plateau", address, capacity)
-        ledger = self.ledgers[name] = ledgers.Ledger(anyio.current_time)
+        ledger = self.ledgers[name] = ledgers.QuarantineTracker(
+            anyio.current_time
+        )
         roster = rosters.Roster(self.store, name, note, ledger)
         self.rosters[name] = roster
         self._tasks.start_soon(self._live, name, roster)
