--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -14,7 +14,7 @@
 from crowdeck.platform import config as platform_config
 from crowdeck.platform import names
 from crowdeck.platform import upstreams as platform_upstreams
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as ledgers
 from crowdeck.relay import relay as relays
 from crowdeck.settings import config as configs
 from crowdeck.state import contact as contacts
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -16,7 +16,7 @@
 from crowdeck.membership import readers
 from crowdeck.observe import logs
 from crowdeck.quarantine import evidence as evidences
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as ledgers
 from crowdeck.routing import rendezvous
 from crowdeck.state import objects as stores
 
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -17,7 +17,7 @@
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as ledgers
 from crowdeck.relay import attempt as attempts
 from crowdeck.relay import context as contexts
 from crowdeck.relay import interfaces
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -17,7 +17,7 @@
 from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as ledgers
 from crowdeck.relay import backpressure_monitor
 from crowdeck.relay import gaps as layer_gaps
 from crowdeck.relay import interfaces
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -12,7 +12,7 @@
 
 from crowdeck import chain
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as ledgers
 from crowdeck.relay import request as requests
 from crowdeck import route as routes
 from crowdeck.routing import budget as budgets
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -18,7 +18,7 @@
 from crowdeck import instance as instances
 from crowdeck.membership import upstreams as registries
 from crowdeck import pipeline
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as ledgers
 from crowdeck.relay import context as contexts
 from crowdeck.relay import relay as relays
 from crowdeck.relay import request as requests
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -25,7 +25,7 @@
 from crowdeck import errors
 from crowdeck.quarantine import evidence
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as ledgers
 from crowdeck.relay import request as requests
 from crowdeck.standin import chain_fleet
 from crowdeck import verdict as verdicts
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -19,7 +19,7 @@
 from crowdeck.quarantine import causes
 from crowdeck.quarantine import evidence
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as ledgers
 from crowdeck.standin import store as standin_store
 from crowdeck.state import mirror as mirrors
 from crowdeck import verdict as verdicts
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -38,7 +38,7 @@
 from crowdeck.membership import roster as rosters
 from crowdeck.membership import upstreams as registries
 from crowdeck.quarantine import fingerprint as fingerprints
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as ledgers
 from crowdeck.standin import store as standin_store
 from crowdeck.state import contact as contacts
 from crowdeck.state import mirror as mirrors
