--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -14,7 +14,7 @@
 from crowdeck.platform import config as platform_config
 from crowdeck.platform import names
 from crowdeck.platform import upstreams as platform_upstreams
-from crowdeck.quarantine import tracker as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import relay as relays
 from crowdeck.settings import config as configs
 from crowdeck.state import contact as contacts
@@ -52,7 +52,7 @@
         self.holder = relays.ConfigHolder(
             platform_config.decode, names.CONFIG_NAME
         )
-        self.ledger = ledgers.QuarantineTracker()
+        self.ledger = trackers.QuarantineTracker()
         self.roster = rosters.Roster(
             store, config.name, _note(config), self.ledger
         )
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -16,7 +16,7 @@
 from crowdeck.membership import readers
 from crowdeck.observe import logs
 from crowdeck.quarantine import evidence as evidences
-from crowdeck.quarantine import tracker as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.routing import rendezvous
 from crowdeck.state import objects as stores
 
@@ -76,12 +76,12 @@
         store: stores.ObjectStore,
         name: str,
         note: Note,
-        ledger: ledgers.QuarantineTracker | None = None,
+        ledger: trackers.QuarantineTracker | None = None,
     ) -> None:
         self._store = store
         self._name = name
         self._note = note
-        self._ledger = ledger or ledgers.QuarantineTracker()
+        self._ledger = ledger or trackers.QuarantineTracker()
         self._must_write = anyio.Event()
         self._ledger.subscribe_own(self._tell)
         self._notes: dict[str, Note] = {name: note}
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -17,7 +17,7 @@
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import tracker as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import attempt as attempts
 from crowdeck.relay import context as contexts
 from crowdeck.relay import interfaces
@@ -183,7 +183,7 @@
             return
         if error.code is not errors.Code.UPSTREAM_LOST:
             return
-        trial = ledgers.Trial(self._fingerprint, None)
+        trial = trackers.Trial(self._fingerprint, None)
         self._context.ledger.note_lost(upstream.name, trial)
         if await self._watch.has_ended(upstream):
             self._context.note_end(upstream)
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -17,7 +17,7 @@
 from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.quarantine import tracker as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import backpressure_monitor
 from crowdeck.relay import gaps as layer_gaps
 from crowdeck.relay import interfaces
@@ -77,8 +77,8 @@
         factory=loop_lag.LoopLagMeter
     )
     rng: random.Random = attrs.field(factory=random.Random)
-    ledger: ledgers.QuarantineTracker = attrs.field(
-        factory=ledgers.QuarantineTracker
+    ledger: trackers.QuarantineTracker = attrs.field(
+        factory=trackers.QuarantineTracker
     )
     limits: rate_limits.RateLimits = attrs.field(init=False)
     retry_advisor: retry_advice.RetryAdvisor = attrs.field(init=False)
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -12,7 +12,7 @@
 
 from crowdeck import chain
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import tracker as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import request as requests
 from crowdeck import route as routes
 from crowdeck.routing import budget as budgets
@@ -91,12 +91,12 @@
         return self._fingerprint
 
     @property
-    def trial(self) -> ledgers.Trial:
+    def trial(self) -> trackers.Trial:
         """What came of the attempt under way, or of the last one."""
         seconds = None
         if self._began_at is not None:
             seconds = anyio.current_time() - self._began_at
-        return ledgers.Trial(self.fingerprint, seconds)
+        return trackers.Trial(self.fingerprint, seconds)
 
     @property
     def path(self) -> chain.ChainPath | None:
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -18,7 +18,7 @@
 from crowdeck import instance as instances
 from crowdeck.membership import upstreams as registries
 from crowdeck import pipeline
-from crowdeck.quarantine import tracker as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import context as contexts
 from crowdeck.relay import relay as relays
 from crowdeck.relay import request as requests
@@ -181,7 +181,7 @@
             name=name,
             # Entries that draw alike would do the same at one moment.
             rng=random.Random(name or 1),
-            ledger=ledgers.QuarantineTracker(anyio.current_time),
+            ledger=trackers.QuarantineTracker(anyio.current_time),
         )
         self.config = make_config()
         self.holder = relays.ConfigHolder(lambda _: self.config, "main")
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -25,7 +25,7 @@
 from crowdeck import errors
 from crowdeck.quarantine import evidence
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import tracker as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import request as requests
 from crowdeck.standin import chain_fleet
 from crowdeck import verdict as verdicts
@@ -171,10 +171,10 @@
             await anyio.sleep(0.05)
             for number in range(ENDS_MOST):
                 name = f"gone-{number}"
-                ledger.note_lost(name, ledgers.Trial(known, None))
+                ledger.note_lost(name, trackers.Trial(known, None))
                 ledger.note_end(name)
             # It is told long before its caller gives up, 20 s.
-            await anyio.sleep(ledgers.SETTLE_SECONDS + 0.05)
+            await anyio.sleep(trackers.SETTLE_SECONDS + 0.05)
             error = entries.told_of(BODY)[0].caller.error
             assert error is not None
             assert error.code is errors.Code.QUARANTINED
@@ -390,7 +390,7 @@
         content = requests.fingerprint_of(request, "kiosks")
         for number in range(ENDS_MOST):
             name = f"gone-{number}"
-            ledger.note_lost(name, ledgers.Trial(content, None))
+            ledger.note_lost(name, trackers.Trial(content, None))
             ledger.note_end(name)
         return not ledger.is_culprit(content)
 
@@ -417,7 +417,7 @@
             request = entry.request(content, body=BODY)
             known = requests.fingerprint_of(request, "kiosks")
             name = entries.fleet.upstreams[0].listed.name
-            trial = ledgers.Trial(known, None)
+            trial = trackers.Trial(known, None)
             entry.context.ledger.note_lost(name, trial)
             assert entry.context.ledger.is_empty
             entry.registry.on_changed((), (name,))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -19,7 +19,7 @@
 from crowdeck.quarantine import causes
 from crowdeck.quarantine import evidence
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import tracker as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.standin import store as standin_store
 from crowdeck.state import mirror as mirrors
 from crowdeck import verdict as verdicts
@@ -154,10 +154,10 @@
         return self.now
 
 
-def ledger_after(ends: int, clock: Clock) -> ledgers.QuarantineTracker:
-    one = ledgers.QuarantineTracker(clock)
+def ledger_after(ends: int, clock: Clock) -> trackers.QuarantineTracker:
+    one = trackers.QuarantineTracker(clock)
     for number in range(ends):
-        one.note_lost(f"e{number}", ledgers.Trial(CAUSE, None))
+        one.note_lost(f"e{number}", trackers.Trial(CAUSE, None))
         one.note_end(f"e{number}")
     return one
 
@@ -182,16 +182,16 @@
 
     def test_a_lost_connection_alone_is_no_end(self) -> None:
         def body() -> None:
-            one = ledgers.QuarantineTracker(Clock())
+            one = trackers.QuarantineTracker(Clock())
             for number in range(5):
-                one.note_lost(f"e{number}", ledgers.Trial(CAUSE, None))
+                one.note_lost(f"e{number}", trackers.Trial(CAUSE, None))
             assert one.is_empty
 
         in_time(body)
 
     def test_an_end_without_a_lost_attempt_tells_nothing(self) -> None:
         def body() -> None:
-            one = ledgers.QuarantineTracker(Clock())
+            one = trackers.QuarantineTracker(Clock())
             one.note_end("e")
             assert one.is_empty and not one.own
 
@@ -199,9 +199,9 @@
 
     def test_an_attempt_that_ran_well_is_no_suspect(self) -> None:
         def body() -> None:
-            one = ledgers.QuarantineTracker(Clock())
-            sound = ledgers.SOUND_SECONDS + 0.01
-            one.note_lost("e", ledgers.Trial(CAUSE, sound))
+            one = trackers.QuarantineTracker(Clock())
+            sound = trackers.SOUND_SECONDS + 0.01
+            one.note_lost("e", trackers.Trial(CAUSE, sound))
             one.note_end("e")
             assert one.is_empty
 
@@ -209,9 +209,9 @@
 
     def test_an_end_that_comes_too_late_is_another_matter(self) -> None:
         async def body() -> None:
-            one = ledgers.QuarantineTracker(Clock())
-            one.note_lost("e", ledgers.Trial(CAUSE, None))
-            await anyio.sleep(ledgers.PENDING_SECONDS + 0.1)
+            one = trackers.QuarantineTracker(Clock())
+            one.note_lost("e", trackers.Trial(CAUSE, None))
+            await anyio.sleep(trackers.PENDING_SECONDS + 0.1)
             one.note_end("e")
             assert one.is_empty
 
@@ -222,8 +222,8 @@
     ) -> None:
         async def body() -> None:
             for seconds, is_suspect in ((0.1, True), (1.1, False)):
-                one = ledgers.QuarantineTracker(Clock())
-                one.note_left("e", ledgers.Trial(CAUSE, None))
+                one = trackers.QuarantineTracker(Clock())
+                one.note_left("e", trackers.Trial(CAUSE, None))
                 await anyio.sleep(seconds)
                 one.note_end("e")
                 assert one.is_suspect(CAUSE) is is_suspect
@@ -232,8 +232,8 @@
 
     def test_a_planned_end_is_no_evidence(self) -> None:
         def body() -> None:
-            one = ledgers.QuarantineTracker(Clock())
-            one.note_lost("e", ledgers.Trial(CAUSE, None))
+            one = trackers.QuarantineTracker(Clock())
+            one.note_lost("e", trackers.Trial(CAUSE, None))
             one.forget("e")
             one.note_end("e")
             assert one.is_empty
@@ -244,9 +244,9 @@
         def body() -> None:
             clock = Clock()
             one = ledger_after(3, clock)
-            clock.now += ledgers.KEEP_SECONDS - 1.0
+            clock.now += trackers.KEEP_SECONDS - 1.0
             assert one.is_culprit(CAUSE)
-            clock.now += ledgers.JUDGE_SECONDS + 2.0
+            clock.now += trackers.JUDGE_SECONDS + 2.0
             assert not one.is_culprit(CAUSE)
 
         in_time(body)
@@ -254,8 +254,8 @@
     def test_what_claims_to_be_of_the_future_counts_for_nothing(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = ledgers.QuarantineTracker(clock)
-            late = clock.now + 2 * ledgers.AHEAD_SECONDS
+            one = trackers.QuarantineTracker(clock)
+            late = clock.now + 2 * trackers.AHEAD_SECONDS
             one.take(
                 "spoilt",
                 evidence.Evidence(
@@ -302,10 +302,10 @@
             clock = Clock()
             one, other = (
                 ledger_after(1, clock),
-                ledgers.QuarantineTracker(clock),
+                trackers.QuarantineTracker(clock),
             )
             for name in ("x", "y"):
-                other.note_lost(name, ledgers.Trial(CAUSE, None))
+                other.note_lost(name, trackers.Trial(CAUSE, None))
                 other.note_end(name)
             one.take("other", other.own)
             assert one.is_culprit(CAUSE)
@@ -317,7 +317,7 @@
         def body() -> None:
             clock = Clock()
             one, other = (
-                ledgers.QuarantineTracker(clock),
+                trackers.QuarantineTracker(clock),
                 ledger_after(3, clock),
             )
             one.note_served(CAUSE)
@@ -332,12 +332,12 @@
     def test_what_had_begun_is_blamed_once_all_can_have_told(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = ledgers.QuarantineTracker(clock)
+            one = trackers.QuarantineTracker(clock)
             for number in range(3):
-                one.note_lost(f"e{number}", ledgers.Trial(CAUSE, 0.1))
+                one.note_lost(f"e{number}", trackers.Trial(CAUSE, 0.1))
                 one.note_end(f"e{number}")
             assert not one.is_culprit(CAUSE)
-            clock.now += ledgers.SETTLE_SECONDS + 0.01
+            clock.now += trackers.SETTLE_SECONDS + 0.01
             assert one.is_culprit(CAUSE)
 
         in_time(body)
@@ -346,11 +346,11 @@
         def body() -> None:
             clock = Clock()
             one = ledger_after(3, clock)
-            assert one.settles_in() == ledgers.SETTLE_SECONDS
-            clock.now += ledgers.SETTLE_SECONDS
+            assert one.settles_in() == trackers.SETTLE_SECONDS
+            clock.now += trackers.SETTLE_SECONDS
             assert one.settles_in() == 0.0
             clock.now -= 100.0
-            assert one.settles_in() == ledgers.SETTLE_SECONDS
+            assert one.settles_in() == trackers.SETTLE_SECONDS
 
         in_time(body)
 
@@ -366,10 +366,10 @@
     def test_listeners_hear_of_it_once(self) -> None:
         def body() -> None:
             heard = collections.Counter[str]()
-            one = ledgers.QuarantineTracker(Clock())
+            one = trackers.QuarantineTracker(Clock())
             one.subscribe(lambda: heard.update(["culprit"]))
             for number in range(5):
-                one.note_lost(f"e{number}", ledgers.Trial(CAUSE, None))
+                one.note_lost(f"e{number}", trackers.Trial(CAUSE, None))
                 one.note_end(f"e{number}")
             assert heard["culprit"] == 1
 
@@ -452,7 +452,7 @@
         async def body(store, made, tasks):  # type: ignore[no-untyped-def]
             for number in range(3):
                 made[number].note_lost(
-                    f"e{number}", ledgers.Trial(CAUSE, None)
+                    f"e{number}", trackers.Trial(CAUSE, None)
                 )
                 made[number].note_end(f"e{number}")
                 await anyio.sleep(0.01)
@@ -525,10 +525,10 @@
         self.play(2, body)
 
 
-def lose(one: ledgers.QuarantineTracker, count: int, name: str = "e") -> None:
+def lose(one: trackers.QuarantineTracker, count: int, name: str = "e") -> None:
     """Have instances end under the cause at an entry."""
     for number in range(count):
-        one.note_lost(f"{name}{number}", ledgers.Trial(CAUSE, None))
+        one.note_lost(f"{name}{number}", trackers.Trial(CAUSE, None))
         one.note_end(f"{name}{number}")
 
 
@@ -536,9 +536,9 @@
     store: standin_store.StandinStore,
     name: str,
     tasks: anyio.abc.TaskGroup,
-) -> ledgers.QuarantineTracker:
+) -> trackers.QuarantineTracker:
     """Start an entry's part in the notes; returns its memory."""
-    one = ledgers.QuarantineTracker(anyio.current_time)
+    one = trackers.QuarantineTracker(anyio.current_time)
     roster = rosters.Roster(store, name, rosters.Note("a"), one)
     mirror = mirrors.Mirror(
         store, rosters.KIND, roster, 10.0, lambda: rosters.NOTES_LINGER
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -38,7 +38,7 @@
 from crowdeck.membership import roster as rosters
 from crowdeck.membership import upstreams as registries
 from crowdeck.quarantine import fingerprint as fingerprints
-from crowdeck.quarantine import tracker as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.standin import store as standin_store
 from crowdeck.state import contact as contacts
 from crowdeck.state import mirror as mirrors
@@ -275,7 +275,7 @@
         self.store = standin_store.StandinStore()
         self.empty = self.store.back_up()
         self.rosters: dict[str, rosters.Roster] = {}
-        self.ledgers: dict[str, ledgers.QuarantineTracker] = {}
+        self.trackers: dict[str, trackers.QuarantineTracker] = {}
         self.lives: dict[str, anyio.CancelScope] = {}
         self._tasks = tasks
 
@@ -284,7 +284,7 @@
         self.stop(name)
         address = instances.Address("10.0.0.1", 7340)
         note = rosters.Note("plateau", address, capacity)
-        ledger = self.ledgers[name] = ledgers.QuarantineTracker(
+        ledger = self.trackers[name] = trackers.QuarantineTracker(
             anyio.current_time
         )
         roster = rosters.Roster(self.store, name, note, ledger)
@@ -302,7 +302,7 @@
         """End an entry, if there is one of that name."""
         if name in self.lives:
             self.lives.pop(name).cancel()
-            del self.rosters[name], self.ledgers[name]
+            del self.rosters[name], self.trackers[name]
 
     async def settle(self) -> None:
         """Let all be told to all."""
@@ -310,9 +310,9 @@
 
     def find_cause(self, name: str) -> None:
         """Have an entry see three engines end under one request."""
-        ledger = self.ledgers[name]
+        ledger = self.trackers[name]
         for number in range(3):
-            ledger.note_lost(f"e{number}", ledgers.Trial(CAUSE, None))
+            ledger.note_lost(f"e{number}", trackers.Trial(CAUSE, None))
             ledger.note_end(f"e{number}")
 
 
@@ -355,7 +355,9 @@
             await fleet.settle()
             fleet.start("late", 1.0)
             await fleet.settle()
-            assert all(one.is_culprit(CAUSE) for one in fleet.ledgers.values())
+            assert all(
+                one.is_culprit(CAUSE) for one in fleet.trackers.values()
+            )
 
         play_fleet(work)
 
@@ -368,7 +370,9 @@
             fleet.stop("entry-0")
             fleet.store.restore(backup)
             await fleet.settle()
-            assert all(one.is_culprit(CAUSE) for one in fleet.ledgers.values())
+            assert all(
+                one.is_culprit(CAUSE) for one in fleet.trackers.values()
+            )
 
         play_fleet(work)
 
