--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class Trial:
+class AttemptRecord:
     """A request that an instance was given, and what came of it there.
 
     :ivar seconds_begun: how long ago its first event came from there, or
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class _Pending:
-    trial: Trial
+    trial: AttemptRecord
     until: float
 
 
@@ -154,14 +154,14 @@
             retry_after=KEEP_SECONDS,
         )
 
-    def note_lost(self, instance: str, trial: Trial) -> None:
+    def note_lost(self, instance: str, trial: AttemptRecord) -> None:
         """Note an attempt whose connection broke or whose instance is mute.
 
         It counts once the instance is known to have ended.
         """
         self._note(instance, trial, PENDING_SECONDS)
 
-    def note_left(self, instance: str, trial: Trial) -> None:
+    def note_left(self, instance: str, trial: AttemptRecord) -> None:
         """Note an attempt that its caller left before its end."""
         self._note(instance, trial, LEFT_SECONDS)
 
@@ -219,7 +219,9 @@
             known = known.with_served(served)
         return known
 
-    def _note(self, instance: str, trial: Trial, seconds: float) -> None:
+    def _note(
+        self, instance: str, trial: AttemptRecord, seconds: float
+    ) -> None:
         if not trial.is_suspect:
             return
         self._drop_outdated()
@@ -233,7 +235,7 @@
             if line[-1].until < now:
                 del self._pending[instance]
 
-    def _take_end(self, instance: str, trials: list[Trial]) -> None:
+    def _take_end(self, instance: str, trials: list[AttemptRecord]) -> None:
         if not trials:
             return
         unbegun = frozenset(
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -183,7 +183,7 @@
             return
         if error.code is not errors.Code.UPSTREAM_LOST:
             return
-        trial = trackers.Trial(self._fingerprint, None)
+        trial = trackers.AttemptRecord(self._fingerprint, None)
         self._context.ledger.note_lost(upstream.name, trial)
         if await self._watch.has_ended(upstream):
             self._context.note_end(upstream)
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -91,12 +91,12 @@
         return self._fingerprint
 
     @property
-    def trial(self) -> trackers.Trial:
+    def trial(self) -> trackers.AttemptRecord:
         """What came of the attempt under way, or of the last one."""
         seconds = None
         if self._began_at is not None:
             seconds = anyio.current_time() - self._began_at
-        return trackers.Trial(self.fingerprint, seconds)
+        return trackers.AttemptRecord(self.fingerprint, seconds)
 
     @property
     def path(self) -> chain.ChainPath | None:
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -171,7 +171,7 @@
             await anyio.sleep(0.05)
             for number in range(ENDS_MOST):
                 name = f"gone-{number}"
-                ledger.note_lost(name, trackers.Trial(known, None))
+                ledger.note_lost(name, trackers.AttemptRecord(known, None))
                 ledger.note_end(name)
             # It is told long before its caller gives up, 20 s.
             await anyio.sleep(trackers.SETTLE_SECONDS + 0.05)
@@ -390,7 +390,7 @@
         content = requests.fingerprint_of(request, "kiosks")
         for number in range(ENDS_MOST):
             name = f"gone-{number}"
-            ledger.note_lost(name, trackers.Trial(content, None))
+            ledger.note_lost(name, trackers.AttemptRecord(content, None))
             ledger.note_end(name)
         return not ledger.is_culprit(content)
 
@@ -417,7 +417,7 @@
             request = entry.request(content, body=BODY)
             known = requests.fingerprint_of(request, "kiosks")
             name = entries.fleet.upstreams[0].listed.name
-            trial = trackers.Trial(known, None)
+            trial = trackers.AttemptRecord(known, None)
             entry.context.ledger.note_lost(name, trial)
             assert entry.context.ledger.is_empty
             entry.registry.on_changed((), (name,))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -157,7 +157,7 @@
 def ledger_after(ends: int, clock: Clock) -> trackers.QuarantineTracker:
     one = trackers.QuarantineTracker(clock)
     for number in range(ends):
-        one.note_lost(f"e{number}", trackers.Trial(CAUSE, None))
+        one.note_lost(f"e{number}", trackers.AttemptRecord(CAUSE, None))
         one.note_end(f"e{number}")
     return one
 
@@ -184,7 +184,9 @@
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
             for number in range(5):
-                one.note_lost(f"e{number}", trackers.Trial(CAUSE, None))
+                one.note_lost(
+                    f"e{number}", trackers.AttemptRecord(CAUSE, None)
+                )
             assert one.is_empty
 
         in_time(body)
@@ -201,7 +203,7 @@
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
             sound = trackers.SOUND_SECONDS + 0.01
-            one.note_lost("e", trackers.Trial(CAUSE, sound))
+            one.note_lost("e", trackers.AttemptRecord(CAUSE, sound))
             one.note_end("e")
             assert one.is_empty
 
@@ -210,7 +212,7 @@
     def test_an_end_that_comes_too_late_is_another_matter(self) -> None:
         async def body() -> None:
             one = trackers.QuarantineTracker(Clock())
-            one.note_lost("e", trackers.Trial(CAUSE, None))
+            one.note_lost("e", trackers.AttemptRecord(CAUSE, None))
             await anyio.sleep(trackers.PENDING_SECONDS + 0.1)
             one.note_end("e")
             assert one.is_empty
@@ -223,7 +225,7 @@
         async def body() -> None:
             for seconds, is_suspect in ((0.1, True), (1.1, False)):
                 one = trackers.QuarantineTracker(Clock())
-                one.note_left("e", trackers.Trial(CAUSE, None))
+                one.note_left("e", trackers.AttemptRecord(CAUSE, None))
                 await anyio.sleep(seconds)
                 one.note_end("e")
                 assert one.is_suspect(CAUSE) is is_suspect
@@ -233,7 +235,7 @@
     def test_a_planned_end_is_no_evidence(self) -> None:
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
-            one.note_lost("e", trackers.Trial(CAUSE, None))
+            one.note_lost("e", trackers.AttemptRecord(CAUSE, None))
             one.forget("e")
             one.note_end("e")
             assert one.is_empty
@@ -305,7 +307,7 @@
                 trackers.QuarantineTracker(clock),
             )
             for name in ("x", "y"):
-                other.note_lost(name, trackers.Trial(CAUSE, None))
+                other.note_lost(name, trackers.AttemptRecord(CAUSE, None))
                 other.note_end(name)
             one.take("other", other.own)
             assert one.is_culprit(CAUSE)
@@ -334,7 +336,7 @@
             clock = Clock()
             one = trackers.QuarantineTracker(clock)
             for number in range(3):
-                one.note_lost(f"e{number}", trackers.Trial(CAUSE, 0.1))
+                one.note_lost(f"e{number}", trackers.AttemptRecord(CAUSE, 0.1))
                 one.note_end(f"e{number}")
             assert not one.is_culprit(CAUSE)
             clock.now += trackers.SETTLE_SECONDS + 0.01
@@ -369,7 +371,9 @@
             one = trackers.QuarantineTracker(Clock())
             one.subscribe(lambda: heard.update(["culprit"]))
             for number in range(5):
-                one.note_lost(f"e{number}", trackers.Trial(CAUSE, None))
+                one.note_lost(
+                    f"e{number}", trackers.AttemptRecord(CAUSE, None)
+                )
                 one.note_end(f"e{number}")
             assert heard["culprit"] == 1
 
@@ -452,7 +456,7 @@
         async def body(store, made, tasks):  # type: ignore[no-untyped-def]
             for number in range(3):
                 made[number].note_lost(
-                    f"e{number}", trackers.Trial(CAUSE, None)
+                    f"e{number}", trackers.AttemptRecord(CAUSE, None)
                 )
                 made[number].note_end(f"e{number}")
                 await anyio.sleep(0.01)
@@ -528,7 +532,7 @@
 def lose(one: trackers.QuarantineTracker, count: int, name: str = "e") -> None:
     """Have instances end under the cause at an entry."""
     for number in range(count):
-        one.note_lost(f"{name}{number}", trackers.Trial(CAUSE, None))
+        one.note_lost(f"{name}{number}", trackers.AttemptRecord(CAUSE, None))
         one.note_end(f"{name}{number}")
 
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -312,7 +312,7 @@
         """Have an entry see three engines end under one request."""
         ledger = self.trackers[name]
         for number in range(3):
-            ledger.note_lost(f"e{number}", trackers.Trial(CAUSE, None))
+            ledger.note_lost(f"e{number}", trackers.AttemptRecord(CAUSE, None))
             ledger.note_end(f"e{number}")
 
 
