--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -81,9 +81,9 @@
         self._store = store
         self._name = name
         self._note = note
-        self._tracker = ledger or trackers.QuarantineTracker()
+        self._quarantine = ledger or trackers.QuarantineTracker()
         self._must_write = anyio.Event()
-        self._tracker.subscribe_own(self._tell)
+        self._quarantine.subscribe_own(self._tell)
         self._notes: dict[str, Note] = {name: note}
         self._versions: dict[str, int] = {}
         self._ranking: tuple[readers.Peer, ...] = ()
@@ -173,7 +173,7 @@
 
     def _tell(self) -> None:
         """Have what this entry saw of engines' ends told to the others."""
-        self._note = attrs.evolve(self._note, evidence=self._tracker.own)
+        self._note = attrs.evolve(self._note, evidence=self._quarantine.own)
         self._must_write.set()
 
     async def _write(self) -> None:
@@ -239,11 +239,11 @@
         self._versions[stored.name] = stored.version
         note = self._notes[stored.name] = decode_note(stored)
         if stored.name != self._name:
-            self._tracker.take(stored.name, note.evidence)
+            self._quarantine.take(stored.name, note.evidence)
             return
         self._note_since()
         # What an earlier run of this entry saw is its to tell as well.
-        self._tracker.take_own(note.evidence)
+        self._quarantine.take_own(note.evidence)
         self._tell()
 
     def _note_since(self) -> None:
