--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -216,7 +216,7 @@
         return contexts.RelayContext(
             zone=self._config.availability_zone,
             registry=view.registry,
-            ledger=view.ledger,
+            quarantine=view.quarantine,
             client=upstreams,
             usage=usage,
             planner=hops.HopPlanner(usage),
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -52,9 +52,9 @@
         self.holder = relays.ConfigHolder(
             platform_config.decode, names.CONFIG_NAME
         )
-        self.ledger = trackers.QuarantineTracker()
+        self.quarantine = trackers.QuarantineTracker()
         self.roster = rosters.Roster(
-            store, config.name, _note(config), self.ledger
+            store, config.name, _note(config), self.quarantine
         )
         self._contact = contacts.StoreContact()
         self.readers = readers.Readers(
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -76,12 +76,12 @@
         store: stores.ObjectStore,
         name: str,
         note: Note,
-        ledger: trackers.QuarantineTracker | None = None,
+        quarantine: trackers.QuarantineTracker | None = None,
     ) -> None:
         self._store = store
         self._name = name
         self._note = note
-        self._quarantine = ledger or trackers.QuarantineTracker()
+        self._quarantine = quarantine or trackers.QuarantineTracker()
         self._must_write = anyio.Event()
         self._quarantine.subscribe_own(self._tell)
         self._notes: dict[str, Note] = {name: note}
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -151,7 +151,7 @@
                     return failed
                 raise self._failure(error) from None
             if not answer.has_failed:
-                self._context.ledger.note_served(self._fingerprint)
+                self._context.quarantine.note_served(self._fingerprint)
                 return answer
             failed = answer
             if not self._may_go_on(answer.verdict):
@@ -169,11 +169,11 @@
 
         :raises CrowdeckError: ``QUARANTINED``.
         """
-        ledger = self._context.ledger
-        if ledger.is_empty or not ledger.is_culprit(self._fingerprint):
+        quarantine = self._context.quarantine
+        if quarantine.is_empty or not quarantine.is_culprit(self._fingerprint):
             return
         has_run = self._verdict is not verdicts.Verdict.NOT_RUN
-        raise ledger.refuse(self._fingerprint, has_run)
+        raise quarantine.refuse(self._fingerprint, has_run)
 
     async def _note_loss(
         self, upstream: chain.Upstream, error: errors.CrowdeckError
@@ -184,7 +184,7 @@
         if error.code is not errors.Code.UPSTREAM_LOST:
             return
         trial = trackers.AttemptRecord(self._fingerprint, None)
-        self._context.ledger.note_lost(upstream.name, trial)
+        self._context.quarantine.note_lost(upstream.name, trial)
         if await self._watch.has_ended(upstream):
             self._context.note_end(upstream)
 
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -77,7 +77,7 @@
         factory=loop_lag.LoopLagMeter
     )
     rng: random.Random = attrs.field(factory=random.Random)
-    ledger: trackers.QuarantineTracker = attrs.field(
+    quarantine: trackers.QuarantineTracker = attrs.field(
         factory=trackers.QuarantineTracker
     )
     limits: rate_limits.RateLimits = attrs.field(init=False)
@@ -164,9 +164,9 @@
         """
         self.limits.forget(upstream)
         if upstream.is_leaving:
-            self.ledger.forget(upstream.name)
+            self.quarantine.forget(upstream.name)
         else:
-            self.ledger.note_end(upstream.name)
+            self.quarantine.note_end(upstream.name)
 
     def _take_notice(
         self, upstream: chain.Upstream, notice: interfaces.Notice
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -85,7 +85,7 @@
         self._to_verify: dict[str, chain.Upstream] = {}
         self._woken = anyio.Event()
         context.registry.subscribe_lapses(self.verify)
-        context.ledger.subscribe(self._stop_culprits)
+        context.quarantine.subscribe(self._stop_culprits)
 
     @property
     def is_probing(self) -> bool:
@@ -129,9 +129,9 @@
         Several copies may be on their way at once. An engine drops what it
         has not begun when the connection closes.
         """
-        ledger = self._context.ledger
+        quarantine = self._context.quarantine
         for stream in tuple(self._streams):
-            if stream.begins and ledger.is_culprit(stream.fingerprint):
+            if stream.begins and quarantine.is_culprit(stream.fingerprint):
                 stream.abandon("it ends the engines that begin it")
 
     def check_now(self, upstream: chain.Upstream) -> None:
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -154,14 +154,16 @@
 
         :raises CrowdeckError: ``QUARANTINED``.
         """
-        ledger = self._context.ledger
-        if ledger.is_empty or not ledger.is_culprit(self._stream.fingerprint):
+        quarantine = self._context.quarantine
+        if quarantine.is_empty or not quarantine.is_culprit(
+            self._stream.fingerprint
+        ):
             return
         if self._ran_on:
-            await anyio.sleep(ledger.settles_in())
-            if not ledger.is_culprit(self._stream.fingerprint):
+            await anyio.sleep(quarantine.settles_in())
+            if not quarantine.is_culprit(self._stream.fingerprint):
                 return
-        raise ledger.refuse(self._stream.fingerprint, bool(self._ran_on))
+        raise quarantine.refuse(self._stream.fingerprint, bool(self._ran_on))
 
     async def _attempt(
         self, path: chain.ChainPath
@@ -202,7 +204,9 @@
             self._note_send(error)
             return error
         except anyio.get_cancelled_exc_class():
-            self._context.ledger.note_left(path.head.name, self._stream.trial)
+            self._context.quarantine.note_left(
+                path.head.name, self._stream.trial
+            )
             raise
         finally:
             self._stream.end()
@@ -227,7 +231,7 @@
 
     def _note_end(self, path: chain.ChainPath) -> None:
         stream = self._stream
-        self._context.ledger.note_served(stream.fingerprint)
+        self._context.quarantine.note_served(stream.fingerprint)
         self._context.retry_advisor.note_end()
         now = anyio.current_time()
         arrived = self._request.arrived
@@ -281,8 +285,8 @@
             return
         trial = self._stream.trial
         if not trial.is_suspect:
-            self._context.ledger.note_served(trial.request)
-        self._context.ledger.note_lost(head.name, trial)
+            self._context.quarantine.note_served(trial.request)
+        self._context.quarantine.note_lost(head.name, trial)
         if error.code is errors.Code.STALLED:
             return
         if await self._watch.has_ended(head):
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -218,7 +218,7 @@
             way,
             entry.name,
             rosters.Note(entry.context.zone),
-            entry.context.ledger,
+            entry.context.quarantine,
         )
         mirror = mirrors.Mirror(
             way,
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -181,7 +181,7 @@
             name=name,
             # Entries that draw alike would do the same at one moment.
             rng=random.Random(name or 1),
-            ledger=trackers.QuarantineTracker(anyio.current_time),
+            quarantine=trackers.QuarantineTracker(anyio.current_time),
         )
         self.config = make_config()
         self.holder = relays.ConfigHolder(lambda _: self.config, "main")
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -138,7 +138,7 @@
             await anyio.sleep(1.0)
             request = entries.told_of(BODY)[0].request
             content = requests.fingerprint_of(request, "kiosks")
-            assert entries[0].context.ledger.is_suspect(content)
+            assert entries[0].context.quarantine.is_suspect(content)
 
         entries_system.play(work, count=1)
 
@@ -153,7 +153,7 @@
             name = entries.fleet.runs_of(request.id)[0].upstream
             entry.registry.avoid(name, "nobody listens", is_gone=True)
             content = requests.fingerprint_of(request, "kiosks")
-            assert entry.context.ledger.is_suspect(content)
+            assert entry.context.quarantine.is_suspect(content)
 
         entries_system.play(work, count=1)
 
@@ -162,7 +162,7 @@
         # engine ends.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            ledger = entries[0].context.ledger
+            quarantine = entries[0].context.quarantine
             content = entries[0].request(entries_system.STREAM, body=BODY)
             known = requests.fingerprint_of(content, "kiosks")
             for one in entries.fleet.upstreams:
@@ -171,8 +171,8 @@
             await anyio.sleep(0.05)
             for number in range(ENDS_MOST):
                 name = f"gone-{number}"
-                ledger.note_lost(name, trackers.AttemptRecord(known, None))
-                ledger.note_end(name)
+                quarantine.note_lost(name, trackers.AttemptRecord(known, None))
+                quarantine.note_end(name)
             # It is told long before its caller gives up, 20 s.
             await anyio.sleep(trackers.SETTLE_SECONDS + 0.05)
             error = entries.told_of(BODY)[0].caller.error
@@ -338,7 +338,7 @@
             cause = frozenset({fingerprint.Fingerprint("cause")})
             names = [fall.upstream for fall in entries.fleet.crashes]
             now = anyio.current_time()
-            entries[0].context.ledger.take(
+            entries[0].context.quarantine.take(
                 "other",
                 evidence.Evidence(
                     tuple(
@@ -386,13 +386,13 @@
         self, entries: entries_system.Entries, request: requests.CallerRequest
     ) -> bool:
         """Whether three ends under a request do not make it a culprit."""
-        ledger = entries[0].context.ledger
+        quarantine = entries[0].context.quarantine
         content = requests.fingerprint_of(request, "kiosks")
         for number in range(ENDS_MOST):
             name = f"gone-{number}"
-            ledger.note_lost(name, trackers.AttemptRecord(content, None))
-            ledger.note_end(name)
-        return not ledger.is_culprit(content)
+            quarantine.note_lost(name, trackers.AttemptRecord(content, None))
+            quarantine.note_end(name)
+        return not quarantine.is_culprit(content)
 
     def test_engines_that_end_as_planned_are_held_against_nobody(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -404,7 +404,8 @@
             await anyio.sleep(2.0)
             assert entries.fleet.crashes
             assert all(
-                entries[number].context.ledger.is_empty for number in range(3)
+                entries[number].context.quarantine.is_empty
+                for number in range(3)
             )
 
         entries_system.play(work)
@@ -418,10 +419,10 @@
             known = requests.fingerprint_of(request, "kiosks")
             name = entries.fleet.upstreams[0].listed.name
             trial = trackers.AttemptRecord(known, None)
-            entry.context.ledger.note_lost(name, trial)
-            assert entry.context.ledger.is_empty
+            entry.context.quarantine.note_lost(name, trial)
+            assert entry.context.quarantine.is_empty
             entry.registry.on_changed((), (name,))
-            assert entry.context.ledger.is_suspect(known)
+            assert entry.context.quarantine.is_suspect(known)
 
         entries_system.play(work, count=1)
 
@@ -447,7 +448,7 @@
             entries.ask_soon(0, entries_system.REPEATABLE, b"lost")
             await anyio.sleep(2.0)
             assert entries[0].registry.avoided() == ()
-            assert entries[0].context.ledger.is_empty
+            assert entries[0].context.quarantine.is_empty
 
         entries_system.play(work, count=1)
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -284,10 +284,10 @@
         self.stop(name)
         address = instances.Address("10.0.0.1", 7340)
         note = rosters.Note("plateau", address, capacity)
-        ledger = self.trackers[name] = trackers.QuarantineTracker(
+        quarantine = self.trackers[name] = trackers.QuarantineTracker(
             anyio.current_time
         )
-        roster = rosters.Roster(self.store, name, note, ledger)
+        roster = rosters.Roster(self.store, name, note, quarantine)
         self.rosters[name] = roster
         self._tasks.start_soon(self._live, name, roster)
 
@@ -310,10 +310,12 @@
 
     def find_cause(self, name: str) -> None:
         """Have an entry see three engines end under one request."""
-        ledger = self.trackers[name]
+        quarantine = self.trackers[name]
         for number in range(3):
-            ledger.note_lost(f"e{number}", trackers.AttemptRecord(CAUSE, None))
-            ledger.note_end(f"e{number}")
+            quarantine.note_lost(
+                f"e{number}", trackers.AttemptRecord(CAUSE, None)
+            )
+            quarantine.note_end(f"e{number}")
 
 
 def play_fleet(
