--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class _Pending:
-    trial: AttemptRecord
+    attempt_record: AttemptRecord
     until: float
 
 
@@ -154,22 +154,22 @@
             retry_after=KEEP_SECONDS,
         )
 
-    def note_lost(self, instance: str, trial: AttemptRecord) -> None:
+    def note_lost(self, instance: str, attempt_record: AttemptRecord) -> None:
         """Note an attempt whose connection broke or whose instance is mute.
 
         It counts once the instance is known to have ended.
         """
-        self._note(instance, trial, PENDING_SECONDS)
+        self._note(instance, attempt_record, PENDING_SECONDS)
 
-    def note_left(self, instance: str, trial: AttemptRecord) -> None:
+    def note_left(self, instance: str, attempt_record: AttemptRecord) -> None:
         """Note an attempt that its caller left before its end."""
-        self._note(instance, trial, LEFT_SECONDS)
+        self._note(instance, attempt_record, LEFT_SECONDS)
 
     def note_end(self, instance: str) -> None:
         """Note that an instance has ended, and not as planned."""
         now = anyio.current_time()
         pending = self._pending.pop(instance, ())
-        trials = [one.trial for one in pending if one.until >= now]
+        trials = [one.attempt_record for one in pending if one.until >= now]
         self._take_end(instance, trials)
 
     def forget(self, instance: str) -> None:
@@ -220,14 +220,14 @@
         return known
 
     def _note(
-        self, instance: str, trial: AttemptRecord, seconds: float
+        self, instance: str, attempt_record: AttemptRecord, seconds: float
     ) -> None:
-        if not trial.is_suspect:
+        if not attempt_record.is_suspect:
             return
         self._drop_outdated()
         until = anyio.current_time() + seconds
         line = self._pending.setdefault(instance, [])
-        line.append(_Pending(trial, until))
+        line.append(_Pending(attempt_record, until))
 
     def _drop_outdated(self) -> None:
         now = anyio.current_time()
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -183,8 +183,8 @@
             return
         if error.code is not errors.Code.UPSTREAM_LOST:
             return
-        trial = trackers.AttemptRecord(self._fingerprint, None)
-        self._context.quarantine.note_lost(upstream.name, trial)
+        attempt_record = trackers.AttemptRecord(self._fingerprint, None)
+        self._context.quarantine.note_lost(upstream.name, attempt_record)
         if await self._watch.has_ended(upstream):
             self._context.note_end(upstream)
 
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -91,7 +91,7 @@
         return self._fingerprint
 
     @property
-    def trial(self) -> trackers.AttemptRecord:
+    def attempt_record(self) -> trackers.AttemptRecord:
         """What came of the attempt under way, or of the last one."""
         seconds = None
         if self._began_at is not None:
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -205,7 +205,7 @@
             return error
         except anyio.get_cancelled_exc_class():
             self._context.quarantine.note_left(
-                path.head.name, self._stream.trial
+                path.head.name, self._stream.attempt_record
             )
             raise
         finally:
@@ -283,10 +283,10 @@
             return
         if error.code not in _LOSSES:
             return
-        trial = self._stream.trial
-        if not trial.is_suspect:
-            self._context.quarantine.note_served(trial.request)
-        self._context.quarantine.note_lost(head.name, trial)
+        attempt_record = self._stream.attempt_record
+        if not attempt_record.is_suspect:
+            self._context.quarantine.note_served(attempt_record.request)
+        self._context.quarantine.note_lost(head.name, attempt_record)
         if error.code is errors.Code.STALLED:
             return
         if await self._watch.has_ended(head):
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -418,8 +418,8 @@
             request = entry.request(content, body=BODY)
             known = requests.fingerprint_of(request, "kiosks")
             name = entries.fleet.upstreams[0].listed.name
-            trial = trackers.AttemptRecord(known, None)
-            entry.context.quarantine.note_lost(name, trial)
+            attempt_record = trackers.AttemptRecord(known, None)
+            entry.context.quarantine.note_lost(name, attempt_record)
             assert entry.context.quarantine.is_empty
             entry.registry.on_changed((), (name,))
             assert entry.context.quarantine.is_suspect(known)
