--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -169,8 +169,10 @@
         """Note that an instance has ended, and not as planned."""
         now = anyio.current_time()
         pending = self._pending.pop(instance, ())
-        trials = [one.attempt_record for one in pending if one.until >= now]
-        self._take_end(instance, trials)
+        attempt_records = [
+            one.attempt_record for one in pending if one.until >= now
+        ]
+        self._take_end(instance, attempt_records)
 
     def forget(self, instance: str) -> None:
         """Note that an instance has ended as planned."""
@@ -235,13 +237,15 @@
             if line[-1].until < now:
                 del self._pending[instance]
 
-    def _take_end(self, instance: str, trials: list[AttemptRecord]) -> None:
-        if not trials:
+    def _take_end(
+        self, instance: str, attempt_records: list[AttemptRecord]
+    ) -> None:
+        if not attempt_records:
             return
         unbegun = frozenset(
-            one.request for one in trials if one.seconds_begun is None
+            one.request for one in attempt_records if one.seconds_begun is None
         )
-        begun = frozenset(one.request for one in trials) - unbegun
+        begun = frozenset(one.request for one in attempt_records) - unbegun
         now = self._clock()
         end = evidence.InstanceEnd(instance, now, unbegun, begun)
         self._own = self._valid(self._own).with_end(end, self._rank)
