--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -120,7 +120,7 @@
         """Call ``listener`` after a request has been put in quarantine."""
         self._listeners.append(listener)
 
-    def is_culprit(self, request: fingerprint.Fingerprint) -> bool:
+    def is_quarantined(self, request: fingerprint.Fingerprint) -> bool:
         """Whether a request is to be sent on no more."""
         if self._clock() >= self._judge_at:
             self._judge()
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -170,7 +170,9 @@
         :raises CrowdeckError: ``QUARANTINED``.
         """
         quarantine = self._context.quarantine
-        if quarantine.is_empty or not quarantine.is_culprit(self._fingerprint):
+        if quarantine.is_empty or not quarantine.is_quarantined(
+            self._fingerprint
+        ):
             return
         has_run = self._verdict is not verdicts.Verdict.NOT_RUN
         raise quarantine.refuse(self._fingerprint, has_run)
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -131,7 +131,7 @@
         """
         quarantine = self._context.quarantine
         for stream in tuple(self._streams):
-            if stream.begins and quarantine.is_culprit(stream.fingerprint):
+            if stream.begins and quarantine.is_quarantined(stream.fingerprint):
                 stream.abandon("it ends the engines that begin it")
 
     def check_now(self, upstream: chain.Upstream) -> None:
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -155,13 +155,13 @@
         :raises CrowdeckError: ``QUARANTINED``.
         """
         quarantine = self._context.quarantine
-        if quarantine.is_empty or not quarantine.is_culprit(
+        if quarantine.is_empty or not quarantine.is_quarantined(
             self._stream.fingerprint
         ):
             return
         if self._ran_on:
             await anyio.sleep(quarantine.settles_in())
-            if not quarantine.is_culprit(self._stream.fingerprint):
+            if not quarantine.is_quarantined(self._stream.fingerprint):
                 return
         raise quarantine.refuse(self._stream.fingerprint, bool(self._ran_on))
 
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -392,7 +392,7 @@
             name = f"gone-{number}"
             quarantine.note_lost(name, trackers.AttemptRecord(content, None))
             quarantine.note_end(name)
-        return not quarantine.is_culprit(content)
+        return not quarantine.is_quarantined(content)
 
     def test_engines_that_end_as_planned_are_held_against_nobody(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -175,8 +175,8 @@
     def test_third_end_makes_a_culprit(self) -> None:
         def body() -> None:
             one = ledger_after(2, Clock())
-            assert one.is_suspect(CAUSE) and not one.is_culprit(CAUSE)
-            assert ledger_after(3, Clock()).is_culprit(CAUSE)
+            assert one.is_suspect(CAUSE) and not one.is_quarantined(CAUSE)
+            assert ledger_after(3, Clock()).is_quarantined(CAUSE)
 
         in_time(body)
 
@@ -247,9 +247,9 @@
             clock = Clock()
             one = ledger_after(3, clock)
             clock.now += trackers.KEEP_SECONDS - 1.0
-            assert one.is_culprit(CAUSE)
+            assert one.is_quarantined(CAUSE)
             clock.now += trackers.JUDGE_SECONDS + 2.0
-            assert not one.is_culprit(CAUSE)
+            assert not one.is_quarantined(CAUSE)
 
         in_time(body)
 
@@ -267,7 +267,7 @@
             )
             assert one.is_empty
             lose(one, 3)
-            assert one.is_culprit(CAUSE)
+            assert one.is_quarantined(CAUSE)
 
         in_time(body)
 
@@ -310,8 +310,8 @@
                 other.note_lost(name, trackers.AttemptRecord(CAUSE, None))
                 other.note_end(name)
             one.take("other", other.own)
-            assert one.is_culprit(CAUSE)
-            assert not other.is_culprit(CAUSE)
+            assert one.is_quarantined(CAUSE)
+            assert not other.is_quarantined(CAUSE)
 
         in_time(body)
 
@@ -325,9 +325,9 @@
             one.note_served(CAUSE)
             assert not one.own
             one.take("other", other.own)
-            assert not one.is_culprit(CAUSE)
+            assert not one.is_quarantined(CAUSE)
             other.take("one", one.own)
-            assert not other.is_culprit(CAUSE)
+            assert not other.is_quarantined(CAUSE)
 
         in_time(body)
 
@@ -338,9 +338,9 @@
             for number in range(3):
                 one.note_lost(f"e{number}", trackers.AttemptRecord(CAUSE, 0.1))
                 one.note_end(f"e{number}")
-            assert not one.is_culprit(CAUSE)
+            assert not one.is_quarantined(CAUSE)
             clock.now += trackers.SETTLE_SECONDS + 0.01
-            assert one.is_culprit(CAUSE)
+            assert one.is_quarantined(CAUSE)
 
         in_time(body)
 
@@ -361,7 +361,7 @@
             clock = Clock()
             one, other = ledger_after(2, clock), ledger_after(2, clock)
             one.take("other", other.own)
-            assert not one.is_culprit(CAUSE)
+            assert not one.is_quarantined(CAUSE)
 
         in_time(body)
 
@@ -461,7 +461,7 @@
                 made[number].note_end(f"e{number}")
                 await anyio.sleep(0.01)
             await anyio.sleep(0.5)
-            assert all(one.is_culprit(CAUSE) for one in made)
+            assert all(one.is_quarantined(CAUSE) for one in made)
 
         self.play(6, body)
 
@@ -471,7 +471,7 @@
             await anyio.sleep(0.5)
             fresh = an_entry(store, "fresh", tasks)
             await anyio.sleep(0.1)
-            assert fresh.is_culprit(CAUSE)
+            assert fresh.is_quarantined(CAUSE)
 
         self.play(2, body)
 
@@ -483,8 +483,8 @@
             await anyio.sleep(0.5)
             lose(again, 1, "later")
             await anyio.sleep(0.5)
-            assert again.is_culprit(CAUSE)
-            assert made[1].is_culprit(CAUSE)
+            assert again.is_quarantined(CAUSE)
+            assert made[1].is_quarantined(CAUSE)
 
         self.play(2, body)
 
@@ -494,10 +494,10 @@
             lose(made[0], 1, "a")
             lose(made[1], 2, "b")
             await anyio.sleep(6.0)
-            assert not made[0].is_culprit(CAUSE)
+            assert not made[0].is_quarantined(CAUSE)
             store.is_down = False
             await anyio.sleep(2.5)
-            assert all(one.is_culprit(CAUSE) for one in made)
+            assert all(one.is_quarantined(CAUSE) for one in made)
 
         self.play(3, body)
 
@@ -506,7 +506,7 @@
             store.lost_replies = 1
             lose(made[0], 3)
             await anyio.sleep(3.0)
-            assert made[1].is_culprit(CAUSE)
+            assert made[1].is_quarantined(CAUSE)
 
         self.play(2, body)
 
@@ -516,7 +516,7 @@
             store.write(rosters.KIND, "entry-8", b'"nothing"')
             lose(made[0], 3)
             await anyio.sleep(3.5)
-            assert made[1].is_culprit(CAUSE)
+            assert made[1].is_quarantined(CAUSE)
 
         self.play(2, body)
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -358,7 +358,7 @@
             fleet.start("late", 1.0)
             await fleet.settle()
             assert all(
-                one.is_culprit(CAUSE) for one in fleet.trackers.values()
+                one.is_quarantined(CAUSE) for one in fleet.trackers.values()
             )
 
         play_fleet(work)
@@ -373,7 +373,7 @@
             fleet.store.restore(backup)
             await fleet.settle()
             assert all(
-                one.is_culprit(CAUSE) for one in fleet.trackers.values()
+                one.is_quarantined(CAUSE) for one in fleet.trackers.values()
             )
 
         play_fleet(work)
