--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -130,7 +130,7 @@
         """Whether an instance has ended under a request."""
         return request in self._suspects
 
-    def settles_in(self) -> float:
+    def seconds_to_settle(self) -> float:
         """Return in how many seconds all entries' parts are known."""
         settles_at = self._last_end + SETTLE_SECONDS
         return min(max(0.0, settles_at - self._clock()), SETTLE_SECONDS)
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -160,7 +160,7 @@
         ):
             return
         if self._ran_on:
-            await anyio.sleep(quarantine.settles_in())
+            await anyio.sleep(quarantine.seconds_to_settle())
             if not quarantine.is_quarantined(self._stream.fingerprint):
                 return
         raise quarantine.refuse(self._stream.fingerprint, bool(self._ran_on))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -348,11 +348,11 @@
         def body() -> None:
             clock = Clock()
             one = ledger_after(3, clock)
-            assert one.settles_in() == trackers.SETTLE_SECONDS
+            assert one.seconds_to_settle() == trackers.SETTLE_SECONDS
             clock.now += trackers.SETTLE_SECONDS
-            assert one.settles_in() == 0.0
+            assert one.seconds_to_settle() == 0.0
             clock.now -= 100.0
-            assert one.settles_in() == trackers.SETTLE_SECONDS
+            assert one.seconds_to_settle() == trackers.SETTLE_SECONDS
 
         in_time(body)
 
