--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -161,7 +161,9 @@
         """
         self._note(instance, attempt_record, PENDING_SECONDS)
 
-    def note_left(self, instance: str, attempt_record: AttemptRecord) -> None:
+    def note_cancelled(
+        self, instance: str, attempt_record: AttemptRecord
+    ) -> None:
         """Note an attempt that its caller left before its end."""
         self._note(instance, attempt_record, LEFT_SECONDS)
 
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -204,7 +204,7 @@
             self._note_send(error)
             return error
         except anyio.get_cancelled_exc_class():
-            self._context.quarantine.note_left(
+            self._context.quarantine.note_cancelled(
                 path.head.name, self._stream.attempt_record
             )
             raise
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -225,7 +225,7 @@
         async def body() -> None:
             for seconds, is_suspect in ((0.1, True), (1.1, False)):
                 one = trackers.QuarantineTracker(Clock())
-                one.note_left("e", trackers.AttemptRecord(CAUSE, None))
+                one.note_cancelled("e", trackers.AttemptRecord(CAUSE, None))
                 await anyio.sleep(seconds)
                 one.note_end("e")
                 assert one.is_suspect(CAUSE) is is_suspect
