--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -154,7 +154,9 @@
             retry_after=KEEP_SECONDS,
         )
 
-    def note_lost(self, instance: str, attempt_record: AttemptRecord) -> None:
+    def note_connection_lost(
+        self, instance: str, attempt_record: AttemptRecord
+    ) -> None:
         """Note an attempt whose connection broke or whose instance is mute.
 
         It counts once the instance is known to have ended.
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -186,7 +186,9 @@
         if error.code is not errors.Code.UPSTREAM_LOST:
             return
         attempt_record = trackers.AttemptRecord(self._fingerprint, None)
-        self._context.quarantine.note_lost(upstream.name, attempt_record)
+        self._context.quarantine.note_connection_lost(
+            upstream.name, attempt_record
+        )
         if await self._watch.has_ended(upstream):
             self._context.note_end(upstream)
 
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -286,7 +286,9 @@
         attempt_record = self._stream.attempt_record
         if not attempt_record.is_suspect:
             self._context.quarantine.note_served(attempt_record.request)
-        self._context.quarantine.note_lost(head.name, attempt_record)
+        self._context.quarantine.note_connection_lost(
+            head.name, attempt_record
+        )
         if error.code is errors.Code.STALLED:
             return
         if await self._watch.has_ended(head):
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -171,7 +171,9 @@
             await anyio.sleep(0.05)
             for number in range(ENDS_MOST):
                 name = f"gone-{number}"
-                quarantine.note_lost(name, trackers.AttemptRecord(known, None))
+                quarantine.note_connection_lost(
+                    name, trackers.AttemptRecord(known, None)
+                )
                 quarantine.note_end(name)
             # It is told long before its caller gives up, 20 s.
             await anyio.sleep(trackers.SETTLE_SECONDS + 0.05)
@@ -390,7 +392,9 @@
         content = requests.fingerprint_of(request, "kiosks")
         for number in range(ENDS_MOST):
             name = f"gone-{number}"
-            quarantine.note_lost(name, trackers.AttemptRecord(content, None))
+            quarantine.note_connection_lost(
+                name, trackers.AttemptRecord(content, None)
+            )
             quarantine.note_end(name)
         return not quarantine.is_quarantined(content)
 
@@ -419,7 +423,7 @@
             known = requests.fingerprint_of(request, "kiosks")
             name = entries.fleet.upstreams[0].listed.name
             attempt_record = trackers.AttemptRecord(known, None)
-            entry.context.quarantine.note_lost(name, attempt_record)
+            entry.context.quarantine.note_connection_lost(name, attempt_record)
             assert entry.context.quarantine.is_empty
             entry.registry.on_changed((), (name,))
             assert entry.context.quarantine.is_suspect(known)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -157,7 +157,9 @@
 def ledger_after(ends: int, clock: Clock) -> trackers.QuarantineTracker:
     one = trackers.QuarantineTracker(clock)
     for number in range(ends):
-        one.note_lost(f"e{number}", trackers.AttemptRecord(CAUSE, None))
+        one.note_connection_lost(
+            f"e{number}", trackers.AttemptRecord(CAUSE, None)
+        )
         one.note_end(f"e{number}")
     return one
 
@@ -184,7 +186,7 @@
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
             for number in range(5):
-                one.note_lost(
+                one.note_connection_lost(
                     f"e{number}", trackers.AttemptRecord(CAUSE, None)
                 )
             assert one.is_empty
@@ -203,7 +205,7 @@
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
             sound = trackers.SOUND_SECONDS + 0.01
-            one.note_lost("e", trackers.AttemptRecord(CAUSE, sound))
+            one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, sound))
             one.note_end("e")
             assert one.is_empty
 
@@ -212,7 +214,7 @@
     def test_an_end_that_comes_too_late_is_another_matter(self) -> None:
         async def body() -> None:
             one = trackers.QuarantineTracker(Clock())
-            one.note_lost("e", trackers.AttemptRecord(CAUSE, None))
+            one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, None))
             await anyio.sleep(trackers.PENDING_SECONDS + 0.1)
             one.note_end("e")
             assert one.is_empty
@@ -235,7 +237,7 @@
     def test_a_planned_end_is_no_evidence(self) -> None:
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
-            one.note_lost("e", trackers.AttemptRecord(CAUSE, None))
+            one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, None))
             one.forget("e")
             one.note_end("e")
             assert one.is_empty
@@ -307,7 +309,9 @@
                 trackers.QuarantineTracker(clock),
             )
             for name in ("x", "y"):
-                other.note_lost(name, trackers.AttemptRecord(CAUSE, None))
+                other.note_connection_lost(
+                    name, trackers.AttemptRecord(CAUSE, None)
+                )
                 other.note_end(name)
             one.take("other", other.own)
             assert one.is_quarantined(CAUSE)
@@ -336,7 +340,9 @@
             clock = Clock()
             one = trackers.QuarantineTracker(clock)
             for number in range(3):
-                one.note_lost(f"e{number}", trackers.AttemptRecord(CAUSE, 0.1))
+                one.note_connection_lost(
+                    f"e{number}", trackers.AttemptRecord(CAUSE, 0.1)
+                )
                 one.note_end(f"e{number}")
             assert not one.is_quarantined(CAUSE)
             clock.now += trackers.SETTLE_SECONDS + 0.01
@@ -371,7 +377,7 @@
             one = trackers.QuarantineTracker(Clock())
             one.subscribe(lambda: heard.update(["culprit"]))
             for number in range(5):
-                one.note_lost(
+                one.note_connection_lost(
                     f"e{number}", trackers.AttemptRecord(CAUSE, None)
                 )
                 one.note_end(f"e{number}")
@@ -455,7 +461,7 @@
     def test_all_know_within_half_a_second(self) -> None:
         async def body(store, made, tasks):  # type: ignore[no-untyped-def]
             for number in range(3):
-                made[number].note_lost(
+                made[number].note_connection_lost(
                     f"e{number}", trackers.AttemptRecord(CAUSE, None)
                 )
                 made[number].note_end(f"e{number}")
@@ -532,7 +538,9 @@
 def lose(one: trackers.QuarantineTracker, count: int, name: str = "e") -> None:
     """Have instances end under the cause at an entry."""
     for number in range(count):
-        one.note_lost(f"{name}{number}", trackers.AttemptRecord(CAUSE, None))
+        one.note_connection_lost(
+            f"{name}{number}", trackers.AttemptRecord(CAUSE, None)
+        )
         one.note_end(f"{name}{number}")
 
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -312,7 +312,7 @@
         """Have an entry see three engines end under one request."""
         quarantine = self.trackers[name]
         for number in range(3):
-            quarantine.note_lost(
+            quarantine.note_connection_lost(
                 f"e{number}", trackers.AttemptRecord(CAUSE, None)
             )
             quarantine.note_end(f"e{number}")
