--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -340,7 +340,7 @@
             seconds=belief.avoided_until - now,
         )
 
-    def trust(self, name: str) -> None:
+    def note_healthy(self, name: str) -> None:
         """Note that an instance answered as it should."""
         belief = self._beliefs.get(name)
         if belief is None or not belief.failures:
--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -133,7 +133,7 @@
                 )
                 self._sweeps_left = SWEEPS
             return
-        self._registry.trust(upstream.name)
+        self._registry.note_healthy(upstream.name)
 
 
 async def _each(
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -129,7 +129,7 @@
             raise self._wrong("it ends in the middle of an event")
         if not self._sink.has_started:
             raise self._wrong("it holds no event")
-        self._context.registry.trust(self._path.head.name)
+        self._context.registry.note_healthy(self._path.head.name)
         await self._sink.finish()
 
     async def _pass_event(
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -285,7 +285,7 @@
             self._context.usage.leave_call(upstream)
         took = anyio.current_time() - began
         self._balancer.note_answer(upstream, took, answer.has_failed)
-        self._context.registry.trust(upstream.name)
+        self._context.registry.note_healthy(upstream.name)
         logs.decision(
             "call_answered",
             self._request.id,
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -199,7 +199,7 @@
             )
             await self._detours.lead_around(upstream)
         elif probe.report is not None:
-            self._context.registry.trust(upstream.name)
+            self._context.registry.note_healthy(upstream.name)
 
     async def _is_lost(
         self, probe: probes.Probe, others: tuple[chain.Upstream, ...]
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -353,7 +353,7 @@
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses == sorted(pauses)
             assert pauses[-1] >= 4 * pauses[0]
-            registry.trust("a")
+            registry.note_healthy("a")
             registry.avoid("a", "refused")
             await anyio.sleep(registries.AVOID_SECONDS + 0.1)
             assert names_of(registry) == {"a"}
@@ -377,7 +377,7 @@
             assert pauses == sorted(pauses)
             assert pauses[-1] >= 4 * pauses[0]
             assert names_of(registry) == set()
-            registry.trust("a")
+            registry.note_healthy("a")
             assert names_of(registry) == {"a"}
 
         virtual.run(body)
@@ -437,7 +437,7 @@
             registry.on_listed(())
             assert asked == ["a", "b"]
             assert names_of(registry) == set()
-            registry.trust("a")
+            registry.note_healthy("a")
             assert names_of(registry) == {"a"}
             # An entry that is missing after all is taken as gone.
             await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
@@ -458,7 +458,7 @@
             listed["a"] = fleet_system.upstream("a", card=card)
             tell(registry, listed, "a")
             registry.on_changed((), ("a",))
-            registry.trust("a")
+            registry.note_healthy("a")
             assert names_of(registry) == {"a"}
             await anyio.sleep(1.9)
             assert names_of(registry) == set()
