--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -190,7 +190,7 @@
             and not belief.needs_proof
         )
 
-    def due_for_proof(self) -> tuple[chain.Upstream, ...]:
+    def due_for_probe(self) -> tuple[chain.Upstream, ...]:
         """Return avoided engines whose pause is over, to be asked.
 
         A request that is sent to find out whether an engine is back pays
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -156,7 +156,7 @@
                 for upstream in self._to_verify.values():
                     tasks.start_soon(self._verify, upstream)
                 self._to_verify.clear()
-                for upstream in self._context.registry.due_for_proof():
+                for upstream in self._context.registry.due_for_probe():
                     tasks.start_soon(self._verify, upstream)
                 if self._lateness.is_settling():
                     continue
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -370,7 +370,7 @@
             for _ in range(4):
                 registry.avoid("a", "refused")
                 began = anyio.current_time()
-                while not registry.due_for_proof():
+                while not registry.due_for_probe():
                     assert names_of(registry) == set()
                     await anyio.sleep(0.1)
                 pauses.append(round(anyio.current_time() - began, 2))
@@ -389,10 +389,10 @@
             tell(registry, listed, "a")
             registry.avoid("a", "refused")
             await anyio.sleep(registries.AVOID_SECONDS + 0.1)
-            assert [one.name for one in registry.due_for_proof()] == ["a"]
-            assert registry.due_for_proof() == ()
+            assert [one.name for one in registry.due_for_probe()] == ["a"]
+            assert registry.due_for_probe() == ()
             await anyio.sleep(registries.UNSURE_SECONDS + 0.01)
-            assert [one.name for one in registry.due_for_proof()] == ["a"]
+            assert [one.name for one in registry.due_for_probe()] == ["a"]
 
         virtual.run(body)
 
