--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -61,7 +61,7 @@
             config.name, self.roster.ranking, peers, self._contact
         )
         self._contact.pace_tries(self.readers.pause)
-        self.registry.know_services(
+        self.registry.set_services_source(
             lambda: frozenset(one.name for one in self.holder.services)
         )
         self.registry.watch_store(lambda: self._contact.failed_at)
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -104,7 +104,7 @@
         """Tell the book how to learn when the store last failed."""
         self._store_failed_at = failed_at
 
-    def know_services(
+    def set_services_source(
         self, services: typing.Callable[[], frozenset[str]]
     ) -> None:
         """Tell the book how to learn which services there are.
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -221,7 +221,9 @@
     async def test_of_an_unknown_service_takes_nobodys_place(self) -> None:
         # It names the address of a sound engine.
         one = Book()
-        one.registry.know_services(lambda: frozenset({fleet_system.MODEL}))
+        one.registry.set_services_source(
+            lambda: frozenset({fleet_system.MODEL})
+        )
         one.take(an_entry(1))
         foreign = an_entry(9, service="nobody's")
         one.take(attrs.evolve(foreign, name="foreign"))
