--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -64,7 +64,7 @@
         self.registry.set_services_source(
             lambda: frozenset(one.name for one in self.holder.services)
         )
-        self.registry.watch_store(lambda: self._contact.failed_at)
+        self.registry.set_store_failure_source(lambda: self._contact.failed_at)
         self._store = store
         revocation = float(config.fleet["revocation_ms"]) / 1000.0
         self._config_mirror = self._mirror(
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -98,7 +98,7 @@
         self._services: typing.Callable[[], frozenset[str]] = frozenset
         self._store_failed_at: typing.Callable[[], float | None] = lambda: None
 
-    def watch_store(
+    def set_store_failure_source(
         self, failed_at: typing.Callable[[], float | None]
     ) -> None:
         """Tell the book how to learn when the store last failed."""
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -442,7 +442,7 @@
     def test_one_whose_entry_lapsed_is_dropped_all_the_same(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.registry.watch_store(anyio.current_time)
+            system.registry.set_store_failure_source(anyio.current_time)
             system.registry.on_changed((), (one.life.id,))
             system.registry.note_leaving(one.name)
             await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -429,7 +429,7 @@
     def test_lapsed_with_the_store_serves_once_it_has_answered(self) -> None:
         async def body() -> None:
             registry, listed = a_book()
-            registry.watch_store(anyio.current_time)
+            registry.set_store_failure_source(anyio.current_time)
             asked: list[str] = []
             registry.subscribe_lapses(lambda one: asked.append(one.name))
             tell(registry, listed, "a")
@@ -454,7 +454,7 @@
         # to it 2.18 s later; two seconds are allowed.
         async def body() -> None:
             registry, listed = a_book()
-            registry.watch_store(anyio.current_time)
+            registry.set_store_failure_source(anyio.current_time)
             listed["a"] = fleet_system.upstream("a", card=card)
             tell(registry, listed, "a")
             registry.on_changed((), ("a",))
@@ -468,7 +468,7 @@
     def test_lapsed_entry_that_comes_back_serves_at_once(self) -> None:
         async def body() -> None:
             registry, listed = a_book()
-            registry.watch_store(anyio.current_time)
+            registry.set_store_failure_source(anyio.current_time)
             tell(registry, listed, "a")
             registry.on_listed(())
             tell(registry, listed, "a")
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -447,7 +447,7 @@
             registry = registries.UpstreamRegistry(
                 lambda one: listed[one.name]
             )
-            registry.watch_store(lambda: contact.failed_at)
+            registry.set_store_failure_source(lambda: contact.failed_at)
             mirror = mirrors.Mirror(
                 store, "upstreams", registry, 0.8, contact=contact
             )
