--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -258,7 +258,7 @@
         self._log("upstream_changed", belief.upstream, belief.version)
         self._tell()
 
-    def resting(self) -> tuple[tuple[str, float, float], ...]:
+    def backing_off(self) -> tuple[tuple[str, float, float], ...]:
         """Return who wants rest: name, since when, until when."""
         return self._rests.now()
 
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -150,7 +150,7 @@
         same.
         """
         registry = self._context.registry
-        if not registry.resting():
+        if not registry.backing_off():
             return 0.0
         count = self._stream.profile.layer_count
         usable = chain.fitting(registry.usable(self._service), count)
