--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -159,7 +159,7 @@
             if not self._rests.is_resting(belief.upstream.name)
         )
 
-    def usable_soon(self, service: str) -> tuple[chain.Upstream, ...]:
+    def usable_after_backoff(self, service: str) -> tuple[chain.Upstream, ...]:
         """Return those of :meth:`usable`, and those that only want rest."""
         now = anyio.current_time()
         return tuple(one.upstream for one in self._sound(service, now))
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -250,7 +250,7 @@
         :param ahead: calls that are served before it.
         """
         registry = self._context.registry
-        soon = self._fresh(registry.usable_soon(self._service.name))
+        soon = self._fresh(registry.usable_after_backoff(self._service.name))
         return self._context.seconds_until_any(soon, ahead)
 
     @staticmethod
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -136,7 +136,9 @@
         """
         firsts = [
             one
-            for one in self._context.registry.usable_soon(self._service)
+            for one in self._context.registry.usable_after_backoff(
+                self._service
+            )
             if one.layers is not None and one.layers.first == 0
         ]
         ahead = len(self._context.wait_queue(self._service))
@@ -155,7 +157,9 @@
         count = self._stream.profile.layer_count
         usable = chain.fitting(registry.usable(self._service), count)
         missing = gaps.missing_layers(usable, count)
-        soon = chain.fitting(registry.usable_soon(self._service), count)
+        soon = chain.fitting(
+            registry.usable_after_backoff(self._service), count
+        )
         if not missing or gaps.missing_layers(soon, count):
             return 0.0
         soonest = [float("inf")] * count
