--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -262,7 +262,7 @@
         """Return who wants rest: name, since when, until when."""
         return self._rests.now()
 
-    def said_leaving(self) -> tuple[tuple[str, float], ...]:
+    def announced_leaving(self) -> tuple[tuple[str, float], ...]:
         """Return whose answers said that they leave, and since when."""
         return self._leavers.items()
 
--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -104,7 +104,7 @@
         """
         names = itertools.chain(
             (name for name, _, _ in self._registry.resting()),
-            (name for name, _ in self._registry.said_leaving()),
+            (name for name, _ in self._registry.announced_leaving()),
             self._limits.names(),
         )
         found = (
@@ -148,7 +148,7 @@
                 )
 
     def _leaving(self) -> typing.Iterator[BackpressureSignal]:
-        for name, since in self._registry.said_leaving():
+        for name, since in self._registry.announced_leaving():
             upstream = self._registry.find(name)
             if upstream is not None:
                 yield BackpressureSignal(upstream, SignalKind.LEAVING, since)
