--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -175,7 +175,7 @@
             ):
                 yield belief
 
-    def last_resort(self, service: str) -> tuple[chain.Upstream, ...]:
+    def usable_while_leaving(self, service: str) -> tuple[chain.Upstream, ...]:
         """Return instances that have begun to leave but may get work yet."""
         now = anyio.current_time()
         return tuple(
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -246,7 +246,7 @@
         if path is None or path.crossings:
             last = [
                 one
-                for one in registry.last_resort(self._service)
+                for one in registry.usable_while_leaving(self._service)
                 if one.name not in self._excluded
             ]
             if last:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -267,9 +267,9 @@
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.note_leaving(one.name)
-            assert system.registry.last_resort(one.service)
+            assert system.registry.usable_while_leaving(one.service)
             system.registry.back_off(one.name, REST_SECONDS)
-            assert not system.registry.last_resort(one.service)
+            assert not system.registry.usable_while_leaving(one.service)
 
         play(work)
 
@@ -461,7 +461,8 @@
             system.list_instance(one)
             assert not system.registry.is_usable(one.name)
             assert one.name not in {
-                it.name for it in system.registry.last_resort(one.service)
+                it.name
+                for it in system.registry.usable_while_leaving(one.service)
             }
 
         play(work)
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -487,10 +487,12 @@
             )
             tell(registry, listed, "a")
             service = fleet_system.MODEL
-            assert [one.name for one in registry.last_resort(service)] == ["a"]
+            assert [
+                one.name for one in registry.usable_while_leaving(service)
+            ] == ["a"]
             # Well before the two seconds after which none may reach it.
             await anyio.sleep(registries.LAST_WORK_SECONDS + 0.01)
-            assert registry.last_resort(service) == ()
+            assert registry.usable_while_leaving(service) == ()
             assert registries.LAST_WORK_SECONDS <= 1.0
 
         virtual.run(body)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -416,7 +416,7 @@
             system.registry.on_listed((old,))
             assert system.registry.usable(one.service) == ()
             await anyio.sleep(registries.LAST_WORK_SECONDS)
-            assert system.registry.last_resort(one.service) == ()
+            assert system.registry.usable_while_leaving(one.service) == ()
             # What it writes itself from then on is believed.
             system.list_instance(one)
             assert system.registry.usable(one.service) == (one,)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -292,9 +292,9 @@
             system.add(one)
             leaving = fleet_system.attrs.evolve(one, is_leaving=True)
             system.list_instance(leaving)
-            assert system.registry.last_resort(fleet_system.MODEL)
+            assert system.registry.usable_while_leaving(fleet_system.MODEL)
             sleep_through(seconds)
-            left = system.registry.last_resort(fleet_system.MODEL)
+            left = system.registry.usable_while_leaving(fleet_system.MODEL)
             assert bool(left) is (seconds < 1.0)
 
         virtual.run(body)
