--- a/src/crowdeck/membership/rests.py
+++ b/src/crowdeck/membership/rests.py
@@ -51,7 +51,7 @@
             return 0.0
         return max(0.0, rest.until - anyio.current_time())
 
-    def may_ask(self, name: str) -> bool:
+    def may_probe(self, name: str) -> bool:
         """Whether an instance may be asked, or led, for a stream's sake.
 
         Once in a time of rest: a stream that passes an instance which fell
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -270,13 +270,13 @@
         """Return for how long an instance still wants nothing from us."""
         return self._rests.seconds_left(name)
 
-    def may_ask(self, name: str) -> bool:
+    def may_probe(self, name: str) -> bool:
         """Whether an instance may be asked, or led, for a stream's sake.
 
         Once in a time of rest: a stream that passes an instance which fell
         silent is lost otherwise.
         """
-        return self._rests.may_ask(name)
+        return self._rests.may_probe(name)
 
     def has_ended(self, name: str) -> bool:
         """Whether an instance's process is known to be gone.
--- a/src/crowdeck/relay/detours.py
+++ b/src/crowdeck/relay/detours.py
@@ -110,7 +110,7 @@
             if silent:
                 refused |= silent
                 continue
-            if not self._context.registry.may_ask(path.head.name):
+            if not self._context.registry.may_probe(path.head.name):
                 self._give_up(stream, path)
                 return
             outcome = await self._context.client.repath(
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -70,10 +70,10 @@
     def __init__(
         self,
         upstreams: interfaces.Upstreams,
-        may_ask: typing.Callable[[str], bool],
+        may_probe: typing.Callable[[str], bool],
     ) -> None:
         self._upstreams = upstreams
-        self._may_ask = may_ask
+        self._may_ask = may_probe
         self._known: dict[str, Probe] = {}
         self._asking: dict[str, anyio.Event] = {}
 
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -76,7 +76,9 @@
     def __init__(self, context: contexts.RelayContext) -> None:
         self._context = context
         self._lateness = context.lag_meter
-        self._prober = probes.Prober(context.client, context.registry.may_ask)
+        self._prober = probes.Prober(
+            context.client, context.registry.may_probe
+        )
         self._streams: set[live.LiveStream] = set()
         self._looking: set[live.LiveStream] = set()
         self._detours = detours.Detours(
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -245,8 +245,8 @@
             one = next(iter(system.listed.values()))
             for _ in range(2):
                 system.registry.back_off(one.name, REST_SECONDS)
-                assert system.registry.may_ask(one.name)
-                assert not system.registry.may_ask(one.name)
+                assert system.registry.may_probe(one.name)
+                assert not system.registry.may_probe(one.name)
                 await anyio.sleep(REST_SECONDS)
 
         play(work)
