--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -150,7 +150,7 @@
         """Wait until the other entries' notes are known."""
         await self._listed.wait()
 
-    async def enrol(self) -> None:
+    async def register(self) -> None:
         """Note this entry in the store, however long that takes.
 
         One that was noted already, as all are after a restart, costs no
@@ -165,7 +165,7 @@
         """Keep this entry's note in the store until cancelled."""
         while True:
             self._must_write = anyio.Event()
-            await self.enrol()
+            await self.register()
             await self._must_write.wait()
             # Others' streams through the same engine are lost a moment
             # later, and what they tell goes with this.
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -537,7 +537,7 @@
                 for number, zone in enumerate(("a", "a", "b"))
             ]
             for one in rosters_made:
-                await one.enrol()
+                await one.register()
             changes = await store.list(rosters.KIND)
             rosters_made[0].on_listed(changes.objects)
             assert rosters_made[0].count == 3
@@ -552,7 +552,7 @@
             alone = one.linger()
             for number in range(400):
                 name = f"entry-{number}"
-                await rosters.Roster(store, name, rosters.Note("a")).enrol()
+                await rosters.Roster(store, name, rosters.Note("a")).register()
             changes = await store.list(rosters.KIND)
             one.on_listed(changes.objects)
             assert alone < one.linger() <= 0.6
@@ -565,10 +565,12 @@
             store.is_down = True
             one = rosters.Roster(store, "entry-0", rosters.Note("a"))
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(one.enrol)
+                tasks.start_soon(one.register)
                 await anyio.sleep(3.0)
                 store.is_down = False
-            await rosters.Roster(store, "entry-0", rosters.Note("a")).enrol()
+            await rosters.Roster(
+                store, "entry-0", rosters.Note("a")
+            ).register()
             changes = await store.list(rosters.KIND)
             assert len(changes.objects) == 1
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -291,7 +291,7 @@
                 )
             ]
             for one in made:
-                await one.enrol()
+                await one.register()
             listing = await store.list(rosters.KIND)
             for one in made:
                 one.on_listed(listing.objects)
@@ -308,7 +308,7 @@
             for port in (7000, 7001):
                 note = rosters.Note(ZONE, instances.Address(HOST, port), 10.0)
                 one = rosters.Roster(store, "entry-0", note)
-                await one.enrol()
+                await one.register()
             other = rosters.Roster(store, "entry-1", rosters.Note(ZONE))
             other.on_listed((await store.list(rosters.KIND)).objects)
             assert other.ranking()[0].address.port == 7001
@@ -319,11 +319,11 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             note = rosters.Note(ZONE, instances.Address(HOST, 7000), 10.0)
-            await rosters.Roster(store, "entry-0", note).enrol()
+            await rosters.Roster(store, "entry-0", note).register()
             again = rosters.Roster(store, "entry-0", note)
             again.on_listed((await store.list(rosters.KIND)).objects)
             before = store.calls.total()
-            await again.enrol()
+            await again.register()
             assert store.calls.total() == before
 
         virtual.run(body)
