--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -57,7 +57,7 @@
             store, config.name, _note(config), self.quarantine
         )
         self._contact = contacts.StoreContact()
-        self.readers = readers.Readers(
+        self.readers = readers.PeerSelector(
             config.name, self.roster.ranking, peers, self._contact
         )
         self._contact.pace_tries(self.readers.pause)
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -56,7 +56,7 @@
     def __init__(
         self,
         copies: dict[str, mirrors.Mirror],
-        choice: readers.Readers,
+        choice: readers.PeerSelector,
         status: Status = dict,
     ) -> None:
         self._copies = copies
--- a/src/crowdeck/membership/readers.py
+++ b/src/crowdeck/membership/readers.py
@@ -105,7 +105,7 @@
         return await self._readers.watch(self._peer, kind, after, wait)
 
 
-class Readers:
+class PeerSelector:
     """One entry's choice of whom to ask instead of the store.
 
     :param name: this entry's name.
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -349,7 +349,7 @@
             )
             client = http.HttpClient("")
             peers = peer_http.HttpPeers(client)
-            choice = readers.Readers("a", lambda: (), peers, contact)
+            choice = readers.PeerSelector("a", lambda: (), peers, contact)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 port = await tasks.start(
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -110,7 +110,7 @@
     name: str
     way: Way
     contact: contacts.StoreContact
-    choice: readers.Readers
+    choice: readers.PeerSelector
     sight: Sight
     mirror: mirrors.Mirror
     life: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
@@ -161,7 +161,7 @@
     def _entry(self, name: str, ranking: tuple[readers.Peer, ...]) -> Entry:
         way = Way(self.store)
         contact = contacts.StoreContact()
-        choice = readers.Readers(name, lambda: ranking, self, contact)
+        choice = readers.PeerSelector(name, lambda: ranking, self, contact)
         contact.pace_tries(choice.pause)
         sight = Sight()
         mirror = mirrors.Mirror(
