--- a/src/crowdeck/membership/readers.py
+++ b/src/crowdeck/membership/readers.py
@@ -93,7 +93,7 @@
     """One peer's copies; implements ``Helper``."""
 
     _peer: Peer
-    _readers: "Readers"
+    _selector: "Readers"
 
     async def watch(
         self, kind: str, after: stores.Position, wait: float
@@ -102,7 +102,7 @@
 
         :raises CrowdeckError: when only the store can tell.
         """
-        return await self._readers.watch(self._peer, kind, after, wait)
+        return await self._selector.watch(self._peer, kind, after, wait)
 
 
 class PeerSelector:
