--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -8,7 +8,7 @@
 import typing
 
 from crowdeck import instance as instances
-from crowdeck.membership import readers
+from crowdeck.membership import peer_selection
 from crowdeck.membership import roster as rosters
 from crowdeck.membership import upstreams as registries
 from crowdeck.platform import config as platform_config
@@ -46,7 +46,7 @@
         self,
         store: stores.ObjectStore,
         config: configs.Config,
-        peers: readers.PeerStore,
+        peers: peer_selection.PeerStore,
     ) -> None:
         self.registry = registries.UpstreamRegistry(platform_upstreams.decode)
         self.holder = relays.ConfigHolder(
@@ -57,7 +57,7 @@
             store, config.name, _note(config), self.quarantine
         )
         self._contact = contacts.StoreContact()
-        self.readers = readers.PeerSelector(
+        self.readers = peer_selection.PeerSelector(
             config.name, self.roster.ranking, peers, self._contact
         )
         self._contact.pace_tries(self.readers.pause)
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -17,7 +17,7 @@
 
 from crowdeck import errors
 from crowdeck import http
-from crowdeck.membership import readers
+from crowdeck.membership import peer_selection
 from crowdeck.relay import ingress
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
@@ -56,7 +56,7 @@
     def __init__(
         self,
         copies: dict[str, mirrors.Mirror],
-        choice: readers.PeerSelector,
+        choice: peer_selection.PeerSelector,
         status: Status = dict,
     ) -> None:
         self._copies = copies
@@ -96,7 +96,7 @@
 
     async def watch(
         self,
-        peer: readers.Peer,
+        peer: peer_selection.Peer,
         kind: str,
         after: stores.Position,
         wait: float,
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -13,7 +13,7 @@
 
 from crowdeck import errors
 from crowdeck import instance as instances
-from crowdeck.membership import readers
+from crowdeck.membership import peer_selection
 from crowdeck.observe import logs
 from crowdeck.quarantine import evidence as evidences
 from crowdeck.quarantine import tracker as trackers
@@ -86,7 +86,7 @@
         self._quarantine.subscribe_own(self._tell)
         self._notes: dict[str, Note] = {name: note}
         self._versions: dict[str, int] = {}
-        self._ranking: tuple[readers.Peer, ...] = ()
+        self._ranking: tuple[peer_selection.Peer, ...] = ()
         self._listed = anyio.Event()
         self._listeners: list[Listener] = []
         self._since = float("inf")
@@ -137,7 +137,7 @@
         """Learn by ``age`` for how long the notes were not proved current."""
         self._age = age
 
-    def ranking(self) -> tuple[readers.Peer, ...]:
+    def ranking(self) -> tuple[peer_selection.Peer, ...]:
         """Return this zone's entries in the order in which they read."""
         return self._ranking
 
@@ -279,7 +279,7 @@
             and note.availability_zone == self._note.availability_zone
         ]
         self._ranking = tuple(
-            readers.Peer(name, address)
+            peer_selection.Peer(name, address)
             for _, _, name, address in sorted(here, key=lambda one: one[:3])
             if address is not None
         )
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -19,7 +19,7 @@
 from crowdeck import http
 from crowdeck import instance as instances
 from crowdeck.membership import peer_http
-from crowdeck.membership import readers
+from crowdeck.membership import peer_selection
 from crowdeck.membership import roster as rosters
 from crowdeck.standin import store as standin_store
 from crowdeck.state import contact as contacts
@@ -93,7 +93,7 @@
             assert not zone[3].choice.reads_store
             zone[3].choice.note_asked()
             assert zone[3].choice.reads_store
-            await anyio.sleep(readers.ASKED_SECONDS + 0.1)
+            await anyio.sleep(peer_selection.ASKED_SECONDS + 0.1)
             assert not zone[3].choice.reads_store
 
         zone_system.play(5, work)
@@ -349,7 +349,9 @@
             )
             client = http.HttpClient("")
             peers = peer_http.HttpPeers(client)
-            choice = readers.PeerSelector("a", lambda: (), peers, contact)
+            choice = peer_selection.PeerSelector(
+                "a", lambda: (), peers, contact
+            )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 port = await tasks.start(
@@ -359,7 +361,7 @@
                     0,
                 )
                 await anyio.sleep(0.1)
-                peer = readers.Peer("a", instances.Address(HOST, port))
+                peer = peer_selection.Peer("a", instances.Address(HOST, port))
                 try:
                     told.append(
                         await peers.watch(
@@ -399,7 +401,7 @@
             peers = peer_http.HttpPeers(client)
             async with anyio.create_task_group() as tasks:
                 port = await tasks.start(http_server.serve_http, app, HOST, 0)
-                peer = readers.Peer("a", instances.Address(HOST, port))
+                peer = peer_selection.Peer("a", instances.Address(HOST, port))
                 with pytest.raises(errors.CrowdeckError) as caught:
                     await peers.watch(
                         peer, zone_system.KIND, stores.Position(5, 1), 0.1
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -13,7 +13,7 @@
 
 from crowdeck import errors
 from crowdeck import instance as instances
-from crowdeck.membership import readers
+from crowdeck.membership import peer_selection
 from crowdeck.standin import store as standin_store
 from crowdeck.state import contact as contacts
 from crowdeck.state import mirror as mirrors
@@ -110,7 +110,7 @@
     name: str
     way: Way
     contact: contacts.StoreContact
-    choice: readers.PeerSelector
+    choice: peer_selection.PeerSelector
     sight: Sight
     mirror: mirrors.Mirror
     life: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
@@ -127,7 +127,7 @@
         self.store = standin_store.StandinStore()
         names = [f"entry-{number}" for number in range(count)]
         ranking = tuple(
-            readers.Peer(name, instances.Address("10.0.0.1", 7340))
+            peer_selection.Peer(name, instances.Address("10.0.0.1", 7340))
             for name in names
         )
         self._ranking = ranking
@@ -158,10 +158,14 @@
         for entry in self.entries.values():
             entry.is_silent = entry.is_down = entry.way.is_cut = False
 
-    def _entry(self, name: str, ranking: tuple[readers.Peer, ...]) -> Entry:
+    def _entry(
+        self, name: str, ranking: tuple[peer_selection.Peer, ...]
+    ) -> Entry:
         way = Way(self.store)
         contact = contacts.StoreContact()
-        choice = readers.PeerSelector(name, lambda: ranking, self, contact)
+        choice = peer_selection.PeerSelector(
+            name, lambda: ranking, self, contact
+        )
         contact.pace_tries(choice.pause)
         sight = Sight()
         mirror = mirrors.Mirror(
@@ -178,7 +182,7 @@
 
     async def watch(
         self,
-        peer: readers.Peer,
+        peer: peer_selection.Peer,
         kind: str,
         after: stores.Position,
         wait: float,
