--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -157,7 +157,7 @@
             store,
             PLACEMENT,
             holder_name,
-            lambda: view.peer_selection.reads_store,
+            lambda: view.peer_selector.reads_store,
             is_new_fleet=bool(fleet["first_start"]),
         )
         self._lease = lease
@@ -185,7 +185,7 @@
             return
         address = instances.Address.parse(peers)
         copies = {one.kind: one for one in view.mirrors}
-        app = peer_http.PeerApp(copies, view.peer_selection, status)
+        app = peer_http.PeerApp(copies, view.peer_selector, status)
         server = http_server.build(app, address.host, address.port)
         await tasks.start(_run_server, server)
 
