--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -56,11 +56,11 @@
     def __init__(
         self,
         copies: dict[str, mirrors.Mirror],
-        choice: peer_selection.PeerSelector,
+        selector: peer_selection.PeerSelector,
         status: Status = dict,
     ) -> None:
         self._copies = copies
-        self._choice = choice
+        self._choice = selector
         self._status = status
 
     async def __call__(
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -90,11 +90,11 @@
         # Else two that each found the first one silent for a moment would
         # wait for each other's proof.
         async def work(zone: zone_system.Zone) -> None:
-            assert not zone[3].choice.reads_store
-            zone[3].choice.note_asked()
-            assert zone[3].choice.reads_store
+            assert not zone[3].selector.reads_store
+            zone[3].selector.note_asked()
+            assert zone[3].selector.reads_store
             await anyio.sleep(peer_selection.ASKED_SECONDS + 0.1)
-            assert not zone[3].choice.reads_store
+            assert not zone[3].selector.reads_store
 
         zone_system.play(5, work)
 
@@ -180,7 +180,7 @@
             for entry in list(zone.entries.values())[:-1]:
                 entry.is_silent = True
             await anyio.sleep(12.0)
-            assert zone[4].choice.reads_store
+            assert zone[4].selector.reads_store
             assert zone[4].mirror.age() < zone_system.WAIT + 0.1
 
         zone_system.play(5, work)
@@ -207,8 +207,8 @@
 
 async def _disturb(zone: zone_system.Zone, chance: random.Random) -> None:
     while True:
-        entry = chance.choice(list(zone.entries.values()))
-        what = chance.choice(("is_silent", "is_down", "cut", "store"))
+        entry = chance.selector(list(zone.entries.values()))
+        what = chance.selector(("is_silent", "is_down", "cut", "store"))
         target = {"cut": entry.way, "store": zone.store}.get(what, entry)
         name = {"cut": "is_cut", "store": "is_down"}.get(what, what)
         setattr(target, name, True)
@@ -349,14 +349,14 @@
             )
             client = http.HttpClient("")
             peers = peer_http.HttpPeers(client)
-            choice = peer_selection.PeerSelector(
+            selector = peer_selection.PeerSelector(
                 "a", lambda: (), peers, contact
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 port = await tasks.start(
                     http_server.serve_http,
-                    peer_http.PeerApp({zone_system.KIND: mirror}, choice),
+                    peer_http.PeerApp({zone_system.KIND: mirror}, selector),
                     HOST,
                     0,
                 )
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -110,7 +110,7 @@
     name: str
     way: Way
     contact: contacts.StoreContact
-    choice: peer_selection.PeerSelector
+    selector: peer_selection.PeerSelector
     sight: Sight
     mirror: mirrors.Mirror
     life: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
@@ -163,15 +163,15 @@
     ) -> Entry:
         way = Way(self.store)
         contact = contacts.StoreContact()
-        choice = peer_selection.PeerSelector(
+        selector = peer_selection.PeerSelector(
             name, lambda: ranking, self, contact
         )
-        contact.pace_tries(choice.pause)
+        contact.pace_tries(selector.pause)
         sight = Sight()
         mirror = mirrors.Mirror(
-            way, KIND, sight, self._wait, lambda: 0.0, contact, choice
+            way, KIND, sight, self._wait, lambda: 0.0, contact, selector
         )
-        return Entry(name, way, contact, choice, sight, mirror)
+        return Entry(name, way, contact, selector, sight, mirror)
 
     def __getitem__(self, number: int) -> Entry:
         return self.entries[f"entry-{number}"]
@@ -195,7 +195,7 @@
         if entry.is_silent:
             await anyio.sleep(wait + PATIENCE)
             raise _lost()
-        entry.choice.note_asked()
+        entry.selector.note_asked()
         sighting = await entry.mirror.tell(after, wait)
         if entry.is_too_large and sighting.changes.objects:
             raise errors.CrowdeckError(errors.Code.TOO_LARGE, "400 KB")
