--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -60,7 +60,7 @@
         status: Status = dict,
     ) -> None:
         self._copies = copies
-        self._choice = selector
+        self._selector = selector
         self._status = status
 
     async def __call__(
@@ -78,7 +78,7 @@
         if copy is None:
             await _answer(send, 404, b"")
             return
-        self._choice.note_asked()
+        self._selector.note_asked()
         try:
             question = _question(scope["query_string"])
             body = await ask(copy, question.after, question.wait)
