--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -46,7 +46,7 @@
         self,
         store: stores.ObjectStore,
         config: configs.Config,
-        peers: peer_selection.PeerStore,
+        peers: peer_selection.PeerClient,
     ) -> None:
         self.registry = registries.UpstreamRegistry(platform_upstreams.decode)
         self.holder = relays.ConfigHolder(
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -65,7 +65,7 @@
     address: instances.Address
 
 
-class PeerStore(typing.Protocol):
+class PeerClient(typing.Protocol):
     """Reaches the copies that other entries keep."""
 
     async def watch(
@@ -117,7 +117,7 @@
         self,
         name: str,
         ranking: Ranking,
-        peers: PeerStore,
+        peers: PeerClient,
         contact: contacts.StoreContact,
     ) -> None:
         self._name = name
