--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -78,7 +78,7 @@
         if copy is None:
             await _answer(send, 404, b"")
             return
-        self._selector.note_asked()
+        self._selector.note_peer_request()
         try:
             question = _question(scope["query_string"])
             body = await ask(copy, question.after, question.wait)
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -179,7 +179,7 @@
             (end - now for end in ends if end > now), default=LOST_SECONDS
         )
 
-    def note_asked(self) -> None:
+    def note_peer_request(self) -> None:
         """Note that a peer asks this entry."""
         self._asked_at = anyio.current_time()
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -91,7 +91,7 @@
         # wait for each other's proof.
         async def work(zone: zone_system.Zone) -> None:
             assert not zone[3].selector.reads_store
-            zone[3].selector.note_asked()
+            zone[3].selector.note_peer_request()
             assert zone[3].selector.reads_store
             await anyio.sleep(peer_selection.ASKED_SECONDS + 0.1)
             assert not zone[3].selector.reads_store
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -195,7 +195,7 @@
         if entry.is_silent:
             await anyio.sleep(wait + PATIENCE)
             raise _lost()
-        entry.selector.note_asked()
+        entry.selector.note_peer_request()
         sighting = await entry.mirror.tell(after, wait)
         if entry.is_too_large and sighting.changes.objects:
             raise errors.CrowdeckError(errors.Code.TOO_LARGE, "400 KB")
