--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -135,7 +135,7 @@
         settles_at = self._last_end + SETTLE_SECONDS
         return min(max(0.0, settles_at - self._clock()), SETTLE_SECONDS)
 
-    def refuse(
+    def refusal_error(
         self, request: fingerprint.Fingerprint, has_run: bool
     ) -> errors.CrowdeckError:
         """Return the error with which a culprit is refused.
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -175,7 +175,7 @@
         ):
             return
         has_run = self._verdict is not verdicts.Verdict.NOT_RUN
-        raise quarantine.refuse(self._fingerprint, has_run)
+        raise quarantine.refusal_error(self._fingerprint, has_run)
 
     async def _note_loss(
         self, upstream: chain.Upstream, error: errors.CrowdeckError
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -163,7 +163,9 @@
             await anyio.sleep(quarantine.seconds_to_settle())
             if not quarantine.is_quarantined(self._stream.fingerprint):
                 return
-        raise quarantine.refuse(self._stream.fingerprint, bool(self._ran_on))
+        raise quarantine.refusal_error(
+            self._stream.fingerprint, bool(self._ran_on)
+        )
 
     async def _attempt(
         self, path: chain.ChainPath
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -290,7 +290,7 @@
     @pytest.mark.parametrize("has_run", [True, False])
     def test_refusal_tells_the_truth(self, has_run: bool) -> None:
         def body() -> None:
-            error = ledger_after(3, Clock()).refuse(CAUSE, has_run)
+            error = ledger_after(3, Clock()).refusal_error(CAUSE, has_run)
             assert error.code is errors.Code.QUARANTINED
             assert error.verdict is (
                 verdicts.Verdict.MAY_HAVE_RUN
