--- a/src/crowdeck/membership/rests.py
+++ b/src/crowdeck/membership/rests.py
@@ -16,7 +16,7 @@
     is_asked: bool = False
 
 
-class Rests:
+class Backoffs:
     """Times of rest by the names of instances."""
 
     def __init__(self) -> None:
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -91,7 +91,7 @@
         # Which run of an instance its entry in the store tells of.
         self._runs: dict[str, str] = {}
         self._leavers = leavers.Leavers()
-        self._rests = rests.Rests()
+        self._rests = rests.Backoffs()
         self._end_listeners: list[EndListener] = []
         self._listeners: list[Listener] = []
         self._lapse_listeners: list[LapseListener] = []
