--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -13,7 +13,7 @@
 from crowdeck import chain
 from crowdeck.membership import entries
 from crowdeck.membership import leavers
-from crowdeck.membership import rests
+from crowdeck.membership import backoffs
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.state import objects as stores
@@ -91,7 +91,7 @@
         # Which run of an instance its entry in the store tells of.
         self._runs: dict[str, str] = {}
         self._leavers = leavers.Leavers()
-        self._rests = rests.Backoffs()
+        self._rests = backoffs.Backoffs()
         self._end_listeners: list[EndListener] = []
         self._listeners: list[Listener] = []
         self._lapse_listeners: list[LapseListener] = []
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -394,7 +394,7 @@
         again |= {
             "crowdeck.backpressure",
             "crowdeck.membership.leavers",
-            "crowdeck.membership.rests",
+            "crowdeck.membership.backoffs",
             "crowdeck.routing.rate_limits",
         }
         # What tells callers and operators of layers that no engine holds, and
