--- a/src/crowdeck/membership/leavers.py
+++ b/src/crowdeck/membership/leavers.py
@@ -11,7 +11,7 @@
 LEAVERS_MOST = 1_000
 
 
-class Leavers:
+class LeavingInstances:
     """When runs of instances said that they leave.
 
     Kept though an entry goes and comes again, as some do around an outage
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -90,7 +90,7 @@
         self._beliefs: dict[str, _Belief] = {}
         # Which run of an instance its entry in the store tells of.
         self._runs: dict[str, str] = {}
-        self._leavers = leavers.Leavers()
+        self._leavers = leavers.LeavingInstances()
         self._rests = backoffs.Backoffs()
         self._end_listeners: list[EndListener] = []
         self._listeners: list[Listener] = []
