--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -12,7 +12,7 @@
 
 from crowdeck import chain
 from crowdeck.membership import entries
-from crowdeck.membership import leavers
+from crowdeck.membership import leaving_instances
 from crowdeck.membership import backoffs
 from crowdeck.observe import counters
 from crowdeck.observe import logs
@@ -90,7 +90,7 @@
         self._beliefs: dict[str, _Belief] = {}
         # Which run of an instance its entry in the store tells of.
         self._runs: dict[str, str] = {}
-        self._leavers = leavers.LeavingInstances()
+        self._leavers = leaving_instances.LeavingInstances()
         self._rests = backoffs.Backoffs()
         self._end_listeners: list[EndListener] = []
         self._listeners: list[Listener] = []
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -19,7 +19,7 @@
 import pytest
 
 from crowdeck import chain
-from crowdeck.membership import leavers
+from crowdeck.membership import leaving_instances
 from crowdeck.membership import upstreams as registries
 from crowdeck.placement import controller as controllers
 from crowdeck.placement import failure_detector
@@ -469,9 +469,11 @@
 
     def test_remembers_only_so_many(self) -> None:
         async def work(system: System) -> None:
-            for number in range(leavers.LEAVERS_MOST + 5):
+            for number in range(leaving_instances.LEAVERS_MOST + 5):
                 system.registry.note_leaving(f"gone-{number}")
-            assert len(system.registry._leavers) == leavers.LEAVERS_MOST
+            assert (
+                len(system.registry._leavers) == leaving_instances.LEAVERS_MOST
+            )
 
         play(work)
 
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -393,7 +393,7 @@
         # What instances say of how much they can bear: these alone.
         again |= {
             "crowdeck.backpressure",
-            "crowdeck.membership.leavers",
+            "crowdeck.membership.leaving_instances",
             "crowdeck.membership.backoffs",
             "crowdeck.routing.rate_limits",
         }
