--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -118,9 +118,9 @@
         )
 
 
-def _note(config: configs.Config) -> rosters.Note:
+def _note(config: configs.Config) -> rosters.EntryRecord:
     peers = str(config.fleet["peers"])
-    return rosters.Note(
+    return rosters.EntryRecord(
         config.availability_zone,
         instances.Address.parse(peers) if peers else None,
         float(config.fleet["link_mbps"]),
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class Note:
+class EntryRecord:
     """What an entry tells of itself.
 
     :ivar address: where its peers reach it, ``None`` where they cannot.
@@ -75,7 +75,7 @@
         self,
         store: stores.ObjectStore,
         name: str,
-        note: Note,
+        note: EntryRecord,
         quarantine: trackers.QuarantineTracker | None = None,
     ) -> None:
         self._store = store
@@ -84,7 +84,7 @@
         self._quarantine = quarantine or trackers.QuarantineTracker()
         self._must_write = anyio.Event()
         self._quarantine.subscribe_own(self._tell)
-        self._notes: dict[str, Note] = {name: note}
+        self._notes: dict[str, EntryRecord] = {name: note}
         self._versions: dict[str, int] = {}
         self._ranking: tuple[peer_selection.Peer, ...] = ()
         self._listed = anyio.Event()
@@ -285,7 +285,7 @@
         )
 
 
-def encode(note: Note) -> bytes:
+def encode(note: EntryRecord) -> bytes:
     """Return a note as the store keeps it."""
     address = str(note.address) if note.address else ""
     return orjson.dumps(
@@ -298,12 +298,12 @@
     )
 
 
-def decode_note(stored: stores.StoredObject) -> Note:
+def decode_note(stored: stores.StoredObject) -> EntryRecord:
     """Return what an entry noted; nothing where it cannot be read."""
     try:
         body = orjson.loads(stored.value)
         address = str(body.get("address") or "")
-        return Note(
+        return EntryRecord(
             str(body["availability_zone"]),
             instances.Address.parse(address) if address else None,
             float(body.get("capacity") or 0.0),
@@ -317,4 +317,4 @@
         ValueError,
     ) as error:
         logs.change("entry_unread", name=stored.name, reason=repr(error))
-        return Note("")
+        return EntryRecord("")
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -81,7 +81,7 @@
         for _ in range(count):
             entry = self.start()
             if are_noted:
-                note = rosters.Note(entry.context.zone)
+                note = rosters.EntryRecord(entry.context.zone)
                 self.store.write(
                     rosters.KIND, entry.name, rosters.encode(note)
                 )
@@ -217,7 +217,7 @@
         roster = rosters.Roster(
             way,
             entry.name,
-            rosters.Note(entry.context.zone),
+            rosters.EntryRecord(entry.context.zone),
             entry.context.quarantine,
         )
         mirror = mirrors.Mirror(
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -533,7 +533,9 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             rosters_made = [
-                rosters.Roster(store, f"entry-{number}", rosters.Note(zone))
+                rosters.Roster(
+                    store, f"entry-{number}", rosters.EntryRecord(zone)
+                )
                 for number, zone in enumerate(("a", "a", "b"))
             ]
             for one in rosters_made:
@@ -548,11 +550,13 @@
     def test_many_entries_watch_less_often_within_bounds(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            one = rosters.Roster(store, "entry-0", rosters.Note("a"))
+            one = rosters.Roster(store, "entry-0", rosters.EntryRecord("a"))
             alone = one.linger()
             for number in range(400):
                 name = f"entry-{number}"
-                await rosters.Roster(store, name, rosters.Note("a")).register()
+                await rosters.Roster(
+                    store, name, rosters.EntryRecord("a")
+                ).register()
             changes = await store.list(rosters.KIND)
             one.on_listed(changes.objects)
             assert alone < one.linger() <= 0.6
@@ -563,13 +567,13 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             store.is_down = True
-            one = rosters.Roster(store, "entry-0", rosters.Note("a"))
+            one = rosters.Roster(store, "entry-0", rosters.EntryRecord("a"))
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(one.register)
                 await anyio.sleep(3.0)
                 store.is_down = False
             await rosters.Roster(
-                store, "entry-0", rosters.Note("a")
+                store, "entry-0", rosters.EntryRecord("a")
             ).register()
             changes = await store.list(rosters.KIND)
             assert len(changes.objects) == 1
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -169,7 +169,7 @@
     )
     def test_notes_of_entries(self, body: typing.Any) -> None:
         one = rosters.Roster(
-            standin_store.StandinStore(), "entry-0", rosters.Note("a")
+            standin_store.StandinStore(), "entry-0", rosters.EntryRecord("a")
         )
         one.on_changed((stored(dumped(body), "other"),), ())
         assert one.count == 2
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -551,7 +551,7 @@
 ) -> trackers.QuarantineTracker:
     """Start an entry's part in the notes; returns its memory."""
     one = trackers.QuarantineTracker(anyio.current_time)
-    roster = rosters.Roster(store, name, rosters.Note("a"), one)
+    roster = rosters.Roster(store, name, rosters.EntryRecord("a"), one)
     mirror = mirrors.Mirror(
         store, rosters.KIND, roster, 10.0, lambda: rosters.NOTES_LINGER
     )
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -280,7 +280,7 @@
                 rosters.Roster(
                     store,
                     f"entry-{number}",
-                    rosters.Note(
+                    rosters.EntryRecord(
                         zone,
                         instances.Address(HOST, 7000 + number),
                         capacity,
@@ -306,10 +306,12 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             for port in (7000, 7001):
-                note = rosters.Note(ZONE, instances.Address(HOST, port), 10.0)
+                note = rosters.EntryRecord(
+                    ZONE, instances.Address(HOST, port), 10.0
+                )
                 one = rosters.Roster(store, "entry-0", note)
                 await one.register()
-            other = rosters.Roster(store, "entry-1", rosters.Note(ZONE))
+            other = rosters.Roster(store, "entry-1", rosters.EntryRecord(ZONE))
             other.on_listed((await store.list(rosters.KIND)).objects)
             assert other.ranking()[0].address.port == 7001
 
@@ -318,7 +320,9 @@
     def test_a_restart_costs_no_call_of_its_own(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            note = rosters.Note(ZONE, instances.Address(HOST, 7000), 10.0)
+            note = rosters.EntryRecord(
+                ZONE, instances.Address(HOST, 7000), 10.0
+            )
             await rosters.Roster(store, "entry-0", note).register()
             again = rosters.Roster(store, "entry-0", note)
             again.on_listed((await store.list(rosters.KIND)).objects)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -283,7 +283,7 @@
         """Start an entry, in place of one of its name."""
         self.stop(name)
         address = instances.Address("10.0.0.1", 7340)
-        note = rosters.Note("plateau", address, capacity)
+        note = rosters.EntryRecord("plateau", address, capacity)
         quarantine = self.trackers[name] = trackers.QuarantineTracker(
             anyio.current_time
         )
