--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -50,7 +50,7 @@
     client: http.HttpClient, stored: stores.StoredObject, timeout: float
 ) -> Row:
     row: Row = {"instance": stored.name, "role": "entry"}
-    address = rosters.decode_note(stored).address
+    address = rosters.decode_record(stored).address
     if address is None:
         return row | {"state": "unknown", "error": "it tells no address"}
     try:
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -237,7 +237,7 @@
             # Our own write is known before the copy that a peer keeps.
             return
         self._versions[stored.name] = stored.version
-        note = self._notes[stored.name] = decode_note(stored)
+        note = self._notes[stored.name] = decode_record(stored)
         if stored.name != self._name:
             self._quarantine.take(stored.name, note.evidence)
             return
@@ -298,7 +298,7 @@
     )
 
 
-def decode_note(stored: stores.StoredObject) -> EntryRecord:
+def decode_record(stored: stores.StoredObject) -> EntryRecord:
     """Return what an entry noted; nothing where it cannot be read."""
     try:
         body = orjson.loads(stored.value)
