--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -79,7 +79,7 @@
             ROSTER_WAIT,
             lambda: rosters.NOTES_LINGER,
         )
-        self.roster.watch_age(roster_mirror.age)
+        self.roster.set_age_source(roster_mirror.age)
         self.mirrors = (
             self._config_mirror,
             self._mirror(
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -133,7 +133,7 @@
         """Call ``listener`` whenever the number of entries is learnt."""
         self._listeners.append(listener)
 
-    def watch_age(self, age: Age) -> None:
+    def set_age_source(self, age: Age) -> None:
         """Learn by ``age`` for how long the notes were not proved current."""
         self._age = age
 
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -227,7 +227,7 @@
             NOTES_WAIT,
             lambda: rosters.NOTES_LINGER,
         )
-        roster.watch_age(mirror.age)
+        roster.set_age_source(mirror.age)
         entry.context.follow(roster)
         scope = anyio.CancelScope()
         parts = (entry.monitor.run, roster.run, mirror.run)
