--- a/src/crowdeck/entry/service_calls.py
+++ b/src/crowdeck/entry/service_calls.py
@@ -166,7 +166,7 @@
         if view is not None:
             view.own += 1
         try:
-            reply = await self._fleet.ask_watched(
+            reply = await self._fleet.ask_with_probes(
                 peer, call, max(0.0, call.seconds_left)
             )
         except errors.LinkLost as lost:
@@ -249,7 +249,7 @@
         self._require_run(peer, target, _MAY_HAVE_RUN)
         seconds_left = order.deadline - self._clock.now()
         question = questions.Collect(order.request, order.team)
-        return await self._fleet.ask_watched(
+        return await self._fleet.ask_with_probes(
             peer, question, max(0.0, seconds_left)
         )
 
--- a/src/crowdeck/entry/turns.py
+++ b/src/crowdeck/entry/turns.py
@@ -121,7 +121,7 @@
             )
             held.home = home.name
             try:
-                reply = await self._fleet.ask_watched(
+                reply = await self._fleet.ask_with_probes(
                     home.peer, question, seconds_left
                 )
             except errors.LinkLost:
--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -218,7 +218,7 @@
             0.8, 1.2
         )
 
-    async def ask_watched(
+    async def ask_with_probes(
         self, peer: link.Peer, question: questions.Question, timeout: float
     ) -> questions.Reply:
         """Ask what may rightly take long, noticing when the peer dies.
