--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -65,7 +65,7 @@
         platform_url: str,
         cluster: str,
         timeout: float,
-        security: rpc.Security,
+        security: rpc.TlsContexts,
     ) -> None:
         self._timeout = timeout
         self._stack = contextlib.AsyncExitStack()
--- a/src/crowdeck/settings/config.py
+++ b/src/crowdeck/settings/config.py
@@ -114,13 +114,13 @@
         """Whether links are to be encrypted."""
         return bool(self.certificate)
 
-    def load(self) -> security.Security:
+    def load(self) -> security.TlsContexts:
         """Return contexts that demand a signed certificate of both ends.
 
         :raises ConfigError: when a file cannot be used.
         """
         if not self.is_set:
-            return security.Security()
+            return security.TlsContexts()
         try:
             server = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
             client = ssl.create_default_context(ssl.Purpose.SERVER_AUTH)
@@ -132,7 +132,7 @@
             raise errors.ConfigError(
                 f"[{TLS}]: the files cannot be used: {error}"
             ) from None
-        return security.Security(server=server, client=client)
+        return security.TlsContexts(server=server, client=client)
 
 
 @attrs.frozen
--- a/src/crowdeck/wire/rpc.py
+++ b/src/crowdeck/wire/rpc.py
@@ -40,7 +40,7 @@
 QUEUE_LIMIT = 65_536
 
 
-Security = security.Security
+TlsContexts = security.TlsContexts
 
 
 class RpcPeer:
@@ -250,11 +250,11 @@
         self,
         greeting: messages.Greeting,
         handler: link.Handler,
-        security: Security | None = None,
+        security: TlsContexts | None = None,
     ) -> None:
         self._greeting = greeting
         self._handler = handler
-        self._security = security or Security()
+        self._security = security or TlsContexts()
         self._stack = contextlib.AsyncExitStack()
         self._tasks: anyio.abc.TaskGroup | None = None
         self._accepted: dict[int, anyio.CancelScope] = {}
--- a/src/crowdeck/wire/security.py
+++ b/src/crowdeck/wire/security.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class Security:
+class TlsContexts:
     """TLS contexts for both ends of a link, ``None`` for plain TCP."""
 
     server: ssl.SSLContext | None = None
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -143,8 +143,8 @@
 
 def _with_link(
     check: typing.Any,
-    server_tls: rpc.Security | None = None,
-    client_tls: rpc.Security | None = None,
+    server_tls: rpc.TlsContexts | None = None,
+    client_tls: rpc.TlsContexts | None = None,
     cluster: str = "c",
 ) -> None:
     async def whole() -> None:
@@ -263,7 +263,7 @@
         _with_link(fails, ours, None)
 
 
-def _security(folder: pathlib.Path) -> rpc.Security:
+def _security(folder: pathlib.Path) -> rpc.TlsContexts:
     folder.mkdir()
     authority = trustme.CA()
     certificate = authority.issue_cert("127.0.0.1")
