--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -93,7 +93,7 @@
     """One peer's copies; implements ``Helper``."""
 
     _peer: Peer
-    _selector: "Readers"
+    _selector: "PeerSelector"
 
     async def watch(
         self, kind: str, after: stores.Position, wait: float
