--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -57,10 +57,10 @@
             store, config.name, _note(config), self.quarantine
         )
         self._contact = contacts.StoreContact()
-        self.peer_selection = peer_selection.PeerSelector(
+        self.peer_selector = peer_selection.PeerSelector(
             config.name, self.roster.ranking, peers, self._contact
         )
-        self._contact.pace_tries(self.peer_selection.pause)
+        self._contact.pace_tries(self.peer_selector.pause)
         self.registry.set_services_source(
             lambda: frozenset(one.name for one in self.holder.services)
         )
@@ -114,7 +114,7 @@
             wait,
             linger,
             self._contact,
-            self.peer_selection,
+            self.peer_selector,
         )
 
 
