--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -11,9 +11,9 @@
 import attrs
 
 from crowdeck import chain
+from crowdeck.membership import backoffs
 from crowdeck.membership import entries
 from crowdeck.membership import leaving_instances
-from crowdeck.membership import backoffs
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.state import objects as stores
