--- a/src/crowdeck/entry/service_calls.py
+++ b/src/crowdeck/entry/service_calls.py
@@ -164,7 +164,7 @@
         self._require_run(peer, target, _NOT_RUN)
         view = self._fleet.find(target.name)
         if view is not None:
-            view.own += 1
+            view.own_inflight += 1
         try:
             reply = await self._fleet.ask_with_probes(
                 peer, call, max(0.0, call.seconds_left)
@@ -176,7 +176,7 @@
             reply = await self._find_out(order, target, epoch)
         finally:
             if view is not None:
-                view.own -= 1
+                view.own_inflight -= 1
         return _called(reply)
 
     def _message(
--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -84,7 +84,7 @@
     peer: link.Peer | None = None
     load: messages.Load | None = None
     changes: int = 0
-    own: int = 0
+    own_inflight: int = 0
     own_reported: int = 0
     chosen: int = 0
     reported_at: float = 0.0
@@ -109,7 +109,9 @@
     def inflight(self) -> int:
         """Work in progress there: its report, corrected by our own since."""
         reported = self.load.running if self.load is not None else 0
-        return max(self.own, reported + self.own - self.own_reported)
+        return max(
+            self.own_inflight, reported + self.own_inflight - self.own_reported
+        )
 
     @property
     def offers(self) -> tuple[pipeline.Offer, ...]:
@@ -288,7 +290,7 @@
             )
         is_leaving = reply.is_leaving or view.instance.is_leaving
         view.load = reply
-        view.own_reported = view.own
+        view.own_reported = view.own_inflight
         view.reported_at = self._clock.now()
         self._change(view, State.LEAVING if is_leaving else State.UP)
 
--- a/src/crowdeck/routing/planner.py
+++ b/src/crowdeck/routing/planner.py
@@ -125,14 +125,14 @@
     def acquire(self, path: pipeline.Path) -> None:
         """Count an answer as in progress on a path."""
         for view in self._views(path):
-            view.own += 1
+            view.own_inflight += 1
             view.chosen += 1
 
     def release(self, path: pipeline.Path) -> None:
         """Count it as no longer in progress there."""
         for view in self._views(path):
             # A view that was dropped and made anew starts from nothing.
-            view.own = max(0, view.own - 1)
+            view.own_inflight = max(0, view.own_inflight - 1)
 
     def _views(self, path: pipeline.Path) -> list[fleets.SidecarView]:
         found = [self._fleet.find(stage.instance) for stage in path.stages]
