--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -85,7 +85,7 @@
     load: messages.Load | None = None
     changes: int = 0
     own_inflight: int = 0
-    own_reported: int = 0
+    own_inflight_reported: int = 0
     chosen: int = 0
     reported_at: float = 0.0
     is_probed: bool = False
@@ -110,7 +110,8 @@
         """Work in progress there: its report, corrected by our own since."""
         reported = self.load.running if self.load is not None else 0
         return max(
-            self.own_inflight, reported + self.own_inflight - self.own_reported
+            self.own_inflight,
+            reported + self.own_inflight - self.own_inflight_reported,
         )
 
     @property
@@ -290,7 +291,7 @@
             )
         is_leaving = reply.is_leaving or view.instance.is_leaving
         view.load = reply
-        view.own_reported = view.own_inflight
+        view.own_inflight_reported = view.own_inflight
         view.reported_at = self._clock.now()
         self._change(view, State.LEAVING if is_leaving else State.UP)
 
