--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -86,7 +86,7 @@
     changes: int = 0
     own_inflight: int = 0
     own_inflight_reported: int = 0
-    chosen: int = 0
+    times_chosen: int = 0
     reported_at: float = 0.0
     is_probed: bool = False
 
--- a/src/crowdeck/routing/planner.py
+++ b/src/crowdeck/routing/planner.py
@@ -126,7 +126,7 @@
         """Count an answer as in progress on a path."""
         for view in self._views(path):
             view.own_inflight += 1
-            view.chosen += 1
+            view.times_chosen += 1
 
     def release(self, path: pipeline.Path) -> None:
         """Count it as no longer in progress there."""
--- a/src/crowdeck/routing/policies.py
+++ b/src/crowdeck/routing/policies.py
@@ -75,7 +75,7 @@
 
     def cost(self, view: fleets.SidecarView, offer: pipeline.Offer) -> float:
         """Return how often a stage was chosen."""
-        return 1.0 + view.chosen
+        return 1.0 + view.times_chosen
 
 
 class LeastLoad:
