--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -20,7 +20,7 @@
 from crowdeck import errors
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.quarantine import causes
+from crowdeck.quarantine import attribution
 from crowdeck.quarantine import evidence
 from crowdeck.quarantine import fingerprint
 from crowdeck import verdict as verdicts
@@ -281,7 +281,7 @@
         return self._own != before
 
     def _forget_served(self, now: float) -> None:
-        since = now - causes.SERVED_SECONDS
+        since = now - attribution.SERVED_SECONDS
         while self._served:
             oldest = next(iter(self._served))
             is_needless = len(self._served) > SERVED_MOST
@@ -310,12 +310,12 @@
             for served in valid.served:
                 before = served_at.get(served.request, served.at)
                 served_at[served.request] = max(before, served.at)
-        cases = causes.open_cases(ends.values(), served_at)
-        self._suspects = causes.count(cases)
+        cases = attribution.open_cases(ends.values(), served_at)
+        self._suspects = attribution.count(cases)
         self._last_end = max((one.at for one in ends.values()), default=0.0)
-        settled = causes.settle(cases, now - SETTLE_SECONDS)
+        settled = attribution.settle(cases, now - SETTLE_SECONDS)
         self._judge_at = self._next_judgement(now)
-        self._change_to(causes.culprits(settled))
+        self._change_to(attribution.culprits(settled))
 
     def _next_judgement(self, now: float) -> float:
         """Return when time alone may change what is found."""
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,7 +16,7 @@
 
 from crowdeck import errors
 from crowdeck.membership import roster as rosters
-from crowdeck.quarantine import causes
+from crowdeck.quarantine import attribution
 from crowdeck.quarantine import evidence
 from crowdeck.quarantine import fingerprint
 from crowdeck.quarantine import tracker as trackers
@@ -44,7 +44,7 @@
     served_at = {
         fingerprint.Fingerprint(one): at for one, at in served.items()
     }
-    found = causes.culprits(causes.open_cases(ends, served_at))
+    found = attribution.culprits(attribution.open_cases(ends, served_at))
     return "".join(sorted(map(str, found)))
 
 
@@ -87,7 +87,7 @@
         # Many callers send the same, and it is at every engine that ends.
         ends = [end(str(at), "hc", at=float(at)) for at in range(10, 16)]
         assert blamed(*ends, h=9.0) == "c"
-        long_ago = 9.0 - causes.SERVED_SECONDS
+        long_ago = 9.0 - attribution.SERVED_SECONDS
         assert blamed(*ends, h=long_ago) == "ch"
 
     def test_two_causes_at_once_are_both_found(self) -> None:
@@ -99,9 +99,9 @@
 
     def test_an_end_known_in_part_blames_nobody_that_had_begun(self) -> None:
         ends = [end(str(at), begun="b", at=float(at)) for at in range(3)]
-        cases = causes.open_cases(ends, {})
-        assert causes.culprits(causes.settle(cases, 1.5)) == {}
-        assert causes.culprits(causes.settle(cases, 2.5)) != {}
+        cases = attribution.open_cases(ends, {})
+        assert attribution.culprits(attribution.settle(cases, 1.5)) == {}
+        assert attribution.culprits(attribution.settle(cases, 2.5)) != {}
 
     def test_a_tie_is_judged_one_end_later(self) -> None:
         ends = [end(str(number), "cb") for number in range(4)]
@@ -278,7 +278,7 @@
             clock = Clock()
             one = ledger_after(2, clock)
             # Also where this entry's clock is behind that of the others.
-            clock.now -= 2 * causes.SERVED_SECONDS
+            clock.now -= 2 * attribution.SERVED_SECONDS
             one.note_served(CAUSE)
             assert one.is_empty
             told = one.own.served
