--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -73,7 +73,7 @@
         may_probe: typing.Callable[[str], bool],
     ) -> None:
         self._upstreams = upstreams
-        self._may_ask = may_probe
+        self._may_probe = may_probe
         self._known: dict[str, Probe] = {}
         self._asking: dict[str, anyio.Event] = {}
 
@@ -98,7 +98,7 @@
                     return known
             waiting = self._asking.get(upstream.name)
             if waiting is None:
-                if not self._may_ask(upstream.name):
+                if not self._may_probe(upstream.name):
                     return Probe(upstream, None, "it wants rest", False, now)
                 return await self._ask(upstream)
             await waiting.wait()
