--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -71,9 +71,9 @@
 
     :ivar changed_at: monotonic seconds of the last change of state.
     :ivar changes: how many changes of state were seen.
-    :ivar own: our attempts and calls in progress there.
-    :ivar own_reported: the same, when it last reported.
-    :ivar chosen: how often it was chosen as a stage.
+    :ivar own_inflight: our attempts and calls in progress there.
+    :ivar own_inflight_reported: the same, when it last reported.
+    :ivar times_chosen: how often it was chosen as a stage.
     :ivar reported_at: monotonic seconds of its last report.
     :ivar is_probed: whether it is being asked out of its turn.
     """
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -89,7 +89,7 @@
 
 
 class HttpPeers:
-    """Implements ``PeerStore``."""
+    """Implements ``PeerClient``."""
 
     def __init__(self, client: http.HttpClient) -> None:
         self._client = client
@@ -153,7 +153,7 @@
 ) -> bytes:
     """Return the encoded answer to a question.
 
-    :raises CrowdeckError: as ``PeerStore.watch`` tells.
+    :raises CrowdeckError: as ``PeerClient.watch`` tells.
     """
     sighting = await copy.tell(after, wait)
     size = sum(len(one.value) for one in sighting.changes.objects)
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -68,7 +68,7 @@
 
     :param name: this entry's name.
     :param note: what it tells of itself.
-    :param ledger: what it tells of engines' ends, and learns of them.
+    :param quarantine: what it tells of engines' ends, and learns of them.
     """
 
     def __init__(
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -120,7 +120,7 @@
     def subscribe_lapses(self, listener: LapseListener) -> None:
         """Call ``listener`` for each engine whose entry may have lapsed.
 
-        It gets no new work until :meth:`trust` tells that it answers.
+        It gets no new work until :meth:`note_healthy` tells that it answers.
         """
         self._lapse_listeners.append(listener)
 
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -61,7 +61,7 @@
     :ivar name: the entry's name.
     :ivar membership: the entries that share what is limited with it.
     :ivar loop: how late the entry's own event loop is.
-    :ivar ledger: requests under which instances ended.
+    :ivar quarantine: requests under which instances ended.
     """
 
     zone: str
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -63,7 +63,7 @@
 class Prober:
     """Asks engines for their reports, each at most once at a time.
 
-    :param may_ask: whether an engine, by its name, may be asked now. One
+    :param may_probe: whether an engine, by its name, may be asked now. One
         that wants rest is not; that it says nothing then proves nothing.
     """
 
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -120,7 +120,7 @@
 
 
 class Zone:
-    """Entries of one zone over one store; implements ``PeerStore``."""
+    """Entries of one zone over one store; implements ``PeerClient``."""
 
     def __init__(self, count: int, wait: float = WAIT) -> None:
         self._wait = wait
