--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -266,7 +266,7 @@
         """Return whose answers said that they leave, and since when."""
         return self._leavers.items()
 
-    def seconds_backing_off(self, name: str) -> float:
+    def backoff_seconds_left(self, name: str) -> float:
         """Return for how long an instance still wants nothing from us."""
         return self._rests.seconds_left(name)
 
--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -244,7 +244,7 @@
         return not left
 
     def _can_be_ordered(self, upstream: chain.Upstream) -> bool:
-        resting = self._registry.seconds_backing_off(upstream.name)
+        resting = self._registry.backoff_seconds_left(upstream.name)
         return self._is_idle(upstream) and not resting
 
     async def _take(self, steps: list[rearrangement.Step]) -> bool:
@@ -385,7 +385,7 @@
 
     async def _order(self, move: plan.Move) -> "_Outcome":
         name = move.upstream.name
-        if self._registry.seconds_backing_off(name):
+        if self._registry.backoff_seconds_left(name):
             # Planned again at the next look.
             return _Outcome.NOT_SENT
         self._expect(move, UNKNOWN_SECONDS)
--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -77,7 +77,7 @@
         asked = [
             one
             for one in avoided
-            if one.card and not self._registry.seconds_backing_off(one.name)
+            if one.card and not self._registry.backoff_seconds_left(one.name)
         ]
         await _each(self._question, asked)
 
@@ -93,7 +93,7 @@
             for one in self._registry.listed(service.name)
             if one.card
             and one.name not in avoided
-            and not self._registry.seconds_backing_off(one.name)
+            and not self._registry.backoff_seconds_left(one.name)
         ]
         silent: list[chain.Upstream] = []
 
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -356,7 +356,7 @@
             self._sent -= 1
             self._sends.fail_to_send()
             self._context.registry.avoid(upstream.name, error.message)
-        elif not self._context.registry.seconds_backing_off(upstream.name):
+        elif not self._context.registry.backoff_seconds_left(upstream.name):
             # One that refuses at once has nothing under way, and would look
             # like the freest to the next call. One that says for how long it
             # wants rest is sent nothing until then, and is sound afterwards.
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -211,7 +211,7 @@
     def _seconds_until(self, upstream: chain.Upstream) -> float:
         return max(
             self.limits.seconds_until(upstream),
-            self.registry.seconds_backing_off(upstream.name),
+            self.registry.backoff_seconds_left(upstream.name),
         )
 
     def wait_queue(self, service: str) -> waiting.WaitQueue:
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -166,7 +166,7 @@
         for one in soon:
             if one.layers is None or registry.is_usable(one.name):
                 continue
-            left = registry.seconds_backing_off(one.name)
+            left = registry.backoff_seconds_left(one.name)
             for layer in range(one.layers.first, one.layers.end):
                 soonest[layer] = min(soonest[layer], left)
         return max(
