--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -133,7 +133,7 @@
         belief = self._beliefs.get(name)
         return belief.upstream if belief else None
 
-    def at(self, address: str) -> chain.Upstream | None:
+    def find_by_address(self, address: str) -> chain.Upstream | None:
         """Return the newest instance listed at an address."""
         found = None
         for belief in self._beliefs.values():
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -180,7 +180,10 @@
         for hop in self._path.hops:
             if str(hop.upstream.address) == answer.culprit:
                 return hop.upstream
-        return self._context.registry.at(answer.culprit) or self._path.head
+        return (
+            self._context.registry.find_by_address(answer.culprit)
+            or self._path.head
+        )
 
     async def _pass_failure(self, answer: interfaces.Answer) -> None:
         body = await answer.read(BODY_LIMIT)
--- a/src/crowdeck/relay/detours.py
+++ b/src/crowdeck/relay/detours.py
@@ -123,7 +123,7 @@
                 stream.take_path(other)
                 counters.COUNTERS.add("relay.repathed")
                 return
-            named = self._context.registry.at(outcome.culprit)
+            named = self._context.registry.find_by_address(outcome.culprit)
             if not outcome.is_known:
                 return
             if named is None or named.name in refused:
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -366,7 +366,7 @@
                 return _Finding([path.head], True)
             return _Finding([], False)
         named = [
-            self._context.registry.at(stall.address)
+            self._context.registry.find_by_address(stall.address)
             for stall in head.report.stalls
             if stall.request == stream.request.id
         ]
