--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -207,8 +207,8 @@
 
 async def _disturb(zone: zone_system.Zone, chance: random.Random) -> None:
     while True:
-        entry = chance.selector(list(zone.entries.values()))
-        what = chance.selector(("is_silent", "is_down", "cut", "store"))
+        entry = chance.choice(list(zone.entries.values()))
+        what = chance.choice(("is_silent", "is_down", "cut", "store"))
         target = {"cut": entry.way, "store": zone.store}.get(what, entry)
         name = {"cut": "is_cut", "store": "is_down"}.get(what, what)
         setattr(target, name, True)
