--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -56,7 +56,7 @@
         self.roster = rosters.Roster(
             store, config.name, _note(config), self.quarantine
         )
-        self._contact = contacts.StoreContact()
+        self._contact = contacts.StoreHealth()
         self.peer_selector = peer_selection.PeerSelector(
             config.name, self.roster.ranking, peers, self._contact
         )
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -118,7 +118,7 @@
         name: str,
         ranking: Ranking,
         peers: PeerClient,
-        contact: contacts.StoreContact,
+        contact: contacts.StoreHealth,
     ) -> None:
         self._name = name
         self._ranking = ranking
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -104,7 +104,7 @@
         follower: Follower,
         wait: float,
         linger: Linger = lambda: 0.0,
-        contact: contacts.StoreContact | None = None,
+        contact: contacts.StoreHealth | None = None,
         helpers: Helpers | None = None,
     ) -> None:
         self._store = store
@@ -112,7 +112,7 @@
         self._follower = follower
         self._wait = wait
         self._linger = linger
-        self._contact = contact or contacts.StoreContact()
+        self._contact = contact or contacts.StoreHealth()
         self._helpers = helpers or NoHelpers()
         self._replica = replicas.Replica()
         self._current_at: float | None = None
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -37,7 +37,7 @@
     TRY = enum.auto()
 
 
-class StoreContact:
+class StoreHealth:
     """What a process's callers of the store know of it together.
 
     A store that falls silent keeps its connections open: a watch that was
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -153,7 +153,7 @@
     def play(self, work: object) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = contacts.StoreContact()
+            contact = contacts.StoreHealth()
             quick, slow = _Follower(), _Follower()
             config = mirrors.Mirror(
                 store, "q", quick, 2.0, lambda: 0.0, contact
@@ -238,7 +238,7 @@
         # An entry never called the store again after an outage: whoever
         # had the one try was gone, and all others waited for it.
         async def body() -> None:
-            contact = contacts.StoreContact()
+            contact = contacts.StoreHealth()
             await contact.fail("lost", was_try=False)
             had_turn: list[contacts.Turn] = []
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -342,7 +342,7 @@
         told: list[stores.Sighting | errors.CrowdeckError] = []
 
         async def body() -> None:
-            contact = contacts.StoreContact()
+            contact = contacts.StoreHealth()
             mirror = mirrors.Mirror(
                 store,
                 zone_system.KIND,
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -244,7 +244,7 @@
         # waiting with it for a version that it gives out again.
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = contacts.StoreContact()
+            contact = contacts.StoreHealth()
             sight = zone_system.Sight()
             long = mirrors.Mirror(store, "long", sight, 10.0, contact=contact)
             short = mirrors.Mirror(
@@ -442,7 +442,7 @@
         # again, though no call of this process failed.
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = contacts.StoreContact()
+            contact = contacts.StoreHealth()
             listed = {"a": fleet_system.upstream("a")}
             registry = registries.UpstreamRegistry(
                 lambda one: listed[one.name]
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -109,7 +109,7 @@
 
     name: str
     way: Way
-    contact: contacts.StoreContact
+    contact: contacts.StoreHealth
     selector: peer_selection.PeerSelector
     sight: Sight
     mirror: mirrors.Mirror
@@ -162,7 +162,7 @@
         self, name: str, ranking: tuple[peer_selection.Peer, ...]
     ) -> Entry:
         way = Way(self.store)
-        contact = contacts.StoreContact()
+        contact = contacts.StoreHealth()
         selector = peer_selection.PeerSelector(
             name, lambda: ranking, self, contact
         )
