--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -17,7 +17,7 @@
 from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import relay as relays
 from crowdeck.settings import config as configs
-from crowdeck.state import store_health as contacts
+from crowdeck.state import store_health as store_health
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
 
@@ -56,7 +56,7 @@
         self.roster = rosters.Roster(
             store, config.name, _note(config), self.quarantine
         )
-        self._contact = contacts.StoreHealth()
+        self._contact = store_health.StoreHealth()
         self.peer_selector = peer_selection.PeerSelector(
             config.name, self.roster.ranking, peers, self._contact
         )
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -27,7 +27,7 @@
 from crowdeck import instance as instances
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.state import store_health as contacts
+from crowdeck.state import store_health as store_health
 from crowdeck.state import objects as stores
 
 # An entry that is asked reads the store itself for so long after the last
@@ -118,7 +118,7 @@
         name: str,
         ranking: Ranking,
         peers: PeerClient,
-        contact: contacts.StoreHealth,
+        contact: store_health.StoreHealth,
     ) -> None:
         self._name = name
         self._ranking = ranking
@@ -144,7 +144,7 @@
                 break
             if self._silent_until.get(peer.name, 0.0) <= now:
                 return OTHERS_TRY_SECONDS
-        return contacts.RETRY_SECONDS
+        return store_health.RETRY_SECONDS
 
     def choose(self) -> "PeerCopy | None":
         """Return whom to ask, or ``None`` to ask the store."""
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -12,7 +12,7 @@
 from crowdeck import errors
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.state import store_health as contacts
+from crowdeck.state import store_health as store_health
 from crowdeck.state import objects as stores
 from crowdeck.state import replica as replicas
 
@@ -104,7 +104,7 @@
         follower: Follower,
         wait: float,
         linger: Linger = lambda: 0.0,
-        contact: contacts.StoreHealth | None = None,
+        contact: store_health.StoreHealth | None = None,
         helpers: Helpers | None = None,
     ) -> None:
         self._store = store
@@ -112,7 +112,7 @@
         self._follower = follower
         self._wait = wait
         self._linger = linger
-        self._contact = contact or contacts.StoreHealth()
+        self._contact = contact or store_health.StoreHealth()
         self._helpers = helpers or NoHelpers()
         self._replica = replicas.Replica()
         self._current_at: float | None = None
@@ -151,12 +151,12 @@
                 continue
             patience = self._helpers.seconds_to_next()
             async with self._contact.turn(patience) as turn:
-                if turn is contacts.Turn.NONE:
+                if turn is store_health.Turn.NONE:
                     continue
                 try:
                     await self._step()
                 except errors.CrowdeckError as error:
-                    await self._note(error, turn is contacts.Turn.TRY)
+                    await self._note(error, turn is store_health.Turn.TRY)
 
     async def tell(
         self, after: stores.Position, wait: float
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -13,7 +13,7 @@
 from crowdeck.membership import roster as rosters
 from crowdeck.membership import upstreams as registries
 from crowdeck.standin import store as standin_store
-from crowdeck.state import store_health as contacts
+from crowdeck.state import store_health as store_health
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
 from tests import fleet_system
@@ -153,7 +153,7 @@
     def play(self, work: object) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = contacts.StoreHealth()
+            contact = store_health.StoreHealth()
             quick, slow = _Follower(), _Follower()
             config = mirrors.Mirror(
                 store, "q", quick, 2.0, lambda: 0.0, contact
@@ -238,9 +238,9 @@
         # An entry never called the store again after an outage: whoever
         # had the one try was gone, and all others waited for it.
         async def body() -> None:
-            contact = contacts.StoreHealth()
+            contact = store_health.StoreHealth()
             await contact.fail("lost", was_try=False)
-            had_turn: list[contacts.Turn] = []
+            had_turn: list[store_health.Turn] = []
 
             async def hang(scope: anyio.CancelScope) -> None:
                 with scope:
@@ -263,7 +263,7 @@
                 with anyio.fail_after(1.0):
                     while not had_turn:
                         await anyio.sleep(0.01)
-            assert had_turn == [contacts.Turn.TRY]
+            assert had_turn == [store_health.Turn.TRY]
             assert not contact.is_lost
 
         virtual.run(body)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -40,7 +40,7 @@
 from crowdeck.quarantine import fingerprint as fingerprints
 from crowdeck.quarantine import tracker as trackers
 from crowdeck.standin import store as standin_store
-from crowdeck.state import store_health as contacts
+from crowdeck.state import store_health as store_health
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
 from tests import fleet_system
@@ -244,7 +244,7 @@
         # waiting with it for a version that it gives out again.
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = contacts.StoreHealth()
+            contact = store_health.StoreHealth()
             sight = zone_system.Sight()
             long = mirrors.Mirror(store, "long", sight, 10.0, contact=contact)
             short = mirrors.Mirror(
@@ -442,7 +442,7 @@
         # again, though no call of this process failed.
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = contacts.StoreHealth()
+            contact = store_health.StoreHealth()
             listed = {"a": fleet_system.upstream("a")}
             registry = registries.UpstreamRegistry(
                 lambda one: listed[one.name]
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -15,7 +15,7 @@
 from crowdeck import instance as instances
 from crowdeck.membership import peer_selection
 from crowdeck.standin import store as standin_store
-from crowdeck.state import store_health as contacts
+from crowdeck.state import store_health as store_health
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
 from tests import virtual
@@ -109,7 +109,7 @@
 
     name: str
     way: Way
-    contact: contacts.StoreHealth
+    contact: store_health.StoreHealth
     selector: peer_selection.PeerSelector
     sight: Sight
     mirror: mirrors.Mirror
@@ -162,7 +162,7 @@
         self, name: str, ranking: tuple[peer_selection.Peer, ...]
     ) -> Entry:
         way = Way(self.store)
-        contact = contacts.StoreHealth()
+        contact = store_health.StoreHealth()
         selector = peer_selection.PeerSelector(
             name, lambda: ranking, self, contact
         )
