--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -17,7 +17,7 @@
 from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import relay as relays
 from crowdeck.settings import config as configs
-from crowdeck.state import store_health as store_health
+from crowdeck.state import store_health
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
 
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -27,7 +27,7 @@
 from crowdeck import instance as instances
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.state import store_health as store_health
+from crowdeck.state import store_health
 from crowdeck.state import objects as stores
 
 # An entry that is asked reads the store itself for so long after the last
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -40,7 +40,7 @@
 from crowdeck.quarantine import fingerprint as fingerprints
 from crowdeck.quarantine import tracker as trackers
 from crowdeck.standin import store as standin_store
-from crowdeck.state import store_health as store_health
+from crowdeck.state import store_health
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
 from tests import fleet_system
