--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -56,15 +56,15 @@
         self.roster = rosters.Roster(
             store, config.name, _note(config), self.quarantine
         )
-        self._contact = store_health.StoreHealth()
+        self._health = store_health.StoreHealth()
         self.peer_selector = peer_selection.PeerSelector(
-            config.name, self.roster.ranking, peers, self._contact
+            config.name, self.roster.ranking, peers, self._health
         )
-        self._contact.pace_tries(self.peer_selector.pause)
+        self._health.pace_tries(self.peer_selector.pause)
         self.registry.set_services_source(
             lambda: frozenset(one.name for one in self.holder.services)
         )
-        self.registry.set_store_failure_source(lambda: self._contact.failed_at)
+        self.registry.set_store_failure_source(lambda: self._health.failed_at)
         self._store = store
         revocation = float(config.fleet["revocation_ms"]) / 1000.0
         self._config_mirror = self._mirror(
@@ -113,7 +113,7 @@
             follower,
             wait,
             linger,
-            self._contact,
+            self._health,
             self.peer_selector,
         )
 
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -112,7 +112,7 @@
         self._follower = follower
         self._wait = wait
         self._linger = linger
-        self._contact = contact or store_health.StoreHealth()
+        self._health = contact or store_health.StoreHealth()
         self._helpers = helpers or NoHelpers()
         self._replica = replicas.Replica()
         self._current_at: float | None = None
@@ -150,7 +150,7 @@
                 await self._ask(helper)
                 continue
             patience = self._helpers.seconds_to_next()
-            async with self._contact.turn(patience) as turn:
+            async with self._health.turn(patience) as turn:
                 if turn is store_health.Turn.NONE:
                     continue
                 try:
@@ -172,17 +172,17 @@
         """
         came_at = anyio.current_time()
         with (
-            self._contact.watching(),
+            self._health.watching(),
             anyio.move_on_after(wait),
         ):
             while not self._has_news(after, came_at):
                 await self._moved_on.wait()
-        if self._contact.is_lost or self._current_at is None:
+        if self._health.is_lost or self._current_at is None:
             raise errors.CrowdeckError(
                 errors.Code.STORE_DOWN, "the store is lost from here as well"
             )
         if after.epoch > self.position.epoch:
-            self._contact.meet_epoch(after.epoch)
+            self._health.meet_epoch(after.epoch)
             raise errors.CrowdeckError(
                 errors.Code.STORE_DOWN,
                 f"epoch {after.epoch} of the store is not known here yet",
@@ -197,7 +197,7 @@
         return stores.Sighting(changes, came_at - self._current_at)
 
     def _has_news(self, after: stores.Position, came_at: float) -> bool:
-        if self._contact.is_lost:
+        if self._health.is_lost:
             return True
         if self._current_at is None:
             return False
@@ -243,22 +243,22 @@
         sent_at = anyio.current_time()
         if self._must_list:
             listing = await self._store.list(self._kind)
-            self._contact.succeed()
-            self._contact.meet_epoch(listing.epoch)
+            self._health.succeed()
+            self._health.meet_epoch(listing.epoch)
             self._must_list = self._must_ask_store = self._has_failed = False
             self._replica.list(listing)
             self._note_current(sent_at)
             self._follower.on_listed(listing.objects)
             return
         changes: stores.Changes | None = None
-        with self._contact.watching():
+        with self._health.watching():
             changes = await self._store.watch(self._kind, self.position, wait)
         if changes is None:
             # Contact was lost meanwhile: the watch is sent anew.
             self._has_failed = True
             return
         self._has_failed = self._must_ask_store = False
-        self._contact.succeed()
+        self._health.succeed()
         if not changes.objects and not changes.removed:
             # The store waited to the end and still knew of no change.
             sent_at += min(anyio.current_time() - sent_at, wait)
@@ -289,7 +289,7 @@
                 version=self.position.version,
             )
             self._must_list = True
-            self._contact.succeed()
+            self._health.succeed()
             return
         logs.change(
             "store_call_failed",
@@ -300,4 +300,4 @@
             version=self.position.version,
         )
         self._has_failed = True
-        await self._contact.fail(error.message, is_try)
+        await self._health.fail(error.message, is_try)
