--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -104,7 +104,7 @@
         follower: Follower,
         wait: float,
         linger: Linger = lambda: 0.0,
-        contact: store_health.StoreHealth | None = None,
+        health: store_health.StoreHealth | None = None,
         helpers: Helpers | None = None,
     ) -> None:
         self._store = store
@@ -112,7 +112,7 @@
         self._follower = follower
         self._wait = wait
         self._linger = linger
-        self._health = contact or store_health.StoreHealth()
+        self._health = health or store_health.StoreHealth()
         self._helpers = helpers or NoHelpers()
         self._replica = replicas.Replica()
         self._current_at: float | None = None
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -153,13 +153,13 @@
     def play(self, work: object) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = store_health.StoreHealth()
+            health = store_health.StoreHealth()
             quick, slow = _Follower(), _Follower()
             config = mirrors.Mirror(
-                store, "q", quick, 2.0, lambda: 0.0, contact
+                store, "q", quick, 2.0, lambda: 0.0, health
             )
             entries = mirrors.Mirror(
-                store, "s", slow, 10.0, lambda: 0.0, contact
+                store, "s", slow, 10.0, lambda: 0.0, health
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(config.run)
@@ -238,19 +238,19 @@
         # An entry never called the store again after an outage: whoever
         # had the one try was gone, and all others waited for it.
         async def body() -> None:
-            contact = store_health.StoreHealth()
-            await contact.fail("lost", was_try=False)
+            health = store_health.StoreHealth()
+            await health.fail("lost", was_try=False)
             had_turn: list[store_health.Turn] = []
 
             async def hang(scope: anyio.CancelScope) -> None:
                 with scope:
-                    async with contact.turn():
+                    async with health.turn():
                         await anyio.sleep_forever()
 
             async def wait() -> None:
-                async with contact.turn() as turn:
+                async with health.turn() as turn:
                     had_turn.append(turn)
-                    contact.succeed()
+                    health.succeed()
 
             scope = anyio.CancelScope()
             async with anyio.create_task_group() as tasks:
@@ -264,7 +264,7 @@
                     while not had_turn:
                         await anyio.sleep(0.01)
             assert had_turn == [store_health.Turn.TRY]
-            assert not contact.is_lost
+            assert not health.is_lost
 
         virtual.run(body)
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -141,11 +141,11 @@
                 < 2.2 * zone_system.WAIT
             )
             # The one that lost its way knows by its peers.
-            assert zone[0].contact.is_lost
+            assert zone[0].health.is_lost
             assert zone[0].mirror.age() < 2 * zone_system.WAIT
             zone[0].way.is_cut = False
             await anyio.sleep(3.0)
-            assert not zone[0].contact.is_lost
+            assert not zone[0].health.is_lost
 
         zone_system.play(5, work)
 
@@ -160,7 +160,7 @@
             for number in range(3):
                 zone[number].way.is_cut = False
             await anyio.sleep(4.0)
-            assert not any(zone[number].contact.is_lost for number in range(3))
+            assert not any(zone[number].health.is_lost for number in range(3))
             assert zone.oldest() < zone_system.WAIT + 0.1
 
         zone_system.play(5, work)
@@ -342,19 +342,19 @@
         told: list[stores.Sighting | errors.CrowdeckError] = []
 
         async def body() -> None:
-            contact = store_health.StoreHealth()
+            health = store_health.StoreHealth()
             mirror = mirrors.Mirror(
                 store,
                 zone_system.KIND,
                 zone_system.Sight(),
                 0.2,
                 lambda: 0.0,
-                contact,
+                health,
             )
             client = http.HttpClient("")
             peers = peer_http.HttpPeers(client)
             selector = peer_selection.PeerSelector(
-                "a", lambda: (), peers, contact
+                "a", lambda: (), peers, health
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -244,11 +244,11 @@
         # waiting with it for a version that it gives out again.
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = store_health.StoreHealth()
+            health = store_health.StoreHealth()
             sight = zone_system.Sight()
-            long = mirrors.Mirror(store, "long", sight, 10.0, contact=contact)
+            long = mirrors.Mirror(store, "long", sight, 10.0, health=health)
             short = mirrors.Mirror(
-                store, "short", zone_system.Sight(), 0.8, contact=contact
+                store, "short", zone_system.Sight(), 0.8, health=health
             )
             async with anyio.create_task_group() as tasks:
                 for _ in range(5):
@@ -442,14 +442,14 @@
         # again, though no call of this process failed.
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = store_health.StoreHealth()
+            health = store_health.StoreHealth()
             listed = {"a": fleet_system.upstream("a")}
             registry = registries.UpstreamRegistry(
                 lambda one: listed[one.name]
             )
-            registry.set_store_failure_source(lambda: contact.failed_at)
+            registry.set_store_failure_source(lambda: health.failed_at)
             mirror = mirrors.Mirror(
-                store, "upstreams", registry, 0.8, contact=contact
+                store, "upstreams", registry, 0.8, health=health
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -109,7 +109,7 @@
 
     name: str
     way: Way
-    contact: store_health.StoreHealth
+    health: store_health.StoreHealth
     selector: peer_selection.PeerSelector
     sight: Sight
     mirror: mirrors.Mirror
@@ -162,16 +162,16 @@
         self, name: str, ranking: tuple[peer_selection.Peer, ...]
     ) -> Entry:
         way = Way(self.store)
-        contact = store_health.StoreHealth()
+        health = store_health.StoreHealth()
         selector = peer_selection.PeerSelector(
-            name, lambda: ranking, self, contact
+            name, lambda: ranking, self, health
         )
-        contact.pace_tries(selector.pause)
+        health.pace_tries(selector.pause)
         sight = Sight()
         mirror = mirrors.Mirror(
-            way, KIND, sight, self._wait, lambda: 0.0, contact, selector
+            way, KIND, sight, self._wait, lambda: 0.0, health, selector
         )
-        return Entry(name, way, contact, selector, sight, mirror)
+        return Entry(name, way, health, selector, sight, mirror)
 
     def __getitem__(self, number: int) -> Entry:
         return self.entries[f"entry-{number}"]
