--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -235,7 +235,7 @@
         now = anyio.current_time()
         if error.code is errors.Code.STORE_DOWN:
             self._lost_until[peer.name] = now + LOST_SECONDS
-            self._contact.hear_of_failure()
+            self._contact.note_peer_failure()
         elif self._silent_until.get(peer.name, 0.0) <= now:
             silences = self._silences.get(peer.name, 0)
             self._silences[peer.name] = silences + 1
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -132,7 +132,7 @@
         """Ask ``pause`` for the seconds between two tries, at each try."""
         self._pause = pause
 
-    def hear_of_failure(self) -> None:
+    def note_peer_failure(self) -> None:
         """Note that a peer has lost the store.
 
         This process's own way there may be well. What is missing from the
