--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -128,7 +128,7 @@
             finally:
                 self._watches.discard(scope)
 
-    def pace_tries(self, pause: Pause) -> None:
+    def set_probe_interval(self, pause: Pause) -> None:
         """Ask ``pause`` for the seconds between two tries, at each try."""
         self._pause = pause
 
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -166,7 +166,7 @@
         selector = peer_selection.PeerSelector(
             name, lambda: ranking, self, health
         )
-        health.pace_tries(selector.pause)
+        health.set_probe_interval(selector.pause)
         sight = Sight()
         mirror = mirrors.Mirror(
             way, KIND, sight, self._wait, lambda: 0.0, health, selector
