--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -182,7 +182,7 @@
                 errors.Code.STORE_DOWN, "the store is lost from here as well"
             )
         if after.epoch > self.position.epoch:
-            self._health.meet_epoch(after.epoch)
+            self._health.observe_epoch(after.epoch)
             raise errors.CrowdeckError(
                 errors.Code.STORE_DOWN,
                 f"epoch {after.epoch} of the store is not known here yet",
@@ -244,7 +244,7 @@
         if self._must_list:
             listing = await self._store.list(self._kind)
             self._health.succeed()
-            self._health.meet_epoch(listing.epoch)
+            self._health.observe_epoch(listing.epoch)
             self._must_list = self._must_ask_store = self._has_failed = False
             self._replica.list(listing)
             self._note_current(sent_at)
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -140,7 +140,7 @@
         """
         self._failed_at = anyio.current_time()
 
-    def meet_epoch(self, epoch: int) -> None:
+    def observe_epoch(self, epoch: int) -> None:
         """Note an epoch of the store, told by itself or by a peer.
 
         A later one than any before takes the watches of all back. Each is
