--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -243,7 +243,7 @@
         sent_at = anyio.current_time()
         if self._must_list:
             listing = await self._store.list(self._kind)
-            self._health.succeed()
+            self._health.record_success()
             self._health.observe_epoch(listing.epoch)
             self._must_list = self._must_ask_store = self._has_failed = False
             self._replica.list(listing)
@@ -258,7 +258,7 @@
             self._has_failed = True
             return
         self._has_failed = self._must_ask_store = False
-        self._health.succeed()
+        self._health.record_success()
         if not changes.objects and not changes.removed:
             # The store waited to the end and still knew of no change.
             sent_at += min(anyio.current_time() - sent_at, wait)
@@ -289,7 +289,7 @@
                 version=self.position.version,
             )
             self._must_list = True
-            self._health.succeed()
+            self._health.record_success()
             return
         logs.change(
             "store_call_failed",
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -159,7 +159,7 @@
         for scope in self._watches:
             scope.cancel()
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Note that a call was answered."""
         if self._lost_at is None:
             return
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -250,7 +250,7 @@
             async def wait() -> None:
                 async with health.turn() as turn:
                     had_turn.append(turn)
-                    health.succeed()
+                    health.record_success()
 
             scope = anyio.CancelScope()
             async with anyio.create_task_group() as tasks:
