--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -300,4 +300,4 @@
             version=self.position.version,
         )
         self._has_failed = True
-        await self._health.fail(error.message, is_try)
+        await self._health.record_failure(error.message, is_try)
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -172,7 +172,7 @@
         self._failures = 0
         self._let_on()
 
-    async def fail(self, reason: str, was_try: bool) -> None:
+    async def record_failure(self, reason: str, was_try: bool) -> None:
         """Note that a call was not answered.
 
         After a try that failed the next one waits, this caller's or
