--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -172,7 +172,7 @@
         self._failures = 0
         self._let_on()
 
-    async def record_failure(self, reason: str, was_try: bool) -> None:
+    async def record_failure(self, reason: str, was_probe: bool) -> None:
         """Note that a call was not answered.
 
         After a try that failed the next one waits, this caller's or
@@ -187,7 +187,7 @@
             logs.change("store_lost", reason=reason)
             for scope in self._watches:
                 scope.cancel()
-        if was_try:
+        if was_probe:
             self._next_try_at = now + self._pause()
             self._let_on()
         # Whoever waited comes first, so that a kind whose answers are never
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -239,7 +239,7 @@
         # had the one try was gone, and all others waited for it.
         async def body() -> None:
             health = store_health.StoreHealth()
-            await health.record_failure("lost", was_try=False)
+            await health.record_failure("lost", was_probe=False)
             had_turn: list[store_health.Turn] = []
 
             async def hang(scope: anyio.CancelScope) -> None:
