--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -279,7 +279,7 @@
         self._moved_on.set()
         self._moved_on = anyio.Event()
 
-    async def _note(self, error: errors.CrowdeckError, is_try: bool) -> None:
+    async def _note(self, error: errors.CrowdeckError, is_probe: bool) -> None:
         counters.COUNTERS.add(f"store.{self._kind}.failed")
         if error.code is errors.Code.STORE_HISTORY:
             logs.change(
@@ -300,4 +300,4 @@
             version=self.position.version,
         )
         self._has_failed = True
-        await self._health.record_failure(error.message, is_try)
+        await self._health.record_failure(error.message, is_probe)
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -110,12 +110,12 @@
         turn = Turn.NONE
         with anyio.move_on_after(patience):
             turn = await self.enter()
-        is_try = turn is Turn.TRY
-        mine = self._tries = self._tries + is_try
+        is_probe = turn is Turn.TRY
+        mine = self._tries = self._tries + is_probe
         try:
             yield turn
         finally:
-            if is_try and self._is_tried and self._tries == mine:
+            if is_probe and self._is_tried and self._tries == mine:
                 self._let_on()
 
     @contextlib.contextmanager
