--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -151,12 +151,14 @@
                 continue
             patience = self._helpers.seconds_to_next()
             async with self._health.turn(patience) as turn:
-                if turn is store_health.Turn.NONE:
+                if turn is store_health.CallPermit.NONE:
                     continue
                 try:
                     await self._step()
                 except errors.CrowdeckError as error:
-                    await self._note(error, turn is store_health.Turn.TRY)
+                    await self._note(
+                        error, turn is store_health.CallPermit.TRY
+                    )
 
     async def tell(
         self, after: stores.Position, wait: float
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -26,7 +26,7 @@
 Pause = typing.Callable[[], float]
 
 
-class Turn(enum.Enum):
+class CallPermit(enum.Enum):
     """What a caller of the store may do.
 
     ``TRY`` is the one question that is asked while the store is lost.
@@ -76,7 +76,7 @@
         """The loop's time at which this process's own call last failed."""
         return self._tried_at
 
-    async def enter(self) -> Turn:
+    async def enter(self) -> CallPermit:
         """Wait until the store may be called.
 
         A try, the one question that is asked while the store is lost, is
@@ -88,9 +88,9 @@
             while self.is_lost:
                 if self._may_try(mine):
                     self._is_tried = True
-                    return Turn.TRY
+                    return CallPermit.TRY
                 await self._wait(mine)
-            return Turn.CALL
+            return CallPermit.CALL
         finally:
             self._line.remove(mine)
             self._tell()
@@ -98,7 +98,7 @@
     @contextlib.asynccontextmanager
     async def turn(
         self, patience: float = float("inf")
-    ) -> typing.AsyncIterator[Turn]:
+    ) -> typing.AsyncIterator[CallPermit]:
         """Wait as :meth:`enter` does; a try ends with the block at the latest.
 
         A caller that is cancelled in its try tells neither success nor
@@ -107,10 +107,10 @@
 
         :param patience: seconds to wait at most; then the turn is none.
         """
-        turn = Turn.NONE
+        turn = CallPermit.NONE
         with anyio.move_on_after(patience):
             turn = await self.enter()
-        is_probe = turn is Turn.TRY
+        is_probe = turn is CallPermit.TRY
         mine = self._tries = self._tries + is_probe
         try:
             yield turn
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -240,7 +240,7 @@
         async def body() -> None:
             health = store_health.StoreHealth()
             await health.record_failure("lost", was_probe=False)
-            had_turn: list[store_health.Turn] = []
+            had_turn: list[store_health.CallPermit] = []
 
             async def hang(scope: anyio.CancelScope) -> None:
                 with scope:
@@ -263,7 +263,7 @@
                 with anyio.fail_after(1.0):
                     while not had_turn:
                         await anyio.sleep(0.01)
-            assert had_turn == [store_health.Turn.TRY]
+            assert had_turn == [store_health.CallPermit.TRY]
             assert not health.is_lost
 
         virtual.run(body)
