--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -157,7 +157,7 @@
                     await self._step()
                 except errors.CrowdeckError as error:
                     await self._note(
-                        error, turn is store_health.CallPermit.TRY
+                        error, turn is store_health.CallPermit.PROBE
                     )
 
     async def tell(
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -34,7 +34,7 @@
 
     NONE = enum.auto()
     CALL = enum.auto()
-    TRY = enum.auto()
+    PROBE = enum.auto()
 
 
 class StoreHealth:
@@ -88,7 +88,7 @@
             while self.is_lost:
                 if self._may_try(mine):
                     self._is_tried = True
-                    return CallPermit.TRY
+                    return CallPermit.PROBE
                 await self._wait(mine)
             return CallPermit.CALL
         finally:
@@ -110,7 +110,7 @@
         turn = CallPermit.NONE
         with anyio.move_on_after(patience):
             turn = await self.enter()
-        is_probe = turn is CallPermit.TRY
+        is_probe = turn is CallPermit.PROBE
         mine = self._tries = self._tries + is_probe
         try:
             yield turn
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -263,7 +263,7 @@
                 with anyio.fail_after(1.0):
                     while not had_turn:
                         await anyio.sleep(0.01)
-            assert had_turn == [store_health.CallPermit.TRY]
+            assert had_turn == [store_health.CallPermit.PROBE]
             assert not health.is_lost
 
         virtual.run(body)
