--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -150,14 +150,14 @@
                 await self._ask(helper)
                 continue
             patience = self._helpers.seconds_to_next()
-            async with self._health.turn(patience) as turn:
-                if turn is store_health.CallPermit.NONE:
+            async with self._health.permit(patience) as permit:
+                if permit is store_health.CallPermit.NONE:
                     continue
                 try:
                     await self._step()
                 except errors.CrowdeckError as error:
                     await self._note(
-                        error, turn is store_health.CallPermit.PROBE
+                        error, permit is store_health.CallPermit.PROBE
                     )
 
     async def tell(
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -96,7 +96,7 @@
             self._tell()
 
     @contextlib.asynccontextmanager
-    async def turn(
+    async def permit(
         self, patience: float = float("inf")
     ) -> typing.AsyncIterator[CallPermit]:
         """Wait as :meth:`enter` does; a try ends with the block at the latest.
@@ -107,13 +107,13 @@
 
         :param patience: seconds to wait at most; then the turn is none.
         """
-        turn = CallPermit.NONE
+        permit = CallPermit.NONE
         with anyio.move_on_after(patience):
-            turn = await self.enter()
-        is_probe = turn is CallPermit.PROBE
+            permit = await self.enter()
+        is_probe = permit is CallPermit.PROBE
         mine = self._tries = self._tries + is_probe
         try:
-            yield turn
+            yield permit
         finally:
             if is_probe and self._is_tried and self._tries == mine:
                 self._let_on()
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -244,12 +244,12 @@
 
             async def hang(scope: anyio.CancelScope) -> None:
                 with scope:
-                    async with health.turn():
+                    async with health.permit():
                         await anyio.sleep_forever()
 
             async def wait() -> None:
-                async with health.turn() as turn:
-                    had_turn.append(turn)
+                async with health.permit() as permit:
+                    had_turn.append(permit)
                     health.record_success()
 
             scope = anyio.CancelScope()
