--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -174,7 +174,7 @@
         """
         came_at = anyio.current_time()
         with (
-            self._health.watching(),
+            self._health.watch_scope(),
             anyio.move_on_after(wait),
         ):
             while not self._has_news(after, came_at):
@@ -253,7 +253,7 @@
             self._follower.on_listed(listing.objects)
             return
         changes: stores.Changes | None = None
-        with self._health.watching():
+        with self._health.watch_scope():
             changes = await self._store.watch(self._kind, self.position, wait)
         if changes is None:
             # Contact was lost meanwhile: the watch is sent anew.
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -119,7 +119,7 @@
                 self._let_on()
 
     @contextlib.contextmanager
-    def watching(self) -> typing.Iterator[anyio.CancelScope]:
+    def watch_scope(self) -> typing.Iterator[anyio.CancelScope]:
         """Give a scope for a watch; it is cancelled when contact is lost."""
         with anyio.CancelScope() as scope:
             self._watches.add(scope)
