--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -211,7 +211,7 @@
             return True
         # Not what peers told of: two that each heard of the other's loss
         # never tried their own ways again.
-        return now - self._contact.tried_at >= OWN_TRY_SECONDS
+        return now - self._contact.own_failed_at >= OWN_TRY_SECONDS
 
     @contextlib.contextmanager
     def _watching(self, peer: Peer) -> typing.Iterator[None]:
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -72,7 +72,7 @@
         return self._failed_at
 
     @property
-    def tried_at(self) -> float:
+    def own_failed_at(self) -> float:
         """The loop's time at which this process's own call last failed."""
         return self._tried_at
 
