--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -20,7 +20,7 @@
 # processes meet an outage together and each try is charged for, so not
 # less; the entries of upstreams come back within two seconds of the
 # store's return, so not much more.
-RETRY_SECONDS = 0.3
+PROBE_INTERVAL_SECONDS = 0.3
 
 
 Pause = typing.Callable[[], float]
@@ -55,7 +55,7 @@
         self._is_tried = False
         self._tries = 0
         self._next_try_at = 0.0
-        self._pause: Pause = lambda: RETRY_SECONDS
+        self._pause: Pause = lambda: PROBE_INTERVAL_SECONDS
         self._epoch: int | None = None
         self._line: collections.deque[object] = collections.deque()
         self._changed = anyio.Event()
