--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -47,7 +47,7 @@
         ...
 
 
-class Helper(typing.Protocol):
+class PeerReplica(typing.Protocol):
     """Another process's copy, asked instead of the store."""
 
     async def watch(
@@ -63,7 +63,7 @@
 class Helpers(typing.Protocol):
     """Knows whether another process may be asked instead of the store."""
 
-    def choose(self) -> Helper | None:
+    def choose(self) -> PeerReplica | None:
         """Return whom to ask, or ``None`` to ask the store."""
         ...
 
@@ -75,7 +75,7 @@
 class NoHelpers:
     """Implements ``Helpers`` for a process that is alone."""
 
-    def choose(self) -> Helper | None:
+    def choose(self) -> PeerReplica | None:
         """Return nobody."""
         return None
 
@@ -208,12 +208,12 @@
         changes = self._replica.since(after)
         return changes is None or bool(changes.objects or changes.removed)
 
-    def _choose(self) -> Helper | None:
+    def _choose(self) -> PeerReplica | None:
         if self._must_list or self._must_ask_store:
             return None
         return self._helpers.choose()
 
-    async def _ask(self, helper: Helper) -> None:
+    async def _ask(self, helper: PeerReplica) -> None:
         """Ask another process and take what it tells."""
         wait = 0.0 if self._has_failed else self._wait + HELPER_SLACK
         sent_at = anyio.current_time()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -304,7 +304,7 @@
     """A peer's answer that came while the machine slept."""
 
     def test_proves_nothing_later_than_the_question(self) -> None:
-        class Helper:
+        class PeerReplica:
             async def watch(
                 self, kind: str, after: stores.Position, wait: float
             ) -> stores.Sighting:
@@ -314,8 +314,8 @@
                 return stores.Sighting(stores.Changes(after.version, ()), 0.0)
 
         class Helpers:
-            def choose(self) -> Helper:
-                return Helper()
+            def choose(self) -> PeerReplica:
+                return PeerReplica()
 
             def seconds_to_next(self) -> float:
                 return float("inf")
