--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -60,7 +60,7 @@
         ...
 
 
-class Helpers(typing.Protocol):
+class PeerSelector(typing.Protocol):
     """Knows whether another process may be asked instead of the store."""
 
     def choose(self) -> PeerReplica | None:
@@ -105,7 +105,7 @@
         wait: float,
         linger: Linger = lambda: 0.0,
         health: store_health.StoreHealth | None = None,
-        helpers: Helpers | None = None,
+        helpers: PeerSelector | None = None,
     ) -> None:
         self._store = store
         self._kind = kind
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -313,7 +313,7 @@
                 # Current when it was asked, as the peer's clock has it.
                 return stores.Sighting(stores.Changes(after.version, ()), 0.0)
 
-        class Helpers:
+        class PeerSelector:
             def choose(self) -> PeerReplica:
                 return PeerReplica()
 
@@ -327,7 +327,7 @@
                 "config",
                 Follower(),
                 0.8,
-                helpers=typing.cast(mirrors.Helpers, Helpers()),
+                helpers=typing.cast(mirrors.PeerSelector, PeerSelector()),
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
