--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -72,7 +72,7 @@
         ...
 
 
-class NoHelpers:
+class NoPeers:
     """Implements ``Helpers`` for a process that is alone."""
 
     def choose(self) -> PeerReplica | None:
@@ -113,7 +113,7 @@
         self._wait = wait
         self._linger = linger
         self._health = health or store_health.StoreHealth()
-        self._helpers = helpers or NoHelpers()
+        self._helpers = helpers or NoPeers()
         self._replica = replicas.Replica()
         self._current_at: float | None = None
         self._must_list = True
