--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -105,7 +105,7 @@
         wait: float,
         linger: Linger = lambda: 0.0,
         health: store_health.StoreHealth | None = None,
-        helpers: PeerSelector | None = None,
+        peers: PeerSelector | None = None,
     ) -> None:
         self._store = store
         self._kind = kind
@@ -113,7 +113,7 @@
         self._wait = wait
         self._linger = linger
         self._health = health or store_health.StoreHealth()
-        self._helpers = helpers or NoPeers()
+        self._helpers = peers or NoPeers()
         self._replica = replicas.Replica()
         self._current_at: float | None = None
         self._must_list = True
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -327,7 +327,7 @@
                 "config",
                 Follower(),
                 0.8,
-                helpers=typing.cast(mirrors.PeerSelector, PeerSelector()),
+                peers=typing.cast(mirrors.PeerSelector, PeerSelector()),
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
