--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -113,7 +113,7 @@
         self._wait = wait
         self._linger = linger
         self._health = health or store_health.StoreHealth()
-        self._helpers = peers or NoPeers()
+        self._peers = peers or NoPeers()
         self._replica = replicas.Replica()
         self._current_at: float | None = None
         self._must_list = True
@@ -149,7 +149,7 @@
             if helper is not None:
                 await self._ask(helper)
                 continue
-            patience = self._helpers.seconds_to_next()
+            patience = self._peers.seconds_to_next()
             async with self._health.permit(patience) as permit:
                 if permit is store_health.CallPermit.NONE:
                     continue
@@ -211,7 +211,7 @@
     def _choose(self) -> PeerReplica | None:
         if self._must_list or self._must_ask_store:
             return None
-        return self._helpers.choose()
+        return self._peers.choose()
 
     async def _ask(self, helper: PeerReplica) -> None:
         """Ask another process and take what it tells."""
