--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -103,7 +103,7 @@
     def _mirror(
         self,
         kind: str,
-        follower: mirrors.Follower,
+        follower: mirrors.ChangeListener,
         wait: float,
         linger: mirrors.Linger,
     ) -> mirrors.Mirror:
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -31,7 +31,7 @@
 HELPER_SLACK = 0.2
 
 
-class Follower(typing.Protocol):
+class ChangeListener(typing.Protocol):
     """Takes what a mirror sees."""
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
@@ -101,7 +101,7 @@
         self,
         store: stores.ObjectStore,
         kind: str,
-        follower: Follower,
+        follower: ChangeListener,
         wait: float,
         linger: Linger = lambda: 0.0,
         health: store_health.StoreHealth | None = None,
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -157,7 +157,7 @@
             self.slept.set()
 
 
-class Follower:
+class ChangeListener:
     """Takes what a mirror sees and keeps nothing."""
 
     def on_listed(self, objects: typing.Any) -> None:
@@ -174,7 +174,7 @@
     def test_is_as_old_as_it_is_on_waking(self, seconds: float) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            mirror = mirrors.Mirror(store, "config", Follower(), 0.8)
+            mirror = mirrors.Mirror(store, "config", ChangeListener(), 0.8)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 await anyio.sleep(2.0)
@@ -190,7 +190,7 @@
         # answer is read on waking.
         async def body() -> None:
             store = standin_store.StandinStore()
-            mirror = mirrors.Mirror(store, "config", Follower(), 0.8)
+            mirror = mirrors.Mirror(store, "config", ChangeListener(), 0.8)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 await anyio.sleep(1.0)
@@ -325,7 +325,7 @@
             mirror = mirrors.Mirror(
                 store,
                 "config",
-                Follower(),
+                ChangeListener(),
                 0.8,
                 peers=typing.cast(mirrors.PeerSelector, PeerSelector()),
             )
