--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -103,14 +103,14 @@
     def _mirror(
         self,
         kind: str,
-        follower: mirrors.ChangeListener,
+        listener: mirrors.ChangeListener,
         wait: float,
         linger: mirrors.Linger,
     ) -> mirrors.Mirror:
         return mirrors.Mirror(
             self._store,
             kind,
-            follower,
+            listener,
             wait,
             linger,
             self._health,
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -101,7 +101,7 @@
         self,
         store: stores.ObjectStore,
         kind: str,
-        follower: ChangeListener,
+        listener: ChangeListener,
         wait: float,
         linger: Linger = lambda: 0.0,
         health: store_health.StoreHealth | None = None,
@@ -109,7 +109,7 @@
     ) -> None:
         self._store = store
         self._kind = kind
-        self._follower = follower
+        self._follower = listener
         self._wait = wait
         self._linger = linger
         self._health = health or store_health.StoreHealth()
