--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -109,7 +109,7 @@
     ) -> None:
         self._store = store
         self._kind = kind
-        self._follower = listener
+        self._listener = listener
         self._wait = wait
         self._linger = linger
         self._health = health or store_health.StoreHealth()
@@ -250,7 +250,7 @@
             self._must_list = self._must_ask_store = self._has_failed = False
             self._replica.list(listing)
             self._note_current(sent_at)
-            self._follower.on_listed(listing.objects)
+            self._listener.on_listed(listing.objects)
             return
         changes: stores.Changes | None = None
         with self._health.watch_scope():
@@ -273,7 +273,7 @@
         self._replica.apply(changes)
         self._note_current(current_at)
         if changes.objects or changes.removed:
-            self._follower.on_changed(changes.objects, changes.removed)
+            self._listener.on_changed(changes.objects, changes.removed)
 
     def _note_current(self, at: float) -> None:
         known = self._current_at
