--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -100,7 +100,7 @@
         kind: str,
         after: stores.Position,
         wait: float,
-    ) -> stores.Sighting:
+    ) -> stores.PeerChanges:
         """Ask a peer what changed after a position."""
         query = urllib.parse.urlencode(
             {"after": after.version, "epoch": after.epoch, "seconds": wait}
@@ -164,7 +164,7 @@
     return _encode(sighting)
 
 
-def _encode(sighting: stores.Sighting) -> bytes:
+def _encode(sighting: stores.PeerChanges) -> bytes:
     changes = sighting.changes
     return orjson.dumps(
         {
@@ -180,7 +180,7 @@
     )
 
 
-def _decode(kind: str, content: bytes) -> stores.Sighting:
+def _decode(kind: str, content: bytes) -> stores.PeerChanges:
     try:
         body = stores.read_json(content)
         objects = tuple(
@@ -193,7 +193,7 @@
         changes = stores.Changes(
             int(body["version"]), objects, removed, int(body.get("epoch", 0))
         )
-        return stores.Sighting(changes, float(body["age"]))
+        return stores.PeerChanges(changes, float(body["age"]))
     except (KeyError, OverflowError, TypeError, ValueError) as error:
         raise errors.CrowdeckError(
             errors.Code.MALFORMED, f"a peer's answer is malformed ({error!r})"
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -70,7 +70,7 @@
 
     async def watch(
         self, peer: Peer, kind: str, after: stores.Position, wait: float
-    ) -> stores.Sighting:
+    ) -> stores.PeerChanges:
         """Return what a peer knows to have changed after a position.
 
         :raises CrowdeckError: ``STORE_DOWN`` when the peer has lost the
@@ -97,7 +97,7 @@
 
     async def watch(
         self, kind: str, after: stores.Position, wait: float
-    ) -> stores.Sighting | None:
+    ) -> stores.PeerChanges | None:
         """Return what the peer knows, ``None`` where it cannot help now.
 
         :raises CrowdeckError: when only the store can tell.
@@ -185,7 +185,7 @@
 
     async def watch(
         self, peer: Peer, kind: str, after: stores.Position, wait: float
-    ) -> stores.Sighting | None:
+    ) -> stores.PeerChanges | None:
         """Return what a peer knows, ``None`` where it cannot help now.
 
         :raises CrowdeckError: when only the store can tell.
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -52,7 +52,7 @@
 
     async def watch(
         self, kind: str, after: stores.Position, wait: float
-    ) -> stores.Sighting | None:
+    ) -> stores.PeerChanges | None:
         """Return what changed after a position, ``None`` for no help.
 
         :raises CrowdeckError: when only the store can tell.
@@ -162,7 +162,7 @@
 
     async def tell(
         self, after: stores.Position, wait: float
-    ) -> stores.Sighting:
+    ) -> stores.PeerChanges:
         """Return what changed after a position, for another process.
 
         Answers once something has changed, or once the copy was proved
@@ -196,7 +196,7 @@
                 f"what happened after {after.version} of epoch "
                 f"{after.epoch} is not known",
             )
-        return stores.Sighting(changes, came_at - self._current_at)
+        return stores.PeerChanges(changes, came_at - self._current_at)
 
     def _has_news(self, after: stores.Position, came_at: float) -> bool:
         if self._health.is_lost:
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -99,7 +99,7 @@
 
 
 @attrs.frozen
-class Sighting:
+class PeerChanges:
     """What another process saw of the store, and how long before.
 
     :ivar age: seconds before the question reached it at which its copy was
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -260,7 +260,7 @@
             good = orjson.dumps(ENTRY)
             content = listing(item("a", good), item("bad", spoilt))
             changes = await ask(content).list("servers")
-            told = peer_http._encode(stores.Sighting(changes, 0.0))
+            told = peer_http._encode(stores.PeerChanges(changes, 0.0))
             found = peer_http._decode("servers", told).changes.objects
             assert {one.name for one in found} == {"a", "bad"}
             read = upstreams.decode(found[0])
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -338,8 +338,8 @@
 
     def ask(
         self, store: standin_store.StandinStore, after: int, wait: float
-    ) -> stores.Sighting:
-        told: list[stores.Sighting | errors.CrowdeckError] = []
+    ) -> stores.PeerChanges:
+        told: list[stores.PeerChanges | errors.CrowdeckError] = []
 
         async def body() -> None:
             health = store_health.StoreHealth()
@@ -431,7 +431,7 @@
         assert caught.value.code is errors.Code.STORE_DOWN
 
     def test_large_changes_are_left_to_the_store(self) -> None:
-        sighting = stores.Sighting(
+        sighting = stores.PeerChanges(
             stores.Changes(
                 2,
                 (
@@ -449,7 +449,7 @@
         class Copy:
             async def tell(
                 self, after: stores.Position, wait: float
-            ) -> stores.Sighting:
+            ) -> stores.PeerChanges:
                 return sighting
 
         async def body() -> None:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -307,11 +307,13 @@
         class PeerReplica:
             async def watch(
                 self, kind: str, after: stores.Position, wait: float
-            ) -> stores.Sighting:
+            ) -> stores.PeerChanges:
                 await anyio.sleep(0.01)
                 sleep_through(40.0)
                 # Current when it was asked, as the peer's clock has it.
-                return stores.Sighting(stores.Changes(after.version, ()), 0.0)
+                return stores.PeerChanges(
+                    stores.Changes(after.version, ()), 0.0
+                )
 
         class PeerSelector:
             def choose(self) -> PeerReplica:
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -186,7 +186,7 @@
         kind: str,
         after: stores.Position,
         wait: float,
-    ) -> stores.Sighting:
+    ) -> stores.PeerChanges:
         """Ask an entry, as its HTTP side would."""
         entry = self.entries[peer.name]
         await anyio.sleep(0.001)
