--- a/src/crowdeck/membership/directory.py
+++ b/src/crowdeck/membership/directory.py
@@ -75,7 +75,7 @@
             return
         self._has_read = True
         if listing is not None:
-            self._mark = listing.mark
+            self._mark = listing.etag
             self._instances = {one.name: one for one in listing.instances}
 
     async def follow(self) -> None:
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -132,15 +132,15 @@
         """Return the listed instances, unless nothing changed."""
         changes = await self.list(names.INSTANCE_KIND)
         # Not the store's version: that rises with every other write too.
-        mark = str(max((one.version for one in changes.objects), default=0))
-        mark = f"{changes.epoch}-{len(changes.objects)}-{mark}"
-        if mark == known:
+        etag = str(max((one.version for one in changes.objects), default=0))
+        etag = f"{changes.epoch}-{len(changes.objects)}-{etag}"
+        if etag == known:
             return None
         try:
             listed = tuple(_instance(one) for one in changes.objects)
         except (KeyError, TypeError, ValueError) as error:
             raise _down("the instance list is malformed") from error
-        return stores.Listing(mark, listed)
+        return stores.Listing(etag, listed)
 
     async def _read(
         self, path: str, timeout: float = REQUEST_TIMEOUT
--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -124,10 +124,10 @@
     async def list_instances(self, known: str = "") -> stores.Listing | None:
         """Return the listed instances, unless nothing changed."""
         await self._travel("list")
-        mark = str(self._list_version)
-        if known == mark:
+        etag = str(self._list_version)
+        if known == etag:
             return None
-        return stores.Listing(mark, tuple(self._instances.values()))
+        return stores.Listing(etag, tuple(self._instances.values()))
 
     def add_instance(self, listed: instances.Instance) -> None:
         """List an instance, or change how it is listed."""
--- a/src/crowdeck/standin/store_http.py
+++ b/src/crowdeck/standin/store_http.py
@@ -110,14 +110,14 @@
     async def _list_instances(self) -> stores.Changes:
         listing = await self._store.list_instances()
         assert listing is not None, "no known mark was given"
-        mark = int(listing.mark)
+        etag = int(listing.etag)
         return stores.Changes(
-            mark,
+            etag,
             tuple(
                 stores.StoredObject(
                     names.INSTANCE_KIND,
                     one.name,
-                    mark,
+                    etag,
                     orjson.dumps(attrs.asdict(one)),
                 )
                 for one in listing.instances
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -169,7 +169,7 @@
 class Listing:
     """The instance list, and a mark that changes whenever it does."""
 
-    mark: str
+    etag: str
     instances: tuple[instances.Instance, ...]
 
 
