--- a/src/crowdeck/membership/directory.py
+++ b/src/crowdeck/membership/directory.py
@@ -32,7 +32,7 @@
         self._has_read = False
         self._reading = anyio.Lock()
         self._read_at = -SHORTEST_SECONDS
-        self._mark = ""
+        self._etag = ""
 
     @property
     def has_read(self) -> bool:
@@ -69,13 +69,13 @@
 
     async def _read(self) -> None:
         try:
-            listing = await self._instance_list.list_instances(self._mark)
+            listing = await self._instance_list.list_instances(self._etag)
         except errors.CrowdeckError:
             counters.COUNTERS.add("directory.refresh_failed")
             return
         self._has_read = True
         if listing is not None:
-            self._mark = listing.etag
+            self._etag = listing.etag
             self._instances = {one.name: one for one in listing.instances}
 
     async def follow(self) -> None:
