--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -364,7 +364,7 @@
         """
         present = {one.name for one in objects}
         for one in objects:
-            self._take(one, may_be_old=True)
+            self._take(one, allow_stale=True)
         for name in [name for name in self._runs if name not in present]:
             self._remove(name)
         self._tell()
@@ -382,7 +382,7 @@
         self._tell()
 
     def _take(
-        self, stored: stores.StoredObject, *, may_be_old: bool = False
+        self, stored: stores.StoredObject, *, allow_stale: bool = False
     ) -> None:
         held = self._beliefs.get(self._runs.get(stored.name, ""))
         before = held.upstream if held is not None else None
@@ -397,7 +397,7 @@
         if held is not None and held.upstream.name != upstream.name:
             self._drop(held.upstream, "upstream_started_again")
             held = None
-        if held is not None and may_be_old and held.upstream.is_leaving:
+        if held is not None and allow_stale and held.upstream.is_leaving:
             upstream = attrs.evolve(upstream, is_leaving=True)
         if upstream.name in self._leavers:
             upstream = attrs.evolve(upstream, is_leaving=True)
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -53,10 +53,10 @@
         return self._epoch
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         """Return an object."""
-        query: Query | None = {names.STALE: 1} if may_be_old else None
+        query: Query | None = {names.STALE: 1} if allow_stale else None
         response = await self._read(_path(kind, name, query))
         if response.status == 404:
             return None
--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -62,7 +62,7 @@
         return self._epoch
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         """Return an object."""
         await self._travel("get")
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -221,9 +221,9 @@
             # An old answer only makes a take-over fail at its conditional
             # write; looking is what all other processes do all day.
             is_needed = self._seen is None or self._is_outdated
-            may_be_old = not (is_needed or self.is_held)
-            await self._look(may_be_old=may_be_old)
-            if may_be_old and self._is_spoilt:
+            allow_stale = not (is_needed or self.is_held)
+            await self._look(allow_stale=allow_stale)
+            if allow_stale and self._is_spoilt:
                 # An old answer may be from before the object was made.
                 await self._look()
         while True:
@@ -388,9 +388,9 @@
         )
         return True
 
-    async def _look(self, may_be_old: bool = False) -> None:
+    async def _look(self, allow_stale: bool = False) -> None:
         found = await self._store.get(
-            KIND, self._name(self._place), may_be_old=may_be_old
+            KIND, self._name(self._place), allow_stale=allow_stale
         )
         while self._meet_epoch():
             # This answer may still be of the epoch before.
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -131,7 +131,7 @@
         ...
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> StoredObject | None:
         """Return an object, or ``None`` where there is none.
 
--- a/tests/test_restored_lease.py
+++ b/tests/test_restored_lease.py
@@ -240,9 +240,9 @@
         self.before_put: typing.Callable[[int], None] | None = None
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
-        found = await super().get(kind, name, may_be_old=may_be_old)
+        found = await super().get(kind, name, allow_stale=allow_stale)
         hook, self.after_get = self.after_get, None
         if hook is not None:
             hook()
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -545,12 +545,12 @@
         self._kept = kept
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         found = await super().get(kind, name)
         now = anyio.current_time()
         self._kept.append((now, name, found))
-        if not may_be_old:
+        if not allow_stale:
             return found
         old = None
         for at, its_name, one in self._kept:
@@ -594,7 +594,7 @@
         self._go.set()
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         found = await super().get(kind, name)
         if found is None:
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -81,7 +81,7 @@
         return await self._store.list(kind)
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         self._pass()
         return await self._store.get(kind, name)
