--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -95,14 +95,14 @@
         store: stores.ObjectStore,
         duty: str,
         holder: str,
-        may_stand: typing.Callable[[], bool] = lambda: True,
+        is_candidate: typing.Callable[[], bool] = lambda: True,
         *,
         is_new_fleet: bool = True,
     ) -> None:
         self._store = store
         self._duty = duty
         self._holder = holder
-        self._may_stand = may_stand
+        self._may_stand = is_candidate
         self._is_new_fleet = is_new_fleet
         self._epoch: int | None = None
         # What is known of the lease is of an earlier epoch.
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -80,12 +80,12 @@
     def test_holds_it_on_though_it_no_longer_stands_for_it(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            may_stand = True
-            lease = leases.Lease(store, "duty", "one", lambda: may_stand)
+            is_candidate = True
+            lease = leases.Lease(store, "duty", "one", lambda: is_candidate)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(lease.run)
                 await anyio.sleep(1.0)
-                may_stand = False
+                is_candidate = False
                 store.write(leases.KIND, "duty", b"7")
                 await _watch([lease], 10.0, holder=lease)
                 tasks.cancel_scope.cancel()
