--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -154,7 +154,7 @@
         """Wait until this process holds the lease for the first time."""
         await self._taken.wait()
 
-    def note(self, memo: tuple[str, ...]) -> None:
+    def set_memo(self, memo: tuple[str, ...]) -> None:
         """Have the next holder told something; written with a renewal.
 
         The renewal is made at once. A holder that dies before it has
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -107,7 +107,7 @@
         async def work(
             store: standin_store.StandinStore, rivals: list[leases.Lease]
         ) -> None:
-            rivals[0].note(("e0@3",))
+            rivals[0].set_memo(("e0@3",))
             await anyio.sleep(0.1)
             store.write(leases.KIND, "duty", b"7")
             # The others may take what is given up once they have waited.
