--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -124,7 +124,7 @@
         self._relay.leave()
         logs.change("stopping", in_progress=self._relay.in_progress)
         if self._lease is not None:
-            await self._lease.give_up()
+            await self._lease.release()
         await anyio.sleep_until(began + min(UNREADY_SECONDS, grace / 2))
         self._server.should_exit = True
         with anyio.move_on_at(began + grace):
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -183,7 +183,7 @@
                 await self._memo_changed.wait()
             self._memo_changed = anyio.Event()
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Let another have the lease at once, if it is held here.
 
         Without it the others wait for its whole length. A store that
--- a/tests/test_restored_lease.py
+++ b/tests/test_restored_lease.py
@@ -293,7 +293,7 @@
             with anyio.move_on_after(self._chance.uniform(3.0, 25.0)):
                 await lease.run()
             if self._chance.random() < 0.3:
-                await lease.give_up()
+                await lease.release()
             self._leases.remove(lease)
             self._ways.remove(way)
 
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -112,7 +112,7 @@
             store.write(leases.KIND, "duty", b"7")
             # The others may take what is given up once they have waited.
             await _watch(rivals, MOST_SECONDS, holder=rivals[0])
-            await rivals[0].give_up()
+            await rivals[0].release()
             await anyio.sleep(leases.RENEW_SECONDS + 0.1)
             held = next(one for one in rivals if one.is_held)
             assert held.memo == ("e0@3",)
