--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -39,7 +39,7 @@
 # another writer spoils is used up for good, and a process that starts asks
 # for three of the store's calls at each: at 4 ms, all are passed within a
 # quarter of the lease's length.
-LAST_PLACE = 64
+LAST_OBJECT_INDEX = 64
 
 
 @attrs.frozen
@@ -212,7 +212,7 @@
     @property
     def _is_spoilt(self) -> bool:
         """Whether it cannot be held where it was looked for."""
-        if self._seen is None or self._place >= LAST_PLACE:
+        if self._seen is None or self._place >= LAST_OBJECT_INDEX:
             return False
         return self._is_closed or self._seen.holder == UNREADABLE_HOLDER
 
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -57,11 +57,11 @@
         async def work(
             store: standin_store.StandinStore, rivals: list[leases.Lease]
         ) -> None:
-            for _ in range(leases.LAST_PLACE // 2):
+            for _ in range(leases.LAST_OBJECT_INDEX // 2):
                 for name in await _names(store):
                     store.write(leases.KIND, name, b"7")
                 await _watch(rivals, 3.7, holder=rivals[0])
-            assert len(await _names(store)) <= leases.LAST_PLACE
+            assert len(await _names(store)) <= leases.LAST_OBJECT_INDEX
 
         _play(work)
 
