--- a/src/crowdeck/state/claims.py
+++ b/src/crowdeck/state/claims.py
@@ -141,7 +141,7 @@
         self._remembered: dict[str, _Remembered] = {}
         self._outdated: set[int] = set()
 
-    async def look(self) -> None:
+    async def check_epoch(self) -> None:
         """Write the claims again that a restored store may have lost.
 
         To be called every ``LOOK_SECONDS``; it calls the store only then.
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -209,10 +209,10 @@
             assert caught.value.code is errors.Code.STORE_DOWN
             assert caught.value.verdict is verdicts.Verdict.NOT_RUN
             assert 0 < caught.value.retry_after <= claims.SETTLE_SECONDS
-            await second.look()
+            await second.check_epoch()
             # Its other calls have told the first entry's process.
             await store.list("settings")
-            await first.look()
+            await first.check_epoch()
             await anyio.sleep(claims.SETTLE_SECONDS)
             held = await second.claim(again)
             assert held.nonce == "first"
@@ -264,7 +264,7 @@
             store.restore(store.back_up())
             store.is_down = True
             before = store.calls.total()
-            await ledger.look()
+            await ledger.check_epoch()
             assert store.calls.total() == before + 1
 
         virtual.run(check)
@@ -276,7 +276,7 @@
             await ledger.claim(make_claim("key", "first"))
             before = store.calls.total()
             for _ in range(50):
-                await ledger.look()
+                await ledger.check_epoch()
             assert store.calls.total() == before
 
         virtual.run(check)
@@ -302,14 +302,14 @@
                     return
                 assert holders.setdefault(key, held.nonce) == held.nonce
 
-            async def look(ledger: claims.ClaimsLedger) -> None:
+            async def check_epoch(ledger: claims.ClaimsLedger) -> None:
                 while True:
                     await anyio.sleep(claims.LOOK_SECONDS)
-                    await ledger.look()
+                    await ledger.check_epoch()
 
             async with anyio.create_task_group() as tasks:
                 for ledger in ledgers:
-                    tasks.start_soon(look, ledger)
+                    tasks.start_soon(check_epoch, ledger)
                 for number in range(600):
                     tasks.start_soon(call, number)
                     if chance.random() < 0.03:
