--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -184,7 +184,9 @@
         self._tasks.start_soon(self._directory.follow)
         self._timers.subscribe("fleet", FOLLOW_SECONDS, self._fleet.follow)
         self._timers.subscribe(
-            "claims", claims_module.LOOK_SECONDS, self._claims.check_epoch
+            "claims",
+            claims_module.EPOCH_CHECK_SECONDS,
+            self._claims.check_epoch,
         )
         self._tasks.start_soon(self._settings.follow)
 
--- a/src/crowdeck/state/claims.py
+++ b/src/crowdeck/state/claims.py
@@ -46,7 +46,7 @@
 # Entries look this often whether the store has come back from a copy, and
 # for so long after one did a key that looks free is given to nobody: time
 # for the others to see it as well, and to write what they hold.
-LOOK_SECONDS = 0.2
+EPOCH_CHECK_SECONDS = 0.2
 SETTLE_SECONDS = 1.0
 
 
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -304,7 +304,7 @@
 
             async def check_epoch(ledger: claims.ClaimsLedger) -> None:
                 while True:
-                    await anyio.sleep(claims.LOOK_SECONDS)
+                    await anyio.sleep(claims.EPOCH_CHECK_SECONDS)
                     await ledger.check_epoch()
 
             async with anyio.create_task_group() as tasks:
