--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -301,7 +301,7 @@
         sizes: list[int] = []
         arrange = initial_layout.InitialLayoutSearch.arrange
 
-        def note(
+        def set_memo(
             arranger: initial_layout.InitialLayoutSearch,
             engines: typing.Sequence[chain.Upstream],
         ) -> initial_layout.Layout:
@@ -309,7 +309,7 @@
             return arrange(arranger, engines)
 
         monkeypatch.setattr(
-            initial_layout.InitialLayoutSearch, "arrange", note
+            initial_layout.InitialLayoutSearch, "arrange", set_memo
         )
         fleet = [attrs.evolve(one, layers=None) for one in paths.a_fleet(600)]
         moves = plan.next_moves(fleet, paths.PROFILE, lambda _: True)
@@ -372,7 +372,7 @@
         self.term = 3
         self.memo: tuple[str, ...] = ()
 
-    def note(self, memo: tuple[str, ...]) -> None:
+    def set_memo(self, memo: tuple[str, ...]) -> None:
         self.memo = memo
 
 
@@ -731,7 +731,7 @@
                     async with anyio.create_task_group() as inner:
                         inner.start_soon(first.run)
                         await anyio.sleep(1.0)
-                        first.note(("e0@3",))
+                        first.set_memo(("e0@3",))
                         # Written at once, not with the next renewal.
                         await anyio.sleep(0.1)
                         life.cancel()
