--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -806,7 +806,7 @@
                 await anyio.sleep(1.0)
                 tasks.start_soon(second.run)
                 await anyio.sleep(1.0)
-                await first.give_up()
+                await first.release()
                 assert not first.is_held
                 await anyio.sleep(leases.RENEW_SECONDS + 0.1)
                 assert second.is_held and not first.is_held
