--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -17,7 +17,7 @@
 from crowdeck import availability_zone as zones
 from crowdeck.entry import admission as admissions
 from crowdeck.entry import answers as answers_module
-from crowdeck.entry import driver as drives
+from crowdeck.entry import driver as driver
 from crowdeck.entry import http
 from crowdeck.entry import keys
 from crowdeck.entry import service_calls
@@ -142,7 +142,7 @@
         )
         budgets = retry.RetryBudgets()
         claims = claims_module.ClaimsLedger(store, timer_service, wall_clock)
-        self.drive_parts = drives.DriveParts(
+        self.drive_parts = driver.DriveParts(
             fleet=self._fleet,
             planner=planner,
             answers=answers,
--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -19,7 +19,7 @@
 from crowdeck import contract as contracts
 from crowdeck.entry import admission as admissions
 from crowdeck.entry import context as context_module
-from crowdeck.entry import driver as drives
+from crowdeck.entry import driver as driver
 from crowdeck.entry import keys
 from crowdeck.entry import model_answer
 from crowdeck.entry import model_request as model_requests
@@ -64,7 +64,7 @@
     def __init__(
         self,
         settings: settings_holder.SettingsHolder,
-        drive_parts: drives.DriveParts,
+        drive_parts: driver.DriveParts,
         calls: service_calls.ServiceCalls,
         answer_keys: keys.AnswerKeys,
         session_turns: turns.SessionTurns,
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -14,7 +14,7 @@
 
 from crowdeck.entry import admission as admissions
 from crowdeck.entry import context as context_module
-from crowdeck.entry import driver as drives
+from crowdeck.entry import driver as driver
 from crowdeck.entry import keys
 from crowdeck.entry import model_request as model_requests
 from crowdeck.entry import openai
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        parts: drives.DriveParts,
+        parts: driver.DriveParts,
         answer_keys: keys.AnswerKeys,
         session_turns: turns.SessionTurns,
         admission: admissions.Admission,
@@ -128,7 +128,7 @@
         claimed = await self._keys.claim(self._wanted, key)
         while claimed.resume is not None:
             first = attrs.evolve(self._wanted, request=claimed.request)
-            drive = drives.Drive(self._parts, first, sink, self._context.span)
+            drive = driver.Drive(self._parts, first, sink, self._context.span)
             try:
                 return await drive.run(claimed.resume)
             except errors.CrowdeckError as error:
@@ -139,8 +139,8 @@
             claimed = await self._keys.claim(self._wanted, key, claimed.nonce)
         return await self._drive(sink).run(path=claimed.path)
 
-    def _drive(self, sink: "_Collector | _Streamer") -> drives.Drive:
-        return drives.Drive(
+    def _drive(self, sink: "_Collector | _Streamer") -> driver.Drive:
+        return driver.Drive(
             self._parts, self._wanted, sink, self._context.span
         )
 
--- a/tests/system.py
+++ b/tests/system.py
@@ -15,7 +15,7 @@
 
 from crowdeck import contract as contracts
 from crowdeck.entry import answers as answers_module
-from crowdeck.entry import driver as drives
+from crowdeck.entry import driver as driver
 from crowdeck.entry import entry as entries
 from crowdeck.entry import model_request as model_requests
 from crowdeck.entry import service_calls
@@ -215,8 +215,8 @@
         request: model_requests.ModelRequest,
         caller: Caller,
         entry: int = 0,
-    ) -> drives.Drive:
-        return drives.Drive(
+    ) -> driver.Drive:
+        return driver.Drive(
             self.entry(entry).drive_parts,
             request,
             caller,
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,7 +11,7 @@
 import attrs
 import pytest
 
-from crowdeck.entry import driver as drives
+from crowdeck.entry import driver as driver
 from crowdeck.entry import model_request as model_requests
 from crowdeck import errors
 from crowdeck.sidecar import attempt as attempts
@@ -445,7 +445,7 @@
                 request = system.request(PROMPT, 300, window=8)
                 with anyio.move_on_after(3.0):
                     await system.drive(request, caller).run()
-                await anyio.sleep(drives.LEAVE_SECONDS + 1.0)
+                await anyio.sleep(driver.LEAVE_SECONDS + 1.0)
                 for engine in system.engines.values():
                     assert not engine.sequences
 
