--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -17,7 +17,7 @@
 from crowdeck import availability_zone as zones
 from crowdeck.entry import admission as admissions
 from crowdeck.entry import answers as answers_module
-from crowdeck.entry import driver as driver
+from crowdeck.entry import driver
 from crowdeck.entry import http
 from crowdeck.entry import keys
 from crowdeck.entry import service_calls
--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -19,7 +19,7 @@
 from crowdeck import contract as contracts
 from crowdeck.entry import admission as admissions
 from crowdeck.entry import context as context_module
-from crowdeck.entry import driver as driver
+from crowdeck.entry import driver
 from crowdeck.entry import keys
 from crowdeck.entry import model_answer
 from crowdeck.entry import model_request as model_requests
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -14,7 +14,7 @@
 
 from crowdeck.entry import admission as admissions
 from crowdeck.entry import context as context_module
-from crowdeck.entry import driver as driver
+from crowdeck.entry import driver
 from crowdeck.entry import keys
 from crowdeck.entry import model_request as model_requests
 from crowdeck.entry import openai
--- a/tests/system.py
+++ b/tests/system.py
@@ -15,7 +15,7 @@
 
 from crowdeck import contract as contracts
 from crowdeck.entry import answers as answers_module
-from crowdeck.entry import driver as driver
+from crowdeck.entry import driver
 from crowdeck.entry import entry as entries
 from crowdeck.entry import model_request as model_requests
 from crowdeck.entry import service_calls
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,7 +11,7 @@
 import attrs
 import pytest
 
-from crowdeck.entry import driver as driver
+from crowdeck.entry import driver
 from crowdeck.entry import model_request as model_requests
 from crowdeck import errors
 from crowdeck.sidecar import attempt as attempts
