--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -91,7 +91,7 @@
     tasks: anyio.abc.TaskGroup
 
 
-class Drive:
+class RequestDriver:
     """The life of one model request at one entry."""
 
     def __init__(
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -128,7 +128,9 @@
         claimed = await self._keys.claim(self._wanted, key)
         while claimed.resume is not None:
             first = attrs.evolve(self._wanted, request=claimed.request)
-            drive = driver.Drive(self._parts, first, sink, self._context.span)
+            drive = driver.RequestDriver(
+                self._parts, first, sink, self._context.span
+            )
             try:
                 return await drive.run(claimed.resume)
             except errors.CrowdeckError as error:
@@ -139,8 +141,8 @@
             claimed = await self._keys.claim(self._wanted, key, claimed.nonce)
         return await self._drive(sink).run(path=claimed.path)
 
-    def _drive(self, sink: "_Collector | _Streamer") -> driver.Drive:
-        return driver.Drive(
+    def _drive(self, sink: "_Collector | _Streamer") -> driver.RequestDriver:
+        return driver.RequestDriver(
             self._parts, self._wanted, sink, self._context.span
         )
 
--- a/tests/system.py
+++ b/tests/system.py
@@ -215,8 +215,8 @@
         request: model_requests.ModelRequest,
         caller: Caller,
         entry: int = 0,
-    ) -> driver.Drive:
-        return driver.Drive(
+    ) -> driver.RequestDriver:
+        return driver.RequestDriver(
             self.entry(entry).drive_parts,
             request,
             caller,
