--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -79,7 +79,7 @@
 
 
 @attrs.frozen
-class DriveParts:
+class DriverDependencies:
     """What every drive of an entry shares."""
 
     fleet: fleets.Fleet
@@ -96,7 +96,7 @@
 
     def __init__(
         self,
-        parts: DriveParts,
+        parts: DriverDependencies,
         request: model_requests.ModelRequest,
         sink: sinks.Sink,
         span: traces.OpenSpan,
--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -142,7 +142,7 @@
         )
         budgets = retry.RetryBudgets()
         claims = claims_module.ClaimsLedger(store, timer_service, wall_clock)
-        self.drive_parts = driver.DriveParts(
+        self.drive_parts = driver.DriverDependencies(
             fleet=self._fleet,
             planner=planner,
             answers=answers,
--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -64,7 +64,7 @@
     def __init__(
         self,
         settings: settings_holder.SettingsHolder,
-        drive_parts: driver.DriveParts,
+        drive_parts: driver.DriverDependencies,
         calls: service_calls.ServiceCalls,
         answer_keys: keys.AnswerKeys,
         session_turns: turns.SessionTurns,
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        parts: driver.DriveParts,
+        parts: driver.DriverDependencies,
         answer_keys: keys.AnswerKeys,
         session_turns: turns.SessionTurns,
         admission: admissions.Admission,
