--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -142,7 +142,7 @@
         )
         budgets = retry.RetryBudgets()
         claims = claims_module.ClaimsLedger(store, timer_service, wall_clock)
-        self.drive_parts = driver.DriverDependencies(
+        self.driver_dependencies = driver.DriverDependencies(
             fleet=self._fleet,
             planner=planner,
             answers=answers,
@@ -194,7 +194,7 @@
         """Return the ASGI application for callers."""
         return http.CallerApp(
             settings=self._settings,
-            drive_parts=self.drive_parts,
+            driver_dependencies=self.driver_dependencies,
             calls=self.calls,
             answer_keys=self._keys,
             session_turns=self.turns,
--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -64,7 +64,7 @@
     def __init__(
         self,
         settings: settings_holder.SettingsHolder,
-        drive_parts: driver.DriverDependencies,
+        driver_dependencies: driver.DriverDependencies,
         calls: service_calls.ServiceCalls,
         answer_keys: keys.AnswerKeys,
         session_turns: turns.SessionTurns,
@@ -73,7 +73,7 @@
         limits: Limits,
     ) -> None:
         self._settings = settings
-        self._drive_parts = drive_parts
+        self._drive_parts = driver_dependencies
         self._calls = calls
         self._keys = answer_keys
         self._turns = session_turns
--- a/tests/system.py
+++ b/tests/system.py
@@ -217,7 +217,7 @@
         entry: int = 0,
     ) -> driver.RequestDriver:
         return driver.RequestDriver(
-            self.entry(entry).drive_parts,
+            self.entry(entry).driver_dependencies,
             request,
             caller,
             TRACER.begin("test"),
