--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -225,7 +225,7 @@
         platform: platform_store.HttpStore,
         tracer: traces.Tracer,
     ) -> Running:
-        answers = answers_module.Answers()
+        answers = answers_module.AnswerInboxes()
         handler = entries.EntryHandler(answers)
         transport, address = await self._open_transport(stack, tasks, handler)
         section = self._config.entry
--- a/src/crowdeck/entry/answers.py
+++ b/src/crowdeck/entry/answers.py
@@ -76,7 +76,7 @@
         self._arrivals.clear()
 
 
-class Answers:
+class AnswerInboxes:
     """All inboxes of one entry; the entry's part of the link handler."""
 
     def __init__(self) -> None:
--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -84,7 +84,7 @@
 
     fleet: fleets.Fleet
     planner: planners.Planner
-    answers: answers_module.Answers
+    answers: answers_module.AnswerInboxes
     budgets: retry.RetryBudgets
     clock: timers.Clock
     randomness: random.Random
--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -64,7 +64,7 @@
 class EntryHandler:
     """The entry's side of its links: answers, and operators' questions."""
 
-    def __init__(self, answers: answers_module.Answers) -> None:
+    def __init__(self, answers: answers_module.AnswerInboxes) -> None:
         self._answers = answers
         self.entry: Entry | None = None
 
@@ -111,7 +111,7 @@
         self,
         options: EntryOptions,
         handler: EntryHandler,
-        answers: answers_module.Answers,
+        answers: answers_module.AnswerInboxes,
         transport: link.Transport,
         store: stores.ObjectStore,
         instance_list: stores.InstanceList,
--- a/tests/system.py
+++ b/tests/system.py
@@ -286,7 +286,7 @@
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as tasks:
                 timer_service = timers.TimerService()
-                answers = answers_module.Answers()
+                answers = answers_module.AnswerInboxes()
                 handler = entries.EntryHandler(answers)
                 transport = self._join(name, instances.Role.ENTRY, 1, handler)
                 entry = entries.Entry(
