--- a/src/crowdeck/entry/delivery.py
+++ b/src/crowdeck/entry/delivery.py
@@ -24,7 +24,7 @@
     """
 
     def __init__(
-        self, request: model_requests.ModelRequest, sink: sinks.Sink
+        self, request: model_requests.ModelRequest, sink: sinks.AnswerSink
     ) -> None:
         self._request = request
         self._sink = sink
--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -98,7 +98,7 @@
         self,
         parts: DriverDependencies,
         request: model_requests.ModelRequest,
-        sink: sinks.Sink,
+        sink: sinks.AnswerSink,
         span: traces.OpenSpan,
     ) -> None:
         self._parts = parts
--- a/src/crowdeck/entry/sink.py
+++ b/src/crowdeck/entry/sink.py
@@ -10,7 +10,7 @@
 from crowdeck.wire import messages
 
 
-class Sink(typing.Protocol):
+class AnswerSink(typing.Protocol):
     """Takes an answer piece by piece, as fast as its caller does."""
 
     async def put(self, position: int, piece: messages.Piece) -> None:
