--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -267,7 +267,7 @@
             raise reply.as_error()
         self._release_former()
         path = opening.path
-        self._sink.locate(
+        self._sink.set_location(
             opening.epoch, path.head.instance, path.tail.instance
         )
         counters.COUNTERS.add("drive.attempts")
@@ -322,7 +322,7 @@
             )
         counters.COUNTERS.add("drive.resumed")
         self._epoch = attached.epoch
-        self._sink.locate(attached.epoch, resume.head, resume.tail)
+        self._sink.set_location(attached.epoch, resume.head, resume.tail)
         for piece in attached.pieces:
             await self._delivery.put(piece)
             self._give_credit()
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -156,7 +156,7 @@
     async def put(self, position: int, piece: messages.Piece) -> None:
         self._texts.append(piece.text)
 
-    def locate(self, epoch: int, head: str, tail: str) -> None:
+    def set_location(self, epoch: int, head: str, tail: str) -> None:
         """Who keeps the answer does not matter to this caller."""
 
 
@@ -178,7 +178,7 @@
         """Whether the response's status has been sent."""
         return self._has_begun
 
-    def locate(self, epoch: int, head: str, tail: str) -> None:
+    def set_location(self, epoch: int, head: str, tail: str) -> None:
         """Name the answer's keepers in the events from now on."""
         self._head = head
         self._tail = tail
--- a/src/crowdeck/entry/sink.py
+++ b/src/crowdeck/entry/sink.py
@@ -17,6 +17,6 @@
         """Pass on one piece; returns once the caller has room for more."""
         ...
 
-    def locate(self, epoch: int, head: str, tail: str) -> None:
+    def set_location(self, epoch: int, head: str, tail: str) -> None:
         """Take note of who keeps the answer from now on."""
         ...
--- a/tests/system.py
+++ b/tests/system.py
@@ -77,7 +77,7 @@
         if self.seconds_per_piece:
             await anyio.sleep(self.seconds_per_piece)
 
-    def locate(self, epoch: int, head: str, tail: str) -> None:
+    def set_location(self, epoch: int, head: str, tail: str) -> None:
         self.location = (head, tail)
 
     @property
