--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -226,7 +226,7 @@
         tracer: traces.Tracer,
     ) -> Running:
         answers = answers_module.AnswerInboxes()
-        handler = entries.EntryHandler(answers)
+        handler = entries.EntryLinkHandler(answers)
         transport, address = await self._open_transport(stack, tasks, handler)
         section = self._config.entry
         entry = entries.Entry(
--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -61,7 +61,7 @@
     zone_links: zones.ZoneLinks = attrs.field(factory=zones.ZoneLinks)
 
 
-class EntryHandler:
+class EntryLinkHandler:
     """The entry's side of its links: answers, and operators' questions."""
 
     def __init__(self, answers: answers_module.AnswerInboxes) -> None:
@@ -110,7 +110,7 @@
     def __init__(
         self,
         options: EntryOptions,
-        handler: EntryHandler,
+        handler: EntryLinkHandler,
         answers: answers_module.AnswerInboxes,
         transport: link.Transport,
         store: stores.ObjectStore,
--- a/tests/system.py
+++ b/tests/system.py
@@ -287,7 +287,7 @@
             async with anyio.create_task_group() as tasks:
                 timer_service = timers.TimerService()
                 answers = answers_module.AnswerInboxes()
-                handler = entries.EntryHandler(answers)
+                handler = entries.EntryLinkHandler(answers)
                 transport = self._join(name, instances.Role.ENTRY, 1, handler)
                 entry = entries.Entry(
                     options=entries.EntryOptions(name, "plateau"),
