--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -217,7 +217,7 @@
 
     async def _call_in_turn(
         self,
-        order: service_calls.ServiceOrder,
+        order: service_calls.ServiceCall,
         session: str,
         context: context_module.RequestContext,
     ) -> questions.Called:
@@ -228,7 +228,7 @@
 
     async def _order(
         self, request: requests.Request, context: context_module.RequestContext
-    ) -> service_calls.ServiceOrder:
+    ) -> service_calls.ServiceCall:
         service = request.path_params["service"]
         contract = self._contract(context, service)
         path = "/" + request.path_params["path"]
@@ -240,7 +240,7 @@
             if name not in OWN_HEADERS
         )
         now = self._drive_parts.clock.now()
-        return service_calls.ServiceOrder(
+        return service_calls.ServiceCall(
             request=uuid.uuid4().hex,
             team=context.caller.team,
             service=service,
--- a/src/crowdeck/entry/service_calls.py
+++ b/src/crowdeck/entry/service_calls.py
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen
-class ServiceOrder:
+class ServiceCall:
     """One caller's call of a plain service.
 
     :ivar key: the caller's idempotency key, empty for none.
@@ -100,7 +100,7 @@
         self._wall_clock = wall_clock
         self._random = randomness
 
-    async def call(self, order: ServiceOrder) -> questions.Called:
+    async def call(self, order: ServiceCall) -> questions.Called:
         """Make a call and return its answer.
 
         :raises CrowdeckError: with a true verdict.
@@ -109,7 +109,7 @@
             return await self._call_keyed(order)
         return await self._call_unkeyed(order)
 
-    async def _call_unkeyed(self, order: ServiceOrder) -> questions.Called:
+    async def _call_unkeyed(self, order: ServiceCall) -> questions.Called:
         budget = self._budgets.get(order.team, order.service)
         budget.earn()
         backoff = retry.Backoff(self._random)
@@ -156,7 +156,7 @@
         return [_Target(view.name, view.incarnation) for view in views]
 
     async def _send(
-        self, order: ServiceOrder, target: _Target, epoch: int
+        self, order: ServiceCall, target: _Target, epoch: int
     ) -> questions.Called:
         """Send a call to one run of one sidecar and learn what became."""
         call = self._message(order, target, epoch)
@@ -180,7 +180,7 @@
         return _called(reply)
 
     def _message(
-        self, order: ServiceOrder, target: _Target, epoch: int
+        self, order: ServiceCall, target: _Target, epoch: int
     ) -> questions.Call:
         return questions.Call(
             request=order.request,
@@ -211,7 +211,7 @@
     # A lost reply.
 
     async def _find_out(
-        self, order: ServiceOrder, target: _Target, epoch: int
+        self, order: ServiceCall, target: _Target, epoch: int
     ) -> questions.Reply:
         """Seal a call whose reply was lost, or collect its answer."""
         counters.COUNTERS.add("calls.reply_lost")
@@ -243,7 +243,7 @@
         return _MAY_HAVE_RUN
 
     async def _collect(
-        self, order: ServiceOrder, target: _Target
+        self, order: ServiceCall, target: _Target
     ) -> questions.Reply:
         peer = await self._links.get(target.name)
         self._require_run(peer, target, _MAY_HAVE_RUN)
@@ -255,7 +255,7 @@
 
     # Keyed calls.
 
-    async def _call_keyed(self, order: ServiceOrder) -> questions.Called:
+    async def _call_keyed(self, order: ServiceCall) -> questions.Called:
         own = self._make_claim(order)
         holder = await self._claims.claim(own)
         while holder.nonce != own.nonce:
@@ -273,7 +273,7 @@
             holder = await self._claims.claim(own, replaces=holder.nonce)
         return await self._run_claimed(order, own)
 
-    def _make_claim(self, order: ServiceOrder) -> claims_module.Claim:
+    def _make_claim(self, order: ServiceCall) -> claims_module.Claim:
         targets = self._candidates(order.service)[:CLAIM_SIDECARS]
         if not targets:
             raise errors.CrowdeckError(
@@ -292,7 +292,7 @@
         )
 
     async def _run_claimed(
-        self, order: ServiceOrder, claim: claims_module.Claim
+        self, order: ServiceCall, claim: claims_module.Claim
     ) -> questions.Called:
         """Run our claimed call at the first claimed sidecar that can."""
         refusal: errors.CrowdeckError | None = None
@@ -307,7 +307,7 @@
         raise refusal
 
     async def _collect_claimed(
-        self, order: ServiceOrder, claim: claims_module.Claim
+        self, order: ServiceCall, claim: claims_module.Claim
     ) -> questions.Called | None:
         """Return the answer of another's claimed call.
 
@@ -330,7 +330,7 @@
         return None
 
     async def _collect_or_seal(
-        self, order: ServiceOrder, target: _Target
+        self, order: ServiceCall, target: _Target
     ) -> questions.Reply:
         begin_by = self._clock.now() + BEGIN_SECONDS
         while True:
--- a/tests/system.py
+++ b/tests/system.py
@@ -235,9 +235,9 @@
         key: str = "",
         is_repeatable: bool = False,
         seconds: float = 10.0,
-    ) -> service_calls.ServiceOrder:
+    ) -> service_calls.ServiceCall:
         self.requests += 1
-        return service_calls.ServiceOrder(
+        return service_calls.ServiceCall(
             request=f"call{self.requests}",
             team="kiosks",
             service="records",
