--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -124,7 +124,7 @@
 
     async def run(
         self,
-        resume: model_requests.Resume | None = None,
+        resume: model_requests.ResumePoint | None = None,
         path: pipeline.Path | None = None,
     ) -> str:
         """Deliver the whole answer and return why it ended.
@@ -177,7 +177,9 @@
         stack.callback(self._parts.answers.close, request)
 
     async def _run_attempts(
-        self, resume: model_requests.Resume | None, path: pipeline.Path | None
+        self,
+        resume: model_requests.ResumePoint | None,
+        path: pipeline.Path | None,
     ) -> str:
         opening = self._opening(path) if path is not None else None
         while True:
@@ -306,7 +308,7 @@
             )
         return view.peer
 
-    async def _resume(self, resume: model_requests.Resume) -> str:
+    async def _resume(self, resume: model_requests.ResumePoint) -> str:
         """Take up an answer that another entry began."""
         self._delivery.shown = resume.position
         attached: questions.Attached | None = None
--- a/src/crowdeck/entry/keys.py
+++ b/src/crowdeck/entry/keys.py
@@ -29,7 +29,7 @@
     request: str
     nonce: str
     path: pipeline.Path | None = None
-    resume: model_requests.Resume | None = None
+    resume: model_requests.ResumePoint | None = None
 
 
 class AnswerKeys:
@@ -73,5 +73,7 @@
         return ClaimedAnswer(
             holder.request,
             holder.nonce,
-            resume=model_requests.Resume(position=0, head=head, tail=tail),
+            resume=model_requests.ResumePoint(
+                position=0, head=head, tail=tail
+            ),
         )
--- a/src/crowdeck/entry/model_request.py
+++ b/src/crowdeck/entry/model_request.py
@@ -31,7 +31,7 @@
 
 
 @attrs.frozen
-class Resume:
+class ResumePoint:
     """Where an answer is to be taken up again.
 
     :ivar position: the first position that the caller does not have.
--- a/src/crowdeck/entry/openai.py
+++ b/src/crowdeck/entry/openai.py
@@ -134,9 +134,9 @@
             raise _bad("'Last-Event-ID' is not one that was given out")
         return cls(parts[0], parts[1], parts[2], int(parts[3]))
 
-    def as_resume(self) -> model_requests.Resume:
+    def as_resume(self) -> model_requests.ResumePoint:
         """Return where to take the answer up: after this event."""
-        return model_requests.Resume(
+        return model_requests.ResumePoint(
             position=self.position + 1, head=self.head, tail=self.tail
         )
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -225,7 +225,7 @@
                 first, second = systems.Caller(), systems.Caller()
                 request = system.request(PROMPT)
                 await _break_at(system, request, first, position)
-                resume = model_requests.Resume(
+                resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
                 await system.drive(request, second, entry=1).run(resume)
@@ -243,7 +243,7 @@
                 request = system.request(PROMPT)
                 await _break_at(system, request, first, 6)
                 system.kill(first.location[0])
-                resume = model_requests.Resume(
+                resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
                 await system.drive(request, second, entry=1).run(resume)
@@ -262,7 +262,7 @@
                 foreign = system.request(
                     PROMPT, request=request.request, team="others"
                 )
-                resume = model_requests.Resume(0, *first.location)
+                resume = model_requests.ResumePoint(0, *first.location)
                 with pytest.raises(errors.CrowdeckError) as caught:
                     await system.drive(foreign, second, entry=1).run(resume)
                 assert caught.value.code == errors.Code.ANSWER_GONE
@@ -310,7 +310,7 @@
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(run_first)
                     await anyio.sleep(1.0)
-                    resume = model_requests.Resume(
+                    resume = model_requests.ResumePoint(
                         len(first.pieces), *first.location
                     )
                     await system.drive(request, second, entry=1).run(resume)
@@ -428,7 +428,7 @@
                 with anyio.move_on_after(1.0):
                     await system.drive(request, first).run()
                 await anyio.sleep(2.0)
-                resume = model_requests.Resume(
+                resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
                 await system.drive(request, second, entry).run(resume)
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -255,7 +255,7 @@
 
 def test_resume_names_are_not_addresses() -> None:
     """What a caller sends back can never be dialled as an address."""
-    resume = model_requests.Resume(0, "127.0.0.1:1", "127.0.0.1:2")
+    resume = model_requests.ResumePoint(0, "127.0.0.1:1", "127.0.0.1:2")
 
     async def check() -> None:
         async with systems.System(replicas=1) as system:
