--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -39,7 +39,7 @@
     def __init__(
         self,
         gate: gates.Gate,
-        kept: kept_attempts.KeptAttempts,
+        kept: kept_attempts.AttemptRegistry,
         clock: timers.Clock,
         tasks: anyio.abc.TaskGroup,
         decode: Decode,
--- a/src/crowdeck/sidecar/kept.py
+++ b/src/crowdeck/sidecar/kept.py
@@ -33,7 +33,7 @@
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
 
-class KeptAttempts:
+class AttemptRegistry:
     """The attempts of one sidecar, by request."""
 
     def __init__(
--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -29,7 +29,7 @@
         self,
         instance: str,
         gate: gates.Gate,
-        kept: kept_attempts.KeptAttempts,
+        kept: kept_attempts.AttemptRegistry,
         clock: timers.Clock,
         tracer: traces.Tracer,
     ) -> None:
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -56,7 +56,7 @@
         self._links = links
         self._clock = clock
         self._tasks = tasks
-        self._kept = kept_attempts.KeptAttempts(
+        self._kept = kept_attempts.AttemptRegistry(
             instance, gate, engine, clock, tasks
         )
         self._openings = openings.Openings(
@@ -70,7 +70,7 @@
         return self._head
 
     @property
-    def kept(self) -> kept_attempts.KeptAttempts:
+    def kept(self) -> kept_attempts.AttemptRegistry:
         """The attempts that are kept here."""
         return self._kept
 
