--- a/src/crowdeck/sidecar/kv_moves.py
+++ b/src/crowdeck/sidecar/kv_moves.py
@@ -22,7 +22,7 @@
 IMPORT_TIMEOUT = 5.0
 
 
-class KvMoves:
+class KvTransfers:
     """Exports from, and imports into, one stage's engine."""
 
     def __init__(
