--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -17,9 +17,9 @@
 from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import relay as relays
 from crowdeck.settings import config as configs
-from crowdeck.state import store_health
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
+from crowdeck.state import store_health
 
 # The config's watch is renewed after this share of the time in which a
 # removed key has to stop working; each renewal proves it current. One
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -27,8 +27,8 @@
 from crowdeck import instance as instances
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.state import store_health
 from crowdeck.state import objects as stores
+from crowdeck.state import store_health
 
 # An entry that is asked reads the store itself for so long after the last
 # question: several times the longest pause between two questions, which is
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -12,9 +12,9 @@
 from crowdeck import errors
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.state import store_health
 from crowdeck.state import objects as stores
 from crowdeck.state import replica as replicas
+from crowdeck.state import store_health
 
 
 Linger = typing.Callable[[], float]
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -13,9 +13,9 @@
 from crowdeck.membership import roster as rosters
 from crowdeck.membership import upstreams as registries
 from crowdeck.standin import store as standin_store
-from crowdeck.state import store_health
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
+from crowdeck.state import store_health
 from tests import fleet_system
 from tests import virtual
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -22,10 +22,10 @@
 from crowdeck.membership import peer_selection
 from crowdeck.membership import roster as rosters
 from crowdeck.standin import store as standin_store
-from crowdeck.state import store_health
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
 from crowdeck.state import replica as replicas
+from crowdeck.state import store_health
 from tests import virtual
 from tests import zone_system
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -40,9 +40,9 @@
 from crowdeck.quarantine import fingerprint as fingerprints
 from crowdeck.quarantine import tracker as trackers
 from crowdeck.standin import store as standin_store
-from crowdeck.state import store_health
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
+from crowdeck.state import store_health
 from tests import fleet_system
 from tests import virtual
 from tests import zone_system
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -15,9 +15,9 @@
 from crowdeck import instance as instances
 from crowdeck.membership import peer_selection
 from crowdeck.standin import store as standin_store
-from crowdeck.state import store_health
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
+from crowdeck.state import store_health
 from tests import virtual
 
 KIND = "config"
