--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -301,7 +301,7 @@
         sizes: list[int] = []
         arrange = initial_layout.InitialLayoutSearch.arrange
 
-        def set_memo(
+        def note(
             arranger: initial_layout.InitialLayoutSearch,
             engines: typing.Sequence[chain.Upstream],
         ) -> initial_layout.Layout:
@@ -309,7 +309,7 @@
             return arrange(arranger, engines)
 
         monkeypatch.setattr(
-            initial_layout.InitialLayoutSearch, "arrange", set_memo
+            initial_layout.InitialLayoutSearch, "arrange", note
         )
         fleet = [attrs.evolve(one, layers=None) for one in paths.a_fleet(600)]
         moves = plan.next_moves(fleet, paths.PROFILE, lambda _: True)
