--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -44,7 +44,7 @@
     term = 1
     memo: tuple[str, ...] = ()
 
-    def note(self, memo: tuple[str, ...]) -> None:
+    def set_memo(self, memo: tuple[str, ...]) -> None:
         self.memo = memo
 
 
