--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class PeerCopy:
-    """One peer's copies; implements ``Helper``."""
+    """One peer's copies; implements ``PeerReplica``."""
 
     _peer: Peer
     _selector: "PeerSelector"
--- a/src/crowdeck/standin/store_http.py
+++ b/src/crowdeck/standin/store_http.py
@@ -109,7 +109,7 @@
 
     async def _list_instances(self) -> stores.Changes:
         listing = await self._store.list_instances()
-        assert listing is not None, "no known mark was given"
+        assert listing is not None, "no known etag was given"
         etag = int(listing.etag)
         return stores.Changes(
             etag,
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -83,7 +83,7 @@
 
     :param holder: unique to this run of the process, so that a restarted
         process does not take itself for the holder.
-    :param may_stand: whether this process is to look after the lease. The
+    :param is_candidate: whether this process is to look after the lease. The
         looks of a few are enough to find it free, and each is charged for.
         Whoever holds it keeps it all the same.
     :param is_new_fleet: whether no process of the fleet can have run before
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -73,7 +73,7 @@
 
 
 class NoPeers:
-    """Implements ``Helpers`` for a process that is alone."""
+    """Implements ``PeerSelector`` for a process that is alone."""
 
     def choose(self) -> PeerReplica | None:
         """Return nobody."""
@@ -93,8 +93,8 @@
     :param wait: seconds that one watch waits for a change. An answered
         watch proves that the copy was current when the watch was sent,
         so this also decides how old the proof may become.
-    :param contact: what all mirrors of a process know of the store.
-    :param helpers: other processes that may be asked instead.
+    :param health: what all mirrors of a process know of the store.
+    :param peers: other processes that may be asked instead.
     """
 
     def __init__(
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -135,7 +135,7 @@
     ) -> StoredObject | None:
         """Return an object, or ``None`` where there is none.
 
-        :param may_be_old: take a cheaper answer, seconds old perhaps. Only
+        :param allow_stale: take a cheaper answer, seconds old perhaps. Only
             for what a later conditional write decides.
         """
         ...
@@ -167,7 +167,7 @@
 
 @attrs.frozen
 class Listing:
-    """The instance list, and a mark that changes whenever it does."""
+    """The instance list, and an etag that changes whenever it does."""
 
     etag: str
     instances: tuple[instances.Instance, ...]
@@ -179,7 +179,7 @@
     async def list_instances(self, known: str = "") -> Listing | None:
         """Return live and leaving instances.
 
-        :param known: mark of the listing that the caller has.
+        :param known: etag of the listing that the caller has.
         :return: ``None`` when that listing is still the latest.
         """
         ...
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -331,7 +331,7 @@
     def test_is_taken_once_it_has_not_changed_for_long(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(leases, "LAST_PLACE", 1)
+        monkeypatch.setattr(leases, "LAST_OBJECT_INDEX", 1)
 
         async def work(
             store: standin_store.StandinStore, rivals: list[leases.Lease]
@@ -351,7 +351,7 @@
     def test_term_follows_one_that_was_spoilt_unread(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(leases, "LAST_PLACE", 0)
+        monkeypatch.setattr(leases, "LAST_OBJECT_INDEX", 0)
 
         async def work(
             store: standin_store.StandinStore, rivals: list[leases.Lease]
