--- a/src/crowdeck/state/replica.py
+++ b/src/crowdeck/state/replica.py
@@ -10,7 +10,7 @@
 # Removals that are remembered. Beyond them the oldest are forgotten, and
 # whoever asks from before that lists the kind anew; a release of a whole
 # fleet of 860 engines fits.
-REMOVALS_MOST = 1_000
+MAX_REMOVALS = 1_000
 
 
 class Replica:
@@ -61,7 +61,7 @@
             # Newest last, also where a name was removed before.
             self._removed.pop(name, None)
             self._removed[name] = self._version
-        while len(self._removed) > REMOVALS_MOST:
+        while len(self._removed) > MAX_REMOVALS:
             oldest = next(iter(self._removed))
             self._floor = max(self._floor, self._removed.pop(oldest))
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -258,12 +258,12 @@
     def test_forgets_the_oldest_removals(self) -> None:
         replica = replicas.Replica()
         replica.list(stores.Changes(1, ()))
-        for number in range(replicas.REMOVALS_MOST + 1):
+        for number in range(replicas.MAX_REMOVALS + 1):
             replica.apply(stores.Changes(number + 2, (), (f"gone-{number}",)))
         assert replica.since(stores.Position(1)) is None
         told = replica.since(stores.Position(2))
         assert told is not None
-        assert len(told.removed) == replicas.REMOVALS_MOST
+        assert len(told.removed) == replicas.MAX_REMOVALS
 
 
 def _object(name: str, version: int) -> stores.StoredObject:
