--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -189,7 +189,7 @@
                 errors.Code.STORE_DOWN,
                 f"epoch {after.epoch} of the store is not known here yet",
             )
-        changes = self._replica.since(after)
+        changes = self._replica.changes_since(after)
         if changes is None:
             raise errors.CrowdeckError(
                 errors.Code.STORE_HISTORY,
@@ -205,7 +205,7 @@
             return False
         if self._current_at >= came_at:
             return True
-        changes = self._replica.since(after)
+        changes = self._replica.changes_since(after)
         return changes is None or bool(changes.objects or changes.removed)
 
     def _choose(self) -> PeerReplica | None:
--- a/src/crowdeck/state/replica.py
+++ b/src/crowdeck/state/replica.py
@@ -65,7 +65,7 @@
             oldest = next(iter(self._removed))
             self._floor = max(self._floor, self._removed.pop(oldest))
 
-    def since(self, after: stores.Position) -> stores.Changes | None:
+    def changes_since(self, after: stores.Position) -> stores.Changes | None:
         """Return what changed after a position, ``None`` where unknown."""
         if after.epoch != self._epoch or after.version < self._floor:
             return None
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -233,35 +233,41 @@
         replica = replicas.Replica()
         replica.list(stores.Changes(5, (_object("a", 3), _object("b", 5))))
         replica.apply(stores.Changes(8, (_object("c", 7),), ("a",)))
-        told = replica.since(stores.Position(5))
+        told = replica.changes_since(stores.Position(5))
         assert told is not None
         assert [one.name for one in told.objects] == ["c"]
         assert told.removed == ("a",)
-        assert replica.since(stores.Position(8)) == stores.Changes(8, (), ())
+        assert replica.changes_since(stores.Position(8)) == stores.Changes(
+            8, (), ()
+        )
 
     def test_does_not_know_what_was_before_its_listing(self) -> None:
         replica = replicas.Replica()
         replica.list(stores.Changes(5, ()))
-        assert replica.since(stores.Position(4)) is None
+        assert replica.changes_since(stores.Position(4)) is None
 
     def test_objects_newer_than_their_listing_are_told_once(self) -> None:
         # The second page of a listing is read later than the first. With
         # the object's own version as the mark it was told for ever.
         replica = replicas.Replica()
         replica.list(stores.Changes(5, (_object("late", 9),)))
-        assert replica.since(stores.Position(5)) == stores.Changes(5, (), ())
+        assert replica.changes_since(stores.Position(5)) == stores.Changes(
+            5, (), ()
+        )
         replica.apply(stores.Changes(9, (_object("late", 9),)))
-        told = replica.since(stores.Position(5))
+        told = replica.changes_since(stores.Position(5))
         assert told is not None and told.objects
-        assert replica.since(told.position) == stores.Changes(9, (), ())
+        assert replica.changes_since(told.position) == stores.Changes(
+            9, (), ()
+        )
 
     def test_forgets_the_oldest_removals(self) -> None:
         replica = replicas.Replica()
         replica.list(stores.Changes(1, ()))
         for number in range(replicas.MAX_REMOVALS + 1):
             replica.apply(stores.Changes(number + 2, (), (f"gone-{number}",)))
-        assert replica.since(stores.Position(1)) is None
-        told = replica.since(stores.Position(2))
+        assert replica.changes_since(stores.Position(1)) is None
+        told = replica.changes_since(stores.Position(2))
         assert told is not None
         assert len(told.removed) == replicas.MAX_REMOVALS
 
