--- a/src/crowdeck/state/replica.py
+++ b/src/crowdeck/state/replica.py
@@ -40,7 +40,7 @@
         """The store's position up to which this copy is complete."""
         return stores.Position(self._version, self._epoch)
 
-    def list(self, listing: stores.Changes) -> None:
+    def reset(self, listing: stores.Changes) -> None:
         """Take a listing of the whole kind."""
         self._objects = {one.name: one for one in listing.objects}
         self._learned = dict.fromkeys(self._objects, listing.version)
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -231,7 +231,7 @@
 
     def test_tells_what_came_after_a_version(self) -> None:
         replica = replicas.Replica()
-        replica.list(stores.Changes(5, (_object("a", 3), _object("b", 5))))
+        replica.reset(stores.Changes(5, (_object("a", 3), _object("b", 5))))
         replica.apply(stores.Changes(8, (_object("c", 7),), ("a",)))
         told = replica.changes_since(stores.Position(5))
         assert told is not None
@@ -243,14 +243,14 @@
 
     def test_does_not_know_what_was_before_its_listing(self) -> None:
         replica = replicas.Replica()
-        replica.list(stores.Changes(5, ()))
+        replica.reset(stores.Changes(5, ()))
         assert replica.changes_since(stores.Position(4)) is None
 
     def test_objects_newer_than_their_listing_are_told_once(self) -> None:
         # The second page of a listing is read later than the first. With
         # the object's own version as the mark it was told for ever.
         replica = replicas.Replica()
-        replica.list(stores.Changes(5, (_object("late", 9),)))
+        replica.reset(stores.Changes(5, (_object("late", 9),)))
         assert replica.changes_since(stores.Position(5)) == stores.Changes(
             5, (), ()
         )
@@ -263,7 +263,7 @@
 
     def test_forgets_the_oldest_removals(self) -> None:
         replica = replicas.Replica()
-        replica.list(stores.Changes(1, ()))
+        replica.reset(stores.Changes(1, ()))
         for number in range(replicas.MAX_REMOVALS + 1):
             replica.apply(stores.Changes(number + 2, (), (f"gone-{number}",)))
         assert replica.changes_since(stores.Position(1)) is None
