--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -66,7 +66,7 @@
         self._calls = calls_module.Calls(
             services, self._gate, timer_service, tracer, tasks
         )
-        self._turns = turns_module.Turns(timer_service)
+        self._turns = turns_module.TurnQueues(timer_service)
         self._batcher: batchers.Batcher | None = None
         self._stage: stages.Stage | None = None
         self._moves: kv_moves.KvTransfers | None = None
--- a/src/crowdeck/sidecar/turns.py
+++ b/src/crowdeck/sidecar/turns.py
@@ -51,7 +51,7 @@
     )
 
 
-class Turns:
+class TurnQueues:
     """The turns of the sessions whose home is here."""
 
     def __init__(self, clock: timers.Clock) -> None:
