--- a/src/crowdeck/sidecar/calls.py
+++ b/src/crowdeck/sidecar/calls.py
@@ -52,7 +52,7 @@
         return len(self.reply.body) + companions
 
 
-class Calls:
+class CallRunner:
     """The calls of the plain services beside one sidecar."""
 
     def __init__(
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -63,7 +63,7 @@
         self._gate = gates.Gate(
             incarnation or instances.new_incarnation(), timer_service
         )
-        self._calls = calls_module.Calls(
+        self._calls = calls_module.CallRunner(
             services, self._gate, timer_service, tracer, tasks
         )
         self._turns = turns_module.TurnQueues(timer_service)
