--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -15,7 +15,7 @@
 from crowdeck import pipeline
 from crowdeck.sidecar import attempt as attempts
 from crowdeck.sidecar import gate as gates
-from crowdeck.sidecar import kept as kept_attempts
+from crowdeck.sidecar import attempt_registry as kept_attempts
 from crowdeck import timers
 from crowdeck import upstream
 from crowdeck.wire import link
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -22,7 +22,7 @@
 from crowdeck.sidecar import batcher as batchers
 from crowdeck.sidecar import gate as gates
 from crowdeck.sidecar import head as heads
-from crowdeck.sidecar import kept as kept_attempts
+from crowdeck.sidecar import attempt_registry as kept_attempts
 from crowdeck.sidecar import opening as openings
 from crowdeck import timers
 from crowdeck import upstream
