--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -20,7 +20,7 @@
 from crowdeck.sidecar import batcher as batchers
 from crowdeck.sidecar import calls as calls_module
 from crowdeck.sidecar import gate as gates
-from crowdeck.sidecar import kv_moves
+from crowdeck.sidecar import kv_transfer
 from crowdeck.sidecar import stage as stages
 from crowdeck.sidecar import turns as turns_module
 from crowdeck import timers
@@ -69,7 +69,7 @@
         self._turns = turns_module.TurnQueues(timer_service)
         self._batcher: batchers.Batcher | None = None
         self._stage: stages.Stage | None = None
-        self._moves: kv_moves.KvTransfers | None = None
+        self._moves: kv_transfer.KvTransfers | None = None
         self._stopped = anyio.Event()
         self._peers: set[link.Peer] = set()
         self._told: dict[str, tuple[int, int]] = {}
@@ -114,7 +114,7 @@
             tracer=self._tracer,
             tasks=self._tasks,
         )
-        self._moves = kv_moves.KvTransfers(self._stage, self._engine, links)
+        self._moves = kv_transfer.KvTransfers(self._stage, self._engine, links)
         self._timers.subscribe(
             "stage", stages.SWEEP_SECONDS, self._stage.kept.sweep
         )
@@ -304,7 +304,7 @@
             )
         return self._stage
 
-    def _require_moves(self) -> kv_moves.KvTransfers:
+    def _require_moves(self) -> kv_transfer.KvTransfers:
         self._require_stage()
         assert self._moves is not None
         return self._moves
