--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -15,7 +15,7 @@
 from crowdeck.observe import counters
 from crowdeck.sidecar import attempt as attempts
 from crowdeck.sidecar import gate as gates
-from crowdeck.sidecar import attempt_registry as kept_attempts
+from crowdeck.sidecar import attempt_registry as attempt_registry
 from crowdeck import timers
 from crowdeck import upstream
 from crowdeck import verdict as verdicts
@@ -39,7 +39,7 @@
     def __init__(
         self,
         gate: gates.Gate,
-        kept: kept_attempts.AttemptRegistry,
+        kept: attempt_registry.AttemptRegistry,
         clock: timers.Clock,
         tasks: anyio.abc.TaskGroup,
         decode: Decode,
--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -15,7 +15,7 @@
 from crowdeck import pipeline
 from crowdeck.sidecar import attempt as attempts
 from crowdeck.sidecar import gate as gates
-from crowdeck.sidecar import attempt_registry as kept_attempts
+from crowdeck.sidecar import attempt_registry as attempt_registry
 from crowdeck import timers
 from crowdeck import upstream
 from crowdeck.wire import link
@@ -29,7 +29,7 @@
         self,
         instance: str,
         gate: gates.Gate,
-        kept: kept_attempts.AttemptRegistry,
+        kept: attempt_registry.AttemptRegistry,
         clock: timers.Clock,
         tracer: traces.Tracer,
     ) -> None:
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -22,7 +22,7 @@
 from crowdeck.sidecar import batcher as batchers
 from crowdeck.sidecar import gate as gates
 from crowdeck.sidecar import head as heads
-from crowdeck.sidecar import attempt_registry as kept_attempts
+from crowdeck.sidecar import attempt_registry as attempt_registry
 from crowdeck.sidecar import opening as openings
 from crowdeck import timers
 from crowdeck import upstream
@@ -56,7 +56,7 @@
         self._links = links
         self._clock = clock
         self._tasks = tasks
-        self._kept = kept_attempts.AttemptRegistry(
+        self._kept = attempt_registry.AttemptRegistry(
             instance, gate, engine, clock, tasks
         )
         self._openings = openings.Openings(
@@ -70,7 +70,7 @@
         return self._head
 
     @property
-    def kept(self) -> kept_attempts.AttemptRegistry:
+    def kept(self) -> attempt_registry.AttemptRegistry:
         """The attempts that are kept here."""
         return self._kept
 
