--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -39,13 +39,13 @@
     def __init__(
         self,
         gate: gates.Gate,
-        kept: attempt_registry.AttemptRegistry,
+        registry: attempt_registry.AttemptRegistry,
         clock: timers.Clock,
         tasks: anyio.abc.TaskGroup,
         decode: Decode,
     ) -> None:
         self._gate = gate
-        self._kept = kept
+        self._kept = registry
         self._clock = clock
         self._tasks = tasks
         self._decode = decode
--- a/src/crowdeck/sidecar/kv_transfer.py
+++ b/src/crowdeck/sidecar/kv_transfer.py
@@ -43,7 +43,7 @@
         :raises CrowdeckError: when it could not be; the attempt is then
             to be opened anew, cold.
         """
-        attempt = self._stage.kept.find(question.request)
+        attempt = self._stage.registry.find(question.request)
         if attempt is None or attempt.epoch != question.epoch:
             raise errors.CrowdeckError(
                 errors.Code.CACHE_GONE, "no such attempt runs here"
@@ -85,6 +85,6 @@
         """Take a KV cache, for a warm opening that will follow soon."""
         sequence = f"{question.request}.import"
         await self._engine.import_kv(sequence, question.kv)
-        self._stage.kept.hold_import(question, sequence)
+        self._stage.registry.hold_import(question, sequence)
         counters.COUNTERS.add("stage.moved_in")
         return questions.Done()
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -83,7 +83,9 @@
     @property
     def running(self) -> int:
         """Attempts and calls in progress."""
-        in_stage = self._stage.kept.running if self._stage is not None else 0
+        in_stage = (
+            self._stage.registry.running if self._stage is not None else 0
+        )
         return in_stage + self._calls.running
 
     @property
@@ -116,7 +118,7 @@
         )
         self._moves = kv_transfer.KvTransfers(self._stage, self._engine, links)
         self._timers.subscribe(
-            "stage", stages.SWEEP_SECONDS, self._stage.kept.sweep
+            "stage", stages.SWEEP_SECONDS, self._stage.registry.sweep
         )
 
     # The link handler.
@@ -132,7 +134,7 @@
         self._peers.discard(peer)
         self._turns.on_closed(peer)
         if self._stage is not None:
-            self._stage.kept.on_closed(peer)
+            self._stage.registry.on_closed(peer)
 
     def on_record(self, peer: link.Peer, record: messages.Record) -> None:
         """Hand a record to the stage."""
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -70,7 +70,7 @@
         return self._head
 
     @property
-    def kept(self) -> attempt_registry.AttemptRegistry:
+    def registry(self) -> attempt_registry.AttemptRegistry:
         """The attempts that are kept here."""
         return self._kept
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -280,7 +280,9 @@
 
                 def intrude() -> None:
                     head = _stage_of(system, 0)
-                    own = next(one for one in head.kept.all if one.is_running)
+                    own = next(
+                        one for one in head.registry.all if one.is_running
+                    )
                     foreign = attrs.evolve(own.opening, epoch=5, team="x")
                     try:
                         head.open(_NO_PEER, foreign)
@@ -412,7 +414,7 @@
                     await system.drive(request, caller).run()
                 head = system.sidecar(caller.location[0])
                 assert head._stage is not None
-                made = max(len(one.pieces) for one in head._stage.kept.all)
+                made = max(len(one.pieces) for one in head._stage.registry.all)
                 assert len(caller.pieces) < made <= len(caller.pieces) + 16
 
         virtual.run(check)
@@ -647,7 +649,7 @@
     for name in system.engines:
         stage = system.sidecar(name)._stage
         assert stage is not None
-        for attempt in stage.kept.all:
+        for attempt in stage.registry.all:
             if attempt.is_tail and attempt.epoch == epoch:
                 return stage, attempt
     raise AssertionError(f"no tail runs epoch {epoch}")
