--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -45,7 +45,7 @@
         decode: Decode,
     ) -> None:
         self._gate = gate
-        self._kept = registry
+        self._registry = registry
         self._clock = clock
         self._tasks = tasks
         self._decode = decode
@@ -60,10 +60,12 @@
             return
         path = attempt.opening.path
         if record.position > position or record.context != attempt.context:
-            self._kept.fail(attempt, _wrong_token(record.position, position))
+            self._registry.fail(
+                attempt, _wrong_token(record.position, position)
+            )
             return
         if record.next_layer != path.layer_count:
-            self._kept.fail(attempt, _unfinished_token(record.next_layer))
+            self._registry.fail(attempt, _unfinished_token(record.next_layer))
             return
         attempt.pieces.append(messages.Piece(record.token, record.text))
         attempt.touched = self._clock.now()
@@ -71,7 +73,7 @@
         finish = record.finish
         if not finish and len(attempt.pieces) >= attempt.opening.max_tokens:
             finish = FINISH_LENGTH
-        self._kept.send_source(
+        self._registry.send_source(
             attempt,
             messages.Answer(
                 request=attempt.request,
@@ -111,14 +113,14 @@
         attempt.span.end("finished")
         self._gate.finish(attempt.request)
         self._send_end(attempt)
-        self._kept.send_forward(
+        self._registry.send_forward(
             attempt, messages.Cancel(attempt.request, attempt.epoch)
         )
-        self._tasks.start_soon(self._kept.cancel_engine, attempt.sequence)
+        self._tasks.start_soon(self._registry.cancel_engine, attempt.sequence)
 
     def _send_end(self, attempt: attempts.Attempt) -> None:
         pairs = [(piece.token, piece.text) for piece in attempt.pieces]
-        self._kept.send_source(
+        self._registry.send_source(
             attempt,
             messages.AnswerEnd(
                 request=attempt.request,
@@ -131,7 +133,7 @@
 
     def on_credit(self, peer: link.Peer, record: messages.Credit) -> None:
         """Let the head go on as far as the caller has room."""
-        attempt = self._kept.current(record.request, record.epoch)
+        attempt = self._registry.current(record.request, record.epoch)
         if attempt is None or attempt.source is not peer:
             return
         attempt.upto = max(attempt.upto, record.upto)
@@ -147,7 +149,7 @@
         :raises CrowdeckError: ``ANSWER_GONE`` when it is not kept here,
             and just the same when it is another team's.
         """
-        attempt = self._kept.find(question.request)
+        attempt = self._registry.find(question.request)
         if attempt is None or attempt.opening.team != question.team:
             raise errors.CrowdeckError(
                 errors.Code.ANSWER_GONE,
@@ -173,7 +175,7 @@
         attempt.touched = self._clock.now()
         if former is not None and former is not peer:
             former.send(
-                self._kept.failure(
+                self._registry.failure(
                     attempt.request,
                     attempt.epoch,
                     errors.CrowdeckError(
--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -35,7 +35,7 @@
     ) -> None:
         self._instance = instance
         self._gate = gate
-        self._kept = kept
+        self._registry = kept
         self._clock = clock
         self._tracer = tracer
 
@@ -48,7 +48,7 @@
         """
         index = self._own_index(opening.path)
         is_warm = opening.warm_position >= 0
-        earlier = self._kept.find(opening.request)
+        earlier = self._registry.find(opening.request)
         warm_sequence = ""
         if earlier is not None and earlier.opening.team != opening.team:
             raise errors.CrowdeckError(
@@ -66,7 +66,7 @@
             attempt.sequence = warm_sequence
             attempt.context = opening.warm_context
         attempt.is_in_engine = True
-        self._kept.put(attempt)
+        self._registry.put(attempt)
         counters.COUNTERS.add("stage.opened")
         return attempt
 
@@ -84,13 +84,13 @@
         kept = {one.instance for one in opening.path.stages}
         forward = earlier.forward
         if forward is not None and forward.greeting.instance not in kept:
-            self._kept.send_forward(
+            self._registry.send_forward(
                 earlier, messages.Cancel(earlier.request, earlier.epoch)
             )
         if keeps_kv:
             earlier.span.end("moved")
         else:
-            self._kept.drop(earlier, "replaced")
+            self._registry.drop(earlier, "replaced")
 
     def _make(
         self, peer: link.Peer, opening: messages.Opening, index: int
@@ -130,7 +130,7 @@
         self, earlier: attempts.Attempt | None, opening: messages.Opening
     ) -> str:
         """Return the engine sequence that a warm opening goes on with."""
-        held = self._kept.find_import(opening.request)
+        held = self._registry.find_import(opening.request)
         if held is not None and held.team == opening.team:
             if held.context == opening.warm_context:
                 return held.sequence
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -56,13 +56,15 @@
         self._links = links
         self._clock = clock
         self._tasks = tasks
-        self._kept = attempt_registry.AttemptRegistry(
+        self._registry = attempt_registry.AttemptRegistry(
             instance, gate, engine, clock, tasks
         )
         self._openings = openings.Openings(
-            instance, gate, self._kept, clock, tracer
+            instance, gate, self._registry, clock, tracer
+        )
+        self._head = heads.Head(
+            gate, self._registry, clock, tasks, self._decode
         )
-        self._head = heads.Head(gate, self._kept, clock, tasks, self._decode)
 
     @property
     def head(self) -> heads.Head:
@@ -72,7 +74,7 @@
     @property
     def registry(self) -> attempt_registry.AttemptRegistry:
         """The attempts that are kept here."""
-        return self._kept
+        return self._registry
 
     # Openings: the first record of an attempt, at the head a question.
 
@@ -83,7 +85,7 @@
         """
         attempt = self._openings.begin(peer, opening)
         if not attempt.is_head:
-            self._kept.drop(attempt, "misdirected")
+            self._registry.drop(attempt, "misdirected")
             raise errors.CrowdeckError(
                 errors.Code.WRONG_LAYER,
                 f"{self._instance} is not the head of this path",
@@ -100,7 +102,7 @@
         A warm opening comes while its stages may still run the step that
         the moved stage left out; refusing it then would cost a replay.
         """
-        attempt = self._kept.find(request)
+        attempt = self._registry.find(request)
         with anyio.move_on_after(BOUNDARY_TIMEOUT):
             while attempt is not None and attempt.is_in_engine:
                 await anyio.sleep(BOUNDARY_POLL_SECONDS)
@@ -126,10 +128,12 @@
             counters.COUNTERS.add(f"stage.refused.{error.code.lower()}")
             # A repeat on the same link is dropped; the same epoch on
             # another link is a second driver, who must be told.
-            held = self._kept.current(opening.request, opening.epoch)
+            held = self._registry.current(opening.request, opening.epoch)
             if held is None or held.source is not peer:
                 peer.send(
-                    self._kept.failure(opening.request, opening.epoch, error)
+                    self._registry.failure(
+                        opening.request, opening.epoch, error
+                    )
                 )
             return
         try:
@@ -137,7 +141,7 @@
             if record.context != attempt.context:
                 raise _wrong_context(record.context, attempt.context)
         except errors.CrowdeckError as error:
-            self._kept.fail(attempt, error)
+            self._registry.fail(attempt, error)
             return
         step = upstream.EngineStep(
             sequence=attempt.sequence,
@@ -176,9 +180,9 @@
         try:
             await self._connect_forward(attempt)
         except errors.CrowdeckError as error:
-            self._kept.fail(attempt, error)
+            self._registry.fail(attempt, error)
             return
-        if self._kept.find(attempt.request) is not attempt:
+        if self._registry.find(attempt.request) is not attempt:
             return
         if attempt.is_tail:
             self._pass_token(attempt, position, output)
@@ -210,7 +214,7 @@
 
     def on_step(self, peer: link.Peer, record: messages.Step) -> None:
         """Run one position of a running attempt."""
-        attempt = self._kept.current(record.request, record.epoch)
+        attempt = self._registry.current(record.request, record.epoch)
         if attempt is None or attempt.is_head or attempt.is_moved:
             counters.COUNTERS.add("stage.refused.stale_record")
             return
@@ -220,7 +224,7 @@
                 counters.COUNTERS.add("stage.refused.repeated_record")
                 return
         except errors.CrowdeckError as error:
-            self._kept.fail(attempt, error)
+            self._registry.fail(attempt, error)
             return
         self._decode(
             attempt,
@@ -272,17 +276,19 @@
         self, attempt: attempts.Attempt, result: batchers.Result
     ) -> upstream.EngineOutput | None:
         attempt.is_in_engine = False
-        if self._kept.find(attempt.request) is not attempt:
+        if self._registry.find(attempt.request) is not attempt:
             # Cancelled or replaced while the engine worked: the result is
             # nobody's, and its KV cache was made after our cancel.
-            self._tasks.start_soon(self._kept.cancel_engine, attempt.sequence)
+            self._tasks.start_soon(
+                self._registry.cancel_engine, attempt.sequence
+            )
             return None
         if not attempt.is_running:
             # It failed meanwhile, so its link on may be gone; whoever
             # replaces it begins from what was delivered.
             return None
         if isinstance(result, errors.CrowdeckError):
-            self._kept.fail(attempt, result)
+            self._registry.fail(attempt, result)
             return None
         return result
 
@@ -313,7 +319,7 @@
 
     def on_token(self, peer: link.Peer, record: messages.Token) -> None:
         """Take a token from the tail."""
-        attempt = self._kept.current(record.request, record.epoch)
+        attempt = self._registry.current(record.request, record.epoch)
         if attempt is None or not attempt.is_head or not attempt.is_running:
             counters.COUNTERS.add("stage.refused.stale_record")
             return
@@ -323,7 +329,7 @@
 
     def on_failure(self, peer: link.Peer, record: messages.Failure) -> None:
         """Take a later stage's failure and pass it towards the entry."""
-        attempt = self._kept.current(record.request, record.epoch)
+        attempt = self._registry.current(record.request, record.epoch)
         if attempt is None or attempt.forward is not peer:
             return
         error = errors.CrowdeckError(
@@ -332,11 +338,11 @@
             verdict=record.verdict,
             culprit=record.culprit,
         )
-        self._kept.fail(attempt, error)
+        self._registry.fail(attempt, error)
 
     def on_cancel(self, peer: link.Peer, record: messages.Cancel) -> None:
         """Stop an attempt here and at the stages after it."""
-        attempt = self._kept.current(record.request, record.epoch)
+        attempt = self._registry.current(record.request, record.epoch)
         if attempt is None or attempt.source is not peer:
             return
         if attempt.is_head and attempt.finish:
@@ -344,8 +350,8 @@
         if not attempt.is_moved:
             # The stages after a moved one serve the next attempt, warm:
             # they must not lose their KV caches to the end of this one.
-            self._kept.send_forward(attempt, record)
-        self._kept.drop(attempt, "cancelled")
+            self._registry.send_forward(attempt, record)
+        self._registry.drop(attempt, "cancelled")
 
 
 def _wrong_context(got: int, held: int) -> errors.CrowdeckError:
