--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -14,8 +14,8 @@
 from crowdeck.observe import traces
 from crowdeck import pipeline
 from crowdeck.sidecar import attempt as attempts
+from crowdeck.sidecar import attempt_registry
 from crowdeck.sidecar import gate as gates
-from crowdeck.sidecar import attempt_registry as attempt_registry
 from crowdeck import timers
 from crowdeck import upstream
 from crowdeck.wire import link
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -19,10 +19,10 @@
 from crowdeck.observe import counters
 from crowdeck.observe import traces
 from crowdeck.sidecar import attempt as attempts
+from crowdeck.sidecar import attempt_registry
 from crowdeck.sidecar import batcher as batchers
 from crowdeck.sidecar import gate as gates
 from crowdeck.sidecar import head as heads
-from crowdeck.sidecar import attempt_registry as attempt_registry
 from crowdeck.sidecar import opening as openings
 from crowdeck import timers
 from crowdeck import upstream
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -248,7 +248,7 @@
             self._health.record_success()
             self._health.observe_epoch(listing.epoch)
             self._must_list = self._must_ask_store = self._has_failed = False
-            self._replica.list(listing)
+            self._replica.reset(listing)
             self._note_current(sent_at)
             self._listener.on_listed(listing.objects)
             return
