--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -155,7 +155,7 @@
 
     :raises CrowdeckError: as ``PeerClient.watch`` tells.
     """
-    sighting = await copy.tell(after, wait)
+    sighting = await copy.changes_since(after, wait)
     size = sum(len(one.value) for one in sighting.changes.objects)
     if size > ANSWER_BYTES_MOST:
         raise errors.CrowdeckError(
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -160,7 +160,7 @@
                         error, permit is store_health.CallPermit.PROBE
                     )
 
-    async def tell(
+    async def changes_since(
         self, after: stores.Position, wait: float
     ) -> stores.PeerChanges:
         """Return what changed after a position, for another process.
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -196,7 +196,7 @@
             await anyio.sleep(wait + PATIENCE)
             raise _lost()
         entry.selector.note_peer_request()
-        sighting = await entry.mirror.tell(after, wait)
+        sighting = await entry.mirror.changes_since(after, wait)
         if entry.is_too_large and sighting.changes.objects:
             raise errors.CrowdeckError(errors.Code.TOO_LARGE, "400 KB")
         if entry.is_silent:
