--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -114,7 +114,7 @@
             zone[0].way.is_cut = True
             zone.store.restore(backup)
             with pytest.raises(errors.CrowdeckError) as caught:
-                await zone[0].mirror.tell(stores.Position(1, 1), 0.1)
+                await zone[0].mirror.changes_since(stores.Position(1, 1), 0.1)
             assert caught.value.code is errors.Code.STORE_DOWN
             zone[0].way.is_cut = False
             await anyio.sleep(IN_FORCE_SECONDS)
@@ -134,7 +134,7 @@
             zone.store.restore(standin_store.StandinStore().back_up())
             position = stores.Position(1, zone.store.epoch)
             with pytest.raises(errors.CrowdeckError):
-                await zone[0].mirror.tell(position, 0.1)
+                await zone[0].mirror.changes_since(position, 0.1)
             await anyio.sleep(0.1)
             assert zone[0].mirror.position.epoch == zone.store.epoch
             await require_known(zone, b"new")
