--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -453,7 +453,7 @@
         )
 
         class Copy:
-            async def tell(
+            async def changes_since(
                 self, after: stores.Position, wait: float
             ) -> stores.PeerChanges:
                 return sighting
