--- a/bench/paths.py
+++ b/bench/paths.py
@@ -26,10 +26,10 @@
 # Cards by how many of 130 engines have one: memory in MB, factors on the
 # time of a step and of reading, and the most layers one is given.
 CARDS = (
-    (3, chain.Card("h100", 72_000.0, 1.4, 1.0), 38),
-    (11, chain.Card("a100s", 36_000.0, 3.1, 3.2), 18),
-    (58, chain.Card("l4", 21_600.0, 16.0, 8.2), 10),
-    (58, chain.Card("t4", 14_400.0, 15.0, 15.0), 7),
+    (3, chain.AcceleratorType("h100", 72_000.0, 1.4, 1.0), 38),
+    (11, chain.AcceleratorType("a100s", 36_000.0, 3.1, 3.2), 18),
+    (58, chain.AcceleratorType("l4", 21_600.0, 16.0, 8.2), 10),
+    (58, chain.AcceleratorType("t4", 14_400.0, 15.0, 15.0), 7),
 )
 PROFILE = chain.EngineProfile(
     layer_count=LAYERS,
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -78,7 +78,9 @@
 def make(name: str, described: dict[str, typing.Any]) -> Fleet:
     """Return a fleet from its description in ``fleets.toml``."""
     cards = {
-        card: chain.Card(card, it["memory_mb"], it["step"], it["read"])
+        card: chain.AcceleratorType(
+            card, it["memory_mb"], it["step"], it["read"]
+        )
         for card, it in described["cards"].items()
     }
     engines = [
--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -31,7 +31,7 @@
 # Of eight engines of ten layers each any six hold the model.
 PROFILE = attrs.evolve(
     fleet_system.PROFILE,
-    cards={"card": chain.Card("card", 27_000.0, 1.4, 1.0)},
+    cards={"card": chain.AcceleratorType("card", 27_000.0, 1.4, 1.0)},
 )
 # Waiting for who ended: at all, as decided, as long as a whole engine loads,
 # and for ever, as before.
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Card:
+class AcceleratorType:
     """A kind of accelerator.
 
     :ivar memory_mb: what layers and requests share.
@@ -67,7 +67,7 @@
     slots: int
     usual_prompt: float
     usual_answer: float
-    cards: dict[str, Card]
+    cards: dict[str, AcceleratorType]
 
     @property
     def token_layer_mb(self) -> float:
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -121,8 +121,8 @@
     )
 
 
-def _card(body: Json) -> chain.Card:
-    return chain.Card(
+def _card(body: Json) -> chain.AcceleratorType:
+    return chain.AcceleratorType(
         name=str(body[names.NAME]),
         memory_mb=float(body[names.CARD_MB]),
         step_factor=float(body[names.CARD_STEP]),
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -132,8 +132,10 @@
     return max(1e-3, total * max(1.0, profile.usual_answer) / 1000.0)
 
 
-def _card(engine: chain.Upstream, profile: chain.EngineProfile) -> chain.Card:
+def _card(
+    engine: chain.Upstream, profile: chain.EngineProfile
+) -> chain.AcceleratorType:
     """Return an engine's card; an unknown one is taken for the fastest."""
     return profile.cards.get(
-        engine.card, chain.Card(engine.card, 0.0, 1.0, 1.0)
+        engine.card, chain.AcceleratorType(engine.card, 0.0, 1.0, 1.0)
     )
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -47,8 +47,8 @@
     usual_prompt=772.0,
     usual_answer=172.0,
     cards={
-        "large": chain.Card("large", 72_000.0, 1.4, 1.0),
-        "small": chain.Card("small", 21_600.0, 16.0, 8.2),
+        "large": chain.AcceleratorType("large", 72_000.0, 1.4, 1.0),
+        "small": chain.AcceleratorType("small", 21_600.0, 16.0, 8.2),
     },
 )
 MODEL = "assistant"
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -21,9 +21,9 @@
     fleet_system.PROFILE,
     token_bytes=590_000.0,
     cards={
-        "wide": chain.Card("wide", 72_000.0, 2.4, 3.2),
-        "middle": chain.Card("middle", 21_600.0, 16.0, 8.2),
-        "narrow": chain.Card("narrow", 14_400.0, 5.3, 7.9),
+        "wide": chain.AcceleratorType("wide", 72_000.0, 2.4, 3.2),
+        "middle": chain.AcceleratorType("middle", 21_600.0, 16.0, 8.2),
+        "narrow": chain.AcceleratorType("narrow", 14_400.0, 5.3, 7.9),
     },
 )
 CARDS = ("wide",) * 2 + ("middle",) * 4 + ("narrow",) * 4
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -227,9 +227,9 @@
     layer_mb=10_000.0,
     token_bytes=6e6,
     cards={
-        "big": chain.Card("big", 45_000.0, 1.4, 1.0),
-        "middle": chain.Card("middle", 32_000.0, 3.0, 3.0),
-        "little": chain.Card("little", 22_000.0, 16.0, 8.2),
+        "big": chain.AcceleratorType("big", 45_000.0, 1.4, 1.0),
+        "middle": chain.AcceleratorType("middle", 32_000.0, 3.0, 3.0),
+        "little": chain.AcceleratorType("little", 22_000.0, 16.0, 8.2),
     },
 )
 MOST_LAYERS = {"big": 4, "middle": 3, "little": 2}
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -45,10 +45,10 @@
 # here beside 27, or 28 at most.
 PROFILE = attrs.evolve(
     fleet_system.PROFILE,
-    cards={"card": chain.Card("card", 60_000.0, 1.4, 1.0)},
+    cards={"card": chain.AcceleratorType("card", 60_000.0, 1.4, 1.0)},
 )
 TIGHT = attrs.evolve(
-    PROFILE, cards={"card": chain.Card("card", 51_000.0, 1.4, 1.0)}
+    PROFILE, cards={"card": chain.AcceleratorType("card", 51_000.0, 1.4, 1.0)}
 )
 COUNT = 4
 # Beside the loading of the largest range that changes.
@@ -661,7 +661,11 @@
         profile = attrs.evolve(
             PROFILE,
             layer_count=layer_count,
-            cards={"card": chain.Card("card", per_layer * most, 1.4, 1.0)},
+            cards={
+                "card": chain.AcceleratorType(
+                    "card", per_layer * most, 1.4, 1.0
+                )
+            },
         )
 
         async def work(
