--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -193,10 +193,10 @@
         if target.is_dead:
             self._starts += 1
             listed = target.listed
-            life = chain.Life(listed.life.id, self._starts)
+            life = chain.Incarnation(listed.life.id, self._starts)
             if not keeps_id:
                 name = listed.life.id.partition(".")[0]
-                life = chain.Life(f"{name}.{self._starts}")
+                life = chain.Incarnation(f"{name}.{self._starts}")
             target.listed = attrs.evolve(
                 listed,
                 name=life.name,
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -88,7 +88,7 @@
 
 
 @attrs.frozen
-class Life:
+class Incarnation:
     """One run of an upstream instance's process.
 
     A process that starts again holds and knows nothing of before, and may
@@ -139,9 +139,9 @@
     born: int = 0
 
     @property
-    def life(self) -> Life:
+    def life(self) -> Incarnation:
         """Which run of which instance this is."""
-        return Life(self.instance_id or self.name, self.born)
+        return Incarnation(self.instance_id or self.name, self.born)
 
 
 @attrs.frozen
@@ -212,7 +212,7 @@
     stalls: tuple[Stall, ...]
     born: int = 0
 
-    def is_after(self, life: Life) -> bool:
+    def is_after(self, life: Incarnation) -> bool:
         """Whether a later run than ``life`` made this report.
 
         :raises CrowdeckError: ``MALFORMED`` where an earlier one did, or
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -31,7 +31,7 @@
     """
     try:
         body = orjson.loads(stored.value)
-        life = chain.Life(
+        life = chain.Incarnation(
             fields.token({names.ID: stored.name}, names.ID), _born(body)
         )
         return chain.Upstream(
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -248,7 +248,7 @@
         self._starts += 1
         fresh = attrs.evolve(target.listed, name=f"{name}.{self._starts}")
         if self.keeps_ids:
-            life = chain.Life(target.listed.life.id, self._starts)
+            life = chain.Incarnation(target.listed.life.id, self._starts)
             fresh = attrs.evolve(
                 fresh, name=life.name, instance_id=life.id, born=life.born
             )
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -481,7 +481,7 @@
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.note_leaving(one.name)
-            life = chain.Life(one.life.id, 5)
+            life = chain.Incarnation(one.life.id, 5)
             system.list_instance(
                 attrs.evolve(
                     one, name=life.name, instance_id=life.id, born=life.born
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -79,11 +79,15 @@
     """What tells one run of an instance from the next."""
 
     def test_each_run_has_a_name_of_its_own(self) -> None:
-        runs = [chain.Life("e"), chain.Life("e", 1), chain.Life("e", 2)]
+        runs = [
+            chain.Incarnation("e"),
+            chain.Incarnation("e", 1),
+            chain.Incarnation("e", 2),
+        ]
         assert len({one.name for one in runs}) == 3
         assert runs[1].is_before(runs[2])
         assert not runs[2].is_before(runs[1])
-        assert not runs[1].is_before(chain.Life("f", 2))
+        assert not runs[1].is_before(chain.Incarnation("f", 2))
 
 
 class TestStartedAgain:
@@ -182,8 +186,8 @@
 class TestReports:
     """Reports that another run of the engine made."""
 
-    def a_life(self, born: int) -> chain.Life:
-        return chain.Life("e", born)
+    def a_life(self, born: int) -> chain.Incarnation:
+        return chain.Incarnation("e", born)
 
     def test_of_this_run(self) -> None:
         report = upstreams.decode_report(a_report(born=100))
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -34,7 +34,7 @@
 
 def a_run(born: int) -> chain.Upstream:
     """Return one run of the engine ``e``."""
-    life = chain.Life("e", born)
+    life = chain.Incarnation("e", born)
     base = fleet_system.upstream(life.name, layers=(0, 80), card="large")
     return fleet_system.attrs.evolve(base, instance_id="e", born=born)
 
