--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -154,7 +154,9 @@
             target.is_unresponsive = True
         elif what == "dead":
             target.is_dead = True
-            self._store.remove(names.UPSTREAM_KIND, target.listed.life.id)
+            self._store.remove(
+                names.UPSTREAM_KIND, target.listed.incarnation.id
+            )
         elif what == "back":
             self._restart(target, keeps_id=False)
         elif what == "back_under_its_id":
@@ -193,15 +195,17 @@
         if target.is_dead:
             self._starts += 1
             listed = target.listed
-            life = chain.Incarnation(listed.life.id, self._starts)
+            incarnation = chain.Incarnation(
+                listed.incarnation.id, self._starts
+            )
             if not keeps_id:
-                name = listed.life.id.partition(".")[0]
-                life = chain.Incarnation(f"{name}.{self._starts}")
+                name = listed.incarnation.id.partition(".")[0]
+                incarnation = chain.Incarnation(f"{name}.{self._starts}")
             target.listed = attrs.evolve(
                 listed,
-                name=life.name,
-                instance_id=life.id if life.born else "",
-                born=life.born,
+                name=incarnation.name,
+                instance_id=incarnation.id if incarnation.born else "",
+                born=incarnation.born,
                 layers=None,
             )
             target.orders_taken = 0
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -139,7 +139,7 @@
     born: int = 0
 
     @property
-    def life(self) -> Incarnation:
+    def incarnation(self) -> Incarnation:
         """Which run of which instance this is."""
         return Incarnation(self.instance_id or self.name, self.born)
 
@@ -212,19 +212,19 @@
     stalls: tuple[Stall, ...]
     born: int = 0
 
-    def is_after(self, life: Incarnation) -> bool:
+    def is_after(self, incarnation: Incarnation) -> bool:
         """Whether a later run than ``life`` made this report.
 
         :raises CrowdeckError: ``MALFORMED`` where an earlier one did, or
             one that does not tell while ``life`` does.
         """
-        if self.born < life.born:
+        if self.born < incarnation.born:
             raise errors.CrowdeckError(
                 errors.Code.MALFORMED,
-                f"a report of {life.id} tells that it started at "
-                f"{self.born or 'no time'}, it did at {life.born}",
+                f"a report of {incarnation.id} tells that it started at "
+                f"{self.born or 'no time'}, it did at {incarnation.born}",
             )
-        return bool(life.born) and self.born > life.born
+        return bool(incarnation.born) and self.born > incarnation.born
 
 
 def fitting(
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -391,7 +391,9 @@
             # What it said before need not be so any more.
             self._remove_entry(stored.name)
             return
-        if held is not None and upstream.life.is_before(held.upstream.life):
+        if held is not None and upstream.incarnation.is_before(
+            held.upstream.incarnation
+        ):
             # An older copy of the entry that came late.
             return
         if held is not None and held.upstream.name != upstream.name:
@@ -453,7 +455,7 @@
         """Forget a run of an instance that has ended."""
         belief = self._beliefs.pop(upstream.name)
         self._rests.forget(upstream.name)
-        entry = upstream.life.id
+        entry = upstream.incarnation.id
         if self._runs.get(entry) == upstream.name:
             del self._runs[entry]
         self._log(what, upstream, 0)
--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -83,7 +83,7 @@
     headers = [pair for pair in request.headers if pair[0] not in dropped]
     milliseconds = max(LEAST_DEADLINE_MS, int(dispatch.seconds_left * 1000))
     headers.append((names.DEADLINE, str(milliseconds).encode()))
-    headers.append((names.EXPECTED_INSTANCE, upstream.life.id.encode()))
+    headers.append((names.EXPECTED_INSTANCE, upstream.incarnation.id.encode()))
     headers.append(
         (names.PRIORITY, str(min(LOWEST_PRIORITY, dispatch.priority)).encode())
     )
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -149,7 +149,7 @@
                 errors.Code.UPSTREAM_FAILED, f"a report came with {status}"
             )
         report = upstreams.decode_report(body)
-        if report.is_after(upstream.life):
+        if report.is_after(upstream.incarnation):
             raise errors.InstanceGone("its process has started again")
         return report
 
@@ -222,7 +222,7 @@
     async def _exchange(
         self, method: str, upstream: chain.Upstream, path: str, body: bytes
     ) -> tuple[int, bytes, http.RawHeaders]:
-        headers = [(names.EXPECTED_INSTANCE, upstream.life.id.encode())]
+        headers = [(names.EXPECTED_INSTANCE, upstream.incarnation.id.encode())]
         if body:
             headers.append(_JSON_TYPE)
         async with self._client.open(
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -31,13 +31,13 @@
     """
     try:
         body = orjson.loads(stored.value)
-        life = chain.Incarnation(
+        incarnation = chain.Incarnation(
             fields.token({names.ID: stored.name}, names.ID), _born(body)
         )
         return chain.Upstream(
-            name=life.name,
-            instance_id=life.id if life.born else "",
-            born=life.born,
+            name=incarnation.name,
+            instance_id=incarnation.id if incarnation.born else "",
+            born=incarnation.born,
             service=fields.text(body, names.SERVICE),
             address=instances.Address.parse(fields.text(body, names.ADDRESS)),
             availability_zone=fields.text(body, names.ZONE, ""),
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -210,7 +210,7 @@
         """Send a request."""
         target = await self._dial(upstream, timeouts.connect)
         await self._arrive(target, request)
-        is_other = target.listed.life.id != upstream.life.id
+        is_other = target.listed.incarnation.id != upstream.incarnation.id
         if is_other or target.rejected_requests:
             target.rejected_requests = max(0, target.rejected_requests - 1)
             self.rejected[target.listed.name] += 1
@@ -267,7 +267,7 @@
             stalls=tuple(stalls),
             born=target.listed.born,
         )
-        if report.is_after(upstream.life):
+        if report.is_after(upstream.incarnation):
             raise errors.InstanceGone("its process has started again")
         return report
 
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -180,7 +180,7 @@
         names.LAYERS: _layers(listed.layers),
         **_born(listed.born),
     }
-    entry = listed.life.id
+    entry = listed.incarnation.id
     store.write_if_new(names.UPSTREAM_KIND, entry, orjson.dumps(content))
 
 
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -248,9 +248,14 @@
         self._starts += 1
         fresh = attrs.evolve(target.listed, name=f"{name}.{self._starts}")
         if self.keeps_ids:
-            life = chain.Incarnation(target.listed.life.id, self._starts)
+            incarnation = chain.Incarnation(
+                target.listed.incarnation.id, self._starts
+            )
             fresh = attrs.evolve(
-                fresh, name=life.name, instance_id=life.id, born=life.born
+                fresh,
+                name=incarnation.name,
+                instance_id=incarnation.id,
+                born=incarnation.born,
             )
         target.listed = fresh
         target.is_dead = False
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -209,7 +209,7 @@
 
     def list_instance(self, listed: chain.Upstream) -> None:
         """List an instance as it is now."""
-        entry = listed.life.id
+        entry = listed.incarnation.id
         self.listed[entry] = listed
         self.registry.on_changed(
             (stores.StoredObject("upstreams", entry, 1, b"{}"),), ()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -443,7 +443,7 @@
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.set_store_failure_source(anyio.current_time)
-            system.registry.on_changed((), (one.life.id,))
+            system.registry.on_changed((), (one.incarnation.id,))
             system.registry.note_leaving(one.name)
             await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
             assert one.name not in {
@@ -456,7 +456,7 @@
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.note_leaving(one.name)
-            system.registry.on_changed((), (one.life.id,))
+            system.registry.on_changed((), (one.incarnation.id,))
             await anyio.sleep(LEAVING_SECONDS)
             system.list_instance(one)
             assert not system.registry.is_usable(one.name)
@@ -481,13 +481,16 @@
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.note_leaving(one.name)
-            life = chain.Incarnation(one.life.id, 5)
+            incarnation = chain.Incarnation(one.incarnation.id, 5)
             system.list_instance(
                 attrs.evolve(
-                    one, name=life.name, instance_id=life.id, born=life.born
+                    one,
+                    name=incarnation.name,
+                    instance_id=incarnation.id,
+                    born=incarnation.born,
                 )
             )
-            assert system.registry.is_usable(life.name)
+            assert system.registry.is_usable(incarnation.name)
 
         play(work)
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -116,7 +116,10 @@
             return
         # What passes can be dialled and named in a header.
         assert instances.Address.parse(str(found.address)) == found.address
-        assert found.life.id.isascii() and found.life.id.isprintable()
+        assert (
+            found.incarnation.id.isascii()
+            and found.incarnation.id.isprintable()
+        )
         assert found.service == body[names.SERVICE]
 
     @SETTINGS
@@ -249,7 +252,7 @@
             one.on_listed(changes.objects)
             usable = one.usable(fleet_system.MODEL)
             # Both have one address, of which the newer one keeps it.
-            assert [it.life.id for it in usable] == ["z"]
+            assert [it.incarnation.id for it in usable] == ["z"]
             assert "a" in {it.name for it in changes.objects}
 
         virtual.run(body)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -102,7 +102,7 @@
         one.take(an_entry(2, born=200, layers=None))
         assert [it.name for it in one.usable] == ["e#200"]
         assert one.usable[0].layers is None
-        assert one.usable[0].life.id == "e"
+        assert one.usable[0].incarnation.id == "e"
         assert one.registry.has_ended("e#100")
         assert not one.registry.has_ended("e#200")
 
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -34,8 +34,10 @@
 
 def a_run(born: int) -> chain.Upstream:
     """Return one run of the engine ``e``."""
-    life = chain.Incarnation("e", born)
-    base = fleet_system.upstream(life.name, layers=(0, 80), card="large")
+    incarnation = chain.Incarnation("e", born)
+    base = fleet_system.upstream(
+        incarnation.name, layers=(0, 80), card="large"
+    )
     return fleet_system.attrs.evolve(base, instance_id="e", born=born)
 
 
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -139,7 +139,7 @@
             await anyio.sleep(1.0)
             (one,) = system.context.backpressure.now()
             assert one.kind is backpressure_monitor.SignalKind.LEAVING
-            system.registry.on_changed((), (first(system).life.id,))
+            system.registry.on_changed((), (first(system).incarnation.id,))
             assert not system.context.backpressure.now()
 
         play(work)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -433,7 +433,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.1)
-                system.registry.on_changed((), (found[0].life.id,))
+                system.registry.on_changed((), (found[0].incarnation.id,))
                 began = anyio.current_time()
                 caller = await system.ask(system.request(IDEMPOTENT))
                 assert caller.error is not None
@@ -478,7 +478,7 @@
         ) -> None:
             await system.ask(system.request(IDEMPOTENT))
             assert system.context.limits.per_second(one) <= 1.0
-            system.registry.on_changed((), (one.life.id,))
+            system.registry.on_changed((), (one.incarnation.id,))
             assert system.context.limits.per_second(one) == float("inf")
 
         self.play(work)
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -376,14 +376,14 @@
         async def work(
             playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
         ) -> None:
-            with anyio.CancelScope() as life:
+            with anyio.CancelScope() as incarnation:
                 async with anyio.create_task_group() as inner:
                     inner.start_soon(playing.duty(orders).run)
                     await anyio.sleep(1.0)
                     end(playing.system, "e1")
                     while len(orders.given) < after:
                         await anyio.sleep(0.0001)
-                    life.cancel()
+                    incarnation.cancel()
             await anyio.sleep(4.5)
             playing.ledger.term += 1
             tasks.start_soon(playing.duty(orders).run)
@@ -782,7 +782,9 @@
                 lost.announces_leaving = True
             else:
                 lost.is_dead = True
-                running.store.remove(names.UPSTREAM_KIND, lost.listed.life.id)
+                running.store.remove(
+                    names.UPSTREAM_KIND, lost.listed.incarnation.id
+                )
             # Whoever leaves by its answers has to give some.
             await self._served(running, "first")
             await anyio.sleep(SERVED_SECONDS)
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -378,7 +378,7 @@
             for target in engines[1:]:
                 target.is_dead = True
                 running.store.remove(
-                    names.UPSTREAM_KIND, target.listed.life.id
+                    names.UPSTREAM_KIND, target.listed.incarnation.id
                 )
             await anyio.sleep(2.0)
             began = anyio.current_time()
