--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -376,14 +376,14 @@
         async def work(
             playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
         ) -> None:
-            with anyio.CancelScope() as incarnation:
+            with anyio.CancelScope() as scope:
                 async with anyio.create_task_group() as inner:
                     inner.start_soon(playing.duty(orders).run)
                     await anyio.sleep(1.0)
                     end(playing.system, "e1")
                     while len(orders.given) < after:
                         await anyio.sleep(0.0001)
-                    incarnation.cancel()
+                    scope.cancel()
             await anyio.sleep(4.5)
             playing.ledger.term += 1
             tasks.start_soon(playing.duty(orders).run)
