--- a/bench/placement.py
+++ b/bench/placement.py
@@ -98,7 +98,7 @@
         context_ms=0.008,
         read_tokens_per_second=245_000.0,
         activation_bytes=39_000.0,
-        pipe_bytes_per_second=0.69e9,
+        zone_link_bytes_per_second=0.69e9,
         load_seconds=14.0,
         loads_at_once=8,
         slots=96,
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -61,7 +61,7 @@
     context_ms: float
     read_tokens_per_second: float
     activation_bytes: float
-    pipe_bytes_per_second: float
+    zone_link_bytes_per_second: float
     load_seconds: float
     loads_at_once: int
     slots: int
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -111,7 +111,7 @@
         context_ms=float(body[names.CONTEXT_MS]),
         read_tokens_per_second=float(body[names.READ_RATE]),
         activation_bytes=float(body[names.ACTIVATION_BYTES]),
-        pipe_bytes_per_second=float(body[names.PIPE_MBPS]) * 1e6 / 8,
+        zone_link_bytes_per_second=float(body[names.PIPE_MBPS]) * 1e6 / 8,
         load_seconds=float(models[0].get(names.LOAD_SECONDS, 0.0)),
         loads_at_once=int(body.get(names.LOADS_AT_ONCE) or 1),
         slots=int(body[names.SLOTS]),
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -346,10 +346,10 @@
 
 def _crossing(profile: chain.EngineProfile) -> float:
     """Return what a crossing between zones costs, in ms a token."""
-    if not profile.pipe_bytes_per_second:
+    if not profile.zone_link_bytes_per_second:
         return CROSSING_MS
     token_ms = (
-        1000.0 * profile.activation_bytes / profile.pipe_bytes_per_second
+        1000.0 * profile.activation_bytes / profile.zone_link_bytes_per_second
     )
     answer = max(1.0, profile.usual_answer)
     tokens = 1.0 + profile.usual_prompt / answer
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -71,14 +71,14 @@
     ) -> float:
         """Return the used share of the pipe between two zones."""
         crossed = self._crossed.get(frozenset((one, other)))
-        if not crossed or not profile.pipe_bytes_per_second:
+        if not crossed or not profile.zone_link_bytes_per_second:
             return 0.0
         since = anyio.current_time() - PIPE_SECONDS
         while crossed and crossed[0][0] < since:
             crossed.popleft()
         tokens = sum(count for _, count in crossed)
         used = tokens * profile.activation_bytes * self._all_entries
-        return used / (profile.pipe_bytes_per_second * PIPE_SECONDS)
+        return used / (profile.zone_link_bytes_per_second * PIPE_SECONDS)
 
     def note_load(self, head: chain.Upstream, running: int) -> None:
         """Take how many requests a first engine says that it runs."""
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -188,7 +188,7 @@
         profile = config.services[0].profile
         assert profile is not None
         assert profile.layer_count == 80
-        assert profile.pipe_bytes_per_second == 1.125e9
+        assert profile.zone_link_bytes_per_second == 1.125e9
         assert profile.load_seconds == 14.0
         assert config.services[1].profile is None
         assert config.teams[0].keys == frozenset({"k1", "k2"})
