--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -47,7 +47,7 @@
         """Return the used share of an engine's memory for requests."""
         ...
 
-    def pipe_load(
+    def zone_link_utilization(
         self, one: str, other: str, profile: chain.EngineProfile
     ) -> float:
         """Return the used share of the pipe between two zones."""
@@ -240,7 +240,9 @@
             return 0.0
         found = self._crossings.get((before, after))
         if found is None:
-            load = self._usage.pipe_load(before, after, wanted.profile)
+            load = self._usage.zone_link_utilization(
+                before, after, wanted.profile
+            )
             found = float("inf")
             if load <= PIPE_MOST:
                 found = _crossing(wanted.profile) * (1.0 + load)
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -66,7 +66,7 @@
         self._entries = max(1, entries)
         self._all_entries = max(self._entries, all_entries)
 
-    def pipe_load(
+    def zone_link_utilization(
         self, one: str, other: str, profile: chain.EngineProfile
     ) -> float:
         """Return the used share of the pipe between two zones."""
