--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -41,7 +41,7 @@
         """Return how many requests pass an engine."""
         ...
 
-    def fullness(
+    def cache_utilization(
         self, upstream: chain.Upstream, profile: chain.EngineProfile
     ) -> float:
         """Return the used share of an engine's memory for requests."""
@@ -341,7 +341,7 @@
     def _full(self, engine: chain.Upstream, wanted: Wanted) -> float:
         found = self._fullness.get(engine.name)
         if found is None:
-            found = self._usage.fullness(engine, wanted.profile)
+            found = self._usage.cache_utilization(engine, wanted.profile)
             self._fullness[engine.name] = found
         return found
 
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -103,7 +103,7 @@
         """Return how many of this entry's requests are there."""
         return self._own[upstream.name]
 
-    def fullness(
+    def cache_utilization(
         self, upstream: chain.Upstream, profile: chain.EngineProfile
     ) -> float:
         """Return the used share of an engine's memory for requests."""
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -94,7 +94,9 @@
     assert engine.layers is not None
     count = engine.layers.end - engine.layers.first
     room = PROFILE.room(engine.card, count)
-    return usage.fullness(engine, PROFILE) * room + WANTED.tokens <= room
+    return (
+        usage.cache_utilization(engine, PROFILE) * room + WANTED.tokens <= room
+    )
 
 
 class TestCheapest:
@@ -244,9 +246,9 @@
         path = planner.plan(fleet, WANTED)
         assert path is not None
         usage.enter(path, WANTED.tokens)
-        alone = usage.fullness(fleet[0], PROFILE)
+        alone = usage.cache_utilization(fleet[0], PROFILE)
         usage.share_among(3)
-        assert usage.fullness(fleet[0], PROFILE) == 3 * alone
+        assert usage.cache_utilization(fleet[0], PROFILE) == 3 * alone
 
     def test_what_a_first_engine_tells_counts_for_the_whole_path(
         self,
@@ -257,13 +259,13 @@
             path = hops.HopPlanner(usage).plan(fleet, WANTED)
             assert path is not None
             usage.enter(path, WANTED.tokens)
-            alone = usage.fullness(fleet[1], PROFILE)
+            alone = usage.cache_utilization(fleet[1], PROFILE)
             usage.note_load(fleet[0], 20)
-            full = usage.fullness(fleet[1], PROFILE)
+            full = usage.cache_utilization(fleet[1], PROFILE)
             assert full == pytest.approx(20 * alone)
             assert usage.sequences(fleet[1]) == 20.0
             await anyio.sleep(usages.TOLD_SECONDS + 0.1)
-            assert usage.fullness(fleet[1], PROFILE) == alone
+            assert usage.cache_utilization(fleet[1], PROFILE) == alone
 
         virtual.run(body)
 
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -101,7 +101,10 @@
             await system.ask(system.request(STREAM))
             for one in system.listed.values():
                 assert system.usage.sequences(one) == 0
-                assert system.usage.fullness(one, fleet_system.PROFILE) == 0
+                assert (
+                    system.usage.cache_utilization(one, fleet_system.PROFILE)
+                    == 0
+                )
 
         play(work)
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -216,14 +216,14 @@
             await surveys.Survey(system.context).run(system.holder.services)
             assert sorted(client.asked) == names[1:]
             full = {
-                name: system.usage.fullness(one, PROFILE)
+                name: system.usage.cache_utilization(one, PROFILE)
                 for name, one in system.listed.items()
             }
             assert full[names[0]] == full[names[1]] == 0.0
             assert all(0.45 < full[name] <= 0.5 for name in names[2:])
             await anyio.sleep(2.6)
             one = system.listed[names[2]]
-            assert system.usage.fullness(one, PROFILE) == 0.0
+            assert system.usage.cache_utilization(one, PROFILE) == 0.0
 
         play(work)
 
