--- a/bench/paths.py
+++ b/bench/paths.py
@@ -86,7 +86,7 @@
     usage = usages.InFlight()
     usage.share_among(13, 68)
     planner = hops.HopPlanner(usage)
-    wanted = hops.Wanted(PROFILE, 800.0, ZONES[0])
+    wanted = hops.PathRequest(PROFILE, 800.0, ZONES[0])
     for _ in range(STREAMS):
         path = planner.plan(fleet, wanted)
         if path is not None:
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -228,7 +228,9 @@
         now += chance.expovariate(times * fleet.streams_per_second)
         while ends and ends[0][0] < now:
             usage.leave(heapq.heappop(ends)[2], fleet.tokens)
-        wanted = hops.Wanted(fleet.profile, fleet.tokens, chance.choice(zones))
+        wanted = hops.PathRequest(
+            fleet.profile, fleet.tokens, chance.choice(zones)
+        )
         path = planner.plan(placed, wanted)
         if path is None:
             refused += 1
--- a/src/crowdeck/relay/detours.py
+++ b/src/crowdeck/relay/detours.py
@@ -202,7 +202,7 @@
             for one in self._context.registry.usable(stream.service.name)
             if one.name not in refused
         ]
-        wanted = hops.Wanted(
+        wanted = hops.PathRequest(
             stream.profile,
             stream.tokens,
             self._context.zone,
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -230,7 +230,7 @@
 
     def _plan(self) -> chain.ChainPath | None:
         registry = self._context.registry
-        wanted = hops.Wanted(
+        wanted = hops.PathRequest(
             self._stream.profile,
             self._stream.tokens,
             self._context.zone,
@@ -260,7 +260,7 @@
         return path
 
     def _best_path(
-        self, usable: list[chain.Upstream], wanted: hops.Wanted
+        self, usable: list[chain.Upstream], wanted: hops.PathRequest
     ) -> chain.ChainPath | None:
         """Return the best path over this entry's engines, or over all."""
         chosen = self._context.subset.pick(usable)
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class Wanted:
+class PathRequest:
     """What a path is wanted for.
 
     :ivar tokens: tokens that the request holds on average as it runs.
@@ -96,7 +96,7 @@
     def plan(
         self,
         engines: typing.Iterable[chain.Upstream],
-        wanted: Wanted,
+        wanted: PathRequest,
         head: chain.Hop | None = None,
     ) -> chain.ChainPath | None:
         """Return a path, or ``None`` where there is none with room.
@@ -119,7 +119,7 @@
                 search.offer(leg)
         return search.run()
 
-    def cost(self, path: chain.ChainPath, wanted: Wanted) -> float:
+    def cost(self, path: chain.ChainPath, wanted: PathRequest) -> float:
         """Return what a token costs along a path as planned, in ms."""
         self._forget()
         head = path.hops[0]
@@ -136,7 +136,7 @@
     def detour(
         self,
         engines: typing.Sequence[chain.Upstream],
-        wanted: Wanted,
+        wanted: PathRequest,
         path: chain.ChainPath,
         refused: typing.Container[str],
     ) -> chain.ChainPath | None:
@@ -180,7 +180,7 @@
     def _bridge(
         self,
         engines: list[chain.Upstream],
-        wanted: Wanted,
+        wanted: PathRequest,
         layers: pipeline.LayerRange,
         before: chain.Hop | None,
     ) -> list[chain.Hop] | None:
@@ -204,7 +204,7 @@
     def _next_part(
         self,
         usable: list[chain.Upstream],
-        wanted: Wanted,
+        wanted: PathRequest,
         position: int,
         zone: str,
     ) -> chain.Upstream | None:
@@ -230,7 +230,7 @@
             return None
         return best
 
-    def _crossing(self, before: str, after: str, wanted: Wanted) -> float:
+    def _crossing(self, before: str, after: str, wanted: PathRequest) -> float:
         """Return what going from zone to zone costs, in ms a token.
 
         Infinite when the pipe between them is full: one prompt more would
@@ -249,7 +249,7 @@
             self._crossings[before, after] = found
         return found
 
-    def _has_room(self, engine: chain.Upstream, wanted: Wanted) -> bool:
+    def _has_room(self, engine: chain.Upstream, wanted: PathRequest) -> bool:
         if engine.layers is None:
             return False
         kind = (engine.card, engine.layers.end - engine.layers.first)
@@ -262,7 +262,7 @@
         return used + wanted.tokens <= room
 
     def _beginnings(
-        self, usable: list[chain.Upstream], wanted: Wanted
+        self, usable: list[chain.Upstream], wanted: PathRequest
     ) -> typing.Iterator[cheapest.Leg]:
         """Yield the parts that a path may begin with."""
         for engine in usable:
@@ -276,7 +276,7 @@
             cost = self._beginning(engine, wanted)
             yield cheapest.Leg(cost, 1, chain.Hop(engine, layers), None)
 
-    def _beginning(self, engine: chain.Upstream, wanted: Wanted) -> float:
+    def _beginning(self, engine: chain.Upstream, wanted: PathRequest) -> float:
         """Return what a token costs at an engine that is the first."""
         cost = self._cost(engine, 0, wanted)
         if engine.availability_zone != wanted.zone:
@@ -286,7 +286,7 @@
     def _holders(
         self,
         usable: list[chain.Upstream],
-        wanted: Wanted,
+        wanted: PathRequest,
         head: chain.Hop | None,
     ) -> list[cheapest.Holder]:
         """Return for each zone and range of layers whom to pass there.
@@ -311,14 +311,14 @@
         return list(found.values())
 
     def _cost(
-        self, engine: chain.Upstream, position: int, wanted: Wanted
+        self, engine: chain.Upstream, position: int, wanted: PathRequest
     ) -> float:
         """Return what a token costs at an engine, in ms."""
         assert engine.layers is not None
         count = engine.layers.end - position
         return self._layer_ms(engine, wanted) * count
 
-    def _layer_ms(self, engine: chain.Upstream, wanted: Wanted) -> float:
+    def _layer_ms(self, engine: chain.Upstream, wanted: PathRequest) -> float:
         """Return what a token costs at an engine for each layer, in ms."""
         found = self._layer_costs.get(engine.name)
         if found is None:
@@ -327,7 +327,7 @@
             self._layer_costs[engine.name] = found
         return found
 
-    def _rate(self, engine: chain.Upstream, wanted: Wanted) -> float:
+    def _rate(self, engine: chain.Upstream, wanted: PathRequest) -> float:
         """Return what a token would cost with all layers, in ms."""
         profile = wanted.profile
         card = profile.cards.get(engine.card)
@@ -338,7 +338,7 @@
         full = self._full(engine, wanted)
         return step * factor * (1.0 + FULL_FACTOR * full * full)
 
-    def _full(self, engine: chain.Upstream, wanted: Wanted) -> float:
+    def _full(self, engine: chain.Upstream, wanted: PathRequest) -> float:
         found = self._fullness.get(engine.name)
         if found is None:
             found = self._usage.cache_utilization(engine, wanted.profile)
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -71,7 +71,7 @@
             engine("d", 70, 80),
         ]
         usual = PROFILE.usual_prompt + PROFILE.usual_answer / 2.0
-        wanted = hops.Wanted(PROFILE, usual, "plateau")
+        wanted = hops.PathRequest(PROFILE, usual, "plateau")
         usage = usages.InFlight()
         planner = hops.HopPlanner(usage)
         count = 0
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -365,7 +365,7 @@
             ]
             assert len(chain.coverage(engines, 80)) == 80
             planner = hops.HopPlanner(usages.InFlight())
-            wanted = hops.Wanted(profile, 700.0, "plateau", 0.5)
+            wanted = hops.PathRequest(profile, 700.0, "plateau", 0.5)
             planner.plan(tuple(engines), wanted)
             fitting = chain.fitting(engines, profile.layer_count)
             assert [one.name for one in fitting] == ["good"]
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -25,7 +25,7 @@
 from tests import virtual
 
 PROFILE = fleet_system.PROFILE
-WANTED = hops.Wanted(PROFILE, 900.0, "plateau")
+WANTED = hops.PathRequest(PROFILE, 900.0, "plateau")
 
 RANGES = strategies.lists(
     strategies.tuples(
@@ -146,7 +146,7 @@
             usage = usages.InFlight()
             usage.share_among(13, 68)
             planner = hops.HopPlanner(usage)
-            wanted = hops.Wanted(paths.PROFILE, 800.0, paths.ZONES[0])
+            wanted = hops.PathRequest(paths.PROFILE, 800.0, paths.ZONES[0])
             profiler = cProfile.Profile(builtins=False)
             planner.plan(fleet, wanted)
             profiler.runcall(planner.plan, fleet, wanted)
