--- a/bench/limits.py
+++ b/bench/limits.py
@@ -92,7 +92,7 @@
 
     def __init__(self, entries: int, chance: random.Random) -> None:
         self.limits = rate_limits.RateLimits(self, chance)
-        self.limits.share_among(entries)
+        self.limits.set_entry_count(entries)
         self.count = 0
         self.told_at = float("inf")
 
--- a/bench/paths.py
+++ b/bench/paths.py
@@ -84,7 +84,7 @@
     """Return the processor time of one choice, in ms."""
     fleet = a_fleet(count)
     usage = usages.InFlight()
-    usage.share_among(13, 68)
+    usage.set_entry_count(13, 68)
     planner = hops.HopPlanner(usage)
     wanted = hops.PathRequest(PROFILE, 800.0, ZONES[0])
     for _ in range(STREAMS):
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -230,8 +230,8 @@
         assert not self._budgets, "budgets follow the roster from the first"
 
         def take() -> None:
-            self.usage.share_among(roster.zone_count, roster.entries)
-            self.limits.share_among(roster.entries)
+            self.usage.set_entry_count(roster.zone_count, roster.entries)
+            self.limits.set_entry_count(roster.entries)
 
         self.membership = roster
         roster.subscribe(take)
--- a/src/crowdeck/routing/rate_limits.py
+++ b/src/crowdeck/routing/rate_limits.py
@@ -113,7 +113,7 @@
         self._entries = 1
         self._limits: dict[str, _Limit] = {}
 
-    def share_among(self, entries: int) -> None:
+    def set_entry_count(self, entries: int) -> None:
         """Take this entry for one of so many, 0 where that is not known."""
         self._entries = entries or UNKNOWN_ENTRIES
 
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -57,7 +57,7 @@
         self._entries = 1
         self._all_entries = 1
 
-    def share_among(self, entries: int, all_entries: int = 0) -> None:
+    def set_entry_count(self, entries: int, all_entries: int = 0) -> None:
         """Take this entry for one of ``entries`` with the same load.
 
         :param entries: entries of this availability zone.
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -144,7 +144,7 @@
         async def body() -> None:
             fleet = paths.a_fleet(130)
             usage = usages.InFlight()
-            usage.share_among(13, 68)
+            usage.set_entry_count(13, 68)
             planner = hops.HopPlanner(usage)
             wanted = hops.PathRequest(paths.PROFILE, 800.0, paths.ZONES[0])
             profiler = cProfile.Profile(builtins=False)
@@ -247,7 +247,7 @@
         assert path is not None
         usage.enter(path, WANTED.tokens)
         alone = usage.cache_utilization(fleet[0], PROFILE)
-        usage.share_among(3)
+        usage.set_entry_count(3)
         assert usage.cache_utilization(fleet[0], PROFILE) == 3 * alone
 
     def test_what_a_first_engine_tells_counts_for_the_whole_path(
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -508,7 +508,7 @@
         async def body() -> None:
             usage = _Usage()
             limits = rate_limits.RateLimits(usage, random.Random(3))
-            limits.share_among(entries)
+            limits.set_entry_count(entries)
             await work(limits, usage, fleet_system.upstream("one"))
 
         virtual.run(body)
@@ -537,7 +537,7 @@
                 limits = rate_limits.RateLimits(
                     _Usage(), random.Random(number)
                 )
-                limits.share_among(0)
+                limits.set_entry_count(0)
                 limits.note(fleet_system.upstream("one"), 10.0, None)
                 entries.append(limits)
             sent = 0
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -47,7 +47,7 @@
 
     def __init__(self, entries: int, chance: random.Random) -> None:
         self.limits = rate_limits.RateLimits(self, chance)
-        self.limits.share_among(entries)
+        self.limits.set_entry_count(entries)
         self.counts: collections.Counter[str] = collections.Counter()
         self.told_at: dict[str, float] = {}
 
