--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -87,7 +87,7 @@
         init=False
     )
     subset: subsets.EngineSubset = attrs.field(init=False)
-    _budgets: dict[str, budgets.SharedBudget] = attrs.field(factory=dict)
+    _budgets: dict[str, budgets.SharedRetryBudget] = attrs.field(factory=dict)
     _wait_queues: dict[str, waiting.WaitQueue] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
@@ -116,12 +116,12 @@
         """How first engines have served this entry's streams."""
         return self.planner.heads
 
-    def budget(self, service: str) -> budgets.SharedBudget:
+    def budget(self, service: str) -> budgets.SharedRetryBudget:
         """Return this entry's share of a service's retry budget."""
         found = self._budgets.get(service)
         if found is None:
             terms = self.terms
-            found = budgets.SharedBudget(
+            found = budgets.SharedRetryBudget(
                 terms.ratio,
                 terms.slack,
                 terms.window,
--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -179,7 +179,7 @@
     return len(times) - bisect.bisect_left(times, since)
 
 
-class SharedBudget:
+class SharedRetryBudget:
     """This entry's share of a service's budget in a sliding window.
 
     All entries together may repeat ``ratio`` of the requests and ``slack``
@@ -345,7 +345,7 @@
     """
 
     def __init__(
-        self, budget: SharedBudget, repeats: _Arrivals, window: float
+        self, budget: SharedRetryBudget, repeats: _Arrivals, window: float
     ) -> None:
         self._budget = budget
         self._repeats = repeats
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -260,7 +260,7 @@
         return caller
 
 
-def spend_retry(budget: budgets.SharedBudget) -> bool:
+def spend_retry(budget: budgets.SharedRetryBudget) -> bool:
     """Have a request sent again that arrives at once, if it may be."""
     with contextlib.closing(budget.open_sends()) as sends:
         if not sends.reserve():
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -295,7 +295,7 @@
             membership = budgets.FixedMembership(4)
             spent = 0
             for _ in range(membership.entries):
-                one = budgets.SharedBudget(
+                one = budgets.SharedRetryBudget(
                     0.2, 100.0, 10.0, membership=membership
                 )
                 for _ in range(50):
@@ -311,12 +311,12 @@
         # ten seconds, and 549 were allowed. The slack then came back over
         # one window, and 160 repeats were sent where 100 are allowed.
         async def body() -> None:
-            former = budgets.SharedBudget(0.2, 100.0, 10.0)
+            former = budgets.SharedRetryBudget(0.2, 100.0, 10.0)
             spent = 0
             while fleet_system.spend_retry(former):
                 spent += 1
             await anyio.sleep(1.5)
-            after = budgets.SharedBudget(
+            after = budgets.SharedRetryBudget(
                 0.2, 100.0, 10.0, anyio.current_time()
             )
             assert not fleet_system.spend_retry(after)
@@ -332,7 +332,7 @@
 
     def test_is_earned_again_as_the_window_slides(self) -> None:
         async def body() -> None:
-            one = budgets.SharedBudget(0.2, 10.0, 10.0)
+            one = budgets.SharedRetryBudget(0.2, 10.0, 10.0)
             while fleet_system.spend_retry(one):
                 pass
             await anyio.sleep(5.0)
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -38,20 +38,20 @@
     slack: float = SLACK,
     began: float = float("-inf"),
     membership: budgets.Membership | None = None,
-) -> budgets.SharedBudget:
-    return budgets.SharedBudget(
+) -> budgets.SharedRetryBudget:
+    return budgets.SharedRetryBudget(
         RATIO, slack, WINDOW, began, membership or Members()
     )
 
 
-def _spend_all(budget: budgets.SharedBudget) -> int:
+def _spend_all(budget: budgets.SharedRetryBudget) -> int:
     spent = 0
     while fleet_system.spend_retry(budget):
         spent += 1
     return spent
 
 
-async def _earn_for(budget: budgets.SharedBudget, seconds: float) -> None:
+async def _earn_for(budget: budgets.SharedRetryBudget, seconds: float) -> None:
     """Have ten requests come in each part of a window for some time."""
     until = anyio.current_time() + seconds - PART / 2
     while anyio.current_time() < until:
