--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -111,7 +111,7 @@
         request: requests.CallerRequest,
         admitted: tables.Admitted,
         service: routes.Service,
-        sends: budgets.Sends,
+        sends: budgets.SendTracker,
     ) -> None:
         self._context = context
         self._watch = watch
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -50,7 +50,7 @@
     objective: float
     tokens: float
     _usage: usages.InFlight
-    sends: budgets.Sends
+    sends: budgets.SendTracker
     resumes: typing.Callable[[], bool] = lambda: False
     last_event: int = -1
     has_events: bool = False
--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -268,7 +268,7 @@
 
     def open_sends(self) -> "Sends":
         """Return the account of one request's sends; who has it closes it."""
-        return Sends(self, self._repeats, self._window)
+        return SendTracker(self, self._repeats, self._window)
 
     def _requests_since(self) -> list[int]:
         """Return how many came in the newest parts, from none to all."""
@@ -331,7 +331,7 @@
         return RESTART_SHARE * min(1.0, age / self._window)
 
 
-class Sends:
+class SendTracker:
     """How often one request is sent, and whether each time is known to end.
 
     A repeat counts from its reservation until one window after its arrival:
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -390,7 +390,7 @@
             sends.send()
             tasks.start_soon(self._arrive, sends, step.late)
 
-    async def _arrive(self, sends: budgets.Sends, late: float) -> None:
+    async def _arrive(self, sends: budgets.SendTracker, late: float) -> None:
         self._number += 1
         request = str(self._number)
         self.account.note_arrival(request, anyio.current_time())
