--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -81,7 +81,7 @@
         """
         budget = self._context.budget(service.name)
         budget.earn()
-        sends = budget.open_sends()
+        sends = budget.track_sends()
         call = _Call(
             self._context,
             self._watch,
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -60,7 +60,7 @@
         assert service.profile is not None
         budget = self._context.budget(service.name)
         budget.earn()
-        sends = budget.open_sends()
+        sends = budget.track_sends()
         size = request.size or requests.TokenCounts(0, 0)
         stream = live.LiveStream(
             request=request,
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -262,7 +262,7 @@
 
 def spend_retry(budget: budgets.SharedRetryBudget) -> bool:
     """Have a request sent again that arrives at once, if it may be."""
-    with contextlib.closing(budget.open_sends()) as sends:
+    with contextlib.closing(budget.track_sends()) as sends:
         if not sends.reserve():
             return False
         sends.send()
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -204,7 +204,7 @@
     def test_one_under_way_counts_however_long_that_takes(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            sends = budget.open_sends()
+            sends = budget.track_sends()
             assert sends.reserve()
             sends.send()
             await anyio.sleep(5 * WINDOW)
@@ -223,7 +223,7 @@
         async def body() -> None:
             budget = _budget(slack=0.0)
             await _earn_for(budget, 3 * WINDOW)
-            accounts = [budget.open_sends() for _ in range(200)]
+            accounts = [budget.track_sends() for _ in range(200)]
             sent = sum(1 for one in accounts if one.reserve())
             requests = 10 * (budgets.WINDOW_PARTS - budgets.PARTS_AHEAD)
             most = budgets.STEADY_SHARE * RATIO * requests
@@ -234,7 +234,7 @@
     def test_one_given_up_counts_for_two_windows(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 assert sends.reserve()
                 sends.send()
                 sends.give_up()
@@ -249,7 +249,7 @@
     def test_those_given_up_count_with_those_that_arrived(self) -> None:
         async def body() -> None:
             budget = _budget(slack=2.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 assert sends.reserve()
                 sends.send()
                 sends.give_up()
@@ -263,7 +263,7 @@
         # The first may be read after the second was answered.
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 sends.send()
                 sends.give_up()
                 assert sends.reserve()
@@ -279,7 +279,7 @@
     def test_one_whose_caller_leaves_counts_as_given_up(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 assert sends.reserve()
                 sends.send()
             await anyio.sleep(2 * WINDOW - PART)
@@ -290,7 +290,7 @@
     def test_one_that_is_not_sent_is_given_back(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 assert sends.reserve()
                 assert budget.left < 1.0
             assert budget.left >= 1.0
@@ -300,7 +300,7 @@
     def test_one_that_was_not_connected_serves_once_more(self) -> None:
         async def body() -> None:
             budget = _budget(slack=2.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 for _ in range(3):
                     assert sends.reserve()
                     sends.send()
@@ -319,10 +319,10 @@
         async def body() -> None:
             budget = _budget()
             before = budget.left
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 sends.send()
                 sends.arrive()
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 sends.send()
                 sends.give_up()
             assert budget.left == before
@@ -384,7 +384,7 @@
             budget.earn()
             self.account.note_request(anyio.current_time())
         for _ in range(step.repeats):
-            sends = budget.open_sends()
+            sends = budget.track_sends()
             if not sends.reserve():
                 break
             sends.send()
