--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -220,7 +220,7 @@
 
     def may_begin_anew(self, service: str) -> bool:
         """Whether the budget allows a stream to begin again elsewhere."""
-        return self.budget(service).left_share >= BUDGET_KEPT_SHARE
+        return self.budget(service).remaining_share >= BUDGET_KEPT_SHARE
 
     def follow(self, roster: rosters.Roster) -> None:
         """Share what is limited with the entries that a roster knows.
--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -245,7 +245,7 @@
         return self._left
 
     @property
-    def left_share(self) -> float:
+    def remaining_share(self) -> float:
         """The part of what may be repeated that is left, 0 to 1.
 
         0 where less than one repeat is left: who begins anew relies on it.
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -432,12 +432,12 @@
             budget = _budget(slack)
             _spend_all(budget)
             assert budget.left < 1.0
-            assert budget.left_share == 0.0
+            assert budget.remaining_share == 0.0
 
         virtual.run(body)
 
     def test_is_all_where_nothing_was_spent(self) -> None:
         async def body() -> None:
-            assert _budget().left_share == 1.0
+            assert _budget().remaining_share == 1.0
 
         virtual.run(body)
