--- a/bench/limits.py
+++ b/bench/limits.py
@@ -90,8 +90,8 @@
 class _Entry:
     """One entry, and what it has under way."""
 
-    def __init__(self, entries: int, chance: random.Random) -> None:
-        self.limits = rate_limits.RateLimits(self, chance)
+    def __init__(self, entries: int, rng: random.Random) -> None:
+        self.limits = rate_limits.RateLimits(self, rng)
         self.limits.set_entry_count(entries)
         self.count = 0
         self.told_at = float("inf")
--- a/bench/paths.py
+++ b/bench/paths.py
@@ -55,15 +55,15 @@
 
 def a_fleet(count: int, seed: int = 1) -> list[chain.Upstream]:
     """Return engines whose ranges cover the model in every zone."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     shares = [share for share, _, _ in CARDS]
     found: list[chain.Upstream] = []
     starts = dict.fromkeys(ZONES, 0)
     for number in range(count):
-        _, card, most = chance.choices(CARDS, shares)[0]
+        _, card, most = rng.choices(CARDS, shares)[0]
         zone = ZONES[number % len(ZONES)]
         first = starts[zone]
-        end = min(LAYERS, first + chance.randint(max(3, most - 4), most))
+        end = min(LAYERS, first + rng.randint(max(3, most - 4), most))
         starts[zone] = end % LAYERS
         found.append(
             chain.Upstream(
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -131,27 +131,27 @@
 
 def drawn(seed: int) -> Fleet:
     """Return a fleet of random cards that holds the model in each zone."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     cards = {
         f"card{number}": {
-            "memory_mb": chance.choice((14_400.0, 21_600.0, 43_200.0, 72e3)),
-            "step": chance.uniform(1.4, 16.0),
-            "read": chance.uniform(1.0, 15.0),
+            "memory_mb": rng.choice((14_400.0, 21_600.0, 43_200.0, 72e3)),
+            "step": rng.uniform(1.4, 16.0),
+            "read": rng.uniform(1.0, 15.0),
         }
-        for number in range(chance.randint(2, 4))
+        for number in range(rng.randint(2, 4))
     }
     zones = {
-        f"zone{number}": _drawn_zone(chance, cards)
-        for number in range(chance.randint(2, 4))
+        f"zone{number}": _drawn_zone(rng, cards)
+        for number in range(rng.randint(2, 4))
     }
     count = sum(sum(counts.values()) for counts in zones.values())
     return make(
         f"drawn {seed}",
         {
-            "streams_per_second": count * chance.uniform(0.8, 2.2),
+            "streams_per_second": count * rng.uniform(0.8, 2.2),
             "prompt": 770.0,
-            "answer": chance.uniform(150.0, 250.0),
-            "token_bytes": chance.choice((656e3, 786e3, 1180e3)),
+            "answer": rng.uniform(150.0, 250.0),
+            "token_bytes": rng.choice((656e3, 786e3, 1180e3)),
             "cards": cards,
             "zones": zones,
         },
@@ -159,13 +159,13 @@
 
 
 def _drawn_zone(
-    chance: random.Random, cards: dict[str, dict[str, float]]
+    rng: random.Random, cards: dict[str, dict[str, float]]
 ) -> dict[str, int]:
     """Return counts of cards that hold 1.3 to 3 copies of the model."""
-    wanted = chance.uniform(1.3, 3.0) * LAYERS * 1750.0
+    wanted = rng.uniform(1.3, 3.0) * LAYERS * 1750.0
     counts = dict.fromkeys(cards, 0)
     while wanted > 0.0:
-        card = chance.choice(sorted(cards))
+        card = rng.choice(sorted(cards))
         counts[card] += 1
         wanted -= 0.9 * cards[card]["memory_mb"]
     return counts
@@ -215,7 +215,7 @@
 
 
 def _send(
-    fleet: Fleet, placed: Engines, chance: random.Random, times: float
+    fleet: Fleet, placed: Engines, rng: random.Random, times: float
 ) -> Played:
     usage = usages.InFlight()
     planner = hops.HopPlanner(usage)
@@ -225,11 +225,11 @@
     passed: list[int] = []
     refused, now = 0, 0.0
     while now < PLAYED_SECONDS:
-        now += chance.expovariate(times * fleet.streams_per_second)
+        now += rng.expovariate(times * fleet.streams_per_second)
         while ends and ends[0][0] < now:
             usage.leave(heapq.heappop(ends)[2], fleet.tokens)
         wanted = hops.PathRequest(
-            fleet.profile, fleet.tokens, chance.choice(zones)
+            fleet.profile, fleet.tokens, rng.choice(zones)
         )
         path = planner.plan(placed, wanted)
         if path is None:
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -57,7 +57,7 @@
     def __init__(
         self,
         ports: list[int],
-        chance: random.Random,
+        rng: random.Random,
         events: int,
         name: str = "q",
         paths: typing.Sequence[str] = PATHS,
@@ -65,7 +65,7 @@
         self.ports = ports
         self._paths = paths
         self._name = name
-        self._chance = chance
+        self._chance = rng
         self._events = events
         self._count = 0
         self.key = "key-0"
--- a/bench/soak/engine_faults.py
+++ b/bench/soak/engine_faults.py
@@ -27,11 +27,11 @@
 
     def __init__(
         self,
-        chance: random.Random,
+        rng: random.Random,
         control: controls.Control,
         ways: typing.Sequence[proxies.Proxy],
     ) -> None:
-        self._chance = chance
+        self._chance = rng
         self._control = control
         self._ways = ways
         self.struck_at = 0.0
@@ -83,17 +83,17 @@
                 known = len(falls)
 
     async def press_back(
-        self, chance: random.Random, seconds: float, told: list[str]
+        self, rng: random.Random, seconds: float, told: list[str]
     ) -> None:
         """Have instances ask for less, and take that back."""
         ends_at = anyio.current_time() + seconds
         while True:
-            await anyio.sleep(chance.expovariate(1 / PRESS_PAUSE))
+            await anyio.sleep(rng.expovariate(1 / PRESS_PAUSE))
             if anyio.current_time() >= ends_at:
                 return
-            number = chance.randrange(len(self._ways))
-            what = chance.choice(("limit", "rest", "leave"))
-            pressed = chance.uniform(0.3, 2.5)
+            number = rng.randrange(len(self._ways))
+            what = rng.choice(("limit", "rest", "leave"))
+            pressed = rng.uniform(0.3, 2.5)
             told.append(f"{what} {pressed:.1f} s")
             await self._control.do(what, upstream=number, value=pressed)
             await anyio.sleep(pressed)
--- a/bench/soak/entry_faults.py
+++ b/bench/soak/entry_faults.py
@@ -17,8 +17,8 @@
 class EntryFaults:
     """Strikes entries, one at a time."""
 
-    def __init__(self, chance: random.Random, struck: entries.Entries) -> None:
-        self._chance = chance
+    def __init__(self, rng: random.Random, struck: entries.Entries) -> None:
+        self._chance = rng
         self._entries = struck
 
     async def kill_entry(self, seconds: float) -> None:
--- a/bench/soak/proxy.py
+++ b/bench/soak/proxy.py
@@ -53,16 +53,16 @@
             task_status.started()
             await listener.serve(self._serve)
 
-    def reset(self, share: float, chance: random.Random) -> None:
+    def reset(self, share: float, rng: random.Random) -> None:
         """Reset a share of the open connections."""
         for stream in tuple(self._streams):
-            if chance.random() < share:
+            if rng.random() < share:
                 _reset(stream)
 
-    async def harm(self, seconds: float, chance: random.Random) -> None:
+    async def harm(self, seconds: float, rng: random.Random) -> None:
         """Reset some connections, and hold up what passes for some time."""
-        self.reset(chance.random(), chance)
-        self.mode = chance.choice((Mode.DELAY, Mode.SILENT, Mode.DEAF))
+        self.reset(rng.random(), rng)
+        self.mode = rng.choice((Mode.DELAY, Mode.SILENT, Mode.DEAF))
         await anyio.sleep(seconds)
         self.mode = Mode.PASS
 
--- a/bench/soak/store_faults.py
+++ b/bench/soak/store_faults.py
@@ -22,11 +22,11 @@
 
     def __init__(
         self,
-        chance: random.Random,
+        rng: random.Random,
         control: controls.Control,
         ways: typing.Sequence[proxies.Proxy],
     ) -> None:
-        self._chance = chance
+        self._chance = rng
         self._control = control
         self._ways = ways
 
@@ -51,16 +51,16 @@
             await anyio.sleep(seconds / 3)
 
     async def restore(
-        self, chance: random.Random, seconds: float, told: list[str]
+        self, rng: random.Random, seconds: float, told: list[str]
     ) -> None:
         """Have the store come back from copies, now and then."""
         ends_at = anyio.current_time() + seconds
         while True:
-            await anyio.sleep(chance.expovariate(1 / RESTORE_PAUSE))
+            await anyio.sleep(rng.expovariate(1 / RESTORE_PAUSE))
             if anyio.current_time() >= ends_at:
                 return
-            away = chance.uniform(0.0, 2.5)
+            away = rng.uniform(0.0, 2.5)
             told.append(f"restore_store {away:.1f} s")
             await self._control.do(
-                "restore", age=chance.randint(1, 10), seconds=away
+                "restore", age=rng.randint(1, 10), seconds=away
             )
--- a/bench/soak/storm.py
+++ b/bench/soak/storm.py
@@ -55,12 +55,12 @@
 
     def __init__(
         self,
-        chance: random.Random,
+        rng: random.Random,
         struck: Struck,
         told: list[str],
         freezes: random.Random | None,
     ) -> None:
-        self._chance = chance
+        self._chance = rng
         self._freezes = freezes
         self._struck = struck
         self._entries = struck.entries
@@ -159,11 +159,11 @@
         seconds = self._chance.uniform(0.5, 4.0)
         await self._silence(numbers, seconds, is_frozen)
 
-    async def _freeze_kind(self, chance: random.Random) -> None:
+    async def _freeze_kind(self, rng: random.Random) -> None:
         """Freeze all instances that a service has."""
         count, models = len(self._struck.ways), self._struck.models
-        numbers = chance.choice((range(models), range(models, count)))
-        await self._silence(list(numbers), chance.uniform(2.0, 8.0), True)
+        numbers = rng.choice((range(models), range(models, count)))
+        await self._silence(list(numbers), rng.uniform(2.0, 8.0), True)
 
     async def _silence(
         self, numbers: list[int], seconds: float, is_frozen: bool
--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -126,18 +126,18 @@
         self._tracer = tracer
         self._tasks = tasks
         self._answers = answers
-        chance = randomness or random.SystemRandom()
+        rng = randomness or random.SystemRandom()
         self._directory = directories.Directory(instance_list)
         links = links_module.Links(self._directory, transport)
         self._fleet = fleets.Fleet(
-            self._directory, links, timer_service, tasks, chance
+            self._directory, links, timer_service, tasks, rng
         )
         self._settings = settings_holder.SettingsHolder(store)
         planner = planners.Planner(
             self._fleet,
             options.zone_links,
             options.availability_zone,
-            chance,
+            rng,
             policies.make_policy(options.policy),
         )
         budgets = retry.RetryBudgets()
@@ -148,7 +148,7 @@
             answers=answers,
             budgets=budgets,
             clock=timer_service,
-            randomness=chance,
+            randomness=rng,
             tasks=tasks,
         )
         self.calls = service_calls.ServiceCalls(
@@ -158,7 +158,7 @@
             budgets,
             timer_service,
             wall_clock,
-            chance,
+            rng,
         )
         self._claims = claims
         self._keys = keys.AnswerKeys(claims, planner, wall_clock)
--- a/src/crowdeck/routing/rate_limits.py
+++ b/src/crowdeck/routing/rate_limits.py
@@ -107,9 +107,9 @@
         learn of a limit together do not send together.
     """
 
-    def __init__(self, usage: Usage, chance: random.Random) -> None:
+    def __init__(self, usage: Usage, rng: random.Random) -> None:
         self._usage = usage
-        self._chance = chance
+        self._chance = rng
         self._entries = 1
         self._limits: dict[str, _Limit] = {}
 
--- a/src/crowdeck/routing/routes.py
+++ b/src/crowdeck/routing/routes.py
@@ -86,9 +86,9 @@
         return Admitted(route, name, priority, self.version)
 
 
-def pick_service(route: routes.Route, chance: random.Random) -> str:
+def pick_service(route: routes.Route, rng: random.Random) -> str:
     """Return the service that takes a request, by the route's shares."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
-    return chance.choices(route.shares, weights)[0].service
+    return rng.choices(route.shares, weights)[0].service
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -374,17 +374,17 @@
     def test_it_has_it_again_within_a_second(
         self, rate: float, seed: int
     ) -> None:
-        chance = random.Random(seed)
+        rng = random.Random(seed)
 
         async def call(system: System, seconds: float) -> None:
             until = anyio.current_time() + seconds
             async with anyio.create_task_group() as tasks:
                 while anyio.current_time() < until:
                     tasks.start_soon(system.ask, system.request(ONCE))
-                    await anyio.sleep(chance.expovariate(rate))
+                    await anyio.sleep(rng.expovariate(rate))
 
         async def work(system: System) -> None:
-            await call(system, 3.0 + chance.random())
+            await call(system, 3.0 + rng.random())
             target = busiest(system)
             target.backoff = REST_SECONDS
             target.rejected_requests = 1
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -285,15 +285,15 @@
     @hypothesis.settings(max_examples=40, deadline=None, derandomize=True)
     def test_each_key_has_one_holder_whatever_is_lost(self, seed: int) -> None:
         async def check() -> None:
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             store = stores.StandinStore()
             ledgers = [make_ledger(store) for _ in range(3)]
             holders: dict[str, str] = {}
             backups = [store.back_up()]
 
             async def call(number: int) -> None:
-                key = f"key-{chance.randrange(40)}"
-                ledger = chance.choice(ledgers)
+                key = f"key-{rng.randrange(40)}"
+                ledger = rng.choice(ledgers)
                 claim = make_claim(key, f"nonce-{number}")
                 try:
                     held = await ledger.claim(claim)
@@ -312,11 +312,11 @@
                     tasks.start_soon(check_epoch, ledger)
                 for number in range(600):
                     tasks.start_soon(call, number)
-                    if chance.random() < 0.03:
+                    if rng.random() < 0.03:
                         backups.append(store.back_up())
-                    if chance.random() < 0.01:
-                        store.restore(chance.choice(backups[-4:]))
-                    await anyio.sleep(chance.uniform(0.0, 0.05))
+                    if rng.random() < 0.01:
+                        store.restore(rng.choice(backups[-4:]))
+                    await anyio.sleep(rng.uniform(0.0, 0.05))
                 await anyio.sleep(3.0)
                 tasks.cancel_scope.cancel()
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -128,13 +128,13 @@
         others = [chr(200 + number) for number in range(60)]
         wrong = 0
         for seed in range(200):
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             ends = []
             lost: set[str] = set()
             for number in range(4):
-                lost = {one for one in sorted(lost) if chance.random() < 0.5}
-                lost |= set(chance.sample(others, 4))
-                begun = {one for one in sorted(lost) if chance.random() < 0.5}
+                lost = {one for one in sorted(lost) if rng.random() < 0.5}
+                lost |= set(rng.sample(others, 4))
+                begun = {one for one in sorted(lost) if rng.random() < 0.5}
                 unbegun = "c" + "".join(lost - begun)
                 ends.append(end(str(number), unbegun, "".join(begun)))
             found = blamed(*ends)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -370,7 +370,7 @@
     def test_who_is_refused_is_so_at_once(
         self, count: int, objective: float, seed: int
     ) -> None:
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         limit = 4.0
         told: list[tuple[float, float, fleet_system.Caller]] = []
 
@@ -389,7 +389,7 @@
             async with anyio.create_task_group() as tasks:
                 while anyio.current_time() < 23.0:
                     tasks.start_soon(ask)
-                    await anyio.sleep(chance.expovariate(30.0))
+                    await anyio.sleep(rng.expovariate(30.0))
 
         self.play(work, count, objective)
         late = [one for one in told if one[0] >= 3.0]
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -191,12 +191,12 @@
         # A key that was taken away works on at an entry whose copy claims
         # to be current and is not.
         async def work(zone: zone_system.Zone) -> None:
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             written: dict[int, float] = {}
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(_disturb, zone, chance)
+                tasks.start_soon(_disturb, zone, rng)
                 for _ in range(1_500):
-                    if chance.random() < 0.02:
+                    if rng.random() < 0.02:
                         written[zone.write()] = anyio.current_time()
                     _require_truth(zone, written)
                     await anyio.sleep(0.01)
@@ -205,16 +205,16 @@
         zone_system.play(4, work)
 
 
-async def _disturb(zone: zone_system.Zone, chance: random.Random) -> None:
+async def _disturb(zone: zone_system.Zone, rng: random.Random) -> None:
     while True:
-        entry = chance.choice(list(zone.entries.values()))
-        what = chance.choice(("is_silent", "is_down", "cut", "store"))
+        entry = rng.choice(list(zone.entries.values()))
+        what = rng.choice(("is_silent", "is_down", "cut", "store"))
         target = {"cut": entry.way, "store": zone.store}.get(what, entry)
         name = {"cut": "is_cut", "store": "is_down"}.get(what, what)
         setattr(target, name, True)
-        await anyio.sleep(chance.uniform(0.1, 2.5))
+        await anyio.sleep(rng.uniform(0.1, 2.5))
         setattr(target, name, False)
-        await anyio.sleep(chance.uniform(0.0, 1.0))
+        await anyio.sleep(rng.uniform(0.0, 1.0))
 
 
 def _require_truth(zone: zone_system.Zone, written: dict[int, float]) -> None:
--- a/tests/test_restored_lease.py
+++ b/tests/test_restored_lease.py
@@ -200,18 +200,18 @@
     @hypothesis.settings(max_examples=60, deadline=None, derandomize=True)
     def test_never_has_two_holders_nor_a_term_twice(self, seed: int) -> None:
         async def body() -> None:
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             store = standin_store.StandinStore()
-            rivals = Rivals(store, chance)
+            rivals = Rivals(store, rng)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(rivals.run)
                 backups = [store.back_up()]
                 for _ in range(3_000):
-                    if chance.random() < 0.01:
+                    if rng.random() < 0.01:
                         backups.append(store.back_up())
-                    if chance.random() < 0.003:
-                        store.restore(chance.choice(backups[-5:]))
-                    if chance.random() < 0.01:
+                    if rng.random() < 0.003:
+                        store.restore(rng.choice(backups[-5:]))
+                    if rng.random() < 0.01:
                         # Versions are given out again to other writes.
                         store.write("other", "o", b"1")
                     await anyio.sleep(0.01)
@@ -262,10 +262,10 @@
     """Processes that stand for one duty, cut off and started anew."""
 
     def __init__(
-        self, store: standin_store.StandinStore, chance: random.Random
+        self, store: standin_store.StandinStore, rng: random.Random
     ) -> None:
         self._store = store
-        self._chance = chance
+        self._chance = rng
         self._leases: list[leases.Lease] = []
         self._ways: list[zone_system.Way] = []
         self._holders: dict[int, leases.Lease] = {}
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -147,11 +147,11 @@
         self, seed: int
     ) -> None:
         async def work(zone: zone_system.Zone) -> None:
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             for _ in range(4):
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(_disturb, zone, chance)
-                    await _play_restores(zone, chance)
+                    tasks.start_soon(_disturb, zone, rng)
+                    await _play_restores(zone, rng)
                     tasks.cancel_scope.cancel()
                 zone.reconnect()
                 # A peer that was silent is left alone for some seconds.
@@ -161,19 +161,17 @@
         zone_system.play(4, work)
 
 
-async def _play_restores(
-    zone: zone_system.Zone, chance: random.Random
-) -> None:
+async def _play_restores(zone: zone_system.Zone, rng: random.Random) -> None:
     """Write now and then, and go back to a copy of some moment before."""
     backups = [zone.store.back_up()]
     truth: dict[int, float] = {}
     for _ in range(600):
-        if chance.random() < 0.03:
+        if rng.random() < 0.03:
             truth[zone.write()] = anyio.current_time()
-        if chance.random() < 0.01:
+        if rng.random() < 0.01:
             backups.append(zone.store.back_up())
-        if chance.random() < 0.004:
-            zone.store.restore(chance.choice(backups))
+        if rng.random() < 0.004:
+            zone.store.restore(rng.choice(backups))
             # Only what is written from now on may be asked for.
             truth.clear()
         _require_truth(zone, truth)
@@ -192,11 +190,11 @@
             assert entry.mirror.position.version >= newest
 
 
-async def _disturb(zone: zone_system.Zone, chance: random.Random) -> None:
+async def _disturb(zone: zone_system.Zone, rng: random.Random) -> None:
     """Cut entries off, silence, stop and start them anew."""
     while True:
-        number = chance.randrange(len(zone.entries))
-        what = chance.choice(("is_silent", "is_down", "cut", "store", "anew"))
+        number = rng.randrange(len(zone.entries))
+        what = rng.choice(("is_silent", "is_down", "cut", "store", "anew"))
         if what == "anew":
             zone.start_anew(number)
         else:
@@ -204,9 +202,9 @@
             target = {"cut": entry.way, "store": zone.store}.get(what, entry)
             name = {"cut": "is_cut", "store": "is_down"}.get(what, what)
             setattr(target, name, True)
-            await anyio.sleep(chance.uniform(0.1, 2.5))
+            await anyio.sleep(rng.uniform(0.1, 2.5))
             setattr(target, name, False)
-        await anyio.sleep(chance.uniform(0.0, 1.0))
+        await anyio.sleep(rng.uniform(0.0, 1.0))
 
 
 class TestMirror:
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -462,21 +462,21 @@
     @hypothesis.settings(max_examples=60, deadline=None, derandomize=True)
     def test_never_has_two_holders_nor_a_term_twice(self, seed: int) -> None:
         async def body() -> None:
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             store = standin_store.StandinStore()
-            rivals = test_restored_lease.Rivals(store, chance)
-            is_restored = chance.random() < 0.5
+            rivals = test_restored_lease.Rivals(store, rng)
+            is_restored = rng.random() < 0.5
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(rivals.run)
                 backups = [store.back_up()]
                 for _ in range(3_000):
-                    if chance.random() < 0.01:
+                    if rng.random() < 0.01:
                         backups.append(store.back_up())
-                    if is_restored and chance.random() < 0.002:
-                        store.restore(chance.choice(backups[-5:]))
-                    if chance.random() < 0.02:
-                        name = chance.choice(await _names(store) or ["duty"])
-                        value = chance.choice(SPOILT)
+                    if is_restored and rng.random() < 0.002:
+                        store.restore(rng.choice(backups[-5:]))
+                    if rng.random() < 0.02:
+                        name = rng.choice(await _names(store) or ["duty"])
+                        value = rng.choice(SPOILT)
                         store.write(leases.KIND, name, value)
                     await anyio.sleep(0.01)
                     rivals.require_one_holder()
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -299,12 +299,12 @@
         assert gaps.most_layers(card, PROFILE) == expected
 
     def test_is_what_counting_each_layer_finds(self) -> None:
-        chance = random.Random(7)
+        rng = random.Random(7)
         for _ in range(300):
             engines = []
-            for number in range(chance.randrange(6)):
-                first = chance.randrange(80)
-                end = chance.randrange(first + 1, 82)
+            for number in range(rng.randrange(6)):
+                first = rng.randrange(80)
+                end = rng.randrange(first + 1, 82)
                 engines.append(
                     fleet_system.upstream(f"e-{number}", layers=(first, end))
                 )
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -45,8 +45,8 @@
 class _Entry:
     """One entry's parts of the limits, and what it has under way."""
 
-    def __init__(self, entries: int, chance: random.Random) -> None:
-        self.limits = rate_limits.RateLimits(self, chance)
+    def __init__(self, entries: int, rng: random.Random) -> None:
+        self.limits = rate_limits.RateLimits(self, rng)
         self.limits.set_entry_count(entries)
         self.counts: collections.Counter[str] = collections.Counter()
         self.told_at: dict[str, float] = {}
@@ -63,7 +63,7 @@
     weights: list[float]
     seconds: float
     tells_load: bool
-    chance: random.Random
+    rng: random.Random
     upstreams: list[chain.Upstream]
     got: dict[str, list[float]]
     borne: dict[str, list[float]]
@@ -77,13 +77,13 @@
             act()
 
     def _at(self, at: float, act: typing.Callable[[], None]) -> None:
-        heapq.heappush(self.events, (at, self.chance.random(), act))
+        heapq.heappush(self.events, (at, self.rng.random(), act))
 
     def _arrive(self) -> None:
         now = anyio.current_time()
         rate = ASKED_FACTOR * LIMIT * INSTANCES
-        self._at(now + self.chance.expovariate(rate), self._arrive)
-        (entry,) = self.chance.choices(self.entries, self.weights)
+        self._at(now + self.rng.expovariate(rate), self._arrive)
+        (entry,) = self.rng.choices(self.entries, self.weights)
         free = [one for one in self.upstreams if entry.limits.allows(one)]
         if not free:
             return
@@ -96,12 +96,12 @@
             if now >= told_at + TOLD_SECONDS:
                 self.borne[chosen.name].append(now)
         answered = now + ANSWER_SECONDS
-        ended = answered + self.chance.expovariate(1.0 / self.seconds)
+        ended = answered + self.rng.expovariate(1.0 / self.seconds)
         self._at(answered, lambda: self._answer(entry, chosen))
         self._at(ended, lambda: entry.counts.subtract([chosen.name]))
 
     def _draw(self) -> float:
-        return self.chance.random()
+        return self.rng.random()
 
     def _answer(self, entry: _Entry, upstream: chain.Upstream) -> None:
         if anyio.current_time() >= NAMED_AT:
@@ -115,7 +115,7 @@
     entries: int, spread: str, seconds: float, tells_load: bool
 ) -> _Service:
     """Return a service that was played."""
-    chance = random.Random(1)
+    rng = random.Random(1)
     busiest = 0.9 if spread == MOST else 1.0 / entries
     rest = (1.0 - busiest) / max(1, entries - 1)
     upstreams = [
@@ -134,7 +134,7 @@
         [busiest, *[rest] * (entries - 1)],
         seconds,
         tells_load,
-        chance,
+        rng,
         upstreams,
         {one.name: [] for one in upstreams},
         {one.name: [] for one in upstreams},
