--- a/src/crowdeck/cmd/daemon.py
+++ b/src/crowdeck/cmd/daemon.py
@@ -97,7 +97,7 @@
         options.config,
         hangup,
         listener,
-        backend_options={"loop_factory": timers.WakefulLoop},
+        backend_options={"loop_factory": timers.BootTimeEventLoop},
     )
     return 0
 
--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -91,7 +91,7 @@
         return time.monotonic()
 
 
-class WakefulLoop(asyncio.SelectorEventLoop):
+class BootTimeEventLoop(asyncio.SelectorEventLoop):
     """An event loop whose time goes on while the machine is suspended.
 
     Python's own stands still then: a process that woke after a minute held
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -200,4 +200,4 @@
         monkeypatch.setattr(daemon, "EarlyHangup", lambda: None)
         daemon.main(["--config", "entry.ini"])
         options = typing.cast(dict[str, object], asked[0]["backend_options"])
-        assert options["loop_factory"] is timers.WakefulLoop
+        assert options["loop_factory"] is timers.BootTimeEventLoop
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -63,7 +63,9 @@
             assert fired
 
         monkeypatch.setattr(timers.time, "clock_gettime", boot_time)
-        anyio.run(body, backend_options={"loop_factory": timers.WakefulLoop})
+        anyio.run(
+            body, backend_options={"loop_factory": timers.BootTimeEventLoop}
+        )
 
     def test_timer_service_offers_both_clocks(self) -> None:
         class Fixed:
