--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -80,7 +80,7 @@
         return time.clock_gettime(_BOOT)
 
 
-class SteadyClock:
+class MonotonicClock:
     """Seconds for which the machine was awake.
 
     For the pace of our own work, where nothing follows from time asleep.
@@ -118,7 +118,7 @@
         self, clock: Clock | None = None, steady: Clock | None = None
     ) -> None:
         self._clock = clock or LoopClock()
-        self._steady = steady or SteadyClock()
+        self._steady = steady or MonotonicClock()
         self._order = itertools.count()
         self._due: list[tuple[float, int, Subscription]] = []
         self._new: list[Subscription] = []
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -77,7 +77,7 @@
 
         service = timers.TimerService(Fixed(9.0), Fixed(4.0))
         assert (service.now(), service.awake()) == (9.0, 4.0)
-        assert timers.BootClock().now() >= timers.SteadyClock().now() - 1.0
+        assert timers.BootClock().now() >= timers.MonotonicClock().now() - 1.0
 
 
 class TestLease:
