--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -240,7 +240,7 @@
 
 async def _apply(
     editor: editors.SettingsEditor,
-    base: editors.Edition,
+    base: editors.SettingsRevision,
     text: str,
     change: str = "",
 ) -> Result:
@@ -253,7 +253,7 @@
     return _applied(edition, shown)
 
 
-def _applied(edition: editors.Edition, shown: str) -> Result:
+def _applied(edition: editors.SettingsRevision, shown: str) -> Result:
     return Result(
         {"generation": edition.generation, "change": edition.change},
         f"{shown}\ngeneration {edition.generation} is in force",
--- a/src/crowdeck/settings/editor.py
+++ b/src/crowdeck/settings/editor.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class Edition:
+class SettingsRevision:
     """The stored tree as an editor read it.
 
     :ivar version: the store's version, by which a racing edit shows.
@@ -33,7 +33,7 @@
     text: str
 
 
-EMPTY = Edition(stores.CREATE, 0, "", "")
+EMPTY = SettingsRevision(stores.CREATE, 0, "", "")
 
 
 class SettingsEditor:
@@ -42,19 +42,19 @@
     def __init__(self, store: stores.ObjectStore) -> None:
         self._store = store
 
-    async def read(self) -> Edition:
+    async def read(self) -> SettingsRevision:
         """Return the tree that is in force."""
         found = await self._store.get(holder.KIND, holder.NAME)
         if found is None:
             return EMPTY
         body = orjson.loads(found.value)
-        return Edition(
+        return SettingsRevision(
             found.version, body["generation"], body["change"], body["text"]
         )
 
     async def apply(
-        self, base: Edition, text: str, change: str = ""
-    ) -> Edition:
+        self, base: SettingsRevision, text: str, change: str = ""
+    ) -> SettingsRevision:
         """Make ``text`` the next generation after ``base``.
 
         Applying the same ``change`` again is harmless: a writer whose
@@ -75,12 +75,12 @@
         except errors.CrowdeckError as error:
             return await self._find_out(base, change, error)
         await self._remember(generation, change, value)
-        return Edition(version, generation, change, text)
+        return SettingsRevision(version, generation, change, text)
 
-    async def history(self, limit: int = 20) -> list[Edition]:
+    async def history(self, limit: int = 20) -> list[SettingsRevision]:
         """Return past generations, newest first."""
         newest = await self.read()
-        found: list[Edition] = []
+        found: list[SettingsRevision] = []
         for generation in range(newest.generation, 0, -1):
             if len(found) == limit:
                 break
@@ -88,7 +88,9 @@
             if kept is not None:
                 body = orjson.loads(kept.value)
                 found.append(
-                    Edition(0, generation, body["change"], body["text"])
+                    SettingsRevision(
+                        0, generation, body["change"], body["text"]
+                    )
                 )
         return found
 
@@ -106,8 +108,8 @@
         return str(orjson.loads(kept.value)["text"])
 
     async def _find_out(
-        self, base: Edition, change: str, error: errors.CrowdeckError
-    ) -> Edition:
+        self, base: SettingsRevision, change: str, error: errors.CrowdeckError
+    ) -> SettingsRevision:
         """Tell our own change, a racing one and a failed one apart."""
         unclear = (errors.Code.STORE_CONFLICT, errors.Code.STORE_UNSURE)
         if error.code not in unclear:
