--- a/src/crowdeck/settings/tree.py
+++ b/src/crowdeck/settings/tree.py
@@ -249,11 +249,11 @@
             if name != "*" and name not in services:
                 raise errors.SettingsError(
                     f"[{section}] services: there is no [service:{name}]"
-                    f"{near_guess(name, services)}"
+                    f"{suggest_name(name, services)}"
                 )
 
 
-def near_guess(name: str, known: "dict[str, contracts.Contract]") -> str:
+def suggest_name(name: str, known: "dict[str, contracts.Contract]") -> str:
     """Return a hint at the nearest known name, or nothing."""
     near = difflib.get_close_matches(name, known, n=1)
     return f"; did you mean {near[0]}?" if near else ""
