--- a/src/crowdeck/cmd/cli.py
+++ b/src/crowdeck/cmd/cli.py
@@ -88,7 +88,7 @@
     if options.command == "losses":
         return inspection.account_losses(
             options.files,
-            losses.Aims(options.first, options.gap),
+            losses.Objectives(options.first, options.gap),
             options.every,
         )
     if not options.platform:
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -29,7 +29,7 @@
 
 
 def account_losses(
-    files: list[pathlib.Path], aims: losses.Aims, span: float
+    files: list[pathlib.Path], aims: losses.Objectives, span: float
 ) -> commands.Result:
     """Tell what was not served in time in log files, and why."""
     with _open_logs(files, are_named=True) as texts:
--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class Aims:
+class Objectives:
     """What counts as in time, in seconds.
 
     :ivar first: to a stream's first event.
@@ -108,7 +108,7 @@
 class Ledger:
     """Takes log lines one by one, of any processes, in any order."""
 
-    def __init__(self, aims: Aims) -> None:
+    def __init__(self, aims: Objectives) -> None:
         self._aims = aims
         self._requests: dict[str, _Request] = {}
         self._refusals: collections.Counter[str] = collections.Counter()
@@ -228,7 +228,9 @@
         return cause
 
 
-def account(texts: typing.Iterable[str], aims: Aims, span: float) -> Account:
+def account(
+    texts: typing.Iterable[str], aims: Objectives, span: float
+) -> Account:
     """Return the account of log lines; others are passed over."""
     ledger = Ledger(aims)
     for text in texts:
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -15,7 +15,7 @@
 from crowdeck.observe import losses
 from tests import test_explain
 
-AIMS = losses.Aims(first=0.5, pause=0.25)
+AIMS = losses.Objectives(first=0.5, pause=0.25)
 line = test_explain.line
 
 
