--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen
-class Account:
+class LossReport:
     """Every request in the logs, counted once.
 
     :ivar causes: how many ended in which way, the commonest first.
@@ -138,7 +138,7 @@
         if line.kind == "attempt_failed":
             self._refusals[self._general(line)] += 1
 
-    def account(self, span: float) -> Account:
+    def account(self, span: float) -> LossReport:
         """Return the sums, and those of each ``span`` seconds."""
         causes: collections.Counter[str] = collections.Counter()
         sources: collections.Counter[str] = collections.Counter()
@@ -152,7 +152,7 @@
                 sources[_instance(request.end.source)] += 1
             at = int((request.end.at - self._began) / span)
             spans.setdefault(at, collections.Counter())[cause] += 1
-        return Account(
+        return LossReport(
             requests=sum(causes.values()),
             causes=self._told(causes),
             turned_away=self._told(self._refusals),
@@ -230,7 +230,7 @@
 
 def account(
     texts: typing.Iterable[str], aims: Objectives, span: float
-) -> Account:
+) -> LossReport:
     """Return the account of log lines; others are passed over."""
     ledger = Ledger(aims)
     for text in texts:
