--- a/bench/paths.py
+++ b/bench/paths.py
@@ -44,7 +44,7 @@
     load_seconds=14.0,
     loads_at_once=21,
     slots=96,
-    usual_prompt=773.0,
+    mean_prompt_tokens=773.0,
     usual_answer=178.0,
     cards={card.name: card for _, card, _ in CARDS},
 )
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -58,7 +58,9 @@
     @property
     def tokens(self) -> float:
         """What a stream holds on average, in tokens."""
-        return self.profile.usual_prompt + self.profile.usual_answer / 2.0
+        return (
+            self.profile.mean_prompt_tokens + self.profile.usual_answer / 2.0
+        )
 
 
 @attrs.frozen
@@ -102,7 +104,7 @@
         load_seconds=14.0,
         loads_at_once=8,
         slots=96,
-        usual_prompt=described["prompt"],
+        mean_prompt_tokens=described["prompt"],
         usual_answer=described["answer"],
         cards=cards,
     )
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -65,7 +65,7 @@
     load_seconds: float
     loads_at_once: int
     slots: int
-    usual_prompt: float
+    mean_prompt_tokens: float
     usual_answer: float
     cards: dict[str, AcceleratorType]
 
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -115,7 +115,7 @@
         load_seconds=float(models[0].get(names.LOAD_SECONDS, 0.0)),
         loads_at_once=int(body.get(names.LOADS_AT_ONCE) or 1),
         slots=int(body[names.SLOTS]),
-        usual_prompt=float(usual.get(names.USUAL_PROMPT, 0.0)),
+        mean_prompt_tokens=float(usual.get(names.USUAL_PROMPT, 0.0)),
         usual_answer=float(usual.get(names.USUAL_ANSWER, 0.0)),
         cards={one.name: one for one in cards},
     )
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -56,7 +56,7 @@
 ) -> Bound:
     """Return the bound of engines that serve one model together."""
     held = [one for one in engines if one.layers is not None]
-    usual = max(1.0, profile.usual_prompt + profile.usual_answer / 2.0)
+    usual = max(1.0, profile.mean_prompt_tokens + profile.usual_answer / 2.0)
 
     def room(engine: chain.Upstream, layers: pipeline.LayerRange) -> float:
         tokens = profile.room(engine.card, layers.end - layers.first)
@@ -66,7 +66,7 @@
         share = (layers.end - layers.first) / profile.layer_count
         factor = _card(engine, profile).read_factor
         rate = profile.read_tokens_per_second / factor / share
-        return rate / max(1.0, profile.usual_prompt)
+        return rate / max(1.0, profile.mean_prompt_tokens)
 
     memory, at_memory = _narrowest(held, profile, room)
     if memory <= 0.0:
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -354,5 +354,5 @@
         1000.0 * profile.activation_bytes / profile.zone_link_bytes_per_second
     )
     answer = max(1.0, profile.usual_answer)
-    tokens = 1.0 + profile.usual_prompt / answer
+    tokens = 1.0 + profile.mean_prompt_tokens / answer
     return CROSSING_MS + PIPE_FACTOR * token_ms * tokens
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -44,7 +44,7 @@
     load_seconds=14.0,
     loads_at_once=6,
     slots=96,
-    usual_prompt=772.0,
+    mean_prompt_tokens=772.0,
     usual_answer=172.0,
     cards={
         "large": chain.AcceleratorType("large", 72_000.0, 1.4, 1.0),
