--- a/bench/paths.py
+++ b/bench/paths.py
@@ -45,7 +45,7 @@
     loads_at_once=21,
     slots=96,
     mean_prompt_tokens=773.0,
-    usual_answer=178.0,
+    mean_answer_tokens=178.0,
     cards={card.name: card for _, card, _ in CARDS},
 )
 STREAMS = 5
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -59,7 +59,8 @@
     def tokens(self) -> float:
         """What a stream holds on average, in tokens."""
         return (
-            self.profile.mean_prompt_tokens + self.profile.usual_answer / 2.0
+            self.profile.mean_prompt_tokens
+            + self.profile.mean_answer_tokens / 2.0
         )
 
 
@@ -105,7 +106,7 @@
         loads_at_once=8,
         slots=96,
         mean_prompt_tokens=described["prompt"],
-        usual_answer=described["answer"],
+        mean_answer_tokens=described["answer"],
         cards=cards,
     )
     streams = described["streams_per_second"]
@@ -239,7 +240,7 @@
             continue
         usage.enter(path, fleet.tokens)
         token_ms = _token_ms(path, fleet.profile)
-        seconds = token_ms * fleet.profile.usual_answer / 1000.0
+        seconds = token_ms * fleet.profile.mean_answer_tokens / 1000.0
         end = now + FIRST_SECONDS + seconds
         heapq.heappush(ends, (end, len(token_times), path))
         token_times.append(token_ms)
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -66,7 +66,7 @@
     loads_at_once: int
     slots: int
     mean_prompt_tokens: float
-    usual_answer: float
+    mean_answer_tokens: float
     cards: dict[str, AcceleratorType]
 
     @property
--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -60,7 +60,9 @@
 
 def request_tokens(profile: chain.EngineProfile) -> float:
     """Return what a request holds on average while it runs, in tokens."""
-    return max(1.0, profile.mean_prompt_tokens + profile.usual_answer / 2.0)
+    return max(
+        1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
+    )
 
 
 def needed_tokens(profile: chain.EngineProfile) -> float:
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -116,7 +116,7 @@
         loads_at_once=int(body.get(names.LOADS_AT_ONCE) or 1),
         slots=int(body[names.SLOTS]),
         mean_prompt_tokens=float(usual.get(names.USUAL_PROMPT, 0.0)),
-        usual_answer=float(usual.get(names.USUAL_ANSWER, 0.0)),
+        mean_answer_tokens=float(usual.get(names.USUAL_ANSWER, 0.0)),
         cards={one.name: one for one in cards},
     )
 
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -118,7 +118,9 @@
     known = profile.cards.get(card)
     if known is None:
         return profile.layer_count
-    request = max(1.0, profile.mean_prompt_tokens + profile.usual_answer / 2.0)
+    request = max(
+        1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
+    )
     room = ROOM_REQUESTS * request * profile.token_layer_mb
     most = int(known.memory_mb / (profile.layer_mb + room))
     return min(profile.layer_count, most)
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -29,16 +29,16 @@
     max_answer: int
     answer_hint: int = 0
 
-    def mean_tokens(self, usual_answer: float) -> float:
+    def mean_tokens(self, mean_answer_tokens: float) -> float:
         """Return the tokens that the request holds on average as it runs.
 
         Half of its answer, not the whole: of the many that an engine runs
         at once some have begun and some are about to end. Guesses are off
         by half and more, so each counts as much as the mean answer does.
         """
-        answer = usual_answer
+        answer = mean_answer_tokens
         if self.answer_hint:
-            answer = (self.answer_hint + usual_answer) / 2.0
+            answer = (self.answer_hint + mean_answer_tokens) / 2.0
         return (
             self.prompt + min(float(self.max_answer or answer), answer) / 2.0
         )
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -68,7 +68,7 @@
             profile=service.profile,
             gap=admitted.route.gap or admitted.route.objective,
             objective=admitted.route.objective,
-            tokens=size.mean_tokens(service.profile.usual_answer),
+            tokens=size.mean_tokens(service.profile.mean_answer_tokens),
             usage=self._context.usage,
             sends=sends,
             last_event=request.last_event,
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -56,7 +56,9 @@
 ) -> Bound:
     """Return the bound of engines that serve one model together."""
     held = [one for one in engines if one.layers is not None]
-    usual = max(1.0, profile.mean_prompt_tokens + profile.usual_answer / 2.0)
+    usual = max(
+        1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
+    )
 
     def room(engine: chain.Upstream, layers: pipeline.LayerRange) -> float:
         tokens = profile.room(engine.card, layers.end - layers.first)
@@ -129,7 +131,7 @@
         step = profile.step_ms + together * (profile.sequence_ms + context)
         factors = [_card(one, profile).step_factor for one in inside]
         total += step * sum(factors) / len(factors) / profile.layer_count
-    return max(1e-3, total * max(1.0, profile.usual_answer) / 1000.0)
+    return max(1e-3, total * max(1.0, profile.mean_answer_tokens) / 1000.0)
 
 
 def _card(
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -353,6 +353,6 @@
     token_ms = (
         1000.0 * profile.activation_bytes / profile.zone_link_bytes_per_second
     )
-    answer = max(1.0, profile.usual_answer)
+    answer = max(1.0, profile.mean_answer_tokens)
     tokens = 1.0 + profile.mean_prompt_tokens / answer
     return CROSSING_MS + PIPE_FACTOR * token_ms * tokens
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -114,7 +114,9 @@
         used = self._estimate(self._cells.get(upstream.name))
         if upstream.layers.first == 0 and not used:
             # None of ours is there to multiply; the others' number tells.
-            usual = profile.mean_prompt_tokens + profile.usual_answer / 2.0
+            usual = (
+                profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
+            )
             used = self._told_running(upstream.name) * usual * count
         used += self._inherited_cells(upstream.name)
         return used / max(1.0, room)
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -45,7 +45,7 @@
     loads_at_once=6,
     slots=96,
     mean_prompt_tokens=772.0,
-    usual_answer=172.0,
+    mean_answer_tokens=172.0,
     cards={
         "large": chain.AcceleratorType("large", 72_000.0, 1.4, 1.0),
         "small": chain.AcceleratorType("small", 21_600.0, 16.0, 8.2),
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -33,7 +33,7 @@
         most = bound.bound(fleet, PROFILE)
         assert most.binding is bound.Binding.MEMORY
         assert most.narrowest == pipeline.LayerRange(30, 70)
-        usual = PROFILE.mean_prompt_tokens + PROFILE.usual_answer / 2.0
+        usual = PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
         room = PROFILE.room("large", 40)
         assert most.at_once == pytest.approx(room / usual)
 
@@ -70,7 +70,7 @@
             engine("c", 30, 70),
             engine("d", 70, 80),
         ]
-        usual = PROFILE.mean_prompt_tokens + PROFILE.usual_answer / 2.0
+        usual = PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
         wanted = hops.PathRequest(PROFILE, usual, "plateau")
         usage = usages.InFlight()
         planner = hops.HopPlanner(usage)
