--- a/bench/placement.py
+++ b/bench/placement.py
@@ -99,7 +99,7 @@
         step_ms=1.02,
         sequence_ms=0.006,
         context_ms=0.008,
-        read_tokens_per_second=245_000.0,
+        prefill_tokens_per_second=245_000.0,
         activation_bytes=39_000.0,
         zone_link_bytes_per_second=0.69e9,
         load_seconds=14.0,
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -59,7 +59,7 @@
     step_ms: float
     sequence_ms: float
     context_ms: float
-    read_tokens_per_second: float
+    prefill_tokens_per_second: float
     activation_bytes: float
     zone_link_bytes_per_second: float
     load_seconds: float
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -58,7 +58,7 @@
         assert most.at_once == 3.0
 
     def test_long_prompts_bind_by_reading(self) -> None:
-        profile = attrs.evolve(PROFILE, read_tokens_per_second=1000.0)
+        profile = attrs.evolve(PROFILE, prefill_tokens_per_second=1000.0)
         fleet = [engine("a", 0, 30), engine("b", 30, 60)]
         fleet.append(engine("c", 60, 80))
         assert bound.bound(fleet, profile).binding is bound.Binding.READING
