--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -30,7 +30,7 @@
     name: str
     memory_mb: float
     step_factor: float
-    read_factor: float
+    prefill_factor: float
 
 
 @attrs.frozen
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -126,7 +126,7 @@
         name=str(body[names.NAME]),
         memory_mb=float(body[names.CARD_MB]),
         step_factor=float(body[names.CARD_STEP]),
-        read_factor=float(body[names.CARD_READ]),
+        prefill_factor=float(body[names.CARD_READ]),
     )
 
 
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -66,7 +66,7 @@
 
     def reading(engine: chain.Upstream, layers: pipeline.LayerRange) -> float:
         share = (layers.end - layers.first) / profile.layer_count
-        factor = _card(engine, profile).read_factor
+        factor = _card(engine, profile).prefill_factor
         rate = profile.prefill_tokens_per_second / factor / share
         return rate / max(1.0, profile.mean_prompt_tokens)
 
