--- a/bench/placement.py
+++ b/bench/placement.py
@@ -103,7 +103,7 @@
         activation_bytes=39_000.0,
         zone_link_bytes_per_second=0.69e9,
         load_seconds=14.0,
-        loads_at_once=8,
+        concurrent_loads=8,
         slots=96,
         mean_prompt_tokens=described["prompt"],
         mean_answer_tokens=described["answer"],
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -63,7 +63,7 @@
     activation_bytes: float
     zone_link_bytes_per_second: float
     load_seconds: float
-    loads_at_once: int
+    concurrent_loads: int
     slots: int
     mean_prompt_tokens: float
     mean_answer_tokens: float
