--- a/bench/limits.py
+++ b/bench/limits.py
@@ -96,7 +96,7 @@
         self.count = 0
         self.told_at = float("inf")
 
-    def own(self, upstream: chain.Upstream) -> int:
+    def own_requests(self, upstream: chain.Upstream) -> int:
         return self.count
 
 
--- a/src/crowdeck/routing/balance.py
+++ b/src/crowdeck/routing/balance.py
@@ -126,8 +126,8 @@
         record = self._record(upstream)
         age = anyio.current_time() - record.load_at
         told = record.load * max(0.0, 1.0 - age / LOAD_SECONDS)
-        own = self._usage.own(upstream)
-        cost = max(own, told) / max(1, upstream.slots)
+        own_requests = self._usage.own_requests(upstream)
+        cost = max(own_requests, told) / max(1, upstream.slots)
         cost += FAILURE_COST * self._failure(record)
         cost += SECOND_COST * record.seconds
         if upstream.availability_zone != self._zone:
--- a/src/crowdeck/routing/rate_limits.py
+++ b/src/crowdeck/routing/rate_limits.py
@@ -44,7 +44,7 @@
 class Usage(typing.Protocol):
     """Knows what this entry has under way."""
 
-    def own(self, upstream: chain.Upstream) -> int:
+    def own_requests(self, upstream: chain.Upstream) -> int:
         """Return how many of this entry's requests are at an instance."""
         ...
 
@@ -82,7 +82,7 @@
     per_second: float
     level: float
     at: float
-    own: float
+    own_requests: float
     own_at: float
     others: float = 0.0
     sights: float = 0.0
@@ -148,7 +148,7 @@
             held.per_second = limit
         held.is_told_in_reports |= in_report
         if requests is not None:
-            self._see(held, requests - self._usage.own(upstream))
+            self._see(held, requests - self._usage.own_requests(upstream))
 
     def forget(self, upstream: chain.Upstream) -> None:
         """Forget an instance that has ended."""
@@ -208,9 +208,16 @@
         # Without the one that is answered: seen at such a moment, the mean
         # of those who have few requests would come out too high. Of many
         # entries with few each most have no other, and still a part.
-        own = max(self._usage.own(upstream) - 1.0, requests / self._entries)
+        own_requests = max(
+            self._usage.own_requests(upstream) - 1.0, requests / self._entries
+        )
         limit = _Limit(
-            per_second, self._chance.random(), now, own, now, since=now
+            per_second,
+            self._chance.random(),
+            now,
+            own_requests,
+            now,
+            since=now,
         )
         self._limits[upstream.name] = limit
         return limit
@@ -225,8 +232,10 @@
         limit.level = min(most, limit.level + seconds * self._rate(limit))
         kept = _faded(now - limit.own_at)
         limit.own_at = now
-        own = self._usage.own(upstream)
-        limit.own = limit.own * kept + own * (1.0 - kept)
+        own_requests = self._usage.own_requests(upstream)
+        limit.own_requests = limit.own_requests * kept + own_requests * (
+            1.0 - kept
+        )
 
     def _see(self, limit: _Limit, others: int) -> None:
         """Take how many requests of others an instance has."""
@@ -244,10 +253,10 @@
         """Return this entry's part of a limit, 0 to 1."""
         # Sights fade: whoever sends little falls back to an even part.
         kept = _faded(anyio.current_time() - limit.sighted_at)
-        own = limit.own * limit.sights * kept
+        own_requests = limit.own_requests * limit.sights * kept
         others = limit.others * kept
         even = EVEN_REQUESTS / self._entries
-        return (own + even) / (own + others + EVEN_REQUESTS)
+        return (own_requests + even) / (own_requests + others + EVEN_REQUESTS)
 
 
 def _faded(seconds: float) -> float:
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -99,7 +99,7 @@
         """Return how many requests pass an upstream instance, of all."""
         return self._estimate(self._sequences.get(upstream.name))
 
-    def own(self, upstream: chain.Upstream) -> int:
+    def own_requests(self, upstream: chain.Upstream) -> int:
         """Return how many of this entry's requests are there."""
         return self._own[upstream.name]
 
@@ -179,10 +179,14 @@
         if not self._own[head]:
             del self._own[head]
 
-    def _estimate(self, own: collections.Counter[str] | None) -> float:
-        if not own:
+    def _estimate(
+        self, own_requests: collections.Counter[str] | None
+    ) -> float:
+        if not own_requests:
             return 0.0
-        return sum(count * self._factor(head) for head, count in own.items())
+        return sum(
+            count * self._factor(head) for head, count in own_requests.items()
+        )
 
     def _factor(self, head: str) -> float:
         """Return how many times our own all entries' requests are."""
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -55,7 +55,7 @@
 def assert_forgotten(system: System) -> None:
     for one in system.listed.values():
         assert system.usage.sequences(one) == 0
-        assert system.usage.own(one) == 0
+        assert system.usage.own_requests(one) == 0
     assert not system.monitor._streams
     assert not system.monitor._looking
     assert len(system.context.wait_queue(fleet_system.MODEL)) == 0
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -490,7 +490,7 @@
     def __init__(self) -> None:
         self.count = 0
 
-    def own(self, upstream: chain.Upstream) -> int:
+    def own_requests(self, upstream: chain.Upstream) -> int:
         return self.count
 
 
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -51,7 +51,7 @@
         self.counts: collections.Counter[str] = collections.Counter()
         self.told_at: dict[str, float] = {}
 
-    def own(self, upstream: chain.Upstream) -> int:
+    def own_requests(self, upstream: chain.Upstream) -> int:
         return self.counts[upstream.name]
 
 
@@ -87,7 +87,9 @@
         free = [one for one in self.upstreams if entry.limits.allows(one)]
         if not free:
             return
-        chosen = min(free, key=lambda one: (entry.own(one), self._draw()))
+        chosen = min(
+            free, key=lambda one: (entry.own_requests(one), self._draw())
+        )
         entry.limits.take(chosen)
         entry.counts[chosen.name] += 1
         if now >= COUNTED_FROM:
@@ -105,7 +107,7 @@
 
     def _answer(self, entry: _Entry, upstream: chain.Upstream) -> None:
         if anyio.current_time() >= NAMED_AT:
-            load = sum(one.own(upstream) for one in self.entries)
+            load = sum(one.own_requests(upstream) for one in self.entries)
             told = load if self.tells_load else None
             entry.limits.note(upstream, LIMIT, told)
             entry.told_at.setdefault(upstream.name, anyio.current_time())
