--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -121,7 +121,7 @@
         """Go on along another path."""
         self._leave_path()
         self._path = path
-        self._usage.enter(path, self.tokens)
+        self._usage.add_request(path, self.tokens)
 
     def end(self) -> None:
         """End the attempt."""
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -132,7 +132,7 @@
             return 0.0
         return found.cells * (1.0 - age / INHERITED_SECONDS)
 
-    def enter(self, path: chain.ChainPath, tokens: float) -> None:
+    def add_request(self, path: chain.ChainPath, tokens: float) -> None:
         """Count a request on a path."""
         self._add(path, tokens, 1)
         for before, after in zip(path.hops, path.hops[1:], strict=False):
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -76,7 +76,7 @@
         planner = hops.HopPlanner(usage)
         count = 0
         while (path := planner.plan(fleet, wanted)) is not None:
-            usage.enter(path, usual)
+            usage.add_request(path, usual)
             count += 1
         most = bound.bound(fleet, PROFILE).at_once
         assert most - 2 < count <= most
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -125,7 +125,7 @@
                     one = fleet[number]
                     assert one.layers is not None
                     hop = chain.Hop(one, one.layers)
-                    usage.enter(chain.ChainPath((hop,)), 900.0)
+                    usage.add_request(chain.ChainPath((hop,)), 900.0)
             planner = hops.HopPlanner(usage)
             path = planner.plan(fleet, WANTED)
             roomy = [one for one in fleet if has_room(one, usage)]
@@ -221,7 +221,7 @@
         for _ in range(3):
             path = planner.plan(fleet, WANTED)
             assert path is not None
-            usage.enter(path, WANTED.tokens)
+            usage.add_request(path, WANTED.tokens)
             heads.add(path.head.name)
         assert len(heads) == 3
 
@@ -234,7 +234,7 @@
             path = planner.plan(fleet, WANTED)
             if path is None:
                 break
-            usage.enter(path, WANTED.tokens)
+            usage.add_request(path, WANTED.tokens)
             count += 1
         room = PROFILE.room("large", 40)
         assert count == int(room // WANTED.tokens)
@@ -245,7 +245,7 @@
         planner = hops.HopPlanner(usage)
         path = planner.plan(fleet, WANTED)
         assert path is not None
-        usage.enter(path, WANTED.tokens)
+        usage.add_request(path, WANTED.tokens)
         alone = usage.cache_utilization(fleet[0], PROFILE)
         usage.set_entry_count(3)
         assert usage.cache_utilization(fleet[0], PROFILE) == 3 * alone
@@ -258,7 +258,7 @@
             usage = usages.InFlight()
             path = hops.HopPlanner(usage).plan(fleet, WANTED)
             assert path is not None
-            usage.enter(path, WANTED.tokens)
+            usage.add_request(path, WANTED.tokens)
             alone = usage.cache_utilization(fleet[1], PROFILE)
             usage.note_load(fleet[0], 20)
             full = usage.cache_utilization(fleet[1], PROFILE)
