--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -152,5 +152,5 @@
 
     def _leave_path(self) -> None:
         if self._path is not None:
-            self._usage.leave(self._path, self.tokens)
+            self._usage.remove_request(self._path, self.tokens)
             self._path = None
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -144,7 +144,7 @@
                 )
                 crossed.append((anyio.current_time(), tokens))
 
-    def leave(self, path: chain.ChainPath, tokens: float) -> None:
+    def remove_request(self, path: chain.ChainPath, tokens: float) -> None:
         """Take back what :meth:`enter` counted."""
         self._add(path, tokens, -1)
 
