--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -266,7 +266,7 @@
 
     async def _try(self, upstream: chain.Upstream) -> _Answer:
         self._tried.add(upstream.name)
-        self._context.usage.enter_call(upstream)
+        self._context.usage.add_call(upstream)
         began = anyio.current_time()
         seconds = self._try_seconds()
         try:
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -148,7 +148,7 @@
         """Take back what :meth:`enter` counted."""
         self._add(path, tokens, -1)
 
-    def enter_call(self, upstream: chain.Upstream) -> None:
+    def add_call(self, upstream: chain.Upstream) -> None:
         """Count a call of a plain service."""
         self._own[upstream.name] += 1
 
