--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -282,7 +282,7 @@
                 culprit=upstream.name,
             ) from None
         finally:
-            self._context.usage.leave_call(upstream)
+            self._context.usage.remove_call(upstream)
         took = anyio.current_time() - began
         self._balancer.note_answer(upstream, took, answer.has_failed)
         self._context.registry.note_healthy(upstream.name)
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -152,7 +152,7 @@
         """Count a call of a plain service."""
         self._own[upstream.name] += 1
 
-    def leave_call(self, upstream: chain.Upstream) -> None:
+    def remove_call(self, upstream: chain.Upstream) -> None:
         """Take back what :meth:`enter_call` counted."""
         self._own[upstream.name] -= 1
         if not self._own[upstream.name]:
