--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -74,7 +74,7 @@
         """Memory of one token's KV cache in one layer, in MB."""
         return self.token_bytes / self.layer_count / 1e6
 
-    def room(self, card: str, layers: int) -> float:
+    def token_capacity(self, card: str, layers: int) -> float:
         """Return how many tokens fit beside ``layers`` layers of weights.
 
         An unknown card is taken for one without limit: its engine says
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -270,12 +270,14 @@
 ) -> dict[str, commands.Data]:
     held = one.layers
     size = held.end - held.first if held else 0
-    room = profile.room(one.card, size)
+    token_capacity = profile.token_capacity(one.card, size)
     return {
         "engine": str(one.address),
         "card": one.card,
         "layers": f"{held.first}-{held.end}" if held else "-",
-        "room": int(room) if size and room != float("inf") else "-",
+        "room": int(token_capacity)
+        if size and token_capacity != float("inf")
+        else "-",
         "state": "leaving" if one.is_leaving else "ready",
     }
 
--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -103,18 +103,18 @@
 
     def add(self, engine: chain.Upstream, layers: pipeline.LayerRange) -> None:
         """Count an engine that holds layers."""
-        room = self._room(engine, layers.end - layers.first)
+        token_capacity = self._room(engine, layers.end - layers.first)
         for layer in range(layers.first, layers.end):
-            self._held[layer] = (*self._held[layer], room)
+            self._held[layer] = (*self._held[layer], token_capacity)
 
     def drop(
         self, engine: chain.Upstream, layers: pipeline.LayerRange
     ) -> None:
         """Take back what :meth:`add` counted."""
-        room = self._room(engine, layers.end - layers.first)
+        token_capacity = self._room(engine, layers.end - layers.first)
         for layer in range(layers.first, layers.end):
             held = list(self._held[layer])
-            held.remove(room)
+            held.remove(token_capacity)
             self._held[layer] = tuple(held)
 
     def best_window(
@@ -132,17 +132,19 @@
 
     def _room(self, engine: chain.Upstream, count: int) -> float:
         """Return an engine's room beside so many layers, in needs."""
-        room = self._profile.room(engine.card, count) / self._need
-        return min(max(0.0, room), float(_MOST_NEEDS))
+        token_capacity = (
+            self._profile.token_capacity(engine.card, count) / self._need
+        )
+        return min(max(0.0, token_capacity), float(_MOST_NEEDS))
 
-    def _gains(self, room: float) -> list[float]:
+    def _gains(self, token_capacity: float) -> list[float]:
         """Return what an engine with such room would add at each layer."""
         known: dict[tuple[float, ...], float] = {}
         gains = []
         for held in self._held:
             gain = known.get(held)
             if gain is None:
-                gain = self._layer_worth((*held, room))
+                gain = self._layer_worth((*held, token_capacity))
                 gain -= self._layer_worth(held)
                 known[held] = gain
             gains.append(gain)
@@ -164,8 +166,8 @@
     total = sum(held)
     losses = LOSS_CHANCE * len(held)
     score = max(0.0, 1.0 - losses) * _looked_up(total)
-    for room in held:
-        score += LOSS_CHANCE * _looked_up(total - room)
+    for token_capacity in held:
+        score += LOSS_CHANCE * _looked_up(total - token_capacity)
     return score
 
 
--- a/src/crowdeck/placement/exposure.py
+++ b/src/crowdeck/placement/exposure.py
@@ -52,7 +52,7 @@
 def _room(engine: chain.Upstream, profile: chain.EngineProfile) -> float:
     assert engine.layers is not None
     count = engine.layers.end - engine.layers.first
-    return profile.room(engine.card, count)
+    return profile.token_capacity(engine.card, count)
 
 
 def _quickest(
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -60,8 +60,10 @@
         1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
     )
 
-    def room(engine: chain.Upstream, layers: pipeline.LayerRange) -> float:
-        tokens = profile.room(engine.card, layers.end - layers.first)
+    def token_capacity(
+        engine: chain.Upstream, layers: pipeline.LayerRange
+    ) -> float:
+        tokens = profile.token_capacity(engine.card, layers.end - layers.first)
         return max(0.0, tokens) / usual
 
     def reading(engine: chain.Upstream, layers: pipeline.LayerRange) -> float:
@@ -70,7 +72,7 @@
         rate = profile.prefill_tokens_per_second / factor / share
         return rate / max(1.0, profile.mean_prompt_tokens)
 
-    memory, at_memory = _narrowest(held, profile, room)
+    memory, at_memory = _narrowest(held, profile, token_capacity)
     if memory <= 0.0:
         return Bound(0.0, 0.0, 0.0, Binding.MISSING, at_memory)
     slots = float(
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -253,13 +253,15 @@
         if engine.layers is None:
             return False
         kind = (engine.card, engine.layers.end - engine.layers.first)
-        room = self._rooms.get(kind)
-        if room is None:
-            room = self._rooms[kind] = wanted.profile.room(*kind)
-        if room == float("inf"):
+        token_capacity = self._rooms.get(kind)
+        if token_capacity is None:
+            token_capacity = self._rooms[kind] = wanted.profile.token_capacity(
+                *kind
+            )
+        if token_capacity == float("inf"):
             return True
-        used = self._full(engine, wanted) * room
-        return used + wanted.tokens <= room
+        used = self._full(engine, wanted) * token_capacity
+        return used + wanted.tokens <= token_capacity
 
     def _beginnings(
         self, usable: list[chain.Upstream], wanted: PathRequest
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -110,7 +110,7 @@
         if upstream.layers is None:
             return 0.0
         count = upstream.layers.end - upstream.layers.first
-        room = profile.room(upstream.card, count) * count
+        token_capacity = profile.token_capacity(upstream.card, count) * count
         used = self._estimate(self._cells.get(upstream.name))
         if upstream.layers.first == 0 and not used:
             # None of ours is there to multiply; the others' number tells.
@@ -119,7 +119,7 @@
             )
             used = self._told_running(upstream.name) * usual * count
         used += self._inherited_cells(upstream.name)
-        return used / max(1.0, room)
+        return used / max(1.0, token_capacity)
 
     def _inherited_cells(self, name: str) -> float:
         """Return what is left of the cells that an engine held before."""
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -34,8 +34,8 @@
         assert most.binding is bound.Binding.MEMORY
         assert most.narrowest == pipeline.LayerRange(30, 70)
         usual = PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
-        room = PROFILE.room("large", 40)
-        assert most.at_once == pytest.approx(room / usual)
+        token_capacity = PROFILE.token_capacity("large", 40)
+        assert most.at_once == pytest.approx(token_capacity / usual)
 
     def test_a_second_copy_doubles_what_it_holds(self) -> None:
         fleet = [engine("a", 0, 30), engine("b", 30, 70), engine("c", 70, 80)]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -40,9 +40,11 @@
     rooms = [0.0] * MIXED.layer_count
     for one in fleet:
         layers = layout[one.name]
-        room = MIXED.room(one.card, layers.end - layers.first)
+        token_capacity = MIXED.token_capacity(
+            one.card, layers.end - layers.first
+        )
         for layer in range(layers.first, layers.end):
-            rooms[layer] += room
+            rooms[layer] += token_capacity
     return rooms
 
 
@@ -52,7 +54,9 @@
     def layout(self, fleet: list[chain.Upstream]) -> initial_layout.Layout:
         arranger = initial_layout.InitialLayoutSearch(
             MIXED,
-            lambda one, room: plan.fitting_layer_count(one, MIXED, room),
+            lambda one, token_capacity: plan.fitting_layer_count(
+                one, MIXED, token_capacity
+            ),
             plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(MIXED),
         )
         return arranger.arrange(fleet)
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -93,9 +93,11 @@
 def has_room(engine: chain.Upstream, usage: usages.InFlight) -> bool:
     assert engine.layers is not None
     count = engine.layers.end - engine.layers.first
-    room = PROFILE.room(engine.card, count)
+    token_capacity = PROFILE.token_capacity(engine.card, count)
     return (
-        usage.cache_utilization(engine, PROFILE) * room + WANTED.tokens <= room
+        usage.cache_utilization(engine, PROFILE) * token_capacity
+        + WANTED.tokens
+        <= token_capacity
     )
 
 
@@ -236,8 +238,8 @@
                 break
             usage.add_request(path, WANTED.tokens)
             count += 1
-        room = PROFILE.room("large", 40)
-        assert count == int(room // WANTED.tokens)
+        token_capacity = PROFILE.token_capacity("large", 40)
+        assert count == int(token_capacity // WANTED.tokens)
 
     def test_entries_of_a_zone_share_the_room(self) -> None:
         fleet = engines([(0, 40, "plateau"), (40, 40, "plateau")])
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -68,7 +68,7 @@
     for one in system.listed.values():
         assert one.layers is not None
         count = one.layers.end - one.layers.first
-        cells = fleet_system.PROFILE.room(one.card, count) * count
+        cells = fleet_system.PROFILE.token_capacity(one.card, count) * count
         system.usage.inherit(one, 1.6 * cells)
 
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -39,7 +39,7 @@
     """Return the tokens times layers that an engine has room for."""
     assert one.layers is not None
     count = one.layers.end - one.layers.first
-    return PROFILE.room(one.card, count) * count
+    return PROFILE.token_capacity(one.card, count) * count
 
 
 def fill(system: fleet_system.FleetSystem, share: float) -> None:
