--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -227,7 +227,7 @@
         self._requests = _Tally(window / WINDOW_PARTS, 2 * WINDOW_PARTS)
 
     @property
-    def left(self) -> float:
+    def remaining(self) -> float:
         """Repeats that may be made now.
 
         Streams that wait for one ask many times a second, and what is left
@@ -250,12 +250,12 @@
 
         0 where less than one repeat is left: who begins anew relies on it.
         """
-        left = self.left
-        if left < 1.0:
+        remaining = self.remaining
+        if remaining < 1.0:
             return 0.0
         earned = self._earned(self._requests_since())[0]
         allowed = self._share_since(self._began) * earned + self._slack_part()
-        return min(1.0, left / allowed)
+        return min(1.0, remaining / allowed)
 
     @property
     def requests(self) -> int:
@@ -361,7 +361,7 @@
         """
         if self._reserved_until is not None:
             return True
-        if self._budget.left < 1.0:
+        if self._budget.remaining < 1.0:
             return False
         self._reserved_until = self._repeats.send()
         return True
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -181,7 +181,7 @@
             await anyio.sleep(PART / 2)
             await _earn_for(budget, 3 * WINDOW)
             requests = 10 * (budgets.WINDOW_PARTS - 1)
-            assert budget.left <= budgets.STEADY_SHARE * RATIO * requests
+            assert budget.remaining <= budgets.STEADY_SHARE * RATIO * requests
 
         virtual.run(body)
 
@@ -208,12 +208,12 @@
             assert sends.reserve()
             sends.send()
             await anyio.sleep(5 * WINDOW)
-            assert budget.left < 1.0
+            assert budget.remaining < 1.0
             sends.arrive()
             await anyio.sleep(WINDOW - PART)
-            assert budget.left < 1.0
+            assert budget.remaining < 1.0
             await anyio.sleep(2 * PART)
-            assert budget.left >= 1.0
+            assert budget.remaining >= 1.0
 
         virtual.run(body)
 
@@ -240,9 +240,9 @@
                 sends.give_up()
             for _ in range(2 * budgets.WINDOW_PARTS - 1):
                 await anyio.sleep(PART)
-                assert budget.left < 1.0
+                assert budget.remaining < 1.0
             await anyio.sleep(2 * PART)
-            assert budget.left >= 1.0
+            assert budget.remaining >= 1.0
 
         virtual.run(body)
 
@@ -255,7 +255,7 @@
                 sends.give_up()
             assert fleet_system.spend_retry(budget)
             await anyio.sleep(WINDOW / 2)
-            assert budget.left < 1.0
+            assert budget.remaining < 1.0
 
         virtual.run(body)
 
@@ -270,9 +270,9 @@
                 sends.send()
                 sends.arrive()
             await anyio.sleep(2 * WINDOW - PART)
-            assert budget.left < 1.0
+            assert budget.remaining < 1.0
             await anyio.sleep(2 * PART)
-            assert budget.left >= 1.0
+            assert budget.remaining >= 1.0
 
         virtual.run(body)
 
@@ -283,7 +283,7 @@
                 assert sends.reserve()
                 sends.send()
             await anyio.sleep(2 * WINDOW - PART)
-            assert budget.left < 1.0
+            assert budget.remaining < 1.0
 
         virtual.run(body)
 
@@ -292,8 +292,8 @@
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
             with contextlib.closing(budget.track_sends()) as sends:
                 assert sends.reserve()
-                assert budget.left < 1.0
-            assert budget.left >= 1.0
+                assert budget.remaining < 1.0
+            assert budget.remaining >= 1.0
 
         virtual.run(body)
 
@@ -305,27 +305,27 @@
                     assert sends.reserve()
                     sends.send()
                     sends.fail_to_send()
-                assert budget.left >= 1.0
+                assert budget.remaining >= 1.0
                 assert sends.reserve()
                 sends.send()
                 sends.arrive()
                 assert sends.reserve()
-                assert budget.left < 1.0
-            assert budget.left >= 1.0
+                assert budget.remaining < 1.0
+            assert budget.remaining >= 1.0
 
         virtual.run(body)
 
     def test_the_first_is_no_repeat(self) -> None:
         async def body() -> None:
             budget = _budget()
-            before = budget.left
+            before = budget.remaining
             with contextlib.closing(budget.track_sends()) as sends:
                 sends.send()
                 sends.arrive()
             with contextlib.closing(budget.track_sends()) as sends:
                 sends.send()
                 sends.give_up()
-            assert budget.left == before
+            assert budget.remaining == before
 
         virtual.run(body)
 
@@ -431,7 +431,7 @@
         async def body() -> None:
             budget = _budget(slack)
             _spend_all(budget)
-            assert budget.left < 1.0
+            assert budget.remaining < 1.0
             assert budget.remaining_share == 0.0
 
         virtual.run(body)
