--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -321,7 +321,7 @@
         """
         heads = self._context.heads
         name = path.head.name
-        if heads.has_begun_any(name, stream.moved_at):
+        if heads.has_first_event_since(name, stream.moved_at):
             return False
         if heads.is_another_quick(name, QUICK_SHARE * stream.objective):
             return True
--- a/src/crowdeck/routing/heads.py
+++ b/src/crowdeck/routing/heads.py
@@ -150,7 +150,7 @@
         oldest = next(iter(record.waiting.values()), now)
         return max(came, now - oldest)
 
-    def has_begun_any(self, name: str, since: float) -> bool:
+    def has_first_event_since(self, name: str, since: float) -> bool:
         """Whether any stream had its first event since a time."""
         record = self._records.get(name)
         return record is not None and record.first_at >= since
