--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -323,7 +323,7 @@
         name = path.head.name
         if heads.has_first_event_since(name, stream.moved_at):
             return False
-        if heads.is_another_quick(name, QUICK_SHARE * stream.objective):
+        if heads.has_fast_alternative(name, QUICK_SHARE * stream.objective):
             return True
         # An entry with few streams may know of no other. One that was not
         # seen to be slow is worth the try when this one is late anyway.
--- a/src/crowdeck/routing/heads.py
+++ b/src/crowdeck/routing/heads.py
@@ -155,7 +155,7 @@
         record = self._records.get(name)
         return record is not None and record.first_at >= since
 
-    def is_another_quick(self, name: str, seconds: float) -> bool:
+    def has_fast_alternative(self, name: str, seconds: float) -> bool:
         """Whether another engine's streams begin within ``seconds``."""
         now = anyio.current_time()
         return any(
