--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -330,7 +330,7 @@
         waited = anyio.current_time() - stream.moved_at
         return (
             waited > LATE_SHARE * stream.objective
-            and not heads.is_another_slow(name, stream.objective)
+            and not heads.has_slow_alternative(name, stream.objective)
         )
 
     def _give_up_hung(
