--- a/src/crowdeck/placement/exposure.py
+++ b/src/crowdeck/placement/exposure.py
@@ -79,7 +79,7 @@
             assert holder.engine.layers is not None
             hop = chain.Hop(holder.engine, holder.engine.layers)
             cost = holder.token_ms * holder.end
-            search.offer(cheapest.Leg(cost, 1, hop, None))
+            search.offer(cheapest.PartialPath(cost, 1, hop, None))
     return search.run()
 
 
--- a/src/crowdeck/routing/cheapest.py
+++ b/src/crowdeck/routing/cheapest.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class Leg:
+class PartialPath:
     """The cheapest way found to the end of one engine's part."""
 
     cost: float
@@ -72,7 +72,7 @@
         self._crossing = crossing
         self._last = layer_count
         self._rest = _least_rest(holders, self._last)
-        self._heap: list[tuple[float, int, Leg]] = []
+        self._heap: list[tuple[float, int, PartialPath]] = []
         self._best: dict[tuple[int, str], float] = {}
         self._fitting: dict[int, list[Holder]] = {}
         self._order = itertools.count()
@@ -80,7 +80,7 @@
         # What the cheapest whole path found so far costs.
         self._bound = _NEVER
 
-    def offer(self, leg: Leg) -> None:
+    def offer(self, leg: PartialPath) -> None:
         """Take a way for one to go on with, unless a cheaper one is known."""
         end = leg.hop.layers.end
         state = (end, leg.hop.upstream.availability_zone)
@@ -106,7 +106,7 @@
                 self._go_on(leg, end, zone)
         return None
 
-    def _go_on(self, leg: Leg, position: int, zone: str) -> None:
+    def _go_on(self, leg: PartialPath, position: int, zone: str) -> None:
         # Every engine goes to the end of its range: whoever could follow
         # earlier can follow there too, or is not needed.
         ways_in = {
@@ -123,7 +123,7 @@
                 hop = chain.Hop(
                     holder.engine, pipeline.LayerRange(position, end)
                 )
-                self.offer(Leg(cost, leg.count + 1, hop, leg))
+                self.offer(PartialPath(cost, leg.count + 1, hop, leg))
 
     def _at(self, position: int) -> list[Holder]:
         found = self._fitting.get(position)
@@ -148,9 +148,9 @@
     return rest
 
 
-def _path(leg: Leg) -> chain.ChainPath:
+def _path(leg: PartialPath) -> chain.ChainPath:
     hops: list[chain.Hop] = []
-    step: Leg | None = leg
+    step: PartialPath | None = leg
     while step is not None:
         hops.append(step.hop)
         step = step.previous
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -113,7 +113,7 @@
             lambda before, after: self._crossing(before, after, wanted),
         )
         if head is not None:
-            search.offer(cheapest.Leg(0.0, 1, head, None))
+            search.offer(cheapest.PartialPath(0.0, 1, head, None))
         else:
             for leg in self._beginnings(usable, wanted):
                 search.offer(leg)
@@ -265,7 +265,7 @@
 
     def _beginnings(
         self, usable: list[chain.Upstream], wanted: PathRequest
-    ) -> typing.Iterator[cheapest.Leg]:
+    ) -> typing.Iterator[cheapest.PartialPath]:
         """Yield the parts that a path may begin with."""
         for engine in usable:
             layers = engine.layers
@@ -276,7 +276,9 @@
             if not wanted.may_begin(engine):
                 continue
             cost = self._beginning(engine, wanted)
-            yield cheapest.Leg(cost, 1, chain.Hop(engine, layers), None)
+            yield cheapest.PartialPath(
+                cost, 1, chain.Hop(engine, layers), None
+            )
 
     def _beginning(self, engine: chain.Upstream, wanted: PathRequest) -> float:
         """Return what a token costs at an engine that is the first."""
