--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -235,7 +235,7 @@
     return {
         "service": model.service.name,
         "zone": zone,
-        "at once": round(most.at_once, 1),
+        "at once": round(most.concurrent_requests, 1),
         "a second": round(most.per_second, 1),
         "answer_seconds": round(most.answer_seconds, 3),
         "binds": str(most.binding),
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -41,7 +41,7 @@
     :ivar narrowest: the layers at which that is so.
     """
 
-    at_once: float
+    concurrent_requests: float
     answer_seconds: float
     per_second: float
     binding: Binding
@@ -78,16 +78,16 @@
     slots = float(
         sum(one.slots for one in held if one.layers and not one.layers.first)
     )
-    at_once, binding, narrowest = memory, Binding.MEMORY, at_memory
+    concurrent_requests, binding, narrowest = memory, Binding.MEMORY, at_memory
     if slots < memory:
-        at_once, binding = slots, Binding.SLOTS
+        concurrent_requests, binding = slots, Binding.SLOTS
         narrowest = pipeline.LayerRange(0, 1)
-    seconds = _answer_seconds(held, profile, at_once, usual)
-    per_second = at_once / seconds
+    seconds = _answer_seconds(held, profile, concurrent_requests, usual)
+    per_second = concurrent_requests / seconds
     read, at_read = _narrowest(held, profile, reading)
     if read < per_second:
         per_second, binding, narrowest = read, Binding.READING, at_read
-    return Bound(at_once, seconds, per_second, binding, narrowest)
+    return Bound(concurrent_requests, seconds, per_second, binding, narrowest)
 
 
 def _narrowest(
@@ -112,7 +112,7 @@
 def _answer_seconds(
     engines: list[chain.Upstream],
     profile: chain.EngineProfile,
-    at_once: float,
+    concurrent_requests: float,
     usual: float,
 ) -> float:
     """Return how long the tokens of a usual answer take.
@@ -129,7 +129,7 @@
             if one.layers is not None
             and one.layers.first <= layer < one.layers.end
         ]
-        together = at_once / len(inside)
+        together = concurrent_requests / len(inside)
         step = profile.step_ms + together * (profile.sequence_ms + context)
         factors = [_card(one, profile).step_factor for one in inside]
         total += step * sum(factors) / len(factors) / profile.layer_count
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -35,13 +35,17 @@
         assert most.narrowest == pipeline.LayerRange(30, 70)
         usual = PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
         token_capacity = PROFILE.token_capacity("large", 40)
-        assert most.at_once == pytest.approx(token_capacity / usual)
+        assert most.concurrent_requests == pytest.approx(
+            token_capacity / usual
+        )
 
     def test_a_second_copy_doubles_what_it_holds(self) -> None:
         fleet = [engine("a", 0, 30), engine("b", 30, 70), engine("c", 70, 80)]
-        alone = bound.bound(fleet, PROFILE).at_once
+        alone = bound.bound(fleet, PROFILE).concurrent_requests
         fleet.append(engine("d", 30, 70))
-        assert bound.bound(fleet, PROFILE).at_once == pytest.approx(2 * alone)
+        assert bound.bound(
+            fleet, PROFILE
+        ).concurrent_requests == pytest.approx(2 * alone)
 
     def test_missing_layers_serve_nothing(self) -> None:
         fleet = [engine("a", 0, 30), engine("b", 35, 60), engine("c", 60, 80)]
@@ -55,7 +59,7 @@
         fleet.append(engine("c", 60, 80))
         most = bound.bound(fleet, PROFILE)
         assert most.binding is bound.Binding.SLOTS
-        assert most.at_once == 3.0
+        assert most.concurrent_requests == 3.0
 
     def test_long_prompts_bind_by_reading(self) -> None:
         profile = attrs.evolve(PROFILE, prefill_tokens_per_second=1000.0)
@@ -78,5 +82,5 @@
         while (path := planner.plan(fleet, wanted)) is not None:
             usage.add_request(path, usual)
             count += 1
-        most = bound.bound(fleet, PROFILE).at_once
+        most = bound.bound(fleet, PROFILE).concurrent_requests
         assert most - 2 < count <= most
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -240,7 +240,9 @@
 
     def test_holds_four_fifths_of_the_best(self) -> None:
         for cards in itertools.combinations_with_replacement(MOST_LAYERS, 3):
-            best = max(at_once(fleet) for fleet in every_placement(cards))
+            best = max(
+                concurrent_requests(fleet) for fleet in every_placement(cards)
+            )
             if best < plan.MIN_CONCURRENT_REQUESTS:
                 # Too little memory to serve with: nothing is planned for.
                 continue
@@ -250,7 +252,7 @@
             for _ in range(10):
                 moves = plan.next_moves(fleet, SMALL, lambda _: True)
                 fleet = carry_out(fleet, moves)
-            assert at_once(fleet) >= 0.8 * best
+            assert concurrent_requests(fleet) >= 0.8 * best
 
 
 def roomy(
@@ -261,9 +263,9 @@
     return attrs.evolve(one, slots=1000)
 
 
-def at_once(fleet: list[chain.Upstream]) -> float:
+def concurrent_requests(fleet: list[chain.Upstream]) -> float:
     """Return the requests that a placement has memory for."""
-    return bound.bound(fleet, SMALL).at_once
+    return bound.bound(fleet, SMALL).concurrent_requests
 
 
 def every_placement(
