--- a/src/crowdeck/relay/survey.py
+++ b/src/crowdeck/relay/survey.py
@@ -84,4 +84,4 @@
                     reason=error.message,
                 )
                 return
-        self._context.usage.inherit(upstream, report.cache_used)
+        self._context.usage.note_existing_load(upstream, report.cache_used)
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -87,7 +87,9 @@
             del self._told[name]
         self._told[head.name] = _Told(running, now)
 
-    def inherit(self, upstream: chain.Upstream, cells: float) -> None:
+    def note_existing_load(
+        self, upstream: chain.Upstream, cells: float
+    ) -> None:
         """Take what an engine holds that this entry did not send.
 
         :param cells: tokens times layers.
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -69,7 +69,7 @@
         assert one.layers is not None
         count = one.layers.end - one.layers.first
         cells = fleet_system.PROFILE.token_capacity(one.card, count) * count
-        system.usage.inherit(one, 1.6 * cells)
+        system.usage.note_existing_load(one, 1.6 * cells)
 
 
 class TestLeaving:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -44,7 +44,7 @@
 
 def fill(system: fleet_system.FleetSystem, share: float) -> None:
     for one in system.listed.values():
-        system.usage.inherit(one, share * cells_of(one))
+        system.usage.note_existing_load(one, share * cells_of(one))
 
 
 class TestLine:
