--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -14,7 +14,7 @@
 
 # What a first engine told of its load holds for about this long: half of
 # the requests that it counted have ended by then.
-TOLD_SECONDS = 1.5
+LOAD_REPORT_TTL_SECONDS = 1.5
 # Crossings between zones are counted over this time: about that in which
 # a prompt crosses a pipe that several others use as well.
 PIPE_SECONDS = 1.0
@@ -205,4 +205,4 @@
 
 
 def _is_old(told: _Told, now: float) -> bool:
-    return now - told.at > TOLD_SECONDS
+    return now - told.at > LOAD_REPORT_TTL_SECONDS
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -266,7 +266,7 @@
             full = usage.cache_utilization(fleet[1], PROFILE)
             assert full == pytest.approx(20 * alone)
             assert usage.sequences(fleet[1]) == 20.0
-            await anyio.sleep(usages.TOLD_SECONDS + 0.1)
+            await anyio.sleep(usages.LOAD_REPORT_TTL_SECONDS + 0.1)
             assert usage.cache_utilization(fleet[1], PROFILE) == alone
 
         virtual.run(body)
