--- a/src/crowdeck/routing/balance.py
+++ b/src/crowdeck/routing/balance.py
@@ -32,7 +32,7 @@
 # of a slot. Who of such instances waited longest for a call gets it.
 EVEN_COST = 0.02
 # Records kept at most; instances that were replaced leave theirs behind.
-RECORDS_MOST = 2_000
+MAX_RECORDS = 2_000
 
 
 class LoadTold(typing.Protocol):
@@ -82,14 +82,14 @@
         )
         self._turns += 1
         self._record(found).turn = self._turns
-        if len(self._records) > RECORDS_MOST:
+        if len(self._records) > MAX_RECORDS:
             self._forget()
         return found
 
     def _forget(self) -> None:
         """Drop the records that were not added to for longest."""
         by_age = sorted(self._records.items(), key=lambda it: it[1].noted_at)
-        for name, _ in by_age[: RECORDS_MOST // 2]:
+        for name, _ in by_age[: MAX_RECORDS // 2]:
             del self._records[name]
 
     def note_load(self, upstream: chain.Upstream, load: LoadTold) -> None:
--- a/src/crowdeck/routing/heads.py
+++ b/src/crowdeck/routing/heads.py
@@ -40,7 +40,7 @@
 BARRED_MS = 10_000.0
 # Records beyond which those that say nothing any more are dropped: engines
 # come and go all day, and each start of one has a name of its own.
-RECORDS_MOST = 200
+MAX_RECORDS = 200
 
 
 @attrs.define(eq=False)
@@ -74,7 +74,7 @@
 
     def begin(self, name: str, attempt: typing.Hashable) -> None:
         """Note that an attempt at a stream was sent to an engine."""
-        if len(self._records) > RECORDS_MOST:
+        if len(self._records) > MAX_RECORDS:
             self._drop_forgotten()
         record = self._records.setdefault(name, _Record())
         record.waiting[attempt] = anyio.current_time()
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -441,12 +441,12 @@
     def test_nothing_is_kept_for_each_engine_that_ever_was(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             records = heads.HeadRecords()
-            for number in range(10 * heads.RECORDS_MOST):
+            for number in range(10 * heads.MAX_RECORDS):
                 records.begin(f"e{number}", number)
                 await anyio.sleep(0.1)
                 records.first_event(f"e{number}", number)
                 records.end(f"e{number}", number)
-            assert len(records) <= heads.RECORDS_MOST + 1
+            assert len(records) <= heads.MAX_RECORDS + 1
 
         play(work)
 
