--- a/src/crowdeck/routing/subset.py
+++ b/src/crowdeck/routing/subset.py
@@ -16,7 +16,7 @@
 # each engine: 2.1 ms of a full core with 130, 32 ms with 2,997, three times
 # that for a small entry, in which it relays nothing. With 100 of 600 a zone
 # each layer is still held by ten of them.
-WHOLE_MOST = 150
+MAX_UNSPLIT_ENGINES = 150
 OWN_MOST = 100
 OTHERS_MOST = 50
 
@@ -37,7 +37,7 @@
         self, engines: typing.Sequence[chain.Upstream]
     ) -> typing.Sequence[chain.Upstream]:
         """Return the engines to choose a path from."""
-        if len(engines) <= WHOLE_MOST:
+        if len(engines) <= MAX_UNSPLIT_ENGINES:
             return engines
         if len(self._scores) > 2 * len(engines):
             # Engines come and go all day, each under a new name.
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -18,7 +18,7 @@
     """An entry's part of the engines."""
 
     def test_a_fleet_of_today_is_used_whole(self) -> None:
-        fleet = paths.a_fleet(subsets.WHOLE_MOST)
+        fleet = paths.a_fleet(subsets.MAX_UNSPLIT_ENGINES)
         assert subsets.EngineSubset("entry-0", ZONE).pick(fleet) == fleet
 
     def test_a_part_of_a_large_fleet_holds_every_layer(self) -> None:
