--- a/src/crowdeck/routing/subset.py
+++ b/src/crowdeck/routing/subset.py
@@ -17,7 +17,7 @@
 # that for a small entry, in which it relays nothing. With 100 of 600 a zone
 # each layer is still held by ten of them.
 MAX_UNSPLIT_ENGINES = 150
-OWN_MOST = 100
+MAX_OWN_ZONE_ENGINES = 100
 OTHERS_MOST = 50
 
 
@@ -48,7 +48,7 @@
             is_own = one.availability_zone == self._zone
             (own if is_own else others).append(one)
         return [
-            *heapq.nlargest(OWN_MOST, own, self._score),
+            *heapq.nlargest(MAX_OWN_ZONE_ENGINES, own, self._score),
             *heapq.nlargest(OTHERS_MOST, others, self._score),
         ]
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -26,7 +26,10 @@
         fleet = paths.a_fleet(2_997)
         for number in range(20):
             picked = subsets.EngineSubset(f"entry-{number}", ZONE).pick(fleet)
-            assert len(picked) == subsets.OWN_MOST + subsets.OTHERS_MOST
+            assert (
+                len(picked)
+                == subsets.MAX_OWN_ZONE_ENGINES + subsets.OTHERS_MOST
+            )
             own = [one for one in picked if one.availability_zone == ZONE]
             assert min(chain.coverage(own, paths.LAYERS)) >= 2
 
@@ -41,7 +44,7 @@
                 if one.availability_zone == ZONE
             )
         own = [one for one in fleet if one.availability_zone == ZONE]
-        mean = 60 * subsets.OWN_MOST / len(own)
+        mean = 60 * subsets.MAX_OWN_ZONE_ENGINES / len(own)
         assert len(drawn) == len(own)
         assert max(drawn.values()) < 2 * mean
 
