--- a/src/crowdeck/routing/subset.py
+++ b/src/crowdeck/routing/subset.py
@@ -18,7 +18,7 @@
 # each layer is still held by ten of them.
 MAX_UNSPLIT_ENGINES = 150
 MAX_OWN_ZONE_ENGINES = 100
-OTHERS_MOST = 50
+MAX_OTHER_ZONE_ENGINES = 50
 
 
 class EngineSubset:
@@ -49,7 +49,7 @@
             (own if is_own else others).append(one)
         return [
             *heapq.nlargest(MAX_OWN_ZONE_ENGINES, own, self._score),
-            *heapq.nlargest(OTHERS_MOST, others, self._score),
+            *heapq.nlargest(MAX_OTHER_ZONE_ENGINES, others, self._score),
         ]
 
     def _score(self, engine: chain.Upstream) -> float:
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -28,7 +28,8 @@
             picked = subsets.EngineSubset(f"entry-{number}", ZONE).pick(fleet)
             assert (
                 len(picked)
-                == subsets.MAX_OWN_ZONE_ENGINES + subsets.OTHERS_MOST
+                == subsets.MAX_OWN_ZONE_ENGINES
+                + subsets.MAX_OTHER_ZONE_ENGINES
             )
             own = [one for one in picked if one.availability_zone == ZONE]
             assert min(chain.coverage(own, paths.LAYERS)) >= 2
