--- a/src/crowdeck/http.py
+++ b/src/crowdeck/http.py
@@ -22,7 +22,7 @@
 KEEPALIVE_SECONDS = 2.0
 RESPONSE_LIMIT = 4 * 1024 * 1024
 # Headers of one connection, which must not be handed to the next.
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -26,7 +26,7 @@
 )
 # Said by an upstream to whoever sends it requests, not to callers.
 _UPSTREAMS = frozenset({names.CULPRIT, names.LEAVING, names.LIMIT, names.LOAD})
-_HOP = frozenset(name.encode() for name in http.HOP_HEADERS)
+_HOP = frozenset(name.encode() for name in http.HOP_BY_HOP_HEADERS)
 _CONNECTION = b"connection"
 _HOST = b"host"
 _EVENT_ID = re.compile(rb"(?:^|[\r\n])id:[ ]?(\d+)[ ]*(?=[\r\n]|$)")
--- a/src/crowdeck/upstream_http.py
+++ b/src/crowdeck/upstream_http.py
@@ -119,7 +119,7 @@
         headers = [
             (header.name.encode("latin-1"), header.value.encode("latin-1"))
             for header in request.headers
-            if header.name not in http.HOP_HEADERS
+            if header.name not in http.HOP_BY_HOP_HEADERS
         ]
         response = await self._client.send(
             request.method,
@@ -131,6 +131,6 @@
         kept = tuple(
             header
             for header in response.headers
-            if header.name not in http.HOP_HEADERS
+            if header.name not in http.HOP_BY_HOP_HEADERS
         )
         return upstream.ServiceResponse(response.status, kept, response.body)
