--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -227,7 +227,7 @@
         return bool(incarnation.born) and self.born > incarnation.born
 
 
-def fitting(
+def engines_within(
     engines: typing.Iterable[Upstream], layer_count: int
 ) -> list[Upstream]:
     """Return the engines that hold no layers which the model does not have.
@@ -247,7 +247,7 @@
 ) -> list[int]:
     """Return by how many engines each layer is held."""
     counts = [0] * layer_count
-    for engine in fitting(engines, layer_count):
+    for engine in engines_within(engines, layer_count):
         if engine.layers is not None:
             for layer in range(engine.layers.first, engine.layers.end):
                 counts[layer] += 1
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -147,7 +147,7 @@
         if now - self._looked_at.get(service, -math.inf) < FRESH_SECONDS:
             return self._gaps.get(service)
         self._looked_at[service] = now
-        staying = chain.fitting(
+        staying = chain.engines_within(
             (
                 one
                 for one in self._registry.listed(service)
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -155,9 +155,9 @@
         if not registry.backing_off():
             return 0.0
         count = self._stream.profile.layer_count
-        usable = chain.fitting(registry.usable(self._service), count)
+        usable = chain.engines_within(registry.usable(self._service), count)
         missing = gaps.missing_layers(usable, count)
-        soon = chain.fitting(
+        soon = chain.engines_within(
             registry.usable_after_backoff(self._service), count
         )
         if not missing or gaps.missing_layers(soon, count):
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -367,8 +367,12 @@
             planner = hops.HopPlanner(usages.InFlight())
             wanted = hops.PathRequest(profile, 700.0, "plateau", 0.5)
             planner.plan(tuple(engines), wanted)
-            fitting = chain.fitting(engines, profile.layer_count)
-            assert [one.name for one in fitting] == ["good"]
-            list(plan.iter_moves(fitting, profile, lambda _: True, fitting))
+            engines_within = chain.engines_within(engines, profile.layer_count)
+            assert [one.name for one in engines_within] == ["good"]
+            list(
+                plan.iter_moves(
+                    engines_within, profile, lambda _: True, engines_within
+                )
+            )
 
         virtual.run(body)
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -308,7 +308,7 @@
                 engines.append(
                     fleet_system.upstream(f"e-{number}", layers=(first, end))
                 )
-            found = gaps.missing_layers(chain.fitting(engines, 80), 80)
+            found = gaps.missing_layers(chain.engines_within(engines, 80), 80)
             held = chain.coverage(engines, 80)
             assert [
                 layer for one in found for layer in range(one.first, one.end)
