--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -239,7 +239,7 @@
         "a second": round(most.per_second, 1),
         "answer_seconds": round(most.answer_seconds, 3),
         "binds": str(most.binding),
-        "layers": f"{most.narrowest.first}-{most.narrowest.end}",
+        "layers": f"{most.bottleneck.first}-{most.bottleneck.end}",
     }
 
 
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -45,7 +45,7 @@
     answer_seconds: float
     per_second: float
     binding: Binding
-    narrowest: pipeline.LayerRange
+    bottleneck: pipeline.LayerRange
 
 
 Weigh = typing.Callable[[chain.Upstream, pipeline.LayerRange], float]
@@ -78,16 +78,20 @@
     slots = float(
         sum(one.slots for one in held if one.layers and not one.layers.first)
     )
-    concurrent_requests, binding, narrowest = memory, Binding.MEMORY, at_memory
+    concurrent_requests, binding, bottleneck = (
+        memory,
+        Binding.MEMORY,
+        at_memory,
+    )
     if slots < memory:
         concurrent_requests, binding = slots, Binding.SLOTS
-        narrowest = pipeline.LayerRange(0, 1)
+        bottleneck = pipeline.LayerRange(0, 1)
     seconds = _answer_seconds(held, profile, concurrent_requests, usual)
     per_second = concurrent_requests / seconds
     read, at_read = _narrowest(held, profile, reading)
     if read < per_second:
-        per_second, binding, narrowest = read, Binding.READING, at_read
-    return Bound(concurrent_requests, seconds, per_second, binding, narrowest)
+        per_second, binding, bottleneck = read, Binding.READING, at_read
+    return Bound(concurrent_requests, seconds, per_second, binding, bottleneck)
 
 
 def _narrowest(
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -32,7 +32,7 @@
         fleet = [engine("a", 0, 30), engine("b", 30, 70), engine("c", 70, 80)]
         most = bound.bound(fleet, PROFILE)
         assert most.binding is bound.Binding.MEMORY
-        assert most.narrowest == pipeline.LayerRange(30, 70)
+        assert most.bottleneck == pipeline.LayerRange(30, 70)
         usual = PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
         token_capacity = PROFILE.token_capacity("large", 40)
         assert most.concurrent_requests == pytest.approx(
@@ -51,7 +51,7 @@
         fleet = [engine("a", 0, 30), engine("b", 35, 60), engine("c", 60, 80)]
         most = bound.bound(fleet, PROFILE)
         assert most.binding is bound.Binding.MISSING
-        assert most.narrowest == pipeline.LayerRange(30, 35)
+        assert most.bottleneck == pipeline.LayerRange(30, 35)
         assert most.per_second == 0.0
 
     def test_first_engines_take_no_more_than_their_slots(self) -> None:
