--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -26,7 +26,7 @@
     MISSING = "layers that no engine holds"
     MEMORY = "memory for requests"
     SLOTS = "requests at once at first engines"
-    READING = "reading of prompts"
+    PREFILL = "reading of prompts"
 
 
 @attrs.frozen
@@ -90,7 +90,7 @@
     per_second = concurrent_requests / seconds
     read, at_read = _narrowest(held, profile, reading)
     if read < per_second:
-        per_second, binding, bottleneck = read, Binding.READING, at_read
+        per_second, binding, bottleneck = read, Binding.PREFILL, at_read
     return Bound(concurrent_requests, seconds, per_second, binding, bottleneck)
 
 
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -65,7 +65,7 @@
         profile = attrs.evolve(PROFILE, prefill_tokens_per_second=1000.0)
         fleet = [engine("a", 0, 30), engine("b", 30, 60)]
         fleet.append(engine("c", 60, 80))
-        assert bound.bound(fleet, profile).binding is bound.Binding.READING
+        assert bound.bound(fleet, profile).binding is bound.Binding.PREFILL
 
     def test_paths_reach_the_bound_on_memory_and_no_more(self) -> None:
         fleet = [
