--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class _Inherited:
-    cells: float
+    token_layers: float
     at: float
 
 
@@ -88,14 +88,14 @@
         self._told[head.name] = _Told(running, now)
 
     def note_existing_load(
-        self, upstream: chain.Upstream, cells: float
+        self, upstream: chain.Upstream, token_layers: float
     ) -> None:
         """Take what an engine holds that this entry did not send.
 
         :param cells: tokens times layers.
         """
         now = anyio.current_time()
-        self._inherited[upstream.name] = _Inherited(cells, now)
+        self._inherited[upstream.name] = _Inherited(token_layers, now)
 
     def sequences(self, upstream: chain.Upstream) -> float:
         """Return how many requests pass an upstream instance, of all."""
@@ -132,7 +132,7 @@
         if age >= INHERITED_SECONDS:
             del self._inherited[name]
             return 0.0
-        return found.cells * (1.0 - age / INHERITED_SECONDS)
+        return found.token_layers * (1.0 - age / INHERITED_SECONDS)
 
     def add_request(self, path: chain.ChainPath, tokens: float) -> None:
         """Count a request on a path."""
@@ -167,14 +167,14 @@
             name = hop.upstream.name
             layers = hop.layers.end - hop.layers.first
             passing = self._sequences.setdefault(name, collections.Counter())
-            cells = self._cells.setdefault(name, collections.Counter())
+            token_layers = self._cells.setdefault(name, collections.Counter())
             passing[head] += sign
-            cells[head] += sign * int(tokens) * layers
+            token_layers[head] += sign * int(tokens) * layers
             if not passing[head]:
                 # An entry lives longer than engines: nothing may be kept
                 # for each that ever was.
                 del passing[head]
-                del cells[head]
+                del token_layers[head]
             if not passing:
                 del self._sequences[name]
                 del self._cells[name]
