--- a/src/crowdeck/instance.py
+++ b/src/crowdeck/instance.py
@@ -12,7 +12,7 @@
 import attrs
 
 INCARNATION_BITS = 63
-PORT_MOST = 65_535
+MAX_PORT = 65_535
 
 
 class Role(enum.StrEnum):
@@ -41,7 +41,7 @@
         ipaddress.ip_address(host)
         if not port.isascii() or not port.isdigit():
             raise ValueError(f"{port!r:.20} is no port")
-        if not 0 < int(port) <= PORT_MOST:
+        if not 0 < int(port) <= MAX_PORT:
             raise ValueError(f"there is no port {port:.20}")
         return cls(host, int(port))
 
