--- a/src/crowdeck/settings/holder.py
+++ b/src/crowdeck/settings/holder.py
@@ -21,7 +21,7 @@
 WATCH_SECONDS = 20.0
 # Changes by which a tree is known to have been in force: a store's copy is
 # some seconds old, and nobody makes so many in that time.
-CHANGES_MOST = 64
+MAX_CHANGES = 64
 
 
 def encode(generation: int, change: str, text: str) -> bytes:
@@ -116,7 +116,7 @@
 
     def _note_seen(self, change: str) -> None:
         self._changes[change] = None
-        while len(self._changes) > CHANGES_MOST:
+        while len(self._changes) > MAX_CHANGES:
             oldest = next(iter(self._changes))
             del self._changes[oldest]
 
