--- a/src/crowdeck/observe/reroutes.py
+++ b/src/crowdeck/observe/reroutes.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class Spread:
+class Percentiles:
     """Figures of many streams, in seconds; 0 where there are none."""
 
     median: float
@@ -43,9 +43,9 @@
 
     streams: int
     in_time: int
-    noticed: Spread
-    agreed: Spread
-    pause: Spread
+    noticed: Percentiles
+    agreed: Percentiles
+    pause: Percentiles
 
 
 class RerouteLedger:
@@ -84,7 +84,7 @@
         return Reroutes(
             streams=len(agreed),
             in_time=sum(1 for pause in pauses if pause <= self._allowed),
-            noticed=Spread.of(self._noticed),
-            agreed=Spread.of(list(agreed.values())),
-            pause=Spread.of(pauses),
+            noticed=Percentiles.of(self._noticed),
+            agreed=Percentiles.of(list(agreed.values())),
+            pause=Percentiles.of(pauses),
         )
