--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -115,10 +115,10 @@
     """
 
     def __init__(
-        self, clock: Clock | None = None, steady: Clock | None = None
+        self, clock: Clock | None = None, monotonic_clock: Clock | None = None
     ) -> None:
         self._clock = clock or LoopClock()
-        self._steady = steady or MonotonicClock()
+        self._steady = monotonic_clock or MonotonicClock()
         self._order = itertools.count()
         self._due: list[tuple[float, int, Subscription]] = []
         self._new: list[Subscription] = []
