--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -118,7 +118,7 @@
         self, clock: Clock | None = None, monotonic_clock: Clock | None = None
     ) -> None:
         self._clock = clock or LoopClock()
-        self._steady = monotonic_clock or MonotonicClock()
+        self._monotonic_clock = monotonic_clock or MonotonicClock()
         self._order = itertools.count()
         self._due: list[tuple[float, int, Subscription]] = []
         self._new: list[Subscription] = []
@@ -130,7 +130,7 @@
 
     def awake(self) -> float:
         """Return steady seconds, in which time asleep does not count."""
-        return self._steady.now()
+        return self._monotonic_clock.now()
 
     def subscribe(
         self, name: str, interval: float, callback: TimerCallback
