--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -128,7 +128,7 @@
         """Return the service's seconds; time asleep counts in daemons."""
         return self._clock.now()
 
-    def awake(self) -> float:
+    def monotonic_now(self) -> float:
         """Return steady seconds, in which time asleep does not count."""
         return self._monotonic_clock.now()
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -76,7 +76,7 @@
                 return self._at
 
         service = timers.TimerService(Fixed(9.0), Fixed(4.0))
-        assert (service.now(), service.awake()) == (9.0, 4.0)
+        assert (service.now(), service.monotonic_now()) == (9.0, 4.0)
         assert timers.BootClock().now() >= timers.MonotonicClock().now() - 1.0
 
 
