--- a/src/crowdeck/routing/balance.py
+++ b/src/crowdeck/routing/balance.py
@@ -35,7 +35,7 @@
 MAX_RECORDS = 2_000
 
 
-class LoadTold(typing.Protocol):
+class LoadReport(typing.Protocol):
     """What an instance said of its load."""
 
     @property
@@ -92,7 +92,7 @@
         for name, _ in by_age[: MAX_RECORDS // 2]:
             del self._records[name]
 
-    def note_load(self, upstream: chain.Upstream, load: LoadTold) -> None:
+    def note_load(self, upstream: chain.Upstream, load: LoadReport) -> None:
         """Take what an instance told of its load."""
         record = self._record(upstream)
         record.load = float(load.running + load.waiting)
