--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -212,7 +212,7 @@
     stalls: tuple[Stall, ...]
     born: int = 0
 
-    def is_after(self, incarnation: Incarnation) -> bool:
+    def is_from_later_run(self, incarnation: Incarnation) -> bool:
         """Whether a later run than ``life`` made this report.
 
         :raises CrowdeckError: ``MALFORMED`` where an earlier one did, or
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -149,7 +149,7 @@
                 errors.Code.UPSTREAM_FAILED, f"a report came with {status}"
             )
         report = upstreams.decode_report(body)
-        if report.is_after(upstream.incarnation):
+        if report.is_from_later_run(upstream.incarnation):
             raise errors.InstanceGone("its process has started again")
         return report
 
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -267,7 +267,7 @@
             stalls=tuple(stalls),
             born=target.listed.born,
         )
-        if report.is_after(upstream.incarnation):
+        if report.is_from_later_run(upstream.incarnation):
             raise errors.InstanceGone("its process has started again")
         return report
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -191,11 +191,11 @@
 
     def test_of_this_run(self) -> None:
         report = upstreams.decode_report(a_report(born=100))
-        assert not report.is_after(self.a_life(100))
+        assert not report.is_from_later_run(self.a_life(100))
 
     def test_of_a_later_run(self) -> None:
         report = upstreams.decode_report(a_report(born=101))
-        assert report.is_after(self.a_life(100))
+        assert report.is_from_later_run(self.a_life(100))
 
     @pytest.mark.parametrize("changes", [{"born": 99}, {}])
     def test_of_an_earlier_run_or_of_none(
@@ -203,12 +203,12 @@
     ) -> None:
         report = upstreams.decode_report(a_report(**changes))
         with pytest.raises(errors.CrowdeckError) as caught:
-            report.is_after(self.a_life(100))
+            report.is_from_later_run(self.a_life(100))
         assert caught.value.code is errors.Code.MALFORMED
 
     def test_where_neither_tells(self) -> None:
         report = upstreams.decode_report(a_report())
-        assert not report.is_after(self.a_life(0))
+        assert not report.is_from_later_run(self.a_life(0))
 
     @pytest.mark.parametrize("born", ["100", 1.5, True, None, -1, [], {}])
     def test_no_whole_number(self, born: object) -> None:
