--- a/src/crowdeck/placement/exposure.py
+++ b/src/crowdeck/placement/exposure.py
@@ -71,7 +71,7 @@
                 _layer_ms(one, profile),
             )
         )
-    search = cheapest.CheapestPath(
+    search = cheapest.CheapestPathSearch(
         holders, profile.layer_count, lambda before, after: 0.0
     )
     for holder in holders:
--- a/src/crowdeck/routing/cheapest.py
+++ b/src/crowdeck/routing/cheapest.py
@@ -51,7 +51,7 @@
 _NEVER = float("inf")
 
 
-class CheapestPath:
+class CheapestPathSearch:
     """The cheapest way over the holders of layers, the likeliest first.
 
     Ways are gone on with in the order of what they cost so far and must
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -107,7 +107,7 @@
         self._forget()
         usable = [one for one in engines if self._has_room(one, wanted)]
         holders = self._holders(usable, wanted, head)
-        search = cheapest.CheapestPath(
+        search = cheapest.CheapestPathSearch(
             holders,
             wanted.profile.layer_count,
             lambda before, after: self._crossing(before, after, wanted),
