--- a/src/crowdeck/cmd/cli.py
+++ b/src/crowdeck/cmd/cli.py
@@ -176,8 +176,8 @@
             return lambda one: commands.show_history(one, options.limit)
 
 
-def _place(options: argparse.Namespace) -> trees.Place:
-    return trees.Place(options.team, options.service, options.session)
+def _place(options: argparse.Namespace) -> trees.SettingsScope:
+    return trees.SettingsScope(options.team, options.service, options.session)
 
 
 def _show(result: commands.Result, is_json: bool) -> None:
--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -190,7 +190,7 @@
 
 async def get_setting(
     operator: operators.Operator,
-    place: trees.Place,
+    place: trees.SettingsScope,
     option: str,
     is_why: bool,
 ) -> Result:
@@ -208,7 +208,7 @@
 
 async def set_setting(
     operator: operators.Operator,
-    place: trees.Place,
+    place: trees.SettingsScope,
     option: str,
     value: str | None,
 ) -> Result:
--- a/src/crowdeck/settings/tree.py
+++ b/src/crowdeck/settings/tree.py
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen
-class Place:
+class SettingsScope:
     """A node's place in the tree; empty names stand above it."""
 
     team: str = ""
@@ -98,11 +98,11 @@
         """This place and those above it, nearest first."""
         places = [self]
         if self.session:
-            places.append(Place(self.team, self.service))
+            places.append(SettingsScope(self.team, self.service))
         if self.service:
-            places.append(Place(self.team))
+            places.append(SettingsScope(self.team))
         if self.team:
-            places.append(Place())
+            places.append(SettingsScope())
         return tuple(places)
 
 
@@ -149,7 +149,7 @@
         """Return the team that a bearer key's hash belongs to."""
         return self._team_by_key.get(key_sha256)
 
-    def effective(self, place: Place, name: str) -> Effective:
+    def effective(self, place: SettingsScope, name: str) -> Effective:
         """Return a value in force at ``place``, and its origin.
 
         :raises SettingsError: for an option that does not exist.
@@ -161,19 +161,19 @@
                 return Effective(node[name], ancestor.section)
         return Effective(option.default, "built-in")
 
-    def integer(self, place: Place, name: str) -> int:
+    def integer(self, place: SettingsScope, name: str) -> int:
         """Return a whole number in force at ``place``."""
         return int(self.effective(place, name).value)
 
-    def number(self, place: Place, name: str) -> float:
+    def number(self, place: SettingsScope, name: str) -> float:
         """Return a number in force at ``place``."""
         return float(self.effective(place, name).value)
 
-    def names(self, place: Place, name: str) -> frozenset[str]:
+    def names(self, place: SettingsScope, name: str) -> frozenset[str]:
         """Return a spaced list of names in force at ``place``."""
         return frozenset(str(self.effective(place, name).value).split())
 
-    def allows_model(self, place: Place, model: str) -> bool:
+    def allows_model(self, place: SettingsScope, model: str) -> bool:
         """Whether a model may be used at ``place``."""
         allowed = self.names(place, "models")
         return model in allowed or "*" in allowed
--- a/src/crowdeck/team.py
+++ b/src/crowdeck/team.py
@@ -22,10 +22,10 @@
     team: str
     session: str = ""
 
-    def place(self, service: str = "") -> trees.Place:
+    def place(self, service: str = "") -> trees.SettingsScope:
         """Return where this caller's values are looked up."""
         session = self.session if service else ""
-        return trees.Place(self.team, service, session)
+        return trees.SettingsScope(self.team, service, session)
 
 
 def hash_key(key: str) -> str:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -42,12 +42,12 @@
 
     def test_values_come_from_the_nearest_node(self) -> None:
         tree = trees.parse(TEXT, 1)
-        place = trees.Place("kiosks", "maps", "desk-7")
+        place = trees.SettingsScope("kiosks", "maps", "desk-7")
         found = tree.effective(place, "concurrency")
         assert (found.value, found.section) == (5, "team:kiosks/service:maps")
         assert tree.number(place, "deadline_seconds") == 9
         assert tree.effective(place, "window").section == "built-in"
-        other = trees.Place("others", "maps")
+        other = trees.SettingsScope("others", "maps")
         assert tree.integer(other, "concurrency") == 10
 
     @pytest.mark.parametrize(
@@ -80,7 +80,10 @@
         with pytest.raises(errors.SettingsError):
             trees.edit(text, "defaults", "weight", None)
         added = trees.edit(text, "team:a", "weight", "2")
-        assert trees.parse(added, 1).number(trees.Place("a"), "weight") == 2
+        assert (
+            trees.parse(added, 1).number(trees.SettingsScope("a"), "weight")
+            == 2
+        )
 
     @hypothesis.settings(derandomize=True, database=None, deadline=None)
     @hypothesis.given(strategies.text(max_size=200))
