--- a/src/crowdeck/settings/tree.py
+++ b/src/crowdeck/settings/tree.py
@@ -94,7 +94,7 @@
         return "/".join(parts)
 
     @property
-    def lineage(self) -> tuple["Place", ...]:
+    def self_and_ancestors(self) -> tuple["Place", ...]:
         """This place and those above it, nearest first."""
         places = [self]
         if self.session:
@@ -155,7 +155,7 @@
         :raises SettingsError: for an option that does not exist.
         """
         option = NODE_OPTIONS.get(name)
-        for ancestor in place.lineage:
+        for ancestor in place.self_and_ancestors:
             node = self._nodes.get(ancestor.section)
             if node is not None and name in node:
                 return Effective(node[name], ancestor.section)
