--- a/src/crowdeck/settings/tree.py
+++ b/src/crowdeck/settings/tree.py
@@ -107,7 +107,7 @@
 
 
 @attrs.frozen
-class Effective:
+class EffectiveValue:
     """One value as it is in force somewhere, and where it comes from."""
 
     value: options.Value
@@ -149,7 +149,7 @@
         """Return the team that a bearer key's hash belongs to."""
         return self._team_by_key.get(key_sha256)
 
-    def effective(self, place: SettingsScope, name: str) -> Effective:
+    def effective(self, place: SettingsScope, name: str) -> EffectiveValue:
         """Return a value in force at ``place``, and its origin.
 
         :raises SettingsError: for an option that does not exist.
@@ -158,8 +158,8 @@
         for ancestor in place.self_and_ancestors:
             node = self._nodes.get(ancestor.section)
             if node is not None and name in node:
-                return Effective(node[name], ancestor.section)
-        return Effective(option.default, "built-in")
+                return EffectiveValue(node[name], ancestor.section)
+        return EffectiveValue(option.default, "built-in")
 
     def integer(self, place: SettingsScope, name: str) -> int:
         """Return a whole number in force at ``place``."""
