--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -27,8 +27,8 @@
 )
 
 _REPEATS = {
-    names.KIND_IDEMPOTENT: routes.Repeat.IDEMPOTENT,
-    names.KIND_STREAMING: routes.Repeat.STREAM,
+    names.KIND_IDEMPOTENT: routes.RepeatPolicy.IDEMPOTENT,
+    names.KIND_STREAMING: routes.RepeatPolicy.STREAM,
 }
 DEFAULT_TIMEOUT_MS = 20_000
 
@@ -54,8 +54,8 @@
 
 
 def _route(body: Json) -> routes.Route:
-    repeat = _REPEATS.get(body[names.ROUTE_KIND], routes.Repeat.ONCE)
-    is_resumable = repeat is routes.Repeat.STREAM and bool(
+    repeat = _REPEATS.get(body[names.ROUTE_KIND], routes.RepeatPolicy.ONCE)
+    is_resumable = repeat is routes.RepeatPolicy.STREAM and bool(
         body.get(names.RESUMABLE, False)
     )
     return routes.Route(
--- a/src/crowdeck/route.py
+++ b/src/crowdeck/route.py
@@ -12,7 +12,7 @@
 from crowdeck import chain
 
 
-class Repeat(enum.StrEnum):
+class RepeatPolicy(enum.StrEnum):
     """What a route says of running a request again."""
 
     IDEMPOTENT = "idempotent"
@@ -43,7 +43,7 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RepeatPolicy
     shares: tuple[Share, ...]
     max_attempts: int
     timeout: float
@@ -56,7 +56,7 @@
     @property
     def may_repeat(self) -> bool:
         """Whether a request that may have run may be sent again."""
-        return self.repeat is Repeat.IDEMPOTENT or self.is_resumable
+        return self.repeat is RepeatPolicy.IDEMPOTENT or self.is_resumable
 
 
 @attrs.frozen
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -27,8 +27,8 @@
 BACK_SECONDS = 2.0
 LOOK_SECONDS = 0.05
 NOTES_WAIT = 10.0
-STREAM = routes.Repeat.STREAM
-REPEATABLE = routes.Repeat.IDEMPOTENT
+STREAM = routes.RepeatPolicy.STREAM
+REPEATABLE = routes.RepeatPolicy.IDEMPOTENT
 
 
 @attrs.frozen
@@ -156,7 +156,7 @@
                 self._tell(attrs.evolve(listed, is_leaving=True))
 
     def ask_soon(
-        self, number: int, repeat: routes.Repeat, body: bytes
+        self, number: int, repeat: routes.RepeatPolicy, body: bytes
     ) -> None:
         """Have a request sent to an entry; what comes is in ``told``."""
         request = self[number].request(repeat, body=body)
@@ -167,7 +167,7 @@
         seconds: float,
         body: bytes,
         pause: float,
-        repeat: routes.Repeat = STREAM,
+        repeat: routes.RepeatPolicy = STREAM,
     ) -> None:
         """Send the same request again and again, to one entry after another.
 
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -76,9 +76,11 @@
     )
 
 
-def make_route(repeat: routes.Repeat, **changes: typing.Any) -> routes.Route:
+def make_route(
+    repeat: routes.RepeatPolicy, **changes: typing.Any
+) -> routes.Route:
     """Return a route of the host ``desk``."""
-    is_stream = repeat is routes.Repeat.STREAM
+    is_stream = repeat is routes.RepeatPolicy.STREAM
     service = MODEL if is_stream else PLAIN
     route = routes.Route(
         name=str(repeat),
@@ -102,7 +104,7 @@
 ) -> routes.FleetConfig:
     """Return a config with a route of each kind and one team."""
     if listed is None:
-        listed = tuple(make_route(repeat) for repeat in routes.Repeat)
+        listed = tuple(make_route(repeat) for repeat in routes.RepeatPolicy)
     return routes.FleetConfig(
         version=version,
         routes=listed,
@@ -231,7 +233,7 @@
                     )
 
     def request(
-        self, repeat: routes.Repeat, **changes: typing.Any
+        self, repeat: routes.RepeatPolicy, **changes: typing.Any
     ) -> requests.CallerRequest:
         """Return a new request on one of the routes."""
         self._ids += 1
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -23,8 +23,8 @@
 # A stream that breaks does so after its first event.
 STREAM_EVENTS = 3
 SERVICES = {
-    routes.Repeat.IDEMPOTENT: fleet_system.PLAIN,
-    routes.Repeat.STREAM: fleet_system.MODEL,
+    routes.RepeatPolicy.IDEMPOTENT: fleet_system.PLAIN,
+    routes.RepeatPolicy.STREAM: fleet_system.MODEL,
 }
 
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         entries: entries_system.Entries,
-        kind: routes.Repeat = routes.Repeat.IDEMPOTENT,
+        kind: routes.RepeatPolicy = routes.RepeatPolicy.IDEMPOTENT,
     ) -> None:
         self.entries = entries
         self._kind = kind
@@ -115,7 +115,7 @@
 def play(
     scenario: Scenario,
     count: int,
-    kind: routes.Repeat = routes.Repeat.IDEMPOTENT,
+    kind: routes.RepeatPolicy = routes.RepeatPolicy.IDEMPOTENT,
     *,
     are_noted: bool = True,
 ) -> Demand:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -31,9 +31,9 @@
 from tests import test_placement
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
-ONCE = routes.Repeat.ONCE
-IDEMPOTENT = routes.Repeat.IDEMPOTENT
+STREAM = routes.RepeatPolicy.STREAM
+ONCE = routes.RepeatPolicy.ONCE
+IDEMPOTENT = routes.RepeatPolicy.IDEMPOTENT
 REST_SECONDS = 3.0
 # What was sent before the answer came may still arrive.
 SLACK_SECONDS = 0.5
@@ -65,7 +65,10 @@
 
 
 async def send(
-    system: System, repeat: routes.Repeat, seconds: float, step: float = 0.05
+    system: System,
+    repeat: routes.RepeatPolicy,
+    seconds: float,
+    step: float = 0.05,
 ) -> list[fleet_system.Caller]:
     """Send requests for a while; returns what came of them."""
     told: list[fleet_system.Caller] = []
@@ -108,7 +111,9 @@
     """An instance that turns a request away and asks for rest."""
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
-    def test_is_sent_nothing_for_so_long(self, repeat: routes.Repeat) -> None:
+    def test_is_sent_nothing_for_so_long(
+        self, repeat: routes.RepeatPolicy
+    ) -> None:
         async def work(system: System) -> None:
             await send(system, repeat, 1.0)
             target = busiest(system)
@@ -126,7 +131,9 @@
         play(work)
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
-    def test_is_used_again_afterwards(self, repeat: routes.Repeat) -> None:
+    def test_is_used_again_afterwards(
+        self, repeat: routes.RepeatPolicy
+    ) -> None:
         async def work(system: System) -> None:
             for one in system.fleet.upstreams:
                 # So long that all are needed.
@@ -169,7 +176,7 @@
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
     def test_all_want_rest_and_callers_are_told_when_to_come_back(
-        self, repeat: routes.Repeat
+        self, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
@@ -190,7 +197,7 @@
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE])
     def test_a_rest_that_is_nearly_over_is_waited_out(
-        self, repeat: routes.Repeat
+        self, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
@@ -410,7 +417,9 @@
     """An instance that says only in its answers that it leaves."""
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
-    def test_is_sent_no_later_request(self, repeat: routes.Repeat) -> None:
+    def test_is_sent_no_later_request(
+        self, repeat: routes.RepeatPolicy
+    ) -> None:
         async def work(system: System) -> None:
             await send(system, repeat, 1.0)
             target = busiest(system)
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -81,7 +81,7 @@
         "repeat", [entries_system.STREAM, entries_system.REPEATABLE]
     )
     def test_one_coming_ends_no_more_than_one_caller_may(
-        self, repeat: entries_system.routes.Repeat
+        self, repeat: entries_system.routes.RepeatPolicy
     ) -> None:
         # A request that may be repeated went from one instance to the next
         # as long as each ended: those that end did not count as runs.
@@ -358,7 +358,7 @@
         "repeat", [entries_system.STREAM, entries_system.REPEATABLE]
     )
     def test_what_was_answered_is_remembered_as_served(
-        self, repeat: entries_system.routes.Repeat
+        self, repeat: entries_system.routes.RepeatPolicy
     ) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.ask_soon(0, repeat, b"served")
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -21,7 +21,7 @@
 from tests import fleet_system
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
+STREAM = routes.RepeatPolicy.STREAM
 # Long after everything that a request has set going.
 LATER_SECONDS = 3.0
 # A change of path is agreed within 0.15 s; asking an engine takes 1.2 ms.
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -33,8 +33,8 @@
 from tests import test_losses
 from tests import virtual
 
-ONCE = routes.Repeat.ONCE
-STREAM = routes.Repeat.STREAM
+ONCE = routes.RepeatPolicy.ONCE
+STREAM = routes.RepeatPolicy.STREAM
 PLAIN = fleet_system.PLAIN
 System = fleet_system.FleetSystem
 Work = typing.Callable[[System], typing.Awaitable[None]]
@@ -299,7 +299,7 @@
 
     @pytest.mark.parametrize("repeat", [ONCE, STREAM])
     def test_one_that_was_refused_names_it(
-        self, lines: Lines, repeat: routes.Repeat
+        self, lines: Lines, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -177,12 +177,12 @@
     def test_routes_services_and_teams(self) -> None:
         config = platform_config.decode(orjson.dumps(CONFIG))
         stream, once = config.routes
-        assert stream.repeat is routes.Repeat.STREAM
+        assert stream.repeat is routes.RepeatPolicy.STREAM
         assert stream.is_resumable and stream.may_repeat
         assert stream.host == "desk.example"
         assert [one.weight for one in stream.shares] == [90.0, 10.0]
         assert stream.timeout == 20.0 and stream.gap == 0.2
-        assert once.repeat is routes.Repeat.ONCE
+        assert once.repeat is routes.RepeatPolicy.ONCE
         assert not once.may_repeat
         assert once.objective == 1.2
         profile = config.services[0].profile
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -33,8 +33,8 @@
 from tests import fleet_system
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
-IDEMPOTENT = routes.Repeat.IDEMPOTENT
+STREAM = routes.RepeatPolicy.STREAM
+IDEMPOTENT = routes.RepeatPolicy.IDEMPOTENT
 # What an instance may get in any four seconds from three seconds after it
 # first named its limit.
 GRACE_SECONDS = 3.0
@@ -71,7 +71,7 @@
             target.tells_load = True
 
     async def send(
-        self, seconds: float, per_second: float, repeat: routes.Repeat
+        self, seconds: float, per_second: float, repeat: routes.RepeatPolicy
     ) -> None:
         """Send requests for a while."""
         until = anyio.current_time() + seconds
@@ -168,7 +168,7 @@
 
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
     def test_gets_what_it_takes_from_all_entries(
-        self, weights: tuple[float, ...], repeat: routes.Repeat
+        self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
         async def work(one: Play) -> None:
             await one.send(4.0, PER_SECOND, repeat)
@@ -185,7 +185,7 @@
 
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
     def test_gets_its_part_again_once_it_names_no_limit(
-        self, weights: tuple[float, ...], repeat: routes.Repeat
+        self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
         async def work(one: Play) -> None:
             await one.send(4.0, PER_SECOND, repeat)
@@ -247,7 +247,7 @@
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
     @pytest.mark.parametrize("weights", [ALONE, EVEN])
     def test_what_they_take_is_served_and_the_rest_told_at_once(
-        self, weights: tuple[float, ...], repeat: routes.Repeat
+        self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
         async def work(one: Play) -> None:
             takers = [
@@ -282,7 +282,7 @@
 
 
 def _may_begin(
-    target: chain_fleet.StandinUpstream, repeat: routes.Repeat
+    target: chain_fleet.StandinUpstream, repeat: routes.RepeatPolicy
 ) -> bool:
     layers = target.listed.layers
     if repeat is STREAM:
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -138,7 +138,7 @@
 
         async def ask() -> None:
             nonlocal served
-            request = self.system.request(routes.Repeat.STREAM)
+            request = self.system.request(routes.RepeatPolicy.STREAM)
             caller = await self.system.ask(request)
             served += caller.status == 200 and caller.is_whole
 
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -18,8 +18,8 @@
 from tests import fleet_system
 from tests import virtual
 
-ONCE = routes.Repeat.ONCE
-IDEMPOTENT = routes.Repeat.IDEMPOTENT
+ONCE = routes.RepeatPolicy.ONCE
+IDEMPOTENT = routes.RepeatPolicy.IDEMPOTENT
 
 
 def play(
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -24,7 +24,7 @@
 from tests import fleet_system
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
+STREAM = routes.RepeatPolicy.STREAM
 
 
 def play(
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -20,7 +20,7 @@
 BUSY = 240.0
 # Requests a second that earn little, so that the slack decides.
 FEW = 18.0
-KINDS = (routes.Repeat.IDEMPOTENT, routes.Repeat.STREAM)
+KINDS = (routes.RepeatPolicy.IDEMPOTENT, routes.RepeatPolicy.STREAM)
 COUNTS = (1, 5, 70)
 
 kinds = pytest.mark.parametrize("kind", KINDS, ids=str)
@@ -43,7 +43,7 @@
 
     @kinds
     @counts
-    def test_all_at_once(self, count: int, kind: routes.Repeat) -> None:
+    def test_all_at_once(self, count: int, kind: routes.RepeatPolicy) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             await _spend_all(demand)
             _restart_all(demand, count)
@@ -83,7 +83,7 @@
     @kinds
     @pytest.mark.parametrize("count", (5, 70))
     def test_all_start_while_the_store_is_silent(
-        self, count: int, kind: routes.Repeat
+        self, count: int, kind: routes.RepeatPolicy
     ) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             await demand.ask(CALM, fails=False)
@@ -232,7 +232,7 @@
     @kinds
     @counts
     def test_most_of_the_budget_is_used(
-        self, count: int, kind: routes.Repeat
+        self, count: int, kind: routes.RepeatPolicy
     ) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             await demand.ask(CALM, fails=False)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -224,7 +224,7 @@
             )
             sleep_through(seconds)
             caller = fleet_system.Caller()
-            request = system.request(routes.Repeat.ONCE)
+            request = system.request(routes.RepeatPolicy.ONCE)
             if seconds < 3.5:
                 return
             with pytest.raises(errors.CrowdeckError) as caught:
@@ -244,7 +244,7 @@
             system = fleet_system.FleetSystem()
             system.install(system.config)
             system.add_model()
-            request = system.request(routes.Repeat.STREAM)
+            request = system.request(routes.RepeatPolicy.STREAM)
             sleep_through(request.timeout_seconds or 0.0)
             caller = await system.ask(request)
             assert caller.error is not None
@@ -262,7 +262,7 @@
             system.add_model()
 
             async def work(one: fleet_system.FleetSystem) -> None:
-                request = one.request(routes.Repeat.STREAM)
+                request = one.request(routes.RepeatPolicy.STREAM)
                 done: list[fleet_system.Caller] = []
 
                 async def ask() -> None:
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -38,7 +38,7 @@
 from tests import test_losses
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
+STREAM = routes.RepeatPolicy.STREAM
 PROFILE = fleet_system.PROFILE
 System = fleet_system.FleetSystem
 Work = typing.Callable[[System], typing.Awaitable[None]]
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -19,7 +19,7 @@
 from tests import fleet_system
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
+STREAM = routes.RepeatPolicy.STREAM
 PROFILE = fleet_system.PROFILE
 
 
@@ -196,7 +196,9 @@
     def test_looks_at_all_engines_then(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             system.context.subset = _Nothing()  # type: ignore[assignment]
-            caller = await system.ask(system.request(routes.Repeat.STREAM))
+            caller = await system.ask(
+                system.request(routes.RepeatPolicy.STREAM)
+            )
             assert caller.error is None
             assert caller.is_whole
 
