--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -77,12 +77,12 @@
     )
 
 
-def _shares(body: Json) -> tuple[routes.Share, ...]:
+def _shares(body: Json) -> tuple[routes.TrafficShare, ...]:
     split = body.get(names.SPLIT)
     if not split:
-        return (routes.Share(str(body[names.SERVICE]), 1.0),)
+        return (routes.TrafficShare(str(body[names.SERVICE]), 1.0),)
     return tuple(
-        routes.Share(str(one[names.SERVICE]), float(one[names.WEIGHT]))
+        routes.TrafficShare(str(one[names.SERVICE]), float(one[names.WEIGHT]))
         for one in split
     )
 
--- a/src/crowdeck/route.py
+++ b/src/crowdeck/route.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Share:
+class TrafficShare:
     """A service's share of a route's requests."""
 
     service: str
@@ -44,7 +44,7 @@
     host: str
     prefix: str
     repeat: RepeatPolicy
-    shares: tuple[Share, ...]
+    shares: tuple[TrafficShare, ...]
     max_attempts: int
     timeout: float
     objective: float
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -87,7 +87,7 @@
         host="desk",
         prefix=f"/{repeat}/",
         repeat=repeat,
-        shares=(routes.Share(service, 1.0),),
+        shares=(routes.TrafficShare(service, 1.0),),
         max_attempts=2,
         timeout=20.0 if is_stream else 1.5,
         objective=0.5,
