--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -105,7 +105,7 @@
     mends: set[str] = attrs.field(factory=set)
 
 
-class Ledger:
+class LossCounter:
     """Takes log lines one by one, of any processes, in any order."""
 
     def __init__(self, aims: Objectives) -> None:
@@ -232,7 +232,7 @@
     texts: typing.Iterable[str], aims: Objectives, span: float
 ) -> LossReport:
     """Return the account of log lines; others are passed over."""
-    ledger = Ledger(aims)
+    ledger = LossCounter(aims)
     for text in texts:
         line = explain.parse(text)
         if line is not None:
