--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -113,7 +113,7 @@
         self._requests: dict[str, _Request] = {}
         self._refusals: collections.Counter[str] = collections.Counter()
         self._figures: dict[str, list[_Extent]] = {}
-        self._reroutes = reroutes.RerouteLedger(aims.pause)
+        self._reroutes = reroutes.RerouteCounter(aims.pause)
         self._began = float("inf")
 
     def take(self, line: explain.Line) -> None:
--- a/src/crowdeck/observe/reroutes.py
+++ b/src/crowdeck/observe/reroutes.py
@@ -48,7 +48,7 @@
     pause: Percentiles
 
 
-class RerouteLedger:
+class RerouteCounter:
     """Takes log lines one by one, of any processes, in any order.
 
     :param allowed: longest pause that is in time, in seconds.
