--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -146,12 +146,14 @@
         Entries together can send too much though each keeps to its own.
         """
         budget = self.budget(service)
-        counters.COUNTERS.set_gauge(f"relay.budget.{service}", budget.left)
+        counters.COUNTERS.set_gauge(
+            f"relay.budget.{service}", budget.remaining
+        )
         logs.decision(
             what,
             request,
             service=service,
-            left=round(budget.left, 2),
+            left=round(budget.remaining, 2),
             requests=budget.requests,
             entries=self.membership.entries,
             running=round(anyio.current_time() - self.began, 3),
