--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -24,7 +24,7 @@
 
     :ivar memory_mb: what layers and requests share.
     :ivar step_factor: how many times the profile's step time it takes.
-    :ivar read_factor: the same for reading a prompt.
+    :ivar prefill_factor: the same for reading a prompt.
     """
 
     name: str
@@ -43,14 +43,14 @@
     :ivar step_ms: one step of a batch.
     :ivar sequence_ms: added to a step by each sequence in the batch.
     :ivar context_ms: added to a step by 1,000 tokens of context.
-    :ivar read_tokens_per_second: prompt tokens read in a second.
+    :ivar prefill_tokens_per_second: prompt tokens read in a second.
     :ivar activation_bytes: what one token hands on from stage to stage.
-    :ivar pipe_bytes_per_second: what all share between two zones.
+    :ivar zone_link_bytes_per_second: what all share between two zones.
     :ivar load_seconds: loading all layers onto one engine.
-    :ivar loads_at_once: beyond this many, loads slow one another down.
+    :ivar concurrent_loads: beyond this many, loads slow one another down.
     :ivar slots: requests at once for which an engine is the first.
-    :ivar usual_prompt: mean prompt in tokens.
-    :ivar usual_answer: mean answer in tokens.
+    :ivar mean_prompt_tokens: mean prompt in tokens.
+    :ivar mean_answer_tokens: mean answer in tokens.
     """
 
     layer_count: int
@@ -108,7 +108,7 @@
         """A name that no other run has."""
         return f"{self.id}#{self.born}" if self.born else self.id
 
-    def is_before(self, other: "Life") -> bool:
+    def is_before(self, other: "Incarnation") -> bool:
         """Whether another run of the same instance came after this one."""
         return self.id == other.id and self.born < other.born
 
@@ -118,10 +118,10 @@
     """One upstream instance, as the platform lists it.
 
     :ivar name: unique to one run of the instance, never used again; see
-        :class:`Life`.
+        :class:`Incarnation`.
     :ivar instance_id: under which the platform knows it, the name where
         that is empty.
-    :ivar born: when this run of it started, as :class:`Life` has it.
+    :ivar born: when this run of it started, as :class:`Incarnation` has it.
     :ivar card: kind of its accelerator, empty for plain services.
     :ivar layers: the layers it holds, or ``None``.
     :ivar is_leaving: whether it says that it will end soon.
@@ -198,7 +198,7 @@
     :ivar cache_used: tokens times layers that cannot give way.
     :ivar cache_total: tokens times layers that there is room for.
     :ivar slowdown: over 1 while the engine is slower than its card.
-    :ivar born: when the engine started, as :class:`Life` has it.
+    :ivar born: when the engine started, as :class:`Incarnation` has it.
     """
 
     orders_taken: int
@@ -213,10 +213,10 @@
     born: int = 0
 
     def is_from_later_run(self, incarnation: Incarnation) -> bool:
-        """Whether a later run than ``life`` made this report.
+        """Whether a later run than ``incarnation`` made this report.
 
         :raises CrowdeckError: ``MALFORMED`` where an earlier one did, or
-            one that does not tell while ``life`` does.
+            one that does not tell while ``incarnation`` does.
         """
         if self.born < incarnation.born:
             raise errors.CrowdeckError(
