--- a/src/crowdeck/observe/reroutes.py
+++ b/src/crowdeck/observe/reroutes.py
@@ -22,7 +22,7 @@
     nine_in_ten: float
 
     @classmethod
-    def of(cls, values: list[float]) -> "Spread":
+    def of(cls, values: list[float]) -> "Percentiles":
         """Return the spread of some figures."""
         if not values:
             return cls(0.0, 0.0)
