--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -33,12 +33,12 @@
 class Bound:
     """The most that a group of engines can serve.
 
-    :ivar at_once: requests in progress.
+    :ivar concurrent_requests: requests in progress.
     :ivar answer_seconds: how long an answer of usual length takes with so
         many in progress.
     :ivar per_second: requests served in a second.
     :ivar binding: what it is that allows no more.
-    :ivar narrowest: the layers at which that is so.
+    :ivar bottleneck: the layers at which that is so.
     """
 
     concurrent_requests: float
--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -266,7 +266,7 @@
         """Count a request."""
         self._requests.add()
 
-    def track_sends(self) -> "Sends":
+    def track_sends(self) -> "SendTracker":
         """Return the account of one request's sends; who has it closes it."""
         return SendTracker(self, self._repeats, self._window)
 
--- a/src/crowdeck/routing/cheapest.py
+++ b/src/crowdeck/routing/cheapest.py
@@ -30,7 +30,7 @@
     cost: float
     count: int
     hop: chain.Hop
-    previous: "Leg | None"
+    previous: "PartialPath | None"
 
 
 @attrs.frozen
--- a/src/crowdeck/routing/rate_limits.py
+++ b/src/crowdeck/routing/rate_limits.py
@@ -103,7 +103,7 @@
     entries take the same part.
 
     :param usage: knows this entry's requests under way.
-    :param chance: where in its turn an entry begins, so that entries which
+    :param rng: where in its turn an entry begins, so that entries which
         learn of a limit together do not send together.
     """
 
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -92,7 +92,7 @@
     ) -> None:
         """Take what an engine holds that this entry did not send.
 
-        :param cells: tokens times layers.
+        :param token_layers: tokens times layers.
         """
         now = anyio.current_time()
         self._inherited[upstream.name] = _Inherited(token_layers, now)
@@ -147,7 +147,7 @@
                 crossed.append((anyio.current_time(), tokens))
 
     def remove_request(self, path: chain.ChainPath, tokens: float) -> None:
-        """Take back what :meth:`enter` counted."""
+        """Take back what :meth:`add_request` counted."""
         self._add(path, tokens, -1)
 
     def add_call(self, upstream: chain.Upstream) -> None:
@@ -155,7 +155,7 @@
         self._own[upstream.name] += 1
 
     def remove_call(self, upstream: chain.Upstream) -> None:
-        """Take back what :meth:`enter_call` counted."""
+        """Take back what :meth:`add_call` counted."""
         self._own[upstream.name] -= 1
         if not self._own[upstream.name]:
             del self._own[upstream.name]
