--- a/src/crowdeck/settings/tree.py
+++ b/src/crowdeck/settings/tree.py
@@ -94,7 +94,7 @@
         return "/".join(parts)
 
     @property
-    def self_and_ancestors(self) -> tuple["Place", ...]:
+    def self_and_ancestors(self) -> tuple["SettingsScope", ...]:
         """This place and those above it, nearest first."""
         places = [self]
         if self.session:
