--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -60,7 +60,7 @@
     """The running event loop's clock, virtual when the loop's time is.
 
     In the daemons it counts the time for which the machine was suspended,
-    see :class:`WakefulLoop`.
+    see :class:`BootTimeEventLoop`.
     """
 
     def now(self) -> float:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -5,8 +5,9 @@
 
 """Machines that are suspended, and wake seconds later.
 
-The loop's time counts the suspension (``timers.WakefulLoop``), so a process
-that wakes finds itself later, as in ``virtual.VirtualLoop.pass_time``.
+The loop's time counts the suspension (``timers.BootTimeEventLoop``), so a
+process that wakes finds itself later, as in
+``virtual.VirtualLoop.pass_time``.
 """
 
 import asyncio
