--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -212,7 +212,7 @@
 
     def _seconds_until(self, upstream: chain.Upstream) -> float:
         return max(
-            self.limits.seconds_until(upstream),
+            self.limits.seconds_until_allowed(upstream),
             self.registry.backoff_seconds_left(upstream.name),
         )
 
--- a/src/crowdeck/routing/rate_limits.py
+++ b/src/crowdeck/routing/rate_limits.py
@@ -189,7 +189,7 @@
             for name, limit in self._limits.items()
         )
 
-    def seconds_until(self, upstream: chain.Upstream) -> float:
+    def seconds_until_allowed(self, upstream: chain.Upstream) -> float:
         """Return in how long an instance may be sent one more request."""
         limit = self._limits.get(upstream.name)
         if limit is None or self.allows(upstream):
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -552,7 +552,7 @@
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
             assert await self.count(limits, one, 5.0) == 100
-            assert limits.seconds_until(one) == 0.0
+            assert limits.seconds_until_allowed(one) == 0.0
 
         self.play(work)
 
