--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -204,8 +204,8 @@
             target.listed = attrs.evolve(
                 listed,
                 name=incarnation.name,
-                instance_id=incarnation.id if incarnation.born else "",
-                born=incarnation.born,
+                instance_id=incarnation.id if incarnation.started_ms else "",
+                started_ms=incarnation.started_ms,
                 layers=None,
             )
             target.orders_taken = 0
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -101,16 +101,16 @@
     """
 
     id: str
-    born: int = 0
+    started_ms: int = 0
 
     @property
     def name(self) -> str:
         """A name that no other run has."""
-        return f"{self.id}#{self.born}" if self.born else self.id
+        return f"{self.id}#{self.started_ms}" if self.started_ms else self.id
 
     def is_before(self, other: "Incarnation") -> bool:
         """Whether another run of the same instance came after this one."""
-        return self.id == other.id and self.born < other.born
+        return self.id == other.id and self.started_ms < other.started_ms
 
 
 @attrs.frozen
@@ -136,12 +136,12 @@
     card: str = ""
     layers: pipeline.LayerRange | None = None
     instance_id: str = ""
-    born: int = 0
+    started_ms: int = 0
 
     @property
     def incarnation(self) -> Incarnation:
         """Which run of which instance this is."""
-        return Incarnation(self.instance_id or self.name, self.born)
+        return Incarnation(self.instance_id or self.name, self.started_ms)
 
 
 @attrs.frozen
@@ -210,7 +210,7 @@
     cache_total: float
     slowdown: float
     stalls: tuple[Stall, ...]
-    born: int = 0
+    started_ms: int = 0
 
     def is_from_later_run(self, incarnation: Incarnation) -> bool:
         """Whether a later run than ``incarnation`` made this report.
@@ -218,13 +218,16 @@
         :raises CrowdeckError: ``MALFORMED`` where an earlier one did, or
             one that does not tell while ``incarnation`` does.
         """
-        if self.born < incarnation.born:
+        if self.started_ms < incarnation.started_ms:
             raise errors.CrowdeckError(
                 errors.Code.MALFORMED,
                 f"a report of {incarnation.id} tells that it started at "
-                f"{self.born or 'no time'}, it did at {incarnation.born}",
+                f"{self.started_ms or 'no time'}, it did at {incarnation.started_ms}",
             )
-        return bool(incarnation.born) and self.born > incarnation.born
+        return (
+            bool(incarnation.started_ms)
+            and self.started_ms > incarnation.started_ms
+        )
 
 
 def engines_within(
--- a/src/crowdeck/membership/entries.py
+++ b/src/crowdeck/membership/entries.py
@@ -39,7 +39,7 @@
         except errors.CrowdeckError as error:
             self._refuse(stored.name, error.message)
             return None
-        if held is not None and held.born and not upstream.born:
+        if held is not None and held.started_ms and not upstream.started_ms:
             reason = "it does not tell any more when it started"
             self._refuse(stored.name, reason)
             return None
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -36,8 +36,8 @@
         )
         return chain.Upstream(
             name=incarnation.name,
-            instance_id=incarnation.id if incarnation.born else "",
-            born=incarnation.born,
+            instance_id=incarnation.id if incarnation.started_ms else "",
+            started_ms=incarnation.started_ms,
             service=fields.text(body, names.SERVICE),
             address=instances.Address.parse(fields.text(body, names.ADDRESS)),
             availability_zone=fields.text(body, names.ZONE, ""),
@@ -73,7 +73,7 @@
                 )
                 for one in fields.entries(body, names.STALLED)
             ),
-            born=_born(body),
+            started_ms=_born(body),
         )
     except _WRONG as error:
         raise _malformed("an engine's report", error) from None
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -265,7 +265,7 @@
             cache_total=1.0,
             slowdown=1.0,
             stalls=tuple(stalls),
-            born=target.listed.born,
+            started_ms=target.listed.started_ms,
         )
         if report.is_from_later_run(upstream.incarnation):
             raise errors.InstanceGone("its process has started again")
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -79,7 +79,7 @@
                 {names.ID: one.request, names.ADDRESS: one.address}
                 for one in report.stalls
             ],
-            **_born(report.born),
+            **_born(report.started_ms),
         }
         head = _notice(self._target.backpressure, None)
         await _answer(send, 200, orjson.dumps(content), head)
@@ -178,7 +178,7 @@
         names.STATE: names.STATE_DRAINING if listed.is_leaving else "ready",
         names.CARD: listed.card,
         names.LAYERS: _layers(listed.layers),
-        **_born(listed.born),
+        **_born(listed.started_ms),
     }
     entry = listed.incarnation.id
     store.write_if_new(names.UPSTREAM_KIND, entry, orjson.dumps(content))
@@ -218,9 +218,9 @@
         await self.app(scope, receive, send)
 
 
-def _born(born: int) -> Json:
+def _born(started_ms: int) -> Json:
     """Return what an instance tells of its start, if it does."""
-    return {names.BORN: born} if born else {}
+    return {names.BORN: started_ms} if started_ms else {}
 
 
 def _layers(layers: pipeline.LayerRange | None) -> Json | None:
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -255,7 +255,7 @@
                 fresh,
                 name=incarnation.name,
                 instance_id=incarnation.id,
-                born=incarnation.born,
+                started_ms=incarnation.started_ms,
             )
         target.listed = fresh
         target.is_dead = False
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -496,7 +496,7 @@
                     one,
                     name=incarnation.name,
                     instance_id=incarnation.id,
-                    born=incarnation.born,
+                    started_ms=incarnation.started_ms,
                 )
             )
             assert system.registry.is_usable(incarnation.name)
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -32,13 +32,15 @@
 from tests import virtual
 
 
-def a_run(born: int) -> chain.Upstream:
+def a_run(started_ms: int) -> chain.Upstream:
     """Return one run of the engine ``e``."""
-    incarnation = chain.Incarnation("e", born)
+    incarnation = chain.Incarnation("e", started_ms)
     base = fleet_system.upstream(
         incarnation.name, layers=(0, 80), card="large"
     )
-    return fleet_system.attrs.evolve(base, instance_id="e", born=born)
+    return fleet_system.attrs.evolve(
+        base, instance_id="e", started_ms=started_ms
+    )
 
 
 class FixedAnswer:
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -426,7 +426,9 @@
             system = fleet_system.FleetSystem()
             one = attrs.evolve(fleet_system.upstream("a"), is_leaving=True)
             system.add(one)
-            again = attrs.evolve(one, name="a#7", born=7, is_leaving=False)
+            again = attrs.evolve(
+                one, name="a#7", started_ms=7, is_leaving=False
+            )
             again = attrs.evolve(again, instance_id="a")
             system.listed["a"] = again
             entry = stores.StoredObject("upstreams", "a", 2, b"{}")
