--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -96,7 +96,7 @@
     therefore goes by :attr:`name`, and ends with the run.
 
     :ivar id: under which the platform knows the instance.
-    :ivar born: when it started, in milliseconds since 1970, told by the
+    :ivar started_ms: when it started, in milliseconds since 1970, told by the
         instance itself; 0 where it does not tell.
     """
 
@@ -121,7 +121,7 @@
         :class:`Incarnation`.
     :ivar instance_id: under which the platform knows it, the name where
         that is empty.
-    :ivar born: when this run of it started, as :class:`Incarnation` has it.
+    :ivar started_ms: when this run of it started, as :class:`Incarnation` has it.
     :ivar card: kind of its accelerator, empty for plain services.
     :ivar layers: the layers it holds, or ``None``.
     :ivar is_leaving: whether it says that it will end soon.
@@ -198,7 +198,7 @@
     :ivar cache_used: tokens times layers that cannot give way.
     :ivar cache_total: tokens times layers that there is room for.
     :ivar slowdown: over 1 while the engine is slower than its card.
-    :ivar born: when the engine started, as :class:`Incarnation` has it.
+    :ivar started_ms: when the engine started, as :class:`Incarnation` has it.
     """
 
     orders_taken: int
@@ -222,7 +222,8 @@
             raise errors.CrowdeckError(
                 errors.Code.MALFORMED,
                 f"a report of {incarnation.id} tells that it started at "
-                f"{self.started_ms or 'no time'}, it did at {incarnation.started_ms}",
+                f"{self.started_ms or 'no time'}, it did at "
+                f"{incarnation.started_ms}",
             )
         return (
             bool(incarnation.started_ms)
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -177,7 +177,7 @@
                 assert isinstance(step, int)
                 one.take(an_entry(version, born=step))
                 newest = max(newest, step)
-                assert [it.born for it in one.usable] == [newest]
+                assert [it.started_ms for it in one.usable] == [newest]
             assert len(one.ends) == len(set(one.ends)) or "gone" in steps
 
         virtual.run(body)
