--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -121,7 +121,8 @@
         :class:`Incarnation`.
     :ivar instance_id: under which the platform knows it, the name where
         that is empty.
-    :ivar started_ms: when this run of it started, as :class:`Incarnation` has it.
+    :ivar started_ms: when this run of it started, see
+        :class:`Incarnation`.
     :ivar card: kind of its accelerator, empty for plain services.
     :ivar layers: the layers it holds, or ``None``.
     :ivar is_leaving: whether it says that it will end soon.
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -118,7 +118,7 @@
             # The budget is none before.
             await entries.know_each_other()
             budget = entries[0].context.budget(fleet_system.MODEL)
-            before = budget.left
+            before = budget.remaining
             entries.ask_soon(0, entries_system.STREAM, BODY)
             await anyio.sleep(3.0)
             assert len(entries.fleet.crashes) == ENDS_MOST
@@ -127,7 +127,7 @@
             assert error.code is errors.Code.QUARANTINED
             assert error.verdict is verdicts.Verdict.MAY_HAVE_RUN
             # Two repeats, less what the request itself earned.
-            assert round(before - budget.left) == ENDS_MOST - 1
+            assert round(before - budget.remaining) == ENDS_MOST - 1
 
         entries_system.play(work, count=1)
 
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -328,7 +328,7 @@
                     spent += 1
             assert 80 < spent <= 100
             await anyio.sleep(10.0)
-            assert after.left == budgets.STEADY_SHARE * 100.0
+            assert after.remaining == budgets.STEADY_SHARE * 100.0
 
         virtual.run(body)
 
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -865,11 +865,11 @@
                 if name == "plateau-0-0":
                     system.fleet.at(one.address).is_dead = True
             budget = system.context.budget(fleet_system.MODEL)
-            before = budget.left
+            before = budget.remaining
             request = system.request(STREAM)
             caller = await system.ask(request)
             assert_whole(caller, request, system.fleet.events)
-            assert budget.left >= before
+            assert budget.remaining >= before
 
         play(work)
 
