--- a/bench/paths.py
+++ b/bench/paths.py
@@ -90,7 +90,7 @@
     for _ in range(STREAMS):
         path = planner.plan(fleet, wanted)
         if path is not None:
-            usage.enter(path, 800.0)
+            usage.add_request(path, 800.0)
     began = time.process_time()
     for _ in range(REPEATS):
         planner.plan(fleet, wanted)
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -238,7 +238,7 @@
         if path is None:
             refused += 1
             continue
-        usage.enter(path, fleet.tokens)
+        usage.add_request(path, fleet.tokens)
         token_ms = _token_ms(path, fleet.profile)
         seconds = token_ms * fleet.profile.mean_answer_tokens / 1000.0
         end = now + FIRST_SECONDS + seconds
