--- a/bench/placement.py
+++ b/bench/placement.py
@@ -230,7 +230,7 @@
     while now < PLAYED_SECONDS:
         now += rng.expovariate(times * fleet.streams_per_second)
         while ends and ends[0][0] < now:
-            usage.leave(heapq.heappop(ends)[2], fleet.tokens)
+            usage.remove_request(heapq.heappop(ends)[2], fleet.tokens)
         wanted = hops.PathRequest(
             fleet.profile, fleet.tokens, rng.choice(zones)
         )
