--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -103,7 +103,7 @@
         The first few of them; they are named with a request.
         """
         names = itertools.chain(
-            (name for name, _, _ in self._registry.resting()),
+            (name for name, _, _ in self._registry.backing_off()),
             (name for name, _ in self._registry.announced_leaving()),
             self._limits.names(),
         )
@@ -139,7 +139,7 @@
 
     def _resting(self) -> typing.Iterator[BackpressureSignal]:
         now = anyio.current_time()
-        for name, since, until in self._registry.resting():
+        for name, since, until in self._registry.backing_off():
             upstream = self._registry.find(name)
             if upstream is not None:
                 left = until - now
