--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -123,7 +123,7 @@
         self._name = name
         self._ranking = ranking
         self._peers = peers
-        self._contact = contact
+        self._health = contact
         self._asked_at = float("-inf")
         self._silent_until: dict[str, float] = {}
         self._silences: dict[str, int] = {}
@@ -207,11 +207,11 @@
         return None
 
     def _may_try_itself(self, now: float) -> bool:
-        if not self._contact.is_lost:
+        if not self._health.is_lost:
             return True
         # Not what peers told of: two that each heard of the other's loss
         # never tried their own ways again.
-        return now - self._contact.own_failed_at >= OWN_TRY_SECONDS
+        return now - self._health.own_failed_at >= OWN_TRY_SECONDS
 
     @contextlib.contextmanager
     def _watching(self, peer: Peer) -> typing.Iterator[None]:
@@ -235,7 +235,7 @@
         now = anyio.current_time()
         if error.code is errors.Code.STORE_DOWN:
             self._lost_until[peer.name] = now + LOST_SECONDS
-            self._contact.note_peer_failure()
+            self._health.note_peer_failure()
         elif self._silent_until.get(peer.name, 0.0) <= now:
             silences = self._silences.get(peer.name, 0)
             self._silences[peer.name] = silences + 1
