--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -118,12 +118,12 @@
         name: str,
         ranking: Ranking,
         peers: PeerClient,
-        contact: store_health.StoreHealth,
+        health: store_health.StoreHealth,
     ) -> None:
         self._name = name
         self._ranking = ranking
         self._peers = peers
-        self._health = contact
+        self._health = health
         self._asked_at = float("-inf")
         self._silent_until: dict[str, float] = {}
         self._silences: dict[str, int] = {}
