--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -144,7 +144,7 @@
                 break
             if self._silent_until.get(peer.name, 0.0) <= now:
                 return OTHERS_TRY_SECONDS
-        return store_health.RETRY_SECONDS
+        return store_health.PROBE_INTERVAL_SECONDS
 
     def choose(self) -> "PeerCopy | None":
         """Return whom to ask, or ``None`` to ask the store."""
