--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -350,7 +350,7 @@
                 self._doubts[name] = _Doubt(int(count), until)
 
     def _tell_doubts(self) -> None:
-        self._lease.note(
+        self._lease.set_memo(
             tuple(
                 f"{name}@{doubt.expected}"
                 for name, doubt in sorted(self._doubts.items())
