--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -163,7 +163,7 @@
         for service in self._services():
             if service.profile is None:
                 continue
-            engines = chain.fitting(
+            engines = chain.engines_within(
                 self._engines(service), service.profile.layer_count
             )
             if not self._has_gathered(service.name, engines):
@@ -204,7 +204,9 @@
 
         All that the plan asks for has been ordered before.
         """
-        engines = chain.fitting(self._engines(service), profile.layer_count)
+        engines = chain.engines_within(
+            self._engines(service), profile.layer_count
+        )
         missing = rearrangement.missing_layers(engines, profile)
         known = self._patience.setdefault(
             service.name, rearrangement_delay.RearrangementDelay()
