--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -906,7 +906,9 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             stale = system.fleet.at(system.listed["plateau-0-2"].address)
             stale.listed = attrs.evolve(stale.listed, layers=None)
-            monkeypatch.setattr(system.registry, "at", lambda _: None)
+            monkeypatch.setattr(
+                system.registry, "find_by_address", lambda _: None
+            )
             for _ in range(3):
                 caller = await system.ask(system.request(STREAM))
                 assert caller.is_whole
