--- a/bench/limits.py
+++ b/bench/limits.py
@@ -90,13 +90,13 @@
 class _Entry:
     """One entry, and what it has under way."""
 
-    def __init__(self, entries: int, chance: random.Random) -> None:
-        self.limits = rate_limits.RateLimits(self, chance)
-        self.limits.share_among(entries)
+    def __init__(self, entries: int, rng: random.Random) -> None:
+        self.limits = rate_limits.RateLimits(self, rng)
+        self.limits.set_entry_count(entries)
         self.count = 0
         self.told_at = float("inf")
 
-    def own(self, upstream: chain.Upstream) -> int:
+    def own_requests(self, upstream: chain.Upstream) -> int:
         return self.count
 
 
--- a/bench/paths.py
+++ b/bench/paths.py
@@ -26,10 +26,10 @@
 # Cards by how many of 130 engines have one: memory in MB, factors on the
 # time of a step and of reading, and the most layers one is given.
 CARDS = (
-    (3, chain.Card("h100", 72_000.0, 1.4, 1.0), 38),
-    (11, chain.Card("a100s", 36_000.0, 3.1, 3.2), 18),
-    (58, chain.Card("l4", 21_600.0, 16.0, 8.2), 10),
-    (58, chain.Card("t4", 14_400.0, 15.0, 15.0), 7),
+    (3, chain.AcceleratorType("h100", 72_000.0, 1.4, 1.0), 38),
+    (11, chain.AcceleratorType("a100s", 36_000.0, 3.1, 3.2), 18),
+    (58, chain.AcceleratorType("l4", 21_600.0, 16.0, 8.2), 10),
+    (58, chain.AcceleratorType("t4", 14_400.0, 15.0, 15.0), 7),
 )
 PROFILE = chain.EngineProfile(
     layer_count=LAYERS,
@@ -38,14 +38,14 @@
     step_ms=0.85,
     sequence_ms=0.00424,
     context_ms=0.0057,
-    read_tokens_per_second=353_000.0,
+    prefill_tokens_per_second=353_000.0,
     activation_bytes=32_800.0,
-    pipe_bytes_per_second=0.425e9,
+    zone_link_bytes_per_second=0.425e9,
     load_seconds=14.0,
-    loads_at_once=21,
+    concurrent_loads=21,
     slots=96,
-    usual_prompt=773.0,
-    usual_answer=178.0,
+    mean_prompt_tokens=773.0,
+    mean_answer_tokens=178.0,
     cards={card.name: card for _, card, _ in CARDS},
 )
 STREAMS = 5
@@ -55,15 +55,15 @@
 
 def a_fleet(count: int, seed: int = 1) -> list[chain.Upstream]:
     """Return engines whose ranges cover the model in every zone."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     shares = [share for share, _, _ in CARDS]
     found: list[chain.Upstream] = []
     starts = dict.fromkeys(ZONES, 0)
     for number in range(count):
-        _, card, most = chance.choices(CARDS, shares)[0]
+        _, card, most = rng.choices(CARDS, shares)[0]
         zone = ZONES[number % len(ZONES)]
         first = starts[zone]
-        end = min(LAYERS, first + chance.randint(max(3, most - 4), most))
+        end = min(LAYERS, first + rng.randint(max(3, most - 4), most))
         starts[zone] = end % LAYERS
         found.append(
             chain.Upstream(
@@ -84,13 +84,13 @@
     """Return the processor time of one choice, in ms."""
     fleet = a_fleet(count)
     usage = usages.InFlight()
-    usage.share_among(13, 68)
+    usage.set_entry_count(13, 68)
     planner = hops.HopPlanner(usage)
-    wanted = hops.Wanted(PROFILE, 800.0, ZONES[0])
+    wanted = hops.PathRequest(PROFILE, 800.0, ZONES[0])
     for _ in range(STREAMS):
         path = planner.plan(fleet, wanted)
         if path is not None:
-            usage.enter(path, 800.0)
+            usage.add_request(path, 800.0)
     began = time.process_time()
     for _ in range(REPEATS):
         planner.plan(fleet, wanted)
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -26,8 +26,8 @@
 
 from crowdeck import chain
 from crowdeck import instance as instances
-from crowdeck.placement import arrangement
 from crowdeck.placement import capacity
+from crowdeck.placement import initial_layout
 from crowdeck.placement import plan
 from crowdeck.routing import cheapest
 from crowdeck.routing import hops
@@ -58,7 +58,10 @@
     @property
     def tokens(self) -> float:
         """What a stream holds on average, in tokens."""
-        return self.profile.usual_prompt + self.profile.usual_answer / 2.0
+        return (
+            self.profile.mean_prompt_tokens
+            + self.profile.mean_answer_tokens / 2.0
+        )
 
 
 @attrs.frozen
@@ -78,7 +81,9 @@
 def make(name: str, described: dict[str, typing.Any]) -> Fleet:
     """Return a fleet from its description in ``fleets.toml``."""
     cards = {
-        card: chain.Card(card, it["memory_mb"], it["step"], it["read"])
+        card: chain.AcceleratorType(
+            card, it["memory_mb"], it["step"], it["read"]
+        )
         for card, it in described["cards"].items()
     }
     engines = [
@@ -94,14 +99,14 @@
         step_ms=1.02,
         sequence_ms=0.006,
         context_ms=0.008,
-        read_tokens_per_second=245_000.0,
+        prefill_tokens_per_second=245_000.0,
         activation_bytes=39_000.0,
-        pipe_bytes_per_second=0.69e9,
+        zone_link_bytes_per_second=0.69e9,
         load_seconds=14.0,
-        loads_at_once=8,
+        concurrent_loads=8,
         slots=96,
-        usual_prompt=described["prompt"],
-        usual_answer=described["answer"],
+        mean_prompt_tokens=described["prompt"],
+        mean_answer_tokens=described["answer"],
         cards=cards,
     )
     streams = described["streams_per_second"]
@@ -129,27 +134,27 @@
 
 def drawn(seed: int) -> Fleet:
     """Return a fleet of random cards that holds the model in each zone."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     cards = {
         f"card{number}": {
-            "memory_mb": chance.choice((14_400.0, 21_600.0, 43_200.0, 72e3)),
-            "step": chance.uniform(1.4, 16.0),
-            "read": chance.uniform(1.0, 15.0),
+            "memory_mb": rng.choice((14_400.0, 21_600.0, 43_200.0, 72e3)),
+            "step": rng.uniform(1.4, 16.0),
+            "read": rng.uniform(1.0, 15.0),
         }
-        for number in range(chance.randint(2, 4))
+        for number in range(rng.randint(2, 4))
     }
     zones = {
-        f"zone{number}": _drawn_zone(chance, cards)
-        for number in range(chance.randint(2, 4))
+        f"zone{number}": _drawn_zone(rng, cards)
+        for number in range(rng.randint(2, 4))
     }
     count = sum(sum(counts.values()) for counts in zones.values())
     return make(
         f"drawn {seed}",
         {
-            "streams_per_second": count * chance.uniform(0.8, 2.2),
+            "streams_per_second": count * rng.uniform(0.8, 2.2),
             "prompt": 770.0,
-            "answer": chance.uniform(150.0, 250.0),
-            "token_bytes": chance.choice((656e3, 786e3, 1180e3)),
+            "answer": rng.uniform(150.0, 250.0),
+            "token_bytes": rng.choice((656e3, 786e3, 1180e3)),
             "cards": cards,
             "zones": zones,
         },
@@ -157,13 +162,13 @@
 
 
 def _drawn_zone(
-    chance: random.Random, cards: dict[str, dict[str, float]]
+    rng: random.Random, cards: dict[str, dict[str, float]]
 ) -> dict[str, int]:
     """Return counts of cards that hold 1.3 to 3 copies of the model."""
-    wanted = chance.uniform(1.3, 3.0) * LAYERS * 1750.0
+    wanted = rng.uniform(1.3, 3.0) * LAYERS * 1750.0
     counts = dict.fromkeys(cards, 0)
     while wanted > 0.0:
-        card = chance.choice(sorted(cards))
+        card = rng.choice(sorted(cards))
         counts[card] += 1
         wanted -= 0.9 * cards[card]["memory_mb"]
     return counts
@@ -178,10 +183,10 @@
 
 def together(engines: Engines, profile: chain.EngineProfile) -> Engines:
     """Lay each zone's engines out as one group, whatever their pace."""
-    arranger = arrangement.Arranger(
+    arranger = initial_layout.InitialLayoutSearch(
         profile,
-        lambda one, room: plan.quota(one, profile, room),
-        plan.ROOM_LEAST * capacity.request_tokens(profile),
+        lambda one, room: plan.fitting_layer_count(one, profile, room),
+        plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(profile),
     )
     found: Engines = []
     for zone in dict.fromkeys(one.availability_zone for one in engines):
@@ -213,7 +218,7 @@
 
 
 def _send(
-    fleet: Fleet, placed: Engines, chance: random.Random, times: float
+    fleet: Fleet, placed: Engines, rng: random.Random, times: float
 ) -> Played:
     usage = usages.InFlight()
     planner = hops.HopPlanner(usage)
@@ -223,17 +228,19 @@
     passed: list[int] = []
     refused, now = 0, 0.0
     while now < PLAYED_SECONDS:
-        now += chance.expovariate(times * fleet.streams_per_second)
+        now += rng.expovariate(times * fleet.streams_per_second)
         while ends and ends[0][0] < now:
-            usage.leave(heapq.heappop(ends)[2], fleet.tokens)
-        wanted = hops.Wanted(fleet.profile, fleet.tokens, chance.choice(zones))
+            usage.remove_request(heapq.heappop(ends)[2], fleet.tokens)
+        wanted = hops.PathRequest(
+            fleet.profile, fleet.tokens, rng.choice(zones)
+        )
         path = planner.plan(placed, wanted)
         if path is None:
             refused += 1
             continue
-        usage.enter(path, fleet.tokens)
+        usage.add_request(path, fleet.tokens)
         token_ms = _token_ms(path, fleet.profile)
-        seconds = token_ms * fleet.profile.usual_answer / 1000.0
+        seconds = token_ms * fleet.profile.mean_answer_tokens / 1000.0
         end = now + FIRST_SECONDS + seconds
         heapq.heappush(ends, (end, len(token_times), path))
         token_times.append(token_ms)
--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -17,8 +17,8 @@
 import attrs
 
 from crowdeck import chain
-from crowdeck.placement import duty as duties
-from crowdeck.placement import patience
+from crowdeck.placement import controller as controllers
+from crowdeck.placement import rearrangement_delay
 from crowdeck.standin import chain_fleet
 from crowdeck.state import leases
 from tests import fleet_system
@@ -31,7 +31,7 @@
 # Of eight engines of ten layers each any six hold the model.
 PROFILE = attrs.evolve(
     fleet_system.PROFILE,
-    cards={"card": chain.Card("card", 27_000.0, 1.4, 1.0)},
+    cards={"card": chain.AcceleratorType("card", 27_000.0, 1.4, 1.0)},
 )
 # Waiting for who ended: at all, as decided, as long as a whole engine loads,
 # and for ever, as before.
@@ -44,7 +44,7 @@
     term = 1
     memo: tuple[str, ...] = ()
 
-    def note(self, memo: tuple[str, ...]) -> None:
+    def set_memo(self, memo: tuple[str, ...]) -> None:
         self.memo = memo
 
 
@@ -67,9 +67,9 @@
     for number in range(COUNT):
         layers = (10 * number, 10 * number + 10)
         system.add(fleet_system.upstream(f"e{number}", "zone", layers, "card"))
-    duty = duties.PlacementDuty(
+    duty = controllers.PlacementController(
         typing.cast(leases.Lease, _Ledger()),
-        system.book,
+        system.registry,
         system.fleet,
         lambda: system.holder.services,
     )
@@ -89,7 +89,7 @@
         await anyio.sleep(at)
         target = system.fleet.at(system.listed.pop(name).address)
         target.is_dead = True
-        system.book.on_changed((), (name,))
+        system.registry.on_changed((), (name,))
         if restart is None:
             return
         await anyio.sleep(restart)
@@ -109,7 +109,7 @@
                 if target.answers:
                     known = system.listed.get(target.listed.name)
                     if known not in (None, target.listed):
-                        system.tell(target.listed)
+                        system.list_instance(target.listed)
                     held = target.listed.layers
                     if target.is_loading:
                         held = target.kept
@@ -122,14 +122,14 @@
 
 def main() -> None:
     """Play all ways and print a line for each case."""
-    decided = patience.GONE_SECONDS
+    decided = rearrangement_delay.RESTART_GRACE_SECONDS
     print("lost restart keeps | " + " | ".join(f"wait {w:g}" for w in WAYS))
     for lost in (1, 2):
         for restart in RESTARTS:
             for keeps in (False, True) if restart else (False,):
                 cells = []
                 for way in WAYS:
-                    patience.GONE_SECONDS = way
+                    rearrangement_delay.RESTART_GRACE_SECONDS = way
                     played = [
                         virtual.run(_play, seed, lost, restart, keeps)
                         for seed in range(SEEDS)
@@ -138,7 +138,7 @@
                     layers = sum(one[1] for one in played) / SEEDS
                     cells.append(f"{seconds:.1f} s, {layers:.0f}")
                 print(lost, restart, keeps, "|", " | ".join(cells), flush=True)
-    patience.GONE_SECONDS = decided
+    rearrangement_delay.RESTART_GRACE_SECONDS = decided
 
 
 if __name__ == "__main__":
--- a/bench/soak/world.py
+++ b/bench/soak/world.py
@@ -101,7 +101,7 @@
             listed,
             tasks,
             port=one["port"],
-            known_as=listed.address,
+            advertised_address=listed.address,
         )
         self._fleet.at(listed.address).seconds = CALL_SECONDS
 
@@ -141,7 +141,7 @@
         elif what == "foreign":
             self._write_foreign(order["number"])
         elif what == "ending":
-            self._fleet.ends_upstreams.add(order["body"].encode())
+            self._fleet.crashing_bodies.add(order["body"].encode())
         else:
             target = self._fleet.upstreams[order["upstream"]]
             self._strike(what, target, float(order.get("value", 0.0)))
@@ -151,38 +151,42 @@
         self, what: str, target: chain_fleet.StandinUpstream, value: float
     ) -> None:
         if what == "dark":
-            target.is_dark = True
+            target.is_unresponsive = True
         elif what == "dead":
             target.is_dead = True
-            self._store.remove(names.UPSTREAM_KIND, target.listed.life.id)
+            self._store.remove(
+                names.UPSTREAM_KIND, target.listed.incarnation.id
+            )
         elif what == "back":
             self._restart(target, keeps_id=False)
         elif what == "back_under_its_id":
             self._restart(target, keeps_id=True)
         elif what == "lose_answers":
-            target.loses += 2
+            target.lost_answers += 2
         elif what == "reject":
-            target.rejects += 3
+            target.rejected_requests += 3
         elif what == "limit":
             target.limit = value
         elif what == "rest":
-            target.rejects, target.backoff = 3, value
+            target.rejected_requests, target.backoff = 3, value
         elif what == "leave":
-            target.tells_leaving = True
+            target.announces_leaving = True
         elif what == "fail_all":
-            target.fails, target.breaks_after = ALWAYS, 1
-            target.keeps_breaking = True
+            target.failed_calls, target.break_stream_after = ALWAYS, 1
+            target.breaks_every_stream = True
         elif what == "lose_all":
-            target.loses = ALWAYS
+            target.lost_answers = ALWAYS
         elif what == "reject_all":
-            target.rejects = ALWAYS
+            target.rejected_requests = ALWAYS
         elif what == "mend":
-            target.fails = target.loses = target.rejects = 0
-            target.breaks_after, target.keeps_breaking = -1, False
+            target.failed_calls = target.lost_answers = (
+                target.rejected_requests
+            ) = 0
+            target.break_stream_after, target.breaks_every_stream = -1, False
         elif what == "calm":
             target.limit = None
-            target.rejects, target.backoff = 0, 0.0
-            target.tells_leaving = False
+            target.rejected_requests, target.backoff = 0, 0.0
+            target.announces_leaving = False
 
     def _restart(
         self, target: chain_fleet.StandinUpstream, keeps_id: bool
@@ -191,19 +195,21 @@
         if target.is_dead:
             self._starts += 1
             listed = target.listed
-            life = chain.Life(listed.life.id, self._starts)
+            incarnation = chain.Incarnation(
+                listed.incarnation.id, self._starts
+            )
             if not keeps_id:
-                name = listed.life.id.partition(".")[0]
-                life = chain.Life(f"{name}.{self._starts}")
+                name = listed.incarnation.id.partition(".")[0]
+                incarnation = chain.Incarnation(f"{name}.{self._starts}")
             target.listed = attrs.evolve(
                 listed,
-                name=life.name,
-                instance_id=life.id if life.born else "",
-                born=life.born,
+                name=incarnation.name,
+                instance_id=incarnation.id if incarnation.started_ms else "",
+                started_ms=incarnation.started_ms,
                 layers=None,
             )
             target.orders_taken = 0
-        target.is_dead = target.is_dark = False
+        target.is_dead = target.is_unresponsive = False
 
     def _write_foreign(self, number: int) -> None:
         """Write an entry as another program would, or spoil one's own."""
@@ -235,7 +241,7 @@
         }
         return responses.Response(
             orjson.dumps(
-                [numbers[id(one.target)] for one in self._fleet.falls]
+                [numbers[id(one.target)] for one in self._fleet.crashes]
             )
         )
 
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -19,18 +19,18 @@
 
 
 @attrs.frozen
-class Card:
+class AcceleratorType:
     """A kind of accelerator.
 
     :ivar memory_mb: what layers and requests share.
     :ivar step_factor: how many times the profile's step time it takes.
-    :ivar read_factor: the same for reading a prompt.
+    :ivar prefill_factor: the same for reading a prompt.
     """
 
     name: str
     memory_mb: float
     step_factor: float
-    read_factor: float
+    prefill_factor: float
 
 
 @attrs.frozen
@@ -43,14 +43,14 @@
     :ivar step_ms: one step of a batch.
     :ivar sequence_ms: added to a step by each sequence in the batch.
     :ivar context_ms: added to a step by 1,000 tokens of context.
-    :ivar read_tokens_per_second: prompt tokens read in a second.
+    :ivar prefill_tokens_per_second: prompt tokens read in a second.
     :ivar activation_bytes: what one token hands on from stage to stage.
-    :ivar pipe_bytes_per_second: what all share between two zones.
+    :ivar zone_link_bytes_per_second: what all share between two zones.
     :ivar load_seconds: loading all layers onto one engine.
-    :ivar loads_at_once: beyond this many, loads slow one another down.
+    :ivar concurrent_loads: beyond this many, loads slow one another down.
     :ivar slots: requests at once for which an engine is the first.
-    :ivar usual_prompt: mean prompt in tokens.
-    :ivar usual_answer: mean answer in tokens.
+    :ivar mean_prompt_tokens: mean prompt in tokens.
+    :ivar mean_answer_tokens: mean answer in tokens.
     """
 
     layer_count: int
@@ -59,22 +59,22 @@
     step_ms: float
     sequence_ms: float
     context_ms: float
-    read_tokens_per_second: float
+    prefill_tokens_per_second: float
     activation_bytes: float
-    pipe_bytes_per_second: float
+    zone_link_bytes_per_second: float
     load_seconds: float
-    loads_at_once: int
+    concurrent_loads: int
     slots: int
-    usual_prompt: float
-    usual_answer: float
-    cards: dict[str, Card]
+    mean_prompt_tokens: float
+    mean_answer_tokens: float
+    cards: dict[str, AcceleratorType]
 
     @property
     def token_layer_mb(self) -> float:
         """Memory of one token's KV cache in one layer, in MB."""
         return self.token_bytes / self.layer_count / 1e6
 
-    def room(self, card: str, layers: int) -> float:
+    def token_capacity(self, card: str, layers: int) -> float:
         """Return how many tokens fit beside ``layers`` layers of weights.
 
         An unknown card is taken for one without limit: its engine says
@@ -88,7 +88,7 @@
 
 
 @attrs.frozen
-class Life:
+class Incarnation:
     """One run of an upstream instance's process.
 
     A process that starts again holds and knows nothing of before, and may
@@ -96,21 +96,21 @@
     therefore goes by :attr:`name`, and ends with the run.
 
     :ivar id: under which the platform knows the instance.
-    :ivar born: when it started, in milliseconds since 1970, told by the
+    :ivar started_ms: when it started, in milliseconds since 1970, told by the
         instance itself; 0 where it does not tell.
     """
 
     id: str
-    born: int = 0
+    started_ms: int = 0
 
     @property
     def name(self) -> str:
         """A name that no other run has."""
-        return f"{self.id}#{self.born}" if self.born else self.id
+        return f"{self.id}#{self.started_ms}" if self.started_ms else self.id
 
-    def is_before(self, other: "Life") -> bool:
+    def is_before(self, other: "Incarnation") -> bool:
         """Whether another run of the same instance came after this one."""
-        return self.id == other.id and self.born < other.born
+        return self.id == other.id and self.started_ms < other.started_ms
 
 
 @attrs.frozen
@@ -118,10 +118,11 @@
     """One upstream instance, as the platform lists it.
 
     :ivar name: unique to one run of the instance, never used again; see
-        :class:`Life`.
+        :class:`Incarnation`.
     :ivar instance_id: under which the platform knows it, the name where
         that is empty.
-    :ivar born: when this run of it started, as :class:`Life` has it.
+    :ivar started_ms: when this run of it started, see
+        :class:`Incarnation`.
     :ivar card: kind of its accelerator, empty for plain services.
     :ivar layers: the layers it holds, or ``None``.
     :ivar is_leaving: whether it says that it will end soon.
@@ -136,12 +137,12 @@
     card: str = ""
     layers: pipeline.LayerRange | None = None
     instance_id: str = ""
-    born: int = 0
+    started_ms: int = 0
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> Incarnation:
         """Which run of which instance this is."""
-        return Life(self.instance_id or self.name, self.born)
+        return Incarnation(self.instance_id or self.name, self.started_ms)
 
 
 @attrs.frozen
@@ -198,7 +199,7 @@
     :ivar cache_used: tokens times layers that cannot give way.
     :ivar cache_total: tokens times layers that there is room for.
     :ivar slowdown: over 1 while the engine is slower than its card.
-    :ivar born: when the engine started, as :class:`Life` has it.
+    :ivar started_ms: when the engine started, as :class:`Incarnation` has it.
     """
 
     orders_taken: int
@@ -210,24 +211,28 @@
     cache_total: float
     slowdown: float
     stalls: tuple[Stall, ...]
-    born: int = 0
+    started_ms: int = 0
 
-    def is_after(self, life: Life) -> bool:
-        """Whether a later run than ``life`` made this report.
+    def is_from_later_run(self, incarnation: Incarnation) -> bool:
+        """Whether a later run than ``incarnation`` made this report.
 
         :raises CrowdeckError: ``MALFORMED`` where an earlier one did, or
-            one that does not tell while ``life`` does.
+            one that does not tell while ``incarnation`` does.
         """
-        if self.born < life.born:
+        if self.started_ms < incarnation.started_ms:
             raise errors.CrowdeckError(
                 errors.Code.MALFORMED,
-                f"a report of {life.id} tells that it started at "
-                f"{self.born or 'no time'}, it did at {life.born}",
+                f"a report of {incarnation.id} tells that it started at "
+                f"{self.started_ms or 'no time'}, it did at "
+                f"{incarnation.started_ms}",
             )
-        return bool(life.born) and self.born > life.born
+        return (
+            bool(incarnation.started_ms)
+            and self.started_ms > incarnation.started_ms
+        )
 
 
-def fitting(
+def engines_within(
     engines: typing.Iterable[Upstream], layer_count: int
 ) -> list[Upstream]:
     """Return the engines that hold no layers which the model does not have.
@@ -247,7 +252,7 @@
 ) -> list[int]:
     """Return by how many engines each layer is held."""
     counts = [0] * layer_count
-    for engine in fitting(engines, layer_count):
+    for engine in engines_within(engines, layer_count):
         if engine.layers is not None:
             for layer in range(engine.layers.first, engine.layers.end):
                 counts[layer] += 1
--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -87,7 +87,7 @@
         return []
     needs = entry_status.list_needs(rows)
     columns = ("upstream", "need", "seconds", "per_second", "used", "entry")
-    shown = needs[: entry_status.SHOWN_MOST]
+    shown = needs[: entry_status.MAX_SHOWN]
     lines = ["", "instances in need:", table(sums, tuple(sums[0]))]
     lines += ["", table(shown, columns)]
     if len(needs) > len(shown):
@@ -95,7 +95,7 @@
     return lines
 
 
-def _status_row(answer: operators.Answered) -> dict[str, Data]:
+def _status_row(answer: operators.InstanceReply) -> dict[str, Data]:
     if not isinstance(answer.reply, questions.Status):
         why = answer.error.message if answer.error else "no status"
         return {"instance": answer.name, "state": "lost", "error": why}
@@ -190,7 +190,7 @@
 
 async def get_setting(
     operator: operators.Operator,
-    place: trees.Place,
+    place: trees.SettingsScope,
     option: str,
     is_why: bool,
 ) -> Result:
@@ -208,7 +208,7 @@
 
 async def set_setting(
     operator: operators.Operator,
-    place: trees.Place,
+    place: trees.SettingsScope,
     option: str,
     value: str | None,
 ) -> Result:
@@ -240,7 +240,7 @@
 
 async def _apply(
     editor: editors.SettingsEditor,
-    base: editors.Edition,
+    base: editors.SettingsRevision,
     text: str,
     change: str = "",
 ) -> Result:
@@ -253,7 +253,7 @@
     return _applied(edition, shown)
 
 
-def _applied(edition: editors.Edition, shown: str) -> Result:
+def _applied(edition: editors.SettingsRevision, shown: str) -> Result:
     return Result(
         {"generation": edition.generation, "change": edition.change},
         f"{shown}\ngeneration {edition.generation} is in force",
--- a/src/crowdeck/cmd/daemon.py
+++ b/src/crowdeck/cmd/daemon.py
@@ -52,7 +52,7 @@
         """Take a configuration that was read again."""
         ...
 
-    async def stop(self, hurry: bool = False) -> None:
+    async def stop(self, force: bool = False) -> None:
         """Stop as planned."""
         ...
 
@@ -97,7 +97,7 @@
         options.config,
         hangup,
         listener,
-        backend_options={"loop_factory": timers.WakefulLoop},
+        backend_options={"loop_factory": timers.BootTimeEventLoop},
     )
     return 0
 
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -18,7 +18,7 @@
 from crowdeck import http
 from crowdeck import instance as instances
 from crowdeck.membership import peer_http
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.platform import callers
@@ -108,13 +108,13 @@
         self._config = config
         logs.change("reconfigured", instance=config.name)
 
-    async def stop(self, hurry: bool = False) -> None:
+    async def stop(self, force: bool = False) -> None:
         """Stop as planned: no new callers, then the end of what runs."""
         if self._relay is None or self._server is None:
             self._stopped.set()
             return
         grace = float(self._config.fleet["grace_seconds"]) - STOP_MARGIN
-        if hurry:
+        if force:
             self._stopped.set()
             return
         if self._is_stopping:
@@ -124,7 +124,7 @@
         self._relay.leave()
         logs.change("stopping", in_progress=self._relay.in_progress)
         if self._lease is not None:
-            await self._lease.give_up()
+            await self._lease.release()
         await anyio.sleep_until(began + min(UNREADY_SECONDS, grace / 2))
         self._server.should_exit = True
         with anyio.move_on_at(began + grace):
@@ -144,11 +144,11 @@
         view = store_view.StoreView(store, self._config, peers)
         upstreams = self._open_upstreams(stack)
         context = self._context(upstreams, view)
-        watch = stalls.StallWatch(context)
+        monitor = stalls.StallMonitor(context)
         self._relay = relays.Relay(
             context,
             view.holder,
-            watch,
+            monitor,
             view.config_age,
             TRUST_SHARE * revocation,
         )
@@ -157,16 +157,16 @@
             store,
             PLACEMENT,
             holder_name,
-            lambda: view.readers.reads_store,
+            lambda: view.peer_selector.reads_store,
             is_new_fleet=bool(fleet["first_start"]),
         )
         self._lease = lease
         context.follow(view.roster)
-        for part in (*view.parts, lease.run, watch.run):
+        for part in (*view.parts, lease.run, monitor.run):
             tasks.start_soon(part)
-        tasks.start_soon(context.needs.run)
+        tasks.start_soon(context.backpressure.run)
         tasks.start_soon(context.gaps.run, lambda: view.holder.services)
-        tasks.start_soon(_place, lease, view.book, upstreams, view.holder)
+        tasks.start_soon(_place, lease, view.registry, upstreams, view.holder)
         tasks.start_soon(self._survey, context, view)
         status = statuses.EntryStatus(
             self._config.name, context, view.holder, self._relay
@@ -185,7 +185,7 @@
             return
         address = instances.Address.parse(peers)
         copies = {one.kind: one for one in view.mirrors}
-        app = peer_http.PeerApp(copies, view.readers, status)
+        app = peer_http.PeerApp(copies, view.peer_selector, status)
         server = http_server.build(app, address.host, address.port)
         await tasks.start(_run_server, server)
 
@@ -215,12 +215,12 @@
         usage = usages.InFlight()
         return contexts.RelayContext(
             zone=self._config.availability_zone,
-            book=view.book,
-            ledger=view.ledger,
+            registry=view.registry,
+            quarantine=view.quarantine,
             client=upstreams,
             usage=usage,
             planner=hops.HopPlanner(usage),
-            terms=contexts.BudgetTerms(
+            terms=contexts.RetryBudgetSettings(
                 float(fleet["retry_ratio"]),
                 float(fleet["retry_slack"]),
                 float(fleet["retry_window_seconds"]),
@@ -263,7 +263,7 @@
 
 async def _place(
     lease: leases.Lease,
-    book: books.UpstreamBook,
+    registry: registries.UpstreamRegistry,
     upstreams: engines.UpstreamClient,
     holder: relays.ConfigHolder,
 ) -> None:
@@ -271,13 +271,13 @@
     await lease.wait_held()
     # One entry of a fleet needs this, and every entry serves nobody while
     # it starts: with the placement's modules that took a tenth longer.
-    from crowdeck.placement import duty
+    from crowdeck.placement import controller
     from crowdeck.platform import orders
 
-    placement = duty.PlacementDuty(
+    placement = controller.PlacementController(
         lease,
-        book,
-        orders.EngineOrders(upstreams),
+        registry,
+        orders.PlacementOrderClient(upstreams),
         lambda: holder.services,
     )
     await placement.run()
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -29,7 +29,7 @@
 
 
 def account_losses(
-    files: list[pathlib.Path], aims: losses.Aims, span: float
+    files: list[pathlib.Path], aims: losses.Objectives, span: float
 ) -> commands.Result:
     """Tell what was not served in time in log files, and why."""
     with _open_logs(files, are_named=True) as texts:
@@ -235,11 +235,11 @@
     return {
         "service": model.service.name,
         "zone": zone,
-        "at once": round(most.at_once, 1),
+        "at once": round(most.concurrent_requests, 1),
         "a second": round(most.per_second, 1),
         "answer_seconds": round(most.answer_seconds, 3),
         "binds": str(most.binding),
-        "layers": f"{most.narrowest.first}-{most.narrowest.end}",
+        "layers": f"{most.bottleneck.first}-{most.bottleneck.end}",
     }
 
 
@@ -270,12 +270,14 @@
 ) -> dict[str, commands.Data]:
     held = one.layers
     size = held.end - held.first if held else 0
-    room = profile.room(one.card, size)
+    token_capacity = profile.token_capacity(one.card, size)
     return {
         "engine": str(one.address),
         "card": one.card,
         "layers": f"{held.first}-{held.end}" if held else "-",
-        "room": int(room) if size and room != float("inf") else "-",
+        "room": int(token_capacity)
+        if size and token_capacity != float("inf")
+        else "-",
         "state": "leaving" if one.is_leaving else "ready",
     }
 
--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -120,9 +120,9 @@
             part.admission.limit = int(config.entry["request_limit"])
         logs.change("reconfigured", instance=self._config.name)
 
-    async def stop(self, hurry: bool = False) -> None:
-        """Begin a planned stop; ``hurry`` cuts its wait short."""
-        limit = 0.0 if hurry else self._config.stop_seconds
+    async def stop(self, force: bool = False) -> None:
+        """Begin a planned stop; ``force`` cuts its wait short."""
+        limit = 0.0 if force else self._config.stop_seconds
         await self.running.part.drain(limit)
 
     def _greeting(self) -> messages.Greeting:
@@ -191,7 +191,7 @@
             name=self._config.name,
             engine=self._open_engine(stack),
             services=self._open_services(stack),
-            book=directory,
+            resolver=directory,
             timer_service=self._timers,
             tracer=tracer,
             tasks=tasks,
@@ -225,8 +225,8 @@
         platform: platform_store.HttpStore,
         tracer: traces.Tracer,
     ) -> Running:
-        answers = answers_module.Answers()
-        handler = entries.EntryHandler(answers)
+        answers = answers_module.AnswerInboxes()
+        handler = entries.EntryLinkHandler(answers)
         transport, address = await self._open_transport(stack, tasks, handler)
         section = self._config.entry
         entry = entries.Entry(
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -8,18 +8,18 @@
 import typing
 
 from crowdeck import instance as instances
-from crowdeck.membership import readers
+from crowdeck.membership import peer_selection
 from crowdeck.membership import roster as rosters
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.platform import config as platform_config
 from crowdeck.platform import names
 from crowdeck.platform import upstreams as platform_upstreams
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import relay as relays
 from crowdeck.settings import config as configs
-from crowdeck.state import contact as contacts
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
+from crowdeck.state import store_health
 
 # The config's watch is renewed after this share of the time in which a
 # removed key has to stop working; each renewal proves it current. One
@@ -46,25 +46,25 @@
         self,
         store: stores.ObjectStore,
         config: configs.Config,
-        peers: readers.PeerStore,
+        peers: peer_selection.PeerClient,
     ) -> None:
-        self.book = books.UpstreamBook(platform_upstreams.decode)
+        self.registry = registries.UpstreamRegistry(platform_upstreams.decode)
         self.holder = relays.ConfigHolder(
             platform_config.decode, names.CONFIG_NAME
         )
-        self.ledger = ledgers.Ledger()
+        self.quarantine = trackers.QuarantineTracker()
         self.roster = rosters.Roster(
-            store, config.name, _note(config), self.ledger
+            store, config.name, _note(config), self.quarantine
         )
-        self._contact = contacts.StoreContact()
-        self.readers = readers.Readers(
-            config.name, self.roster.ranking, peers, self._contact
+        self._health = store_health.StoreHealth()
+        self.peer_selector = peer_selection.PeerSelector(
+            config.name, self.roster.ranking, peers, self._health
         )
-        self._contact.pace_tries(self.readers.pause)
-        self.book.know_services(
+        self._health.set_probe_interval(self.peer_selector.pause)
+        self.registry.set_services_source(
             lambda: frozenset(one.name for one in self.holder.services)
         )
-        self.book.watch_store(lambda: self._contact.failed_at)
+        self.registry.set_store_failure_source(lambda: self._health.failed_at)
         self._store = store
         revocation = float(config.fleet["revocation_ms"]) / 1000.0
         self._config_mirror = self._mirror(
@@ -79,12 +79,12 @@
             ROSTER_WAIT,
             lambda: rosters.NOTES_LINGER,
         )
-        self.roster.watch_age(roster_mirror.age)
+        self.roster.set_age_source(roster_mirror.age)
         self.mirrors = (
             self._config_mirror,
             self._mirror(
                 names.UPSTREAM_KIND,
-                self.book,
+                self.registry,
                 UPSTREAM_WAIT,
                 self.roster.linger,
             ),
@@ -103,24 +103,24 @@
     def _mirror(
         self,
         kind: str,
-        follower: mirrors.Follower,
+        listener: mirrors.ChangeListener,
         wait: float,
         linger: mirrors.Linger,
     ) -> mirrors.Mirror:
         return mirrors.Mirror(
             self._store,
             kind,
-            follower,
+            listener,
             wait,
             linger,
-            self._contact,
-            self.readers,
+            self._health,
+            self.peer_selector,
         )
 
 
-def _note(config: configs.Config) -> rosters.Note:
+def _note(config: configs.Config) -> rosters.EntryRecord:
     peers = str(config.fleet["peers"])
-    return rosters.Note(
+    return rosters.EntryRecord(
         config.availability_zone,
         instances.Address.parse(peers) if peers else None,
         float(config.fleet["link_mbps"]),
--- a/src/crowdeck/entry/drive.py
+++ b/src/crowdeck/entry/driver.py
@@ -79,26 +79,26 @@
 
 
 @attrs.frozen
-class DriveParts:
+class DriverDependencies:
     """What every drive of an entry shares."""
 
     fleet: fleets.Fleet
     planner: planners.Planner
-    answers: answers_module.Answers
+    answers: answers_module.AnswerInboxes
     budgets: retry.RetryBudgets
     clock: timers.Clock
     randomness: random.Random
     tasks: anyio.abc.TaskGroup
 
 
-class Drive:
+class RequestDriver:
     """The life of one model request at one entry."""
 
     def __init__(
         self,
-        parts: DriveParts,
+        parts: DriverDependencies,
         request: model_requests.ModelRequest,
-        sink: sinks.Sink,
+        sink: sinks.AnswerSink,
         span: traces.OpenSpan,
     ) -> None:
         self._parts = parts
@@ -124,7 +124,7 @@
 
     async def run(
         self,
-        resume: model_requests.Resume | None = None,
+        resume: model_requests.ResumePoint | None = None,
         path: pipeline.Path | None = None,
     ) -> str:
         """Deliver the whole answer and return why it ended.
@@ -177,7 +177,9 @@
         stack.callback(self._parts.answers.close, request)
 
     async def _run_attempts(
-        self, resume: model_requests.Resume | None, path: pipeline.Path | None
+        self,
+        resume: model_requests.ResumePoint | None,
+        path: pipeline.Path | None,
     ) -> str:
         opening = self._opening(path) if path is not None else None
         while True:
@@ -267,7 +269,7 @@
             raise reply.as_error()
         self._release_former()
         path = opening.path
-        self._sink.locate(
+        self._sink.set_location(
             opening.epoch, path.head.instance, path.tail.instance
         )
         counters.COUNTERS.add("drive.attempts")
@@ -306,7 +308,7 @@
             )
         return view.peer
 
-    async def _resume(self, resume: model_requests.Resume) -> str:
+    async def _resume(self, resume: model_requests.ResumePoint) -> str:
         """Take up an answer that another entry began."""
         self._delivery.shown = resume.position
         attached: questions.Attached | None = None
@@ -322,7 +324,7 @@
             )
         counters.COUNTERS.add("drive.resumed")
         self._epoch = attached.epoch
-        self._sink.locate(attached.epoch, resume.head, resume.tail)
+        self._sink.set_location(attached.epoch, resume.head, resume.tail)
         for piece in attached.pieces:
             await self._delivery.put(piece)
             self._give_credit()
--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -17,7 +17,7 @@
 from crowdeck import availability_zone as zones
 from crowdeck.entry import admission as admissions
 from crowdeck.entry import answers as answers_module
-from crowdeck.entry import drive as drives
+from crowdeck.entry import driver
 from crowdeck.entry import http
 from crowdeck.entry import keys
 from crowdeck.entry import service_calls
@@ -61,10 +61,10 @@
     zone_links: zones.ZoneLinks = attrs.field(factory=zones.ZoneLinks)
 
 
-class EntryHandler:
+class EntryLinkHandler:
     """The entry's side of its links: answers, and operators' questions."""
 
-    def __init__(self, answers: answers_module.Answers) -> None:
+    def __init__(self, answers: answers_module.AnswerInboxes) -> None:
         self._answers = answers
         self.entry: Entry | None = None
 
@@ -110,8 +110,8 @@
     def __init__(
         self,
         options: EntryOptions,
-        handler: EntryHandler,
-        answers: answers_module.Answers,
+        handler: EntryLinkHandler,
+        answers: answers_module.AnswerInboxes,
         transport: link.Transport,
         store: stores.ObjectStore,
         instance_list: stores.InstanceList,
@@ -126,29 +126,29 @@
         self._tracer = tracer
         self._tasks = tasks
         self._answers = answers
-        chance = randomness or random.SystemRandom()
+        rng = randomness or random.SystemRandom()
         self._directory = directories.Directory(instance_list)
         links = links_module.Links(self._directory, transport)
         self._fleet = fleets.Fleet(
-            self._directory, links, timer_service, tasks, chance
+            self._directory, links, timer_service, tasks, rng
         )
         self._settings = settings_holder.SettingsHolder(store)
         planner = planners.Planner(
             self._fleet,
             options.zone_links,
             options.availability_zone,
-            chance,
+            rng,
             policies.make_policy(options.policy),
         )
         budgets = retry.RetryBudgets()
         claims = claims_module.ClaimsLedger(store, timer_service, wall_clock)
-        self.drive_parts = drives.DriveParts(
+        self.driver_dependencies = driver.DriverDependencies(
             fleet=self._fleet,
             planner=planner,
             answers=answers,
             budgets=budgets,
             clock=timer_service,
-            randomness=chance,
+            randomness=rng,
             tasks=tasks,
         )
         self.calls = service_calls.ServiceCalls(
@@ -158,7 +158,7 @@
             budgets,
             timer_service,
             wall_clock,
-            chance,
+            rng,
         )
         self._claims = claims
         self._keys = keys.AnswerKeys(claims, planner, wall_clock)
@@ -184,7 +184,9 @@
         self._tasks.start_soon(self._directory.follow)
         self._timers.subscribe("fleet", FOLLOW_SECONDS, self._fleet.follow)
         self._timers.subscribe(
-            "claims", claims_module.LOOK_SECONDS, self._claims.look
+            "claims",
+            claims_module.EPOCH_CHECK_SECONDS,
+            self._claims.check_epoch,
         )
         self._tasks.start_soon(self._settings.follow)
 
@@ -192,7 +194,7 @@
         """Return the ASGI application for callers."""
         return http.CallerApp(
             settings=self._settings,
-            drive_parts=self.drive_parts,
+            driver_dependencies=self.driver_dependencies,
             calls=self.calls,
             answer_keys=self._keys,
             session_turns=self.turns,
--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -19,7 +19,7 @@
 from crowdeck import contract as contracts
 from crowdeck.entry import admission as admissions
 from crowdeck.entry import context as context_module
-from crowdeck.entry import drive as drives
+from crowdeck.entry import driver
 from crowdeck.entry import keys
 from crowdeck.entry import model_answer
 from crowdeck.entry import model_request as model_requests
@@ -64,7 +64,7 @@
     def __init__(
         self,
         settings: settings_holder.SettingsHolder,
-        drive_parts: drives.DriveParts,
+        driver_dependencies: driver.DriverDependencies,
         calls: service_calls.ServiceCalls,
         answer_keys: keys.AnswerKeys,
         session_turns: turns.SessionTurns,
@@ -73,7 +73,7 @@
         limits: Limits,
     ) -> None:
         self._settings = settings
-        self._drive_parts = drive_parts
+        self._drive_parts = driver_dependencies
         self._calls = calls
         self._keys = answer_keys
         self._turns = session_turns
@@ -217,7 +217,7 @@
 
     async def _call_in_turn(
         self,
-        order: service_calls.ServiceOrder,
+        order: service_calls.ServiceCall,
         session: str,
         context: context_module.RequestContext,
     ) -> questions.Called:
@@ -228,7 +228,7 @@
 
     async def _order(
         self, request: requests.Request, context: context_module.RequestContext
-    ) -> service_calls.ServiceOrder:
+    ) -> service_calls.ServiceCall:
         service = request.path_params["service"]
         contract = self._contract(context, service)
         path = "/" + request.path_params["path"]
@@ -240,7 +240,7 @@
             if name not in OWN_HEADERS
         )
         now = self._drive_parts.clock.now()
-        return service_calls.ServiceOrder(
+        return service_calls.ServiceCall(
             request=uuid.uuid4().hex,
             team=context.caller.team,
             service=service,
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -14,7 +14,7 @@
 
 from crowdeck.entry import admission as admissions
 from crowdeck.entry import context as context_module
-from crowdeck.entry import drive as drives
+from crowdeck.entry import driver
 from crowdeck.entry import keys
 from crowdeck.entry import model_request as model_requests
 from crowdeck.entry import openai
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        parts: drives.DriveParts,
+        parts: driver.DriverDependencies,
         answer_keys: keys.AnswerKeys,
         session_turns: turns.SessionTurns,
         admission: admissions.Admission,
@@ -128,7 +128,9 @@
         claimed = await self._keys.claim(self._wanted, key)
         while claimed.resume is not None:
             first = attrs.evolve(self._wanted, request=claimed.request)
-            drive = drives.Drive(self._parts, first, sink, self._context.span)
+            drive = driver.RequestDriver(
+                self._parts, first, sink, self._context.span
+            )
             try:
                 return await drive.run(claimed.resume)
             except errors.CrowdeckError as error:
@@ -139,8 +141,8 @@
             claimed = await self._keys.claim(self._wanted, key, claimed.nonce)
         return await self._drive(sink).run(path=claimed.path)
 
-    def _drive(self, sink: "_Collector | _Streamer") -> drives.Drive:
-        return drives.Drive(
+    def _drive(self, sink: "_Collector | _Streamer") -> driver.RequestDriver:
+        return driver.RequestDriver(
             self._parts, self._wanted, sink, self._context.span
         )
 
@@ -154,7 +156,7 @@
     async def put(self, position: int, piece: messages.Piece) -> None:
         self._texts.append(piece.text)
 
-    def locate(self, epoch: int, head: str, tail: str) -> None:
+    def set_location(self, epoch: int, head: str, tail: str) -> None:
         """Who keeps the answer does not matter to this caller."""
 
 
@@ -176,7 +178,7 @@
         """Whether the response's status has been sent."""
         return self._has_begun
 
-    def locate(self, epoch: int, head: str, tail: str) -> None:
+    def set_location(self, epoch: int, head: str, tail: str) -> None:
         """Name the answer's keepers in the events from now on."""
         self._head = head
         self._tail = tail
--- a/src/crowdeck/entry/sink.py
+++ b/src/crowdeck/entry/sink.py
@@ -10,13 +10,13 @@
 from crowdeck.wire import messages
 
 
-class Sink(typing.Protocol):
+class AnswerSink(typing.Protocol):
     """Takes an answer piece by piece, as fast as its caller does."""
 
     async def put(self, position: int, piece: messages.Piece) -> None:
         """Pass on one piece; returns once the caller has room for more."""
         ...
 
-    def locate(self, epoch: int, head: str, tail: str) -> None:
+    def set_location(self, epoch: int, head: str, tail: str) -> None:
         """Take note of who keeps the answer from now on."""
         ...
--- a/src/crowdeck/membership/rests.py
+++ b/src/crowdeck/membership/backoffs.py
@@ -16,7 +16,7 @@
     is_asked: bool = False
 
 
-class Rests:
+class Backoffs:
     """Times of rest by the names of instances."""
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
             return 0.0
         return max(0.0, rest.until - anyio.current_time())
 
-    def may_ask(self, name: str) -> bool:
+    def may_probe(self, name: str) -> bool:
         """Whether an instance may be asked, or led, for a stream's sake.
 
         Once in a time of rest: a stream that passes an instance which fell
--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -71,9 +71,9 @@
 
     :ivar changed_at: monotonic seconds of the last change of state.
     :ivar changes: how many changes of state were seen.
-    :ivar own: our attempts and calls in progress there.
-    :ivar own_reported: the same, when it last reported.
-    :ivar chosen: how often it was chosen as a stage.
+    :ivar own_inflight: our attempts and calls in progress there.
+    :ivar own_inflight_reported: the same, when it last reported.
+    :ivar times_chosen: how often it was chosen as a stage.
     :ivar reported_at: monotonic seconds of its last report.
     :ivar is_probed: whether it is being asked out of its turn.
     """
@@ -84,9 +84,9 @@
     peer: link.Peer | None = None
     load: messages.Load | None = None
     changes: int = 0
-    own: int = 0
-    own_reported: int = 0
-    chosen: int = 0
+    own_inflight: int = 0
+    own_inflight_reported: int = 0
+    times_chosen: int = 0
     reported_at: float = 0.0
     is_probed: bool = False
 
@@ -109,7 +109,10 @@
     def inflight(self) -> int:
         """Work in progress there: its report, corrected by our own since."""
         reported = self.load.running if self.load is not None else 0
-        return max(self.own, reported + self.own - self.own_reported)
+        return max(
+            self.own_inflight,
+            reported + self.own_inflight - self.own_inflight_reported,
+        )
 
     @property
     def offers(self) -> tuple[pipeline.Offer, ...]:
@@ -218,7 +221,7 @@
             0.8, 1.2
         )
 
-    async def ask_watched(
+    async def ask_with_probes(
         self, peer: link.Peer, question: questions.Question, timeout: float
     ) -> questions.Reply:
         """Ask what may rightly take long, noticing when the peer dies.
@@ -288,7 +291,7 @@
             )
         is_leaving = reply.is_leaving or view.instance.is_leaving
         view.load = reply
-        view.own_reported = view.own
+        view.own_inflight_reported = view.own_inflight
         view.reported_at = self._clock.now()
         self._change(view, State.LEAVING if is_leaving else State.UP)
 
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -17,7 +17,7 @@
 
 from crowdeck import errors
 from crowdeck import http
-from crowdeck.membership import readers
+from crowdeck.membership import peer_selection
 from crowdeck.relay import ingress
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
@@ -56,11 +56,11 @@
     def __init__(
         self,
         copies: dict[str, mirrors.Mirror],
-        choice: readers.Readers,
+        selector: peer_selection.PeerSelector,
         status: Status = dict,
     ) -> None:
         self._copies = copies
-        self._choice = choice
+        self._selector = selector
         self._status = status
 
     async def __call__(
@@ -78,7 +78,7 @@
         if copy is None:
             await _answer(send, 404, b"")
             return
-        self._choice.note_asked()
+        self._selector.note_peer_request()
         try:
             question = _question(scope["query_string"])
             body = await ask(copy, question.after, question.wait)
@@ -89,18 +89,18 @@
 
 
 class HttpPeers:
-    """Implements ``PeerStore``."""
+    """Implements ``PeerClient``."""
 
     def __init__(self, client: http.HttpClient) -> None:
         self._client = client
 
     async def watch(
         self,
-        peer: readers.Peer,
+        peer: peer_selection.Peer,
         kind: str,
         after: stores.Position,
         wait: float,
-    ) -> stores.Sighting:
+    ) -> stores.PeerChanges:
         """Ask a peer what changed after a position."""
         query = urllib.parse.urlencode(
             {"after": after.version, "epoch": after.epoch, "seconds": wait}
@@ -153,9 +153,9 @@
 ) -> bytes:
     """Return the encoded answer to a question.
 
-    :raises CrowdeckError: as ``PeerStore.watch`` tells.
+    :raises CrowdeckError: as ``PeerClient.watch`` tells.
     """
-    sighting = await copy.tell(after, wait)
+    sighting = await copy.changes_since(after, wait)
     size = sum(len(one.value) for one in sighting.changes.objects)
     if size > ANSWER_BYTES_MOST:
         raise errors.CrowdeckError(
@@ -164,7 +164,7 @@
     return _encode(sighting)
 
 
-def _encode(sighting: stores.Sighting) -> bytes:
+def _encode(sighting: stores.PeerChanges) -> bytes:
     changes = sighting.changes
     return orjson.dumps(
         {
@@ -180,7 +180,7 @@
     )
 
 
-def _decode(kind: str, content: bytes) -> stores.Sighting:
+def _decode(kind: str, content: bytes) -> stores.PeerChanges:
     try:
         body = stores.read_json(content)
         objects = tuple(
@@ -193,7 +193,7 @@
         changes = stores.Changes(
             int(body["version"]), objects, removed, int(body.get("epoch", 0))
         )
-        return stores.Sighting(changes, float(body["age"]))
+        return stores.PeerChanges(changes, float(body["age"]))
     except (KeyError, OverflowError, TypeError, ValueError) as error:
         raise errors.CrowdeckError(
             errors.Code.MALFORMED, f"a peer's answer is malformed ({error!r})"
--- a/src/crowdeck/membership/readers.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -27,8 +27,8 @@
 from crowdeck import instance as instances
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.state import contact as contacts
 from crowdeck.state import objects as stores
+from crowdeck.state import store_health
 
 # An entry that is asked reads the store itself for so long after the last
 # question: several times the longest pause between two questions, which is
@@ -65,12 +65,12 @@
     address: instances.Address
 
 
-class PeerStore(typing.Protocol):
+class PeerClient(typing.Protocol):
     """Reaches the copies that other entries keep."""
 
     async def watch(
         self, peer: Peer, kind: str, after: stores.Position, wait: float
-    ) -> stores.Sighting:
+    ) -> stores.PeerChanges:
         """Return what a peer knows to have changed after a position.
 
         :raises CrowdeckError: ``STORE_DOWN`` when the peer has lost the
@@ -90,22 +90,22 @@
 
 @attrs.frozen
 class PeerCopy:
-    """One peer's copies; implements ``Helper``."""
+    """One peer's copies; implements ``PeerReplica``."""
 
     _peer: Peer
-    _readers: "Readers"
+    _selector: "PeerSelector"
 
     async def watch(
         self, kind: str, after: stores.Position, wait: float
-    ) -> stores.Sighting | None:
+    ) -> stores.PeerChanges | None:
         """Return what the peer knows, ``None`` where it cannot help now.
 
         :raises CrowdeckError: when only the store can tell.
         """
-        return await self._readers.watch(self._peer, kind, after, wait)
+        return await self._selector.watch(self._peer, kind, after, wait)
 
 
-class Readers:
+class PeerSelector:
     """One entry's choice of whom to ask instead of the store.
 
     :param name: this entry's name.
@@ -117,13 +117,13 @@
         self,
         name: str,
         ranking: Ranking,
-        peers: PeerStore,
-        contact: contacts.StoreContact,
+        peers: PeerClient,
+        health: store_health.StoreHealth,
     ) -> None:
         self._name = name
         self._ranking = ranking
         self._peers = peers
-        self._contact = contact
+        self._health = health
         self._asked_at = float("-inf")
         self._silent_until: dict[str, float] = {}
         self._silences: dict[str, int] = {}
@@ -144,7 +144,7 @@
                 break
             if self._silent_until.get(peer.name, 0.0) <= now:
                 return OTHERS_TRY_SECONDS
-        return contacts.RETRY_SECONDS
+        return store_health.PROBE_INTERVAL_SECONDS
 
     def choose(self) -> "PeerCopy | None":
         """Return whom to ask, or ``None`` to ask the store."""
@@ -179,13 +179,13 @@
             (end - now for end in ends if end > now), default=LOST_SECONDS
         )
 
-    def note_asked(self) -> None:
+    def note_peer_request(self) -> None:
         """Note that a peer asks this entry."""
         self._asked_at = anyio.current_time()
 
     async def watch(
         self, peer: Peer, kind: str, after: stores.Position, wait: float
-    ) -> stores.Sighting | None:
+    ) -> stores.PeerChanges | None:
         """Return what a peer knows, ``None`` where it cannot help now.
 
         :raises CrowdeckError: when only the store can tell.
@@ -207,11 +207,11 @@
         return None
 
     def _may_try_itself(self, now: float) -> bool:
-        if not self._contact.is_lost:
+        if not self._health.is_lost:
             return True
         # Not what peers told of: two that each heard of the other's loss
         # never tried their own ways again.
-        return now - self._contact.tried_at >= OWN_TRY_SECONDS
+        return now - self._health.own_failed_at >= OWN_TRY_SECONDS
 
     @contextlib.contextmanager
     def _watching(self, peer: Peer) -> typing.Iterator[None]:
@@ -235,7 +235,7 @@
         now = anyio.current_time()
         if error.code is errors.Code.STORE_DOWN:
             self._lost_until[peer.name] = now + LOST_SECONDS
-            self._contact.hear_of_failure()
+            self._health.note_peer_failure()
         elif self._silent_until.get(peer.name, 0.0) <= now:
             silences = self._silences.get(peer.name, 0)
             self._silences[peer.name] = silences + 1
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -13,10 +13,10 @@
 
 from crowdeck import errors
 from crowdeck import instance as instances
-from crowdeck.membership import readers
+from crowdeck.membership import peer_selection
 from crowdeck.observe import logs
 from crowdeck.quarantine import evidence as evidences
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.routing import rendezvous
 from crowdeck.state import objects as stores
 
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class Note:
+class EntryRecord:
     """What an entry tells of itself.
 
     :ivar address: where its peers reach it, ``None`` where they cannot.
@@ -68,25 +68,25 @@
 
     :param name: this entry's name.
     :param note: what it tells of itself.
-    :param ledger: what it tells of engines' ends, and learns of them.
+    :param quarantine: what it tells of engines' ends, and learns of them.
     """
 
     def __init__(
         self,
         store: stores.ObjectStore,
         name: str,
-        note: Note,
-        ledger: ledgers.Ledger | None = None,
+        note: EntryRecord,
+        quarantine: trackers.QuarantineTracker | None = None,
     ) -> None:
         self._store = store
         self._name = name
         self._note = note
-        self._ledger = ledger or ledgers.Ledger()
+        self._quarantine = quarantine or trackers.QuarantineTracker()
         self._must_write = anyio.Event()
-        self._ledger.subscribe_own(self._tell)
-        self._notes: dict[str, Note] = {name: note}
+        self._quarantine.subscribe_own(self._tell)
+        self._notes: dict[str, EntryRecord] = {name: note}
         self._versions: dict[str, int] = {}
-        self._ranking: tuple[readers.Peer, ...] = ()
+        self._ranking: tuple[peer_selection.Peer, ...] = ()
         self._listed = anyio.Event()
         self._listeners: list[Listener] = []
         self._since = float("inf")
@@ -133,11 +133,11 @@
         """Call ``listener`` whenever the number of entries is learnt."""
         self._listeners.append(listener)
 
-    def watch_age(self, age: Age) -> None:
+    def set_age_source(self, age: Age) -> None:
         """Learn by ``age`` for how long the notes were not proved current."""
         self._age = age
 
-    def ranking(self) -> tuple[readers.Peer, ...]:
+    def ranking(self) -> tuple[peer_selection.Peer, ...]:
         """Return this zone's entries in the order in which they read."""
         return self._ranking
 
@@ -150,7 +150,7 @@
         """Wait until the other entries' notes are known."""
         await self._listed.wait()
 
-    async def enrol(self) -> None:
+    async def register(self) -> None:
         """Note this entry in the store, however long that takes.
 
         One that was noted already, as all are after a restart, costs no
@@ -165,7 +165,7 @@
         """Keep this entry's note in the store until cancelled."""
         while True:
             self._must_write = anyio.Event()
-            await self.enrol()
+            await self.register()
             await self._must_write.wait()
             # Others' streams through the same engine are lost a moment
             # later, and what they tell goes with this.
@@ -173,7 +173,7 @@
 
     def _tell(self) -> None:
         """Have what this entry saw of engines' ends told to the others."""
-        self._note = attrs.evolve(self._note, evidence=self._ledger.own)
+        self._note = attrs.evolve(self._note, evidence=self._quarantine.own)
         self._must_write.set()
 
     async def _write(self) -> None:
@@ -237,13 +237,13 @@
             # Our own write is known before the copy that a peer keeps.
             return
         self._versions[stored.name] = stored.version
-        note = self._notes[stored.name] = decode_note(stored)
+        note = self._notes[stored.name] = decode_record(stored)
         if stored.name != self._name:
-            self._ledger.take(stored.name, note.evidence)
+            self._quarantine.take(stored.name, note.evidence)
             return
         self._note_since()
         # What an earlier run of this entry saw is its to tell as well.
-        self._ledger.take_own(note.evidence)
+        self._quarantine.take_own(note.evidence)
         self._tell()
 
     def _note_since(self) -> None:
@@ -279,13 +279,13 @@
             and note.availability_zone == self._note.availability_zone
         ]
         self._ranking = tuple(
-            readers.Peer(name, address)
+            peer_selection.Peer(name, address)
             for _, _, name, address in sorted(here, key=lambda one: one[:3])
             if address is not None
         )
 
 
-def encode(note: Note) -> bytes:
+def encode(note: EntryRecord) -> bytes:
     """Return a note as the store keeps it."""
     address = str(note.address) if note.address else ""
     return orjson.dumps(
@@ -298,12 +298,12 @@
     )
 
 
-def decode_note(stored: stores.StoredObject) -> Note:
+def decode_record(stored: stores.StoredObject) -> EntryRecord:
     """Return what an entry noted; nothing where it cannot be read."""
     try:
         body = orjson.loads(stored.value)
         address = str(body.get("address") or "")
-        return Note(
+        return EntryRecord(
             str(body["availability_zone"]),
             instances.Address.parse(address) if address else None,
             float(body.get("capacity") or 0.0),
@@ -317,4 +317,4 @@
         ValueError,
     ) as error:
         logs.change("entry_unread", name=stored.name, reason=repr(error))
-        return Note("")
+        return EntryRecord("")
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -11,9 +11,9 @@
 import attrs
 
 from crowdeck import chain
+from crowdeck.membership import backoffs
 from crowdeck.membership import entries
-from crowdeck.membership import leavers
-from crowdeck.membership import rests
+from crowdeck.membership import leaving_instances
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.state import objects as stores
@@ -77,7 +77,7 @@
         return bool(self.failures and self.upstream.card)
 
 
-class UpstreamBook:
+class UpstreamRegistry:
     """Upstream instances as listed, less those that were seen to fail.
 
     It is a follower of the mirror of the instances' entries.
@@ -90,21 +90,21 @@
         self._beliefs: dict[str, _Belief] = {}
         # Which run of an instance its entry in the store tells of.
         self._runs: dict[str, str] = {}
-        self._leavers = leavers.Leavers()
-        self._rests = rests.Rests()
+        self._leavers = leaving_instances.LeavingInstances()
+        self._rests = backoffs.Backoffs()
         self._end_listeners: list[EndListener] = []
         self._listeners: list[Listener] = []
         self._lapse_listeners: list[LapseListener] = []
         self._services: typing.Callable[[], frozenset[str]] = frozenset
         self._store_failed_at: typing.Callable[[], float | None] = lambda: None
 
-    def watch_store(
+    def set_store_failure_source(
         self, failed_at: typing.Callable[[], float | None]
     ) -> None:
         """Tell the book how to learn when the store last failed."""
         self._store_failed_at = failed_at
 
-    def know_services(
+    def set_services_source(
         self, services: typing.Callable[[], frozenset[str]]
     ) -> None:
         """Tell the book how to learn which services there are.
@@ -120,7 +120,7 @@
     def subscribe_lapses(self, listener: LapseListener) -> None:
         """Call ``listener`` for each engine whose entry may have lapsed.
 
-        It gets no new work until :meth:`trust` tells that it answers.
+        It gets no new work until :meth:`note_healthy` tells that it answers.
         """
         self._lapse_listeners.append(listener)
 
@@ -133,7 +133,7 @@
         belief = self._beliefs.get(name)
         return belief.upstream if belief else None
 
-    def at(self, address: str) -> chain.Upstream | None:
+    def find_by_address(self, address: str) -> chain.Upstream | None:
         """Return the newest instance listed at an address."""
         found = None
         for belief in self._beliefs.values():
@@ -159,7 +159,7 @@
             if not self._rests.is_resting(belief.upstream.name)
         )
 
-    def usable_soon(self, service: str) -> tuple[chain.Upstream, ...]:
+    def usable_after_backoff(self, service: str) -> tuple[chain.Upstream, ...]:
         """Return those of :meth:`usable`, and those that only want rest."""
         now = anyio.current_time()
         return tuple(one.upstream for one in self._sound(service, now))
@@ -175,7 +175,7 @@
             ):
                 yield belief
 
-    def last_resort(self, service: str) -> tuple[chain.Upstream, ...]:
+    def usable_while_leaving(self, service: str) -> tuple[chain.Upstream, ...]:
         """Return instances that have begun to leave but may get work yet."""
         now = anyio.current_time()
         return tuple(
@@ -190,7 +190,7 @@
             and not belief.needs_proof
         )
 
-    def due_for_proof(self) -> tuple[chain.Upstream, ...]:
+    def due_for_probe(self) -> tuple[chain.Upstream, ...]:
         """Return avoided engines whose pause is over, to be asked.
 
         A request that is sent to find out whether an engine is back pays
@@ -258,25 +258,25 @@
         self._log("upstream_changed", belief.upstream, belief.version)
         self._tell()
 
-    def resting(self) -> tuple[tuple[str, float, float], ...]:
+    def backing_off(self) -> tuple[tuple[str, float, float], ...]:
         """Return who wants rest: name, since when, until when."""
         return self._rests.now()
 
-    def said_leaving(self) -> tuple[tuple[str, float], ...]:
+    def announced_leaving(self) -> tuple[tuple[str, float], ...]:
         """Return whose answers said that they leave, and since when."""
         return self._leavers.items()
 
-    def seconds_backing_off(self, name: str) -> float:
+    def backoff_seconds_left(self, name: str) -> float:
         """Return for how long an instance still wants nothing from us."""
         return self._rests.seconds_left(name)
 
-    def may_ask(self, name: str) -> bool:
+    def may_probe(self, name: str) -> bool:
         """Whether an instance may be asked, or led, for a stream's sake.
 
         Once in a time of rest: a stream that passes an instance which fell
         silent is lost otherwise.
         """
-        return self._rests.may_ask(name)
+        return self._rests.may_probe(name)
 
     def has_ended(self, name: str) -> bool:
         """Whether an instance's process is known to be gone.
@@ -340,7 +340,7 @@
             seconds=belief.avoided_until - now,
         )
 
-    def trust(self, name: str) -> None:
+    def note_healthy(self, name: str) -> None:
         """Note that an instance answered as it should."""
         belief = self._beliefs.get(name)
         if belief is None or not belief.failures:
@@ -364,7 +364,7 @@
         """
         present = {one.name for one in objects}
         for one in objects:
-            self._take(one, may_be_old=True)
+            self._take(one, allow_stale=True)
         for name in [name for name in self._runs if name not in present]:
             self._remove(name)
         self._tell()
@@ -382,7 +382,7 @@
         self._tell()
 
     def _take(
-        self, stored: stores.StoredObject, *, may_be_old: bool = False
+        self, stored: stores.StoredObject, *, allow_stale: bool = False
     ) -> None:
         held = self._beliefs.get(self._runs.get(stored.name, ""))
         before = held.upstream if held is not None else None
@@ -391,13 +391,15 @@
             # What it said before need not be so any more.
             self._remove_entry(stored.name)
             return
-        if held is not None and upstream.life.is_before(held.upstream.life):
+        if held is not None and upstream.incarnation.is_before(
+            held.upstream.incarnation
+        ):
             # An older copy of the entry that came late.
             return
         if held is not None and held.upstream.name != upstream.name:
             self._drop(held.upstream, "upstream_started_again")
             held = None
-        if held is not None and may_be_old and held.upstream.is_leaving:
+        if held is not None and allow_stale and held.upstream.is_leaving:
             upstream = attrs.evolve(upstream, is_leaving=True)
         if upstream.name in self._leavers:
             upstream = attrs.evolve(upstream, is_leaving=True)
@@ -453,7 +455,7 @@
         """Forget a run of an instance that has ended."""
         belief = self._beliefs.pop(upstream.name)
         self._rests.forget(upstream.name)
-        entry = upstream.life.id
+        entry = upstream.incarnation.id
         if self._runs.get(entry) == upstream.name:
             del self._runs[entry]
         self._log(what, upstream, 0)
--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class Aims:
+class Objectives:
     """What counts as in time, in seconds.
 
     :ivar first: to a stream's first event.
@@ -60,7 +60,7 @@
 
 
 @attrs.frozen
-class Account:
+class LossReport:
     """Every request in the logs, counted once.
 
     :ivar causes: how many ended in which way, the commonest first.
@@ -105,15 +105,15 @@
     mends: set[str] = attrs.field(factory=set)
 
 
-class Ledger:
+class LossCounter:
     """Takes log lines one by one, of any processes, in any order."""
 
-    def __init__(self, aims: Aims) -> None:
+    def __init__(self, aims: Objectives) -> None:
         self._aims = aims
         self._requests: dict[str, _Request] = {}
         self._refusals: collections.Counter[str] = collections.Counter()
         self._figures: dict[str, list[_Extent]] = {}
-        self._reroutes = reroutes.RerouteLedger(aims.pause)
+        self._reroutes = reroutes.RerouteCounter(aims.pause)
         self._began = float("inf")
 
     def take(self, line: explain.Line) -> None:
@@ -138,7 +138,7 @@
         if line.kind == "attempt_failed":
             self._refusals[self._general(line)] += 1
 
-    def account(self, span: float) -> Account:
+    def account(self, span: float) -> LossReport:
         """Return the sums, and those of each ``span`` seconds."""
         causes: collections.Counter[str] = collections.Counter()
         sources: collections.Counter[str] = collections.Counter()
@@ -152,7 +152,7 @@
                 sources[_instance(request.end.source)] += 1
             at = int((request.end.at - self._began) / span)
             spans.setdefault(at, collections.Counter())[cause] += 1
-        return Account(
+        return LossReport(
             requests=sum(causes.values()),
             causes=self._told(causes),
             turned_away=self._told(self._refusals),
@@ -228,9 +228,11 @@
         return cause
 
 
-def account(texts: typing.Iterable[str], aims: Aims, span: float) -> Account:
+def account(
+    texts: typing.Iterable[str], aims: Objectives, span: float
+) -> LossReport:
     """Return the account of log lines; others are passed over."""
-    ledger = Ledger(aims)
+    ledger = LossCounter(aims)
     for text in texts:
         line = explain.parse(text)
         if line is not None:
--- a/src/crowdeck/observe/reroutes.py
+++ b/src/crowdeck/observe/reroutes.py
@@ -15,14 +15,14 @@
 
 
 @attrs.frozen
-class Spread:
+class Percentiles:
     """Figures of many streams, in seconds; 0 where there are none."""
 
     median: float
     nine_in_ten: float
 
     @classmethod
-    def of(cls, values: list[float]) -> "Spread":
+    def of(cls, values: list[float]) -> "Percentiles":
         """Return the spread of some figures."""
         if not values:
             return cls(0.0, 0.0)
@@ -43,12 +43,12 @@
 
     streams: int
     in_time: int
-    noticed: Spread
-    agreed: Spread
-    pause: Spread
+    noticed: Percentiles
+    agreed: Percentiles
+    pause: Percentiles
 
 
-class RerouteLedger:
+class RerouteCounter:
     """Takes log lines one by one, of any processes, in any order.
 
     :param allowed: longest pause that is in time, in seconds.
@@ -84,7 +84,7 @@
         return Reroutes(
             streams=len(agreed),
             in_time=sum(1 for pause in pauses if pause <= self._allowed),
-            noticed=Spread.of(self._noticed),
-            agreed=Spread.of(list(agreed.values())),
-            pause=Spread.of(pauses),
+            noticed=Percentiles.of(self._noticed),
+            agreed=Percentiles.of(list(agreed.values())),
+            pause=Percentiles.of(pauses),
         )
--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -60,7 +60,9 @@
 
 def request_tokens(profile: chain.EngineProfile) -> float:
     """Return what a request holds on average while it runs, in tokens."""
-    return max(1.0, profile.usual_prompt + profile.usual_answer / 2.0)
+    return max(
+        1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
+    )
 
 
 def needed_tokens(profile: chain.EngineProfile) -> float:
@@ -76,7 +78,7 @@
     gain: float
 
 
-class Rooms:
+class LayerCapacity:
     """The room at each layer of a group of engines that serve together.
 
     :param need: tokens that each layer should have room for.
@@ -90,7 +92,7 @@
         self._worths: dict[tuple[float, ...], float] = {}
 
     @property
-    def worth(self) -> float:
+    def score(self) -> float:
         """What the placement is worth, greater where it is better."""
         return sum(self._layer_worth(held) for held in self._held)
 
@@ -101,18 +103,18 @@
 
     def add(self, engine: chain.Upstream, layers: pipeline.LayerRange) -> None:
         """Count an engine that holds layers."""
-        room = self._room(engine, layers.end - layers.first)
+        token_capacity = self._room(engine, layers.end - layers.first)
         for layer in range(layers.first, layers.end):
-            self._held[layer] = (*self._held[layer], room)
+            self._held[layer] = (*self._held[layer], token_capacity)
 
     def drop(
         self, engine: chain.Upstream, layers: pipeline.LayerRange
     ) -> None:
         """Take back what :meth:`add` counted."""
-        room = self._room(engine, layers.end - layers.first)
+        token_capacity = self._room(engine, layers.end - layers.first)
         for layer in range(layers.first, layers.end):
             held = list(self._held[layer])
-            held.remove(room)
+            held.remove(token_capacity)
             self._held[layer] = tuple(held)
 
     def best_window(
@@ -130,29 +132,31 @@
 
     def _room(self, engine: chain.Upstream, count: int) -> float:
         """Return an engine's room beside so many layers, in needs."""
-        room = self._profile.room(engine.card, count) / self._need
-        return min(max(0.0, room), float(_MOST_NEEDS))
+        token_capacity = (
+            self._profile.token_capacity(engine.card, count) / self._need
+        )
+        return min(max(0.0, token_capacity), float(_MOST_NEEDS))
 
-    def _gains(self, room: float) -> list[float]:
+    def _gains(self, token_capacity: float) -> list[float]:
         """Return what an engine with such room would add at each layer."""
         known: dict[tuple[float, ...], float] = {}
         gains = []
         for held in self._held:
             gain = known.get(held)
             if gain is None:
-                gain = self._layer_worth((*held, room))
+                gain = self._layer_worth((*held, token_capacity))
                 gain -= self._layer_worth(held)
                 known[held] = gain
             gains.append(gain)
         return gains
 
     def _layer_worth(self, held: tuple[float, ...]) -> float:
-        worth = self._worths.get(held)
-        if worth is None:
+        score = self._worths.get(held)
+        if score is None:
             if len(self._worths) >= _WORTHS_MOST:
                 self._worths.clear()
-            worth = self._worths[held] = _held_worth(held)
-        return worth
+            score = self._worths[held] = _held_worth(held)
+        return score
 
 
 def _held_worth(held: tuple[float, ...]) -> float:
@@ -161,10 +165,10 @@
         return UNHELD_WORTH
     total = sum(held)
     losses = LOSS_CHANCE * len(held)
-    worth = max(0.0, 1.0 - losses) * _looked_up(total)
-    for room in held:
-        worth += LOSS_CHANCE * _looked_up(total - room)
-    return worth
+    score = max(0.0, 1.0 - losses) * _looked_up(total)
+    for token_capacity in held:
+        score += LOSS_CHANCE * _looked_up(total - token_capacity)
+    return score
 
 
 def _best_run(gains: list[float], count: int) -> tuple[int, float]:
--- a/src/crowdeck/placement/duty.py
+++ b/src/crowdeck/placement/controller.py
@@ -13,14 +13,14 @@
 
 from crowdeck import chain
 from crowdeck import errors
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck import pipeline
-from crowdeck.placement import losses
-from crowdeck.placement import patience
+from crowdeck.placement import failure_detector
 from crowdeck.placement import plan
 from crowdeck.placement import rearrangement
+from crowdeck.placement import rearrangement_delay
 from crowdeck.placement import relayout
 from crowdeck import route as routes
 from crowdeck.state import leases
@@ -40,7 +40,7 @@
 # An engine that comes while every layer is held waits this long for its
 # layers: in a planned replacement the old one leaves soon after, and the
 # new one had better load what that held than be moved again.
-NEWCOMER_SECONDS = 2.0
+EMPTY_ENGINE_DELAY_SECONDS = 2.0
 # An order whose answer was lost may be done up to twelve seconds late.
 # Asking the engine what it holds settles it sooner, not before this.
 UNKNOWN_SECONDS = 0.6
@@ -54,7 +54,7 @@
 TURN_SECONDS = 0.005
 
 
-class Orders(typing.Protocol):
+class OrderClient(typing.Protocol):
     """Reaches engines with orders."""
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
@@ -112,29 +112,31 @@
     last_at: float
 
 
-class PlacementDuty:
+class PlacementController:
     """Keeps the layers of every model in place while the lease is held."""
 
     def __init__(
         self,
         lease: leases.Lease,
-        book: books.UpstreamBook,
-        orders: Orders,
+        registry: registries.UpstreamRegistry,
+        orders: OrderClient,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
         self._lease = lease
-        self._book = book
+        self._registry = registry
         self._orders = orders
         self._services = services
         self._pending: dict[str, _Pending] = {}
         self._doubts: dict[str, _Doubt] = {}
         self._term = 0
-        self._losses = losses.LossWatch(book, orders, services)
+        self._losses = failure_detector.FailureDetector(
+            registry, orders, services
+        )
         self._arrivals: dict[str, _Arrivals] = {}
         self._empty_since: dict[str, dict[str, float]] = {}
-        self._patience: dict[str, patience.Patience] = {}
+        self._patience: dict[str, rearrangement_delay.RearrangementDelay] = {}
         self._changed = anyio.Event()
-        book.subscribe(self._wake)
+        registry.subscribe(self._wake)
 
     async def run(self) -> None:
         """Look at the plan whenever something changed, until cancelled."""
@@ -161,7 +163,7 @@
         for service in self._services():
             if service.profile is None:
                 continue
-            engines = chain.fitting(
+            engines = chain.engines_within(
                 self._engines(service), service.profile.layer_count
             )
             if not self._has_gathered(service.name, engines):
@@ -182,7 +184,7 @@
         """
         relied = [self._relied_on(one) for one in engines]
         batches = plan.iter_moves(engines, profile, self._is_idle, relied)
-        gaps = plan.Gaps(engines, profile)
+        gaps = plan.CoverageGaps(engines, profile)
         limiter = anyio.CapacityLimiter(ORDERS_AT_ONCE)
         async with anyio.create_task_group() as tasks:
             for batch in batches:
@@ -202,15 +204,22 @@
 
         All that the plan asks for has been ordered before.
         """
-        engines = chain.fitting(self._engines(service), profile.layer_count)
+        engines = chain.engines_within(
+            self._engines(service), profile.layer_count
+        )
         missing = rearrangement.missing_layers(engines, profile)
-        known = self._patience.setdefault(service.name, patience.Patience())
+        known = self._patience.setdefault(
+            service.name, rearrangement_delay.RearrangementDelay()
+        )
         now = anyio.current_time()
         if not missing or len(missing) == profile.layer_count:
             known.forget()
             return
         is_told = self._are_leaving(service.name, missing)
-        if not known.is_over(now, is_told, missing) or not self._lease.is_held:
+        if (
+            not known.is_expired(now, is_told, missing)
+            or not self._lease.is_held
+        ):
             return
         relied = [self._relied_on(one) for one in engines]
         parts = rearrangement.steps_in_parts(
@@ -231,13 +240,13 @@
     def _are_leaving(self, service: str, missing: list[int]) -> bool:
         """Whether those that hold some layers say that they leave."""
         left = set(missing)
-        for one in self._book.listed(service):
+        for one in self._registry.listed(service):
             if one.is_leaving and one.layers is not None:
                 left -= set(range(one.layers.first, one.layers.end))
         return not left
 
     def _can_be_ordered(self, upstream: chain.Upstream) -> bool:
-        resting = self._book.seconds_backing_off(upstream.name)
+        resting = self._registry.backoff_seconds_left(upstream.name)
         return self._is_idle(upstream) and not resting
 
     async def _take(self, steps: list[rearrangement.Step]) -> bool:
@@ -246,7 +255,7 @@
         Returns whether any was sent.
         """
         limiter = anyio.CapacityLimiter(ORDERS_AT_ONCE)
-        is_over = {step.move.upstream.name: anyio.Event() for step in steps}
+        is_expired = {step.move.upstream.name: anyio.Event() for step in steps}
         taken: set[str] = set()
         sent: set[str] = set()
 
@@ -254,7 +263,7 @@
             name = step.move.upstream.name
             try:
                 for other in step.after:
-                    await is_over[other].wait()
+                    await is_expired[other].wait()
                 if not step.after <= taken:
                     # The next look plans again, from what they hold then.
                     return
@@ -264,7 +273,7 @@
                 if outcome is _Outcome.TAKEN:
                     taken.add(name)
             finally:
-                is_over[name].set()
+                is_expired[name].set()
 
         async with anyio.create_task_group() as tasks:
             for step in steps:
@@ -294,7 +303,7 @@
         service: routes.Service,
         engines: list[chain.Upstream],
         moves: list[plan.Move],
-        gaps: plan.Gaps,
+        gaps: plan.CoverageGaps,
     ) -> list[plan.Move]:
         """Leave out moves of engines that had better wait a little."""
         now = anyio.current_time()
@@ -308,14 +317,14 @@
             move
             for move in moves
             if move.upstream.layers is not None
-            or now - since[move.upstream.name] >= NEWCOMER_SECONDS
+            or now - since[move.upstream.name] >= EMPTY_ENGINE_DELAY_SECONDS
             or gaps.is_filled_by(move)
         ]
 
     def _engines(self, service: routes.Service) -> list[chain.Upstream]:
         """Return the engines that live, with what they are going to hold."""
         found = []
-        for one in self._book.listed(service.name):
+        for one in self._registry.listed(service.name):
             if one.is_leaving or self._losses.is_lost(one.name):
                 continue
             pending = self._pending.get(one.name)
@@ -327,7 +336,7 @@
         name = expected.name
         if name in self._doubts:
             return attrs.evolve(expected, layers=None)
-        listed = self._book.find(name)
+        listed = self._registry.find(name)
         held = listed.layers if listed is not None else None
         return attrs.evolve(expected, layers=_common(held, expected.layers))
 
@@ -343,7 +352,7 @@
                 self._doubts[name] = _Doubt(int(count), until)
 
     def _tell_doubts(self) -> None:
-        self._lease.note(
+        self._lease.set_memo(
             tuple(
                 f"{name}@{doubt.expected}"
                 for name, doubt in sorted(self._doubts.items())
@@ -356,7 +365,7 @@
     def _forget_pending(self) -> None:
         now = anyio.current_time()
         for name, pending in list(self._pending.items()):
-            listed = self._book.find(name)
+            listed = self._registry.find(name)
             is_done = (
                 listed is None or listed.layers == pending.expected.layers
             )
@@ -378,14 +387,14 @@
 
     async def _order(self, move: plan.Move) -> "_Outcome":
         name = move.upstream.name
-        if self._book.seconds_backing_off(name):
+        if self._registry.backoff_seconds_left(name):
             # Planned again at the next look.
             return _Outcome.NOT_SENT
         self._expect(move, UNKNOWN_SECONDS)
         try:
             report = await self._orders.report(move.upstream)
         except errors.CrowdeckError as error:
-            self._book.avoid(name, f"no report: {error.message}")
+            self._registry.avoid(name, f"no report: {error.message}")
             return _Outcome.NOT_SENT
         if report.is_busy or report.layers != move.upstream.layers:
             # It carries out an order already, or its entry lags behind:
--- a/src/crowdeck/placement/exposure.py
+++ b/src/crowdeck/placement/exposure.py
@@ -52,7 +52,7 @@
 def _room(engine: chain.Upstream, profile: chain.EngineProfile) -> float:
     assert engine.layers is not None
     count = engine.layers.end - engine.layers.first
-    return profile.room(engine.card, count)
+    return profile.token_capacity(engine.card, count)
 
 
 def _quickest(
@@ -71,7 +71,7 @@
                 _layer_ms(one, profile),
             )
         )
-    search = cheapest.CheapestPath(
+    search = cheapest.CheapestPathSearch(
         holders, profile.layer_count, lambda before, after: 0.0
     )
     for holder in holders:
@@ -79,7 +79,7 @@
             assert holder.engine.layers is not None
             hop = chain.Hop(holder.engine, holder.engine.layers)
             cost = holder.token_ms * holder.end
-            search.offer(cheapest.Leg(cost, 1, hop, None))
+            search.offer(cheapest.PartialPath(cost, 1, hop, None))
     return search.run()
 
 
--- a/src/crowdeck/placement/losses.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -12,7 +12,7 @@
 
 from crowdeck import chain
 from crowdeck import errors
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck import route as routes
@@ -20,7 +20,7 @@
 # An engine that failed a request is gone for the plan only after so many
 # questions, one at each look, went unanswered too: moving layers costs
 # loads, and takes engines out of paths that were well.
-UNANSWERED_QUESTIONS = 2
+FAILURE_THRESHOLD_PROBES = 2
 # An engine that is lost is seldom the only one: a rack, a switch. All are
 # asked then, so often, instead of each being found by the requests that it
 # fails: thirteen of 39 that died together were known three seconds later,
@@ -45,16 +45,16 @@
         ...
 
 
-class LossWatch:
+class FailureDetector:
     """Asks engines that failed whether they live; all, once one does not."""
 
     def __init__(
         self,
-        book: books.UpstreamBook,
+        registry: registries.UpstreamRegistry,
         engines: Reporter,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._engines = engines
         self._services = services
         self._unanswered: collections.Counter[str] = collections.Counter()
@@ -67,17 +67,17 @@
 
     def is_lost(self, name: str) -> bool:
         """Whether an engine left enough questions unanswered."""
-        return self._unanswered[name] >= UNANSWERED_QUESTIONS
+        return self._unanswered[name] >= FAILURE_THRESHOLD_PROBES
 
     async def _question_avoided(self) -> None:
         """Ask the engines that failed a request whether they live."""
-        avoided = self._book.avoided()
+        avoided = self._registry.avoided()
         for name in set(self._unanswered) - {one.name for one in avoided}:
             del self._unanswered[name]
         asked = [
             one
             for one in avoided
-            if one.card and not self._book.seconds_backing_off(one.name)
+            if one.card and not self._registry.backoff_seconds_left(one.name)
         ]
         await _each(self._question, asked)
 
@@ -86,14 +86,14 @@
         if not self._sweeps_left:
             return
         self._sweeps_left -= 1
-        avoided = {one.name for one in self._book.avoided()}
+        avoided = {one.name for one in self._registry.avoided()}
         asked = [
             one
             for service in self._services()
-            for one in self._book.listed(service.name)
+            for one in self._registry.listed(service.name)
             if one.card
             and one.name not in avoided
-            and not self._book.seconds_backing_off(one.name)
+            and not self._registry.backoff_seconds_left(one.name)
         ]
         silent: list[chain.Upstream] = []
 
@@ -117,14 +117,14 @@
         for one in silent:
             # They are asked once more before anything is moved.
             self._unanswered[one.name] += 1
-            self._book.avoid(one.name, "no report when all were asked")
+            self._registry.avoid(one.name, "no report when all were asked")
 
     async def _question(self, upstream: chain.Upstream) -> None:
         try:
             await self._engines.report(upstream)
         except errors.CrowdeckError as error:
             self._unanswered[upstream.name] += 1
-            if self._unanswered[upstream.name] == UNANSWERED_QUESTIONS:
+            if self._unanswered[upstream.name] == FAILURE_THRESHOLD_PROBES:
                 logs.change(
                     "engine_lost",
                     upstream=upstream.name,
@@ -133,7 +133,7 @@
                 )
                 self._sweeps_left = SWEEPS
             return
-        self._book.trust(upstream.name)
+        self._registry.note_healthy(upstream.name)
 
 
 async def _each(
--- a/src/crowdeck/placement/arrangement.py
+++ b/src/crowdeck/placement/initial_layout.py
@@ -21,7 +21,7 @@
 # Larger groups are swept once, from one start: the search takes as long as
 # the square of their number. 13 engines take 0.2 s of processor time, 107
 # would take 4.8 s, in which the process does nothing else.
-SEARCHED_MOST = 24
+MAX_SEARCHED_ENGINES = 24
 # The search also takes as long as the layers that each may hold: 19 engines
 # of 41 took 1.0 s beside other work, 13 of a zone with 4 kinds of cards,
 # 185 to 400 layers in all, 0.1 to 0.25 s.
@@ -33,7 +33,7 @@
 Limit = typing.Callable[[chain.Upstream, float], int]
 
 
-class Arranger:
+class InitialLayoutSearch:
     """Finds layers for engines that serve one model together.
 
     :param limit: how many layers leave an engine so many tokens of room.
@@ -55,7 +55,7 @@
             engines,
             key=lambda one: (-self._limit(one, self._least), one.name),
         )
-        is_large = len(ordered) > SEARCHED_MOST or (
+        is_large = len(ordered) > MAX_SEARCHED_ENGINES or (
             sum(self._limit(one, self._least) for one in ordered)
             > SEARCHED_LAYERS_MOST
         )
@@ -65,9 +65,9 @@
         most = float("-inf")
         for start in starts:
             layout = self._lay_out(ordered, start * self._need)
-            worth = self._improve(ordered, layout, sweeps)
-            if worth > most + 1e-9:
-                best, most = layout, worth
+            score = self._improve(ordered, layout, sweeps)
+            if score > most + 1e-9:
+                best, most = layout, score
         return best
 
     def _lay_out(self, engines: list[chain.Upstream], room: float) -> Layout:
@@ -88,18 +88,18 @@
         self, engines: list[chain.Upstream], layout: Layout, sweeps: int
     ) -> float:
         """Move one engine after the other to where it is worth most."""
-        rooms = capacity.Rooms(self._profile, self._need)
+        rooms = capacity.LayerCapacity(self._profile, self._need)
         for engine in engines:
             if engine.name in layout:
                 rooms.add(engine, layout[engine.name])
         for _ in range(sweeps):
             if not self._sweep(rooms, engines, layout):
                 break
-        return rooms.worth
+        return rooms.score
 
     def _sweep(
         self,
-        rooms: capacity.Rooms,
+        rooms: capacity.LayerCapacity,
         engines: list[chain.Upstream],
         layout: Layout,
     ) -> bool:
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -11,24 +11,24 @@
 
 from crowdeck import chain
 from crowdeck import pipeline
-from crowdeck.placement import arrangement
 from crowdeck.placement import capacity
 from crowdeck.placement import exposure
+from crowdeck.placement import initial_layout
 from crowdeck.placement import tiers
 
 # Requests at once that an engine has memory for in any case. Fewer would
 # have it refuse or preempt with every second request.
-ROOM_LEAST = 4.0
+MIN_CONCURRENT_REQUESTS = 4.0
 # Engines of a zone that begin together are laid out in groups of about the
 # second number once they are more than the first. The search takes as long
 # as the square of a group: 600 engines at once took 3.8 s of a full core in
 # each of five zones, longer than the lease under which they are ordered
 # lasts, and no engine of a fleet of 2,997 ever got a layer. 40 take 0.05 s.
-GROUP_MOST = 60
+MAX_GROUP_SIZE = 60
 GROUP_SIZE = 40
 # Places are found for so many newcomers at a time. For more, one by one, the
 # lease would lapse before any of them is ordered.
-FILL_SIZE = 10
+FILL_BATCH_SIZE = 10
 
 
 @attrs.frozen
@@ -49,7 +49,7 @@
 _Cell = list[chain.Upstream]
 
 
-def quota(
+def fitting_layer_count(
     engine: chain.Upstream, profile: chain.EngineProfile, room: float
 ) -> int:
     """Return how many layers leave an engine ``room`` tokens of memory."""
@@ -117,7 +117,7 @@
     return 0 in counts[layers.first : layers.end]
 
 
-class Gaps:
+class CoverageGaps:
     """Which layers no engine of a cell holds, found once for all moves."""
 
     def __init__(
@@ -162,12 +162,12 @@
 
 
 def _least_room(profile: chain.EngineProfile) -> float:
-    return ROOM_LEAST * capacity.request_tokens(profile)
+    return MIN_CONCURRENT_REQUESTS * capacity.request_tokens(profile)
 
 
 def most_layers(engine: chain.Upstream, profile: chain.EngineProfile) -> int:
     """Return how many layers an engine can hold and still serve."""
-    return quota(engine, profile, _least_room(profile))
+    return fitting_layer_count(engine, profile, _least_room(profile))
 
 
 def _holds_model(engines: _Cell, profile: chain.EngineProfile) -> bool:
@@ -257,7 +257,9 @@
     return tiers.Tiers(
         engines,
         profile,
-        lambda engine, room: quota(engine, profile, max(room, least)),
+        lambda engine, room: fitting_layer_count(
+            engine, profile, max(room, least)
+        ),
     )
 
 
@@ -267,7 +269,7 @@
     Each group gets an even part of each kind of card. Where the parts would
     be too few to hold the model there are fewer and larger ones.
     """
-    if len(engines) <= GROUP_MOST:
+    if len(engines) <= MAX_GROUP_SIZE:
         return [engines]
     ordered = sorted(
         engines, key=lambda one: (-most_layers(one, profile), one.name)
@@ -281,9 +283,9 @@
 
 def _first_moves(engines: _Cell, profile: chain.EngineProfile) -> list[Move]:
     """Return the moves of engines that begin together."""
-    arranger = arrangement.Arranger(
+    arranger = initial_layout.InitialLayoutSearch(
         profile,
-        lambda engine, room: quota(engine, profile, room),
+        lambda engine, room: fitting_layer_count(engine, profile, room),
         _least_room(profile),
     )
     layout = arranger.arrange(engines)
@@ -306,7 +308,7 @@
         if layers is not None:
             filling.add(engine, layers)
             moves.append(Move(engine, layers))
-        if len(moves) == FILL_SIZE:
+        if len(moves) == FILL_BATCH_SIZE:
             yield moves
             moves = []
     yield moves
@@ -319,7 +321,7 @@
         self._profile = profile
         self._need = capacity.needed_tokens(profile)
         self._held = [one for one in cell if one.layers is not None]
-        self._is_small = len(cell) <= GROUP_MOST
+        self._is_small = len(cell) <= MAX_GROUP_SIZE
         self._rooms = self._rooms_of(cell)
         self._tiers = [
             (frozenset(one.name for one in tier), self._rooms_of(tier))
@@ -360,14 +362,14 @@
         held = [*self._held, attrs.evolve(engine, layers=layers)]
         return exposure.predict(held, self._profile, self._need)
 
-    def _tier(self, engine: chain.Upstream) -> capacity.Rooms | None:
+    def _tier(self, engine: chain.Upstream) -> capacity.LayerCapacity | None:
         for names, rooms in self._tiers:
             if engine.name in names:
                 return rooms
         return None
 
-    def _rooms_of(self, engines: _Cell) -> capacity.Rooms:
-        rooms = capacity.Rooms(self._profile, self._need)
+    def _rooms_of(self, engines: _Cell) -> capacity.LayerCapacity:
+        rooms = capacity.LayerCapacity(self._profile, self._need)
         for engine in engines:
             if engine.layers is not None:
                 rooms.add(engine, engine.layers)
--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -10,7 +10,7 @@
 from crowdeck import chain
 from crowdeck import http
 from crowdeck.platform import names
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 
 # Set by us, or meant for us alone: a caller's own value never goes on.
@@ -26,13 +26,13 @@
 )
 # Said by an upstream to whoever sends it requests, not to callers.
 _UPSTREAMS = frozenset({names.CULPRIT, names.LEAVING, names.LIMIT, names.LOAD})
-_HOP = frozenset(name.encode() for name in http.HOP_HEADERS)
+_HOP = frozenset(name.encode() for name in http.HOP_BY_HOP_HEADERS)
 _CONNECTION = b"connection"
 _HOST = b"host"
 _EVENT_ID = re.compile(rb"(?:^|[\r\n])id:[ ]?(\d+)[ ]*(?=[\r\n]|$)")
 LEAST_DEADLINE_MS = 1
 # The least urgent rank that engines know.
-LAST_RANK = 9
+LOWEST_PRIORITY = 9
 
 
 def decode(
@@ -52,7 +52,7 @@
         return None
     path = raw_path.decode("latin-1")
     target = path + ("?" + query.decode("latin-1") if query else "")
-    patience = _number(first.get(names.DEADLINE, b""))
+    timeout_ms = _number(first.get(names.DEADLINE, b""))
     host = first.get(_HOST, b"").decode("latin-1").lower()
     return requests.CallerRequest(
         id=request_id.decode("latin-1"),
@@ -63,17 +63,17 @@
         key=_key(first.get(names.AUTHORIZATION, b"")),
         headers=headers,
         body=body,
-        patience=None if patience is None else patience / 1000.0,
+        timeout_seconds=None if timeout_ms is None else timeout_ms / 1000.0,
         arrived=arrived,
         size=_size(first),
         last_event=int(_number(first.get(names.LAST_EVENT_ID, b"")) or -1),
     )
 
 
-def onward(
+def upstream_request_headers(
     request: requests.CallerRequest,
     upstream: chain.Upstream,
-    dispatch: reach.Dispatch,
+    dispatch: interfaces.Dispatch,
 ) -> http.RawHeaders:
     """Return the headers with which a request goes to an upstream."""
     dropped = _OURS | _HOP | _named_by_connection(request.headers)
@@ -83,9 +83,9 @@
     headers = [pair for pair in request.headers if pair[0] not in dropped]
     milliseconds = max(LEAST_DEADLINE_MS, int(dispatch.seconds_left * 1000))
     headers.append((names.DEADLINE, str(milliseconds).encode()))
-    headers.append((names.EXPECTED_INSTANCE, upstream.life.id.encode()))
+    headers.append((names.EXPECTED_INSTANCE, upstream.incarnation.id.encode()))
     headers.append(
-        (names.PRIORITY, str(min(LAST_RANK, dispatch.priority)).encode())
+        (names.PRIORITY, str(min(LOWEST_PRIORITY, dispatch.priority)).encode())
     )
     if dispatch.team:
         headers.append((names.TEAM, dispatch.team.encode()))
@@ -103,7 +103,7 @@
     return headers
 
 
-def back(headers: http.RawHeaders) -> http.RawHeaders:
+def caller_response_headers(headers: http.RawHeaders) -> http.RawHeaders:
     """Return the headers of an upstream's answer that go to the caller."""
     dropped = _HOP | _UPSTREAMS
     return [
@@ -139,7 +139,7 @@
     return ""
 
 
-def _size(first: dict[bytes, bytes]) -> requests.PromptSize | None:
+def _size(first: dict[bytes, bytes]) -> requests.TokenCounts | None:
     counts = first.get(names.TOKEN_COUNTS, b"").split(b",")
     if len(counts) != 2:
         return None
@@ -147,7 +147,7 @@
     if prompt is None or most is None:
         return None
     guess = _number(first.get(names.LENGTH_HINT, b"")) or 0
-    return requests.PromptSize(int(prompt), int(most), int(guess))
+    return requests.TokenCounts(int(prompt), int(most), int(guess))
 
 
 def _number(text: bytes) -> float | None:
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -27,8 +27,8 @@
 )
 
 _REPEATS = {
-    names.KIND_IDEMPOTENT: routes.Repeat.IDEMPOTENT,
-    names.KIND_STREAMING: routes.Repeat.STREAM,
+    names.KIND_IDEMPOTENT: routes.RepeatPolicy.IDEMPOTENT,
+    names.KIND_STREAMING: routes.RepeatPolicy.STREAM,
 }
 DEFAULT_TIMEOUT_MS = 20_000
 
@@ -54,8 +54,8 @@
 
 
 def _route(body: Json) -> routes.Route:
-    repeat = _REPEATS.get(body[names.ROUTE_KIND], routes.Repeat.ONCE)
-    is_resumable = repeat is routes.Repeat.STREAM and bool(
+    repeat = _REPEATS.get(body[names.ROUTE_KIND], routes.RepeatPolicy.ONCE)
+    is_resumable = repeat is routes.RepeatPolicy.STREAM and bool(
         body.get(names.RESUMABLE, False)
     )
     return routes.Route(
@@ -71,18 +71,18 @@
             or body.get(names.TIMEOUT_MS, DEFAULT_TIMEOUT_MS)
         ),
         gap=_seconds(body.get(names.GAP_MS) or 0),
-        priority=int(body.get(names.RANK) or 0),
+        priority=int(body.get(names.CONFIG_PRIORITY) or 0),
         is_anonymous=bool(body.get(names.ANONYMOUS, False)),
         is_resumable=is_resumable,
     )
 
 
-def _shares(body: Json) -> tuple[routes.Share, ...]:
+def _shares(body: Json) -> tuple[routes.TrafficShare, ...]:
     split = body.get(names.SPLIT)
     if not split:
-        return (routes.Share(str(body[names.SERVICE]), 1.0),)
+        return (routes.TrafficShare(str(body[names.SERVICE]), 1.0),)
     return tuple(
-        routes.Share(str(one[names.SERVICE]), float(one[names.WEIGHT]))
+        routes.TrafficShare(str(one[names.SERVICE]), float(one[names.WEIGHT]))
         for one in split
     )
 
@@ -109,29 +109,29 @@
         step_ms=float(body[names.STEP_MS]),
         sequence_ms=float(body[names.SEQUENCE_MS]),
         context_ms=float(body[names.CONTEXT_MS]),
-        read_tokens_per_second=float(body[names.READ_RATE]),
+        prefill_tokens_per_second=float(body[names.READ_RATE]),
         activation_bytes=float(body[names.ACTIVATION_BYTES]),
-        pipe_bytes_per_second=float(body[names.PIPE_MBPS]) * 1e6 / 8,
+        zone_link_bytes_per_second=float(body[names.PIPE_MBPS]) * 1e6 / 8,
         load_seconds=float(models[0].get(names.LOAD_SECONDS, 0.0)),
-        loads_at_once=int(body.get(names.LOADS_AT_ONCE) or 1),
+        concurrent_loads=int(body.get(names.LOADS_AT_ONCE) or 1),
         slots=int(body[names.SLOTS]),
-        usual_prompt=float(usual.get(names.USUAL_PROMPT, 0.0)),
-        usual_answer=float(usual.get(names.USUAL_ANSWER, 0.0)),
+        mean_prompt_tokens=float(usual.get(names.USUAL_PROMPT, 0.0)),
+        mean_answer_tokens=float(usual.get(names.USUAL_ANSWER, 0.0)),
         cards={one.name: one for one in cards},
     )
 
 
-def _card(body: Json) -> chain.Card:
-    return chain.Card(
+def _card(body: Json) -> chain.AcceleratorType:
+    return chain.AcceleratorType(
         name=str(body[names.NAME]),
         memory_mb=float(body[names.CARD_MB]),
         step_factor=float(body[names.CARD_STEP]),
-        read_factor=float(body[names.CARD_READ]),
+        prefill_factor=float(body[names.CARD_READ]),
     )
 
 
 def _team(body: Json) -> routes.TeamKeys:
-    priority = body.get(names.RANK)
+    priority = body.get(names.CONFIG_PRIORITY)
     return routes.TeamKeys(
         name=str(body[names.NAME]),
         keys=frozenset(str(key) for key in body.get(names.API_KEYS) or ()),
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -21,7 +21,7 @@
 from crowdeck.platform import callers
 from crowdeck.platform import names
 from crowdeck.platform import upstreams
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 
 # A report or an order is answered at once by a sound engine; a link
@@ -51,7 +51,7 @@
     @property
     def caller_headers(self) -> http.RawHeaders:
         """The headers that go to the caller."""
-        return callers.back(self._response.headers)
+        return callers.caller_response_headers(self._response.headers)
 
     @property
     def has_not_run(self) -> bool:
@@ -71,7 +71,7 @@
         return self._response.find(names.CULPRIT).decode("latin-1")
 
     @property
-    def load(self) -> reach.Load | None:
+    def load(self) -> interfaces.Load | None:
         """The load that the upstream tells, if it does."""
         return _load(self._response)
 
@@ -106,9 +106,9 @@
 
     def __init__(self, client: http.HttpClient) -> None:
         self._client = client
-        self._listeners: list[reach.NoticeListener] = []
+        self._listeners: list[interfaces.NoticeListener] = []
 
-    def subscribe(self, listener: reach.NoticeListener) -> None:
+    def subscribe(self, listener: interfaces.NoticeListener) -> None:
         """Call ``listener`` with what each answer tells of its sender."""
         self._listeners.append(listener)
 
@@ -117,7 +117,7 @@
         self,
         upstream: chain.Upstream,
         request: requests.CallerRequest,
-        dispatch: reach.Dispatch,
+        dispatch: interfaces.Dispatch,
         timeouts: http.Timeouts,
     ) -> typing.AsyncIterator[UpstreamAnswer]:
         """Send a request and yield its answer once the head is here.
@@ -127,7 +127,7 @@
         async with self._client.open(
             request.method,
             f"http://{upstream.address}{request.target}",
-            callers.onward(request, upstream, dispatch),
+            callers.upstream_request_headers(request, upstream, dispatch),
             request.body,
             timeouts,
         ) as response:
@@ -149,7 +149,7 @@
                 errors.Code.UPSTREAM_FAILED, f"a report came with {status}"
             )
         report = upstreams.decode_report(body)
-        if report.is_after(upstream.life):
+        if report.is_from_later_run(upstream.incarnation):
             raise errors.InstanceGone("its process has started again")
         return report
 
@@ -192,7 +192,7 @@
 
     async def repath(
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
-    ) -> reach.RepathOutcome:
+    ) -> interfaces.RepathOutcome:
         """Have a running request go on along another path.
 
         :param path: begins with the same first part as before.
@@ -205,10 +205,10 @@
         try:
             status, body, _ = await self._order(head, order)
         except errors.CrowdeckError:
-            return reach.RepathOutcome(is_done=False, is_known=False)
+            return interfaces.RepathOutcome(is_done=False, is_known=False)
         if status in (200, 202):
-            return reach.RepathOutcome(is_done=True, is_known=True)
-        return reach.RepathOutcome(
+            return interfaces.RepathOutcome(is_done=True, is_known=True)
+        return interfaces.RepathOutcome(
             is_done=False, is_known=status != 404, culprit=_address_in(body)
         )
 
@@ -222,7 +222,7 @@
     async def _exchange(
         self, method: str, upstream: chain.Upstream, path: str, body: bytes
     ) -> tuple[int, bytes, http.RawHeaders]:
-        headers = [(names.EXPECTED_INSTANCE, upstream.life.id.encode())]
+        headers = [(names.EXPECTED_INSTANCE, upstream.incarnation.id.encode())]
         if body:
             headers.append(_JSON_TYPE)
         async with self._client.open(
@@ -250,20 +250,20 @@
         """
         if response.status == _MISDIRECTED:
             return
-        notice = reach.Notice(
+        notice = interfaces.Notice(
             _backpressure(response), _load(response), answers_request
         )
         for listener in self._listeners:
             listener(upstream, notice)
 
 
-def _load(response: http.OpenResponse) -> reach.Load | None:
+def _load(response: http.OpenResponse) -> interfaces.Load | None:
     parts = response.find(names.LOAD).split(b",")
     try:
         running, waiting, slots = (int(part) for part in parts)
     except ValueError:
         return None
-    return reach.Load(running, waiting, slots)
+    return interfaces.Load(running, waiting, slots)
 
 
 def _backpressure(response: http.OpenResponse) -> pressures.Backpressure:
--- a/src/crowdeck/platform/orders.py
+++ b/src/crowdeck/platform/orders.py
@@ -12,8 +12,8 @@
 from crowdeck import verdict as verdicts
 
 
-class EngineOrders:
-    """Implements ``placement.duty.Orders`` over engines' own calls."""
+class PlacementOrderClient:
+    """Implements ``placement.controller.OrderClient`` by calls to engines."""
 
     def __init__(self, client: engines.UpstreamClient) -> None:
         self._client = client
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -18,7 +18,7 @@
 
 _STATES = frozenset({names.STATE_READY, names.STATE_DRAINING})
 # Layers that a model may have at most; what counts them makes room for each.
-LAYERS_MOST = 65_536
+MAX_LAYER_COUNT = 65_536
 # What reading a body of wrong types or sizes may raise.
 _WRONG = (AttributeError, KeyError, OverflowError, TypeError, ValueError)
 
@@ -31,13 +31,13 @@
     """
     try:
         body = orjson.loads(stored.value)
-        life = chain.Life(
+        incarnation = chain.Incarnation(
             fields.token({names.ID: stored.name}, names.ID), _born(body)
         )
         return chain.Upstream(
-            name=life.name,
-            instance_id=life.id if life.born else "",
-            born=life.born,
+            name=incarnation.name,
+            instance_id=incarnation.id if incarnation.started_ms else "",
+            started_ms=incarnation.started_ms,
             service=fields.text(body, names.SERVICE),
             address=instances.Address.parse(fields.text(body, names.ADDRESS)),
             availability_zone=fields.text(body, names.ZONE, ""),
@@ -73,7 +73,7 @@
                 )
                 for one in fields.entries(body, names.STALLED)
             ),
-            born=_born(body),
+            started_ms=_born(body),
         )
     except _WRONG as error:
         raise _malformed("an engine's report", error) from None
@@ -100,7 +100,7 @@
         return None
     first = fields.whole(told, names.FIRST_LAYER)
     end = fields.whole(told, names.END_LAYER)
-    if end > LAYERS_MOST:
+    if end > MAX_LAYER_COUNT:
         raise ValueError(f"no model has {end} layers")
     return pipeline.LayerRange(first, end) if end > first else None
 
--- a/src/crowdeck/quarantine/ledger.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -20,7 +20,7 @@
 from crowdeck import errors
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.quarantine import causes
+from crowdeck.quarantine import attribution
 from crowdeck.quarantine import evidence
 from crowdeck.quarantine import fingerprint
 from crowdeck import verdict as verdicts
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class Trial:
+class AttemptRecord:
     """A request that an instance was given, and what came of it there.
 
     :ivar seconds_begun: how long ago its first event came from there, or
@@ -77,11 +77,11 @@
 
 @attrs.frozen
 class _Pending:
-    trial: Trial
+    attempt_record: AttemptRecord
     until: float
 
 
-class Ledger:
+class QuarantineTracker:
     """Ends of instances, as this entry and the others saw them.
 
     :param clock: returns the time of day, in seconds.
@@ -120,7 +120,7 @@
         """Call ``listener`` after a request has been put in quarantine."""
         self._listeners.append(listener)
 
-    def is_culprit(self, request: fingerprint.Fingerprint) -> bool:
+    def is_quarantined(self, request: fingerprint.Fingerprint) -> bool:
         """Whether a request is to be sent on no more."""
         if self._clock() >= self._judge_at:
             self._judge()
@@ -130,12 +130,12 @@
         """Whether an instance has ended under a request."""
         return request in self._suspects
 
-    def settles_in(self) -> float:
+    def seconds_to_settle(self) -> float:
         """Return in how many seconds all entries' parts are known."""
         settles_at = self._last_end + SETTLE_SECONDS
         return min(max(0.0, settles_at - self._clock()), SETTLE_SECONDS)
 
-    def refuse(
+    def refusal_error(
         self, request: fingerprint.Fingerprint, has_run: bool
     ) -> errors.CrowdeckError:
         """Return the error with which a culprit is refused.
@@ -154,23 +154,29 @@
             retry_after=KEEP_SECONDS,
         )
 
-    def note_lost(self, instance: str, trial: Trial) -> None:
+    def note_connection_lost(
+        self, instance: str, attempt_record: AttemptRecord
+    ) -> None:
         """Note an attempt whose connection broke or whose instance is mute.
 
         It counts once the instance is known to have ended.
         """
-        self._note(instance, trial, PENDING_SECONDS)
+        self._note(instance, attempt_record, PENDING_SECONDS)
 
-    def note_left(self, instance: str, trial: Trial) -> None:
+    def note_cancelled(
+        self, instance: str, attempt_record: AttemptRecord
+    ) -> None:
         """Note an attempt that its caller left before its end."""
-        self._note(instance, trial, LEFT_SECONDS)
+        self._note(instance, attempt_record, LEFT_SECONDS)
 
     def note_end(self, instance: str) -> None:
         """Note that an instance has ended, and not as planned."""
         now = anyio.current_time()
         pending = self._pending.pop(instance, ())
-        trials = [one.trial for one in pending if one.until >= now]
-        self._take_end(instance, trials)
+        attempt_records = [
+            one.attempt_record for one in pending if one.until >= now
+        ]
+        self._take_end(instance, attempt_records)
 
     def forget(self, instance: str) -> None:
         """Note that an instance has ended as planned."""
@@ -219,13 +225,15 @@
             known = known.with_served(served)
         return known
 
-    def _note(self, instance: str, trial: Trial, seconds: float) -> None:
-        if not trial.is_suspect:
+    def _note(
+        self, instance: str, attempt_record: AttemptRecord, seconds: float
+    ) -> None:
+        if not attempt_record.is_suspect:
             return
         self._drop_outdated()
         until = anyio.current_time() + seconds
         line = self._pending.setdefault(instance, [])
-        line.append(_Pending(trial, until))
+        line.append(_Pending(attempt_record, until))
 
     def _drop_outdated(self) -> None:
         now = anyio.current_time()
@@ -233,13 +241,15 @@
             if line[-1].until < now:
                 del self._pending[instance]
 
-    def _take_end(self, instance: str, trials: list[Trial]) -> None:
-        if not trials:
+    def _take_end(
+        self, instance: str, attempt_records: list[AttemptRecord]
+    ) -> None:
+        if not attempt_records:
             return
         unbegun = frozenset(
-            one.request for one in trials if one.seconds_begun is None
+            one.request for one in attempt_records if one.seconds_begun is None
         )
-        begun = frozenset(one.request for one in trials) - unbegun
+        begun = frozenset(one.request for one in attempt_records) - unbegun
         now = self._clock()
         end = evidence.InstanceEnd(instance, now, unbegun, begun)
         self._own = self._valid(self._own).with_end(end, self._rank)
@@ -271,7 +281,7 @@
         return self._own != before
 
     def _forget_served(self, now: float) -> None:
-        since = now - causes.SERVED_SECONDS
+        since = now - attribution.SERVED_SECONDS
         while self._served:
             oldest = next(iter(self._served))
             is_needless = len(self._served) > SERVED_MOST
@@ -300,12 +310,12 @@
             for served in valid.served:
                 before = served_at.get(served.request, served.at)
                 served_at[served.request] = max(before, served.at)
-        cases = causes.open_cases(ends.values(), served_at)
-        self._suspects = causes.count(cases)
+        cases = attribution.open_cases(ends.values(), served_at)
+        self._suspects = attribution.count(cases)
         self._last_end = max((one.at for one in ends.values()), default=0.0)
-        settled = causes.settle(cases, now - SETTLE_SECONDS)
+        settled = attribution.settle(cases, now - SETTLE_SECONDS)
         self._judge_at = self._next_judgement(now)
-        self._change_to(causes.culprits(settled))
+        self._change_to(attribution.culprits(settled))
 
     def _next_judgement(self, now: float) -> float:
         """Return when time alone may change what is found."""
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -12,11 +12,11 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import http
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.relay import context as contexts
 from crowdeck.relay import events
+from crowdeck.relay import interfaces
 from crowdeck.relay import live
-from crowdeck.relay import reach
 from crowdeck.relay import request as requests
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
@@ -28,7 +28,7 @@
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
 
-class Watch(typing.Protocol):
+class StreamMonitor(typing.Protocol):
     """Looks after streams in progress."""
 
     def add(self, stream: live.LiveStream) -> None:
@@ -47,7 +47,7 @@
         """Ask an instance whose connection broke; true if it is gone."""
         ...
 
-    def suspect(self, upstream: chain.Upstream) -> None:
+    def check_now(self, upstream: chain.Upstream) -> None:
         """Look at once into all streams that pass an engine."""
         ...
 
@@ -61,7 +61,7 @@
     def __init__(
         self,
         context: contexts.RelayContext,
-        watch: Watch,
+        watch: StreamMonitor,
         stream: live.LiveStream,
         admitted: tables.Admitted,
         sink: requests.Sink,
@@ -85,7 +85,7 @@
             come to its end.
         """
         left = self._deadline - anyio.current_time()
-        dispatch = reach.Dispatch(
+        dispatch = interfaces.Dispatch(
             self._admitted.team,
             self._admitted.priority,
             left,
@@ -108,7 +108,7 @@
             culprit=self._path.head.name,
         )
 
-    async def _pass_on(self, answer: reach.Answer) -> None:
+    async def _pass_on(self, answer: interfaces.Answer) -> None:
         self._stream.sends.arrive()
         if answer.load is not None:
             self._context.usage.note_load(self._path.head, answer.load.running)
@@ -129,12 +129,12 @@
             raise self._wrong("it ends in the middle of an event")
         if not self._sink.has_started:
             raise self._wrong("it holds no event")
-        self._context.book.trust(self._path.head.name)
+        self._context.registry.note_healthy(self._path.head.name)
         await self._sink.finish()
 
     async def _pass_event(
         self,
-        answer: reach.Answer,
+        answer: interfaces.Answer,
         event: events.Event,
     ) -> None:
         stream = self._stream
@@ -154,16 +154,16 @@
         if event.id is not None:
             stream.last_event = event.id
 
-    def _refusal(self, answer: reach.Answer) -> errors.CrowdeckError:
+    def _refusal(self, answer: interfaces.Answer) -> errors.CrowdeckError:
         culprit = self._culprit(answer)
         if culprit.name != self._path.head.name:
-            self._watch.suspect(culprit)
+            self._watch.check_now(culprit)
             # Full, or gone: one that answers is merely full.
             self._watch.verify(culprit)
         is_stale = answer.status == STALE_STATUS
-        self._context.book.pause(
+        self._context.registry.pause(
             culprit.name,
-            books.STALE_SECONDS if is_stale else books.FULL_SECONDS,
+            registries.STALE_SECONDS if is_stale else registries.FULL_SECONDS,
             f"refused with {answer.status}",
         )
         return errors.CrowdeckError(
@@ -172,7 +172,7 @@
             culprit=culprit.name,
         )
 
-    def _culprit(self, answer: reach.Answer) -> chain.Upstream:
+    def _culprit(self, answer: interfaces.Answer) -> chain.Upstream:
         """Return the engine that a refusal is due to.
 
         It names an address; who was meant is whom the path has there.
@@ -180,11 +180,17 @@
         for hop in self._path.hops:
             if str(hop.upstream.address) == answer.culprit:
                 return hop.upstream
-        return self._context.book.at(answer.culprit) or self._path.head
+        return (
+            self._context.registry.find_by_address(answer.culprit)
+            or self._path.head
+        )
 
-    async def _pass_failure(self, answer: reach.Answer) -> None:
+    async def _pass_failure(self, answer: interfaces.Answer) -> None:
         body = await answer.read(BODY_LIMIT)
-        if self._sink.has_started or answer.status in requests.PROMISES:
+        if (
+            self._sink.has_started
+            or answer.status in requests.NOT_RUN_STATUSES
+        ):
             raise self._wrong(f"status {answer.status}")
         if self._route.is_resumable and answer.status >= 500:
             raise self._wrong(f"status {answer.status}")
--- a/src/crowdeck/relay/needs.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -14,7 +14,7 @@
 import attrs
 
 from crowdeck import chain
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.routing import rate_limits
@@ -27,16 +27,16 @@
 NAMED_MOST = 5
 
 
-class Kind(enum.StrEnum):
+class SignalKind(enum.StrEnum):
     """What an instance asks for."""
 
     LIMIT = "limit"
-    REST = "rest"
+    BACKOFF = "rest"
     LEAVING = "leaving"
 
 
 @attrs.frozen
-class Need:
+class BackpressureSignal:
     """What one instance asks for.
 
     :ivar since: the loop's time at which this entry learned of it.
@@ -47,7 +47,7 @@
     """
 
     upstream: chain.Upstream
-    kind: Kind
+    kind: SignalKind
     since: float
     per_second: float | None = None
     used: float | None = None
@@ -55,7 +55,7 @@
     seconds_left: float | None = None
 
     @property
-    def key(self) -> tuple[str, Kind]:
+    def key(self) -> tuple[str, SignalKind]:
         """What tells it from others."""
         return self.upstream.name, self.kind
 
@@ -80,18 +80,20 @@
         }
 
 
-class Needs:
+class BackpressureMonitor:
     """Gathers what instances ask of this entry, or of all."""
 
     def __init__(
-        self, book: books.UpstreamBook, limits: rate_limits.RateLimits
+        self,
+        registry: registries.UpstreamRegistry,
+        limits: rate_limits.RateLimits,
     ) -> None:
-        self._book = book
+        self._registry = registry
         self._limits = limits
-        self._known: dict[tuple[str, Kind], Need] = {}
+        self._known: dict[tuple[str, SignalKind], BackpressureSignal] = {}
         self._gauges: set[str] = set()
 
-    def now(self) -> tuple[Need, ...]:
+    def now(self) -> tuple[BackpressureSignal, ...]:
         """Return what is asked for now."""
         return (*self._limited(), *self._resting(), *self._leaving())
 
@@ -101,16 +103,18 @@
         The first few of them; they are named with a request.
         """
         names = itertools.chain(
-            (name for name, _, _ in self._book.resting()),
-            (name for name, _ in self._book.said_leaving()),
+            (name for name, _, _ in self._registry.backing_off()),
+            (name for name, _ in self._registry.announced_leaving()),
             self._limits.names(),
         )
         found = (
             str(one.address)
             for name in dict.fromkeys(names)
-            if (one := self._book.find(name)) is not None
+            if (one := self._registry.find(name)) is not None
             and one.service == service
-            and not (self._book.is_usable(name) and self._limits.allows(one))
+            and not (
+                self._registry.is_usable(name) and self._limits.allows(one)
+            )
         )
         return ",".join(itertools.islice(found, NAMED_MOST))
 
@@ -120,32 +124,34 @@
             self._look()
             await anyio.sleep(LOOK_SECONDS)
 
-    def _limited(self) -> typing.Iterator[Need]:
+    def _limited(self) -> typing.Iterator[BackpressureSignal]:
         for one in self._limits.views():
-            upstream = self._book.find(one.name)
+            upstream = self._registry.find(one.name)
             if upstream is not None:
-                yield Need(
+                yield BackpressureSignal(
                     upstream,
-                    Kind.LIMIT,
+                    SignalKind.LIMIT,
                     one.since,
                     per_second=one.per_second,
                     used=one.used,
                     share=one.share,
                 )
 
-    def _resting(self) -> typing.Iterator[Need]:
+    def _resting(self) -> typing.Iterator[BackpressureSignal]:
         now = anyio.current_time()
-        for name, since, until in self._book.resting():
-            upstream = self._book.find(name)
+        for name, since, until in self._registry.backing_off():
+            upstream = self._registry.find(name)
             if upstream is not None:
                 left = until - now
-                yield Need(upstream, Kind.REST, since, seconds_left=left)
+                yield BackpressureSignal(
+                    upstream, SignalKind.BACKOFF, since, seconds_left=left
+                )
 
-    def _leaving(self) -> typing.Iterator[Need]:
-        for name, since in self._book.said_leaving():
-            upstream = self._book.find(name)
+    def _leaving(self) -> typing.Iterator[BackpressureSignal]:
+        for name, since in self._registry.announced_leaving():
+            upstream = self._registry.find(name)
             if upstream is not None:
-                yield Need(upstream, Kind.LEAVING, since)
+                yield BackpressureSignal(upstream, SignalKind.LEAVING, since)
 
     def _look(self) -> None:
         found = {one.key: one for one in self.now()}
@@ -156,12 +162,12 @@
         self._known = found
         self._set_gauges(found.values())
 
-    def _set_gauges(self, found: typing.Iterable[Need]) -> None:
+    def _set_gauges(self, found: typing.Iterable[BackpressureSignal]) -> None:
         levels: dict[str, float] = collections.defaultdict(float)
         for one in found:
             where = f"{one.upstream.service}.{one.upstream.availability_zone}"
             levels[f"needs.{one.kind}.{where}"] += 1
-            if one.kind is Kind.LIMIT:
+            if one.kind is SignalKind.LIMIT:
                 allowed = f"needs.allowed_per_second.{where}"
                 used = f"needs.used_per_second.{where}"
                 levels[allowed] += one.per_second or 0.0
@@ -171,7 +177,7 @@
             counters.COUNTERS.set_gauge(name, levels[name])
 
 
-def _log(what: str, needs: list[Need]) -> None:
+def _log(what: str, needs: list[BackpressureSignal]) -> None:
     for one in needs[:LINES_MOST]:
         logs.change(what, **one.as_fields())
     others = needs[LINES_MOST:]
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -17,10 +17,10 @@
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import attempt as attempts
 from crowdeck.relay import context as contexts
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 from crowdeck import route as routes
 from crowdeck.routing import balance
@@ -62,7 +62,7 @@
     """Passes calls on to the instances of plain services."""
 
     def __init__(
-        self, context: contexts.RelayContext, watch: attempts.Watch
+        self, context: contexts.RelayContext, watch: attempts.StreamMonitor
     ) -> None:
         self._context = context
         self._watch = watch
@@ -81,7 +81,7 @@
         """
         budget = self._context.budget(service.name)
         budget.earn()
-        sends = budget.open_sends()
+        sends = budget.track_sends()
         call = _Call(
             self._context,
             self._watch,
@@ -106,12 +106,12 @@
     def __init__(
         self,
         context: contexts.RelayContext,
-        watch: attempts.Watch,
+        watch: attempts.StreamMonitor,
         balancer: balance.Balancer,
         request: requests.CallerRequest,
         admitted: tables.Admitted,
         service: routes.Service,
-        sends: budgets.Sends,
+        sends: budgets.SendTracker,
     ) -> None:
         self._context = context
         self._watch = watch
@@ -121,8 +121,8 @@
         self._admitted = admitted
         self._service = service
         self._route = admitted.route
-        patience = request.patience or self._route.timeout
-        limit = min(patience, self._route.timeout)
+        timeout_seconds = request.timeout_seconds or self._route.timeout
+        limit = min(timeout_seconds, self._route.timeout)
         self._deadline = request.arrived + limit - ANSWER_MARGIN
         self._tried: set[str] = set()
         self._sent = 0
@@ -151,7 +151,7 @@
                     return failed
                 raise self._failure(error) from None
             if not answer.has_failed:
-                self._context.ledger.note_served(self._fingerprint)
+                self._context.quarantine.note_served(self._fingerprint)
                 return answer
             failed = answer
             if not self._may_go_on(answer.verdict):
@@ -169,11 +169,13 @@
 
         :raises CrowdeckError: ``QUARANTINED``.
         """
-        ledger = self._context.ledger
-        if ledger.is_empty or not ledger.is_culprit(self._fingerprint):
+        quarantine = self._context.quarantine
+        if quarantine.is_empty or not quarantine.is_quarantined(
+            self._fingerprint
+        ):
             return
         has_run = self._verdict is not verdicts.Verdict.NOT_RUN
-        raise ledger.refuse(self._fingerprint, has_run)
+        raise quarantine.refusal_error(self._fingerprint, has_run)
 
     async def _note_loss(
         self, upstream: chain.Upstream, error: errors.CrowdeckError
@@ -183,8 +185,10 @@
             return
         if error.code is not errors.Code.UPSTREAM_LOST:
             return
-        trial = ledgers.Trial(self._fingerprint, None)
-        self._context.ledger.note_lost(upstream.name, trial)
+        attempt_record = trackers.AttemptRecord(self._fingerprint, None)
+        self._context.quarantine.note_connection_lost(
+            upstream.name, attempt_record
+        )
         if await self._watch.has_ended(upstream):
             self._context.note_end(upstream)
 
@@ -194,11 +198,13 @@
         :raises CrowdeckError: ``NO_PATH`` where none takes a call in time.
         """
         until = self._request.arrived + WAIT_SHARE * self._route.objective
-        self._held_back = self._context.needs.held_back(self._service.name)
-        line = self._context.line(self._service.name)
+        self._held_back = self._context.backpressure.held_back(
+            self._service.name
+        )
+        wait_queue = self._context.wait_queue(self._service.name)
         # One that is tried again is not held up by those that can go to
         # instances which it has left behind.
-        if self._tried or not len(line):
+        if self._tried or not len(wait_queue):
             upstream = self._pick()
             if upstream is not None:
                 return upstream
@@ -206,10 +212,10 @@
             return await self._await_turn(until)
         # Counted before its wait: all that wait for one instance cannot be
         # served by the next request that it takes.
-        seconds = self._seconds_until(len(line))
+        seconds = self._seconds_until(len(wait_queue))
         if not self._may_wait(seconds, until):
             raise self._failure(self._none_left(seconds))
-        async with line.turn(until) as is_first:
+        async with wait_queue.turn(until) as is_first:
             if not is_first:
                 raise self._failure(self._none_left(self._seconds_until()))
             return await self._await_turn(until)
@@ -230,7 +236,7 @@
                 errors.CrowdeckError(errors.Code.DEADLINE, "no time is left")
             )
         limits = self._context.limits
-        usable = self._context.book.usable(self._service.name)
+        usable = self._context.registry.usable(self._service.name)
         fresh = self._fresh(usable)
         upstream = self._balancer.pick(filter(limits.allows, fresh))
         if upstream is not None:
@@ -243,8 +249,8 @@
 
         :param ahead: calls that are served before it.
         """
-        book = self._context.book
-        soon = self._fresh(book.usable_soon(self._service.name))
+        registry = self._context.registry
+        soon = self._fresh(registry.usable_after_backoff(self._service.name))
         return self._context.seconds_until_any(soon, ahead)
 
     @staticmethod
@@ -260,7 +266,7 @@
 
     async def _try(self, upstream: chain.Upstream) -> _Answer:
         self._tried.add(upstream.name)
-        self._context.usage.enter_call(upstream)
+        self._context.usage.add_call(upstream)
         began = anyio.current_time()
         seconds = self._try_seconds()
         try:
@@ -276,10 +282,10 @@
                 culprit=upstream.name,
             ) from None
         finally:
-            self._context.usage.leave_call(upstream)
+            self._context.usage.remove_call(upstream)
         took = anyio.current_time() - began
         self._balancer.note_answer(upstream, took, answer.has_failed)
-        self._context.book.trust(upstream.name)
+        self._context.registry.note_healthy(upstream.name)
         logs.decision(
             "call_answered",
             self._request.id,
@@ -298,7 +304,7 @@
         return left
 
     async def _exchange(self, upstream: chain.Upstream) -> _Answer:
-        dispatch = reach.Dispatch(
+        dispatch = interfaces.Dispatch(
             self._admitted.team,
             self._admitted.priority,
             self._left(),
@@ -314,7 +320,7 @@
             return await self._read(upstream, answer)
 
     async def _read(
-        self, upstream: chain.Upstream, answer: reach.Answer
+        self, upstream: chain.Upstream, answer: interfaces.Answer
     ) -> _Answer:
         if answer.load is not None:
             self._balancer.note_load(upstream, answer.load)
@@ -329,7 +335,7 @@
         if answer.status < 300 and not answer.is_signed:
             raise _wrong(upstream, "it bears no signature")
         body = await answer.read(CALL_BYTES)
-        if answer.status in requests.PROMISES:
+        if answer.status in requests.NOT_RUN_STATUSES:
             raise _wrong(upstream, f"{answer.status} without a promise")
         return _Answer(
             answer.status,
@@ -349,8 +355,8 @@
             # No connection was had, so it was not sent after all.
             self._sent -= 1
             self._sends.fail_to_send()
-            self._context.book.avoid(upstream.name, error.message)
-        elif not self._context.book.seconds_backing_off(upstream.name):
+            self._context.registry.avoid(upstream.name, error.message)
+        elif not self._context.registry.backoff_seconds_left(upstream.name):
             # One that refuses at once has nothing under way, and would look
             # like the freest to the next call. One that says for how long it
             # wants rest is sent nothing until then, and is sound afterwards.
@@ -395,7 +401,7 @@
             "no_instance",
             self._request.id,
             service=self._service.name,
-            listed=len(self._context.book.listed(self._service.name)),
+            listed=len(self._context.registry.listed(self._service.name)),
             held_back=self._held_back,
             ready_in=round(seconds, 3) if seconds else None,
             waited=round(anyio.current_time() - self._request.arrived, 3),
@@ -407,7 +413,7 @@
                 retry_after=RETRY_AFTER,
             )
         counters.COUNTERS.add("relay.limited")
-        spread = self._context.chance.uniform(0.0, RETRY_AFTER)
+        spread = self._context.rng.uniform(0.0, RETRY_AFTER)
         return errors.CrowdeckError(
             errors.Code.NO_PATH,
             "all instances are at their limits or want rest",
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -14,15 +14,15 @@
 
 from crowdeck import chain
 from crowdeck.membership import roster as rosters
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as trackers
+from crowdeck.relay import backpressure_monitor
 from crowdeck.relay import gaps as layer_gaps
-from crowdeck.relay import lateness
-from crowdeck.relay import needs as instance_needs
-from crowdeck.relay import reach
-from crowdeck.relay import returns
+from crowdeck.relay import interfaces
+from crowdeck.relay import loop_lag
+from crowdeck.relay import retry_advice
 from crowdeck.relay import waiting
 from crowdeck.routing import budget as budgets
 from crowdeck.routing import heads
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class BudgetTerms:
+class RetryBudgetSettings:
     """The terms of the retry budget, as the operator sets them."""
 
     ratio: float
@@ -61,36 +61,44 @@
     :ivar name: the entry's name.
     :ivar membership: the entries that share what is limited with it.
     :ivar loop: how late the entry's own event loop is.
-    :ivar ledger: requests under which instances ended.
+    :ivar quarantine: requests under which instances ended.
     """
 
     zone: str
-    book: books.UpstreamBook
-    client: reach.Upstreams
+    registry: registries.UpstreamRegistry
+    client: interfaces.Upstreams
     usage: usages.InFlight
     planner: hops.HopPlanner
-    terms: BudgetTerms
+    terms: RetryBudgetSettings
     began: float = float("-inf")
     name: str = ""
     membership: budgets.Membership = budgets.FixedMembership()
-    loop: lateness.LatenessMeter = attrs.field(factory=lateness.LatenessMeter)
-    chance: random.Random = attrs.field(factory=random.Random)
-    ledger: ledgers.Ledger = attrs.field(factory=ledgers.Ledger)
+    lag_meter: loop_lag.LoopLagMeter = attrs.field(
+        factory=loop_lag.LoopLagMeter
+    )
+    rng: random.Random = attrs.field(factory=random.Random)
+    quarantine: trackers.QuarantineTracker = attrs.field(
+        factory=trackers.QuarantineTracker
+    )
     limits: rate_limits.RateLimits = attrs.field(init=False)
-    return_times: returns.ReturnTimes = attrs.field(init=False)
+    retry_advisor: retry_advice.RetryAdvisor = attrs.field(init=False)
     gaps: layer_gaps.LayerGaps = attrs.field(init=False)
-    needs: instance_needs.Needs = attrs.field(init=False)
+    backpressure: backpressure_monitor.BackpressureMonitor = attrs.field(
+        init=False
+    )
     subset: subsets.EngineSubset = attrs.field(init=False)
-    _budgets: dict[str, budgets.SharedBudget] = attrs.field(factory=dict)
-    _lines: dict[str, waiting.WaitingLine] = attrs.field(factory=dict)
+    _budgets: dict[str, budgets.SharedRetryBudget] = attrs.field(factory=dict)
+    _wait_queues: dict[str, waiting.WaitQueue] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        self.return_times = returns.ReturnTimes(self.chance)
-        self.gaps = layer_gaps.LayerGaps(self.book)
+        self.retry_advisor = retry_advice.RetryAdvisor(self.rng)
+        self.gaps = layer_gaps.LayerGaps(self.registry)
         self.subset = subsets.EngineSubset(self.name, self.zone)
-        self.limits = rate_limits.RateLimits(self.usage, self.chance)
-        self.needs = instance_needs.Needs(self.book, self.limits)
-        self.book.subscribe_ends(self.note_end)
+        self.limits = rate_limits.RateLimits(self.usage, self.rng)
+        self.backpressure = backpressure_monitor.BackpressureMonitor(
+            self.registry, self.limits
+        )
+        self.registry.subscribe_ends(self.note_end)
         self.client.subscribe(self._take_notice)
 
     @property
@@ -101,19 +109,19 @@
         with all callers, an entry took sound engines for lost, 219 times
         in three seconds, and made each time a new connection.
         """
-        return CONNECT_SECONDS + LATE_FACTOR * self.loop.recent()
+        return CONNECT_SECONDS + LATE_FACTOR * self.lag_meter.recent()
 
     @property
     def heads(self) -> heads.HeadRecords:
         """How first engines have served this entry's streams."""
         return self.planner.heads
 
-    def budget(self, service: str) -> budgets.SharedBudget:
+    def budget(self, service: str) -> budgets.SharedRetryBudget:
         """Return this entry's share of a service's retry budget."""
         found = self._budgets.get(service)
         if found is None:
             terms = self.terms
-            found = budgets.SharedBudget(
+            found = budgets.SharedRetryBudget(
                 terms.ratio,
                 terms.slack,
                 terms.window,
@@ -138,12 +146,14 @@
         Entries together can send too much though each keeps to its own.
         """
         budget = self.budget(service)
-        counters.COUNTERS.set_gauge(f"relay.budget.{service}", budget.left)
+        counters.COUNTERS.set_gauge(
+            f"relay.budget.{service}", budget.remaining
+        )
         logs.decision(
             what,
             request,
             service=service,
-            left=round(budget.left, 2),
+            left=round(budget.remaining, 2),
             requests=budget.requests,
             entries=self.membership.entries,
             running=round(anyio.current_time() - self.began, 3),
@@ -156,19 +166,19 @@
         """
         self.limits.forget(upstream)
         if upstream.is_leaving:
-            self.ledger.forget(upstream.name)
+            self.quarantine.forget(upstream.name)
         else:
-            self.ledger.note_end(upstream.name)
+            self.quarantine.note_end(upstream.name)
 
     def _take_notice(
-        self, upstream: chain.Upstream, notice: reach.Notice
+        self, upstream: chain.Upstream, notice: interfaces.Notice
     ) -> None:
         """Take what an answer tells of the instance that gave it."""
         asked = notice.backpressure
         if asked.backoff:
-            self.book.back_off(upstream.name, asked.backoff)
+            self.registry.back_off(upstream.name, asked.backoff)
         if asked.is_leaving:
-            self.book.note_leaving(upstream.name)
+            self.registry.note_leaving(upstream.name)
         load = notice.load
         self.limits.note(
             upstream,
@@ -202,17 +212,17 @@
 
     def _seconds_until(self, upstream: chain.Upstream) -> float:
         return max(
-            self.limits.seconds_until(upstream),
-            self.book.seconds_backing_off(upstream.name),
+            self.limits.seconds_until_allowed(upstream),
+            self.registry.backoff_seconds_left(upstream.name),
         )
 
-    def line(self, service: str) -> waiting.WaitingLine:
+    def wait_queue(self, service: str) -> waiting.WaitQueue:
         """Return the line of requests that wait for a service's engines."""
-        return self._lines.setdefault(service, waiting.WaitingLine())
+        return self._wait_queues.setdefault(service, waiting.WaitQueue())
 
     def may_begin_anew(self, service: str) -> bool:
         """Whether the budget allows a stream to begin again elsewhere."""
-        return self.budget(service).left_share >= BUDGET_KEPT_SHARE
+        return self.budget(service).remaining_share >= BUDGET_KEPT_SHARE
 
     def follow(self, roster: rosters.Roster) -> None:
         """Share what is limited with the entries that a roster knows.
@@ -222,8 +232,8 @@
         assert not self._budgets, "budgets follow the roster from the first"
 
         def take() -> None:
-            self.usage.share_among(roster.zone_count, roster.entries)
-            self.limits.share_among(roster.entries)
+            self.usage.set_entry_count(roster.zone_count, roster.entries)
+            self.limits.set_entry_count(roster.entries)
 
         self.membership = roster
         roster.subscribe(take)
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -12,7 +12,7 @@
 import attrs
 
 from crowdeck import chain
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck import pipeline
@@ -23,7 +23,7 @@
 ROOM_REQUESTS = 4.0
 # Where what is left can hold the model it is whole again after the longest
 # load, and so much for noticing the loss, ordering and telling.
-ORDERED_SECONDS = 3.0
+ORDER_DELAY_SECONDS = 3.0
 LOOK_SECONDS = 0.5
 # Hundreds of requests a second find no path while layers are missing, and a
 # look at 1,000 engines takes a millisecond. No path is looked for more often.
@@ -75,7 +75,7 @@
         """
         if not self.can_be_held or not self.was_whole:
             return None
-        ready_at = self.engines_since + self.load_seconds + ORDERED_SECONDS
+        ready_at = self.engines_since + self.load_seconds + ORDER_DELAY_SECONDS
         left = ready_at - anyio.current_time()
         return left if left > 0.0 else None
 
@@ -118,7 +118,9 @@
     known = profile.cards.get(card)
     if known is None:
         return profile.layer_count
-    request = max(1.0, profile.usual_prompt + profile.usual_answer / 2.0)
+    request = max(
+        1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
+    )
     room = ROOM_REQUESTS * request * profile.token_layer_mb
     most = int(known.memory_mb / (profile.layer_mb + room))
     return min(profile.layer_count, most)
@@ -127,8 +129,8 @@
 class LayerGaps:
     """Finds the layers that no engine holds, and tells operators."""
 
-    def __init__(self, book: books.UpstreamBook) -> None:
-        self._book = book
+    def __init__(self, registry: registries.UpstreamRegistry) -> None:
+        self._registry = registry
         self._gaps: dict[str, Gap] = {}
         self._looked_at: dict[str, float] = {}
         self._whole: set[str] = set()
@@ -145,11 +147,12 @@
         if now - self._looked_at.get(service, -math.inf) < FRESH_SECONDS:
             return self._gaps.get(service)
         self._looked_at[service] = now
-        staying = chain.fitting(
+        staying = chain.engines_within(
             (
                 one
-                for one in self._book.listed(service)
-                if not one.is_leaving and not self._book.has_ended(one.name)
+                for one in self._registry.listed(service)
+                if not one.is_leaving
+                and not self._registry.has_ended(one.name)
             ),
             profile.layer_count,
         )
--- a/src/crowdeck/relay/ingress.py
+++ b/src/crowdeck/relay/ingress.py
@@ -15,7 +15,7 @@
 from crowdeck import http
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 from crowdeck import verdict as verdicts
 
@@ -37,7 +37,7 @@
         ...
 
     @property
-    def sends_callers_away(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether callers are to use other connections from now on."""
         ...
 
@@ -74,7 +74,7 @@
         """Send the head of an answer whose body follows in pieces."""
         self._has_started = True
         headers = [pair for pair in headers if pair[0] != b"content-length"]
-        if self._server.sends_callers_away:
+        if self._server.closes_connections:
             headers.append(_CLOSE)
         await self._send(
             {
@@ -102,7 +102,7 @@
         length = (b"content-length", str(len(body)).encode())
         self._has_started = True
         headers = [*headers, length]
-        if self._server.sends_callers_away:
+        if self._server.closes_connections:
             headers.append(_CLOSE)
         await self._send(
             {
@@ -124,7 +124,7 @@
 class Ingress:
     """Reads requests, has them served, and tells callers of failures."""
 
-    def __init__(self, server: Server, codec: reach.CallerCodec) -> None:
+    def __init__(self, server: Server, codec: interfaces.CallerCodec) -> None:
         self._server = server
         self._codec = codec
 
@@ -229,7 +229,11 @@
             return
         headers: http.RawHeaders = [_JSON_TYPE]
         has_not_run = error.verdict is verdicts.Verdict.NOT_RUN
-        if has_not_run and error.retry_after and status in requests.PROMISES:
+        if (
+            has_not_run
+            and error.retry_after
+            and status in requests.NOT_RUN_STATUSES
+        ):
             headers.append(self._codec.retry_after(error.retry_after))
         body = orjson.dumps(attrs.asdict(errors.ErrorReport.of(error)))
         await sink.reply(status, headers, body)
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -12,7 +12,7 @@
 
 from crowdeck import chain
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import request as requests
 from crowdeck import route as routes
 from crowdeck.routing import budget as budgets
@@ -50,7 +50,7 @@
     objective: float
     tokens: float
     _usage: usages.InFlight
-    sends: budgets.Sends
+    sends: budgets.SendTracker
     resumes: typing.Callable[[], bool] = lambda: False
     last_event: int = -1
     has_events: bool = False
@@ -91,12 +91,12 @@
         return self._fingerprint
 
     @property
-    def trial(self) -> ledgers.Trial:
+    def attempt_record(self) -> trackers.AttemptRecord:
         """What came of the attempt under way, or of the last one."""
         seconds = None
         if self._began_at is not None:
             seconds = anyio.current_time() - self._began_at
-        return ledgers.Trial(self.fingerprint, seconds)
+        return trackers.AttemptRecord(self.fingerprint, seconds)
 
     @property
     def path(self) -> chain.ChainPath | None:
@@ -121,7 +121,7 @@
         """Go on along another path."""
         self._leave_path()
         self._path = path
-        self._usage.enter(path, self.tokens)
+        self._usage.add_request(path, self.tokens)
 
     def end(self) -> None:
         """End the attempt."""
@@ -152,5 +152,5 @@
 
     def _leave_path(self) -> None:
         if self._path is not None:
-            self._usage.leave(self._path, self.tokens)
+            self._usage.remove_request(self._path, self.tokens)
             self._path = None
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -14,14 +14,14 @@
 from crowdeck.relay import context as contexts
 from crowdeck.relay import gaps
 from crowdeck.relay import live
-from crowdeck.relay import returns
+from crowdeck.relay import retry_advice
 from crowdeck.relay import waiting
 from crowdeck.routing import hops
 
 # Without a path a new request waits for streams to end and leave room.
 # Callers give up what shows nothing for two seconds; with what is left of
 # them after this, a sound engine begins even while it is crowded.
-NEW_WAIT_SECONDS = 1.2
+QUEUE_WAIT_SECONDS = 1.2
 # Where a layer is held by no engine that is listed, waiting does not help
 # within that time: loading takes longer. A watch may lag by so much after
 # the layer was first missed.
@@ -33,7 +33,7 @@
 # In a line each look is in vain but one, and a look in vain at a full fleet
 # of 38 engines takes 30 ms of a small entry's time: every 20 ms it left no
 # time for the streams under way.
-LINE_STEP = 0.08
+QUEUE_POLL_SECONDS = 0.08
 ALL_IN_NEED = "all engines of some layers are at their limits or want rest"
 
 
@@ -67,13 +67,15 @@
         :param has_begun: whether the caller has a part of the answer; such
             streams pass by the line, and wait longer.
         """
-        line = self._context.line(self._service)
+        wait_queue = self._context.wait_queue(self._service)
         path = None
         if has_begun:
             path = await self._await_begun()
-        elif self._has_turns(line) or (path := self._plan()) is None:
-            self._waited_for = self._context.needs.held_back(self._service)
-            path = await self._wait_in(line)
+        elif self._has_turns(wait_queue) or (path := self._plan()) is None:
+            self._waited_for = self._context.backpressure.held_back(
+                self._service
+            )
+            path = await self._wait_in(wait_queue)
         if path is None:
             self._note_no_path()
         return path
@@ -91,26 +93,28 @@
         return await self._poll(until)
 
     async def _wait_in(
-        self, line: waiting.WaitingLine
+        self, wait_queue: waiting.WaitQueue
     ) -> chain.ChainPath | None:
         """Return a path once it is this request's turn and there is one.
 
         Where the turn cannot be expected in time, nothing is waited for.
         """
         now = anyio.current_time()
-        until = self._arrived + NEW_WAIT_SECONDS
+        until = self._arrived + QUEUE_WAIT_SECONDS
         gap = self._gap()
         if gap is not None and not gap.closes_by(until):
             until = gap.since + MISSING_WAIT_SECONDS
         until = min(until, self._deadline)
-        expected = self._context.return_times.seconds_for(len(line) + 1)
+        expected = self._context.retry_advisor.seconds_until_room(
+            len(wait_queue) + 1
+        )
         expected = max(expected, self.seconds_until_taken())
-        if line.is_full or now + expected > until:
+        if wait_queue.is_full or now + expected > until:
             return None
-        async with line.turn(until) as is_first:
+        async with wait_queue.turn(until) as is_first:
             if not is_first:
                 return None
-            return await self._poll(until, LINE_STEP)
+            return await self._poll(until, QUEUE_POLL_SECONDS)
 
     async def _poll(
         self, until: float, step: float = WAIT_STEP
@@ -132,10 +136,12 @@
         """
         firsts = [
             one
-            for one in self._context.book.usable_soon(self._service)
+            for one in self._context.registry.usable_after_backoff(
+                self._service
+            )
             if one.layers is not None and one.layers.first == 0
         ]
-        ahead = len(self._context.line(self._service))
+        ahead = len(self._context.wait_queue(self._service))
         until_first = self._context.seconds_until_any(firsts, ahead)
         return max(until_first, self._seconds_until_rested())
 
@@ -145,20 +151,22 @@
         0 where there is one without them, or layers are missing all the
         same.
         """
-        book = self._context.book
-        if not book.resting():
+        registry = self._context.registry
+        if not registry.backing_off():
             return 0.0
         count = self._stream.profile.layer_count
-        usable = chain.fitting(book.usable(self._service), count)
+        usable = chain.engines_within(registry.usable(self._service), count)
         missing = gaps.missing_layers(usable, count)
-        soon = chain.fitting(book.usable_soon(self._service), count)
+        soon = chain.engines_within(
+            registry.usable_after_backoff(self._service), count
+        )
         if not missing or gaps.missing_layers(soon, count):
             return 0.0
         soonest = [float("inf")] * count
         for one in soon:
-            if one.layers is None or book.is_usable(one.name):
+            if one.layers is None or registry.is_usable(one.name):
                 continue
-            left = book.seconds_backing_off(one.name)
+            left = registry.backoff_seconds_left(one.name)
             for layer in range(one.layers.first, one.layers.end):
                 soonest[layer] = min(soonest[layer], left)
         return max(
@@ -167,25 +175,25 @@
             for layer in range(run.first, run.end)
         )
 
-    def _has_turns(self, line: waiting.WaitingLine) -> bool:
+    def _has_turns(self, wait_queue: waiting.WaitQueue) -> bool:
         """Whether others wait, for what will come."""
-        return bool(len(line)) and self._gap() is None
+        return bool(len(wait_queue)) and self._gap() is None
 
     def held_back(self) -> str:
         """Return which engines are in need, or were when a wait began."""
-        now = self._context.needs.held_back(self._service)
+        now = self._context.backpressure.held_back(self._service)
         return now or self._waited_for
 
     def refusal(self) -> errors.CrowdeckError:
         """Return the refusal of a stream that found no path."""
-        chance = self._context.chance
-        advice = self._context.return_times.advise()
+        rng = self._context.rng
+        advice = self._context.retry_advisor.estimate_delay()
         gap = self._gap()
         if gap is not None:
             counters.COUNTERS.add("relay.unheld")
             left = gap.seconds_left
             if left is not None:
-                advice = left + chance.uniform(0.0, returns.WINDOW_SECONDS)
+                advice = left + rng.uniform(0.0, retry_advice.WINDOW_SECONDS)
             return _no_path(_lack_of(gap), advice)
         seconds = self.seconds_until_taken()
         if seconds:
@@ -198,8 +206,8 @@
         return self._context.gaps.look(self._service, self._stream.profile)
 
     def _note_no_path(self) -> None:
-        book = self._context.book
-        usable = book.usable(self._service)
+        registry = self._context.registry
+        usable = registry.usable(self._service)
         count = self._stream.profile.layer_count
         held = chain.coverage(usable, count)
         missing = [layer for layer, copies in enumerate(held) if not copies]
@@ -208,7 +216,7 @@
         logs.decision(
             "no_path",
             self._stream.request.id,
-            listed=len(book.listed(self._service)),
+            listed=len(registry.listed(self._service)),
             usable=len(usable),
             missing_layers=len(missing),
             first_missing=missing[0] if missing else None,
@@ -221,8 +229,8 @@
         )
 
     def _plan(self) -> chain.ChainPath | None:
-        book = self._context.book
-        wanted = hops.Wanted(
+        registry = self._context.registry
+        wanted = hops.PathRequest(
             self._stream.profile,
             self._stream.tokens,
             self._context.zone,
@@ -231,14 +239,14 @@
         )
         usable = [
             one
-            for one in book.usable(self._service)
+            for one in registry.usable(self._service)
             if one.name not in self._excluded
         ]
         path = self._best_path(usable, wanted)
         if path is None or path.crossings:
             last = [
                 one
-                for one in book.last_resort(self._service)
+                for one in registry.usable_while_leaving(self._service)
                 if one.name not in self._excluded
             ]
             if last:
@@ -252,7 +260,7 @@
         return path
 
     def _best_path(
-        self, usable: list[chain.Upstream], wanted: hops.Wanted
+        self, usable: list[chain.Upstream], wanted: hops.PathRequest
     ) -> chain.ChainPath | None:
         """Return the best path over this entry's engines, or over all."""
         chosen = self._context.subset.pick(usable)
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -13,8 +13,8 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck.observe import counters
-from crowdeck.relay import lateness
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
+from crowdeck.relay import loop_lag
 
 # An engine that says nothing for so many beats is taken for silent. Sound
 # ones answer within 2 ms, those of another zone within 3; with 60 ms
@@ -63,22 +63,22 @@
 class Prober:
     """Asks engines for their reports, each at most once at a time.
 
-    :param may_ask: whether an engine, by its name, may be asked now. One
+    :param may_probe: whether an engine, by its name, may be asked now. One
         that wants rest is not; that it says nothing then proves nothing.
     """
 
     def __init__(
         self,
-        upstreams: reach.Upstreams,
-        may_ask: typing.Callable[[str], bool],
+        upstreams: interfaces.Upstreams,
+        may_probe: typing.Callable[[str], bool],
     ) -> None:
         self._upstreams = upstreams
-        self._may_ask = may_ask
+        self._may_probe = may_probe
         self._known: dict[str, Probe] = {}
         self._asking: dict[str, anyio.Event] = {}
 
     @property
-    def is_asking(self) -> bool:
+    def is_probing(self) -> bool:
         """Whether an engine was asked and has not answered yet."""
         return bool(self._asking)
 
@@ -98,7 +98,7 @@
                     return known
             waiting = self._asking.get(upstream.name)
             if waiting is None:
-                if not self._may_ask(upstream.name):
+                if not self._may_probe(upstream.name):
                     return Probe(upstream, None, "it wants rest", False, now)
                 return await self._ask(upstream)
             await waiting.wait()
@@ -178,7 +178,7 @@
     """Wait for the beats of a silent engine; true if enough were on time."""
     on_time = 0
     for _ in range(BEATS_MOST):
-        if await lateness.beat() <= lateness.LATE_SECONDS:
+        if await loop_lag.beat() <= loop_lag.LATE_SECONDS:
             on_time += 1
         if on_time >= SILENT_BEATS:
             return True
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -15,9 +15,9 @@
 from crowdeck.relay import attempt as attempts
 from crowdeck.relay import calls
 from crowdeck.relay import context as contexts
-from crowdeck.relay import lateness
+from crowdeck.relay import loop_lag
 from crowdeck.relay import request as requests
-from crowdeck.relay import returns
+from crowdeck.relay import retry_advice
 from crowdeck.relay import streams
 from crowdeck import route as routes
 from crowdeck.routing import routes as tables
@@ -112,7 +112,7 @@
         self,
         context: contexts.RelayContext,
         holder: ConfigHolder,
-        watch: attempts.Watch,
+        watch: attempts.StreamMonitor,
         age: Age,
         trust_seconds: float,
     ) -> None:
@@ -134,7 +134,7 @@
         return limits.body_bytes
 
     @property
-    def sends_callers_away(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether callers are to use other connections from now on.
 
         A planned stop has begun, or requests will soon be refused because
@@ -145,7 +145,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether new connections are welcome."""
-        return self._holder.table is not None and not self.sends_callers_away
+        return self._holder.table is not None and not self.closes_connections
 
     @property
     def _is_current(self) -> bool:
@@ -195,7 +195,7 @@
             )
         admitted = self._admit(table, request)
         self._refuse_overload()
-        name = tables.pick_service(admitted.route, self._context.chance)
+        name = tables.pick_service(admitted.route, self._context.rng)
         service = table.service(name) or routes.Service(name, 0)
         if service.profile is not None:
             await self._streams.serve(request, admitted, service, sink)
@@ -207,14 +207,14 @@
 
         :raises CrowdeckError: ``OVERLOADED``, not run.
         """
-        late = self._context.loop.recent()
-        if late > lateness.OVERLOAD_SECONDS:
+        late = self._context.lag_meter.recent()
+        if late > loop_lag.OVERLOAD_SECONDS:
             counters.COUNTERS.add("relay.shed")
             raise errors.CrowdeckError(
                 errors.Code.OVERLOADED,
                 f"this entry is {late:.2f} s late with {self._in_progress} "
                 "requests under way",
-                retry_after=self._context.return_times.advise(),
+                retry_after=self._context.retry_advisor.estimate_delay(),
             )
 
     def _admit(
@@ -240,5 +240,5 @@
         return errors.CrowdeckError(
             errors.Code.STORE_DOWN,
             f"the config was last known to be current {age:.1f} s ago",
-            retry_after=returns.ELSEWHERE_SECONDS,
+            retry_after=retry_advice.ELSEWHERE_SECONDS,
         )
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class PromptSize:
+class TokenCounts:
     """What a model request asks for, in tokens.
 
     :ivar prompt: tokens of the prompt.
@@ -26,20 +26,22 @@
     """
 
     prompt: int
-    most: int
-    guess: int = 0
+    max_answer: int
+    answer_hint: int = 0
 
-    def held(self, usual_answer: float) -> float:
+    def mean_tokens(self, mean_answer_tokens: float) -> float:
         """Return the tokens that the request holds on average as it runs.
 
         Half of its answer, not the whole: of the many that an engine runs
         at once some have begun and some are about to end. Guesses are off
         by half and more, so each counts as much as the mean answer does.
         """
-        answer = usual_answer
-        if self.guess:
-            answer = (self.guess + usual_answer) / 2.0
-        return self.prompt + min(float(self.most or answer), answer) / 2.0
+        answer = mean_answer_tokens
+        if self.answer_hint:
+            answer = (self.answer_hint + mean_answer_tokens) / 2.0
+        return (
+            self.prompt + min(float(self.max_answer or answer), answer) / 2.0
+        )
 
 
 @attrs.frozen
@@ -61,9 +63,9 @@
     key: str = attrs.field(repr=False)
     headers: http.RawHeaders = attrs.field(repr=False)
     body: bytes = attrs.field(repr=False)
-    patience: float | None
+    timeout_seconds: float | None
     arrived: float
-    size: PromptSize | None = None
+    size: TokenCounts | None = None
     last_event: int = -1
 
 
@@ -104,7 +106,7 @@
 
 
 # Statuses by which a caller is promised that its request has not run.
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 UNKNOWN_STATUS = 502
 LATE_STATUS = 504
 
@@ -118,4 +120,4 @@
         return status
     if error.code is errors.Code.DEADLINE:
         return LATE_STATUS
-    return UNKNOWN_STATUS if status in PROMISES else max(status, 500)
+    return UNKNOWN_STATUS if status in NOT_RUN_STATUSES else max(status, 500)
--- a/src/crowdeck/relay/returns.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -24,15 +24,15 @@
 ELSEWHERE_SECONDS = 0.25
 
 
-class ReturnTimes:
+class RetryAdvisor:
     """Spreads returns over the time in which room comes for them.
 
     Told the same short time, all that were refused in a burst come back
     into it together, and are refused again.
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self._chance = rng
         self._refused: collections.deque[float] = collections.deque()
         self._ended: collections.deque[float] = collections.deque()
 
@@ -41,7 +41,7 @@
         self._ended.append(anyio.current_time())
         self._forget(self._ended)
 
-    def seconds_for(self, count: int) -> float:
+    def seconds_until_room(self, count: int) -> float:
         """Return in how long room comes for ``count`` more, in seconds.
 
         0 where no stream was seen to end lately: nothing is known then.
@@ -51,7 +51,7 @@
             return 0.0
         return WINDOW_SECONDS * count / len(self._ended)
 
-    def advise(self) -> float:
+    def estimate_delay(self) -> float:
         """Return when one that is refused now should come back, in seconds.
 
         As many as were refused lately need as many ends to have room.
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -70,13 +70,15 @@
     head: chain.EngineReport | None = None
 
 
-class StallWatch:
+class StallMonitor:
     """Looks after the streams of one entry."""
 
     def __init__(self, context: contexts.RelayContext) -> None:
         self._context = context
-        self._lateness = context.loop
-        self._prober = probes.Prober(context.client, context.book.may_ask)
+        self._lateness = context.lag_meter
+        self._prober = probes.Prober(
+            context.client, context.registry.may_probe
+        )
         self._streams: set[live.LiveStream] = set()
         self._looking: set[live.LiveStream] = set()
         self._detours = detours.Detours(
@@ -84,13 +86,13 @@
         )
         self._to_verify: dict[str, chain.Upstream] = {}
         self._woken = anyio.Event()
-        context.book.subscribe_lapses(self.verify)
-        context.ledger.subscribe(self._stop_culprits)
+        context.registry.subscribe_lapses(self.verify)
+        context.quarantine.subscribe(self._stop_culprits)
 
     @property
-    def is_asking(self) -> bool:
+    def is_probing(self) -> bool:
         """Whether an engine was asked and has not answered yet."""
-        return self._prober.is_asking
+        return self._prober.is_probing
 
     def add(self, stream: live.LiveStream) -> None:
         """Look after a stream from now on."""
@@ -114,7 +116,9 @@
         """
         probe = await self._prober.ask(upstream)
         if probe.is_gone:
-            self._context.book.avoid(upstream.name, probe.reason, is_gone=True)
+            self._context.registry.avoid(
+                upstream.name, probe.reason, is_gone=True
+            )
             await self._detours.lead_around(upstream)
         elif upstream.card:
             # Plain services answer no such question otherwise.
@@ -127,12 +131,12 @@
         Several copies may be on their way at once. An engine drops what it
         has not begun when the connection closes.
         """
-        ledger = self._context.ledger
+        quarantine = self._context.quarantine
         for stream in tuple(self._streams):
-            if stream.begins and ledger.is_culprit(stream.fingerprint):
+            if stream.begins and quarantine.is_quarantined(stream.fingerprint):
                 stream.abandon("it ends the engines that begin it")
 
-    def suspect(self, upstream: chain.Upstream) -> None:
+    def check_now(self, upstream: chain.Upstream) -> None:
         """Look at once into all streams that pass an engine.
 
         A first engine refused a request because of it, which it knows
@@ -154,7 +158,7 @@
                 for upstream in self._to_verify.values():
                     tasks.start_soon(self._verify, upstream)
                 self._to_verify.clear()
-                for upstream in self._context.book.due_for_proof():
+                for upstream in self._context.registry.due_for_probe():
                     tasks.start_soon(self._verify, upstream)
                 if self._lateness.is_settling():
                     continue
@@ -192,12 +196,12 @@
     async def _verify(self, upstream: chain.Upstream) -> None:
         probe = await self._prober.ask(upstream)
         if await self._is_lost(probe, ()):
-            self._context.book.avoid(
+            self._context.registry.avoid(
                 upstream.name, probe.reason, is_gone=probe.is_gone
             )
             await self._detours.lead_around(upstream)
         elif probe.report is not None:
-            self._context.book.trust(upstream.name)
+            self._context.registry.note_healthy(upstream.name)
 
     async def _is_lost(
         self, probe: probes.Probe, others: tuple[chain.Upstream, ...]
@@ -212,7 +216,7 @@
             return False
         if probe.was_refused:
             return True
-        usable = self._context.book.usable(probe.upstream.service)
+        usable = self._context.registry.usable(probe.upstream.service)
         controls = [*others, *probes.controls(probe.upstream, usable)]
         answers: list[probes.Probe] = []
 
@@ -274,7 +278,7 @@
             waiting=found.head.waiting if found.head else None,
         )
         for culprit in found.culprits:
-            self._context.book.avoid(culprit.name, "silent in a stream")
+            self._context.registry.avoid(culprit.name, "silent in a stream")
         await self._detours.lead_around_all(found.culprits)
         if not found.culprits and self._is_hung(stream, path, found):
             self._give_up_hung(stream, path)
@@ -317,16 +321,16 @@
         """
         heads = self._context.heads
         name = path.head.name
-        if heads.has_begun_any(name, stream.moved_at):
+        if heads.has_first_event_since(name, stream.moved_at):
             return False
-        if heads.is_another_quick(name, QUICK_SHARE * stream.objective):
+        if heads.has_fast_alternative(name, QUICK_SHARE * stream.objective):
             return True
         # An entry with few streams may know of no other. One that was not
         # seen to be slow is worth the try when this one is late anyway.
         waited = anyio.current_time() - stream.moved_at
         return (
             waited > LATE_SHARE * stream.objective
-            and not heads.is_another_slow(name, stream.objective)
+            and not heads.has_slow_alternative(name, stream.objective)
         )
 
     def _give_up_hung(
@@ -362,7 +366,7 @@
                 return _Finding([path.head], True)
             return _Finding([], False)
         named = [
-            self._context.book.at(stall.address)
+            self._context.registry.find_by_address(stall.address)
             for stall in head.report.stalls
             if stall.request == stream.request.id
         ]
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -22,7 +22,7 @@
 
 # Attempts that an engine refused without running them: each shows some
 # engine that holds other layers or is full, so a few are worth making.
-REFUSED_TRIES = 4
+MAX_REFUSALS = 4
 # An answer that has begun is lost to its caller when it is cut, so more
 # are worth it; each waits for a path with room and for the budget. Three
 # times as many, by judgement and not by measurement.
@@ -41,7 +41,7 @@
     """Passes streams on, over paths of engines that it chooses."""
 
     def __init__(
-        self, context: contexts.RelayContext, watch: attempts.Watch
+        self, context: contexts.RelayContext, watch: attempts.StreamMonitor
     ) -> None:
         self._context = context
         self._watch = watch
@@ -60,15 +60,15 @@
         assert service.profile is not None
         budget = self._context.budget(service.name)
         budget.earn()
-        sends = budget.open_sends()
-        size = request.size or requests.PromptSize(0, 0)
+        sends = budget.track_sends()
+        size = request.size or requests.TokenCounts(0, 0)
         stream = live.LiveStream(
             request=request,
             service=service,
             profile=service.profile,
             gap=admitted.route.gap or admitted.route.objective,
             objective=admitted.route.objective,
-            tokens=size.held(service.profile.usual_answer),
+            tokens=size.mean_tokens(service.profile.mean_answer_tokens),
             usage=self._context.usage,
             sends=sends,
             last_event=request.last_event,
@@ -97,7 +97,7 @@
     def __init__(
         self,
         context: contexts.RelayContext,
-        watch: attempts.Watch,
+        watch: attempts.StreamMonitor,
         stream: live.LiveStream,
         admitted: tables.Admitted,
         sink: requests.Sink,
@@ -109,8 +109,8 @@
         self._route = admitted.route
         self._request = stream.request
         self._sink = sink
-        patience = self._request.patience or self._route.timeout
-        limit = min(patience, self._route.timeout)
+        timeout_seconds = self._request.timeout_seconds or self._route.timeout
+        limit = min(timeout_seconds, self._route.timeout)
         self._deadline = self._request.arrived + limit - ANSWER_MARGIN
         self._ran_on: set[str] = set()
         self._refusals = 0
@@ -129,9 +129,9 @@
             await self._refuse_culprit()
             if not await self._may_go_on(path, error):
                 raise self._failure(error)
-            if self._context.loop.is_overloaded:
+            if self._context.lag_meter.is_overloaded:
                 # Another attempt at once would make us later still.
-                await anyio.sleep(self._context.loop.recent())
+                await anyio.sleep(self._context.lag_meter.recent())
 
     async def _await_path(self) -> chain.ChainPath:
         """Return a path, waiting a little where there is none yet."""
@@ -154,14 +154,18 @@
 
         :raises CrowdeckError: ``QUARANTINED``.
         """
-        ledger = self._context.ledger
-        if ledger.is_empty or not ledger.is_culprit(self._stream.fingerprint):
+        quarantine = self._context.quarantine
+        if quarantine.is_empty or not quarantine.is_quarantined(
+            self._stream.fingerprint
+        ):
             return
         if self._ran_on:
-            await anyio.sleep(ledger.settles_in())
-            if not ledger.is_culprit(self._stream.fingerprint):
+            await anyio.sleep(quarantine.seconds_to_settle())
+            if not quarantine.is_quarantined(self._stream.fingerprint):
                 return
-        raise ledger.refuse(self._stream.fingerprint, bool(self._ran_on))
+        raise quarantine.refusal_error(
+            self._stream.fingerprint, bool(self._ran_on)
+        )
 
     async def _attempt(
         self, path: chain.ChainPath
@@ -202,7 +206,9 @@
             self._note_send(error)
             return error
         except anyio.get_cancelled_exc_class():
-            self._context.ledger.note_left(path.head.name, self._stream.trial)
+            self._context.quarantine.note_cancelled(
+                path.head.name, self._stream.attempt_record
+            )
             raise
         finally:
             self._stream.end()
@@ -227,8 +233,8 @@
 
     def _note_end(self, path: chain.ChainPath) -> None:
         stream = self._stream
-        self._context.ledger.note_served(stream.fingerprint)
-        self._context.return_times.note_end()
+        self._context.quarantine.note_served(stream.fingerprint)
+        self._context.retry_advisor.note_end()
         now = anyio.current_time()
         arrived = self._request.arrived
         first = (stream.first_event_at or now) - arrived
@@ -279,10 +285,12 @@
             return
         if error.code not in _LOSSES:
             return
-        trial = self._stream.trial
-        if not trial.is_suspect:
-            self._context.ledger.note_served(trial.request)
-        self._context.ledger.note_lost(head.name, trial)
+        attempt_record = self._stream.attempt_record
+        if not attempt_record.is_suspect:
+            self._context.quarantine.note_served(attempt_record.request)
+        self._context.quarantine.note_connection_lost(
+            head.name, attempt_record
+        )
         if error.code is errors.Code.STALLED:
             return
         if await self._watch.has_ended(head):
@@ -324,7 +332,7 @@
     def _refusals_most(self) -> int:
         if self._sink.has_started:
             return REFUSED_TRIES_BEGUN
-        return REFUSED_TRIES
+        return MAX_REFUSALS
 
     async def _reserve(self) -> bool:
         """Reserve one repeat of the budget; false where none can be had.
@@ -361,8 +369,8 @@
         silent for a moment does.
         """
         names = self._ran_on | {running_on} if running_on else self._ran_on
-        book = self._context.book
-        sound = sum(1 for name in names if not book.has_ended(name))
+        registry = self._context.registry
+        sound = sum(1 for name in names if not registry.has_ended(name))
         return self._route.max_attempts - sound
 
     def _failure(self, error: errors.CrowdeckError) -> errors.CrowdeckError:
@@ -372,6 +380,6 @@
             error.message,
             verdict=verdict,
             retry_after=error.retry_after
-            or self._context.return_times.advise(),
+            or self._context.retry_advisor.estimate_delay(),
             culprit=error.culprit,
         )
--- a/src/crowdeck/relay/survey.py
+++ b/src/crowdeck/relay/survey.py
@@ -60,7 +60,7 @@
             found = [
                 one
                 for service in services
-                for one in self._context.book.listed(service.name)
+                for one in self._context.registry.listed(service.name)
             ]
             if found:
                 return self._nearest(
@@ -84,4 +84,4 @@
                     reason=error.message,
                 )
                 return
-        self._context.usage.inherit(upstream, report.cache_used)
+        self._context.usage.note_existing_load(upstream, report.cache_used)
--- a/src/crowdeck/route.py
+++ b/src/crowdeck/route.py
@@ -12,7 +12,7 @@
 from crowdeck import chain
 
 
-class Repeat(enum.StrEnum):
+class RepeatPolicy(enum.StrEnum):
     """What a route says of running a request again."""
 
     IDEMPOTENT = "idempotent"
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Share:
+class TrafficShare:
     """A service's share of a route's requests."""
 
     service: str
@@ -43,8 +43,8 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
-    shares: tuple[Share, ...]
+    repeat: RepeatPolicy
+    shares: tuple[TrafficShare, ...]
     max_attempts: int
     timeout: float
     objective: float
@@ -56,7 +56,7 @@
     @property
     def may_repeat(self) -> bool:
         """Whether a request that may have run may be sent again."""
-        return self.repeat is Repeat.IDEMPOTENT or self.is_resumable
+        return self.repeat is RepeatPolicy.IDEMPOTENT or self.is_resumable
 
 
 @attrs.frozen
--- a/src/crowdeck/routing/balance.py
+++ b/src/crowdeck/routing/balance.py
@@ -32,10 +32,10 @@
 # of a slot. Who of such instances waited longest for a call gets it.
 EVEN_COST = 0.02
 # Records kept at most; instances that were replaced leave theirs behind.
-RECORDS_MOST = 2_000
+MAX_RECORDS = 2_000
 
 
-class LoadTold(typing.Protocol):
+class LoadReport(typing.Protocol):
     """What an instance said of its load."""
 
     @property
@@ -82,17 +82,17 @@
         )
         self._turns += 1
         self._record(found).turn = self._turns
-        if len(self._records) > RECORDS_MOST:
+        if len(self._records) > MAX_RECORDS:
             self._forget()
         return found
 
     def _forget(self) -> None:
         """Drop the records that were not added to for longest."""
         by_age = sorted(self._records.items(), key=lambda it: it[1].noted_at)
-        for name, _ in by_age[: RECORDS_MOST // 2]:
+        for name, _ in by_age[: MAX_RECORDS // 2]:
             del self._records[name]
 
-    def note_load(self, upstream: chain.Upstream, load: LoadTold) -> None:
+    def note_load(self, upstream: chain.Upstream, load: LoadReport) -> None:
         """Take what an instance told of its load."""
         record = self._record(upstream)
         record.load = float(load.running + load.waiting)
@@ -126,8 +126,8 @@
         record = self._record(upstream)
         age = anyio.current_time() - record.load_at
         told = record.load * max(0.0, 1.0 - age / LOAD_SECONDS)
-        own = self._usage.own(upstream)
-        cost = max(own, told) / max(1, upstream.slots)
+        own_requests = self._usage.own_requests(upstream)
+        cost = max(own_requests, told) / max(1, upstream.slots)
         cost += FAILURE_COST * self._failure(record)
         cost += SECOND_COST * record.seconds
         if upstream.availability_zone != self._zone:
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -26,26 +26,26 @@
     MISSING = "layers that no engine holds"
     MEMORY = "memory for requests"
     SLOTS = "requests at once at first engines"
-    READING = "reading of prompts"
+    PREFILL = "reading of prompts"
 
 
 @attrs.frozen
 class Bound:
     """The most that a group of engines can serve.
 
-    :ivar at_once: requests in progress.
+    :ivar concurrent_requests: requests in progress.
     :ivar answer_seconds: how long an answer of usual length takes with so
         many in progress.
     :ivar per_second: requests served in a second.
     :ivar binding: what it is that allows no more.
-    :ivar narrowest: the layers at which that is so.
+    :ivar bottleneck: the layers at which that is so.
     """
 
-    at_once: float
+    concurrent_requests: float
     answer_seconds: float
     per_second: float
     binding: Binding
-    narrowest: pipeline.LayerRange
+    bottleneck: pipeline.LayerRange
 
 
 Weigh = typing.Callable[[chain.Upstream, pipeline.LayerRange], float]
@@ -56,34 +56,42 @@
 ) -> Bound:
     """Return the bound of engines that serve one model together."""
     held = [one for one in engines if one.layers is not None]
-    usual = max(1.0, profile.usual_prompt + profile.usual_answer / 2.0)
+    usual = max(
+        1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
+    )
 
-    def room(engine: chain.Upstream, layers: pipeline.LayerRange) -> float:
-        tokens = profile.room(engine.card, layers.end - layers.first)
+    def token_capacity(
+        engine: chain.Upstream, layers: pipeline.LayerRange
+    ) -> float:
+        tokens = profile.token_capacity(engine.card, layers.end - layers.first)
         return max(0.0, tokens) / usual
 
     def reading(engine: chain.Upstream, layers: pipeline.LayerRange) -> float:
         share = (layers.end - layers.first) / profile.layer_count
-        factor = _card(engine, profile).read_factor
-        rate = profile.read_tokens_per_second / factor / share
-        return rate / max(1.0, profile.usual_prompt)
+        factor = _card(engine, profile).prefill_factor
+        rate = profile.prefill_tokens_per_second / factor / share
+        return rate / max(1.0, profile.mean_prompt_tokens)
 
-    memory, at_memory = _narrowest(held, profile, room)
+    memory, at_memory = _narrowest(held, profile, token_capacity)
     if memory <= 0.0:
         return Bound(0.0, 0.0, 0.0, Binding.MISSING, at_memory)
     slots = float(
         sum(one.slots for one in held if one.layers and not one.layers.first)
     )
-    at_once, binding, narrowest = memory, Binding.MEMORY, at_memory
+    concurrent_requests, binding, bottleneck = (
+        memory,
+        Binding.MEMORY,
+        at_memory,
+    )
     if slots < memory:
-        at_once, binding = slots, Binding.SLOTS
-        narrowest = pipeline.LayerRange(0, 1)
-    seconds = _answer_seconds(held, profile, at_once, usual)
-    per_second = at_once / seconds
+        concurrent_requests, binding = slots, Binding.SLOTS
+        bottleneck = pipeline.LayerRange(0, 1)
+    seconds = _answer_seconds(held, profile, concurrent_requests, usual)
+    per_second = concurrent_requests / seconds
     read, at_read = _narrowest(held, profile, reading)
     if read < per_second:
-        per_second, binding, narrowest = read, Binding.READING, at_read
-    return Bound(at_once, seconds, per_second, binding, narrowest)
+        per_second, binding, bottleneck = read, Binding.PREFILL, at_read
+    return Bound(concurrent_requests, seconds, per_second, binding, bottleneck)
 
 
 def _narrowest(
@@ -108,7 +116,7 @@
 def _answer_seconds(
     engines: list[chain.Upstream],
     profile: chain.EngineProfile,
-    at_once: float,
+    concurrent_requests: float,
     usual: float,
 ) -> float:
     """Return how long the tokens of a usual answer take.
@@ -125,15 +133,17 @@
             if one.layers is not None
             and one.layers.first <= layer < one.layers.end
         ]
-        together = at_once / len(inside)
+        together = concurrent_requests / len(inside)
         step = profile.step_ms + together * (profile.sequence_ms + context)
         factors = [_card(one, profile).step_factor for one in inside]
         total += step * sum(factors) / len(factors) / profile.layer_count
-    return max(1e-3, total * max(1.0, profile.usual_answer) / 1000.0)
+    return max(1e-3, total * max(1.0, profile.mean_answer_tokens) / 1000.0)
 
 
-def _card(engine: chain.Upstream, profile: chain.EngineProfile) -> chain.Card:
+def _card(
+    engine: chain.Upstream, profile: chain.EngineProfile
+) -> chain.AcceleratorType:
     """Return an engine's card; an unknown one is taken for the fastest."""
     return profile.cards.get(
-        engine.card, chain.Card(engine.card, 0.0, 1.0, 1.0)
+        engine.card, chain.AcceleratorType(engine.card, 0.0, 1.0, 1.0)
     )
--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -179,7 +179,7 @@
     return len(times) - bisect.bisect_left(times, since)
 
 
-class SharedBudget:
+class SharedRetryBudget:
     """This entry's share of a service's budget in a sliding window.
 
     All entries together may repeat ``ratio`` of the requests and ``slack``
@@ -227,7 +227,7 @@
         self._requests = _Tally(window / WINDOW_PARTS, 2 * WINDOW_PARTS)
 
     @property
-    def left(self) -> float:
+    def remaining(self) -> float:
         """Repeats that may be made now.
 
         Streams that wait for one ask many times a second, and what is left
@@ -245,17 +245,17 @@
         return self._left
 
     @property
-    def left_share(self) -> float:
+    def remaining_share(self) -> float:
         """The part of what may be repeated that is left, 0 to 1.
 
         0 where less than one repeat is left: who begins anew relies on it.
         """
-        left = self.left
-        if left < 1.0:
+        remaining = self.remaining
+        if remaining < 1.0:
             return 0.0
         earned = self._earned(self._requests_since())[0]
         allowed = self._share_since(self._began) * earned + self._slack_part()
-        return min(1.0, left / allowed)
+        return min(1.0, remaining / allowed)
 
     @property
     def requests(self) -> int:
@@ -266,9 +266,9 @@
         """Count a request."""
         self._requests.add()
 
-    def open_sends(self) -> "Sends":
+    def track_sends(self) -> "SendTracker":
         """Return the account of one request's sends; who has it closes it."""
-        return Sends(self, self._repeats, self._window)
+        return SendTracker(self, self._repeats, self._window)
 
     def _requests_since(self) -> list[int]:
         """Return how many came in the newest parts, from none to all."""
@@ -331,7 +331,7 @@
         return RESTART_SHARE * min(1.0, age / self._window)
 
 
-class Sends:
+class SendTracker:
     """How often one request is sent, and whether each time is known to end.
 
     A repeat counts from its reservation until one window after its arrival:
@@ -345,7 +345,7 @@
     """
 
     def __init__(
-        self, budget: SharedBudget, repeats: _Arrivals, window: float
+        self, budget: SharedRetryBudget, repeats: _Arrivals, window: float
     ) -> None:
         self._budget = budget
         self._repeats = repeats
@@ -361,7 +361,7 @@
         """
         if self._reserved_until is not None:
             return True
-        if self._budget.left < 1.0:
+        if self._budget.remaining < 1.0:
             return False
         self._reserved_until = self._repeats.send()
         return True
