--- a/src/crowdeck/routing/heads.py
+++ b/src/crowdeck/routing/heads.py
@@ -40,7 +40,7 @@
 BARRED_MS = 10_000.0
 # Records beyond which those that say nothing any more are dropped: engines
 # come and go all day, and each start of one has a name of its own.
-RECORDS_MOST = 200
+MAX_RECORDS = 200
 
 
 @attrs.define(eq=False)
@@ -74,7 +74,7 @@
 
     def begin(self, name: str, attempt: typing.Hashable) -> None:
         """Note that an attempt at a stream was sent to an engine."""
-        if len(self._records) > RECORDS_MOST:
+        if len(self._records) > MAX_RECORDS:
             self._drop_forgotten()
         record = self._records.setdefault(name, _Record())
         record.waiting[attempt] = anyio.current_time()
@@ -150,12 +150,12 @@
         oldest = next(iter(record.waiting.values()), now)
         return max(came, now - oldest)
 
-    def has_begun_any(self, name: str, since: float) -> bool:
+    def has_first_event_since(self, name: str, since: float) -> bool:
         """Whether any stream had its first event since a time."""
         record = self._records.get(name)
         return record is not None and record.first_at >= since
 
-    def is_another_quick(self, name: str, seconds: float) -> bool:
+    def has_fast_alternative(self, name: str, seconds: float) -> bool:
         """Whether another engine's streams begin within ``seconds``."""
         now = anyio.current_time()
         return any(
@@ -167,7 +167,7 @@
             for other, record in self._records.items()
         )
 
-    def is_another_slow(self, name: str, seconds: float) -> bool:
+    def has_slow_alternative(self, name: str, seconds: float) -> bool:
         """Whether streams at another engine take over ``seconds`` to begin."""
         return any(
             other != name and self.first_seconds(other) > seconds
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -41,13 +41,13 @@
         """Return how many requests pass an engine."""
         ...
 
-    def fullness(
+    def cache_utilization(
         self, upstream: chain.Upstream, profile: chain.EngineProfile
     ) -> float:
         """Return the used share of an engine's memory for requests."""
         ...
 
-    def pipe_load(
+    def zone_link_utilization(
         self, one: str, other: str, profile: chain.EngineProfile
     ) -> float:
         """Return the used share of the pipe between two zones."""
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class Wanted:
+class PathRequest:
     """What a path is wanted for.
 
     :ivar tokens: tokens that the request holds on average as it runs.
@@ -96,7 +96,7 @@
     def plan(
         self,
         engines: typing.Iterable[chain.Upstream],
-        wanted: Wanted,
+        wanted: PathRequest,
         head: chain.Hop | None = None,
     ) -> chain.ChainPath | None:
         """Return a path, or ``None`` where there is none with room.
@@ -107,19 +107,19 @@
         self._forget()
         usable = [one for one in engines if self._has_room(one, wanted)]
         holders = self._holders(usable, wanted, head)
-        search = cheapest.CheapestPath(
+        search = cheapest.CheapestPathSearch(
             holders,
             wanted.profile.layer_count,
             lambda before, after: self._crossing(before, after, wanted),
         )
         if head is not None:
-            search.offer(cheapest.Leg(0.0, 1, head, None))
+            search.offer(cheapest.PartialPath(0.0, 1, head, None))
         else:
             for leg in self._beginnings(usable, wanted):
                 search.offer(leg)
         return search.run()
 
-    def cost(self, path: chain.ChainPath, wanted: Wanted) -> float:
+    def cost(self, path: chain.ChainPath, wanted: PathRequest) -> float:
         """Return what a token costs along a path as planned, in ms."""
         self._forget()
         head = path.hops[0]
@@ -136,7 +136,7 @@
     def detour(
         self,
         engines: typing.Sequence[chain.Upstream],
-        wanted: Wanted,
+        wanted: PathRequest,
         path: chain.ChainPath,
         refused: typing.Container[str],
     ) -> chain.ChainPath | None:
@@ -167,7 +167,7 @@
             if part is None:
                 return self.plan(engines, wanted, path.hops[0])
             found += part
-        if len(found) > cheapest.HOPS_MOST:
+        if len(found) > cheapest.MAX_HOPS:
             return None
         return chain.ChainPath(tuple(found))
 
@@ -180,7 +180,7 @@
     def _bridge(
         self,
         engines: list[chain.Upstream],
-        wanted: Wanted,
+        wanted: PathRequest,
         layers: pipeline.LayerRange,
         before: chain.Hop | None,
     ) -> list[chain.Hop] | None:
@@ -204,7 +204,7 @@
     def _next_part(
         self,
         usable: list[chain.Upstream],
-        wanted: Wanted,
+        wanted: PathRequest,
         position: int,
         zone: str,
     ) -> chain.Upstream | None:
@@ -230,7 +230,7 @@
             return None
         return best
 
-    def _crossing(self, before: str, after: str, wanted: Wanted) -> float:
+    def _crossing(self, before: str, after: str, wanted: PathRequest) -> float:
         """Return what going from zone to zone costs, in ms a token.
 
         Infinite when the pipe between them is full: one prompt more would
@@ -240,28 +240,32 @@
             return 0.0
         found = self._crossings.get((before, after))
         if found is None:
-            load = self._usage.pipe_load(before, after, wanted.profile)
+            load = self._usage.zone_link_utilization(
+                before, after, wanted.profile
+            )
             found = float("inf")
             if load <= PIPE_MOST:
                 found = _crossing(wanted.profile) * (1.0 + load)
             self._crossings[before, after] = found
         return found
 
-    def _has_room(self, engine: chain.Upstream, wanted: Wanted) -> bool:
+    def _has_room(self, engine: chain.Upstream, wanted: PathRequest) -> bool:
         if engine.layers is None:
             return False
         kind = (engine.card, engine.layers.end - engine.layers.first)
-        room = self._rooms.get(kind)
-        if room is None:
-            room = self._rooms[kind] = wanted.profile.room(*kind)
-        if room == float("inf"):
+        token_capacity = self._rooms.get(kind)
+        if token_capacity is None:
+            token_capacity = self._rooms[kind] = wanted.profile.token_capacity(
+                *kind
+            )
+        if token_capacity == float("inf"):
             return True
-        used = self._full(engine, wanted) * room
-        return used + wanted.tokens <= room
+        used = self._full(engine, wanted) * token_capacity
+        return used + wanted.tokens <= token_capacity
 
     def _beginnings(
-        self, usable: list[chain.Upstream], wanted: Wanted
-    ) -> typing.Iterator[cheapest.Leg]:
+        self, usable: list[chain.Upstream], wanted: PathRequest
+    ) -> typing.Iterator[cheapest.PartialPath]:
         """Yield the parts that a path may begin with."""
         for engine in usable:
             layers = engine.layers
@@ -272,9 +276,11 @@
             if not wanted.may_begin(engine):
                 continue
             cost = self._beginning(engine, wanted)
-            yield cheapest.Leg(cost, 1, chain.Hop(engine, layers), None)
+            yield cheapest.PartialPath(
+                cost, 1, chain.Hop(engine, layers), None
+            )
 
-    def _beginning(self, engine: chain.Upstream, wanted: Wanted) -> float:
+    def _beginning(self, engine: chain.Upstream, wanted: PathRequest) -> float:
         """Return what a token costs at an engine that is the first."""
         cost = self._cost(engine, 0, wanted)
         if engine.availability_zone != wanted.zone:
@@ -284,7 +290,7 @@
     def _holders(
         self,
         usable: list[chain.Upstream],
-        wanted: Wanted,
+        wanted: PathRequest,
         head: chain.Hop | None,
     ) -> list[cheapest.Holder]:
         """Return for each zone and range of layers whom to pass there.
@@ -309,14 +315,14 @@
         return list(found.values())
 
     def _cost(
-        self, engine: chain.Upstream, position: int, wanted: Wanted
+        self, engine: chain.Upstream, position: int, wanted: PathRequest
     ) -> float:
         """Return what a token costs at an engine, in ms."""
         assert engine.layers is not None
         count = engine.layers.end - position
         return self._layer_ms(engine, wanted) * count
 
-    def _layer_ms(self, engine: chain.Upstream, wanted: Wanted) -> float:
+    def _layer_ms(self, engine: chain.Upstream, wanted: PathRequest) -> float:
         """Return what a token costs at an engine for each layer, in ms."""
         found = self._layer_costs.get(engine.name)
         if found is None:
@@ -325,7 +331,7 @@
             self._layer_costs[engine.name] = found
         return found
 
-    def _rate(self, engine: chain.Upstream, wanted: Wanted) -> float:
+    def _rate(self, engine: chain.Upstream, wanted: PathRequest) -> float:
         """Return what a token would cost with all layers, in ms."""
         profile = wanted.profile
         card = profile.cards.get(engine.card)
@@ -336,21 +342,21 @@
         full = self._full(engine, wanted)
         return step * factor * (1.0 + FULL_FACTOR * full * full)
 
-    def _full(self, engine: chain.Upstream, wanted: Wanted) -> float:
+    def _full(self, engine: chain.Upstream, wanted: PathRequest) -> float:
         found = self._fullness.get(engine.name)
         if found is None:
-            found = self._usage.fullness(engine, wanted.profile)
+            found = self._usage.cache_utilization(engine, wanted.profile)
             self._fullness[engine.name] = found
         return found
 
 
 def _crossing(profile: chain.EngineProfile) -> float:
     """Return what a crossing between zones costs, in ms a token."""
-    if not profile.pipe_bytes_per_second:
+    if not profile.zone_link_bytes_per_second:
         return CROSSING_MS
     token_ms = (
-        1000.0 * profile.activation_bytes / profile.pipe_bytes_per_second
+        1000.0 * profile.activation_bytes / profile.zone_link_bytes_per_second
     )
-    answer = max(1.0, profile.usual_answer)
-    tokens = 1.0 + profile.usual_prompt / answer
+    answer = max(1.0, profile.mean_answer_tokens)
+    tokens = 1.0 + profile.mean_prompt_tokens / answer
     return CROSSING_MS + PIPE_FACTOR * token_ms * tokens
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -14,7 +14,7 @@
 
 # What a first engine told of its load holds for about this long: half of
 # the requests that it counted have ended by then.
-TOLD_SECONDS = 1.5
+LOAD_REPORT_TTL_SECONDS = 1.5
 # Crossings between zones are counted over this time: about that in which
 # a prompt crosses a pipe that several others use as well.
 PIPE_SECONDS = 1.0
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class _Inherited:
-    cells: float
+    token_layers: float
     at: float
 
 
@@ -57,7 +57,7 @@
         self._entries = 1
         self._all_entries = 1
 
-    def share_among(self, entries: int, all_entries: int = 0) -> None:
+    def set_entry_count(self, entries: int, all_entries: int = 0) -> None:
         """Take this entry for one of ``entries`` with the same load.
 
         :param entries: entries of this availability zone.
@@ -66,19 +66,19 @@
         self._entries = max(1, entries)
         self._all_entries = max(self._entries, all_entries)
 
-    def pipe_load(
+    def zone_link_utilization(
         self, one: str, other: str, profile: chain.EngineProfile
     ) -> float:
         """Return the used share of the pipe between two zones."""
         crossed = self._crossed.get(frozenset((one, other)))
-        if not crossed or not profile.pipe_bytes_per_second:
+        if not crossed or not profile.zone_link_bytes_per_second:
             return 0.0
         since = anyio.current_time() - PIPE_SECONDS
         while crossed and crossed[0][0] < since:
             crossed.popleft()
         tokens = sum(count for _, count in crossed)
         used = tokens * profile.activation_bytes * self._all_entries
-        return used / (profile.pipe_bytes_per_second * PIPE_SECONDS)
+        return used / (profile.zone_link_bytes_per_second * PIPE_SECONDS)
 
     def note_load(self, head: chain.Upstream, running: int) -> None:
         """Take how many requests a first engine says that it runs."""
@@ -87,37 +87,41 @@
             del self._told[name]
         self._told[head.name] = _Told(running, now)
 
-    def inherit(self, upstream: chain.Upstream, cells: float) -> None:
+    def note_existing_load(
+        self, upstream: chain.Upstream, token_layers: float
+    ) -> None:
         """Take what an engine holds that this entry did not send.
 
-        :param cells: tokens times layers.
+        :param token_layers: tokens times layers.
         """
         now = anyio.current_time()
-        self._inherited[upstream.name] = _Inherited(cells, now)
+        self._inherited[upstream.name] = _Inherited(token_layers, now)
 
     def sequences(self, upstream: chain.Upstream) -> float:
         """Return how many requests pass an upstream instance, of all."""
         return self._estimate(self._sequences.get(upstream.name))
 
-    def own(self, upstream: chain.Upstream) -> int:
+    def own_requests(self, upstream: chain.Upstream) -> int:
         """Return how many of this entry's requests are there."""
         return self._own[upstream.name]
 
-    def fullness(
+    def cache_utilization(
         self, upstream: chain.Upstream, profile: chain.EngineProfile
     ) -> float:
         """Return the used share of an engine's memory for requests."""
         if upstream.layers is None:
             return 0.0
         count = upstream.layers.end - upstream.layers.first
-        room = profile.room(upstream.card, count) * count
+        token_capacity = profile.token_capacity(upstream.card, count) * count
         used = self._estimate(self._cells.get(upstream.name))
         if upstream.layers.first == 0 and not used:
             # None of ours is there to multiply; the others' number tells.
-            usual = profile.usual_prompt + profile.usual_answer / 2.0
+            usual = (
+                profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
+            )
             used = self._told_running(upstream.name) * usual * count
         used += self._inherited_cells(upstream.name)
-        return used / max(1.0, room)
+        return used / max(1.0, token_capacity)
 
     def _inherited_cells(self, name: str) -> float:
         """Return what is left of the cells that an engine held before."""
@@ -128,9 +132,9 @@
         if age >= INHERITED_SECONDS:
             del self._inherited[name]
             return 0.0
-        return found.cells * (1.0 - age / INHERITED_SECONDS)
+        return found.token_layers * (1.0 - age / INHERITED_SECONDS)
 
-    def enter(self, path: chain.ChainPath, tokens: float) -> None:
+    def add_request(self, path: chain.ChainPath, tokens: float) -> None:
         """Count a request on a path."""
         self._add(path, tokens, 1)
         for before, after in zip(path.hops, path.hops[1:], strict=False):
@@ -142,16 +146,16 @@
                 )
                 crossed.append((anyio.current_time(), tokens))
 
-    def leave(self, path: chain.ChainPath, tokens: float) -> None:
-        """Take back what :meth:`enter` counted."""
+    def remove_request(self, path: chain.ChainPath, tokens: float) -> None:
+        """Take back what :meth:`add_request` counted."""
         self._add(path, tokens, -1)
 
-    def enter_call(self, upstream: chain.Upstream) -> None:
+    def add_call(self, upstream: chain.Upstream) -> None:
         """Count a call of a plain service."""
         self._own[upstream.name] += 1
 
-    def leave_call(self, upstream: chain.Upstream) -> None:
-        """Take back what :meth:`enter_call` counted."""
+    def remove_call(self, upstream: chain.Upstream) -> None:
+        """Take back what :meth:`add_call` counted."""
         self._own[upstream.name] -= 1
         if not self._own[upstream.name]:
             del self._own[upstream.name]
@@ -163,24 +167,28 @@
             name = hop.upstream.name
             layers = hop.layers.end - hop.layers.first
             passing = self._sequences.setdefault(name, collections.Counter())
-            cells = self._cells.setdefault(name, collections.Counter())
+            token_layers = self._cells.setdefault(name, collections.Counter())
             passing[head] += sign
-            cells[head] += sign * int(tokens) * layers
+            token_layers[head] += sign * int(tokens) * layers
             if not passing[head]:
                 # An entry lives longer than engines: nothing may be kept
                 # for each that ever was.
                 del passing[head]
-                del cells[head]
+                del token_layers[head]
             if not passing:
                 del self._sequences[name]
                 del self._cells[name]
         if not self._own[head]:
             del self._own[head]
 
-    def _estimate(self, own: collections.Counter[str] | None) -> float:
-        if not own:
+    def _estimate(
+        self, own_requests: collections.Counter[str] | None
+    ) -> float:
+        if not own_requests:
             return 0.0
-        return sum(count * self._factor(head) for head, count in own.items())
+        return sum(
+            count * self._factor(head) for head, count in own_requests.items()
+        )
 
     def _factor(self, head: str) -> float:
         """Return how many times our own all entries' requests are."""
@@ -197,4 +205,4 @@
 
 
 def _is_old(told: _Told, now: float) -> bool:
-    return now - told.at > TOLD_SECONDS
+    return now - told.at > LOAD_REPORT_TTL_SECONDS
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -20,7 +20,7 @@
 from crowdeck.sidecar import batcher as batchers
 from crowdeck.sidecar import calls as calls_module
 from crowdeck.sidecar import gate as gates
-from crowdeck.sidecar import kv_moves
+from crowdeck.sidecar import kv_transfer
 from crowdeck.sidecar import stage as stages
 from crowdeck.sidecar import turns as turns_module
 from crowdeck import timers
@@ -47,7 +47,7 @@
         name: str,
         engine: upstream.Engine | None,
         services: dict[str, upstream.PlainService],
-        book: links_module.AddressBook,
+        resolver: links_module.InstanceResolver,
         timer_service: timers.TimerService,
         tracer: traces.Tracer,
         tasks: anyio.abc.TaskGroup,
@@ -58,18 +58,18 @@
         self._tracer = tracer
         self._tasks = tasks
         self._engine = engine
-        self._book = book
+        self._resolver = resolver
         self._offer: pipeline.Offer | None = None
         self._gate = gates.Gate(
             incarnation or instances.new_incarnation(), timer_service
         )
-        self._calls = calls_module.Calls(
+        self._calls = calls_module.CallRunner(
             services, self._gate, timer_service, tracer, tasks
         )
-        self._turns = turns_module.Turns(timer_service)
+        self._turns = turns_module.TurnQueues(timer_service)
         self._batcher: batchers.Batcher | None = None
         self._stage: stages.Stage | None = None
-        self._moves: kv_moves.KvMoves | None = None
+        self._moves: kv_transfer.KvTransfers | None = None
         self._stopped = anyio.Event()
         self._peers: set[link.Peer] = set()
         self._told: dict[str, tuple[int, int]] = {}
@@ -83,7 +83,9 @@
     @property
     def running(self) -> int:
         """Attempts and calls in progress."""
-        in_stage = self._stage.kept.running if self._stage is not None else 0
+        in_stage = (
+            self._stage.registry.running if self._stage is not None else 0
+        )
         return in_stage + self._calls.running
 
     @property
@@ -103,7 +105,7 @@
             self._engine, self._timers, self._offer.batch_limit
         )
         self._tasks.start_soon(self._batcher.run)
-        links = links_module.Links(self._book, transport)
+        links = links_module.Links(self._resolver, transport)
         self._stage = stages.Stage(
             instance=self._name,
             gate=self._gate,
@@ -114,9 +116,9 @@
             tracer=self._tracer,
             tasks=self._tasks,
         )
-        self._moves = kv_moves.KvMoves(self._stage, self._engine, links)
+        self._moves = kv_transfer.KvTransfers(self._stage, self._engine, links)
         self._timers.subscribe(
-            "stage", stages.SWEEP_SECONDS, self._stage.kept.sweep
+            "stage", stages.SWEEP_SECONDS, self._stage.registry.sweep
         )
 
     # The link handler.
@@ -132,7 +134,7 @@
         self._peers.discard(peer)
         self._turns.on_closed(peer)
         if self._stage is not None:
-            self._stage.kept.on_closed(peer)
+            self._stage.registry.on_closed(peer)
 
     def on_record(self, peer: link.Peer, record: messages.Record) -> None:
         """Hand a record to the stage."""
@@ -304,7 +306,7 @@
             )
         return self._stage
 
-    def _require_moves(self) -> kv_moves.KvMoves:
+    def _require_moves(self) -> kv_transfer.KvTransfers:
         self._require_stage()
         assert self._moves is not None
         return self._moves
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -5,7 +5,7 @@
 
 """A stand-in for upstreams that chain their stages themselves.
 
-It serves the relay in process, over ``relay.reach.Upstreams``, and keeps
+It serves the relay in process, over ``relay.interfaces.Upstreams``, and keeps
 what a test asks afterwards: what ran where, and how often. Streams are
 event N of request R as ``id: N``, ``data: R:N``, so that a missing, doubled
 or foreign event shows.
@@ -26,7 +26,7 @@
 from crowdeck import instance as instances
 from crowdeck import pipeline
 from crowdeck.placement import plan
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 from crowdeck.standin import chain_answer
 from crowdeck.standin import repeats
@@ -37,14 +37,14 @@
 POLL_SECONDS = 0.005
 # A first engine that is to go on through one that says nothing refuses
 # after this long; 70 to 100 ms were seen.
-DARK_PART_SECONDS = 0.085
+UNRESPONSIVE_HOP_SECONDS = 0.085
 # A connection, a question and an answer: each needs the loop of whoever
 # asks to run once more, which a single pause would hide.
 DIAL_STEPS = 4
 DIAL_STEP_SECONDS = 0.0003
 # An engine falls over this long after it began a request that ends it;
 # 0.06 to 0.12 s were seen.
-FALL_SECONDS = 0.1
+CRASH_DELAY_SECONDS = 0.1
 
 
 @attrs.define(eq=False)
@@ -52,20 +52,23 @@
     """One upstream instance and what a test makes of it.
 
     :ivar is_dead: refuses connections.
-    :ivar is_dark: does not answer, nor does it refuse.
-    :ivar is_frozen: takes connections, and reads what came by them once it
+    :ivar is_unresponsive: does not answer, nor does it refuse.
+    :ivar is_suspended: takes connections, and reads what came by them once it
         goes on, also what was given up meanwhile.
-    :ivar rejects: how many of the next requests it refuses as not run.
-    :ivar loses: how many of the next answers it loses after running.
-    :ivar breaks_after: breaks a stream off after so many events, once.
-    :ivar keeps_breaking: breaks off every stream so, not only one.
-    :ivar hangs: how many of the next streams it takes and leaves alone.
-    :ivar fails: how many of the next calls it answers with 500.
-    :ivar forges: how many of the next answers bear another's id.
-    :ivar resets: how many of the next connections it resets.
-    :ivar keeps_paths: refuses every other path, and does not say why.
+    :ivar rejected_requests: how many of the next requests it refuses,
+        none of which has run.
+    :ivar lost_answers: how many of the next answers it loses after running.
+    :ivar break_stream_after: breaks a stream off after so many events, once.
+    :ivar breaks_every_stream: breaks off every stream so, not only one.
+    :ivar hanging_streams: how many of the next streams it accepts and never
+        answers.
+    :ivar failed_calls: how many of the next calls it answers with 500.
+    :ivar misattributed_answers: how many of the next answers carry the id of
+        another request.
+    :ivar reset_connections: how many of the next connections it resets.
+    :ivar refuses_repaths: refuses every other path, and does not say why.
     :ivar backoff: asks those whom it turns away for so many seconds of rest.
-    :ivar tells_leaving: says in its answers that it leaves.
+    :ivar announces_leaving: says in its answers that it leaves.
     :ivar limit: names this limit in its answers, in requests a second.
     :ivar tells_load: tells in its answers how many requests it runs.
     :ivar running: requests that it runs.
@@ -76,19 +79,19 @@
     listed: chain.Upstream
     orders_taken: int = 0
     is_dead: bool = False
-    is_dark: bool = False
-    is_frozen: bool = False
-    rejects: int = 0
-    loses: int = 0
-    breaks_after: int = -1
-    keeps_breaking: bool = False
-    fails: int = 0
-    hangs: int = 0
-    forges: int = 0
-    resets: int = 0
-    keeps_paths: bool = False
+    is_unresponsive: bool = False
+    is_suspended: bool = False
+    rejected_requests: int = 0
+    lost_answers: int = 0
+    break_stream_after: int = -1
+    breaks_every_stream: bool = False
+    failed_calls: int = 0
+    hanging_streams: int = 0
+    misattributed_answers: int = 0
+    reset_connections: int = 0
+    refuses_repaths: bool = False
     backoff: float = 0.0
-    tells_leaving: bool = False
+    announces_leaving: bool = False
     limit: float | None = None
     tells_load: bool = False
     running: int = 0
@@ -105,21 +108,21 @@
     @property
     def answers(self) -> bool:
         """Whether it answers at all."""
-        return not self.is_dead and not self.is_dark
+        return not self.is_dead and not self.is_unresponsive
 
     @property
     def backpressure(self) -> pressures.Backpressure:
         """What it says in an answer that turns nobody away."""
         return pressures.Backpressure(
-            limit=self.limit, is_leaving=self.tells_leaving
+            limit=self.limit, is_leaving=self.announces_leaving
         )
 
     @property
-    def load(self) -> reach.Load | None:
+    def load(self) -> interfaces.Load | None:
         """The load that it tells, if it does."""
         if not self.tells_load:
             return None
-        return reach.Load(self.running, 0, self.listed.slots)
+        return interfaces.Load(self.running, 0, self.listed.slots)
 
 
 @attrs.frozen
@@ -136,7 +139,7 @@
 
 
 @attrs.frozen
-class Fall:
+class EngineCrash:
     """One time that a request ended the upstream which had begun it."""
 
     target: StandinUpstream
@@ -148,8 +151,8 @@
 class ChainFleet:
     """Upstreams by address, in one process.
 
-    A request whose body is one of ``ends_upstreams`` ends each upstream that
-    begins it; ``falls`` keeps which and when.
+    A request whose body is one of ``crashing_bodies`` ends each upstream that
+    begins it; ``crashes`` keeps which and when.
 
     ``accounts`` has what each service got, by its name.
 
@@ -166,8 +169,8 @@
         self.runs: list[Run] = []
         self.rejected: collections.Counter[str] = collections.Counter()
         self.repaths: list[str] = []
-        self.ends_upstreams: set[bytes] = set()
-        self.falls: list[Fall] = []
+        self.crashing_bodies: set[bytes] = set()
+        self.crashes: list[EngineCrash] = []
         self.accounts: dict[str, repeats.RepeatAccount] = (
             collections.defaultdict(repeats.RepeatAccount)
         )
@@ -201,15 +204,15 @@
         self,
         upstream: chain.Upstream,
         request: requests.CallerRequest,
-        dispatch: reach.Dispatch,
+        dispatch: interfaces.Dispatch,
         timeouts: http.Timeouts,
     ) -> typing.AsyncIterator[chain_answer.StandinAnswer]:
         """Send a request."""
         target = await self._dial(upstream, timeouts.connect)
         await self._arrive(target, request)
-        is_other = target.listed.life.id != upstream.life.id
-        if is_other or target.rejects:
-            target.rejects = max(0, target.rejects - 1)
+        is_other = target.listed.incarnation.id != upstream.incarnation.id
+        if is_other or target.rejected_requests:
+            target.rejected_requests = max(0, target.rejected_requests - 1)
             self.rejected[target.listed.name] += 1
             yield self._rejection(target, request, 503, "")
             return
@@ -235,8 +238,8 @@
                 self._paths[request.id] = dispatch.path
             else:
                 await self._work(target, request)
-            if target.loses:
-                target.loses -= 1
+            if target.lost_answers:
+                target.lost_answers -= 1
                 raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
             yield self._answer(target, request, dispatch)
         finally:
@@ -262,40 +265,40 @@
             cache_total=1.0,
             slowdown=1.0,
             stalls=tuple(stalls),
-            born=target.listed.born,
+            started_ms=target.listed.started_ms,
         )
-        if report.is_after(upstream.life):
+        if report.is_from_later_run(upstream.incarnation):
             raise errors.InstanceGone("its process has started again")
         return report
 
     async def repath(
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
-    ) -> reach.RepathOutcome:
+    ) -> interfaces.RepathOutcome:
         """Have a running request go on along another path."""
         await self._dial(head, 0.25)
         if request_id not in self._paths:
-            return reach.RepathOutcome(is_done=False, is_known=False)
-        if self.at(head.address).keeps_paths:
-            return reach.RepathOutcome(is_done=False, is_known=True)
+            return interfaces.RepathOutcome(is_done=False, is_known=False)
+        if self.at(head.address).refuses_repaths:
+            return interfaces.RepathOutcome(is_done=False, is_known=True)
         for hop in path.hops:
             part = self._upstreams.get(str(hop.upstream.address))
-            if part is not None and part.is_dark:
-                await anyio.sleep(DARK_PART_SECONDS)
-                return reach.RepathOutcome(
+            if part is not None and part.is_unresponsive:
+                await anyio.sleep(UNRESPONSIVE_HOP_SECONDS)
+                return interfaces.RepathOutcome(
                     False, True, str(hop.upstream.address)
                 )
             if not self._holds(hop):
-                return reach.RepathOutcome(
+                return interfaces.RepathOutcome(
                     False, True, str(hop.upstream.address)
                 )
         self._paths[request_id] = path
         self.repaths.append(request_id)
-        return reach.RepathOutcome(is_done=True, is_known=True)
+        return interfaces.RepathOutcome(is_done=True, is_known=True)
 
     async def place(
         self, move: plan.Move, expected_orders: int, fencing_token: int
     ) -> bool:
-        """Give an order, as ``placement.duty.Orders`` has it."""
+        """Give an order, as ``placement.controller.OrderClient`` has it."""
         target = await self._dial(move.upstream, 0.25)
         if target.orders_taken != expected_orders or target.is_loading:
             return False
@@ -315,7 +318,7 @@
         self, upstream: chain.Upstream, timeout: float
     ) -> StandinUpstream:
         target = self._upstreams.get(str(upstream.address))
-        if target is not None and target.is_dark:
+        if target is not None and target.is_unresponsive:
             await anyio.sleep(timeout)
         else:
             for _ in range(DIAL_STEPS):
@@ -323,10 +326,10 @@
                 await self._await_link()
         if target is None or target.is_dead:
             raise errors.InstanceGone("the upstream was lost")
-        if target.is_dark:
+        if target.is_unresponsive:
             raise _lost(verdicts.Verdict.NOT_RUN)
-        if target.resets:
-            target.resets -= 1
+        if target.reset_connections:
+            target.reset_connections -= 1
             raise _lost(verdicts.Verdict.NOT_RUN)
         return target
 
@@ -334,16 +337,16 @@
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
         """Count a request once its instance reads it."""
-        if target.is_frozen:
+        if target.is_suspended:
             self._unread.append((target, request.id))
-            while target.is_frozen:
+            while target.is_suspended:
                 await anyio.sleep(POLL_SECONDS)
             return
         self._note_arrival(target, request.id)
 
     def thaw(self, target: StandinUpstream) -> None:
         """Have a frozen instance go on."""
-        target.is_frozen = False
+        target.is_suspended = False
         for one, request_id in self._unread:
             if one is target:
                 self._note_arrival(one, request_id)
@@ -377,11 +380,11 @@
         self,
         target: StandinUpstream,
         request: requests.CallerRequest,
-        dispatch: reach.Dispatch,
+        dispatch: interfaces.Dispatch,
     ) -> chain_answer.StandinAnswer:
         request_id = request.id
-        if target.forges:
-            target.forges -= 1
+        if target.misattributed_answers:
+            target.misattributed_answers -= 1
             request_id = "another"
         if dispatch.path is not None:
             pieces = self._stream(target, request, dispatch)
@@ -393,8 +396,8 @@
                 load=target.load,
             )
         status = 200
-        if target.fails:
-            target.fails -= 1
+        if target.failed_calls:
+            target.failed_calls -= 1
             status = 500
         return chain_answer.StandinAnswer(
             status,
@@ -409,27 +412,27 @@
     ) -> None:
         await anyio.sleep(target.seconds)
         await self._fall_over(target, request)
-        if target.is_dark:
+        if target.is_unresponsive:
             await anyio.sleep_forever()
 
     async def _stream(
         self,
         target: StandinUpstream,
         request: requests.CallerRequest,
-        dispatch: reach.Dispatch,
+        dispatch: interfaces.Dispatch,
     ) -> typing.AsyncIterator[bytes]:
         sent = 0
-        if target.hangs:
-            target.hangs -= 1
+        if target.hanging_streams:
+            target.hanging_streams -= 1
             await anyio.sleep_forever()
         await self._fall_over(target, request)
         for number in range(dispatch.last_event + 1, self.events):
             await anyio.sleep(self.event_seconds)
             await self._await_path(target, request.id)
             await self._await_link()
-            if target.breaks_after == sent:
-                if not target.keeps_breaking:
-                    target.breaks_after = -1
+            if target.break_stream_after == sent:
+                if not target.breaks_every_stream:
+                    target.break_stream_after = -1
                 yield event(request.id, number)[:5]
                 raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
             yield event(request.id, number)
@@ -439,14 +442,14 @@
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
         """End an upstream that has begun a request which ends it."""
-        if request.body not in self.ends_upstreams:
+        if request.body not in self.crashing_bodies:
             return
-        await anyio.sleep(FALL_SECONDS)
+        await anyio.sleep(CRASH_DELAY_SECONDS)
         if not target.is_dead:
             target.is_dead = True
             now = anyio.current_time()
-            fall = Fall(target, target.listed.name, request.body, now)
-            self.falls.append(fall)
+            fall = EngineCrash(target, target.listed.name, request.body, now)
+            self.crashes.append(fall)
         raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
 
     async def _await_link(self) -> None:
@@ -458,7 +461,7 @@
     ) -> None:
         waited = 0.0
         while True:
-            if target.is_dark:
+            if target.is_unresponsive:
                 await anyio.sleep_forever()
             if target.is_dead or waited > STALL_SECONDS:
                 raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
@@ -488,7 +491,7 @@
         )
 
 
-class What(enum.Enum):
+class CallKind(enum.Enum):
     """What an instance may be sent."""
 
     REQUEST = "request"
@@ -505,13 +508,13 @@
     """
 
     upstream: str
-    what: What
+    what: CallKind
     at: float
     arrived: float
 
 
 class FleetClient:
-    """One entry's way to a fleet; implements ``relay.reach.Upstreams``.
+    """One entry's way to a fleet; implements ``relay.interfaces.Upstreams``.
 
     :ivar arrivals: all that the entry sent.
     """
@@ -519,9 +522,9 @@
     def __init__(self, fleet: ChainFleet) -> None:
         self._fleet = fleet
         self.arrivals: list[Arrival] = []
-        self._listeners: list[reach.NoticeListener] = []
+        self._listeners: list[interfaces.NoticeListener] = []
 
-    def subscribe(self, listener: reach.NoticeListener) -> None:
+    def subscribe(self, listener: interfaces.NoticeListener) -> None:
         """Call ``listener`` with what each answer tells of its sender."""
         self._listeners.append(listener)
 
@@ -530,46 +533,48 @@
         self,
         upstream: chain.Upstream,
         request: requests.CallerRequest,
-        dispatch: reach.Dispatch,
+        dispatch: interfaces.Dispatch,
         timeouts: http.Timeouts,
-    ) -> typing.AsyncIterator[reach.Answer]:
+    ) -> typing.AsyncIterator[interfaces.Answer]:
         """Send a request."""
-        self._note(upstream, What.REQUEST, request.arrived)
+        self._note(upstream, CallKind.REQUEST, request.arrived)
         async with self._fleet.open(
             upstream, request, dispatch, timeouts
         ) as answer:
             self._tell(
-                upstream, reach.Notice(answer.backpressure, answer.load)
+                upstream, interfaces.Notice(answer.backpressure, answer.load)
             )
             yield answer
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
         """Return what an engine says of itself."""
-        self._note(upstream, What.QUESTION)
+        self._note(upstream, CallKind.QUESTION)
         report = await self._fleet.report(upstream)
         self._tell_other(upstream)
         return report
 
     async def repath(
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
-    ) -> reach.RepathOutcome:
+    ) -> interfaces.RepathOutcome:
         """Have a running request go on along another path."""
-        self._note(head, What.ORDER)
+        self._note(head, CallKind.ORDER)
         outcome = await self._fleet.repath(head, request_id, path)
         self._tell_other(head)
         return outcome
 
     def _note(
-        self, upstream: chain.Upstream, what: What, arrived: float = 0.0
+        self, upstream: chain.Upstream, what: CallKind, arrived: float = 0.0
     ) -> None:
         now = anyio.current_time()
         self.arrivals.append(Arrival(upstream.name, what, now, arrived))
 
     def _tell_other(self, upstream: chain.Upstream) -> None:
         told = self._fleet.at(upstream.address).backpressure
-        self._tell(upstream, reach.Notice(told, answers_request=False))
+        self._tell(upstream, interfaces.Notice(told, answers_request=False))
 
-    def _tell(self, upstream: chain.Upstream, notice: reach.Notice) -> None:
+    def _tell(
+        self, upstream: chain.Upstream, notice: interfaces.Notice
+    ) -> None:
         for listener in self._listeners:
             listener(upstream, notice)
 
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -26,13 +26,13 @@
 from crowdeck.placement import plan
 from crowdeck.platform import callers
 from crowdeck.platform import names
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.standin import chain_fleet
 from crowdeck.standin import store as standin_store
 
 HOST = "127.0.0.1"
 HEARTBEAT_SECONDS = 0.2
-PATIENCE = http.Timeouts(1.0, 60.0)
+CALL_TIMEOUTS = http.Timeouts(1.0, 60.0)
 
 Json = dict[str, typing.Any]
 Scope = dict[str, typing.Any]
@@ -79,7 +79,7 @@
                 {names.ID: one.request, names.ADDRESS: one.address}
                 for one in report.stalls
             ],
-            **_born(report.born),
+            **_born(report.started_ms),
         }
         head = _notice(self._target.backpressure, None)
         await _answer(send, 200, orjson.dumps(content), head)
@@ -118,10 +118,10 @@
         )
         assert request is not None, "the system sends an id"
         hops = headers.get(names.HOPS, b"").decode()
-        dispatch = reach.Dispatch(
+        dispatch = interfaces.Dispatch(
             team=headers.get(names.TEAM, b"").decode(),
             priority=0,
-            seconds_left=request.patience or 0.0,
+            seconds_left=request.timeout_seconds or 0.0,
             path=self._path(hops) if hops else None,
             last_event=request.last_event,
         )
@@ -130,7 +130,7 @@
             self._target.listed, name=expected, instance_id=expected
         )
         async with self._fleet.open(
-            listed, request, dispatch, PATIENCE
+            listed, request, dispatch, CALL_TIMEOUTS
         ) as answer:
             head = [(names.REQUEST_ID, request.id.encode())]
             head += _notice(answer.backpressure, answer.load)
@@ -178,9 +178,9 @@
         names.STATE: names.STATE_DRAINING if listed.is_leaving else "ready",
         names.CARD: listed.card,
         names.LAYERS: _layers(listed.layers),
-        **_born(listed.born),
+        **_born(listed.started_ms),
     }
-    entry = listed.life.id
+    entry = listed.incarnation.id
     store.write_if_new(names.UPSTREAM_KIND, entry, orjson.dumps(content))
 
 
@@ -190,17 +190,17 @@
     tasks: anyio.abc.TaskGroup,
     *,
     port: int = 0,
-    known_as: instances.Address | None = None,
+    advertised_address: instances.Address | None = None,
 ) -> chain.Upstream:
     """Serve an instance; returns it with its address.
 
     :param port: where it listens, 0 for any free port.
-    :param known_as: the address under which it is listed, where something
-        stands in between.
+    :param advertised_address: the address under which it is listed, where a
+        proxy stands in between.
     """
     app = _Deferred()
     port = await tasks.start(http_server.serve_http, app, HOST, port)
-    address = known_as or instances.Address(HOST, port)
+    address = advertised_address or instances.Address(HOST, port)
     placed = attrs.evolve(listed, address=address)
     fleet.add(placed)
     app.app = UpstreamApp(fleet, placed.address)
@@ -218,9 +218,9 @@
         await self.app(scope, receive, send)
 
 
-def _born(born: int) -> Json:
+def _born(started_ms: int) -> Json:
     """Return what an instance tells of its start, if it does."""
-    return {names.BORN: born} if born else {}
+    return {names.BORN: started_ms} if started_ms else {}
 
 
 def _layers(layers: pipeline.LayerRange | None) -> Json | None:
@@ -239,7 +239,7 @@
 
 
 def _notice(
-    backpressure: pressures.Backpressure, load: reach.Load | None
+    backpressure: pressures.Backpressure, load: interfaces.Load | None
 ) -> http.RawHeaders:
     """Return the headers in which an instance tells what it can bear."""
     found: http.RawHeaders = []
--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -16,7 +16,7 @@
 from crowdeck import verdict as verdicts
 
 # How long a client waits beyond the time that a watch may take.
-PATIENCE = 0.5
+REPLY_TIMEOUT_SECONDS = 0.5
 DEFAULT_DELAY = 0.002
 
 
@@ -35,9 +35,9 @@
 
     Tests set ``is_down``, ``lost_replies`` (how many of the next writes
     take effect while their reply is lost) and ``delay``. ``calls`` counts
-    what the platform would charge for. After :meth:`fall_silent` nothing
-    that waits, or comes before :meth:`speak`, is answered at all: such
-    calls fail when a client's patience ends.
+    what the platform would charge for. After :meth:`stop_answering`
+    nothing that waits, or comes before :meth:`resume_answering`, is
+    answered: such calls fail with the client's timeout.
     """
 
     def __init__(self, delay: float = DEFAULT_DELAY) -> None:
@@ -62,7 +62,7 @@
         return self._epoch
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         """Return an object."""
         await self._travel("get")
@@ -103,7 +103,7 @@
                 await self._changed.wait()
                 self._raise_if_down()
         if silences != self._silences:
-            await anyio.sleep_until(began + wait + PATIENCE)
+            await anyio.sleep_until(began + wait + REPLY_TIMEOUT_SECONDS)
             raise _no_answer()
         self._raise_if_down()
         self._raise_if_forgotten(after)
@@ -124,10 +124,10 @@
     async def list_instances(self, known: str = "") -> stores.Listing | None:
         """Return the listed instances, unless nothing changed."""
         await self._travel("list")
-        mark = str(self._list_version)
-        if known == mark:
+        etag = str(self._list_version)
+        if known == etag:
             return None
-        return stores.Listing(mark, tuple(self._instances.values()))
+        return stores.Listing(etag, tuple(self._instances.values()))
 
     def add_instance(self, listed: instances.Instance) -> None:
         """List an instance, or change how it is listed."""
@@ -193,12 +193,12 @@
         self._epoch += 1
         self._tell()
 
-    def fall_silent(self) -> None:
+    def stop_answering(self) -> None:
         """Answer nothing any more, watches under way included."""
         self._is_silent = True
         self._silences += 1
 
-    def speak(self) -> None:
+    def resume_answering(self) -> None:
         """Answer what comes from now on."""
         self._is_silent = False
 
@@ -230,7 +230,7 @@
     async def _travel(self, call: str, wait: float = 0.0) -> None:
         self.calls[call] += 1
         if self._is_silent:
-            await anyio.sleep(wait + PATIENCE)
+            await anyio.sleep(wait + REPLY_TIMEOUT_SECONDS)
             raise _no_answer()
         await anyio.sleep(self.delay)
         self._raise_if_down()
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -39,7 +39,7 @@
 # another writer spoils is used up for good, and a process that starts asks
 # for three of the store's calls at each: at 4 ms, all are passed within a
 # quarter of the lease's length.
-LAST_PLACE = 64
+LAST_OBJECT_INDEX = 64
 
 
 @attrs.frozen
@@ -83,7 +83,7 @@
 
     :param holder: unique to this run of the process, so that a restarted
         process does not take itself for the holder.
-    :param may_stand: whether this process is to look after the lease. The
+    :param is_candidate: whether this process is to look after the lease. The
         looks of a few are enough to find it free, and each is charged for.
         Whoever holds it keeps it all the same.
     :param is_new_fleet: whether no process of the fleet can have run before
@@ -95,14 +95,14 @@
         store: stores.ObjectStore,
         duty: str,
         holder: str,
-        may_stand: typing.Callable[[], bool] = lambda: True,
+        is_candidate: typing.Callable[[], bool] = lambda: True,
         *,
         is_new_fleet: bool = True,
     ) -> None:
         self._store = store
         self._duty = duty
         self._holder = holder
-        self._may_stand = may_stand
+        self._may_stand = is_candidate
         self._is_new_fleet = is_new_fleet
         self._epoch: int | None = None
         # What is known of the lease is of an earlier epoch.
@@ -154,7 +154,7 @@
         """Wait until this process holds the lease for the first time."""
         await self._taken.wait()
 
-    def note(self, memo: tuple[str, ...]) -> None:
+    def set_memo(self, memo: tuple[str, ...]) -> None:
         """Have the next holder told something; written with a renewal.
 
         The renewal is made at once. A holder that dies before it has
@@ -183,7 +183,7 @@
                 await self._memo_changed.wait()
             self._memo_changed = anyio.Event()
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """Let another have the lease at once, if it is held here.
 
         Without it the others wait for its whole length. A store that
@@ -212,7 +212,7 @@
     @property
     def _is_spoilt(self) -> bool:
         """Whether it cannot be held where it was looked for."""
-        if self._seen is None or self._place >= LAST_PLACE:
+        if self._seen is None or self._place >= LAST_OBJECT_INDEX:
             return False
         return self._is_closed or self._seen.holder == UNREADABLE_HOLDER
 
@@ -221,9 +221,9 @@
             # An old answer only makes a take-over fail at its conditional
             # write; looking is what all other processes do all day.
             is_needed = self._seen is None or self._is_outdated
-            may_be_old = not (is_needed or self.is_held)
-            await self._look(may_be_old=may_be_old)
-            if may_be_old and self._is_spoilt:
+            allow_stale = not (is_needed or self.is_held)
+            await self._look(allow_stale=allow_stale)
+            if allow_stale and self._is_spoilt:
                 # An old answer may be from before the object was made.
                 await self._look()
         while True:
@@ -388,9 +388,9 @@
         )
         return True
 
-    async def _look(self, may_be_old: bool = False) -> None:
+    async def _look(self, allow_stale: bool = False) -> None:
         found = await self._store.get(
-            KIND, self._name(self._place), may_be_old=may_be_old
+            KIND, self._name(self._place), allow_stale=allow_stale
         )
         while self._meet_epoch():
             # This answer may still be of the epoch before.
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -12,9 +12,9 @@
 from crowdeck import errors
 from crowdeck.observe import counters
 from crowdeck.observe import logs
-from crowdeck.state import contact as contacts
 from crowdeck.state import objects as stores
 from crowdeck.state import replica as replicas
+from crowdeck.state import store_health
 
 
 Linger = typing.Callable[[], float]
@@ -31,7 +31,7 @@
 HELPER_SLACK = 0.2
 
 
-class Follower(typing.Protocol):
+class ChangeListener(typing.Protocol):
     """Takes what a mirror sees."""
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
@@ -47,12 +47,12 @@
         ...
 
 
-class Helper(typing.Protocol):
+class PeerReplica(typing.Protocol):
     """Another process's copy, asked instead of the store."""
 
     async def watch(
         self, kind: str, after: stores.Position, wait: float
-    ) -> stores.Sighting | None:
+    ) -> stores.PeerChanges | None:
         """Return what changed after a position, ``None`` for no help.
 
         :raises CrowdeckError: when only the store can tell.
@@ -60,10 +60,10 @@
         ...
 
 
-class Helpers(typing.Protocol):
+class PeerSelector(typing.Protocol):
     """Knows whether another process may be asked instead of the store."""
 
-    def choose(self) -> Helper | None:
+    def choose(self) -> PeerReplica | None:
         """Return whom to ask, or ``None`` to ask the store."""
         ...
 
@@ -72,10 +72,10 @@
         ...
 
 
-class NoHelpers:
-    """Implements ``Helpers`` for a process that is alone."""
+class NoPeers:
+    """Implements ``PeerSelector`` for a process that is alone."""
 
-    def choose(self) -> Helper | None:
+    def choose(self) -> PeerReplica | None:
         """Return nobody."""
         return None
 
@@ -93,27 +93,27 @@
     :param wait: seconds that one watch waits for a change. An answered
         watch proves that the copy was current when the watch was sent,
         so this also decides how old the proof may become.
-    :param contact: what all mirrors of a process know of the store.
-    :param helpers: other processes that may be asked instead.
+    :param health: what all mirrors of a process know of the store.
+    :param peers: other processes that may be asked instead.
     """
 
     def __init__(
         self,
         store: stores.ObjectStore,
         kind: str,
-        follower: Follower,
+        listener: ChangeListener,
         wait: float,
         linger: Linger = lambda: 0.0,
-        contact: contacts.StoreContact | None = None,
-        helpers: Helpers | None = None,
+        health: store_health.StoreHealth | None = None,
+        peers: PeerSelector | None = None,
     ) -> None:
         self._store = store
         self._kind = kind
-        self._follower = follower
+        self._listener = listener
         self._wait = wait
         self._linger = linger
-        self._contact = contact or contacts.StoreContact()
-        self._helpers = helpers or NoHelpers()
+        self._health = health or store_health.StoreHealth()
+        self._peers = peers or NoPeers()
         self._replica = replicas.Replica()
         self._current_at: float | None = None
         self._must_list = True
@@ -149,18 +149,20 @@
             if helper is not None:
                 await self._ask(helper)
                 continue
-            patience = self._helpers.seconds_to_next()
-            async with self._contact.turn(patience) as turn:
-                if turn is contacts.Turn.NONE:
+            patience = self._peers.seconds_to_next()
+            async with self._health.permit(patience) as permit:
+                if permit is store_health.CallPermit.NONE:
                     continue
                 try:
                     await self._step()
                 except errors.CrowdeckError as error:
-                    await self._note(error, turn is contacts.Turn.TRY)
+                    await self._note(
+                        error, permit is store_health.CallPermit.PROBE
+                    )
 
-    async def tell(
+    async def changes_since(
         self, after: stores.Position, wait: float
-    ) -> stores.Sighting:
+    ) -> stores.PeerChanges:
         """Return what changed after a position, for another process.
 
         Answers once something has changed, or once the copy was proved
@@ -172,46 +174,46 @@
         """
         came_at = anyio.current_time()
         with (
-            self._contact.watching(),
+            self._health.watch_scope(),
             anyio.move_on_after(wait),
         ):
             while not self._has_news(after, came_at):
                 await self._moved_on.wait()
-        if self._contact.is_lost or self._current_at is None:
+        if self._health.is_lost or self._current_at is None:
             raise errors.CrowdeckError(
                 errors.Code.STORE_DOWN, "the store is lost from here as well"
             )
         if after.epoch > self.position.epoch:
-            self._contact.meet_epoch(after.epoch)
+            self._health.observe_epoch(after.epoch)
             raise errors.CrowdeckError(
                 errors.Code.STORE_DOWN,
                 f"epoch {after.epoch} of the store is not known here yet",
             )
-        changes = self._replica.since(after)
+        changes = self._replica.changes_since(after)
         if changes is None:
             raise errors.CrowdeckError(
                 errors.Code.STORE_HISTORY,
                 f"what happened after {after.version} of epoch "
                 f"{after.epoch} is not known",
             )
-        return stores.Sighting(changes, came_at - self._current_at)
+        return stores.PeerChanges(changes, came_at - self._current_at)
 
     def _has_news(self, after: stores.Position, came_at: float) -> bool:
-        if self._contact.is_lost:
+        if self._health.is_lost:
             return True
         if self._current_at is None:
             return False
         if self._current_at >= came_at:
             return True
-        changes = self._replica.since(after)
+        changes = self._replica.changes_since(after)
         return changes is None or bool(changes.objects or changes.removed)
 
-    def _choose(self) -> Helper | None:
+    def _choose(self) -> PeerReplica | None:
         if self._must_list or self._must_ask_store:
             return None
-        return self._helpers.choose()
+        return self._peers.choose()
 
-    async def _ask(self, helper: Helper) -> None:
+    async def _ask(self, helper: PeerReplica) -> None:
         """Ask another process and take what it tells."""
         wait = 0.0 if self._has_failed else self._wait + HELPER_SLACK
         sent_at = anyio.current_time()
@@ -243,22 +245,22 @@
         sent_at = anyio.current_time()
         if self._must_list:
             listing = await self._store.list(self._kind)
-            self._contact.succeed()
-            self._contact.meet_epoch(listing.epoch)
+            self._health.record_success()
+            self._health.observe_epoch(listing.epoch)
             self._must_list = self._must_ask_store = self._has_failed = False
-            self._replica.list(listing)
+            self._replica.reset(listing)
             self._note_current(sent_at)
-            self._follower.on_listed(listing.objects)
+            self._listener.on_listed(listing.objects)
             return
         changes: stores.Changes | None = None
-        with self._contact.watching():
+        with self._health.watch_scope():
             changes = await self._store.watch(self._kind, self.position, wait)
         if changes is None:
             # Contact was lost meanwhile: the watch is sent anew.
             self._has_failed = True
             return
         self._has_failed = self._must_ask_store = False
-        self._contact.succeed()
+        self._health.record_success()
         if not changes.objects and not changes.removed:
             # The store waited to the end and still knew of no change.
             sent_at += min(anyio.current_time() - sent_at, wait)
@@ -271,7 +273,7 @@
         self._replica.apply(changes)
         self._note_current(current_at)
         if changes.objects or changes.removed:
-            self._follower.on_changed(changes.objects, changes.removed)
+            self._listener.on_changed(changes.objects, changes.removed)
 
     def _note_current(self, at: float) -> None:
         known = self._current_at
@@ -279,7 +281,7 @@
         self._moved_on.set()
         self._moved_on = anyio.Event()
 
-    async def _note(self, error: errors.CrowdeckError, is_try: bool) -> None:
+    async def _note(self, error: errors.CrowdeckError, is_probe: bool) -> None:
         counters.COUNTERS.add(f"store.{self._kind}.failed")
         if error.code is errors.Code.STORE_HISTORY:
             logs.change(
@@ -289,7 +291,7 @@
                 version=self.position.version,
             )
             self._must_list = True
-            self._contact.succeed()
+            self._health.record_success()
             return
         logs.change(
             "store_call_failed",
@@ -300,4 +302,4 @@
             version=self.position.version,
         )
         self._has_failed = True
-        await self._contact.fail(error.message, is_try)
+        await self._health.record_failure(error.message, is_probe)
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -99,7 +99,7 @@
 
 
 @attrs.frozen
-class Sighting:
+class PeerChanges:
     """What another process saw of the store, and how long before.
 
     :ivar age: seconds before the question reached it at which its copy was
@@ -131,11 +131,11 @@
         ...
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> StoredObject | None:
         """Return an object, or ``None`` where there is none.
 
-        :param may_be_old: take a cheaper answer, seconds old perhaps. Only
+        :param allow_stale: take a cheaper answer, seconds old perhaps. Only
             for what a later conditional write decides.
         """
         ...
@@ -167,9 +167,9 @@
 
 @attrs.frozen
 class Listing:
-    """The instance list, and a mark that changes whenever it does."""
+    """The instance list, and an etag that changes whenever it does."""
 
-    mark: str
+    etag: str
     instances: tuple[instances.Instance, ...]
 
 
@@ -179,7 +179,7 @@
     async def list_instances(self, known: str = "") -> Listing | None:
         """Return live and leaving instances.
 
-        :param known: mark of the listing that the caller has.
+        :param known: etag of the listing that the caller has.
         :return: ``None`` when that listing is still the latest.
         """
         ...
--- a/src/crowdeck/state/replica.py
+++ b/src/crowdeck/state/replica.py
@@ -10,7 +10,7 @@
 # Removals that are remembered. Beyond them the oldest are forgotten, and
 # whoever asks from before that lists the kind anew; a release of a whole
 # fleet of 860 engines fits.
-REMOVALS_MOST = 1_000
+MAX_REMOVALS = 1_000
 
 
 class Replica:
@@ -40,7 +40,7 @@
         """The store's position up to which this copy is complete."""
         return stores.Position(self._version, self._epoch)
 
-    def list(self, listing: stores.Changes) -> None:
+    def reset(self, listing: stores.Changes) -> None:
         """Take a listing of the whole kind."""
         self._objects = {one.name: one for one in listing.objects}
         self._learned = dict.fromkeys(self._objects, listing.version)
@@ -61,11 +61,11 @@
             # Newest last, also where a name was removed before.
             self._removed.pop(name, None)
             self._removed[name] = self._version
-        while len(self._removed) > REMOVALS_MOST:
+        while len(self._removed) > MAX_REMOVALS:
             oldest = next(iter(self._removed))
             self._floor = max(self._floor, self._removed.pop(oldest))
 
-    def since(self, after: stores.Position) -> stores.Changes | None:
+    def changes_since(self, after: stores.Position) -> stores.Changes | None:
         """Return what changed after a position, ``None`` where unknown."""
         if after.epoch != self._epoch or after.version < self._floor:
             return None
--- a/src/crowdeck/state/contact.py
+++ b/src/crowdeck/state/store_health.py
@@ -20,13 +20,13 @@
 # processes meet an outage together and each try is charged for, so not
 # less; the entries of upstreams come back within two seconds of the
 # store's return, so not much more.
-RETRY_SECONDS = 0.3
+PROBE_INTERVAL_SECONDS = 0.3
 
 
 Pause = typing.Callable[[], float]
 
 
-class Turn(enum.Enum):
+class CallPermit(enum.Enum):
     """What a caller of the store may do.
 
     ``TRY`` is the one question that is asked while the store is lost.
@@ -34,10 +34,10 @@
 
     NONE = enum.auto()
     CALL = enum.auto()
-    TRY = enum.auto()
+    PROBE = enum.auto()
 
 
-class StoreContact:
+class StoreHealth:
     """What a process's callers of the store know of it together.
 
     A store that falls silent keeps its connections open: a watch that was
@@ -55,7 +55,7 @@
         self._is_tried = False
         self._tries = 0
         self._next_try_at = 0.0
-        self._pause: Pause = lambda: RETRY_SECONDS
+        self._pause: Pause = lambda: PROBE_INTERVAL_SECONDS
         self._epoch: int | None = None
         self._line: collections.deque[object] = collections.deque()
         self._changed = anyio.Event()
@@ -72,11 +72,11 @@
         return self._failed_at
 
     @property
-    def tried_at(self) -> float:
+    def own_failed_at(self) -> float:
         """The loop's time at which this process's own call last failed."""
         return self._tried_at
 
-    async def enter(self) -> Turn:
+    async def enter(self) -> CallPermit:
         """Wait until the store may be called.
 
         A try, the one question that is asked while the store is lost, is
@@ -88,17 +88,17 @@
             while self.is_lost:
                 if self._may_try(mine):
                     self._is_tried = True
-                    return Turn.TRY
+                    return CallPermit.PROBE
                 await self._wait(mine)
-            return Turn.CALL
+            return CallPermit.CALL
         finally:
             self._line.remove(mine)
             self._tell()
 
     @contextlib.asynccontextmanager
-    async def turn(
+    async def permit(
         self, patience: float = float("inf")
-    ) -> typing.AsyncIterator[Turn]:
+    ) -> typing.AsyncIterator[CallPermit]:
         """Wait as :meth:`enter` does; a try ends with the block at the latest.
 
         A caller that is cancelled in its try tells neither success nor
@@ -107,19 +107,19 @@
 
         :param patience: seconds to wait at most; then the turn is none.
         """
-        turn = Turn.NONE
+        permit = CallPermit.NONE
         with anyio.move_on_after(patience):
-            turn = await self.enter()
-        is_try = turn is Turn.TRY
-        mine = self._tries = self._tries + is_try
+            permit = await self.enter()
+        is_probe = permit is CallPermit.PROBE
+        mine = self._tries = self._tries + is_probe
         try:
-            yield turn
+            yield permit
         finally:
-            if is_try and self._is_tried and self._tries == mine:
+            if is_probe and self._is_tried and self._tries == mine:
                 self._let_on()
 
     @contextlib.contextmanager
-    def watching(self) -> typing.Iterator[anyio.CancelScope]:
+    def watch_scope(self) -> typing.Iterator[anyio.CancelScope]:
         """Give a scope for a watch; it is cancelled when contact is lost."""
         with anyio.CancelScope() as scope:
             self._watches.add(scope)
@@ -128,11 +128,11 @@
             finally:
                 self._watches.discard(scope)
 
-    def pace_tries(self, pause: Pause) -> None:
+    def set_probe_interval(self, pause: Pause) -> None:
         """Ask ``pause`` for the seconds between two tries, at each try."""
         self._pause = pause
 
-    def hear_of_failure(self) -> None:
+    def note_peer_failure(self) -> None:
         """Note that a peer has lost the store.
 
         This process's own way there may be well. What is missing from the
@@ -140,7 +140,7 @@
         """
         self._failed_at = anyio.current_time()
 
-    def meet_epoch(self, epoch: int) -> None:
+    def observe_epoch(self, epoch: int) -> None:
         """Note an epoch of the store, told by itself or by a peer.
 
         A later one than any before takes the watches of all back. Each is
@@ -159,7 +159,7 @@
         for scope in self._watches:
             scope.cancel()
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Note that a call was answered."""
         if self._lost_at is None:
             return
@@ -172,7 +172,7 @@
         self._failures = 0
         self._let_on()
 
-    async def fail(self, reason: str, was_try: bool) -> None:
+    async def record_failure(self, reason: str, was_probe: bool) -> None:
         """Note that a call was not answered.
 
         After a try that failed the next one waits, this caller's or
@@ -187,7 +187,7 @@
             logs.change("store_lost", reason=reason)
             for scope in self._watches:
                 scope.cancel()
-        if was_try:
+        if was_probe:
             self._next_try_at = now + self._pause()
             self._let_on()
         # Whoever waited comes first, so that a kind whose answers are never
--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -60,7 +60,7 @@
     """The running event loop's clock, virtual when the loop's time is.
 
     In the daemons it counts the time for which the machine was suspended,
-    see :class:`WakefulLoop`.
+    see :class:`BootTimeEventLoop`.
     """
 
     def now(self) -> float:
@@ -80,7 +80,7 @@
         return time.clock_gettime(_BOOT)
 
 
-class SteadyClock:
+class MonotonicClock:
     """Seconds for which the machine was awake.
 
     For the pace of our own work, where nothing follows from time asleep.
@@ -91,7 +91,7 @@
         return time.monotonic()
 
 
-class WakefulLoop(asyncio.SelectorEventLoop):
+class BootTimeEventLoop(asyncio.SelectorEventLoop):
     """An event loop whose time goes on while the machine is suspended.
 
     Python's own stands still then: a process that woke after a minute held
@@ -115,10 +115,10 @@
     """
 
     def __init__(
-        self, clock: Clock | None = None, steady: Clock | None = None
+        self, clock: Clock | None = None, monotonic_clock: Clock | None = None
     ) -> None:
         self._clock = clock or LoopClock()
-        self._steady = steady or SteadyClock()
+        self._monotonic_clock = monotonic_clock or MonotonicClock()
         self._order = itertools.count()
         self._due: list[tuple[float, int, Subscription]] = []
         self._new: list[Subscription] = []
@@ -128,9 +128,9 @@
         """Return the service's seconds; time asleep counts in daemons."""
         return self._clock.now()
 
-    def awake(self) -> float:
+    def monotonic_now(self) -> float:
         """Return steady seconds, in which time asleep does not count."""
-        return self._steady.now()
+        return self._monotonic_clock.now()
 
     def subscribe(
         self, name: str, interval: float, callback: TimerCallback
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -27,8 +27,8 @@
 BACK_SECONDS = 2.0
 LOOK_SECONDS = 0.05
 NOTES_WAIT = 10.0
-STREAM = routes.Repeat.STREAM
-REPEATABLE = routes.Repeat.IDEMPOTENT
+STREAM = routes.RepeatPolicy.STREAM
+REPEATABLE = routes.RepeatPolicy.IDEMPOTENT
 
 
 @attrs.frozen
@@ -81,7 +81,7 @@
         for _ in range(count):
             entry = self.start()
             if are_noted:
-                note = rosters.Note(entry.context.zone)
+                note = rosters.EntryRecord(entry.context.zone)
                 self.store.write(
                     rosters.KIND, entry.name, rosters.encode(note)
                 )
@@ -99,7 +99,7 @@
         entry = fleet_system.FleetSystem(self.fleet, name, began)
         entry.install(entry.config)
         for listed in self._listed.values():
-            entry.tell(listed)
+            entry.list_instance(listed)
         self._entries.append(entry)
         self._scopes.append(self._begin(entry))
         return entry
@@ -113,7 +113,7 @@
         )
         fresh.install(fresh.config)
         for listed in self._listed.values():
-            fresh.tell(listed)
+            fresh.list_instance(listed)
         self._entries[number] = fresh
         self._scopes[number] = self._begin(fresh)
 
@@ -144,8 +144,10 @@
         living.sort(key=lambda one: -busy[one.listed.name])
         for target in living[:count]:
             target.is_dead = True
-            fall = chain_fleet.Fall(target, target.listed.name, b"", now)
-            self.fleet.falls.append(fall)
+            fall = chain_fleet.EngineCrash(
+                target, target.listed.name, b"", now
+            )
+            self.fleet.crashes.append(fall)
 
     def tell_all_leaving(self) -> None:
         """List every engine as one that is about to end."""
@@ -154,7 +156,7 @@
                 self._tell(attrs.evolve(listed, is_leaving=True))
 
     def ask_soon(
-        self, number: int, repeat: routes.Repeat, body: bytes
+        self, number: int, repeat: routes.RepeatPolicy, body: bytes
     ) -> None:
         """Have a request sent to an entry; what comes is in ``told``."""
         request = self[number].request(repeat, body=body)
@@ -165,7 +167,7 @@
         seconds: float,
         body: bytes,
         pause: float,
-        repeat: routes.Repeat = STREAM,
+        repeat: routes.RepeatPolicy = STREAM,
     ) -> None:
         """Send the same request again and again, to one entry after another.
 
@@ -185,9 +187,9 @@
             known = 0
             while True:
                 await anyio.sleep(LOOK_SECONDS)
-                for fall in self.fleet.falls[known:]:
+                for fall in self.fleet.crashes[known:]:
                     tasks.start_soon(self._bring_back, fall.upstream)
-                known = len(self.fleet.falls)
+                known = len(self.fleet.crashes)
 
     def told_of(self, body: bytes) -> list[Told]:
         """Return what callers of a request were told."""
@@ -215,8 +217,8 @@
         roster = rosters.Roster(
             way,
             entry.name,
-            rosters.Note(entry.context.zone),
-            entry.context.ledger,
+            rosters.EntryRecord(entry.context.zone),
+            entry.context.quarantine,
         )
         mirror = mirrors.Mirror(
             way,
@@ -225,10 +227,10 @@
             NOTES_WAIT,
             lambda: rosters.NOTES_LINGER,
         )
-        roster.watch_age(mirror.age)
+        roster.set_age_source(mirror.age)
         entry.context.follow(roster)
         scope = anyio.CancelScope()
-        parts = (entry.watch.run, roster.run, mirror.run)
+        parts = (entry.monitor.run, roster.run, mirror.run)
         self._tasks.start_soon(_run_all, scope, parts)
         return scope
 
@@ -246,9 +248,14 @@
         self._starts += 1
         fresh = attrs.evolve(target.listed, name=f"{name}.{self._starts}")
         if self.keeps_ids:
-            life = chain.Life(target.listed.life.id, self._starts)
+            incarnation = chain.Incarnation(
+                target.listed.incarnation.id, self._starts
+            )
             fresh = attrs.evolve(
-                fresh, name=life.name, instance_id=life.id, born=life.born
+                fresh,
+                name=incarnation.name,
+                instance_id=incarnation.id,
+                started_ms=incarnation.started_ms,
             )
         target.listed = fresh
         target.is_dead = False
@@ -284,7 +291,7 @@
     def _tell(self, listed: chain.Upstream) -> None:
         self._listed[listed.name] = listed
         for entry in self._entries:
-            entry.tell(listed)
+            entry.list_instance(listed)
 
 
 async def _run_all(
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -16,9 +16,9 @@
 from crowdeck import errors
 from crowdeck import http
 from crowdeck import instance as instances
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck import pipeline
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import context as contexts
 from crowdeck.relay import relay as relays
 from crowdeck.relay import request as requests
@@ -38,17 +38,17 @@
     step_ms=0.85,
     sequence_ms=0.008,
     context_ms=0.01,
-    read_tokens_per_second=196_000.0,
+    prefill_tokens_per_second=196_000.0,
     activation_bytes=59_000.0,
-    pipe_bytes_per_second=1.125e9,
+    zone_link_bytes_per_second=1.125e9,
     load_seconds=14.0,
-    loads_at_once=6,
+    concurrent_loads=6,
     slots=96,
-    usual_prompt=772.0,
-    usual_answer=172.0,
+    mean_prompt_tokens=772.0,
+    mean_answer_tokens=172.0,
     cards={
-        "large": chain.Card("large", 72_000.0, 1.4, 1.0),
-        "small": chain.Card("small", 21_600.0, 16.0, 8.2),
+        "large": chain.AcceleratorType("large", 72_000.0, 1.4, 1.0),
+        "small": chain.AcceleratorType("small", 21_600.0, 16.0, 8.2),
     },
 )
 MODEL = "assistant"
@@ -76,16 +76,18 @@
     )
 
 
-def a_route(repeat: routes.Repeat, **changes: typing.Any) -> routes.Route:
+def make_route(
+    repeat: routes.RepeatPolicy, **changes: typing.Any
+) -> routes.Route:
     """Return a route of the host ``desk``."""
-    is_stream = repeat is routes.Repeat.STREAM
+    is_stream = repeat is routes.RepeatPolicy.STREAM
     service = MODEL if is_stream else PLAIN
     route = routes.Route(
         name=str(repeat),
         host="desk",
         prefix=f"/{repeat}/",
         repeat=repeat,
-        shares=(routes.Share(service, 1.0),),
+        shares=(routes.TrafficShare(service, 1.0),),
         max_attempts=2,
         timeout=20.0 if is_stream else 1.5,
         objective=0.5,
@@ -97,12 +99,12 @@
     return attrs.evolve(route, **changes)
 
 
-def a_config(
+def make_config(
     version: int = 1, listed: tuple[routes.Route, ...] | None = None
 ) -> routes.FleetConfig:
     """Return a config with a route of each kind and one team."""
     if listed is None:
-        listed = tuple(a_route(repeat) for repeat in routes.Repeat)
+        listed = tuple(make_route(repeat) for repeat in routes.RepeatPolicy)
     return routes.FleetConfig(
         version=version,
         routes=listed,
@@ -165,28 +167,30 @@
         self.fleet = fleet or chain_fleet.ChainFleet()
         self.name = name
         self.listed: dict[str, chain.Upstream] = {}
-        self.book = books.UpstreamBook(lambda one: self.listed[one.name])
+        self.registry = registries.UpstreamRegistry(
+            lambda one: self.listed[one.name]
+        )
         self.usage = usages.InFlight()
         self.client = chain_fleet.FleetClient(self.fleet)
         self.context = contexts.RelayContext(
             zone=ZONES[0],
-            book=self.book,
+            registry=self.registry,
             client=self.client,
             usage=self.usage,
             planner=hops.HopPlanner(self.usage),
-            terms=contexts.BudgetTerms(0.2, 100.0, 10.0),
+            terms=contexts.RetryBudgetSettings(0.2, 100.0, 10.0),
             began=began,
             name=name,
             # Entries that draw alike would do the same at one moment.
-            chance=random.Random(name or 1),
-            ledger=ledgers.Ledger(anyio.current_time),
+            rng=random.Random(name or 1),
+            quarantine=trackers.QuarantineTracker(anyio.current_time),
         )
-        self.config = a_config()
+        self.config = make_config()
         self.holder = relays.ConfigHolder(lambda _: self.config, "main")
         self.age = 0.0
-        self.watch = stalls.StallWatch(self.context)
+        self.monitor = stalls.StallMonitor(self.context)
         self.relay = relays.Relay(
-            self.context, self.holder, self.watch, lambda: self.age, 3.5
+            self.context, self.holder, self.monitor, lambda: self.age, 3.5
         )
         # Ids of an entry that was started again are others than before.
         self._prefix = f"{name}r" if began < 0.0 else f"{name}@{began:.3f}r"
@@ -202,14 +206,14 @@
     def add(self, listed: chain.Upstream) -> chain_fleet.StandinUpstream:
         """Add an upstream instance, and list it."""
         target = self.fleet.add(listed)
-        self.tell(listed)
+        self.list_instance(listed)
         return target
 
-    def tell(self, listed: chain.Upstream) -> None:
+    def list_instance(self, listed: chain.Upstream) -> None:
         """List an instance as it is now."""
-        entry = listed.life.id
+        entry = listed.incarnation.id
         self.listed[entry] = listed
-        self.book.on_changed(
+        self.registry.on_changed(
             (stores.StoredObject("upstreams", entry, 1, b"{}"),), ()
         )
 
@@ -229,7 +233,7 @@
                     )
 
     def request(
-        self, repeat: routes.Repeat, **changes: typing.Any
+        self, repeat: routes.RepeatPolicy, **changes: typing.Any
     ) -> requests.CallerRequest:
         """Return a new request on one of the routes."""
         self._ids += 1
@@ -242,9 +246,9 @@
             key="secret",
             headers=[],
             body=b"",
-            patience=20.0,
+            timeout_seconds=20.0,
             arrived=anyio.current_time(),
-            size=requests.PromptSize(700, 400, 100),
+            size=requests.TokenCounts(700, 400, 100),
         )
         return attrs.evolve(request, **changes)
 
@@ -258,9 +262,9 @@
         return caller
 
 
-def spend(budget: budgets.SharedBudget) -> bool:
+def spend_retry(budget: budgets.SharedRetryBudget) -> bool:
     """Have a request sent again that arrives at once, if it may be."""
-    with contextlib.closing(budget.open_sends()) as sends:
+    with contextlib.closing(budget.track_sends()) as sends:
         if not sends.reserve():
             return False
         sends.send()
@@ -281,6 +285,6 @@
 ) -> None:
     """Run a test's work beside the watch over streams."""
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(system.watch.run)
+        tasks.start_soon(system.monitor.run)
         await work(system)
         tasks.cancel_scope.cancel()
--- a/tests/system.py
+++ b/tests/system.py
@@ -15,7 +15,7 @@
 
 from crowdeck import contract as contracts
 from crowdeck.entry import answers as answers_module
-from crowdeck.entry import drive as drives
+from crowdeck.entry import driver
 from crowdeck.entry import entry as entries
 from crowdeck.entry import model_request as model_requests
 from crowdeck.entry import service_calls
@@ -77,7 +77,7 @@
         if self.seconds_per_piece:
             await anyio.sleep(self.seconds_per_piece)
 
-    def locate(self, epoch: int, head: str, tail: str) -> None:
+    def set_location(self, epoch: int, head: str, tail: str) -> None:
         self.location = (head, tail)
 
     @property
@@ -215,9 +215,9 @@
         request: model_requests.ModelRequest,
         caller: Caller,
         entry: int = 0,
-    ) -> drives.Drive:
-        return drives.Drive(
-            self.entry(entry).drive_parts,
+    ) -> driver.RequestDriver:
+        return driver.RequestDriver(
+            self.entry(entry).driver_dependencies,
             request,
             caller,
             TRACER.begin("test"),
@@ -235,9 +235,9 @@
         key: str = "",
         is_repeatable: bool = False,
         seconds: float = 10.0,
-    ) -> service_calls.ServiceOrder:
+    ) -> service_calls.ServiceCall:
         self.requests += 1
-        return service_calls.ServiceOrder(
+        return service_calls.ServiceCall(
             request=f"call{self.requests}",
             team="kiosks",
             service="records",
@@ -262,12 +262,12 @@
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as tasks:
                 timer_service = timers.TimerService()
-                book = _Book(self.store)
+                resolver = _Book(self.store)
                 sidecar = sidecars.Sidecar(
                     name=name,
                     engine=engine,
                     services=services,
-                    book=book,
+                    resolver=resolver,
                     timer_service=timer_service,
                     tracer=TRACER,
                     tasks=tasks,
@@ -286,8 +286,8 @@
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as tasks:
                 timer_service = timers.TimerService()
-                answers = answers_module.Answers()
-                handler = entries.EntryHandler(answers)
+                answers = answers_module.AnswerInboxes()
+                handler = entries.EntryLinkHandler(answers)
                 transport = self._join(name, instances.Role.ENTRY, 1, handler)
                 entry = entries.Entry(
                     options=entries.EntryOptions(name, "plateau"),
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,7 +11,7 @@
 import attrs
 import pytest
 
-from crowdeck.entry import drive as drives
+from crowdeck.entry import driver
 from crowdeck.entry import model_request as model_requests
 from crowdeck import errors
 from crowdeck.sidecar import attempt as attempts
@@ -225,7 +225,7 @@
                 first, second = systems.Caller(), systems.Caller()
                 request = system.request(PROMPT)
                 await _break_at(system, request, first, position)
-                resume = model_requests.Resume(
+                resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
                 await system.drive(request, second, entry=1).run(resume)
@@ -243,7 +243,7 @@
                 request = system.request(PROMPT)
                 await _break_at(system, request, first, 6)
                 system.kill(first.location[0])
-                resume = model_requests.Resume(
+                resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
                 await system.drive(request, second, entry=1).run(resume)
@@ -262,7 +262,7 @@
                 foreign = system.request(
                     PROMPT, request=request.request, team="others"
                 )
-                resume = model_requests.Resume(0, *first.location)
+                resume = model_requests.ResumePoint(0, *first.location)
                 with pytest.raises(errors.CrowdeckError) as caught:
                     await system.drive(foreign, second, entry=1).run(resume)
                 assert caught.value.code == errors.Code.ANSWER_GONE
@@ -280,7 +280,9 @@
 
                 def intrude() -> None:
                     head = _stage_of(system, 0)
-                    own = next(one for one in head.kept.all if one.is_running)
+                    own = next(
+                        one for one in head.registry.all if one.is_running
+                    )
                     foreign = attrs.evolve(own.opening, epoch=5, team="x")
                     try:
                         head.open(_NO_PEER, foreign)
@@ -310,7 +312,7 @@
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(run_first)
                     await anyio.sleep(1.0)
-                    resume = model_requests.Resume(
+                    resume = model_requests.ResumePoint(
                         len(first.pieces), *first.location
                     )
                     await system.drive(request, second, entry=1).run(resume)
@@ -412,7 +414,7 @@
                     await system.drive(request, caller).run()
                 head = system.sidecar(caller.location[0])
                 assert head._stage is not None
-                made = max(len(one.pieces) for one in head._stage.kept.all)
+                made = max(len(one.pieces) for one in head._stage.registry.all)
                 assert len(caller.pieces) < made <= len(caller.pieces) + 16
 
         virtual.run(check)
@@ -428,7 +430,7 @@
                 with anyio.move_on_after(1.0):
                     await system.drive(request, first).run()
                 await anyio.sleep(2.0)
-                resume = model_requests.Resume(
+                resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
                 await system.drive(request, second, entry).run(resume)
@@ -445,7 +447,7 @@
                 request = system.request(PROMPT, 300, window=8)
                 with anyio.move_on_after(3.0):
                     await system.drive(request, caller).run()
-                await anyio.sleep(drives.LEAVE_SECONDS + 1.0)
+                await anyio.sleep(driver.LEAVE_SECONDS + 1.0)
                 for engine in system.engines.values():
                     assert not engine.sequences
 
@@ -647,7 +649,7 @@
     for name in system.engines:
         stage = system.sidecar(name)._stage
         assert stage is not None
-        for attempt in stage.kept.all:
+        for attempt in stage.registry.all:
             if attempt.is_tail and attempt.epoch == epoch:
                 return stage, attempt
     raise AssertionError(f"no tail runs epoch {epoch}")
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -19,10 +19,10 @@
 import pytest
 
 from crowdeck import chain
-from crowdeck.membership import leavers
-from crowdeck.membership import upstreams as books
-from crowdeck.placement import duty as duties
-from crowdeck.placement import losses
+from crowdeck.membership import leaving_instances
+from crowdeck.membership import upstreams as registries
+from crowdeck.placement import controller as controllers
+from crowdeck.placement import failure_detector
 from crowdeck import route as routes
 from crowdeck.standin import chain_fleet
 from crowdeck.state import leases
@@ -31,9 +31,9 @@
 from tests import test_placement
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
-ONCE = routes.Repeat.ONCE
-IDEMPOTENT = routes.Repeat.IDEMPOTENT
+STREAM = routes.RepeatPolicy.STREAM
+ONCE = routes.RepeatPolicy.ONCE
+IDEMPOTENT = routes.RepeatPolicy.IDEMPOTENT
 REST_SECONDS = 3.0
 # What was sent before the answer came may still arrive.
 SLACK_SECONDS = 0.5
@@ -65,7 +65,10 @@
 
 
 async def send(
-    system: System, repeat: routes.Repeat, seconds: float, step: float = 0.05
+    system: System,
+    repeat: routes.RepeatPolicy,
+    seconds: float,
+    step: float = 0.05,
 ) -> list[fleet_system.Caller]:
     """Send requests for a while; returns what came of them."""
     told: list[fleet_system.Caller] = []
@@ -108,15 +111,17 @@
     """An instance that turns a request away and asks for rest."""
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
-    def test_is_sent_nothing_for_so_long(self, repeat: routes.Repeat) -> None:
+    def test_is_sent_nothing_for_so_long(
+        self, repeat: routes.RepeatPolicy
+    ) -> None:
         async def work(system: System) -> None:
             await send(system, repeat, 1.0)
             target = busiest(system)
             target.backoff = REST_SECONDS
-            target.rejects = 1
+            target.rejected_requests = 1
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(send, system, repeat, 6.0)
-                while target.rejects:
+                while target.rejected_requests:
                     await anyio.sleep(0.001)
                 asked_at = anyio.current_time()
             until = asked_at + REST_SECONDS - 0.002
@@ -126,7 +131,9 @@
         play(work)
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
-    def test_is_used_again_afterwards(self, repeat: routes.Repeat) -> None:
+    def test_is_used_again_afterwards(
+        self, repeat: routes.RepeatPolicy
+    ) -> None:
         async def work(system: System) -> None:
             for one in system.fleet.upstreams:
                 # So long that all are needed.
@@ -134,7 +141,7 @@
             await send(system, repeat, 1.0)
             target = busiest(system)
             target.backoff = REST_SECONDS
-            target.rejects = 1
+            target.rejected_requests = 1
             await send(system, repeat, REST_SECONDS + 1.0)
             since = anyio.current_time()
             await send(system, repeat, 2.0)
@@ -145,12 +152,12 @@
     def test_a_shorter_time_takes_nothing_back(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.back_off(one.name, REST_SECONDS)
-            system.book.back_off(one.name, 0.1)
+            system.registry.back_off(one.name, REST_SECONDS)
+            system.registry.back_off(one.name, 0.1)
             await anyio.sleep(REST_SECONDS - 0.1)
-            assert not system.book.is_usable(one.name)
+            assert not system.registry.is_usable(one.name)
             await anyio.sleep(0.2)
-            assert system.book.is_usable(one.name)
+            assert system.registry.is_usable(one.name)
 
         play(work)
 
@@ -159,21 +166,21 @@
             other = System(system.fleet, "other")
             other.install(other.config)
             for one in system.listed.values():
-                other.tell(one)
+                other.list_instance(one)
             first = next(iter(system.listed.values()))
-            system.book.back_off(first.name, REST_SECONDS)
-            assert not system.book.is_usable(first.name)
-            assert other.book.is_usable(first.name)
+            system.registry.back_off(first.name, REST_SECONDS)
+            assert not system.registry.is_usable(first.name)
+            assert other.registry.is_usable(first.name)
 
         play(work)
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
     def test_all_want_rest_and_callers_are_told_when_to_come_back(
-        self, repeat: routes.Repeat
+        self, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
-                system.book.back_off(one.name, REST_SECONDS)
+                system.registry.back_off(one.name, REST_SECONDS)
             (told,) = await send(system, repeat, 0.01)
             assert told.error is not None
             assert told.error.verdict is verdicts.Verdict.NOT_RUN
@@ -190,11 +197,11 @@
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE])
     def test_a_rest_that_is_nearly_over_is_waited_out(
-        self, repeat: routes.Repeat
+        self, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
-                system.book.back_off(one.name, 0.2)
+                system.registry.back_off(one.name, 0.2)
             (told,) = await send(system, repeat, 0.01)
             assert told.error is None
 
@@ -209,7 +216,7 @@
                 tasks.start_soon(system.relay.serve, request, caller)
                 await anyio.sleep(0.5)
                 for one in system.listed.values():
-                    system.book.back_off(one.name, REST_SECONDS)
+                    system.registry.back_off(one.name, REST_SECONDS)
             whole = fleet_system.whole_answer(request.id, 150)
             assert caller.body == whole
             assert not system.fleet.repaths
@@ -229,9 +236,9 @@
                 second = system.fleet.at(
                     run.path.split(",")[1].partition("=")[0]
                 )
-                system.book.back_off(head.listed.name, REST_SECONDS)
+                system.registry.back_off(head.listed.name, REST_SECONDS)
                 since = anyio.current_time()
-                second.is_dark = True
+                second.is_unresponsive = True
             whole = fleet_system.whole_answer(request.id, 150)
             assert caller.body == whole
             until = since + REST_SECONDS
@@ -244,9 +251,9 @@
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             for _ in range(2):
-                system.book.back_off(one.name, REST_SECONDS)
-                assert system.book.may_ask(one.name)
-                assert not system.book.may_ask(one.name)
+                system.registry.back_off(one.name, REST_SECONDS)
+                assert system.registry.may_probe(one.name)
+                assert not system.registry.may_probe(one.name)
                 await anyio.sleep(REST_SECONDS)
 
         play(work)
@@ -255,7 +262,7 @@
         async def work(system: System) -> None:
             await send(system, ONCE, 1.0)
             target = busiest(system)
-            target.rejects = 1000
+            target.rejected_requests = 1000
             told = await send(system, ONCE, 5.0)
             refused = [one for one in told if one.error is not None]
             # One in two seconds at the most, as its failure is forgotten.
@@ -266,10 +273,10 @@
     def test_one_that_also_leaves_is_no_last_resort(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.note_leaving(one.name)
-            assert system.book.last_resort(one.service)
-            system.book.back_off(one.name, REST_SECONDS)
-            assert not system.book.last_resort(one.service)
+            system.registry.note_leaving(one.name)
+            assert system.registry.usable_while_leaving(one.service)
+            system.registry.back_off(one.name, REST_SECONDS)
+            assert not system.registry.usable_while_leaving(one.service)
 
         play(work)
 
@@ -277,13 +284,13 @@
         async def work(system: System) -> None:
             lost, resting, *_ = system.listed.values()
             asked = chain_fleet.FleetClient(system.fleet)
-            watch = losses.LossWatch(
-                system.book, asked, lambda: system.config.services
+            watch = failure_detector.FailureDetector(
+                system.registry, asked, lambda: system.config.services
             )
             system.fleet.at(lost.address).is_dead = True
-            system.book.avoid(lost.name, "silent")
-            system.book.back_off(resting.name, REST_SECONDS)
-            for _ in range(losses.UNANSWERED_QUESTIONS + 1):
+            system.registry.avoid(lost.name, "silent")
+            system.registry.back_off(resting.name, REST_SECONDS)
+            for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await watch.look()
             names = {one.upstream for one in asked.arrivals}
             assert len(names) > 2
@@ -294,13 +301,13 @@
     def test_one_that_failed_is_not_asked_whether_it_is_back(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.avoid(one.name, "silent")
-            system.book.back_off(one.name, REST_SECONDS)
+            system.registry.avoid(one.name, "silent")
+            system.registry.back_off(one.name, REST_SECONDS)
             await anyio.sleep(REST_SECONDS - 0.1)
             assert not system.client.arrivals
             await anyio.sleep(1.0)
             assert system.client.arrivals
-            assert system.book.is_usable(one.name)
+            assert system.registry.is_usable(one.name)
 
         play(work)
 
@@ -308,12 +315,12 @@
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             asked = chain_fleet.FleetClient(system.fleet)
-            watch = losses.LossWatch(
-                system.book, asked, lambda: system.config.services
+            watch = failure_detector.FailureDetector(
+                system.registry, asked, lambda: system.config.services
             )
-            system.book.avoid(one.name, "silent")
-            system.book.back_off(one.name, REST_SECONDS)
-            for _ in range(losses.UNANSWERED_QUESTIONS + 1):
+            system.registry.avoid(one.name, "silent")
+            system.registry.back_off(one.name, REST_SECONDS)
+            for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await watch.look()
             assert not asked.arrivals
             assert not watch.is_lost(one.name)
@@ -324,12 +331,12 @@
         async def work(system: System) -> None:
             for target in system.fleet.upstreams:
                 target.listed = attrs.evolve(target.listed, layers=None)
-                system.tell(target.listed)
+                system.list_instance(target.listed)
             ordered = system.fleet.upstreams[0]
-            system.book.back_off(ordered.listed.name, 8.0)
-            duty = duties.PlacementDuty(
+            system.registry.back_off(ordered.listed.name, 8.0)
+            duty = controllers.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
-                system.book,
+                system.registry,
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
             )
@@ -349,7 +356,7 @@
             await send(system, ONCE, 1.0)
             target = busiest(system)
             target.backoff = REST_SECONDS
-            target.rejects = 1000
+            target.rejected_requests = 1000
             told = await send(system, ONCE, 9.0)
             refused = [one for one in told if one.error is not None]
             # One each time that it is asked again.
@@ -374,23 +381,23 @@
     def test_it_has_it_again_within_a_second(
         self, rate: float, seed: int
     ) -> None:
-        chance = random.Random(seed)
+        rng = random.Random(seed)
 
         async def call(system: System, seconds: float) -> None:
             until = anyio.current_time() + seconds
             async with anyio.create_task_group() as tasks:
                 while anyio.current_time() < until:
                     tasks.start_soon(system.ask, system.request(ONCE))
-                    await anyio.sleep(chance.expovariate(rate))
+                    await anyio.sleep(rng.expovariate(rate))
 
         async def work(system: System) -> None:
-            await call(system, 3.0 + chance.random())
+            await call(system, 3.0 + rng.random())
             target = busiest(system)
             target.backoff = REST_SECONDS
-            target.rejects = 1
+            target.rejected_requests = 1
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call, system, 8.0)
-                while target.rejects:
+                while target.rejected_requests:
                     await anyio.sleep(0.001)
                 over = anyio.current_time() + REST_SECONDS
             first = sent(system, target.listed, over - 0.002)[0]
@@ -410,17 +417,19 @@
     """An instance that says only in its answers that it leaves."""
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
-    def test_is_sent_no_later_request(self, repeat: routes.Repeat) -> None:
+    def test_is_sent_no_later_request(
+        self, repeat: routes.RepeatPolicy
+    ) -> None:
         async def work(system: System) -> None:
             await send(system, repeat, 1.0)
             target = busiest(system)
-            target.tells_leaving = True
+            target.announces_leaving = True
             said_at = anyio.current_time()
             told = await send(system, repeat, 5.0)
             late = [
                 one
                 for one in sent(system, target.listed, said_at)
-                if one.what is chain_fleet.What.REQUEST
+                if one.what is chain_fleet.CallKind.REQUEST
                 and one.arrived > said_at + LEAVING_SECONDS
             ]
             assert not late
@@ -431,23 +440,23 @@
     def test_stays_so_whatever_its_entry_says(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.note_leaving(one.name)
-            assert not system.book.is_usable(one.name)
-            system.tell(one)
-            system.tell(attrs.evolve(one, slots=one.slots + 1))
-            assert not system.book.is_usable(one.name)
+            system.registry.note_leaving(one.name)
+            assert not system.registry.is_usable(one.name)
+            system.list_instance(one)
+            system.list_instance(attrs.evolve(one, slots=one.slots + 1))
+            assert not system.registry.is_usable(one.name)
 
         play(work)
 
     def test_one_whose_entry_lapsed_is_dropped_all_the_same(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.watch_store(anyio.current_time)
-            system.book.on_changed((), (one.life.id,))
-            system.book.note_leaving(one.name)
-            await anyio.sleep(books.LAPSE_SECONDS + 0.1)
+            system.registry.set_store_failure_source(anyio.current_time)
+            system.registry.on_changed((), (one.incarnation.id,))
+            system.registry.note_leaving(one.name)
+            await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
             assert one.name not in {
-                it.name for it in system.book.listed(one.service)
+                it.name for it in system.registry.listed(one.service)
             }
 
         play(work)
@@ -455,45 +464,51 @@
     def test_stays_so_though_its_entry_goes_and_comes_again(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.note_leaving(one.name)
-            system.book.on_changed((), (one.life.id,))
+            system.registry.note_leaving(one.name)
+            system.registry.on_changed((), (one.incarnation.id,))
             await anyio.sleep(LEAVING_SECONDS)
-            system.tell(one)
-            assert not system.book.is_usable(one.name)
+            system.list_instance(one)
+            assert not system.registry.is_usable(one.name)
             assert one.name not in {
-                it.name for it in system.book.last_resort(one.service)
+                it.name
+                for it in system.registry.usable_while_leaving(one.service)
             }
 
         play(work)
 
     def test_remembers_only_so_many(self) -> None:
         async def work(system: System) -> None:
-            for number in range(leavers.LEAVERS_MOST + 5):
-                system.book.note_leaving(f"gone-{number}")
-            assert len(system.book._leavers) == leavers.LEAVERS_MOST
+            for number in range(leaving_instances.LEAVERS_MOST + 5):
+                system.registry.note_leaving(f"gone-{number}")
+            assert (
+                len(system.registry._leavers) == leaving_instances.LEAVERS_MOST
+            )
 
         play(work)
 
     def test_another_run_of_it_does_not_leave(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.book.note_leaving(one.name)
-            life = chain.Life(one.life.id, 5)
-            system.tell(
+            system.registry.note_leaving(one.name)
+            incarnation = chain.Incarnation(one.incarnation.id, 5)
+            system.list_instance(
                 attrs.evolve(
-                    one, name=life.name, instance_id=life.id, born=life.born
+                    one,
+                    name=incarnation.name,
+                    instance_id=incarnation.id,
+                    started_ms=incarnation.started_ms,
                 )
             )
-            assert system.book.is_usable(life.name)
+            assert system.registry.is_usable(incarnation.name)
 
         play(work)
 
     def test_a_question_is_answered_with_it_as_well(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.fleet.at(one.address).tells_leaving = True
+            system.fleet.at(one.address).announces_leaving = True
             await system.client.report(one)
-            assert not system.book.is_usable(one.name)
+            assert not system.registry.is_usable(one.name)
 
         play(work)
 
@@ -503,7 +518,7 @@
                 one for one in system.listed.values() if "-1" in one.name
             ]
             for one in passed:
-                system.book.note_leaving(one.name)
+                system.registry.note_leaving(one.name)
             await anyio.sleep(LEAVING_SECONDS)
             await send(system, STREAM, 1.0)
             for run in system.fleet.runs:
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -11,11 +11,11 @@
 
 from crowdeck import errors
 from crowdeck.membership import roster as rosters
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.standin import store as standin_store
-from crowdeck.state import contact as contacts
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
+from crowdeck.state import store_health
 from tests import fleet_system
 from tests import virtual
 
@@ -153,13 +153,13 @@
     def play(self, work: object) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = contacts.StoreContact()
+            health = store_health.StoreHealth()
             quick, slow = _Follower(), _Follower()
             config = mirrors.Mirror(
-                store, "q", quick, 2.0, lambda: 0.0, contact
+                store, "q", quick, 2.0, lambda: 0.0, health
             )
             entries = mirrors.Mirror(
-                store, "s", slow, 10.0, lambda: 0.0, contact
+                store, "s", slow, 10.0, lambda: 0.0, health
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(config.run)
@@ -178,9 +178,9 @@
             slow: _Follower,
             config: mirrors.Mirror,
         ) -> None:
-            store.fall_silent()
+            store.stop_answering()
             await anyio.sleep(2.9)
-            store.speak()
+            store.resume_answering()
             store.write("s", "leaving", b"1")
             await anyio.sleep(1.5)
             assert slow.values == {"leaving": b"1"}
@@ -193,9 +193,9 @@
             slow: _Follower,
             config: mirrors.Mirror,
         ) -> None:
-            store.fall_silent()
+            store.stop_answering()
             await anyio.sleep(0.2)
-            store.speak()
+            store.resume_answering()
             store.write("s", "leaving", b"1")
             await anyio.sleep(2.6)
             assert slow.values == {"leaving": b"1"}
@@ -209,10 +209,10 @@
             slow: _Follower,
             config: mirrors.Mirror,
         ) -> None:
-            store.fall_silent()
+            store.stop_answering()
             await anyio.sleep(5.0)
             assert config.age() > 4.9
-            store.speak()
+            store.resume_answering()
             await anyio.sleep(1.0)
             assert config.age() < 0.9
 
@@ -238,19 +238,19 @@
         # An entry never called the store again after an outage: whoever
         # had the one try was gone, and all others waited for it.
         async def body() -> None:
-            contact = contacts.StoreContact()
-            await contact.fail("lost", was_try=False)
-            had_turn: list[contacts.Turn] = []
+            health = store_health.StoreHealth()
+            await health.record_failure("lost", was_probe=False)
+            had_turn: list[store_health.CallPermit] = []
 
             async def hang(scope: anyio.CancelScope) -> None:
                 with scope:
-                    async with contact.turn():
+                    async with health.permit():
                         await anyio.sleep_forever()
 
             async def wait() -> None:
-                async with contact.turn() as turn:
-                    had_turn.append(turn)
-                    contact.succeed()
+                async with health.permit() as permit:
+                    had_turn.append(permit)
+                    health.record_success()
 
             scope = anyio.CancelScope()
             async with anyio.create_task_group() as tasks:
@@ -263,8 +263,8 @@
                 with anyio.fail_after(1.0):
                     while not had_turn:
                         await anyio.sleep(0.01)
-            assert had_turn == [contacts.Turn.TRY]
-            assert not contact.is_lost
+            assert had_turn == [store_health.CallPermit.PROBE]
+            assert not health.is_lost
 
         virtual.run(body)
 
@@ -296,12 +296,12 @@
         self.play(work)
 
 
-def a_book() -> tuple[books.UpstreamBook, dict[str, object]]:
+def a_book() -> tuple[registries.UpstreamRegistry, dict[str, object]]:
     listed: dict[str, object] = {}
-    book = books.UpstreamBook(
+    registry = registries.UpstreamRegistry(
         lambda stored: listed[stored.name]  # type: ignore[return-value]
     )
-    return book, listed
+    return registry, listed
 
 
 def entry(name: str, version: int = 1) -> stores.StoredObject:
@@ -309,17 +309,17 @@
 
 
 def tell(
-    book: books.UpstreamBook,
+    registry: registries.UpstreamRegistry,
     listed: dict[str, object],
     name: str,
     version: int = 1,
 ) -> None:
     listed[name] = listed.get(name) or fleet_system.upstream(name)
-    book.on_changed((entry(name, version),), ())
+    registry.on_changed((entry(name, version),), ())
 
 
-def names_of(book: books.UpstreamBook) -> set[str]:
-    return {one.name for one in book.usable(fleet_system.MODEL)}
+def names_of(registry: registries.UpstreamRegistry) -> set[str]:
+    return {one.name for one in registry.usable(fleet_system.MODEL)}
 
 
 class TestBook:
@@ -327,36 +327,36 @@
 
     def test_leaving_ones_get_none(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
-            tell(book, listed, "b")
+            registry, listed = a_book()
+            tell(registry, listed, "a")
+            tell(registry, listed, "b")
             listed["a"] = attrs.evolve(
                 fleet_system.upstream("a"), is_leaving=True
             )
-            tell(book, listed, "a")
-            assert names_of(book) == {"b"}
+            tell(registry, listed, "a")
+            assert names_of(registry) == {"b"}
 
         virtual.run(body)
 
     def test_failed_ones_are_left_alone_longer_each_time(self) -> None:
         # Plain services are not asked: a call finds out by itself.
         async def body() -> None:
-            book, listed = a_book()
+            registry, listed = a_book()
             listed["a"] = fleet_system.upstream("a", card="")
-            tell(book, listed, "a")
+            tell(registry, listed, "a")
             pauses = []
             for _ in range(4):
-                book.avoid("a", "refused")
+                registry.avoid("a", "refused")
                 began = anyio.current_time()
-                while not names_of(book):
+                while not names_of(registry):
                     await anyio.sleep(0.1)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses == sorted(pauses)
             assert pauses[-1] >= 4 * pauses[0]
-            book.trust("a")
-            book.avoid("a", "refused")
-            await anyio.sleep(books.AVOID_SECONDS + 0.1)
-            assert names_of(book) == {"a"}
+            registry.note_healthy("a")
+            registry.avoid("a", "refused")
+            await anyio.sleep(registries.AVOID_SECONDS + 0.1)
+            assert names_of(registry) == {"a"}
 
         virtual.run(body)
 
@@ -364,82 +364,84 @@
         # Streams used to be sent to find out, by each entry again and
         # again, and each was refused and repeated at a dead engine's cost.
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
+            registry, listed = a_book()
+            tell(registry, listed, "a")
             pauses = []
             for _ in range(4):
-                book.avoid("a", "refused")
+                registry.avoid("a", "refused")
                 began = anyio.current_time()
-                while not book.due_for_proof():
-                    assert names_of(book) == set()
+                while not registry.due_for_probe():
+                    assert names_of(registry) == set()
                     await anyio.sleep(0.1)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses == sorted(pauses)
             assert pauses[-1] >= 4 * pauses[0]
-            assert names_of(book) == set()
-            book.trust("a")
-            assert names_of(book) == {"a"}
+            assert names_of(registry) == set()
+            registry.note_healthy("a")
+            assert names_of(registry) == {"a"}
 
         virtual.run(body)
 
     def test_an_engine_asked_in_vain_is_asked_again_soon(self) -> None:
         # The question says nothing while our own link is full.
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
-            book.avoid("a", "refused")
-            await anyio.sleep(books.AVOID_SECONDS + 0.1)
-            assert [one.name for one in book.due_for_proof()] == ["a"]
-            assert book.due_for_proof() == ()
-            await anyio.sleep(books.UNSURE_SECONDS + 0.01)
-            assert [one.name for one in book.due_for_proof()] == ["a"]
+            registry, listed = a_book()
+            tell(registry, listed, "a")
+            registry.avoid("a", "refused")
+            await anyio.sleep(registries.AVOID_SECONDS + 0.1)
+            assert [one.name for one in registry.due_for_probe()] == ["a"]
+            assert registry.due_for_probe() == ()
+            await anyio.sleep(registries.UNSURE_SECONDS + 0.01)
+            assert [one.name for one in registry.due_for_probe()] == ["a"]
 
         virtual.run(body)
 
     def test_full_ones_are_left_alone_longer_while_they_refuse(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
+            registry, listed = a_book()
+            tell(registry, listed, "a")
             pauses = []
             for _ in range(4):
-                book.pause("a", books.FULL_SECONDS, "refused with 503")
+                registry.pause(
+                    "a", registries.FULL_SECONDS, "refused with 503"
+                )
                 began = anyio.current_time()
-                while not names_of(book):
+                while not names_of(registry):
                     await anyio.sleep(0.05)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses[-1] >= 3 * pauses[0]
-            await anyio.sleep(books.APART_SECONDS + 0.1)
-            book.pause("a", books.FULL_SECONDS, "refused with 503")
-            await anyio.sleep(books.FULL_SECONDS + 0.05)
-            assert names_of(book) == {"a"}
+            await anyio.sleep(registries.APART_SECONDS + 0.1)
+            registry.pause("a", registries.FULL_SECONDS, "refused with 503")
+            await anyio.sleep(registries.FULL_SECONDS + 0.05)
+            assert names_of(registry) == {"a"}
 
         virtual.run(body)
 
     def test_gone_is_gone_at_once_while_the_store_is_well(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
-            book.on_changed((), ("a",))
-            assert names_of(book) == set()
+            registry, listed = a_book()
+            tell(registry, listed, "a")
+            registry.on_changed((), ("a",))
+            assert names_of(registry) == set()
 
         virtual.run(body)
 
     def test_lapsed_with_the_store_serves_once_it_has_answered(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            book.watch_store(anyio.current_time)
+            registry, listed = a_book()
+            registry.set_store_failure_source(anyio.current_time)
             asked: list[str] = []
-            book.subscribe_lapses(lambda one: asked.append(one.name))
-            tell(book, listed, "a")
-            tell(book, listed, "b")
-            book.on_listed(())
+            registry.subscribe_lapses(lambda one: asked.append(one.name))
+            tell(registry, listed, "a")
+            tell(registry, listed, "b")
+            registry.on_listed(())
             assert asked == ["a", "b"]
-            assert names_of(book) == set()
-            book.trust("a")
-            assert names_of(book) == {"a"}
+            assert names_of(registry) == set()
+            registry.note_healthy("a")
+            assert names_of(registry) == {"a"}
             # An entry that is missing after all is taken as gone.
-            await anyio.sleep(books.LAPSE_SECONDS + 0.1)
-            assert names_of(book) == set()
+            await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
+            assert names_of(registry) == set()
 
         virtual.run(body)
 
@@ -451,45 +453,47 @@
         # entry was taken for lapsed. Its instance had left, and a call came
         # to it 2.18 s later; two seconds are allowed.
         async def body() -> None:
-            book, listed = a_book()
-            book.watch_store(anyio.current_time)
+            registry, listed = a_book()
+            registry.set_store_failure_source(anyio.current_time)
             listed["a"] = fleet_system.upstream("a", card=card)
-            tell(book, listed, "a")
-            book.on_changed((), ("a",))
-            book.trust("a")
-            assert names_of(book) == {"a"}
+            tell(registry, listed, "a")
+            registry.on_changed((), ("a",))
+            registry.note_healthy("a")
+            assert names_of(registry) == {"a"}
             await anyio.sleep(1.9)
-            assert names_of(book) == set()
+            assert names_of(registry) == set()
 
         virtual.run(body)
 
     def test_lapsed_entry_that_comes_back_serves_at_once(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            book.watch_store(anyio.current_time)
-            tell(book, listed, "a")
-            book.on_listed(())
-            tell(book, listed, "a")
-            assert names_of(book) == {"a"}
-            await anyio.sleep(books.LAPSE_SECONDS + 0.1)
-            assert names_of(book) == {"a"}
+            registry, listed = a_book()
+            registry.set_store_failure_source(anyio.current_time)
+            tell(registry, listed, "a")
+            registry.on_listed(())
+            tell(registry, listed, "a")
+            assert names_of(registry) == {"a"}
+            await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
+            assert names_of(registry) == {"a"}
 
         virtual.run(body)
 
     def test_leaving_ones_are_a_last_resort_for_a_while(self) -> None:
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "a")
+            registry, listed = a_book()
+            tell(registry, listed, "a")
             listed["a"] = attrs.evolve(
                 fleet_system.upstream("a"), is_leaving=True
             )
-            tell(book, listed, "a")
+            tell(registry, listed, "a")
             service = fleet_system.MODEL
-            assert [one.name for one in book.last_resort(service)] == ["a"]
+            assert [
+                one.name for one in registry.usable_while_leaving(service)
+            ] == ["a"]
             # Well before the two seconds after which none may reach it.
-            await anyio.sleep(books.LAST_WORK_SECONDS + 0.01)
-            assert book.last_resort(service) == ()
-            assert books.LAST_WORK_SECONDS <= 1.0
+            await anyio.sleep(registries.LAST_WORK_SECONDS + 0.01)
+            assert registry.usable_while_leaving(service) == ()
+            assert registries.LAST_WORK_SECONDS <= 1.0
 
         virtual.run(body)
 
@@ -497,14 +501,14 @@
         # An engine crashed while the store was away and was started again:
         # its former entry stayed, and every path through it was refused.
         async def body() -> None:
-            book, listed = a_book()
-            tell(book, listed, "former")
+            registry, listed = a_book()
+            tell(registry, listed, "former")
             listed["after"] = attrs.evolve(
                 fleet_system.upstream("former"), name="after"
             )
-            tell(book, listed, "after", version=2)
-            assert names_of(book) == {"after"}
-            assert book.has_ended("former")
+            tell(registry, listed, "after", version=2)
+            assert names_of(registry) == {"after"}
+            assert registry.has_ended("former")
 
         virtual.run(body)
 
@@ -514,10 +518,10 @@
             after = attrs.evolve(former, name="after")
             entries = (entry("former", 1), entry("after", 2))
             for order in (entries, entries[::-1]):
-                book, listed = a_book()
+                registry, listed = a_book()
                 listed.update(former=former, after=after)
-                book.on_listed(order)
-                assert names_of(book) == {"after"}
+                registry.on_listed(order)
+                assert names_of(registry) == {"after"}
 
         virtual.run(body)
 
@@ -529,11 +533,13 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             rosters_made = [
-                rosters.Roster(store, f"entry-{number}", rosters.Note(zone))
+                rosters.Roster(
+                    store, f"entry-{number}", rosters.EntryRecord(zone)
+                )
                 for number, zone in enumerate(("a", "a", "b"))
             ]
             for one in rosters_made:
-                await one.enrol()
+                await one.register()
             changes = await store.list(rosters.KIND)
             rosters_made[0].on_listed(changes.objects)
             assert rosters_made[0].count == 3
@@ -544,11 +550,13 @@
     def test_many_entries_watch_less_often_within_bounds(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            one = rosters.Roster(store, "entry-0", rosters.Note("a"))
+            one = rosters.Roster(store, "entry-0", rosters.EntryRecord("a"))
             alone = one.linger()
             for number in range(400):
                 name = f"entry-{number}"
-                await rosters.Roster(store, name, rosters.Note("a")).enrol()
+                await rosters.Roster(
+                    store, name, rosters.EntryRecord("a")
+                ).register()
             changes = await store.list(rosters.KIND)
             one.on_listed(changes.objects)
             assert alone < one.linger() <= 0.6
@@ -559,12 +567,14 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             store.is_down = True
-            one = rosters.Roster(store, "entry-0", rosters.Note("a"))
+            one = rosters.Roster(store, "entry-0", rosters.EntryRecord("a"))
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(one.enrol)
+                tasks.start_soon(one.register)
                 await anyio.sleep(3.0)
                 store.is_down = False
-            await rosters.Roster(store, "entry-0", rosters.Note("a")).enrol()
+            await rosters.Roster(
+                store, "entry-0", rosters.EntryRecord("a")
+            ).register()
             changes = await store.list(rosters.KIND)
             assert len(changes.objects) == 1
 
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -32,22 +32,26 @@
         fleet = [engine("a", 0, 30), engine("b", 30, 70), engine("c", 70, 80)]
         most = bound.bound(fleet, PROFILE)
         assert most.binding is bound.Binding.MEMORY
-        assert most.narrowest == pipeline.LayerRange(30, 70)
-        usual = PROFILE.usual_prompt + PROFILE.usual_answer / 2.0
-        room = PROFILE.room("large", 40)
-        assert most.at_once == pytest.approx(room / usual)
+        assert most.bottleneck == pipeline.LayerRange(30, 70)
+        usual = PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
+        token_capacity = PROFILE.token_capacity("large", 40)
+        assert most.concurrent_requests == pytest.approx(
+            token_capacity / usual
+        )
 
     def test_a_second_copy_doubles_what_it_holds(self) -> None:
         fleet = [engine("a", 0, 30), engine("b", 30, 70), engine("c", 70, 80)]
-        alone = bound.bound(fleet, PROFILE).at_once
+        alone = bound.bound(fleet, PROFILE).concurrent_requests
         fleet.append(engine("d", 30, 70))
-        assert bound.bound(fleet, PROFILE).at_once == pytest.approx(2 * alone)
+        assert bound.bound(
+            fleet, PROFILE
+        ).concurrent_requests == pytest.approx(2 * alone)
 
     def test_missing_layers_serve_nothing(self) -> None:
         fleet = [engine("a", 0, 30), engine("b", 35, 60), engine("c", 60, 80)]
         most = bound.bound(fleet, PROFILE)
         assert most.binding is bound.Binding.MISSING
-        assert most.narrowest == pipeline.LayerRange(30, 35)
+        assert most.bottleneck == pipeline.LayerRange(30, 35)
         assert most.per_second == 0.0
 
     def test_first_engines_take_no_more_than_their_slots(self) -> None:
@@ -55,13 +59,13 @@
         fleet.append(engine("c", 60, 80))
         most = bound.bound(fleet, PROFILE)
         assert most.binding is bound.Binding.SLOTS
-        assert most.at_once == 3.0
+        assert most.concurrent_requests == 3.0
 
     def test_long_prompts_bind_by_reading(self) -> None:
-        profile = attrs.evolve(PROFILE, read_tokens_per_second=1000.0)
+        profile = attrs.evolve(PROFILE, prefill_tokens_per_second=1000.0)
         fleet = [engine("a", 0, 30), engine("b", 30, 60)]
         fleet.append(engine("c", 60, 80))
-        assert bound.bound(fleet, profile).binding is bound.Binding.READING
+        assert bound.bound(fleet, profile).binding is bound.Binding.PREFILL
 
     def test_paths_reach_the_bound_on_memory_and_no_more(self) -> None:
         fleet = [
@@ -70,13 +74,13 @@
             engine("c", 30, 70),
             engine("d", 70, 80),
         ]
-        usual = PROFILE.usual_prompt + PROFILE.usual_answer / 2.0
-        wanted = hops.Wanted(PROFILE, usual, "plateau")
+        usual = PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
+        wanted = hops.PathRequest(PROFILE, usual, "plateau")
         usage = usages.InFlight()
         planner = hops.HopPlanner(usage)
         count = 0
         while (path := planner.plan(fleet, wanted)) is not None:
-            usage.enter(path, usual)
+            usage.add_request(path, usual)
             count += 1
-        most = bound.bound(fleet, PROFILE).at_once
+        most = bound.bound(fleet, PROFILE).concurrent_requests
         assert most - 2 < count <= most
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -10,8 +10,8 @@
 
 from crowdeck import chain
 from crowdeck import pipeline
-from crowdeck.placement import arrangement
 from crowdeck.placement import capacity
+from crowdeck.placement import initial_layout
 from crowdeck.placement import plan
 from tests import fleet_system
 
@@ -21,9 +21,9 @@
     fleet_system.PROFILE,
     token_bytes=590_000.0,
     cards={
-        "wide": chain.Card("wide", 72_000.0, 2.4, 3.2),
-        "middle": chain.Card("middle", 21_600.0, 16.0, 8.2),
-        "narrow": chain.Card("narrow", 14_400.0, 5.3, 7.9),
+        "wide": chain.AcceleratorType("wide", 72_000.0, 2.4, 3.2),
+        "middle": chain.AcceleratorType("middle", 21_600.0, 16.0, 8.2),
+        "narrow": chain.AcceleratorType("narrow", 14_400.0, 5.3, 7.9),
     },
 )
 CARDS = ("wide",) * 2 + ("middle",) * 4 + ("narrow",) * 4
@@ -34,26 +34,30 @@
 
 
 def rooms_of(
-    fleet: list[chain.Upstream], layout: arrangement.Layout
+    fleet: list[chain.Upstream], layout: initial_layout.Layout
 ) -> list[float]:
     """Return the tokens of room at each layer."""
     rooms = [0.0] * MIXED.layer_count
     for one in fleet:
         layers = layout[one.name]
-        room = MIXED.room(one.card, layers.end - layers.first)
+        token_capacity = MIXED.token_capacity(
+            one.card, layers.end - layers.first
+        )
         for layer in range(layers.first, layers.end):
-            rooms[layer] += room
+            rooms[layer] += token_capacity
     return rooms
 
 
 class TestArrangement:
     """Engines that begin together share the layers for service."""
 
-    def layout(self, fleet: list[chain.Upstream]) -> arrangement.Layout:
-        arranger = arrangement.Arranger(
+    def layout(self, fleet: list[chain.Upstream]) -> initial_layout.Layout:
+        arranger = initial_layout.InitialLayoutSearch(
             MIXED,
-            lambda one, room: plan.quota(one, MIXED, room),
-            plan.ROOM_LEAST * capacity.request_tokens(MIXED),
+            lambda one, token_capacity: plan.fitting_layer_count(
+                one, MIXED, token_capacity
+            ),
+            plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(MIXED),
         )
         return arranger.arrange(fleet)
 
@@ -89,16 +93,16 @@
         # only thread for 17 s, and for 1.0 s where 19 engines could hold
         # half of the model each.
         looks = 0
-        best_window = capacity.Rooms.best_window
+        best_window = capacity.LayerCapacity.best_window
 
         def counted(
-            rooms: capacity.Rooms, engine: chain.Upstream, most: int
+            rooms: capacity.LayerCapacity, engine: chain.Upstream, most: int
         ) -> capacity.Window | None:
             nonlocal looks
             looks += 1
             return best_window(rooms, engine, most)
 
-        monkeypatch.setattr(capacity.Rooms, "best_window", counted)
+        monkeypatch.setattr(capacity.LayerCapacity, "best_window", counted)
         fleet = [an_engine(at, cards[at % len(cards)]) for at in range(count)]
         rooms = rooms_of(fleet, self.layout(fleet))
         assert looks <= len(fleet)
@@ -109,7 +113,7 @@
     """What one more engine had better hold."""
 
     def test_a_missing_layer_comes_first(self) -> None:
-        rooms = capacity.Rooms(MIXED, capacity.needed_tokens(MIXED))
+        rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
         rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 30))
         rooms.add(an_engine(1, "wide"), pipeline.LayerRange(36, 80))
         window = rooms.best_window(an_engine(2, "narrow"), 8)
@@ -118,7 +122,7 @@
         assert window.layers.end >= 36
 
     def test_the_narrowest_layers_come_next(self) -> None:
-        rooms = capacity.Rooms(MIXED, capacity.needed_tokens(MIXED))
+        rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
         rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
         rooms.add(an_engine(1, "wide"), pipeline.LayerRange(40, 80))
         rooms.add(an_engine(2, "middle"), pipeline.LayerRange(0, 10))
@@ -129,9 +133,9 @@
         assert window.layers.end <= 70
 
     def test_counts_come_back_to_nothing(self) -> None:
-        rooms = capacity.Rooms(MIXED, capacity.needed_tokens(MIXED))
-        before = rooms.worth
+        rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
+        before = rooms.score
         rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
-        assert rooms.worth > before
+        assert rooms.score > before
         rooms.drop(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
-        assert rooms.worth == before
+        assert rooms.score == before
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -25,7 +25,7 @@
 from crowdeck import errors
 from crowdeck.quarantine import evidence
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.relay import request as requests
 from crowdeck.standin import chain_fleet
 from crowdeck import verdict as verdicts
@@ -47,9 +47,9 @@
 ) -> float:
     """Return when the ``count``th instance had ended."""
     with anyio.move_on_after(limit):
-        while len(entries.fleet.falls) < count:
+        while len(entries.fleet.crashes) < count:
             await anyio.sleep(entries_system.LOOK_SECONDS)
-    return entries.fleet.falls[count - 1].at
+    return entries.fleet.crashes[count - 1].at
 
 
 class TestRequestThatEndsEngines:
@@ -57,9 +57,9 @@
 
     def test_is_sent_on_no_more_once_three_have_ended(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
-            third = entries.fleet.falls[ENDS_MOST - 1].at
+            third = entries.fleet.crashes[ENDS_MOST - 1].at
             late = entries.arrivals(BODY, third + KNOWN_SECONDS)
             assert late <= SENDS_MOST
 
@@ -67,10 +67,10 @@
 
     def test_those_beside_it_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
             await anyio.sleep(3.0)
-            third = entries.fleet.falls[ENDS_MOST - 1].at
+            third = entries.fleet.crashes[ENDS_MOST - 1].at
             beside = entries.told_beside(third + 1.0)
             assert len(beside) > 20
             assert [one for one in beside if not one.was_served] == []
@@ -81,25 +81,25 @@
         "repeat", [entries_system.STREAM, entries_system.REPEATABLE]
     )
     def test_one_coming_ends_no_more_than_one_caller_may(
-        self, repeat: entries_system.routes.Repeat
+        self, repeat: entries_system.routes.RepeatPolicy
     ) -> None:
         # A request that may be repeated went from one instance to the next
         # as long as each ended: those that end did not count as runs.
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             entries.ask_soon(0, repeat, BODY)
             await anyio.sleep(10.0)
-            assert len(entries.fleet.falls) <= ENDS_MOST
+            assert len(entries.fleet.crashes) <= ENDS_MOST
 
         entries_system.play(work, count=1)
 
     def test_instances_that_come_back_under_their_ids(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.keeps_ids = True
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
-            assert len(entries.fleet.falls) <= ENDS_MOST + 1
-            third = entries.fleet.falls[ENDS_MOST - 1].at
+            assert len(entries.fleet.crashes) <= ENDS_MOST + 1
+            third = entries.fleet.crashes[ENDS_MOST - 1].at
             beside = entries.told_beside(third + 1.0)
             assert [one for one in beside if not one.was_served] == []
 
@@ -111,34 +111,34 @@
     ) -> None:
         # However quickly an engine ends, that is known before the request is
         # sent to the next; and nothing of the budget is spent on a fourth.
-        monkeypatch.setattr(chain_fleet, "FALL_SECONDS", fall_seconds)
+        monkeypatch.setattr(chain_fleet, "CRASH_DELAY_SECONDS", fall_seconds)
 
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             # The budget is none before.
             await entries.know_each_other()
             budget = entries[0].context.budget(fleet_system.MODEL)
-            before = budget.left
+            before = budget.remaining
             entries.ask_soon(0, entries_system.STREAM, BODY)
             await anyio.sleep(3.0)
-            assert len(entries.fleet.falls) == ENDS_MOST
+            assert len(entries.fleet.crashes) == ENDS_MOST
             error = entries.told_of(BODY)[0].caller.error
             assert error is not None
             assert error.code is errors.Code.QUARANTINED
             assert error.verdict is verdicts.Verdict.MAY_HAVE_RUN
             # Two repeats, less what the request itself earned.
-            assert round(before - budget.left) == ENDS_MOST - 1
+            assert round(before - budget.remaining) == ENDS_MOST - 1
 
         entries_system.play(work, count=1)
 
     def test_a_call_is_a_suspect_as_soon_as_its_instance_ends(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             entries.ask_soon(0, entries_system.REPEATABLE, BODY)
             await anyio.sleep(1.0)
             request = entries.told_of(BODY)[0].request
             content = requests.fingerprint_of(request, "kiosks")
-            assert entries[0].context.ledger.is_suspect(content)
+            assert entries[0].context.quarantine.is_suspect(content)
 
         entries_system.play(work, count=1)
 
@@ -151,9 +151,9 @@
             with anyio.move_on_after(0.05):
                 await entry.ask(request)
             name = entries.fleet.runs_of(request.id)[0].upstream
-            entry.book.avoid(name, "nobody listens", is_gone=True)
+            entry.registry.avoid(name, "nobody listens", is_gone=True)
             content = requests.fingerprint_of(request, "kiosks")
-            assert entry.context.ledger.is_suspect(content)
+            assert entry.context.quarantine.is_suspect(content)
 
         entries_system.play(work, count=1)
 
@@ -161,20 +161,22 @@
         # Two more are at engines that have not begun them when the third
         # engine ends.
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
-            ledger = entries[0].context.ledger
+            entries.fleet.crashing_bodies.add(BODY)
+            quarantine = entries[0].context.quarantine
             content = entries[0].request(entries_system.STREAM, body=BODY)
             known = requests.fingerprint_of(content, "kiosks")
             for one in entries.fleet.upstreams:
-                one.hangs = 1
+                one.hanging_streams = 1
             entries.ask_soon(0, entries_system.STREAM, BODY)
             await anyio.sleep(0.05)
             for number in range(ENDS_MOST):
                 name = f"gone-{number}"
-                ledger.note_lost(name, ledgers.Trial(known, None))
-                ledger.note_end(name)
+                quarantine.note_connection_lost(
+                    name, trackers.AttemptRecord(known, None)
+                )
+                quarantine.note_end(name)
             # It is told long before its caller gives up, 20 s.
-            await anyio.sleep(ledgers.SETTLE_SECONDS + 0.05)
+            await anyio.sleep(trackers.SETTLE_SECONDS + 0.05)
             error = entries.told_of(BODY)[0].caller.error
             assert error is not None
             assert error.code is errors.Code.QUARANTINED
@@ -183,9 +185,9 @@
 
     def test_is_refused_at_once_and_truly(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
-            third = entries.fleet.falls[ENDS_MOST - 1].at
+            third = entries.fleet.crashes[ENDS_MOST - 1].at
             refused = [
                 one
                 for one in entries.told_of(BODY)
@@ -209,28 +211,28 @@
         # Twelve entries that told one another nothing would each pass it on
         # until three engines had ended there.
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(15.0, BODY, PAUSE)
-            assert len(entries.fleet.falls) <= ENDS_MOST + 2
+            assert len(entries.fleet.crashes) <= ENDS_MOST + 2
 
         entries_system.play(work, count=count)
 
     def test_an_entry_that_starts_passes_it_on_no_more(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(5.0, BODY, PAUSE)
-            ends = len(entries.fleet.falls)
+            ends = len(entries.fleet.crashes)
             for number in range(3):
                 entries.stop(number)
             await anyio.sleep(0.5)
             await entries.ask_for(5.0, BODY, PAUSE)
-            assert len(entries.fleet.falls) == ends
+            assert len(entries.fleet.crashes) == ends
 
         entries_system.play(work)
 
     def test_an_entry_that_was_cut_off_learns_of_it(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             entries.store.is_down = True
             await entries.ask_for(3.0, BODY, PAUSE)
             entries.store.is_down = False
@@ -243,7 +245,7 @@
 
     def test_others_of_its_caller_and_path_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(5.0, BODY, PAUSE)
             entries.ask_soon(0, entries_system.STREAM, BODY + b"?")
             await anyio.sleep(3.0)
@@ -254,22 +256,22 @@
     def test_two_of_them_at_once(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             others = [BODY + b"1", BODY + b"2"]
-            entries.fleet.ends_upstreams.update(others)
+            entries.fleet.crashing_bodies.update(others)
             async with anyio.create_task_group() as tasks:
                 for one in others:
                     tasks.start_soon(entries.ask_for, 15.0, one, PAUSE)
                     await anyio.sleep(0.05)
-            since = entries.fleet.falls[-1].at + KNOWN_SECONDS
+            since = entries.fleet.crashes[-1].at + KNOWN_SECONDS
             assert since < 10.0
-            assert len(entries.fleet.falls) <= 2 * ENDS_MOST + 3
+            assert len(entries.fleet.crashes) <= 2 * ENDS_MOST + 3
 
         entries_system.play(work)
 
     def test_a_call_of_a_plain_service_that_does_the_same(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             await entries.ask_for(30.0, BODY, PAUSE, entries_system.REPEATABLE)
-            third = entries.fleet.falls[ENDS_MOST - 1].at
+            third = entries.fleet.crashes[ENDS_MOST - 1].at
             late = entries.arrivals(BODY, third + KNOWN_SECONDS)
             assert late <= SENDS_MOST
 
@@ -284,7 +286,7 @@
         # next coming of the cause finds those that it cut a moment before.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.event_seconds = 0.1
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(entries.ask_for, 12.0, BODY, 0.3)
                 for number in range(400):
@@ -309,7 +311,7 @@
             for number in range(20):
                 entries.ask_soon(number, entries_system.STREAM, alike)
                 await anyio.sleep(0.1)
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(entries.ask_for, 6.0, BODY, PAUSE)
                 for number in range(120):
@@ -319,7 +321,7 @@
             told = entries.told_of(alike)
             assert len(told) == 140
             assert sum(one.was_served for one in told) >= 138
-            assert len(entries.fleet.falls) <= ENDS_MOST + 2
+            assert len(entries.fleet.crashes) <= ENDS_MOST + 2
 
         entries_system.play(work, count=6)
 
@@ -330,15 +332,15 @@
         # third engine ended; until then this one knows its own part only.
         async def work(entries: entries_system.Entries) -> None:
             beside = b"beside"
-            entries.fleet.ends_upstreams.add(beside)
+            entries.fleet.crashing_bodies.add(beside)
             entries.ask_soon(0, entries_system.STREAM, beside)
             await wait_for_falls(entries, ENDS_MOST)
-            entries.fleet.ends_upstreams.clear()
+            entries.fleet.crashing_bodies.clear()
             await anyio.sleep(0.2)
             cause = frozenset({fingerprint.Fingerprint("cause")})
-            names = [fall.upstream for fall in entries.fleet.falls]
+            names = [fall.upstream for fall in entries.fleet.crashes]
             now = anyio.current_time()
-            entries[0].context.ledger.take(
+            entries[0].context.quarantine.take(
                 "other",
                 evidence.Evidence(
                     tuple(
@@ -356,7 +358,7 @@
         "repeat", [entries_system.STREAM, entries_system.REPEATABLE]
     )
     def test_what_was_answered_is_remembered_as_served(
-        self, repeat: entries_system.routes.Repeat
+        self, repeat: entries_system.routes.RepeatPolicy
     ) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.ask_soon(0, repeat, b"served")
@@ -386,25 +388,28 @@
         self, entries: entries_system.Entries, request: requests.CallerRequest
     ) -> bool:
         """Whether three ends under a request do not make it a culprit."""
-        ledger = entries[0].context.ledger
+        quarantine = entries[0].context.quarantine
         content = requests.fingerprint_of(request, "kiosks")
         for number in range(ENDS_MOST):
             name = f"gone-{number}"
-            ledger.note_lost(name, ledgers.Trial(content, None))
-            ledger.note_end(name)
-        return not ledger.is_culprit(content)
+            quarantine.note_connection_lost(
+                name, trackers.AttemptRecord(content, None)
+            )
+            quarantine.note_end(name)
+        return not quarantine.is_quarantined(content)
 
     def test_engines_that_end_as_planned_are_held_against_nobody(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.fleet.ends_upstreams.add(BODY)
+            entries.fleet.crashing_bodies.add(BODY)
             entries.tell_all_leaving()
             for number in range(6):
                 entries.ask_soon(number, entries_system.STREAM, BODY)
                 await anyio.sleep(0.1)
             await anyio.sleep(2.0)
-            assert entries.fleet.falls
+            assert entries.fleet.crashes
             assert all(
-                entries[number].context.ledger.is_empty for number in range(3)
+                entries[number].context.quarantine.is_empty
+                for number in range(3)
             )
 
         entries_system.play(work)
@@ -417,11 +422,11 @@
             request = entry.request(content, body=BODY)
             known = requests.fingerprint_of(request, "kiosks")
             name = entries.fleet.upstreams[0].listed.name
-            trial = ledgers.Trial(known, None)
-            entry.context.ledger.note_lost(name, trial)
-            assert entry.context.ledger.is_empty
-            entry.book.on_changed((), (name,))
-            assert entry.context.ledger.is_suspect(known)
+            attempt_record = trackers.AttemptRecord(known, None)
+            entry.context.quarantine.note_connection_lost(name, attempt_record)
+            assert entry.context.quarantine.is_empty
+            entry.registry.on_changed((), (name,))
+            assert entry.context.quarantine.is_suspect(known)
 
         entries_system.play(work, count=1)
 
@@ -443,11 +448,11 @@
 
             monkeypatch.setattr(entries.fleet, "report", know_engines_alone)
             for one in entries.fleet.upstreams:
-                one.loses = 0 if one.listed.card else 1
+                one.lost_answers = 0 if one.listed.card else 1
             entries.ask_soon(0, entries_system.REPEATABLE, b"lost")
             await anyio.sleep(2.0)
-            assert entries[0].book.avoided() == ()
-            assert entries[0].context.ledger.is_empty
+            assert entries[0].registry.avoided() == ()
+            assert entries[0].context.quarantine.is_empty
 
         entries_system.play(work, count=1)
 
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -288,19 +288,19 @@
     def test_an_instance_that_wants_rest_gets_nothing(self) -> None:
         async def work(running: Running) -> None:
             target = self.plain(running)
-            target.rejects = 100
+            target.rejected_requests = 100
             target.backoff = 60.0
             for number in range(5):
                 answer = await running.send("/a/b/x", f"b{number}")
                 assert answer.status == 503
-            assert target.rejects == 99
+            assert target.rejected_requests == 99
 
         anyio.run(run_entry, work)
 
     def test_one_that_says_it_leaves_gets_no_more_streams(self) -> None:
         async def work(running: Running) -> None:
             for target in running.fleet.upstreams:
-                target.tells_leaving = True
+                target.announces_leaving = True
             await running.send("/a/x", "first")
             await anyio.sleep(1.1)
             answer = await running.send("/a/x", "second")
@@ -393,13 +393,13 @@
         # What instances say of how much they can bear: these alone.
         again |= {
             "crowdeck.backpressure",
-            "crowdeck.membership.leavers",
-            "crowdeck.membership.rests",
+            "crowdeck.membership.leaving_instances",
+            "crowdeck.membership.backoffs",
             "crowdeck.routing.rate_limits",
         }
         # What tells callers and operators of layers that no engine holds, and
         # of what instances ask for.
-        again |= {"crowdeck.relay.gaps", "crowdeck.relay.needs"}
+        again |= {"crowdeck.relay.gaps", "crowdeck.relay.backpressure_monitor"}
         assert len(own - again) <= 77
         assert len(loaded - again) <= 440
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -24,7 +24,7 @@
 from crowdeck import instance as instances
 from crowdeck.membership import peer_http
 from crowdeck.membership import roster as rosters
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.placement import plan
 from crowdeck.platform import config
 from crowdeck.platform import names
@@ -116,7 +116,10 @@
             return
         # What passes can be dialled and named in a header.
         assert instances.Address.parse(str(found.address)) == found.address
-        assert found.life.id.isascii() and found.life.id.isprintable()
+        assert (
+            found.incarnation.id.isascii()
+            and found.incarnation.id.isprintable()
+        )
         assert found.service == body[names.SERVICE]
 
     @SETTINGS
@@ -169,7 +172,7 @@
     )
     def test_notes_of_entries(self, body: typing.Any) -> None:
         one = rosters.Roster(
-            standin_store.StandinStore(), "entry-0", rosters.Note("a")
+            standin_store.StandinStore(), "entry-0", rosters.EntryRecord("a")
         )
         one.on_changed((stored(dumped(body), "other"),), ())
         assert one.count == 2
@@ -245,11 +248,11 @@
             good = orjson.dumps(ENTRY)
             content = listing(item("a", good), spoilt, item("z", good))
             changes = await ask(content).list("servers")
-            one = books.UpstreamBook(upstreams.decode)
+            one = registries.UpstreamRegistry(upstreams.decode)
             one.on_listed(changes.objects)
             usable = one.usable(fleet_system.MODEL)
             # Both have one address, of which the newer one keeps it.
-            assert [it.life.id for it in usable] == ["z"]
+            assert [it.incarnation.id for it in usable] == ["z"]
             assert "a" in {it.name for it in changes.objects}
 
         virtual.run(body)
@@ -260,7 +263,7 @@
             good = orjson.dumps(ENTRY)
             content = listing(item("a", good), item("bad", spoilt))
             changes = await ask(content).list("servers")
-            told = peer_http._encode(stores.Sighting(changes, 0.0))
+            told = peer_http._encode(stores.PeerChanges(changes, 0.0))
             found = peer_http._decode("servers", told).changes.objects
             assert {one.name for one in found} == {"a", "bad"}
             read = upstreams.decode(found[0])
@@ -362,10 +365,14 @@
             ]
             assert len(chain.coverage(engines, 80)) == 80
             planner = hops.HopPlanner(usages.InFlight())
-            wanted = hops.Wanted(profile, 700.0, "plateau", 0.5)
+            wanted = hops.PathRequest(profile, 700.0, "plateau", 0.5)
             planner.plan(tuple(engines), wanted)
-            fitting = chain.fitting(engines, profile.layer_count)
-            assert [one.name for one in fitting] == ["good"]
-            list(plan.iter_moves(fitting, profile, lambda _: True, fitting))
+            engines_within = chain.engines_within(engines, profile.layer_count)
+            assert [one.name for one in engines_within] == ["good"]
+            list(
+                plan.iter_moves(
+                    engines_within, profile, lambda _: True, engines_within
+                )
+            )
 
         virtual.run(body)
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -25,7 +25,7 @@
 from tests import virtual
 
 PROFILE = fleet_system.PROFILE
-WANTED = hops.Wanted(PROFILE, 900.0, "plateau")
+WANTED = hops.PathRequest(PROFILE, 900.0, "plateau")
 
 RANGES = strategies.lists(
     strategies.tuples(
@@ -93,8 +93,12 @@
 def has_room(engine: chain.Upstream, usage: usages.InFlight) -> bool:
     assert engine.layers is not None
     count = engine.layers.end - engine.layers.first
-    room = PROFILE.room(engine.card, count)
-    return usage.fullness(engine, PROFILE) * room + WANTED.tokens <= room
+    token_capacity = PROFILE.token_capacity(engine.card, count)
+    return (
+        usage.cache_utilization(engine, PROFILE) * token_capacity
+        + WANTED.tokens
+        <= token_capacity
+    )
 
 
 class TestCheapest:
@@ -123,7 +127,7 @@
                     one = fleet[number]
                     assert one.layers is not None
                     hop = chain.Hop(one, one.layers)
-                    usage.enter(chain.ChainPath((hop,)), 900.0)
+                    usage.add_request(chain.ChainPath((hop,)), 900.0)
             planner = hops.HopPlanner(usage)
             path = planner.plan(fleet, WANTED)
             roomy = [one for one in fleet if has_room(one, usage)]
@@ -142,9 +146,9 @@
         async def body() -> None:
             fleet = paths.a_fleet(130)
             usage = usages.InFlight()
-            usage.share_among(13, 68)
+            usage.set_entry_count(13, 68)
             planner = hops.HopPlanner(usage)
-            wanted = hops.Wanted(paths.PROFILE, 800.0, paths.ZONES[0])
+            wanted = hops.PathRequest(paths.PROFILE, 800.0, paths.ZONES[0])
             profiler = cProfile.Profile(builtins=False)
             planner.plan(fleet, wanted)
             profiler.runcall(planner.plan, fleet, wanted)
@@ -219,7 +223,7 @@
         for _ in range(3):
             path = planner.plan(fleet, WANTED)
             assert path is not None
-            usage.enter(path, WANTED.tokens)
+            usage.add_request(path, WANTED.tokens)
             heads.add(path.head.name)
         assert len(heads) == 3
 
@@ -232,10 +236,10 @@
             path = planner.plan(fleet, WANTED)
             if path is None:
                 break
-            usage.enter(path, WANTED.tokens)
+            usage.add_request(path, WANTED.tokens)
             count += 1
-        room = PROFILE.room("large", 40)
-        assert count == int(room // WANTED.tokens)
+        token_capacity = PROFILE.token_capacity("large", 40)
+        assert count == int(token_capacity // WANTED.tokens)
 
     def test_entries_of_a_zone_share_the_room(self) -> None:
         fleet = engines([(0, 40, "plateau"), (40, 40, "plateau")])
@@ -243,10 +247,10 @@
         planner = hops.HopPlanner(usage)
         path = planner.plan(fleet, WANTED)
         assert path is not None
-        usage.enter(path, WANTED.tokens)
-        alone = usage.fullness(fleet[0], PROFILE)
-        usage.share_among(3)
-        assert usage.fullness(fleet[0], PROFILE) == 3 * alone
+        usage.add_request(path, WANTED.tokens)
+        alone = usage.cache_utilization(fleet[0], PROFILE)
+        usage.set_entry_count(3)
+        assert usage.cache_utilization(fleet[0], PROFILE) == 3 * alone
 
     def test_what_a_first_engine_tells_counts_for_the_whole_path(
         self,
@@ -256,14 +260,14 @@
             usage = usages.InFlight()
             path = hops.HopPlanner(usage).plan(fleet, WANTED)
             assert path is not None
-            usage.enter(path, WANTED.tokens)
-            alone = usage.fullness(fleet[1], PROFILE)
+            usage.add_request(path, WANTED.tokens)
+            alone = usage.cache_utilization(fleet[1], PROFILE)
             usage.note_load(fleet[0], 20)
-            full = usage.fullness(fleet[1], PROFILE)
+            full = usage.cache_utilization(fleet[1], PROFILE)
             assert full == pytest.approx(20 * alone)
             assert usage.sequences(fleet[1]) == 20.0
-            await anyio.sleep(usages.TOLD_SECONDS + 0.1)
-            assert usage.fullness(fleet[1], PROFILE) == alone
+            await anyio.sleep(usages.LOAD_REPORT_TTL_SECONDS + 0.1)
+            assert usage.cache_utilization(fleet[1], PROFILE) == alone
 
         virtual.run(body)
 
@@ -293,12 +297,12 @@
             membership = budgets.FixedMembership(4)
             spent = 0
             for _ in range(membership.entries):
-                one = budgets.SharedBudget(
+                one = budgets.SharedRetryBudget(
                     0.2, 100.0, 10.0, membership=membership
                 )
                 for _ in range(50):
                     one.earn()
-                while fleet_system.spend(one):
+                while fleet_system.spend_retry(one):
                     spent += 1
             assert 0 < spent <= 0.2 * 200 + 100
 
@@ -309,34 +313,34 @@
         # ten seconds, and 549 were allowed. The slack then came back over
         # one window, and 160 repeats were sent where 100 are allowed.
         async def body() -> None:
-            former = budgets.SharedBudget(0.2, 100.0, 10.0)
+            former = budgets.SharedRetryBudget(0.2, 100.0, 10.0)
             spent = 0
-            while fleet_system.spend(former):
+            while fleet_system.spend_retry(former):
                 spent += 1
             await anyio.sleep(1.5)
-            after = budgets.SharedBudget(
+            after = budgets.SharedRetryBudget(
                 0.2, 100.0, 10.0, anyio.current_time()
             )
-            assert not fleet_system.spend(after)
+            assert not fleet_system.spend_retry(after)
             for _ in range(80):
                 await anyio.sleep(0.1)
-                while fleet_system.spend(after):
+                while fleet_system.spend_retry(after):
                     spent += 1
             assert 80 < spent <= 100
             await anyio.sleep(10.0)
-            assert after.left == budgets.STEADY_SHARE * 100.0
+            assert after.remaining == budgets.STEADY_SHARE * 100.0
 
         virtual.run(body)
 
     def test_is_earned_again_as_the_window_slides(self) -> None:
         async def body() -> None:
-            one = budgets.SharedBudget(0.2, 10.0, 10.0)
-            while fleet_system.spend(one):
+            one = budgets.SharedRetryBudget(0.2, 10.0, 10.0)
+            while fleet_system.spend_retry(one):
                 pass
             await anyio.sleep(5.0)
-            assert not fleet_system.spend(one)
+            assert not fleet_system.spend_retry(one)
             # What was spent in one part of the window leaves with it.
             await anyio.sleep(5.0 + 10.0 / budgets.WINDOW_PARTS)
-            assert fleet_system.spend(one)
+            assert fleet_system.spend_retry(one)
 
         virtual.run(body)
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -28,7 +28,7 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import pipeline
-from crowdeck.placement import duty as duties
+from crowdeck.placement import controller as controllers
 from crowdeck.placement import plan
 from crowdeck import route as routes
 from crowdeck.standin import chain_fleet
@@ -68,7 +68,7 @@
     def test_is_made_in_small_parts(self) -> None:
         batches = list(plan.iter_moves(a_fleet(), PROFILE, lambda _: True))
         assert sum(map(len, batches)) == COUNT - HELD
-        assert max(map(len, batches)) <= plan.GROUP_MOST
+        assert max(map(len, batches)) <= plan.MAX_GROUP_SIZE
 
     def test_a_crowd_is_laid_out_in_groups_that_hold_the_model(self) -> None:
         for batch in plan.iter_moves(a_fleet(), PROFILE, lambda _: True):
@@ -81,10 +81,10 @@
 
     def test_of_a_few_is_made_in_small_parts(self) -> None:
         fleet = [one for one in a_fleet() if one.layers is not None]
-        fleet += a_fleet()[-9 * plan.FILL_SIZE :]
+        fleet += a_fleet()[-9 * plan.FILL_BATCH_SIZE :]
         batches = list(plan.iter_moves(fleet, PROFILE, lambda _: True))
-        assert sum(map(len, batches)) == 9 * plan.FILL_SIZE
-        assert max(map(len, batches)) <= plan.FILL_SIZE
+        assert sum(map(len, batches)) == 9 * plan.FILL_BATCH_SIZE
+        assert max(map(len, batches)) <= plan.FILL_BATCH_SIZE
 
     def test_is_the_same_as_in_one_piece(self) -> None:
         fleet = a_fleet()
@@ -103,7 +103,7 @@
         fleet = a_fleet()
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
         counted = _count_coverage(monkeypatch)
-        gaps = plan.Gaps(fleet, PROFILE)
+        gaps = plan.CoverageGaps(fleet, PROFILE)
         filling = [move for move in moves if gaps.is_filled_by(move)]
         assert len(counted) <= len(ZONES)
         # Each zone lacks most of the layers that the others hold.
@@ -116,9 +116,9 @@
     def test_all_get_layers(self, monkeypatch: pytest.MonkeyPatch) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
-            duty = duties.PlacementDuty(
+            duty = controllers.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
-                system.book,
+                system.registry,
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
             )
@@ -127,12 +127,12 @@
                 for one in fleet[:HELD]:
                     system.add(one)
                 tasks.start_soon(duty.run)
-                await anyio.sleep(duties.LIST_QUIET_SECONDS + 1.0)
+                await anyio.sleep(controllers.LIST_QUIET_SECONDS + 1.0)
                 test_placement.tell_all(system)
                 counted = _count_coverage(monkeypatch)
                 for one in fleet[HELD:]:
                     system.add(one)
-                await anyio.sleep(duties.NEWCOMER_SECONDS / 2)
+                await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS / 2)
                 # Of all looks until then, and not of each newcomer.
                 assert len(counted) < COUNT
                 await anyio.sleep(6.0)
@@ -184,9 +184,9 @@
     def test_every_layer_is_ordered_in_time(self) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
-            duty = duties.PlacementDuty(
+            duty = controllers.PlacementController(
                 typing.cast(leases.Lease, test_placement._Ledger()),
-                system.book,
+                system.registry,
                 CostlyOrders(system.fleet),
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
             )
@@ -204,7 +204,7 @@
                     await anyio.sleep(0.1)
                     assert anyio.current_time() < began + ORDERED_SECONDS
                 tasks.cancel_scope.cancel()
-            assert not system.book.avoided()
+            assert not system.registry.avoided()
 
         virtual.run(body)
 
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -15,13 +15,13 @@
 import pytest
 
 from crowdeck import chain
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 from crowdeck import route as routes
 from tests import fleet_system
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
+STREAM = routes.RepeatPolicy.STREAM
 # Long after everything that a request has set going.
 LATER_SECONDS = 3.0
 # A change of path is agreed within 0.15 s; asking an engine takes 1.2 ms.
@@ -35,7 +35,7 @@
 def play(work: Work) -> None:
     async def body() -> None:
         system = System()
-        system.install(fleet_system.a_config())
+        system.install(fleet_system.make_config())
         system.add_model()
         await fleet_system.run_with(system, work)
 
@@ -55,10 +55,10 @@
 def assert_forgotten(system: System) -> None:
     for one in system.listed.values():
         assert system.usage.sequences(one) == 0
-        assert system.usage.own(one) == 0
-    assert not system.watch._streams
-    assert not system.watch._looking
-    assert len(system.context.line(fleet_system.MODEL)) == 0
+        assert system.usage.own_requests(one) == 0
+    assert not system.monitor._streams
+    assert not system.monitor._looking
+    assert len(system.context.wait_queue(fleet_system.MODEL)) == 0
     assert not system.context.heads._records or not any(
         record.waiting for record in system.context.heads._records.values()
     )
@@ -68,8 +68,8 @@
     for one in system.listed.values():
         assert one.layers is not None
         count = one.layers.end - one.layers.first
-        cells = fleet_system.PROFILE.room(one.card, count) * count
-        system.usage.inherit(one, 1.6 * cells)
+        cells = fleet_system.PROFILE.token_capacity(one.card, count) * count
+        system.usage.note_existing_load(one, 1.6 * cells)
 
 
 class TestLeaving:
@@ -92,12 +92,12 @@
     def test_while_its_engine_is_dialled(self) -> None:
         async def work(system: System) -> None:
             for target in system.fleet.upstreams:
-                target.is_dark = True
+                target.is_unresponsive = True
             request = system.request(STREAM)
             await leave_after(system, request, 0.05)
             assert_forgotten(system)
             for target in system.fleet.upstreams:
-                target.is_dark = False
+                target.is_unresponsive = False
             await anyio.sleep(LATER_SECONDS)
             assert not system.fleet.runs
 
@@ -106,7 +106,7 @@
     def test_before_its_first_event(self) -> None:
         async def work(system: System) -> None:
             for target in system.fleet.upstreams:
-                target.hangs = 5
+                target.hanging_streams = 5
             request = system.request(STREAM)
             await leave_after(system, request, 0.1)
             runs = len(system.fleet.runs)
@@ -129,7 +129,7 @@
 
         play(work)
 
-    @pytest.mark.parametrize("how", ["is_dead", "is_dark"])
+    @pytest.mark.parametrize("how", ["is_dead", "is_unresponsive"])
     def test_while_it_is_led_around_an_engine(
         self, how: str, monkeypatch: pytest.MonkeyPatch
     ) -> None:
@@ -154,7 +154,7 @@
 
             async def note(
                 head: chain.Upstream, request_id: str, path: chain.ChainPath
-            ) -> reach.RepathOutcome:
+            ) -> interfaces.RepathOutcome:
                 asked.append(anyio.current_time())
                 return await repath(head, request_id, path)
 
@@ -163,7 +163,7 @@
                 tasks.start_soon(strike)
                 await leave_after(system, request, 0.1 + after)
             left = anyio.current_time()
-            assert not system.watch._streams
+            assert not system.monitor._streams
             await anyio.sleep(LATER_SECONDS)
             assert all(at <= left for at in asked)
             assert len(system.fleet.runs) == 1
@@ -175,7 +175,7 @@
         async def work(system: System) -> None:
             request = system.request(STREAM)
             budget = system.context.budget(fleet_system.MODEL)
-            while fleet_system.spend(budget):
+            while fleet_system.spend_retry(budget):
                 pass
 
             async def strike() -> None:
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -16,7 +16,7 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import instance as instances
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck import pipeline
 from crowdeck.platform import names
 from crowdeck.platform import upstreams
@@ -50,16 +50,16 @@
     """A book of upstreams, and the ends that it told of."""
 
     def __init__(self) -> None:
-        self.book = books.UpstreamBook(upstreams.decode)
+        self.registry = registries.UpstreamRegistry(upstreams.decode)
         self.ends: list[str] = []
-        self.book.subscribe_ends(lambda one: self.ends.append(one.name))
+        self.registry.subscribe_ends(lambda one: self.ends.append(one.name))
 
     def take(self, *entries: stores.StoredObject) -> None:
-        self.book.on_changed(entries, ())
+        self.registry.on_changed(entries, ())
 
     @property
     def usable(self) -> list[chain.Upstream]:
-        return list(self.book.usable(fleet_system.MODEL))
+        return list(self.registry.usable(fleet_system.MODEL))
 
 
 def in_time(test):  # type: ignore[no-untyped-def]
@@ -79,11 +79,15 @@
     """What tells one run of an instance from the next."""
 
     def test_each_run_has_a_name_of_its_own(self) -> None:
-        runs = [chain.Life("e"), chain.Life("e", 1), chain.Life("e", 2)]
+        runs = [
+            chain.Incarnation("e"),
+            chain.Incarnation("e", 1),
+            chain.Incarnation("e", 2),
+        ]
         assert len({one.name for one in runs}) == 3
         assert runs[1].is_before(runs[2])
         assert not runs[2].is_before(runs[1])
-        assert not runs[1].is_before(chain.Life("f", 2))
+        assert not runs[1].is_before(chain.Incarnation("f", 2))
 
 
 class TestStartedAgain:
@@ -93,14 +97,14 @@
     async def test_nothing_believed_before_counts(self) -> None:
         one = Book()
         one.take(an_entry(1, born=100))
-        one.book.avoid("e#100", "failed", is_gone=True)
+        one.registry.avoid("e#100", "failed", is_gone=True)
         assert one.usable == []
         one.take(an_entry(2, born=200, layers=None))
         assert [it.name for it in one.usable] == ["e#200"]
         assert one.usable[0].layers is None
-        assert one.usable[0].life.id == "e"
-        assert one.book.has_ended("e#100")
-        assert not one.book.has_ended("e#200")
+        assert one.usable[0].incarnation.id == "e"
+        assert one.registry.has_ended("e#100")
+        assert not one.registry.has_ended("e#200")
 
     @in_time
     async def test_the_earlier_run_is_told_to_have_ended_once(self) -> None:
@@ -108,7 +112,7 @@
         one.take(an_entry(1, born=100))
         one.take(an_entry(2, born=200))
         assert one.ends == ["e#100"]
-        one.book.on_changed((), ("e",))
+        one.registry.on_changed((), ("e",))
         assert one.ends == ["e#100", "e#200"]
 
     @in_time
@@ -126,7 +130,7 @@
         # The list that follows holds the new run's entry only.
         one = Book()
         one.take(an_entry(1, born=100))
-        one.book.on_listed((an_entry(7, born=200),))
+        one.registry.on_listed((an_entry(7, born=200),))
         assert [it.name for it in one.usable] == ["e#200"]
         assert one.ends == ["e#100"]
 
@@ -134,7 +138,7 @@
     async def test_an_end_known_already_is_told_no_second_time(self) -> None:
         one = Book()
         one.take(an_entry(1, born=100))
-        one.book.avoid("e#100", "nobody listens", is_gone=True)
+        one.registry.avoid("e#100", "nobody listens", is_gone=True)
         one.take(an_entry(2, born=200))
         assert one.ends == ["e#100"]
 
@@ -142,9 +146,9 @@
     async def test_an_end_is_told_while_it_is_left_alone(self) -> None:
         one = Book()
         one.take(an_entry(1, born=100))
-        one.book.avoid("e#100", "silent")
+        one.registry.avoid("e#100", "silent")
         assert one.ends == []
-        one.book.avoid("e#100", "nobody listens", is_gone=True)
+        one.registry.avoid("e#100", "nobody listens", is_gone=True)
         assert one.ends == ["e#100"]
 
     @hypothesis.settings(
@@ -166,14 +170,14 @@
             newest = 0
             for version, step in enumerate(steps, 1):
                 if step == "gone":
-                    one.book.on_changed((), ("e",))
+                    one.registry.on_changed((), ("e",))
                     newest = 0
                     assert one.usable == []
                     continue
                 assert isinstance(step, int)
                 one.take(an_entry(version, born=step))
                 newest = max(newest, step)
-                assert [it.born for it in one.usable] == [newest]
+                assert [it.started_ms for it in one.usable] == [newest]
             assert len(one.ends) == len(set(one.ends)) or "gone" in steps
 
         virtual.run(body)
@@ -182,16 +186,16 @@
 class TestReports:
     """Reports that another run of the engine made."""
 
-    def a_life(self, born: int) -> chain.Life:
-        return chain.Life("e", born)
+    def a_life(self, born: int) -> chain.Incarnation:
+        return chain.Incarnation("e", born)
 
     def test_of_this_run(self) -> None:
         report = upstreams.decode_report(a_report(born=100))
-        assert not report.is_after(self.a_life(100))
+        assert not report.is_from_later_run(self.a_life(100))
 
     def test_of_a_later_run(self) -> None:
         report = upstreams.decode_report(a_report(born=101))
-        assert report.is_after(self.a_life(100))
+        assert report.is_from_later_run(self.a_life(100))
 
     @pytest.mark.parametrize("changes", [{"born": 99}, {}])
     def test_of_an_earlier_run_or_of_none(
@@ -199,12 +203,12 @@
     ) -> None:
         report = upstreams.decode_report(a_report(**changes))
         with pytest.raises(errors.CrowdeckError) as caught:
-            report.is_after(self.a_life(100))
+            report.is_from_later_run(self.a_life(100))
         assert caught.value.code is errors.Code.MALFORMED
 
     def test_where_neither_tells(self) -> None:
         report = upstreams.decode_report(a_report())
-        assert not report.is_after(self.a_life(0))
+        assert not report.is_from_later_run(self.a_life(0))
 
     @pytest.mark.parametrize("born", ["100", 1.5, True, None, -1, [], {}])
     def test_no_whole_number(self, born: object) -> None:
@@ -221,7 +225,9 @@
     async def test_of_an_unknown_service_takes_nobodys_place(self) -> None:
         # It names the address of a sound engine.
         one = Book()
-        one.book.know_services(lambda: frozenset({fleet_system.MODEL}))
+        one.registry.set_services_source(
+            lambda: frozenset({fleet_system.MODEL})
+        )
         one.take(an_entry(1))
         foreign = an_entry(9, service="nobody's")
         one.take(attrs.evolve(foreign, name="foreign"))
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -21,8 +21,8 @@
 from crowdeck.platform import callers
 from crowdeck.platform import engines
 from crowdeck.platform import names
+from crowdeck.relay import interfaces
 from crowdeck.relay import probes
-from crowdeck.relay import reach
 from crowdeck.relay import survey as surveys
 from crowdeck.settings import config as configs
 from crowdeck import timers
@@ -32,11 +32,15 @@
 from tests import virtual
 
 
-def a_run(born: int) -> chain.Upstream:
+def a_run(started_ms: int) -> chain.Upstream:
     """Return one run of the engine ``e``."""
-    life = chain.Life("e", born)
-    base = fleet_system.upstream(life.name, layers=(0, 80), card="large")
-    return fleet_system.attrs.evolve(base, instance_id="e", born=born)
+    incarnation = chain.Incarnation("e", started_ms)
+    base = fleet_system.upstream(
+        incarnation.name, layers=(0, 80), card="large"
+    )
+    return fleet_system.attrs.evolve(
+        base, instance_id="e", started_ms=started_ms
+    )
 
 
 class FixedAnswer:
@@ -92,10 +96,10 @@
             requests.append(system.request(entries_system.STREAM))
 
         virtual.run(body)
-        headers = callers.onward(
+        headers = callers.upstream_request_headers(
             typing.cast(typing.Any, requests[0]),
             a_run(7),
-            reach.Dispatch("kiosks", 0, 1.0),
+            interfaces.Dispatch("kiosks", 0, 1.0),
         )
         assert (names.EXPECTED_INSTANCE, b"e") in headers
 
@@ -124,7 +128,7 @@
 
     def test_is_no_silence(self) -> None:
         async def body() -> None:
-            client = typing.cast(reach.Upstreams, UnreadableReports())
+            client = typing.cast(interfaces.Upstreams, UnreadableReports())
             prober = probes.Prober(client, lambda _: True)
             probe = await prober.ask(a_run(7))
             assert not probe.is_silent
@@ -198,4 +202,4 @@
         monkeypatch.setattr(daemon, "EarlyHangup", lambda: None)
         daemon.main(["--config", "entry.ini"])
         options = typing.cast(dict[str, object], asked[0]["backend_options"])
-        assert options["loop_factory"] is timers.WakefulLoop
+        assert options["loop_factory"] is timers.BootTimeEventLoop
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -23,8 +23,8 @@
 from crowdeck.observe import counters
 from crowdeck.observe import explain
 from crowdeck.observe import losses
-from crowdeck.relay import needs
-from crowdeck.relay import returns
+from crowdeck.relay import backpressure_monitor
+from crowdeck.relay import retry_advice
 from crowdeck import route as routes
 from crowdeck.standin import store_http
 from crowdeck.wire import questions
@@ -33,8 +33,8 @@
 from tests import test_losses
 from tests import virtual
 
-ONCE = routes.Repeat.ONCE
-STREAM = routes.Repeat.STREAM
+ONCE = routes.RepeatPolicy.ONCE
+STREAM = routes.RepeatPolicy.STREAM
 PLAIN = fleet_system.PLAIN
 System = fleet_system.FleetSystem
 Work = typing.Callable[[System], typing.Awaitable[None]]
@@ -73,7 +73,7 @@
                 )
             )
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(system.context.needs.run)
+            tasks.start_soon(system.context.backpressure.run)
             await fleet_system.run_with(system, work)
             tasks.cancel_scope.cancel()
 
@@ -100,8 +100,10 @@
             for number in range(2):
                 system.fleet.at(first(system, number).address).limit = 6.0
             await call(system, 20.0, 0.05)
-            found = {one.key: one for one in system.context.needs.now()}
-            one = found[(first(system).name, needs.Kind.LIMIT)]
+            found = {one.key: one for one in system.context.backpressure.now()}
+            one = found[
+                (first(system).name, backpressure_monitor.SignalKind.LIMIT)
+            ]
             assert one.per_second == 6.0
             assert one.share == pytest.approx(1.0)
             since = anyio.current_time() - 5.0
@@ -116,29 +118,29 @@
 
     def test_a_rest_and_its_end(self) -> None:
         async def work(system: System) -> None:
-            system.book.back_off(first(system).name, 3.0)
+            system.registry.back_off(first(system).name, 3.0)
             await anyio.sleep(1.0)
-            (one,) = system.context.needs.now()
-            assert one.kind is needs.Kind.REST
+            (one,) = system.context.backpressure.now()
+            assert one.kind is backpressure_monitor.SignalKind.BACKOFF
             assert one.since == 0.0
             assert one.seconds_left == pytest.approx(2.0)
             # One that goes on is no new one.
-            system.book.back_off(first(system).name, 3.0)
-            (one,) = system.context.needs.now()
+            system.registry.back_off(first(system).name, 3.0)
+            (one,) = system.context.backpressure.now()
             assert one.since == 0.0
             await anyio.sleep(3.1)
-            assert not system.context.needs.now()
+            assert not system.context.backpressure.now()
 
         play(work)
 
     def test_one_that_leaves_by_its_word(self) -> None:
         async def work(system: System) -> None:
-            system.book.note_leaving(first(system).name)
+            system.registry.note_leaving(first(system).name)
             await anyio.sleep(1.0)
-            (one,) = system.context.needs.now()
-            assert one.kind is needs.Kind.LEAVING
-            system.book.on_changed((), (first(system).life.id,))
-            assert not system.context.needs.now()
+            (one,) = system.context.backpressure.now()
+            assert one.kind is backpressure_monitor.SignalKind.LEAVING
+            system.registry.on_changed((), (first(system).incarnation.id,))
+            assert not system.context.backpressure.now()
 
         play(work)
 
@@ -148,7 +150,7 @@
 
     def test_each_begin_and_end_has_a_line(self, lines: Lines) -> None:
         async def work(system: System) -> None:
-            system.book.back_off(first(system).name, 3.0)
+            system.registry.back_off(first(system).name, 3.0)
             await anyio.sleep(5.0)
 
         play(work)
@@ -159,25 +161,29 @@
             assert line["service"] == PLAIN
             assert line["zone"] == "plateau"
             assert line["upstream"] == "records-0"
-        assert 3.0 <= ended["seconds"] <= 3.0 + 2 * needs.LOOK_SECONDS
+        assert (
+            3.0
+            <= ended["seconds"]
+            <= 3.0 + 2 * backpressure_monitor.LOOK_SECONDS
+        )
 
     def test_hundreds_at_once_have_few_lines(self, lines: Lines) -> None:
         async def work(system: System) -> None:
             for number in range(300):
-                system.book.back_off(first(system, number).name, 3.0)
+                system.registry.back_off(first(system, number).name, 3.0)
             await anyio.sleep(5.0)
 
         play(work, plain=300)
         for what in ("need_begun", "need_ended"):
-            assert len(of(what, lines)) == needs.LINES_MOST
+            assert len(of(what, lines)) == backpressure_monitor.LINES_MOST
             (others,) = of(f"{what}_by_others", lines)
             assert others["instances"] == {
-                f"{PLAIN} plateau rest": 300 - needs.LINES_MOST
+                f"{PLAIN} plateau rest": 300 - backpressure_monitor.LINES_MOST
             }
 
     def test_gauges_by_service_and_zone(self) -> None:
         async def work(system: System) -> None:
-            system.book.back_off(first(system).name, 3.0)
+            system.registry.back_off(first(system).name, 3.0)
             system.fleet.at(first(system, 1).address).limit = 6.0
             await call(system, 2.0, 0.05)
             gauge = counters.COUNTERS.gauge
@@ -197,7 +203,7 @@
 
     def test_one_that_went_elsewhere_names_it(self, lines: Lines) -> None:
         async def work(system: System) -> None:
-            system.book.back_off(first(system).name, 3.0)
+            system.registry.back_off(first(system).name, 3.0)
             await system.ask(system.request(ONCE))
 
         play(work)
@@ -234,7 +240,7 @@
         async def work(system: System) -> None:
             for one in system.listed.values():
                 if one.layers is not None and one.layers.first:
-                    system.book.back_off(one.name, 3.0)
+                    system.registry.back_off(one.name, 3.0)
             began = anyio.current_time()
             caller = await system.ask(system.request(STREAM, id="r1"))
             # At once, and not before it can be served.
@@ -261,13 +267,13 @@
         async def work(system: System) -> None:
             for one in system.listed.values():
                 if one.layers is not None and one.layers.first == 20:
-                    system.book.back_off(one.name, 3.0)
+                    system.registry.back_off(one.name, 3.0)
                 if one.layers is not None and one.layers.first == 40:
-                    system.book.avoid(one.name, "silent")
+                    system.registry.avoid(one.name, "silent")
             caller = await system.ask(system.request(STREAM))
             assert caller.error is not None
             assert caller.error.retry_after is not None
-            assert caller.error.retry_after <= returns.MOST_SECONDS
+            assert caller.error.retry_after <= retry_advice.MOST_SECONDS
 
         play(work)
 
@@ -293,11 +299,11 @@
 
     @pytest.mark.parametrize("repeat", [ONCE, STREAM])
     def test_one_that_was_refused_names_it(
-        self, lines: Lines, repeat: routes.Repeat
+        self, lines: Lines, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
-                system.book.back_off(one.name, 3.0)
+                system.registry.back_off(one.name, 3.0)
             await system.ask(system.request(repeat, id="r1"))
 
         play(work)
@@ -317,7 +323,7 @@
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
-                system.book.back_off(one.name, 0.8)
+                system.registry.back_off(one.name, 0.8)
             await system.ask(system.request(STREAM))
 
         play(work)
@@ -369,7 +375,7 @@
 
     async def ask_all(
         self, question: questions.Question
-    ) -> list[operators.Answered]:
+    ) -> list[operators.InstanceReply]:
         return []
 
     async def entries(self) -> list[entry_status.Row]:
@@ -385,7 +391,7 @@
     """What ``crowdeck status`` shows."""
 
     def row(
-        self, name: str, needs: list[entry_status.Row]
+        self, name: str, backpressure_monitor: list[entry_status.Row]
     ) -> dict[str, object]:
         return {
             "instance": name,
@@ -393,7 +399,7 @@
             "state": "up",
             "running": 3,
             "generation": 7,
-            "needs": needs,
+            "needs": backpressure_monitor,
             "unheld": [
                 {
                     "service": "m",
@@ -446,8 +452,8 @@
     def test_hundreds_are_shown_in_part(self) -> None:
         many = [self.need(f"a{number}", 1.0, 0.1) for number in range(300)]
         text = status_of([self.row("e1", many)]).text
-        assert len(text.splitlines()) < entry_status.SHOWN_MOST + 20
-        assert f"and {300 - entry_status.SHOWN_MOST} more" in text
+        assert len(text.splitlines()) < entry_status.MAX_SHOWN + 20
+        assert f"and {300 - entry_status.MAX_SHOWN} more" in text
 
     def test_one_that_does_not_answer_is_lost(self) -> None:
         row = {"instance": "e", "role": "entry", "state": "lost"}
