--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,8 +19,8 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import pipeline
-from crowdeck.placement import arrangement
-from crowdeck.placement import duty as duties
+from crowdeck.placement import controller as controllers
+from crowdeck.placement import initial_layout
 from crowdeck.placement import plan
 from crowdeck import route as routes
 from crowdeck.routing import bound
@@ -72,7 +72,10 @@
 
 def capacity(fleet: list[chain.Upstream]) -> int:
     return sum(
-        plan.quota(one, PROFILE, plan.ROOM_LEAST * 900.0) for one in fleet
+        plan.fitting_layer_count(
+            one, PROFILE, plan.MIN_CONCURRENT_REQUESTS * 900.0
+        )
+        for one in fleet
     )
 
 
@@ -224,9 +227,9 @@
     layer_mb=10_000.0,
     token_bytes=6e6,
     cards={
-        "big": chain.Card("big", 45_000.0, 1.4, 1.0),
-        "middle": chain.Card("middle", 32_000.0, 3.0, 3.0),
-        "little": chain.Card("little", 22_000.0, 16.0, 8.2),
+        "big": chain.AcceleratorType("big", 45_000.0, 1.4, 1.0),
+        "middle": chain.AcceleratorType("middle", 32_000.0, 3.0, 3.0),
+        "little": chain.AcceleratorType("little", 22_000.0, 16.0, 8.2),
     },
 )
 MOST_LAYERS = {"big": 4, "middle": 3, "little": 2}
@@ -237,8 +240,10 @@
 
     def test_holds_four_fifths_of_the_best(self) -> None:
         for cards in itertools.combinations_with_replacement(MOST_LAYERS, 3):
-            best = max(at_once(fleet) for fleet in every_placement(cards))
-            if best < plan.ROOM_LEAST:
+            best = max(
+                concurrent_requests(fleet) for fleet in every_placement(cards)
+            )
+            if best < plan.MIN_CONCURRENT_REQUESTS:
                 # Too little memory to serve with: nothing is planned for.
                 continue
             fleet = [
@@ -247,7 +252,7 @@
             for _ in range(10):
                 moves = plan.next_moves(fleet, SMALL, lambda _: True)
                 fleet = carry_out(fleet, moves)
-            assert at_once(fleet) >= 0.8 * best
+            assert concurrent_requests(fleet) >= 0.8 * best
 
 
 def roomy(
@@ -258,9 +263,9 @@
     return attrs.evolve(one, slots=1000)
 
 
-def at_once(fleet: list[chain.Upstream]) -> float:
+def concurrent_requests(fleet: list[chain.Upstream]) -> float:
     """Return the requests that a placement has memory for."""
-    return bound.bound(fleet, SMALL).at_once
+    return bound.bound(fleet, SMALL).concurrent_requests
 
 
 def every_placement(
@@ -296,19 +301,21 @@
         # One part of 600 took 3.8 s of a full core, in which its giver of
         # orders lost the lease; nobody ever ordered anything.
         sizes: list[int] = []
-        arrange = arrangement.Arranger.arrange
+        arrange = initial_layout.InitialLayoutSearch.arrange
 
         def note(
-            arranger: arrangement.Arranger,
+            arranger: initial_layout.InitialLayoutSearch,
             engines: typing.Sequence[chain.Upstream],
-        ) -> arrangement.Layout:
+        ) -> initial_layout.Layout:
             sizes.append(len(engines))
             return arrange(arranger, engines)
 
-        monkeypatch.setattr(arrangement.Arranger, "arrange", note)
+        monkeypatch.setattr(
+            initial_layout.InitialLayoutSearch, "arrange", note
+        )
         fleet = [attrs.evolve(one, layers=None) for one in paths.a_fleet(600)]
         moves = plan.next_moves(fleet, paths.PROFILE, lambda _: True)
-        assert max(sizes) <= plan.GROUP_MOST
+        assert max(sizes) <= plan.MAX_GROUP_SIZE
         assert {one.upstream.name for one in moves} == {
             one.name for one in fleet
         }
@@ -328,19 +335,21 @@
     def test_the_lease_is_renewed_while_layers_are_found(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        arrange = arrangement.Arranger.arrange
+        arrange = initial_layout.InitialLayoutSearch.arrange
 
         def take_time(
-            arranger: arrangement.Arranger,
+            arranger: initial_layout.InitialLayoutSearch,
             engines: typing.Sequence[chain.Upstream],
-        ) -> arrangement.Layout:
+        ) -> initial_layout.Layout:
             loop = asyncio.get_running_loop()
             assert isinstance(loop, virtual.VirtualLoop)
             # As on an entry with 0.4 of a core.
             loop.pass_time(0.13 * (len(engines) / 40.0) ** 2)
             return arrange(arranger, engines)
 
-        monkeypatch.setattr(arrangement.Arranger, "arrange", take_time)
+        monkeypatch.setattr(
+            initial_layout.InitialLayoutSearch, "arrange", take_time
+        )
 
         async def work(
             system: fleet_system.FleetSystem, ledger: _Ledger
@@ -365,7 +374,7 @@
         self.term = 3
         self.memo: tuple[str, ...] = ()
 
-    def note(self, memo: tuple[str, ...]) -> None:
+    def set_memo(self, memo: tuple[str, ...]) -> None:
         self.memo = memo
 
 
@@ -383,9 +392,9 @@
             # A second model, whose looks must not disturb the first's.
             routes.Service("other", 100, PROFILE),
         )
-        duty = duties.PlacementDuty(
+        duty = controllers.PlacementController(
             typing.cast(leases.Lease, ledger),
-            system.book,
+            system.registry,
             system.fleet,
             lambda: listed,
         )
@@ -406,7 +415,7 @@
     for one in list(system.listed.values()):
         target = system.fleet.at(one.address)
         if target.answers:
-            system.tell(target.listed)
+            system.list_instance(target.listed)
 
 
 class TestDuty:
@@ -456,7 +465,7 @@
             target.listed = attrs.evolve(target.listed, layers=None)
             target.orders_taken = 0
             tell_all(system)
-            await anyio.sleep(duties.NEWCOMER_SECONDS + 1.0)
+            await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 1.0)
             assert target.orders_taken == 1
             assert target.listed.layers is not None
 
@@ -472,7 +481,7 @@
             new = system.add(
                 fleet_system.upstream("new", "plateau", None, "large")
             )
-            await anyio.sleep(duties.NEWCOMER_SECONDS + 1.0)
+            await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 1.0)
             assert new.orders_taken == 1
 
         play_duty(work)
@@ -497,7 +506,7 @@
                 for one in system.listed.values()
                 if one.layers and counts[one.layers.end - 1] == 1
             )
-            system.tell(attrs.evolve(old, is_leaving=True))
+            system.list_instance(attrs.evolve(old, is_leaving=True))
             await anyio.sleep(0.1)
             assert new.orders_taken == 1
             assert new.listed.layers is not None
@@ -528,7 +537,7 @@
             await anyio.sleep(3.0)
             tell_all(system)
             system.fleet.at(system.listed["e0"].address).is_dead = True
-            system.book.avoid("e0", "refused")
+            system.registry.avoid("e0", "refused")
             await anyio.sleep(1.5)
             tell_all(system)
             await anyio.sleep(0.1)
@@ -563,7 +572,7 @@
                     await anyio.sleep(0.01)
             assert ledger.memo == ("e0@0",)
             tell_all(system)
-            await anyio.sleep(duties.NEWCOMER_SECONDS + 2.0)
+            await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 2.0)
             # Ordered again, with the same count: the late one fits no more.
             assert system.fleet.at(system.listed["e0"].address).orders_taken
             assert ledger.memo == ()
@@ -574,9 +583,9 @@
         system = fleet_system.FleetSystem()
         listed = fleet_system.upstream("b", "plateau", (0, 24), "large")
         system.add(listed)
-        duty = duties.PlacementDuty(
+        duty = controllers.PlacementController(
             typing.cast(leases.Lease, _Ledger()),
-            system.book,
+            system.registry,
             system.fleet,
             lambda: (),
         )
@@ -598,9 +607,9 @@
             ):
                 system.add(one)
             # Nor can it go itself, which it could: a is sure.
-            system.book.back_off("b", 60.0)
+            system.registry.back_off("b", 60.0)
             moved = system.fleet.at(system.listed["a"].address)
-            await anyio.sleep(duties.LATE_ORDER_SECONDS - 1.0)
+            await anyio.sleep(controllers.LATE_ORDER_SECONDS - 1.0)
             assert not moved.orders_taken
             await anyio.sleep(2.0)
             assert moved.orders_taken == 1
@@ -627,7 +636,7 @@
                 system.listed.values(), PROFILE.layer_count
             )
             assert min(counts) >= 1
-            await anyio.sleep(duties.LATE_ORDER_SECONDS)
+            await anyio.sleep(controllers.LATE_ORDER_SECONDS)
             assert not moved.orders_taken
             assert (
                 system.fleet.at(system.listed["b"].address).listed
@@ -647,9 +656,9 @@
             lost = {"e0", "e1", "e2"}
             for name in lost:
                 system.fleet.at(system.listed[name].address).is_dead = True
-            system.book.avoid("e0", "refused")
+            system.registry.avoid("e0", "refused")
             await anyio.sleep(0.7)
-            assert {one.name for one in system.book.avoided()} == lost
+            assert {one.name for one in system.registry.avoided()} == lost
 
         play_duty(work, count=8)
 
@@ -661,12 +670,12 @@
             await anyio.sleep(3.0)
             tell_all(system)
             for one in list(system.listed.values()):
-                system.fleet.at(one.address).is_dark = True
-            system.book.avoid("e0", "refused")
+                system.fleet.at(one.address).is_unresponsive = True
+            system.registry.avoid("e0", "refused")
             await anyio.sleep(3.0)
             for one in list(system.listed.values()):
-                system.fleet.at(one.address).is_dark = False
-            assert {one.name for one in system.book.avoided()} == {"e0"}
+                system.fleet.at(one.address).is_unresponsive = False
+            assert {one.name for one in system.registry.avoided()} == {"e0"}
             await anyio.sleep(1.0)
             assert all(
                 system.fleet.at(one.address).orders_taken == 1
@@ -682,13 +691,13 @@
             await anyio.sleep(3.0)
             tell_all(system)
             await anyio.sleep(0.1)
-            system.book.avoid("e0", "a connection broke")
+            system.registry.avoid("e0", "a connection broke")
             await anyio.sleep(2.0)
             assert all(
                 system.fleet.at(one.address).orders_taken == 1
                 for one in system.listed.values()
             )
-            assert system.book.is_usable("e0")
+            assert system.registry.is_usable("e0")
 
         play_duty(work, count=8)
 
@@ -724,7 +733,7 @@
                     async with anyio.create_task_group() as inner:
                         inner.start_soon(first.run)
                         await anyio.sleep(1.0)
-                        first.note(("e0@3",))
+                        first.set_memo(("e0@3",))
                         # Written at once, not with the next renewal.
                         await anyio.sleep(0.1)
                         life.cancel()
@@ -799,7 +808,7 @@
                 await anyio.sleep(1.0)
                 tasks.start_soon(second.run)
                 await anyio.sleep(1.0)
-                await first.give_up()
+                await first.release()
                 assert not first.is_held
                 await anyio.sleep(leases.RENEW_SECONDS + 0.1)
                 assert second.is_held and not first.is_held
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -27,7 +27,7 @@
 from crowdeck.platform import names
 from crowdeck.platform import store as platform_store
 from crowdeck.platform import upstreams
-from crowdeck.relay import reach
+from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 from crowdeck import route as routes
 from crowdeck.state import objects as stores
@@ -177,18 +177,18 @@
     def test_routes_services_and_teams(self) -> None:
         config = platform_config.decode(orjson.dumps(CONFIG))
         stream, once = config.routes
-        assert stream.repeat is routes.Repeat.STREAM
+        assert stream.repeat is routes.RepeatPolicy.STREAM
         assert stream.is_resumable and stream.may_repeat
         assert stream.host == "desk.example"
         assert [one.weight for one in stream.shares] == [90.0, 10.0]
         assert stream.timeout == 20.0 and stream.gap == 0.2
-        assert once.repeat is routes.Repeat.ONCE
+        assert once.repeat is routes.RepeatPolicy.ONCE
         assert not once.may_repeat
         assert once.objective == 1.2
         profile = config.services[0].profile
         assert profile is not None
         assert profile.layer_count == 80
-        assert profile.pipe_bytes_per_second == 1.125e9
+        assert profile.zone_link_bytes_per_second == 1.125e9
         assert profile.load_seconds == 14.0
         assert config.services[1].profile is None
         assert config.teams[0].keys == frozenset({"k1", "k2"})
@@ -234,9 +234,9 @@
         assert request.path == "/a/x"
         assert request.host == "desk.example"
         assert request.key == "k1"
-        assert request.patience == 2.5
+        assert request.timeout_seconds == 2.5
         assert request.last_event == 12
-        assert request.size == requests.PromptSize(642, 430, 64)
+        assert request.size == requests.TokenCounts(642, 430, 64)
         assert "k1" not in repr(request)
 
     def test_without_an_id_it_is_none(self) -> None:
@@ -246,8 +246,12 @@
         request = caller_request()
         upstream = fleet_system.upstream("i-9")
         hop = chain.Hop(upstream, pipeline.LayerRange(0, 80))
-        dispatch = reach.Dispatch("hule", 12, 1.5, chain.ChainPath((hop,)), 30)
-        headers = dict(callers.onward(request, upstream, dispatch))
+        dispatch = interfaces.Dispatch(
+            "hule", 12, 1.5, chain.ChainPath((hop,)), 30
+        )
+        headers = dict(
+            callers.upstream_request_headers(request, upstream, dispatch)
+        )
         assert b"authorization" not in headers
         assert b"x-local" not in headers and b"connection" not in headers
         assert headers[b"x-tenant"] == b"hule"
@@ -262,14 +266,14 @@
 
     def test_own_last_event_stays_as_it_was_sent(self) -> None:
         request = caller_request()
-        dispatch = reach.Dispatch("hule", 1, 1.5, last_event=12)
-        headers = callers.onward(
+        dispatch = interfaces.Dispatch("hule", 1, 1.5, last_event=12)
+        headers = callers.upstream_request_headers(
             request, fleet_system.upstream("i-9"), dispatch
         )
         assert headers.count((b"last-event-id", b"12")) == 1
 
     def test_answer_goes_back_without_what_is_between_us(self) -> None:
-        back = callers.back(
+        caller_response_headers = callers.caller_response_headers(
             [
                 (b"X-Response-Signature", b"s"),
                 (b"X-Server-Load", b"1,2,3"),
@@ -277,7 +281,7 @@
                 (b"Content-Length", b"3"),
             ]
         )
-        assert back == [(b"x-response-signature", b"s")]
+        assert caller_response_headers == [(b"x-response-signature", b"s")]
 
     @pytest.mark.parametrize(
         ("event", "number"),
@@ -361,7 +365,9 @@
             outcome = await client.repath(
                 upstream, "r", chain.ChainPath((hop,))
             )
-            assert outcome == reach.RepathOutcome(False, True, "10.0.0.1:7")
+            assert outcome == interfaces.RepathOutcome(
+                False, True, "10.0.0.1:7"
+            )
 
         anyio.run(body)
 
@@ -383,7 +389,7 @@
             async with client.open(
                 fleet_system.upstream("i-9"),
                 request,
-                reach.Dispatch("t", 1, 1.0),
+                interfaces.Dispatch("t", 1, 1.0),
                 http.Timeouts(1.0, 1.0),
             ) as found:
                 assert found.has_not_run is has_not_run
@@ -397,10 +403,10 @@
     ask: typing.Callable[
         [engines.UpstreamClient, chain.Upstream], typing.Awaitable[object]
     ],
-) -> list[reach.Notice]:
+) -> list[interfaces.Notice]:
     """Return what is told of an answer to whatever ``ask`` asks."""
     client = client_of(answer)
-    told: list[reach.Notice] = []
+    told: list[interfaces.Notice] = []
     client.subscribe(lambda _, notice: told.append(notice))
     try:
         await ask(client, fleet_system.upstream("i-9"))
@@ -413,7 +419,7 @@
 async def ask_request(
     client: engines.UpstreamClient, upstream: chain.Upstream
 ) -> None:
-    dispatch = reach.Dispatch("t", 1, 1.0)
+    dispatch = interfaces.Dispatch("t", 1, 1.0)
     async with client.open(
         upstream, caller_request(), dispatch, http.Timeouts(1.0, 1.0)
     ):
@@ -501,7 +507,7 @@
             (b"Server-Leaving", b"1"),
             (b"x-other", b"2"),
         ]
-        assert callers.back(told) == [(b"x-other", b"2")]
+        assert callers.caller_response_headers(told) == [(b"x-other", b"2")]
 
 
 class _Calls:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -16,10 +16,10 @@
 
 from crowdeck import errors
 from crowdeck.membership import roster as rosters
-from crowdeck.quarantine import causes
+from crowdeck.quarantine import attribution
 from crowdeck.quarantine import evidence
 from crowdeck.quarantine import fingerprint
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.standin import store as standin_store
 from crowdeck.state import mirror as mirrors
 from crowdeck import verdict as verdicts
@@ -44,7 +44,7 @@
     served_at = {
         fingerprint.Fingerprint(one): at for one, at in served.items()
     }
-    found = causes.culprits(causes.open_cases(ends, served_at))
+    found = attribution.culprits(attribution.open_cases(ends, served_at))
     return "".join(sorted(map(str, found)))
 
 
@@ -87,7 +87,7 @@
         # Many callers send the same, and it is at every engine that ends.
         ends = [end(str(at), "hc", at=float(at)) for at in range(10, 16)]
         assert blamed(*ends, h=9.0) == "c"
-        long_ago = 9.0 - causes.SERVED_SECONDS
+        long_ago = 9.0 - attribution.SERVED_SECONDS
         assert blamed(*ends, h=long_ago) == "ch"
 
     def test_two_causes_at_once_are_both_found(self) -> None:
@@ -99,9 +99,9 @@
 
     def test_an_end_known_in_part_blames_nobody_that_had_begun(self) -> None:
         ends = [end(str(at), begun="b", at=float(at)) for at in range(3)]
-        cases = causes.open_cases(ends, {})
-        assert causes.culprits(causes.settle(cases, 1.5)) == {}
-        assert causes.culprits(causes.settle(cases, 2.5)) != {}
+        cases = attribution.open_cases(ends, {})
+        assert attribution.culprits(attribution.settle(cases, 1.5)) == {}
+        assert attribution.culprits(attribution.settle(cases, 2.5)) != {}
 
     def test_a_tie_is_judged_one_end_later(self) -> None:
         ends = [end(str(number), "cb") for number in range(4)]
@@ -128,13 +128,13 @@
         others = [chr(200 + number) for number in range(60)]
         wrong = 0
         for seed in range(200):
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             ends = []
             lost: set[str] = set()
             for number in range(4):
-                lost = {one for one in sorted(lost) if chance.random() < 0.5}
-                lost |= set(chance.sample(others, 4))
-                begun = {one for one in sorted(lost) if chance.random() < 0.5}
+                lost = {one for one in sorted(lost) if rng.random() < 0.5}
+                lost |= set(rng.sample(others, 4))
+                begun = {one for one in sorted(lost) if rng.random() < 0.5}
                 unbegun = "c" + "".join(lost - begun)
                 ends.append(end(str(number), unbegun, "".join(begun)))
             found = blamed(*ends)
@@ -154,10 +154,12 @@
         return self.now
 
 
-def ledger_after(ends: int, clock: Clock) -> ledgers.Ledger:
-    one = ledgers.Ledger(clock)
+def ledger_after(ends: int, clock: Clock) -> trackers.QuarantineTracker:
+    one = trackers.QuarantineTracker(clock)
     for number in range(ends):
-        one.note_lost(f"e{number}", ledgers.Trial(CAUSE, None))
+        one.note_connection_lost(
+            f"e{number}", trackers.AttemptRecord(CAUSE, None)
+        )
         one.note_end(f"e{number}")
     return one
 
@@ -175,23 +177,25 @@
     def test_third_end_makes_a_culprit(self) -> None:
         def body() -> None:
             one = ledger_after(2, Clock())
-            assert one.is_suspect(CAUSE) and not one.is_culprit(CAUSE)
-            assert ledger_after(3, Clock()).is_culprit(CAUSE)
+            assert one.is_suspect(CAUSE) and not one.is_quarantined(CAUSE)
+            assert ledger_after(3, Clock()).is_quarantined(CAUSE)
 
         in_time(body)
 
     def test_a_lost_connection_alone_is_no_end(self) -> None:
         def body() -> None:
-            one = ledgers.Ledger(Clock())
+            one = trackers.QuarantineTracker(Clock())
             for number in range(5):
-                one.note_lost(f"e{number}", ledgers.Trial(CAUSE, None))
+                one.note_connection_lost(
+                    f"e{number}", trackers.AttemptRecord(CAUSE, None)
+                )
             assert one.is_empty
 
         in_time(body)
 
     def test_an_end_without_a_lost_attempt_tells_nothing(self) -> None:
         def body() -> None:
-            one = ledgers.Ledger(Clock())
+            one = trackers.QuarantineTracker(Clock())
             one.note_end("e")
             assert one.is_empty and not one.own
 
@@ -199,9 +203,9 @@
 
     def test_an_attempt_that_ran_well_is_no_suspect(self) -> None:
         def body() -> None:
-            one = ledgers.Ledger(Clock())
-            sound = ledgers.SOUND_SECONDS + 0.01
-            one.note_lost("e", ledgers.Trial(CAUSE, sound))
+            one = trackers.QuarantineTracker(Clock())
+            sound = trackers.SOUND_SECONDS + 0.01
+            one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, sound))
             one.note_end("e")
             assert one.is_empty
 
@@ -209,9 +213,9 @@
 
     def test_an_end_that_comes_too_late_is_another_matter(self) -> None:
         async def body() -> None:
-            one = ledgers.Ledger(Clock())
-            one.note_lost("e", ledgers.Trial(CAUSE, None))
-            await anyio.sleep(ledgers.PENDING_SECONDS + 0.1)
+            one = trackers.QuarantineTracker(Clock())
+            one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, None))
+            await anyio.sleep(trackers.PENDING_SECONDS + 0.1)
             one.note_end("e")
             assert one.is_empty
 
@@ -222,8 +226,8 @@
     ) -> None:
         async def body() -> None:
             for seconds, is_suspect in ((0.1, True), (1.1, False)):
-                one = ledgers.Ledger(Clock())
-                one.note_left("e", ledgers.Trial(CAUSE, None))
+                one = trackers.QuarantineTracker(Clock())
+                one.note_cancelled("e", trackers.AttemptRecord(CAUSE, None))
                 await anyio.sleep(seconds)
                 one.note_end("e")
                 assert one.is_suspect(CAUSE) is is_suspect
@@ -232,8 +236,8 @@
 
     def test_a_planned_end_is_no_evidence(self) -> None:
         def body() -> None:
-            one = ledgers.Ledger(Clock())
-            one.note_lost("e", ledgers.Trial(CAUSE, None))
+            one = trackers.QuarantineTracker(Clock())
+            one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, None))
             one.forget("e")
             one.note_end("e")
             assert one.is_empty
@@ -244,18 +248,18 @@
         def body() -> None:
             clock = Clock()
             one = ledger_after(3, clock)
-            clock.now += ledgers.KEEP_SECONDS - 1.0
-            assert one.is_culprit(CAUSE)
-            clock.now += ledgers.JUDGE_SECONDS + 2.0
-            assert not one.is_culprit(CAUSE)
+            clock.now += trackers.KEEP_SECONDS - 1.0
+            assert one.is_quarantined(CAUSE)
+            clock.now += trackers.JUDGE_SECONDS + 2.0
+            assert not one.is_quarantined(CAUSE)
 
         in_time(body)
 
     def test_what_claims_to_be_of_the_future_counts_for_nothing(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = ledgers.Ledger(clock)
-            late = clock.now + 2 * ledgers.AHEAD_SECONDS
+            one = trackers.QuarantineTracker(clock)
+            late = clock.now + 2 * trackers.AHEAD_SECONDS
             one.take(
                 "spoilt",
                 evidence.Evidence(
@@ -265,7 +269,7 @@
             )
             assert one.is_empty
             lose(one, 3)
-            assert one.is_culprit(CAUSE)
+            assert one.is_quarantined(CAUSE)
 
         in_time(body)
 
@@ -274,7 +278,7 @@
             clock = Clock()
             one = ledger_after(2, clock)
             # Also where this entry's clock is behind that of the others.
-            clock.now -= 2 * causes.SERVED_SECONDS
+            clock.now -= 2 * attribution.SERVED_SECONDS
             one.note_served(CAUSE)
             assert one.is_empty
             told = one.own.served
@@ -286,7 +290,7 @@
     @pytest.mark.parametrize("has_run", [True, False])
     def test_refusal_tells_the_truth(self, has_run: bool) -> None:
         def body() -> None:
-            error = ledger_after(3, Clock()).refuse(CAUSE, has_run)
+            error = ledger_after(3, Clock()).refusal_error(CAUSE, has_run)
             assert error.code is errors.Code.QUARANTINED
             assert error.verdict is (
                 verdicts.Verdict.MAY_HAVE_RUN
@@ -300,39 +304,49 @@
     def test_entries_add_up_what_they_saw(self) -> None:
         def body() -> None:
             clock = Clock()
-            one, other = ledger_after(1, clock), ledgers.Ledger(clock)
+            one, other = (
+                ledger_after(1, clock),
+                trackers.QuarantineTracker(clock),
+            )
             for name in ("x", "y"):
-                other.note_lost(name, ledgers.Trial(CAUSE, None))
+                other.note_connection_lost(
+                    name, trackers.AttemptRecord(CAUSE, None)
+                )
                 other.note_end(name)
             one.take("other", other.own)
-            assert one.is_culprit(CAUSE)
-            assert not other.is_culprit(CAUSE)
+            assert one.is_quarantined(CAUSE)
+            assert not other.is_quarantined(CAUSE)
 
         in_time(body)
 
     def test_what_others_saw_of_one_served_here_is_answered(self) -> None:
         def body() -> None:
             clock = Clock()
-            one, other = ledgers.Ledger(clock), ledger_after(3, clock)
+            one, other = (
+                trackers.QuarantineTracker(clock),
+                ledger_after(3, clock),
+            )
             one.note_served(CAUSE)
             assert not one.own
             one.take("other", other.own)
-            assert not one.is_culprit(CAUSE)
+            assert not one.is_quarantined(CAUSE)
             other.take("one", one.own)
-            assert not other.is_culprit(CAUSE)
+            assert not other.is_quarantined(CAUSE)
 
         in_time(body)
 
     def test_what_had_begun_is_blamed_once_all_can_have_told(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = ledgers.Ledger(clock)
+            one = trackers.QuarantineTracker(clock)
             for number in range(3):
-                one.note_lost(f"e{number}", ledgers.Trial(CAUSE, 0.1))
+                one.note_connection_lost(
+                    f"e{number}", trackers.AttemptRecord(CAUSE, 0.1)
+                )
                 one.note_end(f"e{number}")
-            assert not one.is_culprit(CAUSE)
-            clock.now += ledgers.SETTLE_SECONDS + 0.01
-            assert one.is_culprit(CAUSE)
+            assert not one.is_quarantined(CAUSE)
+            clock.now += trackers.SETTLE_SECONDS + 0.01
+            assert one.is_quarantined(CAUSE)
 
         in_time(body)
 
@@ -340,11 +354,11 @@
         def body() -> None:
             clock = Clock()
             one = ledger_after(3, clock)
-            assert one.settles_in() == ledgers.SETTLE_SECONDS
-            clock.now += ledgers.SETTLE_SECONDS
-            assert one.settles_in() == 0.0
+            assert one.seconds_to_settle() == trackers.SETTLE_SECONDS
+            clock.now += trackers.SETTLE_SECONDS
+            assert one.seconds_to_settle() == 0.0
             clock.now -= 100.0
-            assert one.settles_in() == ledgers.SETTLE_SECONDS
+            assert one.seconds_to_settle() == trackers.SETTLE_SECONDS
 
         in_time(body)
 
@@ -353,17 +367,19 @@
             clock = Clock()
             one, other = ledger_after(2, clock), ledger_after(2, clock)
             one.take("other", other.own)
-            assert not one.is_culprit(CAUSE)
+            assert not one.is_quarantined(CAUSE)
 
         in_time(body)
 
     def test_listeners_hear_of_it_once(self) -> None:
         def body() -> None:
             heard = collections.Counter[str]()
-            one = ledgers.Ledger(Clock())
+            one = trackers.QuarantineTracker(Clock())
             one.subscribe(lambda: heard.update(["culprit"]))
             for number in range(5):
-                one.note_lost(f"e{number}", ledgers.Trial(CAUSE, None))
+                one.note_connection_lost(
+                    f"e{number}", trackers.AttemptRecord(CAUSE, None)
+                )
                 one.note_end(f"e{number}")
             assert heard["culprit"] == 1
 
@@ -445,13 +461,13 @@
     def test_all_know_within_half_a_second(self) -> None:
         async def body(store, made, tasks):  # type: ignore[no-untyped-def]
             for number in range(3):
-                made[number].note_lost(
-                    f"e{number}", ledgers.Trial(CAUSE, None)
+                made[number].note_connection_lost(
+                    f"e{number}", trackers.AttemptRecord(CAUSE, None)
                 )
                 made[number].note_end(f"e{number}")
                 await anyio.sleep(0.01)
             await anyio.sleep(0.5)
-            assert all(one.is_culprit(CAUSE) for one in made)
+            assert all(one.is_quarantined(CAUSE) for one in made)
 
         self.play(6, body)
 
@@ -461,7 +477,7 @@
             await anyio.sleep(0.5)
             fresh = an_entry(store, "fresh", tasks)
             await anyio.sleep(0.1)
-            assert fresh.is_culprit(CAUSE)
+            assert fresh.is_quarantined(CAUSE)
 
         self.play(2, body)
 
@@ -473,8 +489,8 @@
             await anyio.sleep(0.5)
             lose(again, 1, "later")
             await anyio.sleep(0.5)
-            assert again.is_culprit(CAUSE)
-            assert made[1].is_culprit(CAUSE)
+            assert again.is_quarantined(CAUSE)
+            assert made[1].is_quarantined(CAUSE)
 
         self.play(2, body)
 
@@ -484,10 +500,10 @@
             lose(made[0], 1, "a")
             lose(made[1], 2, "b")
             await anyio.sleep(6.0)
-            assert not made[0].is_culprit(CAUSE)
+            assert not made[0].is_quarantined(CAUSE)
             store.is_down = False
             await anyio.sleep(2.5)
-            assert all(one.is_culprit(CAUSE) for one in made)
+            assert all(one.is_quarantined(CAUSE) for one in made)
 
         self.play(3, body)
 
@@ -496,7 +512,7 @@
             store.lost_replies = 1
             lose(made[0], 3)
             await anyio.sleep(3.0)
-            assert made[1].is_culprit(CAUSE)
+            assert made[1].is_quarantined(CAUSE)
 
         self.play(2, body)
 
@@ -506,7 +522,7 @@
             store.write(rosters.KIND, "entry-8", b'"nothing"')
             lose(made[0], 3)
             await anyio.sleep(3.5)
-            assert made[1].is_culprit(CAUSE)
+            assert made[1].is_quarantined(CAUSE)
 
         self.play(2, body)
 
@@ -519,10 +535,12 @@
         self.play(2, body)
 
 
-def lose(one: ledgers.Ledger, count: int, name: str = "e") -> None:
+def lose(one: trackers.QuarantineTracker, count: int, name: str = "e") -> None:
     """Have instances end under the cause at an entry."""
     for number in range(count):
-        one.note_lost(f"{name}{number}", ledgers.Trial(CAUSE, None))
+        one.note_connection_lost(
+            f"{name}{number}", trackers.AttemptRecord(CAUSE, None)
+        )
         one.note_end(f"{name}{number}")
 
 
@@ -530,10 +548,10 @@
     store: standin_store.StandinStore,
     name: str,
     tasks: anyio.abc.TaskGroup,
-) -> ledgers.Ledger:
+) -> trackers.QuarantineTracker:
     """Start an entry's part in the notes; returns its memory."""
-    one = ledgers.Ledger(anyio.current_time)
-    roster = rosters.Roster(store, name, rosters.Note("a"), one)
+    one = trackers.QuarantineTracker(anyio.current_time)
+    roster = rosters.Roster(store, name, rosters.EntryRecord("a"), one)
     mirror = mirrors.Mirror(
         store, rosters.KIND, roster, 10.0, lambda: rosters.NOTES_LINGER
     )
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -33,8 +33,8 @@
 from tests import fleet_system
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
-IDEMPOTENT = routes.Repeat.IDEMPOTENT
+STREAM = routes.RepeatPolicy.STREAM
+IDEMPOTENT = routes.RepeatPolicy.IDEMPOTENT
 # What an instance may get in any four seconds from three seconds after it
 # first named its limit.
 GRACE_SECONDS = 3.0
@@ -48,7 +48,7 @@
 PER_SECOND = 30.0
 LIMIT = 3.2
 # New streams wait for room for so long at the most, calls shorter.
-LONGEST_WAIT = paths.NEW_WAIT_SECONDS + 0.1
+LONGEST_WAIT = paths.QUEUE_WAIT_SECONDS + 0.1
 # A stream takes two seconds, as usual.
 EVENTS = 100
 
@@ -71,7 +71,7 @@
             target.tells_load = True
 
     async def send(
-        self, seconds: float, per_second: float, repeat: routes.Repeat
+        self, seconds: float, per_second: float, repeat: routes.RepeatPolicy
     ) -> None:
         """Send requests for a while."""
         until = anyio.current_time() + seconds
@@ -168,7 +168,7 @@
 
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
     def test_gets_what_it_takes_from_all_entries(
-        self, weights: tuple[float, ...], repeat: routes.Repeat
+        self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
         async def work(one: Play) -> None:
             await one.send(4.0, PER_SECOND, repeat)
@@ -185,7 +185,7 @@
 
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
     def test_gets_its_part_again_once_it_names_no_limit(
-        self, weights: tuple[float, ...], repeat: routes.Repeat
+        self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
         async def work(one: Play) -> None:
             await one.send(4.0, PER_SECOND, repeat)
@@ -247,7 +247,7 @@
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
     @pytest.mark.parametrize("weights", [ALONE, EVEN])
     def test_what_they_take_is_served_and_the_rest_told_at_once(
-        self, weights: tuple[float, ...], repeat: routes.Repeat
+        self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
         async def work(one: Play) -> None:
             takers = [
@@ -282,7 +282,7 @@
 
 
 def _may_begin(
-    target: chain_fleet.StandinUpstream, repeat: routes.Repeat
+    target: chain_fleet.StandinUpstream, repeat: routes.RepeatPolicy
 ) -> bool:
     layers = target.listed.layers
     if repeat is STREAM:
@@ -321,7 +321,7 @@
             named_at = anyio.current_time()
             for it in one.fleet.upstreams:
                 if it is not target:
-                    it.fails = 1000
+                    it.failed_calls = 1000
             await one.send(10.0, PER_SECOND, IDEMPOTENT)
             times = one.counted(target, named_at)
             assert_kept(times, LIMIT)
@@ -349,10 +349,10 @@
     ) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem(name="entry")
-            route = fleet_system.a_route(
+            route = fleet_system.make_route(
                 IDEMPOTENT, objective=objective, timeout=4.0
             )
-            system.install(fleet_system.a_config(listed=(route,)))
+            system.install(fleet_system.make_config(listed=(route,)))
             found = []
             for number in range(count):
                 one = fleet_system.upstream(
@@ -370,7 +370,7 @@
     def test_who_is_refused_is_so_at_once(
         self, count: int, objective: float, seed: int
     ) -> None:
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         limit = 4.0
         told: list[tuple[float, float, fleet_system.Caller]] = []
 
@@ -389,7 +389,7 @@
             async with anyio.create_task_group() as tasks:
                 while anyio.current_time() < 23.0:
                     tasks.start_soon(ask)
-                    await anyio.sleep(chance.expovariate(30.0))
+                    await anyio.sleep(rng.expovariate(30.0))
 
         self.play(work, count, objective)
         late = [one for one in told if one[0] >= 3.0]
@@ -410,7 +410,7 @@
                 request = system.request(IDEMPOTENT)
                 callers.append(await system.ask(request))
 
-            system.book.back_off(found[0].name, 0.2)
+            system.registry.back_off(found[0].name, 0.2)
             async with anyio.create_task_group() as tasks:
                 for _ in range(300):
                     tasks.start_soon(ask)
@@ -429,11 +429,11 @@
             async def ask() -> None:
                 waiting.append(await system.ask(system.request(IDEMPOTENT)))
 
-            system.book.back_off(found[0].name, 0.2)
+            system.registry.back_off(found[0].name, 0.2)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.1)
-                system.book.on_changed((), (found[0].life.id,))
+                system.registry.on_changed((), (found[0].incarnation.id,))
                 began = anyio.current_time()
                 caller = await system.ask(system.request(IDEMPOTENT))
                 assert caller.error is not None
@@ -478,7 +478,7 @@
         ) -> None:
             await system.ask(system.request(IDEMPOTENT))
             assert system.context.limits.per_second(one) <= 1.0
-            system.book.on_changed((), (one.life.id,))
+            system.registry.on_changed((), (one.incarnation.id,))
             assert system.context.limits.per_second(one) == float("inf")
 
         self.play(work)
@@ -490,7 +490,7 @@
     def __init__(self) -> None:
         self.count = 0
 
-    def own(self, upstream: chain.Upstream) -> int:
+    def own_requests(self, upstream: chain.Upstream) -> int:
         return self.count
 
 
@@ -508,7 +508,7 @@
         async def body() -> None:
             usage = _Usage()
             limits = rate_limits.RateLimits(usage, random.Random(3))
-            limits.share_among(entries)
+            limits.set_entry_count(entries)
             await work(limits, usage, fleet_system.upstream("one"))
 
         virtual.run(body)
@@ -537,7 +537,7 @@
                 limits = rate_limits.RateLimits(
                     _Usage(), random.Random(number)
                 )
-                limits.share_among(0)
+                limits.set_entry_count(0)
                 limits.note(fleet_system.upstream("one"), 10.0, None)
                 entries.append(limits)
             sent = 0
@@ -552,7 +552,7 @@
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
             assert await self.count(limits, one, 5.0) == 100
-            assert limits.seconds_until(one) == 0.0
+            assert limits.seconds_until_allowed(one) == 0.0
 
         self.play(work)
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -19,13 +19,13 @@
 from crowdeck import http
 from crowdeck import instance as instances
 from crowdeck.membership import peer_http
-from crowdeck.membership import readers
+from crowdeck.membership import peer_selection
 from crowdeck.membership import roster as rosters
 from crowdeck.standin import store as standin_store
-from crowdeck.state import contact as contacts
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
 from crowdeck.state import replica as replicas
+from crowdeck.state import store_health
 from tests import virtual
 from tests import zone_system
 
@@ -90,11 +90,11 @@
         # Else two that each found the first one silent for a moment would
         # wait for each other's proof.
         async def work(zone: zone_system.Zone) -> None:
-            assert not zone[3].choice.reads_store
-            zone[3].choice.note_asked()
-            assert zone[3].choice.reads_store
-            await anyio.sleep(readers.ASKED_SECONDS + 0.1)
-            assert not zone[3].choice.reads_store
+            assert not zone[3].selector.reads_store
+            zone[3].selector.note_peer_request()
+            assert zone[3].selector.reads_store
+            await anyio.sleep(peer_selection.ASKED_SECONDS + 0.1)
+            assert not zone[3].selector.reads_store
 
         zone_system.play(5, work)
 
@@ -141,11 +141,11 @@
                 < 2.2 * zone_system.WAIT
             )
             # The one that lost its way knows by its peers.
-            assert zone[0].contact.is_lost
+            assert zone[0].health.is_lost
             assert zone[0].mirror.age() < 2 * zone_system.WAIT
             zone[0].way.is_cut = False
             await anyio.sleep(3.0)
-            assert not zone[0].contact.is_lost
+            assert not zone[0].health.is_lost
 
         zone_system.play(5, work)
 
@@ -160,7 +160,7 @@
             for number in range(3):
                 zone[number].way.is_cut = False
             await anyio.sleep(4.0)
-            assert not any(zone[number].contact.is_lost for number in range(3))
+            assert not any(zone[number].health.is_lost for number in range(3))
             assert zone.oldest() < zone_system.WAIT + 0.1
 
         zone_system.play(5, work)
@@ -180,7 +180,7 @@
             for entry in list(zone.entries.values())[:-1]:
                 entry.is_silent = True
             await anyio.sleep(12.0)
-            assert zone[4].choice.reads_store
+            assert zone[4].selector.reads_store
             assert zone[4].mirror.age() < zone_system.WAIT + 0.1
 
         zone_system.play(5, work)
@@ -191,12 +191,12 @@
         # A key that was taken away works on at an entry whose copy claims
         # to be current and is not.
         async def work(zone: zone_system.Zone) -> None:
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             written: dict[int, float] = {}
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(_disturb, zone, chance)
+                tasks.start_soon(_disturb, zone, rng)
                 for _ in range(1_500):
-                    if chance.random() < 0.02:
+                    if rng.random() < 0.02:
                         written[zone.write()] = anyio.current_time()
                     _require_truth(zone, written)
                     await anyio.sleep(0.01)
@@ -205,16 +205,16 @@
         zone_system.play(4, work)
 
 
-async def _disturb(zone: zone_system.Zone, chance: random.Random) -> None:
+async def _disturb(zone: zone_system.Zone, rng: random.Random) -> None:
     while True:
-        entry = chance.choice(list(zone.entries.values()))
-        what = chance.choice(("is_silent", "is_down", "cut", "store"))
+        entry = rng.choice(list(zone.entries.values()))
+        what = rng.choice(("is_silent", "is_down", "cut", "store"))
         target = {"cut": entry.way, "store": zone.store}.get(what, entry)
         name = {"cut": "is_cut", "store": "is_down"}.get(what, what)
         setattr(target, name, True)
-        await anyio.sleep(chance.uniform(0.1, 2.5))
+        await anyio.sleep(rng.uniform(0.1, 2.5))
         setattr(target, name, False)
-        await anyio.sleep(chance.uniform(0.0, 1.0))
+        await anyio.sleep(rng.uniform(0.0, 1.0))
 
 
 def _require_truth(zone: zone_system.Zone, written: dict[int, float]) -> None:
@@ -231,39 +231,45 @@
 
     def test_tells_what_came_after_a_version(self) -> None:
         replica = replicas.Replica()
-        replica.list(stores.Changes(5, (_object("a", 3), _object("b", 5))))
+        replica.reset(stores.Changes(5, (_object("a", 3), _object("b", 5))))
         replica.apply(stores.Changes(8, (_object("c", 7),), ("a",)))
-        told = replica.since(stores.Position(5))
+        told = replica.changes_since(stores.Position(5))
         assert told is not None
         assert [one.name for one in told.objects] == ["c"]
         assert told.removed == ("a",)
-        assert replica.since(stores.Position(8)) == stores.Changes(8, (), ())
+        assert replica.changes_since(stores.Position(8)) == stores.Changes(
+            8, (), ()
+        )
 
     def test_does_not_know_what_was_before_its_listing(self) -> None:
         replica = replicas.Replica()
-        replica.list(stores.Changes(5, ()))
-        assert replica.since(stores.Position(4)) is None
+        replica.reset(stores.Changes(5, ()))
+        assert replica.changes_since(stores.Position(4)) is None
 
     def test_objects_newer_than_their_listing_are_told_once(self) -> None:
         # The second page of a listing is read later than the first. With
         # the object's own version as the mark it was told for ever.
         replica = replicas.Replica()
-        replica.list(stores.Changes(5, (_object("late", 9),)))
-        assert replica.since(stores.Position(5)) == stores.Changes(5, (), ())
+        replica.reset(stores.Changes(5, (_object("late", 9),)))
+        assert replica.changes_since(stores.Position(5)) == stores.Changes(
+            5, (), ()
+        )
         replica.apply(stores.Changes(9, (_object("late", 9),)))
-        told = replica.since(stores.Position(5))
+        told = replica.changes_since(stores.Position(5))
         assert told is not None and told.objects
-        assert replica.since(told.position) == stores.Changes(9, (), ())
+        assert replica.changes_since(told.position) == stores.Changes(
+            9, (), ()
+        )
 
     def test_forgets_the_oldest_removals(self) -> None:
         replica = replicas.Replica()
-        replica.list(stores.Changes(1, ()))
-        for number in range(replicas.REMOVALS_MOST + 1):
+        replica.reset(stores.Changes(1, ()))
+        for number in range(replicas.MAX_REMOVALS + 1):
             replica.apply(stores.Changes(number + 2, (), (f"gone-{number}",)))
-        assert replica.since(stores.Position(1)) is None
-        told = replica.since(stores.Position(2))
+        assert replica.changes_since(stores.Position(1)) is None
+        told = replica.changes_since(stores.Position(2))
         assert told is not None
-        assert len(told.removed) == replicas.REMOVALS_MOST
+        assert len(told.removed) == replicas.MAX_REMOVALS
 
 
 def _object(name: str, version: int) -> stores.StoredObject:
@@ -280,7 +286,7 @@
                 rosters.Roster(
                     store,
                     f"entry-{number}",
-                    rosters.Note(
+                    rosters.EntryRecord(
                         zone,
                         instances.Address(HOST, 7000 + number),
                         capacity,
@@ -291,7 +297,7 @@
                 )
             ]
             for one in made:
-                await one.enrol()
+                await one.register()
             listing = await store.list(rosters.KIND)
             for one in made:
                 one.on_listed(listing.objects)
@@ -306,10 +312,12 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             for port in (7000, 7001):
-                note = rosters.Note(ZONE, instances.Address(HOST, port), 10.0)
+                note = rosters.EntryRecord(
+                    ZONE, instances.Address(HOST, port), 10.0
+                )
                 one = rosters.Roster(store, "entry-0", note)
-                await one.enrol()
-            other = rosters.Roster(store, "entry-1", rosters.Note(ZONE))
+                await one.register()
+            other = rosters.Roster(store, "entry-1", rosters.EntryRecord(ZONE))
             other.on_listed((await store.list(rosters.KIND)).objects)
             assert other.ranking()[0].address.port == 7001
 
@@ -318,12 +326,14 @@
     def test_a_restart_costs_no_call_of_its_own(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            note = rosters.Note(ZONE, instances.Address(HOST, 7000), 10.0)
-            await rosters.Roster(store, "entry-0", note).enrol()
+            note = rosters.EntryRecord(
+                ZONE, instances.Address(HOST, 7000), 10.0
+            )
+            await rosters.Roster(store, "entry-0", note).register()
             again = rosters.Roster(store, "entry-0", note)
             again.on_listed((await store.list(rosters.KIND)).objects)
             before = store.calls.total()
-            await again.enrol()
+            await again.register()
             assert store.calls.total() == before
 
         virtual.run(body)
@@ -334,32 +344,34 @@
 
     def ask(
         self, store: standin_store.StandinStore, after: int, wait: float
-    ) -> stores.Sighting:
-        told: list[stores.Sighting | errors.CrowdeckError] = []
+    ) -> stores.PeerChanges:
+        told: list[stores.PeerChanges | errors.CrowdeckError] = []
 
         async def body() -> None:
-            contact = contacts.StoreContact()
+            health = store_health.StoreHealth()
             mirror = mirrors.Mirror(
                 store,
                 zone_system.KIND,
                 zone_system.Sight(),
                 0.2,
                 lambda: 0.0,
-                contact,
+                health,
             )
             client = http.HttpClient("")
             peers = peer_http.HttpPeers(client)
-            choice = readers.Readers("a", lambda: (), peers, contact)
+            selector = peer_selection.PeerSelector(
+                "a", lambda: (), peers, health
+            )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 port = await tasks.start(
                     http_server.serve_http,
-                    peer_http.PeerApp({zone_system.KIND: mirror}, choice),
+                    peer_http.PeerApp({zone_system.KIND: mirror}, selector),
                     HOST,
                     0,
                 )
                 await anyio.sleep(0.1)
-                peer = readers.Peer("a", instances.Address(HOST, port))
+                peer = peer_selection.Peer("a", instances.Address(HOST, port))
                 try:
                     told.append(
                         await peers.watch(
@@ -399,7 +411,7 @@
             peers = peer_http.HttpPeers(client)
             async with anyio.create_task_group() as tasks:
                 port = await tasks.start(http_server.serve_http, app, HOST, 0)
-                peer = readers.Peer("a", instances.Address(HOST, port))
+                peer = peer_selection.Peer("a", instances.Address(HOST, port))
                 with pytest.raises(errors.CrowdeckError) as caught:
                     await peers.watch(
                         peer, zone_system.KIND, stores.Position(5, 1), 0.1
@@ -425,7 +437,7 @@
         assert caught.value.code is errors.Code.STORE_DOWN
 
     def test_large_changes_are_left_to_the_store(self) -> None:
-        sighting = stores.Sighting(
+        sighting = stores.PeerChanges(
             stores.Changes(
                 2,
                 (
@@ -441,9 +453,9 @@
         )
 
         class Copy:
-            async def tell(
+            async def changes_since(
                 self, after: stores.Position, wait: float
-            ) -> stores.Sighting:
+            ) -> stores.PeerChanges:
                 return sighting
 
         async def body() -> None:
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -28,10 +28,10 @@
 from crowdeck import chain
 from crowdeck import errors
 from crowdeck import pipeline
-from crowdeck.placement import duty as duties
-from crowdeck.placement import patience
+from crowdeck.placement import controller as controllers
 from crowdeck.placement import plan
 from crowdeck.placement import rearrangement
+from crowdeck.placement import rearrangement_delay
 from crowdeck.platform import names
 from crowdeck import route as routes
 from crowdeck.standin import chain_fleet
@@ -45,10 +45,10 @@
 # here beside 27, or 28 at most.
 PROFILE = attrs.evolve(
     fleet_system.PROFILE,
-    cards={"card": chain.Card("card", 60_000.0, 1.4, 1.0)},
+    cards={"card": chain.AcceleratorType("card", 60_000.0, 1.4, 1.0)},
 )
 TIGHT = attrs.evolve(
-    PROFILE, cards={"card": chain.Card("card", 51_000.0, 1.4, 1.0)}
+    PROFILE, cards={"card": chain.AcceleratorType("card", 51_000.0, 1.4, 1.0)}
 )
 COUNT = 4
 # Beside the loading of the largest range that changes.
@@ -64,20 +64,20 @@
 def leave_by_store(system: System, name: str) -> None:
     target = system.fleet.at(system.listed[name].address)
     target.listed = attrs.evolve(target.listed, is_leaving=True)
-    system.tell(target.listed)
+    system.list_instance(target.listed)
 
 
 def leave_by_answers(system: System, name: str) -> None:
     target = system.fleet.at(system.listed[name].address)
-    target.tells_leaving = True
-    system.book.note_leaving(name)
+    target.announces_leaving = True
+    system.registry.note_leaving(name)
 
 
 def end(system: System, name: str) -> None:
     target = system.fleet.at(system.listed[name].address)
     target.is_dead = True
     del system.listed[name]
-    system.book.on_changed((), (name,))
+    system.registry.on_changed((), (name,))
 
 
 LOSSES = (leave_by_store, leave_by_answers, end)
@@ -112,12 +112,12 @@
             self.system.add(one)
 
     def duty(
-        self, orders: duties.Orders | None = None
-    ) -> duties.PlacementDuty:
+        self, orders: controllers.OrderClient | None = None
+    ) -> controllers.PlacementController:
         """Return a giver of orders that knows nothing yet."""
-        return duties.PlacementDuty(
+        return controllers.PlacementController(
             typing.cast(leases.Lease, self.ledger),
-            self.system.book,
+            self.system.registry,
             orders or self.system.fleet,
             lambda: self.system.holder.services,
         )
@@ -129,7 +129,7 @@
                 name = target.listed.name
                 known = self.system.listed.get(name)
                 if target.answers and known not in (None, target.listed):
-                    self.system.tell(target.listed)
+                    self.system.list_instance(target.listed)
             await anyio.sleep(HEARTBEAT_SECONDS)
 
     async def share_served(self) -> float:
@@ -138,7 +138,7 @@
 
         async def ask() -> None:
             nonlocal served
-            request = self.system.request(routes.Repeat.STREAM)
+            request = self.system.request(routes.RepeatPolicy.STREAM)
             caller = await self.system.ask(request)
             served += caller.status == 200 and caller.is_whole
 
@@ -154,7 +154,7 @@
             one.name: self.system.fleet.at(one.address).listed.layers
             for one in self.system.listed.values()
             if not one.is_leaving
-            and not self.system.fleet.at(one.address).tells_leaving
+            and not self.system.fleet.at(one.address).announces_leaving
         }
 
     @property
@@ -209,7 +209,7 @@
     async def body() -> None:
         playing = playing_of()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(playing.system.watch.run)
+            tasks.start_soon(playing.system.monitor.run)
             tasks.start_soon(playing.beat)
             tasks.start_soon(playing.duty().run)
             await anyio.sleep(3.0)
@@ -361,7 +361,7 @@
             tasks.start_soon(playing.duty(orders).run)
             await anyio.sleep(1.0)
             end(playing.system, "e1")
-            for _ in range(2 * int(duties.LATE_ORDER_SECONDS)):
+            for _ in range(2 * int(controllers.LATE_ORDER_SECONDS)):
                 await anyio.sleep(1.0)
                 if is_late:
                     await orders.carry_out_late()
@@ -376,14 +376,14 @@
         async def work(
             playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
         ) -> None:
-            with anyio.CancelScope() as life:
+            with anyio.CancelScope() as scope:
                 async with anyio.create_task_group() as inner:
                     inner.start_soon(playing.duty(orders).run)
                     await anyio.sleep(1.0)
                     end(playing.system, "e1")
                     while len(orders.given) < after:
                         await anyio.sleep(0.0001)
-                    life.cancel()
+                    scope.cancel()
             await anyio.sleep(4.5)
             playing.ledger.term += 1
             tasks.start_soon(playing.duty(orders).run)
@@ -614,7 +614,7 @@
                 )
                 await anyio.sleep(12.0)
                 assert playing.is_whole
-            assert rounds <= patience.ROUNDS_AN_HOUR_MOST
+            assert rounds <= rearrangement_delay.MAX_ROUNDS_PER_HOUR
 
         play_orders(work)
 
@@ -661,7 +661,11 @@
         profile = attrs.evolve(
             PROFILE,
             layer_count=layer_count,
-            cards={"card": chain.Card("card", per_layer * most, 1.4, 1.0)},
+            cards={
+                "card": chain.AcceleratorType(
+                    "card", per_layer * most, 1.4, 1.0
+                )
+            },
         )
 
         async def work(
@@ -705,7 +709,7 @@
         ) -> None:
             tasks.start_soon(playing.duty(orders).run)
             await anyio.sleep(1.0)
-            playing.system.book.back_off("e0", 60.0)
+            playing.system.registry.back_off("e0", 60.0)
             end(playing.system, "e1")
             await anyio.sleep(SERVED_SECONDS)
             assert playing.is_whole
@@ -720,7 +724,7 @@
             tasks.start_soon(playing.duty(orders).run)
             await anyio.sleep(1.0)
             end(playing.system, "e1")
-            await anyio.sleep(patience.GONE_SECONDS - 0.02)
+            await anyio.sleep(rearrangement_delay.RESTART_GRACE_SECONDS - 0.02)
             assert not orders.given
             await anyio.sleep(0.07)
             assert orders.given
@@ -734,12 +738,12 @@
     @pytest.mark.parametrize("is_told", (True, False))
     def test_rounds_of_an_hour_are_bounded(self, is_told: bool) -> None:
         # A layer is missing again as soon as it was ordered.
-        known = patience.Patience()
+        known = rearrangement_delay.RearrangementDelay()
         rounds: list[float] = []
         now = 0.0
-        while now < 4 * patience.WINDOW_SECONDS:
+        while now < 4 * rearrangement_delay.WINDOW_SECONDS:
             now += 0.5
-            if known.is_over(now, is_told, (7,)):
+            if known.is_expired(now, is_told, (7,)):
                 known.note_round(now)
                 known.forget()
                 rounds.append(now)
@@ -747,10 +751,10 @@
             within = [
                 at
                 for at in rounds
-                if first <= at < first + patience.WINDOW_SECONDS
+                if first <= at < first + rearrangement_delay.WINDOW_SECONDS
             ]
-            assert len(within) <= patience.ROUNDS_AN_HOUR_MOST
-        assert rounds[-1] > 3 * patience.WINDOW_SECONDS
+            assert len(within) <= rearrangement_delay.MAX_ROUNDS_PER_HOUR
+        assert rounds[-1] > 3 * rearrangement_delay.WINDOW_SECONDS
 
 
 class TestOverSockets:
@@ -775,10 +779,12 @@
             if way == "store":
                 lost.listed = attrs.evolve(lost.listed, is_leaving=True)
             elif way == "answers":
-                lost.tells_leaving = True
+                lost.announces_leaving = True
             else:
                 lost.is_dead = True
-                running.store.remove(names.UPSTREAM_KIND, lost.listed.life.id)
+                running.store.remove(
+                    names.UPSTREAM_KIND, lost.listed.incarnation.id
+                )
             # Whoever leaves by its answers has to give some.
             await self._served(running, "first")
             await anyio.sleep(SERVED_SECONDS)
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -18,8 +18,8 @@
 from tests import fleet_system
 from tests import virtual
 
-ONCE = routes.Repeat.ONCE
-IDEMPOTENT = routes.Repeat.IDEMPOTENT
+ONCE = routes.RepeatPolicy.ONCE
+IDEMPOTENT = routes.RepeatPolicy.IDEMPOTENT
 
 
 def play(
@@ -54,7 +54,7 @@
 
     def test_lost_answer_is_not_tried_again(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, loses=1)
+            each(system, lost_answers=1)
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert len(system.fleet.runs_of(request.id)) == 1
@@ -90,7 +90,7 @@
 
     def test_forged_answer_is_no_answer(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, forges=1)
+            each(system, misattributed_answers=1)
             caller = await system.ask(system.request(ONCE))
             assert caller.body == b""
             assert caller.error is not None
@@ -100,7 +100,7 @@
 
     def test_failure_is_passed_on_as_it_is(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, fails=1)
+            each(system, failed_calls=1)
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert caller.status == 500
@@ -110,7 +110,7 @@
 
     def test_all_refused_is_a_true_refusal(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, rejects=5)
+            each(system, rejected_requests=5)
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert caller.error is not None
@@ -126,7 +126,7 @@
     def test_lost_answer_is_tried_at_another(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             first = next(iter(system.listed.values()))
-            system.fleet.at(first.address).loses = 1
+            system.fleet.at(first.address).lost_answers = 1
             for _ in range(3):
                 caller = await system.ask(system.request(IDEMPOTENT))
                 assert caller.status == 200
@@ -136,7 +136,7 @@
     def test_failure_is_tried_at_another(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             first = next(iter(system.listed.values()))
-            system.fleet.at(first.address).fails = 1
+            system.fleet.at(first.address).failed_calls = 1
             for _ in range(3):
                 caller = await system.ask(system.request(IDEMPOTENT))
                 assert caller.status == 200
@@ -145,15 +145,15 @@
 
     def test_failure_stands_where_the_second_try_is_lost(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, fails=1, loses=0)
+            each(system, failed_calls=1, lost_answers=0)
             request = system.request(IDEMPOTENT)
 
             async def lose_the_second() -> None:
                 while not system.fleet.runs:
                     await anyio.sleep(0.001)
-                each(system, loses=1)
+                each(system, lost_answers=1)
                 first = system.fleet.runs[0].upstream
-                system.fleet.at(system.listed[first].address).loses = 0
+                system.fleet.at(system.listed[first].address).lost_answers = 0
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(lose_the_second)
@@ -165,7 +165,7 @@
 
     def test_runs_at_no_more_instances_than_allowed(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, loses=9)
+            each(system, lost_answers=9)
             request = system.request(IDEMPOTENT)
             caller = await system.ask(request)
             assert caller.error is not None
@@ -187,9 +187,9 @@
     def test_spent_budget_ends_repeats(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             budget = system.context.budget(fleet_system.PLAIN)
-            while fleet_system.spend(budget):
+            while fleet_system.spend_retry(budget):
                 pass
-            each(system, loses=9)
+            each(system, lost_answers=9)
             request = system.request(IDEMPOTENT)
             await system.ask(request)
             assert len(system.fleet.runs_of(request.id)) == 1
@@ -238,10 +238,10 @@
         # entry that the store turned away refused all that came meanwhile.
         async def work(system: fleet_system.FleetSystem) -> None:
             assert system.relay.is_ready
-            assert not system.relay.sends_callers_away
+            assert not system.relay.closes_connections
             system.age = 1.9
             assert not system.relay.is_ready
-            assert system.relay.sends_callers_away
+            assert system.relay.closes_connections
             caller = await system.ask(system.request(ONCE))
             assert caller.status == 200
 
@@ -255,15 +255,15 @@
             caller = await system.ask(system.request(ONCE))
             assert caller.error is not None
             assert caller.error.retry_after is not None
-            objective = fleet_system.a_route(ONCE).objective
+            objective = fleet_system.make_route(ONCE).objective
             assert caller.error.retry_after <= objective / 2
 
         play(work)
 
     def test_anonymous_route_goes_on_with_an_old_config(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            route = fleet_system.a_route(ONCE, is_anonymous=True)
-            system.install(fleet_system.a_config(2, (route,)))
+            route = fleet_system.make_route(ONCE, is_anonymous=True)
+            system.install(fleet_system.make_config(2, (route,)))
             system.age = 60.0
             caller = await system.ask(system.request(ONCE, key=""))
             assert caller.status == 200
@@ -282,8 +282,8 @@
 
     def test_older_config_never_comes_back(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            system.install(fleet_system.a_config(9))
-            system.install(fleet_system.a_config(8, ()))
+            system.install(fleet_system.make_config(9))
+            system.install(fleet_system.make_config(8, ()))
             caller = await system.ask(system.request(ONCE))
             assert caller.status == 200
             table = system.holder.table
@@ -303,5 +303,5 @@
             if verdict is verdicts.Verdict.NOT_RUN:
                 assert status < 500 or status == 503
             else:
-                assert status not in requests.PROMISES
+                assert status not in requests.NOT_RUN_STATUSES
                 assert status >= 500
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -14,7 +14,7 @@
 
 from crowdeck import chain
 from crowdeck import errors
-from crowdeck.relay import lateness
+from crowdeck.relay import loop_lag
 from crowdeck.relay import request as requests
 from crowdeck.relay import streams
 from crowdeck import route as routes
@@ -24,7 +24,7 @@
 from tests import fleet_system
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
+STREAM = routes.RepeatPolicy.STREAM
 
 
 def play(
@@ -80,7 +80,7 @@
 
 def each_hangs(system: fleet_system.FleetSystem, count: int) -> None:
     for one in system.listed.values():
-        system.fleet.at(one.address).hangs = count
+        system.fleet.at(one.address).hanging_streams = count
 
 
 class TestCalmStream:
@@ -101,7 +101,10 @@
             await system.ask(system.request(STREAM))
             for one in system.listed.values():
                 assert system.usage.sequences(one) == 0
-                assert system.usage.fullness(one, fleet_system.PROFILE) == 0
+                assert (
+                    system.usage.cache_utilization(one, fleet_system.PROFILE)
+                    == 0
+                )
 
         play(work)
 
@@ -130,7 +133,7 @@
 class TestFailedStage:
     """An engine that is not the first fails in the middle of a stream."""
 
-    @pytest.mark.parametrize("how", ["is_dead", "is_dark"])
+    @pytest.mark.parametrize("how", ["is_dead", "is_unresponsive"])
     def test_stream_is_led_around_it(self, how: str) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
@@ -161,7 +164,7 @@
                 tasks.start_soon(ask, second)
                 await anyio.sleep(0.15)
                 shared = path_of(system, first)[2]
-                shared.is_dark = True
+                shared.is_unresponsive = True
             passes = [
                 request.id
                 for request in (first, second)
@@ -177,7 +180,7 @@
             request = system.request(STREAM)
 
             def strike() -> None:
-                path_of(system, request)[1].is_dark = True
+                path_of(system, request)[1].is_unresponsive = True
 
             await during(system, request, 0.15, strike)
             after = system.request(STREAM)
@@ -211,7 +214,7 @@
                 for request in asked:
                     tasks.start_soon(ask, request)
                 await anyio.sleep(0.15)
-                path_of(system, asked[0])[2].is_dark = True
+                path_of(system, asked[0])[2].is_unresponsive = True
             assert all(caller.is_whole for caller in callers)
             assert len(system.fleet.repaths) == len(set(system.fleet.repaths))
 
@@ -235,8 +238,8 @@
                 and one.listed.availability_zone == fleet_system.ZONES[0]
                 and one is not part
             ]
-            part.is_dark = True
-            others[0].is_dark = True
+            part.is_unresponsive = True
+            others[0].is_unresponsive = True
 
     def test_the_pause_stays_in_time(self) -> None:
         # Each lost part was found by a refusal, one after the other: the
@@ -262,8 +265,8 @@
 
             def strike() -> None:
                 path = path_of(system, request)
-                path[0].keeps_paths = True
-                path[2].is_dark = True
+                path[0].refuses_repaths = True
+                path[2].is_unresponsive = True
 
             caller = await during(system, request, 0.15, strike)
             assert_whole(caller, request, system.fleet.events)
@@ -309,7 +312,7 @@
                 await anyio.sleep(0.3)
                 system.fleet.is_cut_off = False
             assert_whole(callers[0], request, system.fleet.events)
-            assert system.book.avoided() == ()
+            assert system.registry.avoided() == ()
             assert len(system.fleet.runs_of(request.id)) == 1
 
         play(work)
@@ -357,7 +360,7 @@
                 if one.listed.availability_zone != fleet_system.ZONES[0]
             ]
             for one in system.fleet.upstreams:
-                one.hangs = 0 if one in foreign else 100
+                one.hanging_streams = 0 if one in foreign else 100
             # Streams in the other zone show that they begin at once there.
             zone = system.context.zone
             system.context.zone = fleet_system.ZONES[1]
@@ -438,12 +441,12 @@
     def test_nothing_is_kept_for_each_engine_that_ever_was(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             records = heads.HeadRecords()
-            for number in range(10 * heads.RECORDS_MOST):
+            for number in range(10 * heads.MAX_RECORDS):
                 records.begin(f"e{number}", number)
                 await anyio.sleep(0.1)
                 records.first_event(f"e{number}", number)
                 records.end(f"e{number}", number)
-            assert len(records) <= heads.RECORDS_MOST + 1
+            assert len(records) <= heads.MAX_RECORDS + 1
 
         play(work)
 
@@ -505,7 +508,7 @@
                 # when an engine has been asked and its answer is due.
                 loop = asyncio.get_running_loop()
                 assert isinstance(loop, virtual.VirtualLoop)
-                while not system.watch.is_asking:
+                while not system.monitor.is_probing:
                     await anyio.sleep(0.0002)
                 loop.pass_time(0.08)
 
@@ -520,7 +523,7 @@
                 tasks.start_soon(hog)
             assert_whole(callers[0], request, system.fleet.events)
             assert len(system.fleet.runs_of(request.id)) == 1
-            assert system.book.avoided() == ()
+            assert system.registry.avoided() == ()
 
         play(work)
 
@@ -545,7 +548,7 @@
             assert caller.error.verdict is verdicts.Verdict.NOT_RUN
             assert caller.error.retry_after
             assert system.fleet.runs_of(request.id) == []
-            await anyio.sleep(lateness.RECENT_SECONDS + 0.1)
+            await anyio.sleep(loop_lag.RECENT_SECONDS + 0.1)
             later = system.request(STREAM)
             assert_whole(await system.ask(later), later, system.fleet.events)
 
@@ -569,7 +572,9 @@
     def test_another_attempt_waits_while_it_lasts(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for name in ("plateau-0-0", "plateau-1-0"):
-                system.fleet.at(system.listed[name].address).rejects = 1
+                system.fleet.at(
+                    system.listed[name].address
+                ).rejected_requests = 1
             loop = asyncio.get_running_loop()
             assert isinstance(loop, virtual.VirtualLoop)
             callers: list[fleet_system.Caller] = []
@@ -602,7 +607,7 @@
 class TestFailedHead:
     """A stream's first engine fails."""
 
-    @pytest.mark.parametrize("how", ["is_dead", "is_dark"])
+    @pytest.mark.parametrize("how", ["is_dead", "is_unresponsive"])
     def test_stream_goes_on_at_another(self, how: str) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
@@ -623,7 +628,7 @@
         # cut at once: its caller got neither the rest nor a refusal.
         async def work(system: fleet_system.FleetSystem) -> None:
             budget = system.context.budget(fleet_system.MODEL)
-            while fleet_system.spend(budget):
+            while fleet_system.spend_retry(budget):
                 pass
             await anyio.sleep(9.2)
             request = system.request(STREAM)
@@ -646,19 +651,19 @@
                 head.is_dead = True
                 for one in system.listed.values():
                     if one.name.endswith("-0") and one != head.listed:
-                        system.fleet.at(one.address).rejects = 2
+                        system.fleet.at(one.address).rejected_requests = 2
 
             caller = await during(system, request, 0.15, strike)
             assert_whole(caller, request, system.fleet.events)
             rejected = sum(system.fleet.rejected.values())
-            assert rejected > streams.REFUSED_TRIES
+            assert rejected > streams.MAX_REFUSALS
 
         play(work)
 
     def test_stream_that_must_not_go_on_is_cut(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            route = fleet_system.a_route(STREAM, is_resumable=False)
-            system.install(fleet_system.a_config(2, (route,)))
+            route = fleet_system.make_route(STREAM, is_resumable=False)
+            system.install(fleet_system.make_config(2, (route,)))
             request = system.request(STREAM)
 
             def strike() -> None:
@@ -675,7 +680,7 @@
     def test_stream_broken_in_an_event_has_no_torn_one(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for target in list(system.listed.values()):
-                system.fleet.at(target.address).breaks_after = 5
+                system.fleet.at(target.address).break_stream_after = 5
             request = system.request(STREAM)
             caller = await system.ask(request)
             assert not caller.is_whole or caller.body == (
@@ -710,7 +715,7 @@
                     # Its first engine is sound each time: only a later
                     # part of the path fails, and the zone has no other.
                     await anyio.sleep(0.3)
-                    path_of(system, request)[2].is_dark = True
+                    path_of(system, request)[2].is_unresponsive = True
             # The first time it goes on in another zone, the second time it
             # may not: a detour through the third is all that is left.
             assert_whole(callers[0], request, 60)
@@ -723,8 +728,8 @@
     def test_stream_with_nothing_to_gain_is_not_given_up(self) -> None:
         # Its first engine is silent, and it may run nowhere else.
         async def work(system: fleet_system.FleetSystem) -> None:
-            route = fleet_system.a_route(STREAM, is_resumable=False)
-            system.install(fleet_system.a_config(2, (route,)))
+            route = fleet_system.make_route(STREAM, is_resumable=False)
+            system.install(fleet_system.make_config(2, (route,)))
             system.fleet.events = 60
             ended: list[fleet_system.Caller] = []
             request = system.request(STREAM)
@@ -735,7 +740,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.2)
-                path_of(system, request)[0].is_dark = True
+                path_of(system, request)[0].is_unresponsive = True
                 await anyio.sleep(1.0)
                 tasks.cancel_scope.cancel()
             assert ended == []
@@ -748,7 +753,7 @@
         # broken, tlg-dakar mix, seed 127132938107).
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 60
-            request = system.request(STREAM, patience=6.0)
+            request = system.request(STREAM, timeout_seconds=6.0)
             caller: list[fleet_system.Caller] = []
 
             async def ask() -> None:
@@ -759,9 +764,9 @@
                 for _ in range(2):
                     await anyio.sleep(0.3)
                     head = path_of(system, request)[0]
-                    head.is_dark = True
+                    head.is_unresponsive = True
                     await anyio.sleep(0.3)
-                    head.is_dark = False
+                    head.is_unresponsive = False
                 await anyio.sleep(3.0)
                 tasks.cancel_scope.cancel()
             assert len(system.fleet.runs_of(request.id)) == 2
@@ -774,12 +779,12 @@
         # broken, turnos-lima scale-2, seed 37817520442).
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 150
-            request = system.request(STREAM, patience=8.0)
+            request = system.request(STREAM, timeout_seconds=8.0)
 
             async def silence_heads() -> None:
                 for _ in range(2):
                     await anyio.sleep(0.3)
-                    path_of(system, request)[0].is_dark = True
+                    path_of(system, request)[0].is_unresponsive = True
                     await anyio.sleep(2.0)
 
             async with anyio.create_task_group() as tasks:
@@ -796,7 +801,7 @@
         # for its end, and the request ran at a third one.
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
-                system.fleet.at(one.address).breaks_after = 3
+                system.fleet.at(one.address).break_stream_after = 3
             request = system.request(STREAM)
 
             async def reset_heads() -> None:
@@ -804,7 +809,7 @@
                     await anyio.sleep(0.005)
                     for run in system.fleet.runs_of(request.id):
                         head = system.listed[run.upstream]
-                        system.fleet.at(head.address).resets = 5
+                        system.fleet.at(head.address).reset_connections = 5
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(reset_heads)
@@ -836,14 +841,14 @@
     def test_full_engine_counts_as_one_that_ran_it(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
-                system.fleet.at(one.address).breaks_after = 3
+                system.fleet.at(one.address).break_stream_after = 3
             request = system.request(STREAM)
 
             async def refuse_others() -> None:
                 while True:
                     await anyio.sleep(0.005)
                     for run in system.fleet.runs_of(request.id):
-                        system.book.pause(run.upstream, 5.0, "full")
+                        system.registry.pause(run.upstream, 5.0, "full")
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(refuse_others)
@@ -860,21 +865,21 @@
                 if name == "plateau-0-0":
                     system.fleet.at(one.address).is_dead = True
             budget = system.context.budget(fleet_system.MODEL)
-            before = budget.left
+            before = budget.remaining
             request = system.request(STREAM)
             caller = await system.ask(request)
             assert_whole(caller, request, system.fleet.events)
-            assert budget.left >= before
+            assert budget.remaining >= before
 
         play(work)
 
     def test_one_lost_answer_is_no_proof_against_an_engine(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             head = system.listed["plateau-0-0"]
-            system.fleet.at(head.address).loses = 1
+            system.fleet.at(head.address).lost_answers = 1
             caller = await system.ask(system.request(STREAM))
             assert caller.is_whole
-            assert system.book.is_usable(head.name)
+            assert system.registry.is_usable(head.name)
 
         play(work)
 
@@ -886,7 +891,7 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
                 if one.name == "plateau-0-0":
-                    system.fleet.at(one.address).rejects = 1
+                    system.fleet.at(one.address).rejected_requests = 1
             request = system.request(STREAM)
             caller = await system.ask(request)
             assert_whole(caller, request, system.fleet.events)
@@ -901,13 +906,15 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             stale = system.fleet.at(system.listed["plateau-0-2"].address)
             stale.listed = attrs.evolve(stale.listed, layers=None)
-            monkeypatch.setattr(system.book, "at", lambda _: None)
+            monkeypatch.setattr(
+                system.registry, "find_by_address", lambda _: None
+            )
             for _ in range(3):
                 caller = await system.ask(system.request(STREAM))
                 assert caller.is_whole
-            assert not system.book.is_usable("plateau-0-2")
-            assert system.book.is_usable("plateau-0-0")
-            assert system.book.is_usable("plateau-1-0")
+            assert not system.registry.is_usable("plateau-0-2")
+            assert system.registry.is_usable("plateau-0-0")
+            assert system.registry.is_usable("plateau-1-0")
 
         play(work)
 
@@ -926,7 +933,7 @@
     def test_without_any_path_it_has_not_run(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in list(system.listed.values()):
-                system.tell(attrs.evolve(one, is_leaving=True))
+                system.list_instance(attrs.evolve(one, is_leaving=True))
             await anyio.sleep(1.1)
             began = anyio.current_time()
             request = system.request(STREAM)
@@ -945,12 +952,12 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in list(system.listed.values()):
                 if one.name in ("plateau-0-2", "plateau-1-2"):
-                    system.tell(attrs.evolve(one, is_leaving=True))
+                    system.list_instance(attrs.evolve(one, is_leaving=True))
             first = system.request(STREAM)
             assert_whole(await system.ask(first), first, system.fleet.events)
             for one in list(system.listed.values()):
                 if one.name.startswith("almadies"):
-                    system.tell(attrs.evolve(one, is_leaving=True))
+                    system.list_instance(attrs.evolve(one, is_leaving=True))
             last = system.request(STREAM)
             assert_whole(await system.ask(last), last, system.fleet.events)
             zones = [
@@ -964,7 +971,7 @@
     def test_foreign_answer_is_not_passed_on(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
-                system.fleet.at(one.address).forges = 1
+                system.fleet.at(one.address).misattributed_answers = 1
             request = system.request(STREAM)
             caller = await system.ask(request)
             if caller.body:
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -36,13 +36,13 @@
 from crowdeck import errors
 from crowdeck import instance as instances
 from crowdeck.membership import roster as rosters
-from crowdeck.membership import upstreams as books
+from crowdeck.membership import upstreams as registries
 from crowdeck.quarantine import fingerprint as fingerprints
-from crowdeck.quarantine import ledger as ledgers
+from crowdeck.quarantine import tracker as trackers
 from crowdeck.standin import store as standin_store
-from crowdeck.state import contact as contacts
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
+from crowdeck.state import store_health
 from tests import fleet_system
 from tests import virtual
 from tests import zone_system
@@ -114,7 +114,7 @@
             zone[0].way.is_cut = True
             zone.store.restore(backup)
             with pytest.raises(errors.CrowdeckError) as caught:
-                await zone[0].mirror.tell(stores.Position(1, 1), 0.1)
+                await zone[0].mirror.changes_since(stores.Position(1, 1), 0.1)
             assert caught.value.code is errors.Code.STORE_DOWN
             zone[0].way.is_cut = False
             await anyio.sleep(IN_FORCE_SECONDS)
@@ -134,7 +134,7 @@
             zone.store.restore(standin_store.StandinStore().back_up())
             position = stores.Position(1, zone.store.epoch)
             with pytest.raises(errors.CrowdeckError):
-                await zone[0].mirror.tell(position, 0.1)
+                await zone[0].mirror.changes_since(position, 0.1)
             await anyio.sleep(0.1)
             assert zone[0].mirror.position.epoch == zone.store.epoch
             await require_known(zone, b"new")
@@ -147,13 +147,13 @@
         self, seed: int
     ) -> None:
         async def work(zone: zone_system.Zone) -> None:
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             for _ in range(4):
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(_disturb, zone, chance)
-                    await _play_restores(zone, chance)
+                    tasks.start_soon(_disturb, zone, rng)
+                    await _play_restores(zone, rng)
                     tasks.cancel_scope.cancel()
-                zone.mend()
+                zone.reconnect()
                 # A peer that was silent is left alone for some seconds.
                 await anyio.sleep(3.0)
                 await require_known(zone, f"new-{seed}".encode())
@@ -161,19 +161,17 @@
         zone_system.play(4, work)
 
 
-async def _play_restores(
-    zone: zone_system.Zone, chance: random.Random
-) -> None:
+async def _play_restores(zone: zone_system.Zone, rng: random.Random) -> None:
     """Write now and then, and go back to a copy of some moment before."""
     backups = [zone.store.back_up()]
     truth: dict[int, float] = {}
     for _ in range(600):
-        if chance.random() < 0.03:
+        if rng.random() < 0.03:
             truth[zone.write()] = anyio.current_time()
-        if chance.random() < 0.01:
+        if rng.random() < 0.01:
             backups.append(zone.store.back_up())
-        if chance.random() < 0.004:
-            zone.store.restore(chance.choice(backups))
+        if rng.random() < 0.004:
+            zone.store.restore(rng.choice(backups))
             # Only what is written from now on may be asked for.
             truth.clear()
         _require_truth(zone, truth)
@@ -192,11 +190,11 @@
             assert entry.mirror.position.version >= newest
 
 
-async def _disturb(zone: zone_system.Zone, chance: random.Random) -> None:
+async def _disturb(zone: zone_system.Zone, rng: random.Random) -> None:
     """Cut entries off, silence, stop and start them anew."""
     while True:
-        number = chance.randrange(len(zone.entries))
-        what = chance.choice(("is_silent", "is_down", "cut", "store", "anew"))
+        number = rng.randrange(len(zone.entries))
+        what = rng.choice(("is_silent", "is_down", "cut", "store", "anew"))
         if what == "anew":
             zone.start_anew(number)
         else:
@@ -204,9 +202,9 @@
             target = {"cut": entry.way, "store": zone.store}.get(what, entry)
             name = {"cut": "is_cut", "store": "is_down"}.get(what, what)
             setattr(target, name, True)
-            await anyio.sleep(chance.uniform(0.1, 2.5))
+            await anyio.sleep(rng.uniform(0.1, 2.5))
             setattr(target, name, False)
-        await anyio.sleep(chance.uniform(0.0, 1.0))
+        await anyio.sleep(rng.uniform(0.0, 1.0))
 
 
 class TestMirror:
@@ -244,11 +242,11 @@
         # waiting with it for a version that it gives out again.
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = contacts.StoreContact()
+            health = store_health.StoreHealth()
             sight = zone_system.Sight()
-            long = mirrors.Mirror(store, "long", sight, 10.0, contact=contact)
+            long = mirrors.Mirror(store, "long", sight, 10.0, health=health)
             short = mirrors.Mirror(
-                store, "short", zone_system.Sight(), 0.8, contact=contact
+                store, "short", zone_system.Sight(), 0.8, health=health
             )
             async with anyio.create_task_group() as tasks:
                 for _ in range(5):
@@ -275,7 +273,7 @@
         self.store = standin_store.StandinStore()
         self.empty = self.store.back_up()
         self.rosters: dict[str, rosters.Roster] = {}
-        self.ledgers: dict[str, ledgers.Ledger] = {}
+        self.trackers: dict[str, trackers.QuarantineTracker] = {}
         self.lives: dict[str, anyio.CancelScope] = {}
         self._tasks = tasks
 
@@ -283,9 +281,11 @@
         """Start an entry, in place of one of its name."""
         self.stop(name)
         address = instances.Address("10.0.0.1", 7340)
-        note = rosters.Note("plateau", address, capacity)
-        ledger = self.ledgers[name] = ledgers.Ledger(anyio.current_time)
-        roster = rosters.Roster(self.store, name, note, ledger)
+        note = rosters.EntryRecord("plateau", address, capacity)
+        quarantine = self.trackers[name] = trackers.QuarantineTracker(
+            anyio.current_time
+        )
+        roster = rosters.Roster(self.store, name, note, quarantine)
         self.rosters[name] = roster
         self._tasks.start_soon(self._live, name, roster)
 
@@ -300,7 +300,7 @@
         """End an entry, if there is one of that name."""
         if name in self.lives:
             self.lives.pop(name).cancel()
-            del self.rosters[name], self.ledgers[name]
+            del self.rosters[name], self.trackers[name]
 
     async def settle(self) -> None:
         """Let all be told to all."""
@@ -308,10 +308,12 @@
 
     def find_cause(self, name: str) -> None:
         """Have an entry see three engines end under one request."""
-        ledger = self.ledgers[name]
+        quarantine = self.trackers[name]
         for number in range(3):
-            ledger.note_lost(f"e{number}", ledgers.Trial(CAUSE, None))
-            ledger.note_end(f"e{number}")
+            quarantine.note_connection_lost(
+                f"e{number}", trackers.AttemptRecord(CAUSE, None)
+            )
+            quarantine.note_end(f"e{number}")
 
 
 def play_fleet(
@@ -353,7 +355,9 @@
             await fleet.settle()
             fleet.start("late", 1.0)
             await fleet.settle()
-            assert all(one.is_culprit(CAUSE) for one in fleet.ledgers.values())
+            assert all(
+                one.is_quarantined(CAUSE) for one in fleet.trackers.values()
+            )
 
         play_fleet(work)
 
@@ -366,7 +370,9 @@
             fleet.stop("entry-0")
             fleet.store.restore(backup)
             await fleet.settle()
-            assert all(one.is_culprit(CAUSE) for one in fleet.ledgers.values())
+            assert all(
+                one.is_quarantined(CAUSE) for one in fleet.trackers.values()
+            )
 
         play_fleet(work)
 
@@ -402,16 +408,16 @@
             system = fleet_system.FleetSystem()
             one = fleet_system.upstream("a")
             system.add(one)
-            system.tell(attrs.evolve(one, is_leaving=True))
+            system.list_instance(attrs.evolve(one, is_leaving=True))
             system.listed["a"] = one
             old = stores.StoredObject("upstreams", "a", 1, b"{}")
-            system.book.on_listed((old,))
-            assert system.book.usable(one.service) == ()
-            await anyio.sleep(books.LAST_WORK_SECONDS)
-            assert system.book.last_resort(one.service) == ()
+            system.registry.on_listed((old,))
+            assert system.registry.usable(one.service) == ()
+            await anyio.sleep(registries.LAST_WORK_SECONDS)
+            assert system.registry.usable_while_leaving(one.service) == ()
             # What it writes itself from then on is believed.
-            system.tell(one)
-            assert system.book.usable(one.service) == (one,)
+            system.list_instance(one)
+            assert system.registry.usable(one.service) == (one,)
 
         virtual.run(body)
 
@@ -420,12 +426,14 @@
             system = fleet_system.FleetSystem()
             one = attrs.evolve(fleet_system.upstream("a"), is_leaving=True)
             system.add(one)
-            again = attrs.evolve(one, name="a#7", born=7, is_leaving=False)
+            again = attrs.evolve(
+                one, name="a#7", started_ms=7, is_leaving=False
+            )
             again = attrs.evolve(again, instance_id="a")
             system.listed["a"] = again
             entry = stores.StoredObject("upstreams", "a", 2, b"{}")
-            system.book.on_listed((entry,))
-            assert system.book.usable(one.service) == (again,)
+            system.registry.on_listed((entry,))
+            assert system.registry.usable(one.service) == (again,)
 
         virtual.run(body)
 
@@ -434,12 +442,14 @@
         # again, though no call of this process failed.
         async def body() -> None:
             store = standin_store.StandinStore()
-            contact = contacts.StoreContact()
+            health = store_health.StoreHealth()
             listed = {"a": fleet_system.upstream("a")}
-            book = books.UpstreamBook(lambda one: listed[one.name])
-            book.watch_store(lambda: contact.failed_at)
+            registry = registries.UpstreamRegistry(
+                lambda one: listed[one.name]
+            )
+            registry.set_store_failure_source(lambda: health.failed_at)
             mirror = mirrors.Mirror(
-                store, "upstreams", book, 0.8, contact=contact
+                store, "upstreams", registry, 0.8, health=health
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
@@ -449,7 +459,9 @@
                 await anyio.sleep(1.0)
                 store.restore(backup)
                 await anyio.sleep(1.0)
-                assert [one.name for one in book.listed("assistant")] == ["a"]
+                assert [one.name for one in registry.listed("assistant")] == [
+                    "a"
+                ]
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -38,20 +38,20 @@
     slack: float = SLACK,
     began: float = float("-inf"),
     membership: budgets.Membership | None = None,
-) -> budgets.SharedBudget:
-    return budgets.SharedBudget(
+) -> budgets.SharedRetryBudget:
+    return budgets.SharedRetryBudget(
         RATIO, slack, WINDOW, began, membership or Members()
     )
 
 
-def _spend_all(budget: budgets.SharedBudget) -> int:
+def _spend_all(budget: budgets.SharedRetryBudget) -> int:
     spent = 0
-    while fleet_system.spend(budget):
+    while fleet_system.spend_retry(budget):
         spent += 1
     return spent
 
 
-async def _earn_for(budget: budgets.SharedBudget, seconds: float) -> None:
+async def _earn_for(budget: budgets.SharedRetryBudget, seconds: float) -> None:
     """Have ten requests come in each part of a window for some time."""
     until = anyio.current_time() + seconds - PART / 2
     while anyio.current_time() < until:
@@ -181,7 +181,7 @@
             await anyio.sleep(PART / 2)
             await _earn_for(budget, 3 * WINDOW)
             requests = 10 * (budgets.WINDOW_PARTS - 1)
-            assert budget.left <= budgets.STEADY_SHARE * RATIO * requests
+            assert budget.remaining <= budgets.STEADY_SHARE * RATIO * requests
 
         virtual.run(body)
 
@@ -204,16 +204,16 @@
     def test_one_under_way_counts_however_long_that_takes(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            sends = budget.open_sends()
+            sends = budget.track_sends()
             assert sends.reserve()
             sends.send()
             await anyio.sleep(5 * WINDOW)
-            assert budget.left < 1.0
+            assert budget.remaining < 1.0
             sends.arrive()
             await anyio.sleep(WINDOW - PART)
-            assert budget.left < 1.0
+            assert budget.remaining < 1.0
             await anyio.sleep(2 * PART)
-            assert budget.left >= 1.0
+            assert budget.remaining >= 1.0
 
         virtual.run(body)
 
@@ -223,7 +223,7 @@
         async def body() -> None:
             budget = _budget(slack=0.0)
             await _earn_for(budget, 3 * WINDOW)
-            accounts = [budget.open_sends() for _ in range(200)]
+            accounts = [budget.track_sends() for _ in range(200)]
             sent = sum(1 for one in accounts if one.reserve())
             requests = 10 * (budgets.WINDOW_PARTS - budgets.PARTS_AHEAD)
             most = budgets.STEADY_SHARE * RATIO * requests
@@ -234,28 +234,28 @@
     def test_one_given_up_counts_for_two_windows(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 assert sends.reserve()
                 sends.send()
                 sends.give_up()
             for _ in range(2 * budgets.WINDOW_PARTS - 1):
                 await anyio.sleep(PART)
-                assert budget.left < 1.0
+                assert budget.remaining < 1.0
             await anyio.sleep(2 * PART)
-            assert budget.left >= 1.0
+            assert budget.remaining >= 1.0
 
         virtual.run(body)
 
     def test_those_given_up_count_with_those_that_arrived(self) -> None:
         async def body() -> None:
             budget = _budget(slack=2.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 assert sends.reserve()
                 sends.send()
                 sends.give_up()
-            assert fleet_system.spend(budget)
+            assert fleet_system.spend_retry(budget)
             await anyio.sleep(WINDOW / 2)
-            assert budget.left < 1.0
+            assert budget.remaining < 1.0
 
         virtual.run(body)
 
@@ -263,69 +263,69 @@
         # The first may be read after the second was answered.
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 sends.send()
                 sends.give_up()
                 assert sends.reserve()
                 sends.send()
                 sends.arrive()
             await anyio.sleep(2 * WINDOW - PART)
-            assert budget.left < 1.0
+            assert budget.remaining < 1.0
             await anyio.sleep(2 * PART)
-            assert budget.left >= 1.0
+            assert budget.remaining >= 1.0
 
         virtual.run(body)
 
     def test_one_whose_caller_leaves_counts_as_given_up(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 assert sends.reserve()
                 sends.send()
             await anyio.sleep(2 * WINDOW - PART)
-            assert budget.left < 1.0
+            assert budget.remaining < 1.0
 
         virtual.run(body)
 
     def test_one_that_is_not_sent_is_given_back(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 assert sends.reserve()
-                assert budget.left < 1.0
-            assert budget.left >= 1.0
+                assert budget.remaining < 1.0
+            assert budget.remaining >= 1.0
 
         virtual.run(body)
 
     def test_one_that_was_not_connected_serves_once_more(self) -> None:
         async def body() -> None:
             budget = _budget(slack=2.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 for _ in range(3):
                     assert sends.reserve()
                     sends.send()
                     sends.fail_to_send()
-                assert budget.left >= 1.0
+                assert budget.remaining >= 1.0
                 assert sends.reserve()
                 sends.send()
                 sends.arrive()
                 assert sends.reserve()
-                assert budget.left < 1.0
-            assert budget.left >= 1.0
+                assert budget.remaining < 1.0
+            assert budget.remaining >= 1.0
 
         virtual.run(body)
 
     def test_the_first_is_no_repeat(self) -> None:
         async def body() -> None:
             budget = _budget()
-            before = budget.left
-            with contextlib.closing(budget.open_sends()) as sends:
+            before = budget.remaining
+            with contextlib.closing(budget.track_sends()) as sends:
                 sends.send()
                 sends.arrive()
-            with contextlib.closing(budget.open_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as sends:
                 sends.send()
                 sends.give_up()
-            assert budget.left == before
+            assert budget.remaining == before
 
         virtual.run(body)
 
@@ -384,13 +384,13 @@
             budget.earn()
             self.account.note_request(anyio.current_time())
         for _ in range(step.repeats):
-            sends = budget.open_sends()
+            sends = budget.track_sends()
             if not sends.reserve():
                 break
             sends.send()
             tasks.start_soon(self._arrive, sends, step.late)
 
-    async def _arrive(self, sends: budgets.Sends, late: float) -> None:
+    async def _arrive(self, sends: budgets.SendTracker, late: float) -> None:
         self._number += 1
         request = str(self._number)
         self.account.note_arrival(request, anyio.current_time())
@@ -431,13 +431,13 @@
         async def body() -> None:
             budget = _budget(slack)
             _spend_all(budget)
-            assert budget.left < 1.0
-            assert budget.left_share == 0.0
+            assert budget.remaining < 1.0
+            assert budget.remaining_share == 0.0
 
         virtual.run(body)
 
     def test_is_all_where_nothing_was_spent(self) -> None:
         async def body() -> None:
-            assert _budget().left_share == 1.0
+            assert _budget().remaining_share == 1.0
 
         virtual.run(body)
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -57,11 +57,11 @@
         async def work(
             store: standin_store.StandinStore, rivals: list[leases.Lease]
         ) -> None:
-            for _ in range(leases.LAST_PLACE // 2):
+            for _ in range(leases.LAST_OBJECT_INDEX // 2):
                 for name in await _names(store):
                     store.write(leases.KIND, name, b"7")
                 await _watch(rivals, 3.7, holder=rivals[0])
-            assert len(await _names(store)) <= leases.LAST_PLACE
+            assert len(await _names(store)) <= leases.LAST_OBJECT_INDEX
 
         _play(work)
 
@@ -80,12 +80,12 @@
     def test_holds_it_on_though_it_no_longer_stands_for_it(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            may_stand = True
-            lease = leases.Lease(store, "duty", "one", lambda: may_stand)
+            is_candidate = True
+            lease = leases.Lease(store, "duty", "one", lambda: is_candidate)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(lease.run)
                 await anyio.sleep(1.0)
-                may_stand = False
+                is_candidate = False
                 store.write(leases.KIND, "duty", b"7")
                 await _watch([lease], 10.0, holder=lease)
                 tasks.cancel_scope.cancel()
@@ -107,12 +107,12 @@
         async def work(
             store: standin_store.StandinStore, rivals: list[leases.Lease]
         ) -> None:
-            rivals[0].note(("e0@3",))
+            rivals[0].set_memo(("e0@3",))
             await anyio.sleep(0.1)
             store.write(leases.KIND, "duty", b"7")
             # The others may take what is given up once they have waited.
             await _watch(rivals, MOST_SECONDS, holder=rivals[0])
-            await rivals[0].give_up()
+            await rivals[0].release()
             await anyio.sleep(leases.RENEW_SECONDS + 0.1)
             held = next(one for one in rivals if one.is_held)
             assert held.memo == ("e0@3",)
@@ -331,7 +331,7 @@
     def test_is_taken_once_it_has_not_changed_for_long(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(leases, "LAST_PLACE", 1)
+        monkeypatch.setattr(leases, "LAST_OBJECT_INDEX", 1)
 
         async def work(
             store: standin_store.StandinStore, rivals: list[leases.Lease]
@@ -351,7 +351,7 @@
     def test_term_follows_one_that_was_spoilt_unread(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(leases, "LAST_PLACE", 0)
+        monkeypatch.setattr(leases, "LAST_OBJECT_INDEX", 0)
 
         async def work(
             store: standin_store.StandinStore, rivals: list[leases.Lease]
@@ -462,21 +462,21 @@
     @hypothesis.settings(max_examples=60, deadline=None, derandomize=True)
     def test_never_has_two_holders_nor_a_term_twice(self, seed: int) -> None:
         async def body() -> None:
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             store = standin_store.StandinStore()
-            rivals = test_restored_lease.Rivals(store, chance)
-            is_restored = chance.random() < 0.5
+            rivals = test_restored_lease.Rivals(store, rng)
+            is_restored = rng.random() < 0.5
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(rivals.run)
                 backups = [store.back_up()]
                 for _ in range(3_000):
-                    if chance.random() < 0.01:
+                    if rng.random() < 0.01:
                         backups.append(store.back_up())
-                    if is_restored and chance.random() < 0.002:
-                        store.restore(chance.choice(backups[-5:]))
-                    if chance.random() < 0.02:
-                        name = chance.choice(await _names(store) or ["duty"])
-                        value = chance.choice(SPOILT)
+                    if is_restored and rng.random() < 0.002:
+                        store.restore(rng.choice(backups[-5:]))
+                    if rng.random() < 0.02:
+                        name = rng.choice(await _names(store) or ["duty"])
+                        value = rng.choice(SPOILT)
                         store.write(leases.KIND, name, value)
                     await anyio.sleep(0.01)
                     rivals.require_one_holder()
@@ -545,12 +545,12 @@
         self._kept = kept
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         found = await super().get(kind, name)
         now = anyio.current_time()
         self._kept.append((now, name, found))
-        if not may_be_old:
+        if not allow_stale:
             return found
         old = None
         for at, its_name, one in self._kept:
@@ -594,7 +594,7 @@
         self._go.set()
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         found = await super().get(kind, name)
         if found is None:
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -18,7 +18,7 @@
     """An entry's part of the engines."""
 
     def test_a_fleet_of_today_is_used_whole(self) -> None:
-        fleet = paths.a_fleet(subsets.WHOLE_MOST)
+        fleet = paths.a_fleet(subsets.MAX_UNSPLIT_ENGINES)
         assert subsets.EngineSubset("entry-0", ZONE).pick(fleet) == fleet
 
     def test_a_part_of_a_large_fleet_holds_every_layer(self) -> None:
@@ -26,7 +26,11 @@
         fleet = paths.a_fleet(2_997)
         for number in range(20):
             picked = subsets.EngineSubset(f"entry-{number}", ZONE).pick(fleet)
-            assert len(picked) == subsets.OWN_MOST + subsets.OTHERS_MOST
+            assert (
+                len(picked)
+                == subsets.MAX_OWN_ZONE_ENGINES
+                + subsets.MAX_OTHER_ZONE_ENGINES
+            )
             own = [one for one in picked if one.availability_zone == ZONE]
             assert min(chain.coverage(own, paths.LAYERS)) >= 2
 
@@ -41,7 +45,7 @@
                 if one.availability_zone == ZONE
             )
         own = [one for one in fleet if one.availability_zone == ZONE]
-        mean = 60 * subsets.OWN_MOST / len(own)
+        mean = 60 * subsets.MAX_OWN_ZONE_ENGINES / len(own)
         assert len(drawn) == len(own)
         assert max(drawn.values()) < 2 * mean
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -5,8 +5,9 @@
 
 """Machines that are suspended, and wake seconds later.
 
-The loop's time counts the suspension (``timers.WakefulLoop``), so a process
-that wakes finds itself later, as in ``virtual.VirtualLoop.pass_time``.
+The loop's time counts the suspension (``timers.BootTimeEventLoop``), so a
+process that wakes finds itself later, as in
+``virtual.VirtualLoop.pass_time``.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 import pytest
 
 from crowdeck import errors
-from crowdeck.placement import duty as duties
+from crowdeck.placement import controller as controllers
 from crowdeck.placement import plan
 from crowdeck.relay import relay as relays
 from crowdeck import route as routes
@@ -63,7 +64,9 @@
             assert fired
 
         monkeypatch.setattr(timers.time, "clock_gettime", boot_time)
-        anyio.run(body, backend_options={"loop_factory": timers.WakefulLoop})
+        anyio.run(
+            body, backend_options={"loop_factory": timers.BootTimeEventLoop}
+        )
 
     def test_timer_service_offers_both_clocks(self) -> None:
         class Fixed:
@@ -74,8 +77,8 @@
                 return self._at
 
         service = timers.TimerService(Fixed(9.0), Fixed(4.0))
-        assert (service.now(), service.awake()) == (9.0, 4.0)
-        assert timers.BootClock().now() >= timers.SteadyClock().now() - 1.0
+        assert (service.now(), service.monotonic_now()) == (9.0, 4.0)
+        assert timers.BootClock().now() >= timers.MonotonicClock().now() - 1.0
 
 
 class TestLease:
@@ -114,8 +117,8 @@
             store = standin_store.StandinStore()
             lease = leases.Lease(store, "placement", "one")
             orders = SleepyOrders(system.fleet, asks)
-            placement = duties.PlacementDuty(
-                lease, system.book, orders, lambda: system.holder.services
+            placement = controllers.PlacementController(
+                lease, system.registry, orders, lambda: system.holder.services
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(lease.run)
@@ -157,7 +160,7 @@
             self.slept.set()
 
 
-class Follower:
+class ChangeListener:
     """Takes what a mirror sees and keeps nothing."""
 
     def on_listed(self, objects: typing.Any) -> None:
@@ -174,7 +177,7 @@
     def test_is_as_old_as_it_is_on_waking(self, seconds: float) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            mirror = mirrors.Mirror(store, "config", Follower(), 0.8)
+            mirror = mirrors.Mirror(store, "config", ChangeListener(), 0.8)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 await anyio.sleep(2.0)
@@ -190,7 +193,7 @@
         # answer is read on waking.
         async def body() -> None:
             store = standin_store.StandinStore()
-            mirror = mirrors.Mirror(store, "config", Follower(), 0.8)
+            mirror = mirrors.Mirror(store, "config", ChangeListener(), 0.8)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 await anyio.sleep(1.0)
@@ -216,13 +219,13 @@
             relay = relays.Relay(
                 system.context,
                 system.holder,
-                system.watch,
+                system.monitor,
                 lambda: anyio.current_time() - proved_at,
                 3.5,
             )
             sleep_through(seconds)
             caller = fleet_system.Caller()
-            request = system.request(routes.Repeat.ONCE)
+            request = system.request(routes.RepeatPolicy.ONCE)
             if seconds < 3.5:
                 return
             with pytest.raises(errors.CrowdeckError) as caught:
@@ -242,8 +245,8 @@
             system = fleet_system.FleetSystem()
             system.install(system.config)
             system.add_model()
-            request = system.request(routes.Repeat.STREAM)
-            sleep_through(request.patience or 0.0)
+            request = system.request(routes.RepeatPolicy.STREAM)
+            sleep_through(request.timeout_seconds or 0.0)
             caller = await system.ask(request)
             assert caller.error is not None
             assert system.fleet.runs == []
@@ -260,7 +263,7 @@
             system.add_model()
 
             async def work(one: fleet_system.FleetSystem) -> None:
-                request = one.request(routes.Repeat.STREAM)
+                request = one.request(routes.RepeatPolicy.STREAM)
                 done: list[fleet_system.Caller] = []
 
                 async def ask() -> None:
@@ -275,7 +278,7 @@
                 assert whole.startswith(caller.body)
                 assert caller.is_whole is (caller.body == whole)
                 # Nobody is blamed for our own sleep.
-                assert one.book.avoided() == ()
+                assert one.registry.avoided() == ()
 
             await fleet_system.run_with(system, work)
 
@@ -291,10 +294,10 @@
             one = fleet_system.upstream("e", layers=(0, 80), card="large")
             system.add(one)
             leaving = fleet_system.attrs.evolve(one, is_leaving=True)
-            system.tell(leaving)
-            assert system.book.last_resort(fleet_system.MODEL)
+            system.list_instance(leaving)
+            assert system.registry.usable_while_leaving(fleet_system.MODEL)
             sleep_through(seconds)
-            left = system.book.last_resort(fleet_system.MODEL)
+            left = system.registry.usable_while_leaving(fleet_system.MODEL)
             assert bool(left) is (seconds < 1.0)
 
         virtual.run(body)
@@ -304,18 +307,20 @@
     """A peer's answer that came while the machine slept."""
 
     def test_proves_nothing_later_than_the_question(self) -> None:
-        class Helper:
+        class PeerReplica:
             async def watch(
                 self, kind: str, after: stores.Position, wait: float
-            ) -> stores.Sighting:
+            ) -> stores.PeerChanges:
                 await anyio.sleep(0.01)
                 sleep_through(40.0)
                 # Current when it was asked, as the peer's clock has it.
-                return stores.Sighting(stores.Changes(after.version, ()), 0.0)
+                return stores.PeerChanges(
+                    stores.Changes(after.version, ()), 0.0
+                )
 
-        class Helpers:
-            def choose(self) -> Helper:
-                return Helper()
+        class PeerSelector:
+            def choose(self) -> PeerReplica:
+                return PeerReplica()
 
             def seconds_to_next(self) -> float:
                 return float("inf")
@@ -325,9 +330,9 @@
             mirror = mirrors.Mirror(
                 store,
                 "config",
-                Follower(),
+                ChangeListener(),
                 0.8,
-                helpers=typing.cast(mirrors.Helpers, Helpers()),
+                peers=typing.cast(mirrors.PeerSelector, PeerSelector()),
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -30,7 +30,7 @@
 from crowdeck.placement import plan
 from crowdeck.platform import names
 from crowdeck.relay import gaps
-from crowdeck.relay import returns
+from crowdeck.relay import retry_advice
 from crowdeck import route as routes
 from crowdeck import verdict as verdicts
 from tests import fleet_system
@@ -38,7 +38,7 @@
 from tests import test_losses
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
+STREAM = routes.RepeatPolicy.STREAM
 PROFILE = fleet_system.PROFILE
 System = fleet_system.FleetSystem
 Work = typing.Callable[[System], typing.Awaitable[None]]
@@ -75,7 +75,7 @@
     """End engines, and remove their entries."""
     for name in names:
         system.fleet.at(system.listed[name].address).is_dead = True
-        system.book.on_changed((), (name,))
+        system.registry.on_changed((), (name,))
 
 
 def told_lines(kind: str, lines: list[dict[str, typing.Any]]) -> list[str]:
@@ -155,7 +155,9 @@
                 tasks.start_soon(ask)
                 await anyio.sleep(0.5)
                 lose(system, "e-0")
-                system.fleet.at(system.listed["e-0"].address).breaks_after = 30
+                system.fleet.at(
+                    system.listed["e-0"].address
+                ).break_stream_after = 30
                 await anyio.sleep(0.8)
                 broken_at = anyio.current_time()
             assert caller.has_started
@@ -173,10 +175,10 @@
                 error = await refused(system)
                 assert error.retry_after is not None
                 comes_at = anyio.current_time() + error.retry_after - lost_at
-                least = load + gaps.ORDERED_SECONDS
+                least = load + gaps.ORDER_DELAY_SECONDS
                 assert least - 0.1 <= comes_at
                 # Noticed half a second late, and spread.
-                most = least + gaps.LOOK_SECONDS + returns.WINDOW_SECONDS
+                most = least + gaps.LOOK_SECONDS + retry_advice.WINDOW_SECONDS
                 assert comes_at <= most + 0.1
                 assert "20-40" in error.message
 
@@ -188,7 +190,7 @@
             await anyio.sleep(0.6)
             error = await refused(system)
             assert error.retry_after is not None
-            assert error.retry_after <= returns.MOST_SECONDS
+            assert error.retry_after <= retry_advice.MOST_SECONDS
             assert "10-20" in error.message
             assert "those left can hold" in error.message
 
@@ -203,7 +205,7 @@
             assert gap.seconds_left is None
             error = await refused(system)
             assert error.retry_after is not None
-            assert error.retry_after <= returns.MOST_SECONDS
+            assert error.retry_after <= retry_advice.MOST_SECONDS
 
         play(work, "large")
 
@@ -220,10 +222,10 @@
             error = await refused(system)
             assert error.retry_after is not None
             load = PROFILE.load_seconds * 10 / PROFILE.layer_count
-            least = came_at + load + gaps.ORDERED_SECONDS
+            least = came_at + load + gaps.ORDER_DELAY_SECONDS
             comes_at = anyio.current_time() + error.retry_after
             assert least - 0.1 <= comes_at
-            assert comes_at <= least + 0.6 + returns.WINDOW_SECONDS
+            assert comes_at <= least + 0.6 + retry_advice.WINDOW_SECONDS
 
         play(work, "small", 8)
 
@@ -253,17 +255,17 @@
             fresh = System(system.fleet, "other")
             fresh.install(fresh.config)
             for name in ("e-0", "e-2", "e-3"):
-                fresh.tell(system.listed[name])
+                fresh.list_instance(system.listed[name])
             error = await refused(fresh)
             assert error.retry_after is not None
-            assert error.retry_after <= returns.MOST_SECONDS
+            assert error.retry_after <= retry_advice.MOST_SECONDS
 
         play(work, "large")
 
     def test_one_that_leaves_holds_nothing_but_its_last_work(self) -> None:
         async def work(system: System) -> None:
             one = system.listed["e-1"]
-            system.tell(attrs.evolve(one, is_leaving=True))
+            system.list_instance(attrs.evolve(one, is_leaving=True))
             caller = await system.ask(system.request(STREAM))
             assert caller.error is None
             await anyio.sleep(1.5)
@@ -275,7 +277,7 @@
 
     def test_one_that_ended_holds_nothing_though_it_is_listed(self) -> None:
         async def work(system: System) -> None:
-            system.book.avoid("e-1", "refused", is_gone=True)
+            system.registry.avoid("e-1", "refused", is_gone=True)
             await anyio.sleep(0.6)
             assert [str(one) for one in system.context.gaps.known] == ["20-40"]
             began = anyio.current_time()
@@ -297,16 +299,16 @@
         assert gaps.most_layers(card, PROFILE) == expected
 
     def test_is_what_counting_each_layer_finds(self) -> None:
-        chance = random.Random(7)
+        rng = random.Random(7)
         for _ in range(300):
             engines = []
-            for number in range(chance.randrange(6)):
-                first = chance.randrange(80)
-                end = chance.randrange(first + 1, 82)
+            for number in range(rng.randrange(6)):
+                first = rng.randrange(80)
+                end = rng.randrange(first + 1, 82)
                 engines.append(
                     fleet_system.upstream(f"e-{number}", layers=(first, end))
                 )
-            found = gaps.missing_layers(chain.fitting(engines, 80), 80)
+            found = gaps.missing_layers(chain.engines_within(engines, 80), 80)
             held = chain.coverage(engines, 80)
             assert [
                 layer for one in found for layer in range(one.first, one.end)
@@ -376,7 +378,7 @@
             for target in engines[1:]:
                 target.is_dead = True
                 running.store.remove(
-                    names.UPSTREAM_KIND, target.listed.life.id
+                    names.UPSTREAM_KIND, target.listed.incarnation.id
                 )
             await anyio.sleep(2.0)
             began = anyio.current_time()
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -19,7 +19,7 @@
 from tests import fleet_system
 from tests import virtual
 
-STREAM = routes.Repeat.STREAM
+STREAM = routes.RepeatPolicy.STREAM
 PROFILE = fleet_system.PROFILE
 
 
@@ -39,12 +39,12 @@
     """Return the tokens times layers that an engine has room for."""
     assert one.layers is not None
     count = one.layers.end - one.layers.first
-    return PROFILE.room(one.card, count) * count
+    return PROFILE.token_capacity(one.card, count) * count
 
 
 def fill(system: fleet_system.FleetSystem, share: float) -> None:
     for one in system.listed.values():
-        system.usage.inherit(one, share * cells_of(one))
+        system.usage.note_existing_load(one, share * cells_of(one))
 
 
 class TestLine:
@@ -52,12 +52,12 @@
 
     def test_first_come_first_served(self) -> None:
         async def body() -> None:
-            line = waiting.WaitingLine()
+            wait_queue = waiting.WaitQueue()
             served: list[int] = []
 
             async def wait(number: int) -> None:
                 await anyio.sleep(number * 0.01)
-                async with line.turn(10.0) as is_first:
+                async with wait_queue.turn(10.0) as is_first:
                     assert is_first
                     await anyio.sleep(0.5)
                     served.append(number)
@@ -66,17 +66,17 @@
                 for number in (2, 0, 1):
                     tasks.start_soon(wait, number)
             assert served == [0, 1, 2]
-            assert len(line) == 0
+            assert len(wait_queue) == 0
 
         virtual.run(body)
 
     def test_one_that_gives_up_leaves_its_place(self) -> None:
         async def body() -> None:
-            line = waiting.WaitingLine()
+            wait_queue = waiting.WaitQueue()
             outcomes: list[tuple[str, bool]] = []
 
             async def wait(name: str, until: float, hold: float) -> None:
-                async with line.turn(until) as is_first:
+                async with wait_queue.turn(until) as is_first:
                     outcomes.append((name, is_first))
                     if is_first:
                         await anyio.sleep(hold)
@@ -105,7 +105,7 @@
             caller = await system.ask(system.request(STREAM))
             assert caller.error is None
             assert caller.is_whole
-            assert 0.4 < caller.times[0] < paths.NEW_WAIT_SECONDS
+            assert 0.4 < caller.times[0] < paths.QUEUE_WAIT_SECONDS
             assert not system.fleet.rejected
 
         play(work)
@@ -113,7 +113,7 @@
     def test_is_refused_at_once_where_room_comes_too_late(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             fill(system, 3.0)
-            system.context.return_times.note_end()
+            system.context.retry_advisor.note_end()
             began = anyio.current_time()
             caller = await system.ask(system.request(STREAM))
             assert caller.error is not None
@@ -131,7 +131,7 @@
             caller = await system.ask(system.request(STREAM))
             assert caller.error is not None
             waited = anyio.current_time() - began
-            assert waited < paths.NEW_WAIT_SECONDS + paths.LINE_STEP
+            assert waited < paths.QUEUE_WAIT_SECONDS + paths.QUEUE_POLL_SECONDS
 
         play(work)
 
@@ -143,14 +143,14 @@
             async def ask() -> None:
                 callers.append(await system.ask(system.request(STREAM)))
 
-            line = system.context.line(fleet_system.MODEL)
+            wait_queue = system.context.wait_queue(fleet_system.MODEL)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.05)
                 tasks.start_soon(ask)
                 await anyio.sleep(0.05)
-                assert len(line) == 2
-            assert len(line) == 0
+                assert len(wait_queue) == 2
+            assert len(wait_queue) == 0
             assert all(one.is_whole for one in callers)
             assert callers[0].times[0] <= callers[1].times[0]
 
@@ -196,7 +196,9 @@
     def test_looks_at_all_engines_then(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             system.context.subset = _Nothing()  # type: ignore[assignment]
-            caller = await system.ask(system.request(routes.Repeat.STREAM))
+            caller = await system.ask(
+                system.request(routes.RepeatPolicy.STREAM)
+            )
             assert caller.error is None
             assert caller.is_whole
 
@@ -210,20 +212,20 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             names = sorted(system.listed)
             empty = attrs.evolve(system.listed[names[0]], layers=None)
-            system.tell(empty)
+            system.list_instance(empty)
             client = _Reports(silent=names[1])
             system.context.client = client  # type: ignore[assignment]
             await surveys.Survey(system.context).run(system.holder.services)
             assert sorted(client.asked) == names[1:]
             full = {
-                name: system.usage.fullness(one, PROFILE)
+                name: system.usage.cache_utilization(one, PROFILE)
                 for name, one in system.listed.items()
             }
             assert full[names[0]] == full[names[1]] == 0.0
             assert all(0.45 < full[name] <= 0.5 for name in names[2:])
             await anyio.sleep(2.6)
             one = system.listed[names[2]]
-            assert system.usage.fullness(one, PROFILE) == 0.0
+            assert system.usage.cache_utilization(one, PROFILE) == 0.0
 
         play(work)
 
@@ -234,7 +236,7 @@
             for number in range(60):
                 zone = fleet_system.ZONES[number % 2]
                 name = f"more-{number}"
-                system.tell(fleet_system.upstream(name, zone, (0, 9)))
+                system.list_instance(fleet_system.upstream(name, zone, (0, 9)))
             client = _Reports(silent="")
             system.context.client = client  # type: ignore[assignment]
             await surveys.Survey(system.context).run(system.holder.services)
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -45,13 +45,13 @@
 class _Entry:
     """One entry's parts of the limits, and what it has under way."""
 
-    def __init__(self, entries: int, chance: random.Random) -> None:
-        self.limits = rate_limits.RateLimits(self, chance)
-        self.limits.share_among(entries)
+    def __init__(self, entries: int, rng: random.Random) -> None:
+        self.limits = rate_limits.RateLimits(self, rng)
+        self.limits.set_entry_count(entries)
         self.counts: collections.Counter[str] = collections.Counter()
         self.told_at: dict[str, float] = {}
 
-    def own(self, upstream: chain.Upstream) -> int:
+    def own_requests(self, upstream: chain.Upstream) -> int:
         return self.counts[upstream.name]
 
 
@@ -63,7 +63,7 @@
     weights: list[float]
     seconds: float
     tells_load: bool
-    chance: random.Random
+    rng: random.Random
     upstreams: list[chain.Upstream]
     got: dict[str, list[float]]
     borne: dict[str, list[float]]
@@ -77,17 +77,19 @@
             act()
 
     def _at(self, at: float, act: typing.Callable[[], None]) -> None:
-        heapq.heappush(self.events, (at, self.chance.random(), act))
+        heapq.heappush(self.events, (at, self.rng.random(), act))
 
     def _arrive(self) -> None:
         now = anyio.current_time()
         rate = ASKED_FACTOR * LIMIT * INSTANCES
-        self._at(now + self.chance.expovariate(rate), self._arrive)
-        (entry,) = self.chance.choices(self.entries, self.weights)
+        self._at(now + self.rng.expovariate(rate), self._arrive)
+        (entry,) = self.rng.choices(self.entries, self.weights)
         free = [one for one in self.upstreams if entry.limits.allows(one)]
         if not free:
             return
-        chosen = min(free, key=lambda one: (entry.own(one), self._draw()))
+        chosen = min(
+            free, key=lambda one: (entry.own_requests(one), self._draw())
+        )
         entry.limits.take(chosen)
         entry.counts[chosen.name] += 1
         if now >= COUNTED_FROM:
@@ -96,16 +98,16 @@
             if now >= told_at + TOLD_SECONDS:
                 self.borne[chosen.name].append(now)
         answered = now + ANSWER_SECONDS
-        ended = answered + self.chance.expovariate(1.0 / self.seconds)
+        ended = answered + self.rng.expovariate(1.0 / self.seconds)
         self._at(answered, lambda: self._answer(entry, chosen))
         self._at(ended, lambda: entry.counts.subtract([chosen.name]))
 
     def _draw(self) -> float:
-        return self.chance.random()
+        return self.rng.random()
 
     def _answer(self, entry: _Entry, upstream: chain.Upstream) -> None:
         if anyio.current_time() >= NAMED_AT:
-            load = sum(one.own(upstream) for one in self.entries)
+            load = sum(one.own_requests(upstream) for one in self.entries)
             told = load if self.tells_load else None
             entry.limits.note(upstream, LIMIT, told)
             entry.told_at.setdefault(upstream.name, anyio.current_time())
@@ -115,7 +117,7 @@
     entries: int, spread: str, seconds: float, tells_load: bool
 ) -> _Service:
     """Return a service that was played."""
-    chance = random.Random(1)
+    rng = random.Random(1)
     busiest = 0.9 if spread == MOST else 1.0 / entries
     rest = (1.0 - busiest) / max(1, entries - 1)
     upstreams = [
@@ -134,7 +136,7 @@
         [busiest, *[rest] * (entries - 1)],
         seconds,
         tells_load,
-        chance,
+        rng,
         upstreams,
         {one.name: [] for one in upstreams},
         {one.name: [] for one in upstreams},
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -13,11 +13,11 @@
 
 from crowdeck import errors
 from crowdeck import instance as instances
-from crowdeck.membership import readers
+from crowdeck.membership import peer_selection
 from crowdeck.standin import store as standin_store
-from crowdeck.state import contact as contacts
 from crowdeck.state import mirror as mirrors
 from crowdeck.state import objects as stores
+from crowdeck.state import store_health
 from tests import virtual
 
 KIND = "config"
@@ -81,7 +81,7 @@
         return await self._store.list(kind)
 
     async def get(
-        self, kind: str, name: str, *, may_be_old: bool = False
+        self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         self._pass()
         return await self._store.get(kind, name)
@@ -109,8 +109,8 @@
 
     name: str
     way: Way
-    contact: contacts.StoreContact
-    choice: readers.Readers
+    health: store_health.StoreHealth
+    selector: peer_selection.PeerSelector
     sight: Sight
     mirror: mirrors.Mirror
     life: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
@@ -120,14 +120,14 @@
 
 
 class Zone:
-    """Entries of one zone over one store; implements ``PeerStore``."""
+    """Entries of one zone over one store; implements ``PeerClient``."""
 
     def __init__(self, count: int, wait: float = WAIT) -> None:
         self._wait = wait
         self.store = standin_store.StandinStore()
         names = [f"entry-{number}" for number in range(count)]
         ranking = tuple(
-            readers.Peer(name, instances.Address("10.0.0.1", 7340))
+            peer_selection.Peer(name, instances.Address("10.0.0.1", 7340))
             for name in names
         )
         self._ranking = ranking
@@ -152,22 +152,26 @@
         entry = self.entries[name] = self._entry(name, self._ranking)
         self._tasks.start_soon(self._live, entry)
 
-    def mend(self) -> None:
+    def reconnect(self) -> None:
         """Let everything answer again."""
         self.store.is_down = False
         for entry in self.entries.values():
             entry.is_silent = entry.is_down = entry.way.is_cut = False
 
-    def _entry(self, name: str, ranking: tuple[readers.Peer, ...]) -> Entry:
+    def _entry(
+        self, name: str, ranking: tuple[peer_selection.Peer, ...]
+    ) -> Entry:
         way = Way(self.store)
-        contact = contacts.StoreContact()
-        choice = readers.Readers(name, lambda: ranking, self, contact)
-        contact.pace_tries(choice.pause)
+        health = store_health.StoreHealth()
+        selector = peer_selection.PeerSelector(
+            name, lambda: ranking, self, health
+        )
+        health.set_probe_interval(selector.pause)
         sight = Sight()
         mirror = mirrors.Mirror(
-            way, KIND, sight, self._wait, lambda: 0.0, contact, choice
+            way, KIND, sight, self._wait, lambda: 0.0, health, selector
         )
-        return Entry(name, way, contact, choice, sight, mirror)
+        return Entry(name, way, health, selector, sight, mirror)
 
     def __getitem__(self, number: int) -> Entry:
         return self.entries[f"entry-{number}"]
@@ -178,11 +182,11 @@
 
     async def watch(
         self,
-        peer: readers.Peer,
+        peer: peer_selection.Peer,
         kind: str,
         after: stores.Position,
         wait: float,
-    ) -> stores.Sighting:
+    ) -> stores.PeerChanges:
         """Ask an entry, as its HTTP side would."""
         entry = self.entries[peer.name]
         await anyio.sleep(0.001)
@@ -191,8 +195,8 @@
         if entry.is_silent:
             await anyio.sleep(wait + PATIENCE)
             raise _lost()
-        entry.choice.note_asked()
-        sighting = await entry.mirror.tell(after, wait)
+        entry.selector.note_peer_request()
+        sighting = await entry.mirror.changes_since(after, wait)
         if entry.is_too_large and sighting.changes.objects:
             raise errors.CrowdeckError(errors.Code.TOO_LARGE, "400 KB")
         if entry.is_silent:
