--- a/src/crowdeck/membership/__init__.py
+++ b/src/crowdeck/membership/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Who is there, and whether they are well."""
+"""Discovery and health of sidecars, entries and upstream instances."""
--- a/src/crowdeck/membership/backoffs.py
+++ b/src/crowdeck/membership/backoffs.py
@@ -3,77 +3,76 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Instances that asked this entry for rest, and until when."""
+"""Backoff periods that instances requested from this entry."""
 
 import anyio
 import attrs
 
 
 @attrs.define
-class _Rest:
+class _Backoff:
     since: float
     until: float
-    is_asked: bool = False
+    is_probed: bool = False
 
 
 class Backoffs:
-    """Times of rest by the names of instances."""
+    """Backoff periods by the names of instances."""
 
     def __init__(self) -> None:
-        self._rests: dict[str, _Rest] = {}
+        self._backoffs: dict[str, _Backoff] = {}
 
     def begin(self, name: str, seconds: float) -> bool:
-        """Note that an instance wants rest; false if it does until later.
+        """Begin or extend a backoff; return whether its end has changed.
 
-        A shorter time asked for later takes nothing back: it was said to
-        another request of ours, and the longer one still holds.
+        A request for a shorter period does not end a longer one early: it
+        may have been made in the response to another request.
         """
         now = anyio.current_time()
-        rest = self._rests.get(name)
+        backoff = self._backoffs.get(name)
         until = now + seconds
-        if until <= (rest.until if rest is not None else 0.0):
+        if until <= (backoff.until if backoff is not None else 0.0):
             return False
-        if rest is None or rest.until <= now:
-            self._rests[name] = _Rest(now, until)
+        if backoff is None or backoff.until <= now:
+            self._backoffs[name] = _Backoff(now, until)
         else:
-            rest.until = until
+            backoff.until = until
         return True
 
-    def is_resting(self, name: str) -> bool:
-        """Whether an instance wants nothing from us now."""
-        rest = self._rests.get(name)
-        return rest is not None and rest.until > anyio.current_time()
+    def is_active(self, name: str) -> bool:
+        """Whether an instance is in a backoff period now."""
+        backoff = self._backoffs.get(name)
+        return backoff is not None and backoff.until > anyio.current_time()
 
     def seconds_left(self, name: str) -> float:
-        """Return for how long an instance still wants nothing from us."""
-        rest = self._rests.get(name)
-        if rest is None:
+        """Return the seconds left of an instance's backoff, 0 for none."""
+        backoff = self._backoffs.get(name)
+        if backoff is None:
             return 0.0
-        return max(0.0, rest.until - anyio.current_time())
+        return max(0.0, backoff.until - anyio.current_time())
 
     def may_probe(self, name: str) -> bool:
-        """Whether an instance may be asked, or led, for a stream's sake.
+        """Whether an instance may be contacted to save a stalled stream.
 
-        Once in a time of rest: a stream that passes an instance which fell
-        silent is lost otherwise.
+        Once per backoff period; that use is recorded by this call.
         """
-        if not self.is_resting(name):
+        if not self.is_active(name):
             return True
-        rest = self._rests[name]
-        if rest.is_asked:
+        backoff = self._backoffs[name]
+        if backoff.is_probed:
             return False
-        rest.is_asked = True
+        backoff.is_probed = True
         return True
 
-    def now(self) -> tuple[tuple[str, float, float], ...]:
-        """Return who rests: name, since when, until when."""
+    def active(self) -> tuple[tuple[str, float, float], ...]:
+        """Return name, begin and end of each backoff that is not over."""
         now = anyio.current_time()
         return tuple(
-            (name, rest.since, rest.until)
-            for name, rest in self._rests.items()
-            if rest.until > now
+            (name, backoff.since, backoff.until)
+            for name, backoff in self._backoffs.items()
+            if backoff.until > now
         )
 
     def forget(self, name: str) -> None:
-        """Forget an instance that has ended."""
-        self._rests.pop(name, None)
+        """Drop the backoff of an instance that has ended."""
+        self._backoffs.pop(name, None)
--- a/src/crowdeck/membership/directory.py
+++ b/src/crowdeck/membership/directory.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The instance list as this process last saw it."""
+"""A cached copy of the platform's instance list."""
 
 import anyio
 
@@ -12,36 +12,36 @@
 from crowdeck.observe import counters
 from crowdeck.state import objects as stores
 
-# Entries look this often. While nothing changed, the answer is empty; at
-# 390 entries that is 78 of the store's 2,000 reads a second. Sidecars look
-# only for names that they do not know.
+# Entries poll at this interval; sidecars read the list only to resolve a name
+# that they do not know.
 REFRESH_SECONDS = 5.0
-# A young process finds its peers, which may have started with it, sooner.
-YOUNG_SECONDS = 10.0
-YOUNG_REFRESH_SECONDS = 0.5
-# A name that is nowhere must not make every request read the list.
-SHORTEST_SECONDS = 0.2
+# For this long after its start a process polls more often, to find peers that
+# were started together with it.
+STARTUP_SECONDS = 10.0
+STARTUP_REFRESH_SECONDS = 0.5
+# Requests for unknown names do not read the list more often than this.
+MIN_REFRESH_SECONDS = 0.2
 
 
 class Directory:
-    """Remembers the platform's instance list, through its outages too."""
+    """Caches the instance list, and keeps it while the list is unavailable."""
 
     def __init__(self, instance_list: stores.InstanceList) -> None:
         self._instance_list = instance_list
         self._instances: dict[str, instances.Instance] = {}
         self._has_read = False
-        self._reading = anyio.Lock()
-        self._read_at = -SHORTEST_SECONDS
+        self._read_lock = anyio.Lock()
+        self._read_at = -MIN_REFRESH_SECONDS
         self._etag = ""
 
     @property
     def has_read(self) -> bool:
-        """Whether the list was read at least once."""
+        """Whether the list has been read at least once."""
         return self._has_read
 
     @property
     def sidecars(self) -> tuple[instances.Instance, ...]:
-        """Every listed sidecar."""
+        """All listed sidecars."""
         return tuple(
             one
             for one in self._instances.values()
@@ -49,21 +49,21 @@
         )
 
     def find(self, name: str) -> instances.Instance | None:
-        """Return an instance as last listed."""
+        """Return the instance of this name as last listed, if any."""
         return self._instances.get(name)
 
     async def refresh(self) -> None:
-        """Read the list; what is known stands while that fails.
+        """Read the list; if that fails, the last known list stays in use.
 
-        Calls that come while one reads share its result.
+        Concurrent calls share one read, provided that it began after them.
         """
-        asked_at = anyio.current_time()
-        async with self._reading:
-            if self._read_at >= asked_at:
+        called_at = anyio.current_time()
+        async with self._read_lock:
+            if self._read_at >= called_at:
                 return
-            # The caller waits for news: giving it what was read a moment
-            # ago would fail it for a name that is listed by now.
-            await anyio.sleep_until(self._read_at + SHORTEST_SECONDS)
+            # An earlier read may lack the name that the caller looks for, so
+            # wait until another read is allowed instead of returning.
+            await anyio.sleep_until(self._read_at + MIN_REFRESH_SECONDS)
             await self._read()
             self._read_at = anyio.current_time()
 
@@ -79,11 +79,11 @@
             self._instances = {one.name: one for one in listing.instances}
 
     async def follow(self) -> None:
-        """Read the list regularly until cancelled."""
-        young_until = anyio.current_time() + YOUNG_SECONDS
+        """Poll the list until cancelled."""
+        startup_until = anyio.current_time() + STARTUP_SECONDS
         while True:
-            is_young = anyio.current_time() < young_until
+            is_starting = anyio.current_time() < startup_until
             await anyio.sleep(
-                YOUNG_REFRESH_SECONDS if is_young else REFRESH_SECONDS
+                STARTUP_REFRESH_SECONDS if is_starting else REFRESH_SECONDS
             )
             await self.refresh()
--- a/src/crowdeck/membership/entries.py
+++ b/src/crowdeck/membership/entries.py
@@ -4,7 +4,7 @@
 # SPDX-License-Identifier: Apache-2.0
 
 
-"""Reading upstream instances' entries, whoever wrote them."""
+"""Decoding of upstream instances' store entries, which may be malformed."""
 
 import typing
 
@@ -17,40 +17,45 @@
 
 
 class EntryReader:
-    """Reads entries, and tells once of each why it cannot be read.
+    """Decodes entries, and logs once per entry why it is rejected.
 
     :param decode: turns a stored entry into an instance; raises
-        ``CrowdeckError`` where it is none.
+        ``CrowdeckError`` if the entry is malformed.
     """
 
     def __init__(self, decode: Decoder) -> None:
         self._decode = decode
-        self._refused: dict[str, str] = {}
+        self._rejected: dict[str, str] = {}
 
     def read(
-        self, stored: stores.StoredObject, held: chain.Upstream | None
+        self, stored: stores.StoredObject, previous: chain.Upstream | None
     ) -> chain.Upstream | None:
-        """Return what an entry says, ``None`` where it cannot be read.
+        """Return the instance that an entry describes, or ``None``.
 
-        :param held: what it said before, if it was read.
+        :param previous: the instance that the entry described before, if
+            there was one.
         """
         try:
             upstream = self._decode(stored)
         except errors.CrowdeckError as error:
-            self._refuse(stored.name, error.message)
+            self._reject(stored.name, error.message)
             return None
-        if held is not None and held.started_ms and not upstream.started_ms:
-            reason = "it does not tell any more when it started"
-            self._refuse(stored.name, reason)
+        if (
+            previous is not None
+            and previous.started_ms
+            and not upstream.started_ms
+        ):
+            reason = "the start time is missing, but was present before"
+            self._reject(stored.name, reason)
             return None
-        self._refused.pop(stored.name, None)
+        self._rejected.pop(stored.name, None)
         return upstream
 
     def forget(self, name: str) -> None:
-        """Note that an entry went."""
-        self._refused.pop(name, None)
+        """Drop what is remembered of an entry that was removed."""
+        self._rejected.pop(name, None)
 
-    def _refuse(self, name: str, reason: str) -> None:
-        if self._refused.get(name) != reason:
-            self._refused[name] = reason
+    def _reject(self, name: str, reason: str) -> None:
+        if self._rejected.get(name) != reason:
+            self._rejected[name] = reason
             logs.change("entry_refused", name=name, reason=reason)
--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The sidecars that an entry works with, and how each of them is.
+"""The sidecars of an entry and their health.
 
-The instance list only proposes; what decides is whether a sidecar answers
-heartbeats, and what it says of itself in them. Its own "leaving" outranks
-everything else.
+The instance list only names candidates. The state of a sidecar follows from
+its heartbeats and from what it reports in them; a sidecar that reports that
+it is leaving gets no new work, whatever else is known of it.
 """
 
 from collections import abc
@@ -31,25 +31,23 @@
 from crowdeck.wire import messages
 from crowdeck.wire import questions
 
-# Heartbeats a second, to all sidecars together: what control costs must
-# not grow with the fleet. One exchange is about 700 bytes with TCP's part,
-# so these are 1.4 KB/s; docs/CAPACITY.md has the figures.
+# Heartbeats a second to all sidecars together, so that control traffic does
+# not grow with the fleet.
 HEARTBEATS_PER_SECOND = 2.0
-SHORTEST_HEARTBEAT_SECONDS = 0.25
-HEARTBEAT_TIMEOUT = 1.0
-# A sidecar that a silent answer depends on is asked at once instead of at
-# its next turn. The time-out outlasts a retransmission (0.2 s) and a pause
-# of the collector; with the silence before it, a frozen stage is found
-# within a second.
-PROBE_TIMEOUT = 0.6
-PROBE_SHORTEST_SECONDS = 0.2
-# A call or turn that takes longer has its sidecar probed this often.
-WATCH_SECONDS = 0.5
+MIN_HEARTBEAT_SECONDS = 0.25
+HEARTBEAT_TIMEOUT_SECONDS = 1.0
+# A probe is a heartbeat out of turn, sent to a sidecar that holds up an
+# answer. The timeout is longer than a TCP retransmission and a garbage
+# collection pause, and short enough to find a frozen stage within a second.
+PROBE_TIMEOUT_SECONDS = 0.6
+MIN_PROBE_SECONDS = 0.2
+# Interval of the probes while a long call or turn is awaited.
+PROBE_INTERVAL_SECONDS = 0.5
 BACKOFF_SECONDS = (0.1, 0.2, 0.4, 0.8, 1.6)
 
 
 class State(enum.StrEnum):
-    """How a sidecar is, as seen from here."""
+    """The state of a sidecar, as seen from this entry."""
 
     UNKNOWN = "unknown"
     UP = "up"
@@ -58,24 +56,24 @@
 
 
 class Observer(typing.Protocol):
-    """Someone to be told when a sidecar's state changes."""
+    """Is notified when a sidecar's state changes."""
 
     def on_sidecar_changed(self, view: "SidecarView") -> None:
-        """Take note of ``view``'s new state; must not block."""
+        """Handle the new state of ``view``; must not block."""
         ...
 
 
 @attrs.define(eq=False)
 class SidecarView:
-    """One sidecar as seen from here.
+    """One sidecar, as seen from this entry.
 
     :ivar changed_at: monotonic seconds of the last change of state.
-    :ivar changes: how many changes of state were seen.
-    :ivar own_inflight: our attempts and calls in progress there.
-    :ivar own_inflight_reported: the same, when it last reported.
+    :ivar changes: number of changes of state.
+    :ivar own_inflight: this entry's attempts and calls in progress there.
+    :ivar own_inflight_reported: the same, at the time of the last report.
     :ivar times_chosen: how often it was chosen as a stage.
     :ivar reported_at: monotonic seconds of its last report.
-    :ivar is_probed: whether it is being asked out of its turn.
+    :ivar is_probed: whether a probe is in progress.
     """
 
     instance: instances.Instance
@@ -102,12 +100,12 @@
 
     @property
     def incarnation(self) -> int:
-        """The run of the sidecar that answers, 0 for none."""
+        """The incarnation that last reported, 0 before the first report."""
         return self.load.incarnation if self.load is not None else 0
 
     @property
     def inflight(self) -> int:
-        """Work in progress there: its report, corrected by our own since."""
+        """Work in progress: as reported, plus this entry's change since."""
         reported = self.load.running if self.load is not None else 0
         return max(
             self.own_inflight,
@@ -116,13 +114,13 @@
 
     @property
     def offers(self) -> tuple[pipeline.Offer, ...]:
-        """What its engine serves."""
+        """The offers of its engine."""
         if self.load is None:
             return ()
         return tuple(note.as_offer() for note in self.load.offers)
 
     def has_service(self, service: str) -> bool:
-        """Whether a plain service stands behind it."""
+        """Whether it fronts a plain service of this name."""
         return self.load is not None and service in self.load.services
 
 
@@ -147,31 +145,31 @@
 
     @property
     def views(self) -> tuple[SidecarView, ...]:
-        """Every sidecar that is listed."""
+        """All known sidecars."""
         return tuple(self._views.values())
 
     @property
     def usable(self) -> tuple[SidecarView, ...]:
-        """Every sidecar that new work may be sent to."""
+        """All sidecars to which new work may be sent."""
         return tuple(one for one in self._views.values() if one.is_usable)
 
     def find(self, name: str) -> SidecarView | None:
-        """Return how a sidecar is, if it is listed."""
+        """Return the view of a sidecar, if it is known."""
         return self._views.get(name)
 
     def subscribe(self, observer: Observer) -> None:
-        """Tell ``observer`` of each change from now on."""
+        """Notify ``observer`` of each change from now on."""
         self._observers.append(observer)
 
     def unsubscribe(self, observer: Observer) -> None:
-        """Stop telling ``observer``."""
+        """Stop notifying ``observer``."""
         self._observers.remove(observer)
 
     async def follow(self) -> None:
-        """Begin to watch newly listed sidecars, drop unlisted ones."""
+        """Watch newly listed sidecars; drop unlisted ones that are down."""
         listed = {one.name: one for one in self._directory.sidecars}
         for name in tuple(self._views):
-            if name not in listed and self._is_gone(name):
+            if name not in listed and self._is_unreachable(name):
                 del self._views[name]
         for name, instance in listed.items():
             view = self._views.get(name)
@@ -181,9 +179,9 @@
                 self._tasks.start_soon(self._watch, view)
             view.instance = instance
 
-    def _is_gone(self, name: str) -> bool:
-        # The list lags both ways: a sidecar that answers heartbeats is
-        # there, whatever the list says.
+    def _is_unreachable(self, name: str) -> bool:
+        # The list may be out of date: a sidecar that answers heartbeats stays
+        # in use even if it is not listed.
         return self._views[name].state in (State.DOWN, State.UNKNOWN)
 
     async def _watch(self, view: SidecarView) -> None:
@@ -192,45 +190,47 @@
             try:
                 view.peer = await self._links.get(view.name)
                 failures = 0
-                await self._beat(view, view.peer)
+                await self._exchange_heartbeats(view, view.peer)
             except errors.CrowdeckError:
                 failures += 1
             view.peer = None
             self._change(view, State.DOWN)
-            await anyio.sleep(self._backoff(failures))
+            await anyio.sleep(self._backoff_seconds(failures))
 
-    async def _beat(self, view: SidecarView, peer: link.Peer) -> None:
+    async def _exchange_heartbeats(
+        self, view: SidecarView, peer: link.Peer
+    ) -> None:
         """Exchange heartbeats until one fails or the link closes."""
         try:
             while peer.is_open:
                 reply = await peer.ask(
-                    questions.Heartbeat(HEARTBEAT_TIMEOUT), HEARTBEAT_TIMEOUT
+                    questions.Heartbeat(HEARTBEAT_TIMEOUT_SECONDS),
+                    HEARTBEAT_TIMEOUT_SECONDS,
                 )
-                self._take_report(view, reply)
-                with anyio.move_on_after(self._pause()):
+                self._apply_report(view, reply)
+                with anyio.move_on_after(self._heartbeat_interval()):
                     await peer.wait_closed()
         finally:
-            # Closing tells both sides at once: nothing that was sent on
-            # this link is waited for any longer.
+            # Ends all waits for what was sent on this link, on both sides.
             peer.close()
 
-    def _pause(self) -> float:
-        """Return the time to a sidecar's next heartbeat."""
-        fair = len(self._views) / HEARTBEATS_PER_SECOND
-        return max(SHORTEST_HEARTBEAT_SECONDS, fair) * self._random.uniform(
+    def _heartbeat_interval(self) -> float:
+        """Return the seconds until a sidecar's next heartbeat."""
+        seconds = len(self._views) / HEARTBEATS_PER_SECOND
+        return max(MIN_HEARTBEAT_SECONDS, seconds) * self._random.uniform(
             0.8, 1.2
         )
 
     async def ask_with_probes(
         self, peer: link.Peer, question: questions.Question, timeout: float
     ) -> questions.Reply:
-        """Ask what may rightly take long, noticing when the peer dies.
+        """Ask a question that may take long, and probe the peer meanwhile.
 
-        :raises LinkLost: as soon as the peer no longer answers probes.
+        :raises LinkLost: as soon as the peer fails to answer a probe.
         """
         outcome: questions.Reply | errors.LinkLost
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._probe_often, peer.greeting.instance)
+            tasks.start_soon(self._probe_regularly, peer.greeting.instance)
             try:
                 outcome = await peer.ask(question, timeout)
             except errors.LinkLost as lost:
@@ -240,16 +240,16 @@
             raise outcome
         return outcome
 
-    async def _probe_often(self, name: str) -> None:
+    async def _probe_regularly(self, name: str) -> None:
         while True:
-            await anyio.sleep(WATCH_SECONDS)
+            await anyio.sleep(PROBE_INTERVAL_SECONDS)
             await self.probe((name,))
 
     async def probe(self, names: abc.Iterable[str]) -> None:
-        """Ask sidecars at once whether they live, all at the same time.
+        """Send a heartbeat to each sidecar now, to all of them concurrently.
 
-        Those that do not reply are lost when this returns, and whoever
-        subscribed has been told.
+        Those that do not reply are down when this returns, and the observers
+        have been notified.
         """
         async with anyio.create_task_group() as tasks:
             for name in names:
@@ -259,7 +259,7 @@
 
     def _is_probe_due(self, view: SidecarView) -> bool:
         age = self._clock.now() - view.reported_at
-        return not view.is_probed and age > PROBE_SHORTEST_SECONDS
+        return not view.is_probed and age > MIN_PROBE_SECONDS
 
     async def _probe(self, view: SidecarView) -> None:
         peer = view.peer
@@ -269,9 +269,10 @@
         counters.COUNTERS.add("fleet.probed")
         try:
             reply = await peer.ask(
-                questions.Heartbeat(PROBE_TIMEOUT), PROBE_TIMEOUT
+                questions.Heartbeat(PROBE_TIMEOUT_SECONDS),
+                PROBE_TIMEOUT_SECONDS,
             )
-            self._take_report(view, reply)
+            self._apply_report(view, reply)
         except errors.CrowdeckError:
             peer.close()
             self._change(view, State.DOWN)
@@ -279,15 +280,15 @@
             view.is_probed = False
 
     def on_report(self, peer: link.Peer, load: messages.Load) -> None:
-        """Take what a sidecar says of itself without being asked."""
+        """Apply a report that a sidecar sent without being asked."""
         view = self._views.get(peer.greeting.instance)
         if view is not None and view.peer is peer:
-            self._take_report(view, load)
+            self._apply_report(view, load)
 
-    def _take_report(self, view: SidecarView, reply: questions.Reply) -> None:
+    def _apply_report(self, view: SidecarView, reply: questions.Reply) -> None:
         if not isinstance(reply, messages.Load):
             raise errors.CrowdeckError(
-                errors.Code.MALFORMED, "a heartbeat was not answered by one"
+                errors.Code.MALFORMED, "the reply to a heartbeat is not a Load"
             )
         is_leaving = reply.is_leaving or view.instance.is_leaving
         view.load = reply
@@ -308,6 +309,6 @@
         for observer in tuple(self._observers):
             observer.on_sidecar_changed(view)
 
-    def _backoff(self, failures: int) -> float:
+    def _backoff_seconds(self, failures: int) -> float:
         index = min(failures, len(BACKOFF_SECONDS) - 1)
         return BACKOFF_SECONDS[index] * self._random.uniform(0.5, 1.0)
--- a/src/crowdeck/membership/leaving_instances.py
+++ b/src/crowdeck/membership/leaving_instances.py
@@ -3,45 +3,45 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Runs of instances that said in their answers that they leave."""
+"""Instances that announced in a response that they are leaving."""
 
 import anyio
 
-# Runs remembered; many more than leave while any of them still serves.
-LEAVERS_MOST = 1_000
+# The oldest announcements beyond this count are forgotten.
+MAX_REMEMBERED = 1_000
 
 
 class LeavingInstances:
-    """When runs of instances said that they leave.
+    """Names of leaving instances, with the time of each announcement.
 
-    Kept though an entry goes and comes again, as some do around an outage
-    of the store.
+    A name stays remembered even if the instance's store entry is removed and
+    written again, which happens around outages of the store.
     """
 
     def __init__(self) -> None:
         self._since: dict[str, float] = {}
 
     def __len__(self) -> int:
-        """Return how many are remembered."""
+        """Return the number of remembered instances."""
         return len(self._since)
 
     def __contains__(self, name: str) -> bool:
-        """Whether an instance said so."""
+        """Whether an instance announced that it is leaving."""
         return name in self._since
 
     def note(self, name: str) -> bool:
-        """Note that an instance said so; false if it was known."""
+        """Record an announcement; return whether it is the first."""
         if name in self._since:
             return False
         self._since[name] = anyio.current_time()
-        if len(self._since) > LEAVERS_MOST:
+        if len(self._since) > MAX_REMEMBERED:
             del self._since[next(iter(self._since))]
         return True
 
     def items(self) -> tuple[tuple[str, float], ...]:
-        """Return who said so, and when by the loop's time."""
+        """Return names with the event loop time of their announcement."""
         return tuple(self._since.items())
 
     def since(self, name: str) -> float | None:
-        """Return when an instance first said so, by the loop's time."""
+        """Return the event loop time of an instance's announcement."""
         return self._since.get(name)
--- a/src/crowdeck/membership/links.py
+++ b/src/crowdeck/membership/links.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Links to other instances, dialled when first needed and then shared."""
+"""A pool of links to other instances, dialled on first use."""
 
 import typing
 
@@ -15,22 +15,22 @@
 
 
 class InstanceResolver(typing.Protocol):
-    """Where instances are reached, by name."""
+    """Resolves the names of instances to their addresses."""
 
     def find(self, name: str) -> instances.Instance | None:
         """Return the instance as last listed, or ``None``."""
         ...
 
     async def refresh(self) -> None:
-        """Read the list again; what is known stands while that fails."""
+        """Read the list again; on failure the last known list stays in use."""
         ...
 
 
 class Links:
-    """At most one dialled link per instance.
+    """Keeps at most one dialled link per instance.
 
-    A link is found by an instance's name alone: addresses that come in
-    messages are never dialled.
+    Links are looked up by name: addresses taken from messages are never
+    dialled.
     """
 
     def __init__(
@@ -39,30 +39,29 @@
         self._resolver = resolver
         self._transport = transport
         self._peers: dict[str, link.Peer] = {}
-        self._dialling: dict[str, anyio.Lock] = {}
+        self._dial_locks: dict[str, anyio.Lock] = {}
 
     def current(self, name: str) -> link.Peer | None:
-        """Return the open link to an instance, if there is one."""
+        """Return the open link to an instance, if any."""
         peer = self._peers.get(name)
         return peer if peer is not None and peer.is_open else None
 
     async def get(self, name: str) -> link.Peer:
         """Return an open link to an instance, dialling if needed.
 
-        :raises LinkLost: with ``was_sent`` false when none can be had.
+        :raises LinkLost: with ``was_sent`` false if no link can be opened.
         """
         peer = self.current(name)
         if peer is not None:
             return peer
-        lock = self._dialling.setdefault(name, anyio.Lock())
+        lock = self._dial_locks.setdefault(name, anyio.Lock())
         async with lock:
             return self.current(name) or await self._dial(name)
 
     async def _dial(self, name: str) -> link.Peer:
         listed = self._resolver.find(name)
         if listed is None:
-            # A peer that started after our last look, most likely: a
-            # path must not fail for the second that the next one is off.
+            # The instance may have started after the last refresh.
             await self._resolver.refresh()
             listed = self._resolver.find(name)
         if listed is None:
@@ -78,11 +77,11 @@
                 error.message, was_sent=False, culprit=name
             ) from None
         if peer.greeting.instance != name:
-            # The address was given to another instance while the list
-            # lags; what we were about to say is not for it.
+            # The list is out of date: the address belongs to another
+            # instance now.
             peer.close()
             raise errors.LinkLost(
-                f"{listed.address} is no longer {name}",
+                f"{listed.address} is no longer the address of {name}",
                 was_sent=False,
                 culprit=name,
             )
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -3,12 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Instances that ask for rest, or say in their answers that they leave.
+"""Instances that ask for backoff, or announce that they are leaving.
 
-What callers saw: calls that may go to one instance only were refused for
-eight seconds, while two of the service's three instances were free. The
-order of events: one instance turned a call away and asked for three seconds
-of rest. The entry sent it the next call 0.3 s later, and four more.
+Guards against requests to an instance during the backoff that it asked for,
+which are refused although other instances are free.
 """
 
 import random
@@ -34,11 +32,10 @@
 STREAM = routes.RepeatPolicy.STREAM
 ONCE = routes.RepeatPolicy.ONCE
 IDEMPOTENT = routes.RepeatPolicy.IDEMPOTENT
-REST_SECONDS = 3.0
-# What was sent before the answer came may still arrive.
+BACKOFF_SECONDS = 3.0
+# Requests sent before the response came may arrive this much later.
 SLACK_SECONDS = 0.5
-# After an instance said that it leaves, a request that comes later than this
-# may not reach it.
+# No request may reach an instance later than this after it announced leaving.
 LEAVING_SECONDS = 2.0
 PROFILE = fleet_system.PROFILE
 
@@ -47,7 +44,7 @@
 
 
 def play(work: Work, plain: int = 3) -> None:
-    """Play ``work`` on engines in two zones and some plain instances."""
+    """Run ``work`` with engines in two zones and some plain instances."""
 
     async def body() -> None:
         system = System(name="entry")
@@ -70,18 +67,18 @@
     seconds: float,
     step: float = 0.05,
 ) -> list[fleet_system.Caller]:
-    """Send requests for a while; returns what came of them."""
-    told: list[fleet_system.Caller] = []
+    """Send requests for a while; return their callers."""
+    callers: list[fleet_system.Caller] = []
 
     async def ask() -> None:
-        told.append(await system.ask(system.request(repeat)))
+        callers.append(await system.ask(system.request(repeat)))
 
     async with anyio.create_task_group() as tasks:
         until = anyio.current_time() + seconds
         while anyio.current_time() < until:
             tasks.start_soon(ask)
             await anyio.sleep(step)
-    return told
+    return callers
 
 
 def sent(
@@ -90,7 +87,7 @@
     since: float,
     until: float = float("inf"),
 ) -> list[chain_fleet.Arrival]:
-    """Return what an instance was sent within a span."""
+    """Return what was sent to an instance within a time span."""
     return [
         one
         for one in system.client.arrivals
@@ -99,7 +96,7 @@
 
 
 def busiest(system: System) -> chain_fleet.StandinUpstream:
-    """Return the instance that got most requests so far."""
+    """Return the instance that got the most requests so far."""
     counts: dict[str, int] = {}
     for one in system.client.arrivals:
         counts[one.upstream] = counts.get(one.upstream, 0) + 1
@@ -107,107 +104,110 @@
     return system.fleet.at(system.listed[name].address)
 
 
-class TestRest:
-    """An instance that turns a request away and asks for rest."""
+class TestBackoff:
+    """An instance that refuses a request and asks for backoff."""
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
-    def test_is_sent_nothing_for_so_long(
+    def test_gets_nothing_during_backoff(
         self, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
             await send(system, repeat, 1.0)
             target = busiest(system)
-            target.backoff = REST_SECONDS
+            target.backoff = BACKOFF_SECONDS
             target.rejected_requests = 1
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(send, system, repeat, 6.0)
                 while target.rejected_requests:
                     await anyio.sleep(0.001)
                 asked_at = anyio.current_time()
-            until = asked_at + REST_SECONDS - 0.002
+            until = asked_at + BACKOFF_SECONDS - 0.002
             since = asked_at + SLACK_SECONDS
             assert not sent(system, target.listed, since, until)
 
         play(work)
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
-    def test_is_used_again_afterwards(
+    def test_is_used_again_after_backoff(
         self, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
             for one in system.fleet.upstreams:
-                # So long that all are needed.
+                # Long enough that all instances are needed.
                 one.seconds = 0.5
             await send(system, repeat, 1.0)
             target = busiest(system)
-            target.backoff = REST_SECONDS
+            target.backoff = BACKOFF_SECONDS
             target.rejected_requests = 1
-            await send(system, repeat, REST_SECONDS + 1.0)
+            await send(system, repeat, BACKOFF_SECONDS + 1.0)
             since = anyio.current_time()
             await send(system, repeat, 2.0)
             assert sent(system, target.listed, since)
 
         play(work)
 
-    def test_a_shorter_time_takes_nothing_back(self) -> None:
+    def test_shorter_backoff_does_not_end_a_longer_one(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
-            system.registry.back_off(one.name, REST_SECONDS)
+            system.registry.back_off(one.name, BACKOFF_SECONDS)
             system.registry.back_off(one.name, 0.1)
-            await anyio.sleep(REST_SECONDS - 0.1)
+            await anyio.sleep(BACKOFF_SECONDS - 0.1)
             assert not system.registry.is_usable(one.name)
             await anyio.sleep(0.2)
             assert system.registry.is_usable(one.name)
 
         play(work)
 
-    def test_only_the_entry_that_was_asked_leaves_it_alone(self) -> None:
+    def test_applies_only_to_the_entry_that_was_asked(self) -> None:
         async def work(system: System) -> None:
             other = System(system.fleet, "other")
             other.install(other.config)
             for one in system.listed.values():
                 other.list_instance(one)
             first = next(iter(system.listed.values()))
-            system.registry.back_off(first.name, REST_SECONDS)
+            system.registry.back_off(first.name, BACKOFF_SECONDS)
             assert not system.registry.is_usable(first.name)
             assert other.registry.is_usable(first.name)
 
         play(work)
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
-    def test_all_want_rest_and_callers_are_told_when_to_come_back(
+    def test_callers_get_retry_after_when_all_back_off(
         self, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
-                system.registry.back_off(one.name, REST_SECONDS)
-            (told,) = await send(system, repeat, 0.01)
-            assert told.error is not None
-            assert told.error.verdict is verdicts.Verdict.NOT_RUN
-            # At once, and not before they can be served.
+                system.registry.back_off(one.name, BACKOFF_SECONDS)
+            (caller,) = await send(system, repeat, 0.01)
+            assert caller.error is not None
+            assert caller.error.verdict is verdicts.Verdict.NOT_RUN
+            # The refusal is immediate, and names a time at which the retry
+            # is served.
             assert anyio.current_time() < 0.2
-            comes_back = told.error.retry_after
-            assert comes_back is not None
-            assert REST_SECONDS - 0.1 <= comes_back <= REST_SECONDS + 1.0
-            await anyio.sleep(comes_back)
+            retry_after = caller.error.retry_after
+            assert retry_after is not None
+            assert (
+                BACKOFF_SECONDS - 0.1 <= retry_after <= BACKOFF_SECONDS + 1.0
+            )
+            await anyio.sleep(retry_after)
             (again,) = await send(system, repeat, 0.01)
             assert again.error is None
 
         play(work)
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE])
-    def test_a_rest_that_is_nearly_over_is_waited_out(
+    def test_request_waits_for_a_short_backoff(
         self, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
                 system.registry.back_off(one.name, 0.2)
-            (told,) = await send(system, repeat, 0.01)
-            assert told.error is None
+            (caller,) = await send(system, repeat, 0.01)
+            assert caller.error is None
 
         play(work)
 
-    def test_a_stream_that_it_serves_goes_on(self) -> None:
+    def test_running_stream_is_not_interrupted(self) -> None:
         async def work(system: System) -> None:
             system.fleet.events = 150
             request = system.request(STREAM)
@@ -216,14 +216,14 @@
                 tasks.start_soon(system.relay.serve, request, caller)
                 await anyio.sleep(0.5)
                 for one in system.listed.values():
-                    system.registry.back_off(one.name, REST_SECONDS)
+                    system.registry.back_off(one.name, BACKOFF_SECONDS)
             whole = fleet_system.whole_answer(request.id, 150)
             assert caller.body == whole
             assert not system.fleet.repaths
 
         play(work)
 
-    def test_is_asked_once_for_a_stream_that_falls_silent(self) -> None:
+    def test_is_contacted_once_for_a_stalled_stream(self) -> None:
         async def work(system: System) -> None:
             system.fleet.events = 150
             request = system.request(STREAM)
@@ -236,74 +236,76 @@
                 second = system.fleet.at(
                     run.path.split(",")[1].partition("=")[0]
                 )
-                system.registry.back_off(head.listed.name, REST_SECONDS)
+                system.registry.back_off(head.listed.name, BACKOFF_SECONDS)
                 since = anyio.current_time()
                 second.is_unresponsive = True
             whole = fleet_system.whole_answer(request.id, 150)
             assert caller.body == whole
-            until = since + REST_SECONDS
+            until = since + BACKOFF_SECONDS
             assert len(sent(system, head.listed, since, until)) <= 1
             assert caller.longest_pause < 0.5
 
         play(work)
 
-    def test_each_time_of_rest_has_a_question_of_its_own(self) -> None:
+    def test_each_backoff_allows_one_probe(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             for _ in range(2):
-                system.registry.back_off(one.name, REST_SECONDS)
+                system.registry.back_off(one.name, BACKOFF_SECONDS)
                 assert system.registry.may_probe(one.name)
                 assert not system.registry.may_probe(one.name)
-                await anyio.sleep(REST_SECONDS)
+                await anyio.sleep(BACKOFF_SECONDS)
 
         play(work)
 
-    def test_one_that_refuses_without_a_time_is_no_favourite(self) -> None:
+    def test_instance_that_refuses_without_backoff_gets_few_requests(
+        self,
+    ) -> None:
         async def work(system: System) -> None:
             await send(system, ONCE, 1.0)
             target = busiest(system)
             target.rejected_requests = 1000
-            told = await send(system, ONCE, 5.0)
-            refused = [one for one in told if one.error is not None]
-            # One in two seconds at the most, as its failure is forgotten.
+            callers = await send(system, ONCE, 5.0)
+            refused = [one for one in callers if one.error is not None]
+            # At most one in two seconds, after which a failure is forgotten.
             assert len(refused) <= 3
 
         play(work)
 
-    def test_one_that_also_leaves_is_no_last_resort(self) -> None:
+    def test_leaving_instance_gets_nothing_during_backoff(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.note_leaving(one.name)
             assert system.registry.usable_while_leaving(one.service)
-            system.registry.back_off(one.name, REST_SECONDS)
+            system.registry.back_off(one.name, BACKOFF_SECONDS)
             assert not system.registry.usable_while_leaving(one.service)
 
         play(work)
 
-    def test_is_not_asked_when_all_are(self) -> None:
+    def test_is_skipped_when_all_instances_are_probed(self) -> None:
         async def work(system: System) -> None:
-            lost, resting, *_ = system.listed.values()
+            lost, backing_off, *_ = system.listed.values()
             asked = chain_fleet.FleetClient(system.fleet)
             watch = failure_detector.FailureDetector(
                 system.registry, asked, lambda: system.config.services
             )
             system.fleet.at(lost.address).is_dead = True
             system.registry.avoid(lost.name, "silent")
-            system.registry.back_off(resting.name, REST_SECONDS)
+            system.registry.back_off(backing_off.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await watch.look()
             names = {one.upstream for one in asked.arrivals}
             assert len(names) > 2
-            assert resting.name not in names
+            assert backing_off.name not in names
 
         play(work)
 
-    def test_one_that_failed_is_not_asked_whether_it_is_back(self) -> None:
+    def test_failed_instance_is_not_probed_during_backoff(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.avoid(one.name, "silent")
-            system.registry.back_off(one.name, REST_SECONDS)
-            await anyio.sleep(REST_SECONDS - 0.1)
+            system.registry.back_off(one.name, BACKOFF_SECONDS)
+            await anyio.sleep(BACKOFF_SECONDS - 0.1)
             assert not system.client.arrivals
             await anyio.sleep(1.0)
             assert system.client.arrivals
@@ -311,7 +313,7 @@
 
         play(work)
 
-    def test_is_no_loss_for_the_placement(self) -> None:
+    def test_does_not_count_as_lost_for_placement(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             asked = chain_fleet.FleetClient(system.fleet)
@@ -319,7 +321,7 @@
                 system.registry, asked, lambda: system.config.services
             )
             system.registry.avoid(one.name, "silent")
-            system.registry.back_off(one.name, REST_SECONDS)
+            system.registry.back_off(one.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await watch.look()
             assert not asked.arrivals
@@ -327,7 +329,7 @@
 
         play(work)
 
-    def test_is_given_no_orders(self) -> None:
+    def test_gets_no_placement_orders(self) -> None:
         async def work(system: System) -> None:
             for target in system.fleet.upstreams:
                 target.listed = attrs.evolve(target.listed, layers=None)
@@ -351,36 +353,31 @@
 
         play(work)
 
-    def test_callers_are_served_by_the_others(self) -> None:
+    def test_callers_are_served_by_other_instances(self) -> None:
         async def work(system: System) -> None:
             await send(system, ONCE, 1.0)
             target = busiest(system)
-            target.backoff = REST_SECONDS
+            target.backoff = BACKOFF_SECONDS
             target.rejected_requests = 1000
-            told = await send(system, ONCE, 9.0)
-            refused = [one for one in told if one.error is not None]
-            # One each time that it is asked again.
+            callers = await send(system, ONCE, 9.0)
+            refused = [one for one in callers if one.error is not None]
+            # At most one after each backoff.
             assert len(refused) <= 3
 
         play(work)
 
 
-class TestShareAfterRest:
-    """An instance of two whose rest is over.
+class TestShareAfterBackoff:
+    """One of two instances, after its backoff.
 
-    What was seen: it got its first call 3.7 s after it had asked for 3 s,
-    and a tenth of its share for ten seconds more. The refusal in which it
-    asked for rest was counted as a failure of the instance, which is
-    forgotten by half in 2 s; while little is asked any cost decides. With
-    the refusal not counted it was used at once.
+    Guards against counting the refusal that asked for backoff as a failure,
+    which would keep the instance below its share of the load.
     """
 
-    # Few calls at a time, where whoever costs a little less gets them all.
+    # At low rates even a small difference in cost decides.
     @pytest.mark.parametrize("rate", [10.0, 20.0, 40.0])
     @pytest.mark.parametrize("seed", range(4))
-    def test_it_has_it_again_within_a_second(
-        self, rate: float, seed: int
-    ) -> None:
+    def test_is_restored_within_a_second(self, rate: float, seed: int) -> None:
         rng = random.Random(seed)
 
         async def call(system: System, seconds: float) -> None:
@@ -393,13 +390,13 @@
         async def work(system: System) -> None:
             await call(system, 3.0 + rng.random())
             target = busiest(system)
-            target.backoff = REST_SECONDS
+            target.backoff = BACKOFF_SECONDS
             target.rejected_requests = 1
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call, system, 8.0)
                 while target.rejected_requests:
                     await anyio.sleep(0.001)
-                over = anyio.current_time() + REST_SECONDS
+                over = anyio.current_time() + BACKOFF_SECONDS
             first = sent(system, target.listed, over - 0.002)[0]
             assert first.at <= over + 1.0
             since, until = over + 1.0, over + 3.0
@@ -407,37 +404,35 @@
             whole = sum(
                 since <= one.at < until for one in system.client.arrivals
             )
-            # Of two it has half; half of that more or less at the most.
+            # Its share is one half, give or take a quarter.
             assert 0.25 <= count / whole <= 0.75
 
         play(work, plain=2)
 
 
 class TestLeaving:
-    """An instance that says only in its answers that it leaves."""
+    """An instance that announces only in responses that it is leaving."""
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
-    def test_is_sent_no_later_request(
-        self, repeat: routes.RepeatPolicy
-    ) -> None:
+    def test_gets_no_late_request(self, repeat: routes.RepeatPolicy) -> None:
         async def work(system: System) -> None:
             await send(system, repeat, 1.0)
             target = busiest(system)
             target.announces_leaving = True
-            said_at = anyio.current_time()
-            told = await send(system, repeat, 5.0)
+            announced_at = anyio.current_time()
+            callers = await send(system, repeat, 5.0)
             late = [
                 one
-                for one in sent(system, target.listed, said_at)
+                for one in sent(system, target.listed, announced_at)
                 if one.what is chain_fleet.CallKind.REQUEST
-                and one.arrived > said_at + LEAVING_SECONDS
+                and one.arrived > announced_at + LEAVING_SECONDS
             ]
             assert not late
-            assert all(one.error is None for one in told)
+            assert all(one.error is None for one in callers)
 
         play(work)
 
-    def test_stays_so_whatever_its_entry_says(self) -> None:
+    def test_outranks_its_store_entry(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.note_leaving(one.name)
@@ -448,7 +443,7 @@
 
         play(work)
 
-    def test_one_whose_entry_lapsed_is_dropped_all_the_same(self) -> None:
+    def test_is_dropped_when_its_entry_has_lapsed(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.set_store_failure_source(anyio.current_time)
@@ -461,7 +456,7 @@
 
         play(work)
 
-    def test_stays_so_though_its_entry_goes_and_comes_again(self) -> None:
+    def test_stays_leaving_when_its_entry_is_written_again(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.note_leaving(one.name)
@@ -476,17 +471,18 @@
 
         play(work)
 
-    def test_remembers_only_so_many(self) -> None:
+    def test_number_of_remembered_instances_is_bounded(self) -> None:
         async def work(system: System) -> None:
-            for number in range(leaving_instances.LEAVERS_MOST + 5):
+            for number in range(leaving_instances.MAX_REMEMBERED + 5):
                 system.registry.note_leaving(f"gone-{number}")
             assert (
-                len(system.registry._leavers) == leaving_instances.LEAVERS_MOST
+                len(system.registry._leaving)
+                == leaving_instances.MAX_REMEMBERED
             )
 
         play(work)
 
-    def test_another_run_of_it_does_not_leave(self) -> None:
+    def test_restarted_instance_is_not_leaving(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.note_leaving(one.name)
@@ -503,7 +499,7 @@
 
         play(work)
 
-    def test_a_question_is_answered_with_it_as_well(self) -> None:
+    def test_is_learned_from_a_report_too(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.fleet.at(one.address).announces_leaving = True
@@ -514,15 +510,15 @@
 
     def test_no_path_goes_through_it(self) -> None:
         async def work(system: System) -> None:
-            passed = [
+            leaving = [
                 one for one in system.listed.values() if "-1" in one.name
             ]
-            for one in passed:
+            for one in leaving:
                 system.registry.note_leaving(one.name)
             await anyio.sleep(LEAVING_SECONDS)
             await send(system, STREAM, 1.0)
             for run in system.fleet.runs:
-                for one in passed:
+                for one in leaving:
                     assert f"{one.address}=" not in run.path
 
         play(work)
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What an entry believes: mirrors of the store, upstreams, the roster."""
+"""An entry's view of the cluster: store mirrors, upstreams and entries."""
 
 import anyio
 import attrs
@@ -21,7 +21,7 @@
 
 
 class _Follower:
-    """Keeps what it is told."""
+    """Records what a mirror reports."""
 
     def __init__(self) -> None:
         self.values: dict[str, bytes] = {}
@@ -42,7 +42,7 @@
 
 
 class TestMirror:
-    """A copy of a kind, through outages."""
+    """A mirror of one kind of object, through outages of the store."""
 
     def play(self, work: object, linger: float = 0.0) -> None:
         async def body() -> None:
@@ -75,7 +75,7 @@
 
         self.play(work)
 
-    def test_lists_anew_when_the_history_is_lost(self) -> None:
+    def test_lists_again_when_the_history_is_lost(self) -> None:
         async def work(
             store: standin_store.StandinStore,
             follower: _Follower,
@@ -95,7 +95,7 @@
 
         self.play(work)
 
-    def test_age_grows_while_the_store_is_away_and_only_then(self) -> None:
+    def test_age_grows_only_while_the_store_is_down(self) -> None:
         async def work(
             store: standin_store.StandinStore,
             follower: _Follower,
@@ -108,13 +108,13 @@
             await anyio.sleep(4.0)
             assert mirror.age() > 3.9
             store.is_down = False
-            # One more watch has to be answered to prove anything.
+            # The copy is current once another watch has been answered.
             await anyio.sleep(2.0)
             assert mirror.age() < 2.0
 
         self.play(work)
 
-    def test_an_answer_with_changes_proves_only_its_question(self) -> None:
+    def test_changes_prove_the_copy_only_up_to_the_request(self) -> None:
         async def work(
             store: standin_store.StandinStore,
             follower: _Follower,
@@ -124,7 +124,7 @@
             await anyio.sleep(1.0)
             store.write("k", "a", b"1")
             await anyio.sleep(0.01)
-            # Asked about a second ago, and nothing newer is proved.
+            # The watch was sent about a second ago.
             assert mirror.age() > 1.0
 
         self.play(work)
@@ -148,7 +148,7 @@
 
 
 class TestContact:
-    """Several mirrors of one process, while the store says nothing."""
+    """Several mirrors of one process, while the store does not answer."""
 
     def play(self, work: object) -> None:
         async def body() -> None:
@@ -170,9 +170,8 @@
 
         virtual.run(body)
 
-    def test_a_watch_sent_into_silence_is_sent_anew(self) -> None:
-        # The long watch went unanswered until its own end, nine seconds
-        # after the store's return; what began to leave was not seen.
+    def test_unanswered_watch_is_sent_again(self) -> None:
+        # Otherwise a long watch would miss changes until its own timeout.
         async def work(
             store: standin_store.StandinStore,
             slow: _Follower,
@@ -187,7 +186,7 @@
 
         self.play(work)
 
-    def test_a_short_silence_that_nobody_asked_into_is_noticed(self) -> None:
+    def test_short_silence_between_calls_is_noticed(self) -> None:
         async def work(
             store: standin_store.StandinStore,
             slow: _Follower,
@@ -202,8 +201,8 @@
 
         self.play(work)
 
-    def test_the_copy_is_proved_soon_after_the_silence(self) -> None:
-        # The first call after it used to wait for a change, as any other.
+    def test_copy_is_proved_current_soon_after_the_silence(self) -> None:
+        # The first watch afterwards must not wait for a change.
         async def work(
             store: standin_store.StandinStore,
             slow: _Follower,
@@ -218,7 +217,7 @@
 
         self.play(work)
 
-    def test_one_tries_for_all_while_the_store_is_away(self) -> None:
+    def test_mirrors_share_retries_while_the_store_is_down(self) -> None:
         async def work(
             store: standin_store.StandinStore,
             slow: _Follower,
@@ -232,11 +231,8 @@
 
         self.play(work)
 
-    def test_a_try_that_is_cancelled_leaves_the_others_their_turn(
-        self,
-    ) -> None:
-        # An entry never called the store again after an outage: whoever
-        # had the one try was gone, and all others waited for it.
+    def test_cancelled_retry_does_not_block_the_others(self) -> None:
+        # Otherwise all would wait for ever for the one that was cancelled.
         async def body() -> None:
             health = store_health.StoreHealth()
             await health.record_failure("lost", was_probe=False)
@@ -268,9 +264,7 @@
 
         virtual.run(body)
 
-    def test_a_kind_that_always_fails_leaves_the_others_their_turn(
-        self,
-    ) -> None:
+    def test_kind_that_always_fails_does_not_block_the_others(self) -> None:
         async def work(
             store: standin_store.StandinStore,
             slow: _Follower,
@@ -296,7 +290,7 @@
         self.play(work)
 
 
-def a_book() -> tuple[registries.UpstreamRegistry, dict[str, object]]:
+def make_registry() -> tuple[registries.UpstreamRegistry, dict[str, object]]:
     listed: dict[str, object] = {}
     registry = registries.UpstreamRegistry(
         lambda stored: listed[stored.name]  # type: ignore[return-value]
@@ -304,51 +298,51 @@
     return registry, listed
 
 
-def entry(name: str, version: int = 1) -> stores.StoredObject:
+def stored_entry(name: str, version: int = 1) -> stores.StoredObject:
     return stores.StoredObject("upstreams", name, version, b"{}")
 
 
-def tell(
+def apply_entry(
     registry: registries.UpstreamRegistry,
     listed: dict[str, object],
     name: str,
     version: int = 1,
 ) -> None:
     listed[name] = listed.get(name) or fleet_system.upstream(name)
-    registry.on_changed((entry(name, version),), ())
+    registry.on_changed((stored_entry(name, version),), ())
 
 
-def names_of(registry: registries.UpstreamRegistry) -> set[str]:
+def usable_names(registry: registries.UpstreamRegistry) -> set[str]:
     return {one.name for one in registry.usable(fleet_system.MODEL)}
 
 
-class TestBook:
+class TestUpstreamRegistry:
     """Which upstream instances get new work."""
 
-    def test_leaving_ones_get_none(self) -> None:
+    def test_leaving_instances_get_none(self) -> None:
         async def body() -> None:
-            registry, listed = a_book()
-            tell(registry, listed, "a")
-            tell(registry, listed, "b")
+            registry, listed = make_registry()
+            apply_entry(registry, listed, "a")
+            apply_entry(registry, listed, "b")
             listed["a"] = attrs.evolve(
                 fleet_system.upstream("a"), is_leaving=True
             )
-            tell(registry, listed, "a")
-            assert names_of(registry) == {"b"}
+            apply_entry(registry, listed, "a")
+            assert usable_names(registry) == {"b"}
 
         virtual.run(body)
 
-    def test_failed_ones_are_left_alone_longer_each_time(self) -> None:
-        # Plain services are not asked: a call finds out by itself.
+    def test_failed_instances_are_avoided_longer_each_time(self) -> None:
+        # A plain service: those are not probed.
         async def body() -> None:
-            registry, listed = a_book()
+            registry, listed = make_registry()
             listed["a"] = fleet_system.upstream("a", card="")
-            tell(registry, listed, "a")
+            apply_entry(registry, listed, "a")
             pauses = []
             for _ in range(4):
                 registry.avoid("a", "refused")
                 began = anyio.current_time()
-                while not names_of(registry):
+                while not usable_names(registry):
                     await anyio.sleep(0.1)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses == sorted(pauses)
@@ -356,198 +350,195 @@
             registry.note_healthy("a")
             registry.avoid("a", "refused")
             await anyio.sleep(registries.AVOID_SECONDS + 0.1)
-            assert names_of(registry) == {"a"}
+            assert usable_names(registry) == {"a"}
 
         virtual.run(body)
 
-    def test_failed_engines_are_asked_later_each_time(self) -> None:
-        # Streams used to be sent to find out, by each entry again and
-        # again, and each was refused and repeated at a dead engine's cost.
+    def test_failed_engines_are_probed_later_each_time(self) -> None:
+        # Streams must not be spent on finding out whether an engine is back.
         async def body() -> None:
-            registry, listed = a_book()
-            tell(registry, listed, "a")
+            registry, listed = make_registry()
+            apply_entry(registry, listed, "a")
             pauses = []
             for _ in range(4):
                 registry.avoid("a", "refused")
                 began = anyio.current_time()
                 while not registry.due_for_probe():
-                    assert names_of(registry) == set()
+                    assert usable_names(registry) == set()
                     await anyio.sleep(0.1)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses == sorted(pauses)
             assert pauses[-1] >= 4 * pauses[0]
-            assert names_of(registry) == set()
+            assert usable_names(registry) == set()
             registry.note_healthy("a")
-            assert names_of(registry) == {"a"}
+            assert usable_names(registry) == {"a"}
 
         virtual.run(body)
 
-    def test_an_engine_asked_in_vain_is_asked_again_soon(self) -> None:
-        # The question says nothing while our own link is full.
+    def test_probe_without_result_is_repeated_soon(self) -> None:
+        # A probe shows nothing while this entry's own link is full.
         async def body() -> None:
-            registry, listed = a_book()
-            tell(registry, listed, "a")
+            registry, listed = make_registry()
+            apply_entry(registry, listed, "a")
             registry.avoid("a", "refused")
             await anyio.sleep(registries.AVOID_SECONDS + 0.1)
             assert [one.name for one in registry.due_for_probe()] == ["a"]
             assert registry.due_for_probe() == ()
-            await anyio.sleep(registries.UNSURE_SECONDS + 0.01)
+            await anyio.sleep(registries.REPROBE_SECONDS + 0.01)
             assert [one.name for one in registry.due_for_probe()] == ["a"]
 
         virtual.run(body)
 
-    def test_full_ones_are_left_alone_longer_while_they_refuse(self) -> None:
+    def test_full_instances_are_paused_longer_while_they_refuse(self) -> None:
         async def body() -> None:
-            registry, listed = a_book()
-            tell(registry, listed, "a")
+            registry, listed = make_registry()
+            apply_entry(registry, listed, "a")
             pauses = []
             for _ in range(4):
                 registry.pause(
                     "a", registries.FULL_SECONDS, "refused with 503"
                 )
                 began = anyio.current_time()
-                while not names_of(registry):
+                while not usable_names(registry):
                     await anyio.sleep(0.05)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses[-1] >= 3 * pauses[0]
             await anyio.sleep(registries.APART_SECONDS + 0.1)
             registry.pause("a", registries.FULL_SECONDS, "refused with 503")
             await anyio.sleep(registries.FULL_SECONDS + 0.05)
-            assert names_of(registry) == {"a"}
+            assert usable_names(registry) == {"a"}
 
         virtual.run(body)
 
-    def test_gone_is_gone_at_once_while_the_store_is_well(self) -> None:
+    def test_removed_entry_is_dropped_at_once_without_an_outage(self) -> None:
         async def body() -> None:
-            registry, listed = a_book()
-            tell(registry, listed, "a")
+            registry, listed = make_registry()
+            apply_entry(registry, listed, "a")
             registry.on_changed((), ("a",))
-            assert names_of(registry) == set()
+            assert usable_names(registry) == set()
 
         virtual.run(body)
 
-    def test_lapsed_with_the_store_serves_once_it_has_answered(self) -> None:
+    def test_lapsed_instance_is_used_once_it_has_answered(self) -> None:
         async def body() -> None:
-            registry, listed = a_book()
+            registry, listed = make_registry()
             registry.set_store_failure_source(anyio.current_time)
             asked: list[str] = []
             registry.subscribe_lapses(lambda one: asked.append(one.name))
-            tell(registry, listed, "a")
-            tell(registry, listed, "b")
+            apply_entry(registry, listed, "a")
+            apply_entry(registry, listed, "b")
             registry.on_listed(())
             assert asked == ["a", "b"]
-            assert names_of(registry) == set()
+            assert usable_names(registry) == set()
             registry.note_healthy("a")
-            assert names_of(registry) == {"a"}
-            # An entry that is missing after all is taken as gone.
+            assert usable_names(registry) == {"a"}
+            # The entry was not written again in time.
             await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
-            assert names_of(registry) == set()
+            assert usable_names(registry) == set()
 
         virtual.run(body)
 
     @pytest.mark.parametrize("card", ["", "large"])
-    def test_what_left_without_a_word_gets_none_in_time(
+    def test_instance_that_left_unannounced_gets_none_after_two_seconds(
         self, card: str
     ) -> None:
-        # The store had lost an answer a second before, so that the missing
-        # entry was taken for lapsed. Its instance had left, and a call came
-        # to it 2.18 s later; two seconds are allowed.
+        # Also if its entry was taken for lapsed, after a failed store call.
         async def body() -> None:
-            registry, listed = a_book()
+            registry, listed = make_registry()
             registry.set_store_failure_source(anyio.current_time)
             listed["a"] = fleet_system.upstream("a", card=card)
-            tell(registry, listed, "a")
+            apply_entry(registry, listed, "a")
             registry.on_changed((), ("a",))
             registry.note_healthy("a")
-            assert names_of(registry) == {"a"}
+            assert usable_names(registry) == {"a"}
             await anyio.sleep(1.9)
-            assert names_of(registry) == set()
+            assert usable_names(registry) == set()
 
         virtual.run(body)
 
-    def test_lapsed_entry_that_comes_back_serves_at_once(self) -> None:
+    def test_lapsed_entry_that_comes_back_is_used_at_once(self) -> None:
         async def body() -> None:
-            registry, listed = a_book()
+            registry, listed = make_registry()
             registry.set_store_failure_source(anyio.current_time)
-            tell(registry, listed, "a")
+            apply_entry(registry, listed, "a")
             registry.on_listed(())
-            tell(registry, listed, "a")
-            assert names_of(registry) == {"a"}
+            apply_entry(registry, listed, "a")
+            assert usable_names(registry) == {"a"}
             await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
-            assert names_of(registry) == {"a"}
+            assert usable_names(registry) == {"a"}
 
         virtual.run(body)
 
-    def test_leaving_ones_are_a_last_resort_for_a_while(self) -> None:
+    def test_leaving_instances_may_get_work_for_a_while(self) -> None:
         async def body() -> None:
-            registry, listed = a_book()
-            tell(registry, listed, "a")
+            registry, listed = make_registry()
+            apply_entry(registry, listed, "a")
             listed["a"] = attrs.evolve(
                 fleet_system.upstream("a"), is_leaving=True
             )
-            tell(registry, listed, "a")
+            apply_entry(registry, listed, "a")
             service = fleet_system.MODEL
             assert [
                 one.name for one in registry.usable_while_leaving(service)
             ] == ["a"]
-            # Well before the two seconds after which none may reach it.
+            # Well before the two seconds after which no work may reach it.
             await anyio.sleep(registries.LAST_WORK_SECONDS + 0.01)
             assert registry.usable_while_leaving(service) == ()
             assert registries.LAST_WORK_SECONDS <= 1.0
 
         virtual.run(body)
 
-    def test_one_that_took_an_address_over_replaces_the_former(self) -> None:
-        # An engine crashed while the store was away and was started again:
-        # its former entry stayed, and every path through it was refused.
+    def test_instance_at_a_reused_address_replaces_the_former(self) -> None:
+        # The entry of an engine that crashed while the store was down stays,
+        # and the engine that took its address refuses paths through it.
         async def body() -> None:
-            registry, listed = a_book()
-            tell(registry, listed, "former")
+            registry, listed = make_registry()
+            apply_entry(registry, listed, "former")
             listed["after"] = attrs.evolve(
                 fleet_system.upstream("former"), name="after"
             )
-            tell(registry, listed, "after", version=2)
-            assert names_of(registry) == {"after"}
+            apply_entry(registry, listed, "after", version=2)
+            assert usable_names(registry) == {"after"}
             assert registry.has_ended("former")
 
         virtual.run(body)
 
-    def test_the_newest_at_an_address_stays_in_any_order(self) -> None:
+    def test_newest_at_an_address_is_kept_in_any_order(self) -> None:
         async def body() -> None:
             former = fleet_system.upstream("former")
             after = attrs.evolve(former, name="after")
-            entries = (entry("former", 1), entry("after", 2))
+            entries = (stored_entry("former", 1), stored_entry("after", 2))
             for order in (entries, entries[::-1]):
-                registry, listed = a_book()
+                registry, listed = make_registry()
                 listed.update(former=former, after=after)
                 registry.on_listed(order)
-                assert names_of(registry) == {"after"}
+                assert usable_names(registry) == {"after"}
 
         virtual.run(body)
 
 
 class TestRoster:
-    """How many entries share limits."""
+    """The number of entries, by which limits are shared."""
 
     def test_counts_entries_by_zone(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            rosters_made = [
+            made = [
                 rosters.Roster(
                     store, f"entry-{number}", rosters.EntryRecord(zone)
                 )
                 for number, zone in enumerate(("a", "a", "b"))
             ]
-            for one in rosters_made:
+            for one in made:
                 await one.register()
             changes = await store.list(rosters.KIND)
-            rosters_made[0].on_listed(changes.objects)
-            assert rosters_made[0].count == 3
-            assert rosters_made[0].zone_count == 2
+            made[0].on_listed(changes.objects)
+            assert made[0].count == 3
+            assert made[0].zone_count == 2
 
         virtual.run(body)
 
-    def test_many_entries_watch_less_often_within_bounds(self) -> None:
+    def test_many_entries_linger_longer_within_bounds(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             one = rosters.Roster(store, "entry-0", rosters.EntryRecord("a"))
@@ -563,7 +554,7 @@
 
         virtual.run(body)
 
-    def test_enrols_through_an_outage_and_once_per_name(self) -> None:
+    def test_registers_through_an_outage_and_once_per_name(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             store.is_down = True
