--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -77,7 +77,7 @@
             rosters.KIND,
             self.roster,
             ROSTER_WAIT,
-            lambda: rosters.NOTES_LINGER,
+            lambda: rosters.RECORD_LINGER_SECONDS,
         )
         self.roster.set_age_source(roster_mirror.age)
         self.mirrors = (
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What entries ask one another of the store, over HTTP.
+"""Watches of the store through another entry, over HTTP.
 
-Not over Cap'n Proto as between sidecars: an entry in front of engines that
-chain themselves does not load it, and these are a few questions a second.
+Cap'n Proto, as used between sidecars, is not needed for a few requests a
+second, and an entry without sidecars does not load it.
 """
 
 import typing
@@ -24,16 +24,13 @@
 
 WATCH_PATH = "/watch/"
 STATUS_PATH = "/status"
-_JSON = (b"content-type", b"application/json")
-# A new connection within a zone takes a millisecond.
+_JSON_HEADER = (b"content-type", b"application/json")
 CONNECT_SECONDS = 0.25
-# Beyond its wait a question takes the way there and back, and the time that
-# a small, busy entry needs to turn to it.
-ANSWER_SLACK = 0.4
-# Larger changes are read from the store. A zone's other entries, 14 at the
-# most seen, would fill the link of the one they ask: 400 KB for each take
-# 4.5 s at 10 Mbit/s, this takes 0.7.
-ANSWER_BYTES_MOST = 64 * 1024
+# Added to the wait of a watch: the round trip, and the delay of a busy entry.
+RESPONSE_SLACK_SECONDS = 0.4
+# Larger changes are read from the store: the other entries of a zone would
+# fill the link of the entry that they all ask.
+MAX_RESPONSE_BYTES = 64 * 1024
 
 _STATUS = {
     errors.Code.STORE_HISTORY: 410,
@@ -47,10 +44,12 @@
 
 
 class PeerApp:
-    """Answers other entries' questions, as an ASGI application.
+    """Serves watches and the status of this entry, as an ASGI application.
 
-    :param mirrors: this entry's copies, by kind.
-    :param status: returns what an operator is told of this entry.
+    :param copies: this entry's mirrors, by kind.
+    :param selector: is notified of each watch, since an entry that is asked
+        has to read the store itself.
+    :param status: returns this entry's status for operators.
     """
 
     def __init__(
@@ -69,23 +68,23 @@
         receive: ingress.Receive,
         send: ingress.Send,
     ) -> None:
-        """Answer one question."""
+        """Respond to one request."""
         if scope["path"] == STATUS_PATH:
-            await _answer(send, 200, orjson.dumps(self._status()))
+            await _respond(send, 200, orjson.dumps(self._status()))
             return
         kind = str(scope["path"]).removeprefix(WATCH_PATH)
         copy = self._copies.get(kind)
         if copy is None:
-            await _answer(send, 404, b"")
+            await _respond(send, 404, b"")
             return
         self._selector.note_peer_request()
         try:
-            question = _question(scope["query_string"])
-            body = await ask(copy, question.after, question.wait)
+            query = _parse_query(scope["query_string"])
+            body = await read_changes(copy, query.after, query.wait)
         except errors.CrowdeckError as error:
-            await _answer(send, _STATUS.get(error.code, 400), b"")
+            await _respond(send, _STATUS.get(error.code, 400), b"")
             return
-        await _answer(send, 200, body)
+        await _respond(send, 200, body)
 
 
 class HttpPeers:
@@ -101,12 +100,14 @@
         after: stores.Position,
         wait: float,
     ) -> stores.PeerChanges:
-        """Ask a peer what changed after a position."""
+        """Return what a peer knows to have changed after a position."""
         query = urllib.parse.urlencode(
             {"after": after.version, "epoch": after.epoch, "seconds": wait}
         )
         url = f"http://{peer.address}{WATCH_PATH}{kind}?{query}"
-        timeouts = http.Timeouts(CONNECT_SECONDS, wait + ANSWER_SLACK)
+        timeouts = http.Timeouts(
+            CONNECT_SECONDS, wait + RESPONSE_SLACK_SECONDS
+        )
         async with self._client.open(
             "GET", url, [], b"", timeouts
         ) as response:
@@ -115,28 +116,28 @@
         if status != 200:
             raise errors.CrowdeckError(
                 _CODES.get(status, errors.Code.UPSTREAM_FAILED),
-                f"{peer.name} answered {status}",
+                f"{peer.name} responded with status {status}",
             )
-        sighting = _decode(kind, body)
-        if sighting.changes.epoch != after.epoch:
+        peer_changes = _decode(kind, body)
+        if peer_changes.changes.epoch != after.epoch:
             raise errors.CrowdeckError(
                 errors.Code.STORE_DOWN,
-                f"{peer.name} answered of epoch {sighting.changes.epoch} "
-                f"and not of {after.epoch}",
+                f"{peer.name} responded for epoch "
+                f"{peer_changes.changes.epoch} instead of {after.epoch}",
             )
-        return sighting
+        return peer_changes
 
 
 @attrs.frozen
-class _Question:
+class _WatchQuery:
     after: stores.Position
     wait: float
 
 
-def _question(query: bytes) -> _Question:
+def _parse_query(query: bytes) -> _WatchQuery:
     fields = urllib.parse.parse_qs(query.decode("latin-1"))
     try:
-        return _Question(
+        return _WatchQuery(
             stores.Position(
                 int(fields["after"][0]), int(fields.get("epoch", "0")[0])
             ),
@@ -144,33 +145,35 @@
         )
     except (KeyError, ValueError) as error:
         raise errors.CrowdeckError(
-            errors.Code.BAD_REQUEST, f"the question is malformed ({error!r})"
+            errors.Code.BAD_REQUEST, f"the query is malformed ({error!r})"
         ) from None
 
 
-async def ask(
+async def read_changes(
     copy: mirrors.Mirror, after: stores.Position, wait: float
 ) -> bytes:
-    """Return the encoded answer to a question.
+    """Return the encoded changes after a position.
 
-    :raises CrowdeckError: as ``PeerClient.watch`` tells.
+    :param wait: seconds to wait for a change.
+    :raises CrowdeckError: ``STORE_DOWN``, ``STORE_HISTORY`` or ``TOO_LARGE``,
+        as in ``PeerClient.watch``.
     """
-    sighting = await copy.changes_since(after, wait)
-    size = sum(len(one.value) for one in sighting.changes.objects)
-    if size > ANSWER_BYTES_MOST:
+    peer_changes = await copy.changes_since(after, wait)
+    size = sum(len(one.value) for one in peer_changes.changes.objects)
+    if size > MAX_RESPONSE_BYTES:
         raise errors.CrowdeckError(
-            errors.Code.TOO_LARGE, f"{size} bytes have changed"
+            errors.Code.TOO_LARGE, f"the changes have {size} bytes"
         )
-    return _encode(sighting)
+    return _encode(peer_changes)
 
 
-def _encode(sighting: stores.PeerChanges) -> bytes:
-    changes = sighting.changes
+def _encode(peer_changes: stores.PeerChanges) -> bytes:
+    changes = peer_changes.changes
     return orjson.dumps(
         {
             "version": changes.version,
             "epoch": changes.epoch,
-            "age": sighting.age,
+            "age": peer_changes.age,
             "objects": [
                 [one.name, one.version, orjson.Fragment(one.value)]
                 for one in changes.objects
@@ -196,12 +199,13 @@
         return stores.PeerChanges(changes, float(body["age"]))
     except (KeyError, OverflowError, TypeError, ValueError) as error:
         raise errors.CrowdeckError(
-            errors.Code.MALFORMED, f"a peer's answer is malformed ({error!r})"
+            errors.Code.MALFORMED,
+            f"the response of a peer is malformed ({error!r})",
         ) from None
 
 
-async def _answer(send: ingress.Send, status: int, body: bytes) -> None:
-    headers = [_JSON, (b"content-length", str(len(body)).encode())]
+async def _respond(send: ingress.Send, status: int, body: bytes) -> None:
+    headers = [_JSON_HEADER, (b"content-length", str(len(body)).encode())]
     await send(
         {
             "type": "http.response.start",
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -3,18 +3,16 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Who reads the store for the entries of an availability zone.
-
-Each call to the store is charged for, a watch that waits as well, and an
-entry has to prove every second that its config is current. With 68 entries
-that each watched for themselves a calm minute took 5,916 calls. So the
-entries of a zone ask one of them, the first in an order that all of them
-compute alike, and only that one asks the store.
-
-Nothing is agreed on and nobody is appointed: an entry that is asked reads
-the store itself as long as it is asked. An entry that gets no help, or is
-told that the other has lost the store, asks the store itself at once and
-the next in the order after that.
+"""Choice of the entry that reads the store for its availability zone.
+
+Each call to the store is charged for, and every entry has to prove once a
+second that its config is current. So the entries of a zone send their watches
+to one of them, the first in a ranking that all compute alike, and only that
+one calls the store.
+
+There is no election: an entry reads the store itself for as long as others
+ask it. If a peer does not answer or has lost the store, the entry asks the
+store at once, and the next peer of the ranking after that.
 """
 
 import contextlib
@@ -30,31 +28,25 @@
 from crowdeck.state import objects as stores
 from crowdeck.state import store_health
 
-# An entry that is asked reads the store itself for so long after the last
-# question: several times the longest pause between two questions, which is
-# a watch of a second.
+# An entry reads the store itself for this long after a peer last asked it;
+# several times the longest interval between two watches.
 ASKED_SECONDS = 5.0
-# A peer that did not answer is left alone for this long, twice as long each
-# further time. A restarted process answers after two seconds; one that left
-# for good costs each entry of its zone a try of a quarter of a second.
+# A peer that did not answer is not asked for this long, doubled at each
+# further failure.
 SILENT_SECONDS = 2.0
-SILENT_MOST_SECONDS = 60.0
-# A peer that has lost the store says so at once, so asking it again costs
-# a millisecond; it tries the store about as often itself.
+MAX_SILENT_SECONDS = 60.0
+# A peer that has lost the store is asked again after this long; it says so at
+# once, which costs little.
 LOST_SECONDS = 0.5
-# Beyond so many peers that have lost the store it is the store that is
-# away, and not their way to it: an entry then tries for itself. A store may
-# turn a third of all away for ten seconds; with two, all 13 others of a zone
-# whose first two were turned away called it themselves.
-LOST_PEERS_MOST = 3
-# An entry that would be the first of its zone, and has lost the store,
-# tries its own way again this long after its last failure.
-OWN_TRY_SECONDS = 1.5
-# While the store is lost to all, the first of a zone tries for all: it has
-# the store again within 0.3 s, and the others hear of it half a second
-# later. They try their own ways as well, more seldom: 68 entries that each
-# tried every 0.3 s made 226 calls a second.
-OTHERS_TRY_SECONDS = 1.5
+# With this many peers that have lost the store, the store itself is taken to
+# be down, and an entry calls it directly instead of asking further peers.
+LOST_PEERS_LIMIT = 3
+# An entry that has lost the store calls it directly again this long after
+# its last failed call.
+OWN_RETRY_SECONDS = 1.5
+# While all entries of a zone have lost the store, the first of the ranking
+# retries often, and the others, which learn of its success, at this interval.
+FOLLOWER_RETRY_SECONDS = 1.5
 
 
 @attrs.frozen
@@ -66,31 +58,32 @@
 
 
 class PeerClient(typing.Protocol):
-    """Reaches the copies that other entries keep."""
+    """Reads the mirrors of other entries."""
 
     async def watch(
         self, peer: Peer, kind: str, after: stores.Position, wait: float
     ) -> stores.PeerChanges:
         """Return what a peer knows to have changed after a position.
 
-        :raises CrowdeckError: ``STORE_DOWN`` when the peer has lost the
-            store or knows it in an earlier epoch, ``STORE_HISTORY`` when it
-            does not know what changed, ``TOO_LARGE`` when the changes had
-            better be read from the store, anything else when the peer did
-            not answer.
+        :param wait: seconds for which the peer waits for a change.
+        :raises CrowdeckError: ``STORE_DOWN`` if the peer has lost the store
+            or knows another epoch of it, ``STORE_HISTORY`` if it does not
+            know the changes since then, ``TOO_LARGE`` if the changes have to
+            be read from the store, any other code if the peer did not
+            answer.
         """
         ...
 
 
 Ranking = typing.Callable[[], tuple[Peer, ...]]
 
-# Refusals that say nothing against the peer.
-_UNABLE = (errors.Code.STORE_HISTORY, errors.Code.TOO_LARGE)
+# Errors after which the peer is still healthy, but the store has to be asked.
+_STORE_NEEDED = (errors.Code.STORE_HISTORY, errors.Code.TOO_LARGE)
 
 
 @attrs.frozen
 class PeerCopy:
-    """One peer's copies; implements ``PeerReplica``."""
+    """The mirrors of one peer; implements ``PeerReplica``."""
 
     _peer: Peer
     _selector: "PeerSelector"
@@ -98,19 +91,19 @@
     async def watch(
         self, kind: str, after: stores.Position, wait: float
     ) -> stores.PeerChanges | None:
-        """Return what the peer knows, ``None`` where it cannot help now.
+        """Return the changes that the peer knows, ``None`` if it failed.
 
-        :raises CrowdeckError: when only the store can tell.
+        :raises CrowdeckError: if the store has to be asked instead.
         """
         return await self._selector.watch(self._peer, kind, after, wait)
 
 
 class PeerSelector:
-    """One entry's choice of whom to ask instead of the store.
+    """Decides which peer an entry asks instead of the store.
 
     :param name: this entry's name.
     :param ranking: returns the entries of this zone, this one included, in
-        the order in which they are to read the store.
+        the order of preference for reading the store.
     """
 
     def __init__(
@@ -126,9 +119,9 @@
         self._health = health
         self._asked_at = float("-inf")
         self._silent_until: dict[str, float] = {}
-        self._silences: dict[str, int] = {}
+        self._silence_counts: dict[str, int] = {}
         self._lost_until: dict[str, float] = {}
-        self._helpless: set[str] = set()
+        self._failed_peers: set[str] = set()
         self._watches: dict[str, set[anyio.CancelScope]] = {}
 
     @property
@@ -137,42 +130,42 @@
         return self._first() is None
 
     def pause(self) -> float:
-        """Return the seconds between two tries of a store that is lost."""
+        """Return the seconds between two calls to a store that is lost."""
         now = anyio.current_time()
         for peer in self._ranking():
             if peer.name == self._name:
                 break
             if self._silent_until.get(peer.name, 0.0) <= now:
-                return OTHERS_TRY_SECONDS
+                return FOLLOWER_RETRY_SECONDS
         return store_health.PROBE_INTERVAL_SECONDS
 
     def choose(self) -> "PeerCopy | None":
-        """Return whom to ask, or ``None`` to ask the store."""
+        """Return the peer to ask, or ``None`` to ask the store."""
         peer = self._first()
         return PeerCopy(peer, self) if peer is not None else None
 
     def _first(self) -> Peer | None:
         now = anyio.current_time()
-        must_try = self._may_try_itself(now)
-        if now - self._asked_at < ASKED_SECONDS and must_try:
+        may_call_store = self._may_call_store(now)
+        if now - self._asked_at < ASKED_SECONDS and may_call_store:
             return None
         lost = 0
         for peer in self._ranking():
             if peer.name == self._name:
-                if must_try:
+                if may_call_store:
                     return None
             elif self._silent_until.get(peer.name, 0.0) > now:
                 continue
             elif self._lost_until.get(peer.name, 0.0) > now:
                 lost += 1
-                if lost >= LOST_PEERS_MOST:
+                if lost >= LOST_PEERS_LIMIT:
                     return None
             else:
                 return peer
         return None
 
     def seconds_to_next(self) -> float:
-        """Return after how long a peer may help that cannot now."""
+        """Return the seconds until a peer that failed may be asked again."""
         now = anyio.current_time()
         ends = [*self._lost_until.values(), *self._silent_until.values()]
         return min(
@@ -180,45 +173,46 @@
         )
 
     def note_peer_request(self) -> None:
-        """Note that a peer asks this entry."""
+        """Note that a peer asked this entry for changes."""
         self._asked_at = anyio.current_time()
 
     async def watch(
         self, peer: Peer, kind: str, after: stores.Position, wait: float
     ) -> stores.PeerChanges | None:
-        """Return what a peer knows, ``None`` where it cannot help now.
+        """Return the changes that a peer knows, ``None`` if it failed.
 
-        :raises CrowdeckError: when only the store can tell.
+        :raises CrowdeckError: if the store has to be asked instead.
         """
         counters.COUNTERS.add("peers.asked")
-        with self._watching(peer):
+        with self._cancelled_on_failure(peer):
             try:
-                sighting = await self._peers.watch(peer, kind, after, wait)
+                peer_changes = await self._peers.watch(peer, kind, after, wait)
             except errors.CrowdeckError as error:
-                if error.code in _UNABLE:
+                if error.code in _STORE_NEEDED:
                     raise
                 self._note_failure(peer, kind, error)
                 return None
-            self._silences.pop(peer.name, None)
-            if peer.name in self._helpless:
-                self._helpless.discard(peer.name)
+            self._silence_counts.pop(peer.name, None)
+            if peer.name in self._failed_peers:
+                self._failed_peers.discard(peer.name)
                 logs.change("peer_helps", peer=peer.name)
-            return sighting
+            return peer_changes
         return None
 
-    def _may_try_itself(self, now: float) -> bool:
+    def _may_call_store(self, now: float) -> bool:
         if not self._health.is_lost:
             return True
-        # Not what peers told of: two that each heard of the other's loss
-        # never tried their own ways again.
-        return now - self._health.own_failed_at >= OWN_TRY_SECONDS
+        # Counts from this entry's own last failure, not from failures that
+        # peers reported: otherwise two entries that report to each other would
+        # put off their calls for ever.
+        return now - self._health.own_failed_at >= OWN_RETRY_SECONDS
 
     @contextlib.contextmanager
-    def _watching(self, peer: Peer) -> typing.Iterator[None]:
-        """End the block when another question to the same peer fails.
+    def _cancelled_on_failure(self, peer: Peer) -> typing.Iterator[None]:
+        """Cancel the block when another watch at the same peer fails.
 
-        A peer that has fallen silent answers none of them, and some wait
-        ten times as long as others.
+        A silent peer answers none of its watches, and some of them have a
+        much longer timeout than others.
         """
         scopes = self._watches.setdefault(peer.name, set())
         with anyio.CancelScope() as scope:
@@ -237,13 +231,13 @@
             self._lost_until[peer.name] = now + LOST_SECONDS
             self._health.note_peer_failure()
         elif self._silent_until.get(peer.name, 0.0) <= now:
-            silences = self._silences.get(peer.name, 0)
-            self._silences[peer.name] = silences + 1
+            silences = self._silence_counts.get(peer.name, 0)
+            self._silence_counts[peer.name] = silences + 1
             seconds = SILENT_SECONDS * 2.0 ** min(silences, 10)
-            pause = min(seconds, SILENT_MOST_SECONDS)
+            pause = min(seconds, MAX_SILENT_SECONDS)
             self._silent_until[peer.name] = now + pause
-        if peer.name not in self._helpless:
-            self._helpless.add(peer.name)
+        if peer.name not in self._failed_peers:
+            self._failed_peers.add(peer.name)
             logs.change(
                 "peer_of_no_help",
                 peer=peer.name,
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which entries there are, from what each notes in the store."""
+"""The entries of the cluster, from the record of each in the store."""
 
 import typing
 
@@ -22,22 +22,21 @@
 
 KIND = "crowdeck-entries"
 RETRY_SECONDS = 1.0
-# A listing takes some milliseconds; where the store is away, an entry does
-# not wait for it with a note that it has to write anyway.
-LIST_SECONDS = 2.0
-# Every entry watches the upstreams' entries, and each change wakes all of
-# them. They let changes gather for longer the more they are, which bounds
-# the calls of all together. An upstream that leaves may get work for two
-# seconds after its entry says so; less than a third of that is spent here.
-LINGER_PER_ENTRY = 0.04
-LINGER_LEAST = 0.2
-LINGER_MOST = 0.6
-# Notes change when entries start, and when engines end under requests. Ends
-# have to be known everywhere within three seconds of the third; with these
-# two they are within 0.4 s (six entries, in virtual time).
-NOTES_LINGER = 0.25
-WRITE_PAUSE = 0.1
-# Notes of entries that start together are all written within this.
+# An entry waits this long for the first listing before it writes its record
+# without one.
+LIST_TIMEOUT_SECONDS = 2.0
+# Each change of an upstream ends the watches of all entries. The more entries
+# there are, the longer each waits for further changes before its next watch,
+# which bounds the calls of all together. The maximum is well below the two
+# seconds for which an upstream that is leaving may still get work.
+LINGER_SECONDS_PER_ENTRY = 0.04
+MIN_LINGER_SECONDS = 0.2
+MAX_LINGER_SECONDS = 0.6
+# Records change when entries start and when instances end unexpectedly. The
+# latter has to reach all entries within three seconds.
+RECORD_LINGER_SECONDS = 0.25
+WRITE_DELAY_SECONDS = 0.1
+# Entries that start together have all written their records after this.
 SETTLE_SECONDS = 2.0
 
 
@@ -47,11 +46,11 @@
 
 @attrs.frozen
 class EntryRecord:
-    """What an entry tells of itself.
+    """What an entry publishes of itself in the store.
 
-    :ivar address: where its peers reach it, ``None`` where they cannot.
-    :ivar capacity: how much it can do for its peers; larger is more.
-    :ivar evidence: what it knows of requests under which engines ended.
+    :ivar address: where its peers reach it, ``None`` if they cannot.
+    :ivar capacity: relative capacity for serving its peers.
+    :ivar evidence: what it observed of instances that ended unexpectedly.
     """
 
     availability_zone: str
@@ -61,30 +60,32 @@
 
 
 class Roster:
-    """The entries that were ever started, as a follower of their mirror.
+    """All entries that were ever started, as a follower of their mirror.
 
-    Entries that left for good stay listed: a share computed from too many
-    entries is too small, which is safe. Implements ``budget.Membership``.
+    Entries that were shut down stay listed: a share of a limit that is
+    computed from too many entries is too small, which is safe. Implements
+    ``budget.Membership``.
 
     :param name: this entry's name.
-    :param note: what it tells of itself.
-    :param quarantine: what it tells of engines' ends, and learns of them.
+    :param record: this entry's record.
+    :param quarantine: source of this entry's evidence, and receiver of that
+        of the others.
     """
 
     def __init__(
         self,
         store: stores.ObjectStore,
         name: str,
-        note: EntryRecord,
+        record: EntryRecord,
         quarantine: trackers.QuarantineTracker | None = None,
     ) -> None:
         self._store = store
         self._name = name
-        self._note = note
+        self._record = record
         self._quarantine = quarantine or trackers.QuarantineTracker()
         self._must_write = anyio.Event()
-        self._quarantine.subscribe_own(self._tell)
-        self._notes: dict[str, EntryRecord] = {name: note}
+        self._quarantine.subscribe_own(self._publish_evidence)
+        self._records: dict[str, EntryRecord] = {name: record}
         self._versions: dict[str, int] = {}
         self._ranking: tuple[peer_selection.Peer, ...] = ()
         self._listed = anyio.Event()
@@ -96,92 +97,94 @@
 
     @property
     def entries(self) -> int:
-        """Entries in all, 0 while the others' notes were never listed."""
+        """Number of all entries, 0 before the first listing."""
         return self.count if self._listed.is_set() else 0
 
     @property
     def since(self) -> float:
-        """The loop's time at which this entry's note was in the store."""
+        """Event loop time since which this entry's record is in the store."""
         return self._since
 
     @property
     def is_settled(self) -> bool:
         """Whether entries that started at the same time are counted.
 
-        Those that list before others have written do not know of them, and
-        would not for as long as the store is silent from then on.
+        An entry may list the records before the others have written theirs,
+        and then not learn of them while the store is unavailable.
         """
         if not self._is_settled:
-            proved_at = anyio.current_time() - self._age()
-            self._is_settled = proved_at >= self._since + SETTLE_SECONDS
+            current_at = anyio.current_time() - self._age()
+            self._is_settled = current_at >= self._since + SETTLE_SECONDS
         return self._is_settled
 
     @property
     def count(self) -> int:
-        """Entries in all."""
-        return len(self._notes)
+        """Number of all known entries, this one included."""
+        return len(self._records)
 
     @property
     def zone_count(self) -> int:
-        """Entries in this entry's availability zone."""
-        zone = self._note.availability_zone
+        """Number of known entries in this entry's availability zone."""
+        zone = self._record.availability_zone
         return sum(
-            1 for one in self._notes.values() if one.availability_zone == zone
+            1
+            for one in self._records.values()
+            if one.availability_zone == zone
         )
 
     def subscribe(self, listener: Listener) -> None:
-        """Call ``listener`` whenever the number of entries is learnt."""
+        """Call ``listener`` after each change of the records."""
         self._listeners.append(listener)
 
     def set_age_source(self, age: Age) -> None:
-        """Learn by ``age`` for how long the notes were not proved current."""
+        """Set the callable that returns the age of the records in seconds."""
         self._age = age
 
     def ranking(self) -> tuple[peer_selection.Peer, ...]:
-        """Return this zone's entries in the order in which they read."""
+        """Return this zone's entries, those preferred as readers first."""
         return self._ranking
 
     def linger(self) -> float:
-        """Return for how many seconds changes of upstreams gather."""
-        seconds = LINGER_PER_ENTRY * self.count
-        return min(LINGER_MOST, max(LINGER_LEAST, seconds))
+        """Return the seconds between two watches of the upstreams."""
+        seconds = LINGER_SECONDS_PER_ENTRY * self.count
+        return min(MAX_LINGER_SECONDS, max(MIN_LINGER_SECONDS, seconds))
 
     async def wait_listed(self) -> None:
-        """Wait until the other entries' notes are known."""
+        """Wait until the records have been listed."""
         await self._listed.wait()
 
     async def register(self) -> None:
-        """Note this entry in the store, however long that takes.
+        """Write this entry's record, and retry until that succeeds.
 
-        One that was noted already, as all are after a restart, costs no
-        call.
+        Does not write if the store holds the same record, as after a restart.
         """
-        with anyio.move_on_after(LIST_SECONDS):
+        with anyio.move_on_after(LIST_TIMEOUT_SECONDS):
             await self._listed.wait()
-        while not self._is_noted():
+        while not self._is_registered():
             await self._write()
 
     async def run(self) -> None:
-        """Keep this entry's note in the store until cancelled."""
+        """Keep this entry's record in the store until cancelled."""
         while True:
             self._must_write = anyio.Event()
             await self.register()
             await self._must_write.wait()
-            # Others' streams through the same engine are lost a moment
-            # later, and what they tell goes with this.
-            await anyio.sleep(WRITE_PAUSE)
+            # Other streams through the same instance fail a moment later; one
+            # write covers them all.
+            await anyio.sleep(WRITE_DELAY_SECONDS)
 
-    def _tell(self) -> None:
-        """Have what this entry saw of engines' ends told to the others."""
-        self._note = attrs.evolve(self._note, evidence=self._quarantine.own)
+    def _publish_evidence(self) -> None:
+        self._record = attrs.evolve(
+            self._record, evidence=self._quarantine.own
+        )
         self._must_write.set()
 
     async def _write(self) -> None:
-        note = self._note
+        record = self._record
         version = self._versions.get(self._name, stores.CREATE)
         try:
             self._versions[self._name] = await self._store.put(
-                KIND, self._name, encode(note), version
+                KIND, self._name, encode(record), version
             )
         except errors.CrowdeckError as error:
             if error.code is errors.Code.STORE_CONFLICT:
@@ -190,26 +193,25 @@
             logs.change("entry_unnoted", reason=error.message)
             await anyio.sleep(RETRY_SECONDS)
             return
-        self._notes[self._name] = note
-        self._note_since()
+        self._records[self._name] = record
+        self._set_since()
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
-        """Take all entries.
+        """Apply a listing of all records.
 
-        A listing that comes after a lost history may be of a store that was
-        restored from a copy: versions known so far may be higher than those
-        of newer notes, and this entry's own note may be gone or an older
-        one. Refused or not written again, it would be missing, with what it
-        tells of requests that end engines, until the next restart.
+        The store may have been restored from a backup: versions known so far
+        may be higher than those of newer records, and this entry's own record
+        may be missing or outdated. So versions are forgotten, and the record
+        is written again if it differs.
         """
         is_first = not self._listed.is_set()
         if is_first and any(one.name == self._name for one in objects):
-            # An earlier run is noted, and counted by all the others.
+            # Registered by an earlier process, so all others count it.
             self._since = float("-inf")
         self._listed.set()
         self._versions.clear()
         self.on_changed(objects, ())
-        if not self._is_noted():
+        if not self._is_registered():
             self._must_write.set()
 
     def on_changed(
@@ -217,10 +219,10 @@
         objects: tuple[stores.StoredObject, ...],
         removed: tuple[str, ...],
     ) -> None:
-        """Take entries that were noted."""
+        """Apply changed records; removals are ignored."""
         before = self.count
         for one in objects:
-            self._take(one)
+            self._apply(one)
         self._rank()
         for listener in self._listeners:
             listener()
@@ -232,29 +234,29 @@
                 first=self._ranking[0].name if self._ranking else "",
             )
 
-    def _take(self, stored: stores.StoredObject) -> None:
+    def _apply(self, stored: stores.StoredObject) -> None:
         if self._versions.get(stored.name, stores.CREATE) > stored.version:
-            # Our own write is known before the copy that a peer keeps.
+            # A peer's mirror may be older than this entry's own write.
             return
         self._versions[stored.name] = stored.version
-        note = self._notes[stored.name] = decode_record(stored)
+        record = self._records[stored.name] = decode_record(stored)
         if stored.name != self._name:
-            self._quarantine.take(stored.name, note.evidence)
+            self._quarantine.take(stored.name, record.evidence)
             return
-        self._note_since()
-        # What an earlier run of this entry saw is its to tell as well.
-        self._quarantine.take_own(note.evidence)
-        self._tell()
+        self._set_since()
+        # Keeps the evidence of earlier processes of this entry.
+        self._quarantine.take_own(record.evidence)
+        self._publish_evidence()
 
-    def _note_since(self) -> None:
+    def _set_since(self) -> None:
         self._since = min(self._since, anyio.current_time())
 
-    def _is_noted(self) -> bool:
-        noted = self._name in self._versions
-        return noted and self._notes[self._name] == self._note
+    def _is_registered(self) -> bool:
+        is_stored = self._name in self._versions
+        return is_stored and self._records[self._name] == self._record
 
     async def _read_own(self) -> None:
-        """Find out what another run of this entry noted."""
+        """Read the record that another process of this entry wrote."""
         try:
             found = await self._store.get(KIND, self._name)
         except errors.CrowdeckError as error:
@@ -267,16 +269,21 @@
             self._versions.pop(self._name, None)
 
     def _rank(self) -> None:
-        """Put those that can do most for others first.
+        """Rank the entries of this zone by capacity, then by a hash.
 
-        Among equals a hash decides, so that names in a row do not make one
-        rack read for a whole zone.
+        The hash spreads the load over entries with similar names, which may
+        share a rack.
         """
         here = [
-            (-note.capacity, -rendezvous.score(KIND, name), name, note.address)
-            for name, note in self._notes.items()
-            if note.address is not None
-            and note.availability_zone == self._note.availability_zone
+            (
+                -record.capacity,
+                -rendezvous.score(KIND, name),
+                name,
+                record.address,
+            )
+            for name, record in self._records.items()
+            if record.address is not None
+            and record.availability_zone == self._record.availability_zone
         ]
         self._ranking = tuple(
             peer_selection.Peer(name, address)
@@ -285,21 +292,21 @@
         )
 
 
-def encode(note: EntryRecord) -> bytes:
-    """Return a note as the store keeps it."""
-    address = str(note.address) if note.address else ""
+def encode(record: EntryRecord) -> bytes:
+    """Return the stored form of a record."""
+    address = str(record.address) if record.address else ""
     return orjson.dumps(
         {
-            "availability_zone": note.availability_zone,
+            "availability_zone": record.availability_zone,
             "address": address,
-            "capacity": note.capacity,
-            "evidence": evidences.encode(note.evidence),
+            "capacity": record.capacity,
+            "evidence": evidences.encode(record.evidence),
         }
     )
 
 
 def decode_record(stored: stores.StoredObject) -> EntryRecord:
-    """Return what an entry noted; nothing where it cannot be read."""
+    """Return an entry's record, an empty one if it is malformed."""
     try:
         body = orjson.loads(stored.value)
         address = str(body.get("address") or "")
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Several entries before one fleet and one store, in virtual time."""
+"""Several entries with one fleet and one store, in virtual time."""
 
 import collections
 import typing
@@ -23,17 +23,17 @@
 from tests import virtual
 from tests import zone_system
 
-# An instance that fell is back after this long; 1 to 3 s were seen.
-BACK_SECONDS = 2.0
+# An instance that ended is started again after this long.
+RESTART_SECONDS = 2.0
 LOOK_SECONDS = 0.05
-NOTES_WAIT = 10.0
+RECORDS_WAIT_SECONDS = 10.0
 STREAM = routes.RepeatPolicy.STREAM
 REPEATABLE = routes.RepeatPolicy.IDEMPOTENT
 
 
 @attrs.frozen
-class Told:
-    """What a caller was told, and after how long."""
+class Outcome:
+    """The result of a caller's request, and how long it took."""
 
     caller: fleet_system.Caller
     request: requests.CallerRequest
@@ -42,20 +42,20 @@
 
     @property
     def was_served(self) -> bool:
-        """Whether a whole answer came."""
+        """Whether the caller got a complete answer."""
         return self.caller.error is None and self.caller.is_whole
 
 
 class Entries:
-    """Entries, their engines, and whoever brings engines back.
+    """Entries, their engines, and the restart of engines that ended.
 
-    With ``keeps_ids`` an instance that fell starts again under its id.
+    With ``keeps_ids`` an instance that ended is started again under its id.
 
-    :param count: entries at the start.
-    :param copies: of the model in each availability zone.
-    :param parts: instances that hold one copy together.
-    :param are_noted: whether those at the start were noted in the store by
-        earlier processes, as they are once they have run for long.
+    :param count: number of entries at the start.
+    :param copies: copies of the model in each availability zone.
+    :param parts: number of instances that hold one copy together.
+    :param are_registered: whether the store has the records of the entries at
+        the start, as written by earlier processes.
     """
 
     def __init__(
@@ -65,36 +65,36 @@
         copies: int,
         parts: int = 2,
         *,
-        are_noted: bool = True,
+        are_registered: bool = True,
     ) -> None:
         self.fleet = chain_fleet.ChainFleet()
         self.store = standin_store.StandinStore()
-        self.told: list[Told] = []
+        self.told: list[Outcome] = []
         self.keeps_ids = False
         self._tasks = tasks
         self._entries: list[fleet_system.FleetSystem] = []
         self._scopes: list[anyio.CancelScope] = []
-        self._ways: dict[str, zone_system.Way] = {}
+        self._connections: dict[str, zone_system.StoreConnection] = {}
         self._listed: dict[str, chain.Upstream] = {}
         self._starts = 0
         self._add_fleet(copies, parts)
         for _ in range(count):
             entry = self.start()
-            if are_noted:
-                note = rosters.EntryRecord(entry.context.zone)
+            if are_registered:
+                record = rosters.EntryRecord(entry.context.zone)
                 self.store.write(
-                    rosters.KIND, entry.name, rosters.encode(note)
+                    rosters.KIND, entry.name, rosters.encode(record)
                 )
 
     def __getitem__(self, number: int) -> fleet_system.FleetSystem:
-        """Return an entry."""
+        """Return an entry by its number, modulo their count."""
         return self._entries[number % len(self._entries)]
 
     def start(self) -> fleet_system.FleetSystem:
-        """Start another entry, which knows what is listed and stored."""
+        """Start another entry, which knows all listed instances."""
         name = f"entry-{len(self._entries)}"
         now = anyio.current_time()
-        # Those at the start have run for long.
+        # Entries at the start count as long running.
         began = now if now else float("-inf")
         entry = fleet_system.FleetSystem(self.fleet, name, began)
         entry.install(entry.config)
@@ -105,7 +105,7 @@
         return entry
 
     def stop(self, number: int) -> None:
-        """End an entry's process, and put an empty one in its place."""
+        """Replace an entry by a new process that has no state."""
         entry = self._entries[number]
         self._scopes[number].cancel()
         fresh = fleet_system.FleetSystem(
@@ -118,16 +118,16 @@
         self._scopes[number] = self._begin(fresh)
 
     def cut_off(self, number: int) -> None:
-        """Let an entry reach the store no more."""
-        self._ways[self._entries[number].name].is_cut = True
+        """Cut an entry's connection to the store."""
+        self._connections[self._entries[number].name].is_cut = True
 
-    async def know_each_other(self) -> None:
+    async def wait_until_listed(self) -> None:
         """Wait until each entry has listed the others."""
         while not all(one.context.membership.entries for one in self._entries):
             await anyio.sleep(0.001)
 
-    async def tell_of_themselves(self) -> None:
-        """Wait until the note of each entry is in the store."""
+    async def wait_until_registered(self) -> None:
+        """Wait until the record of each entry is in the store."""
         never = float("inf")
         while any(
             one.context.membership.since == never for one in self._entries
@@ -135,7 +135,7 @@
             await anyio.sleep(0.001)
 
     def lose(self, count: int) -> None:
-        """End the instances at which most has run lately; they come back."""
+        """End the busiest instances; they are started again later."""
         now = anyio.current_time()
         living = [one for one in self.fleet.upstreams if one.answers]
         busy = collections.Counter(
@@ -150,39 +150,39 @@
             self.fleet.crashes.append(fall)
 
     def tell_all_leaving(self) -> None:
-        """List every engine as one that is about to end."""
+        """List every engine as leaving."""
         for listed in list(self._listed.values()):
             if listed.card:
                 self._tell(attrs.evolve(listed, is_leaving=True))
 
-    def ask_soon(
+    def start_request(
         self, number: int, repeat: routes.RepeatPolicy, body: bytes
     ) -> None:
-        """Have a request sent to an entry; what comes is in ``told``."""
+        """Send a request to an entry; its outcome is added to ``told``."""
         request = self[number].request(repeat, body=body)
         self._tasks.start_soon(self._ask, self[number], request)
 
-    async def ask_for(
+    async def send_repeatedly(
         self,
         seconds: float,
         body: bytes,
         pause: float,
         repeat: routes.RepeatPolicy = STREAM,
     ) -> None:
-        """Send the same request again and again, to one entry after another.
+        """Send the same request repeatedly, to one entry after another.
 
-        Between them every entry gets a request of another caller.
+        With each of them the entry gets a request of another caller.
         """
         until = anyio.current_time() + seconds
         number = 0
         while anyio.current_time() < until:
-            self.ask_soon(number, repeat, body)
-            self.ask_soon(number, STREAM, b"beside-%d" % number)
+            self.start_request(number, repeat, body)
+            self.start_request(number, STREAM, b"beside-%d" % number)
             number += 1
             await anyio.sleep(pause)
 
     async def bring_back(self) -> None:
-        """Start what fell again, as another instance at its address."""
+        """Start instances that ended again, under another name."""
         async with anyio.create_task_group() as tasks:
             known = 0
             while True:
@@ -191,12 +191,12 @@
                     tasks.start_soon(self._bring_back, fall.upstream)
                 known = len(self.fleet.crashes)
 
-    def told_of(self, body: bytes) -> list[Told]:
-        """Return what callers of a request were told."""
+    def outcomes_of(self, body: bytes) -> list[Outcome]:
+        """Return the outcomes of a request."""
         return [one for one in self.told if one.request.body == body]
 
-    def told_beside(self, since: float) -> list[Told]:
-        """Return what all other callers were told that asked since then."""
+    def outcomes_beside(self, since: float) -> list[Outcome]:
+        """Return the outcomes of other callers' requests since a time."""
         return [
             one
             for one in self.told
@@ -204,7 +204,7 @@
         ]
 
     def arrivals(self, body: bytes, since: float) -> int:
-        """Return how often a request reached an upstream since then."""
+        """Return how often a request reached an upstream since a time."""
         return sum(
             1
             for run in self.fleet.runs
@@ -212,20 +212,22 @@
         )
 
     def _begin(self, entry: fleet_system.FleetSystem) -> anyio.CancelScope:
-        """Run an entry beside its roster until the scope is cancelled."""
-        way = self._ways[entry.name] = zone_system.Way(self.store)
+        """Run an entry with its roster until the scope is cancelled."""
+        connection = self._connections[entry.name] = (
+            zone_system.StoreConnection(self.store)
+        )
         roster = rosters.Roster(
-            way,
+            connection,
             entry.name,
             rosters.EntryRecord(entry.context.zone),
             entry.context.quarantine,
         )
         mirror = mirrors.Mirror(
-            way,
+            connection,
             rosters.KIND,
             roster,
-            NOTES_WAIT,
-            lambda: rosters.NOTES_LINGER,
+            RECORDS_WAIT_SECONDS,
+            lambda: rosters.RECORD_LINGER_SECONDS,
         )
         roster.set_age_source(mirror.age)
         entry.context.follow(roster)
@@ -240,10 +242,10 @@
         sent_at = anyio.current_time()
         caller = await entry.ask(request)
         seconds = anyio.current_time() - sent_at
-        self.told.append(Told(caller, request, sent_at, seconds))
+        self.told.append(Outcome(caller, request, sent_at, seconds))
 
     async def _bring_back(self, name: str) -> None:
-        await anyio.sleep(BACK_SECONDS)
+        await anyio.sleep(RESTART_SECONDS)
         target = self.fleet.at(self._listed[name].address)
         self._starts += 1
         fresh = attrs.evolve(target.listed, name=f"{name}.{self._starts}")
@@ -310,13 +312,15 @@
     copies: int = 6,
     parts: int = 2,
     *,
-    are_noted: bool = True,
+    are_registered: bool = True,
 ) -> None:
-    """Play ``work`` on some entries before one fleet."""
+    """Run ``work`` with some entries and one fleet."""
 
     async def body() -> None:
         async with anyio.create_task_group() as tasks:
-            entries = Entries(tasks, count, copies, parts, are_noted=are_noted)
+            entries = Entries(
+                tasks, count, copies, parts, are_registered=are_registered
+            )
             tasks.start_soon(entries.bring_back)
             await work(entries)
             tasks.cancel_scope.cancel()
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -79,7 +79,7 @@
                 entry = among[self._number % len(among)]
             self._number += 1
             self.account.note_request(anyio.current_time())
-            self.entries.ask_soon(entry, self._kind, b"x")
+            self.entries.start_request(entry, self._kind, b"x")
             await anyio.sleep(1.0 / per_second)
 
     def freeze(self) -> None:
@@ -117,7 +117,7 @@
     count: int,
     kind: routes.RepeatPolicy = routes.RepeatPolicy.IDEMPOTENT,
     *,
-    are_noted: bool = True,
+    are_registered: bool = True,
 ) -> Demand:
     """Play a scenario with some entries, and return what came of it.
 
@@ -132,5 +132,7 @@
         await scenario(demand)
         await demand.end()
 
-    entries_system.play(work, count=count, copies=2, are_noted=are_noted)
+    entries_system.play(
+        work, count=count, copies=2, are_registered=are_registered
+    )
     return made[0]
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -58,7 +58,7 @@
     def test_is_sent_on_no_more_once_three_have_ended(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.ask_for(15.0, BODY, PAUSE)
+            await entries.send_repeatedly(15.0, BODY, PAUSE)
             third = entries.fleet.crashes[ENDS_MOST - 1].at
             late = entries.arrivals(BODY, third + KNOWN_SECONDS)
             assert late <= SENDS_MOST
@@ -68,10 +68,10 @@
     def test_those_beside_it_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.ask_for(15.0, BODY, PAUSE)
+            await entries.send_repeatedly(15.0, BODY, PAUSE)
             await anyio.sleep(3.0)
             third = entries.fleet.crashes[ENDS_MOST - 1].at
-            beside = entries.told_beside(third + 1.0)
+            beside = entries.outcomes_beside(third + 1.0)
             assert len(beside) > 20
             assert [one for one in beside if not one.was_served] == []
 
@@ -87,7 +87,7 @@
         # as long as each ended: those that end did not count as runs.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            entries.ask_soon(0, repeat, BODY)
+            entries.start_request(0, repeat, BODY)
             await anyio.sleep(10.0)
             assert len(entries.fleet.crashes) <= ENDS_MOST
 
@@ -97,10 +97,10 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.keeps_ids = True
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.ask_for(15.0, BODY, PAUSE)
+            await entries.send_repeatedly(15.0, BODY, PAUSE)
             assert len(entries.fleet.crashes) <= ENDS_MOST + 1
             third = entries.fleet.crashes[ENDS_MOST - 1].at
-            beside = entries.told_beside(third + 1.0)
+            beside = entries.outcomes_beside(third + 1.0)
             assert [one for one in beside if not one.was_served] == []
 
         entries_system.play(work)
@@ -116,13 +116,13 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             # The budget is none before.
-            await entries.know_each_other()
+            await entries.wait_until_listed()
             budget = entries[0].context.budget(fleet_system.MODEL)
             before = budget.remaining
-            entries.ask_soon(0, entries_system.STREAM, BODY)
+            entries.start_request(0, entries_system.STREAM, BODY)
             await anyio.sleep(3.0)
             assert len(entries.fleet.crashes) == ENDS_MOST
-            error = entries.told_of(BODY)[0].caller.error
+            error = entries.outcomes_of(BODY)[0].caller.error
             assert error is not None
             assert error.code is errors.Code.QUARANTINED
             assert error.verdict is verdicts.Verdict.MAY_HAVE_RUN
@@ -134,9 +134,9 @@
     def test_a_call_is_a_suspect_as_soon_as_its_instance_ends(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            entries.ask_soon(0, entries_system.REPEATABLE, BODY)
+            entries.start_request(0, entries_system.REPEATABLE, BODY)
             await anyio.sleep(1.0)
-            request = entries.told_of(BODY)[0].request
+            request = entries.outcomes_of(BODY)[0].request
             content = requests.fingerprint_of(request, "kiosks")
             assert entries[0].context.quarantine.is_suspect(content)
 
@@ -167,7 +167,7 @@
             known = requests.fingerprint_of(content, "kiosks")
             for one in entries.fleet.upstreams:
                 one.hanging_streams = 1
-            entries.ask_soon(0, entries_system.STREAM, BODY)
+            entries.start_request(0, entries_system.STREAM, BODY)
             await anyio.sleep(0.05)
             for number in range(ENDS_MOST):
                 name = f"gone-{number}"
@@ -177,7 +177,7 @@
                 quarantine.note_end(name)
             # It is told long before its caller gives up, 20 s.
             await anyio.sleep(trackers.SETTLE_SECONDS + 0.05)
-            error = entries.told_of(BODY)[0].caller.error
+            error = entries.outcomes_of(BODY)[0].caller.error
             assert error is not None
             assert error.code is errors.Code.QUARANTINED
 
@@ -186,11 +186,11 @@
     def test_is_refused_at_once_and_truly(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.ask_for(15.0, BODY, PAUSE)
+            await entries.send_repeatedly(15.0, BODY, PAUSE)
             third = entries.fleet.crashes[ENDS_MOST - 1].at
             refused = [
                 one
-                for one in entries.told_of(BODY)
+                for one in entries.outcomes_of(BODY)
                 if one.sent_at > third + KNOWN_SECONDS
             ]
             assert len(refused) > 20
@@ -212,7 +212,7 @@
         # until three engines had ended there.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.ask_for(15.0, BODY, PAUSE)
+            await entries.send_repeatedly(15.0, BODY, PAUSE)
             assert len(entries.fleet.crashes) <= ENDS_MOST + 2
 
         entries_system.play(work, count=count)
@@ -220,12 +220,12 @@
     def test_an_entry_that_starts_passes_it_on_no_more(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.ask_for(5.0, BODY, PAUSE)
+            await entries.send_repeatedly(5.0, BODY, PAUSE)
             ends = len(entries.fleet.crashes)
             for number in range(3):
                 entries.stop(number)
             await anyio.sleep(0.5)
-            await entries.ask_for(5.0, BODY, PAUSE)
+            await entries.send_repeatedly(5.0, BODY, PAUSE)
             assert len(entries.fleet.crashes) == ends
 
         entries_system.play(work)
@@ -234,11 +234,11 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             entries.store.is_down = True
-            await entries.ask_for(3.0, BODY, PAUSE)
+            await entries.send_repeatedly(3.0, BODY, PAUSE)
             entries.store.is_down = False
             await anyio.sleep(KNOWN_SECONDS)
             since = anyio.current_time()
-            await entries.ask_for(10.0, BODY, PAUSE)
+            await entries.send_repeatedly(10.0, BODY, PAUSE)
             assert entries.arrivals(BODY, since) == 0
 
         entries_system.play(work)
@@ -246,10 +246,10 @@
     def test_others_of_its_caller_and_path_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.ask_for(5.0, BODY, PAUSE)
-            entries.ask_soon(0, entries_system.STREAM, BODY + b"?")
+            await entries.send_repeatedly(5.0, BODY, PAUSE)
+            entries.start_request(0, entries_system.STREAM, BODY + b"?")
             await anyio.sleep(3.0)
-            assert entries.told_of(BODY + b"?")[0].was_served
+            assert entries.outcomes_of(BODY + b"?")[0].was_served
 
         entries_system.play(work)
 
@@ -259,7 +259,7 @@
             entries.fleet.crashing_bodies.update(others)
             async with anyio.create_task_group() as tasks:
                 for one in others:
-                    tasks.start_soon(entries.ask_for, 15.0, one, PAUSE)
+                    tasks.start_soon(entries.send_repeatedly, 15.0, one, PAUSE)
                     await anyio.sleep(0.05)
             since = entries.fleet.crashes[-1].at + KNOWN_SECONDS
             assert since < 10.0
@@ -270,7 +270,9 @@
     def test_a_call_of_a_plain_service_that_does_the_same(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.ask_for(30.0, BODY, PAUSE, entries_system.REPEATABLE)
+            await entries.send_repeatedly(
+                30.0, BODY, PAUSE, entries_system.REPEATABLE
+            )
             third = entries.fleet.crashes[ENDS_MOST - 1].at
             late = entries.arrivals(BODY, third + KNOWN_SECONDS)
             assert late <= SENDS_MOST
@@ -288,13 +290,15 @@
             entries.fleet.event_seconds = 0.1
             entries.fleet.crashing_bodies.add(BODY)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(entries.ask_for, 12.0, BODY, 0.3)
+                tasks.start_soon(entries.send_repeatedly, 12.0, BODY, 0.3)
                 for number in range(400):
                     body = b"beside-%d-crowd" % number
-                    entries.ask_soon(number * 7, entries_system.STREAM, body)
+                    entries.start_request(
+                        number * 7, entries_system.STREAM, body
+                    )
                     await anyio.sleep(0.03)
             await anyio.sleep(8.0)
-            beside = entries.told_beside(0.0)
+            beside = entries.outcomes_beside(0.0)
             codes = {
                 one.caller.error.code for one in beside if one.caller.error
             }
@@ -309,16 +313,16 @@
         async def work(entries: entries_system.Entries) -> None:
             alike = b"how do I top up"
             for number in range(20):
-                entries.ask_soon(number, entries_system.STREAM, alike)
+                entries.start_request(number, entries_system.STREAM, alike)
                 await anyio.sleep(0.1)
             entries.fleet.crashing_bodies.add(BODY)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(entries.ask_for, 6.0, BODY, PAUSE)
+                tasks.start_soon(entries.send_repeatedly, 6.0, BODY, PAUSE)
                 for number in range(120):
-                    entries.ask_soon(number, entries_system.STREAM, alike)
+                    entries.start_request(number, entries_system.STREAM, alike)
                     await anyio.sleep(0.05)
             await anyio.sleep(8.0)
-            told = entries.told_of(alike)
+            told = entries.outcomes_of(alike)
             assert len(told) == 140
             assert sum(one.was_served for one in told) >= 138
             assert len(entries.fleet.crashes) <= ENDS_MOST + 2
@@ -333,7 +337,7 @@
         async def work(entries: entries_system.Entries) -> None:
             beside = b"beside"
             entries.fleet.crashing_bodies.add(beside)
-            entries.ask_soon(0, entries_system.STREAM, beside)
+            entries.start_request(0, entries_system.STREAM, beside)
             await wait_for_falls(entries, ENDS_MOST)
             entries.fleet.crashing_bodies.clear()
             await anyio.sleep(0.2)
@@ -350,7 +354,7 @@
                 ),
             )
             await anyio.sleep(3.0)
-            assert entries.told_of(beside)[0].was_served
+            assert entries.outcomes_of(beside)[0].was_served
 
         entries_system.play(work, count=1)
 
@@ -361,9 +365,9 @@
         self, repeat: entries_system.routes.RepeatPolicy
     ) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            entries.ask_soon(0, repeat, b"served")
+            entries.start_request(0, repeat, b"served")
             await anyio.sleep(2.0)
-            told = entries.told_of(b"served")[0]
+            told = entries.outcomes_of(b"served")[0]
             assert told.was_served
             assert self.is_cleared(entries, told.request)
 
@@ -374,12 +378,12 @@
     ) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.event_seconds = 0.1
-            entries.ask_soon(0, entries_system.STREAM, b"ran")
+            entries.start_request(0, entries_system.STREAM, b"ran")
             await anyio.sleep(1.2)
             entries.lose(1)
             await anyio.sleep(0.4)
             request = entries[0].request(entries_system.STREAM, body=b"ran")
-            assert entries.told_of(b"ran") == []
+            assert entries.outcomes_of(b"ran") == []
             assert self.is_cleared(entries, request)
 
         entries_system.play(work, count=1)
@@ -403,7 +407,7 @@
             entries.fleet.crashing_bodies.add(BODY)
             entries.tell_all_leaving()
             for number in range(6):
-                entries.ask_soon(number, entries_system.STREAM, BODY)
+                entries.start_request(number, entries_system.STREAM, BODY)
                 await anyio.sleep(0.1)
             await anyio.sleep(2.0)
             assert entries.fleet.crashes
@@ -449,7 +453,7 @@
             monkeypatch.setattr(entries.fleet, "report", know_engines_alone)
             for one in entries.fleet.upstreams:
                 one.lost_answers = 0 if one.listed.card else 1
-            entries.ask_soon(0, entries_system.REPEATABLE, b"lost")
+            entries.start_request(0, entries_system.REPEATABLE, b"lost")
             await anyio.sleep(2.0)
             assert entries[0].registry.avoided() == ()
             assert entries[0].context.quarantine.is_empty
@@ -459,7 +463,7 @@
     def test_losses_of_many_engines_put_nobody_in_quarantine(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             for number in range(60):
-                entries.ask_soon(
+                entries.start_request(
                     number, entries_system.STREAM, b"beside-%d" % number
                 )
                 if number % 8 == 7:
@@ -468,7 +472,7 @@
             await anyio.sleep(8.0)
             codes = [
                 one.caller.error.code
-                for one in entries.told_beside(0.0)
+                for one in entries.outcomes_beside(0.0)
                 if one.caller.error
             ]
             assert errors.Code.QUARANTINED not in codes
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -553,7 +553,11 @@
     one = trackers.QuarantineTracker(anyio.current_time)
     roster = rosters.Roster(store, name, rosters.EntryRecord("a"), one)
     mirror = mirrors.Mirror(
-        store, rosters.KIND, roster, 10.0, lambda: rosters.NOTES_LINGER
+        store,
+        rosters.KIND,
+        roster,
+        10.0,
+        lambda: rosters.RECORD_LINGER_SECONDS,
     )
     tasks.start_soon(roster.run)
     tasks.start_soon(mirror.run)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -80,7 +80,7 @@
             (number,) = self._chance.choices(numbers, self._weights)
             self._sent += 1
             body = b"one-%d" % self._sent
-            self.entries.ask_soon(number, repeat, body)
+            self.entries.start_request(number, repeat, body)
             await anyio.sleep(self._chance.expovariate(per_second))
 
     def busiest(self) -> chain_fleet.StandinUpstream:
@@ -124,7 +124,7 @@
         return found
 
     @property
-    def refused(self) -> list[entries_system.Told]:
+    def refused(self) -> list[entries_system.Outcome]:
         """What callers were told that were not served."""
         return [one for one in self.entries.told if not one.was_served]
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -101,12 +101,12 @@
         self, count: int
     ) -> None:
         async def body(demand: repeats_system.Demand) -> None:
-            await demand.entries.tell_of_themselves()
+            await demand.entries.wait_until_registered()
             demand.entries.store.is_down = True
             await demand.ask(CALM, fails=False)
             await demand.ask(12.0)
 
-        peak = repeats_system.play(body, count, are_noted=False).peak
+        peak = repeats_system.play(body, count, are_registered=False).peak
         assert not peak.is_over, peak
 
 
--- a/tests/test_restored_lease.py
+++ b/tests/test_restored_lease.py
@@ -231,7 +231,7 @@
         assert lease.term == term
 
 
-class Hooked(zone_system.Way):
+class Hooked(zone_system.StoreConnection):
     """A way to the store on which something happens once."""
 
     def __init__(self, store: standin_store.StandinStore) -> None:
@@ -251,7 +251,7 @@
     async def put(
         self, kind: str, name: str, value: bytes, expected: int
     ) -> int:
-        self._pass()
+        self._count_call()
         hook, self.before_put = self.before_put, None
         if hook is not None:
             hook(expected)
@@ -267,7 +267,7 @@
         self._store = store
         self._chance = rng
         self._leases: list[leases.Lease] = []
-        self._ways: list[zone_system.Way] = []
+        self._ways: list[zone_system.StoreConnection] = []
         self._holders: dict[int, leases.Lease] = {}
         self._count = 0
 
@@ -284,7 +284,7 @@
     async def _live(self) -> None:
         while True:
             self._count += 1
-            way = zone_system.Way(self._store)
+            way = zone_system.StoreConnection(self._store)
             lease = leases.Lease(
                 way, "duty", f"run-{self._count}", is_new_fleet=False
             )
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -75,7 +75,7 @@
     """Write a value, and have every entry know it in time."""
     zone.store.write(zone_system.KIND, "main", value)
     await anyio.sleep(IN_FORCE_SECONDS)
-    known = [one.sight.values.get("main") for one in zone.entries.values()]
+    known = [one.follower.values.get("main") for one in zone.entries.values()]
     assert known == [value] * len(known)
 
 
@@ -100,7 +100,7 @@
             before = zone.calls
             await anyio.sleep(10.0)
             # Again one entry asks for all.
-            assert zone.calls - before <= 10.0 / zone_system.WAIT + 1
+            assert zone.calls - before <= 10.0 / zone_system.WAIT_SECONDS + 1
 
         zone_system.play(14, work)
 
@@ -111,12 +111,12 @@
             backup = zone.store.back_up()
             zone.write()
             await anyio.sleep(0.1)
-            zone[0].way.is_cut = True
+            zone[0].connection.is_cut = True
             zone.store.restore(backup)
             with pytest.raises(errors.CrowdeckError) as caught:
                 await zone[0].mirror.changes_since(stores.Position(1, 1), 0.1)
             assert caught.value.code is errors.Code.STORE_DOWN
-            zone[0].way.is_cut = False
+            zone[0].connection.is_cut = False
             await anyio.sleep(IN_FORCE_SECONDS)
             await require_known(zone, b"new")
 
@@ -196,10 +196,12 @@
         number = rng.randrange(len(zone.entries))
         what = rng.choice(("is_silent", "is_down", "cut", "store", "anew"))
         if what == "anew":
-            zone.start_anew(number)
+            zone.restart(number)
         else:
             entry = zone[number]
-            target = {"cut": entry.way, "store": zone.store}.get(what, entry)
+            target = {"cut": entry.connection, "store": zone.store}.get(
+                what, entry
+            )
             name = {"cut": "is_cut", "store": "is_down"}.get(what, what)
             setattr(target, name, True)
             await anyio.sleep(rng.uniform(0.1, 2.5))
@@ -215,22 +217,24 @@
         # its version has long been another write's.
         async def body() -> None:
             store = standin_store.StandinStore()
-            sight = zone_system.Sight()
-            way = zone_system.Way(store)
-            mirror = mirrors.Mirror(way, zone_system.KIND, sight, 0.8)
+            follower = zone_system.RecordingFollower()
+            connection = zone_system.StoreConnection(store)
+            mirror = mirrors.Mirror(
+                connection, zone_system.KIND, follower, 0.8
+            )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 backup = store.back_up()
                 store.write(zone_system.KIND, "main", b"lost")
                 await anyio.sleep(1.0)
-                way.is_cut = True
+                connection.is_cut = True
                 await anyio.sleep(1.0)
                 store.restore(backup)
                 store.write(zone_system.KIND, "first", b"1")
                 store.write(zone_system.KIND, "second", b"2")
-                way.is_cut = False
+                connection.is_cut = False
                 await anyio.sleep(IN_FORCE_SECONDS)
-                assert sight.values == {"first": b"1", "second": b"2"}
+                assert follower.values == {"first": b"1", "second": b"2"}
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -243,10 +247,14 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             health = store_health.StoreHealth()
-            sight = zone_system.Sight()
-            long = mirrors.Mirror(store, "long", sight, 10.0, health=health)
+            follower = zone_system.RecordingFollower()
+            long = mirrors.Mirror(store, "long", follower, 10.0, health=health)
             short = mirrors.Mirror(
-                store, "short", zone_system.Sight(), 0.8, health=health
+                store,
+                "short",
+                zone_system.RecordingFollower(),
+                0.8,
+                health=health,
             )
             async with anyio.create_task_group() as tasks:
                 for _ in range(5):
@@ -257,7 +265,7 @@
                 store.restore(standin_store.StandinStore().back_up())
                 store.write("long", "main", b"new")
                 await anyio.sleep(IN_FORCE_SECONDS)
-                assert sight.values == {"main": b"new"}
+                assert follower.values == {"main": b"new"}
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -159,7 +159,7 @@
         # What it reads as spoilt twice was another's in between.
         async def body() -> None:
             store = standin_store.StandinStore()
-            way = zone_system.Way(store)
+            way = zone_system.StoreConnection(store)
             first = leases.Lease(way, "duty", "first")
             second = leases.Lease(store, "duty", "second")
             async with anyio.create_task_group() as tasks:
@@ -533,7 +533,7 @@
     return sorted(one.name for one in changes.objects)
 
 
-class _Late(zone_system.Way):
+class _Late(zone_system.StoreConnection):
     """A way to the store whose old answers are six seconds old."""
 
     def __init__(
@@ -559,7 +559,7 @@
         return old
 
 
-class _Gated(zone_system.Way):
+class _Gated(zone_system.StoreConnection):
     """A process and its way to the store, on which it may be held up."""
 
     def __init__(
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Entries of one zone over one store, in virtual time."""
+"""Entries of one availability zone with one store, in virtual time."""
 
 import typing
 
@@ -21,13 +21,13 @@
 from tests import virtual
 
 KIND = "config"
-WAIT = 0.8
-# A silent peer is noticed after the wait and this.
-PATIENCE = 0.4
+WAIT_SECONDS = 0.8
+# A watch at a silent peer fails this long after its wait.
+TIMEOUT_SLACK_SECONDS = 0.4
 
 
-class Sight:
-    """A follower that notes what it knows, and since when."""
+class RecordingFollower:
+    """Records the objects that it was given, and when each version came."""
 
     def __init__(self) -> None:
         self.seen: dict[int, float] = {}
@@ -49,8 +49,8 @@
             self.values.pop(name, None)
 
 
-class Way:
-    """One entry's own way to the store, which may be cut."""
+class StoreConnection:
+    """One entry's connection to the store, which may be cut."""
 
     def __init__(self, store: standin_store.StandinStore) -> None:
         self._store = store
@@ -64,65 +64,64 @@
     async def watch(
         self, kind: str, after: stores.Position, wait: float
     ) -> stores.Changes:
-        self._pass()
-        # Over the wire only the version goes there, and the epoch comes
-        # back with the answer.
+        self._count_call()
+        # A real request has only the version; the response has the epoch.
         asked = stores.Position(after.version, self._store.epoch)
         changes = await self._store.watch(kind, asked, wait)
-        self._require()
+        self._require_connection()
         if changes.epoch != after.epoch:
             raise errors.CrowdeckError(
-                errors.Code.STORE_HISTORY, "it is another epoch"
+                errors.Code.STORE_HISTORY, "the store is in another epoch"
             )
         return changes
 
     async def list(self, kind: str) -> stores.Changes:
-        self._pass()
+        self._count_call()
         return await self._store.list(kind)
 
     async def get(
         self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
-        self._pass()
+        self._count_call()
         return await self._store.get(kind, name)
 
     async def put(
         self, kind: str, name: str, value: bytes, expected: int
     ) -> int:
-        self._pass()
+        self._count_call()
         return await self._store.put(kind, name, value, expected)
 
-    def _pass(self) -> None:
+    def _count_call(self) -> None:
         self.calls += 1
-        self._require()
+        self._require_connection()
 
-    def _require(self) -> None:
+    def _require_connection(self) -> None:
         if self.is_cut:
             raise errors.CrowdeckError(
-                errors.Code.STORE_DOWN, "the store answered 503"
+                errors.Code.STORE_DOWN, "the store responded with 503"
             )
 
 
 @attrs.define(eq=False)
 class Entry:
-    """One entry: its copy of one kind, and its choice of a reader."""
+    """One entry: its mirror of one kind, and its choice of a peer."""
 
     name: str
-    way: Way
+    connection: StoreConnection
     health: store_health.StoreHealth
     selector: peer_selection.PeerSelector
-    sight: Sight
+    follower: RecordingFollower
     mirror: mirrors.Mirror
-    life: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
+    scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
     is_silent: bool = False
     is_down: bool = False
     is_too_large: bool = False
 
 
 class Zone:
-    """Entries of one zone over one store; implements ``PeerClient``."""
+    """Entries of one zone with one store; implements ``PeerClient``."""
 
-    def __init__(self, count: int, wait: float = WAIT) -> None:
+    def __init__(self, count: int, wait: float = WAIT_SECONDS) -> None:
         self._wait = wait
         self.store = standin_store.StandinStore()
         names = [f"entry-{number}" for number in range(count)]
@@ -138,47 +137,53 @@
         """Run all entries until cancelled."""
         async with anyio.create_task_group() as self._tasks:
             for entry in self.entries.values():
-                self._tasks.start_soon(self._live, entry)
+                self._tasks.start_soon(self._run_entry, entry)
 
-    async def _live(self, entry: Entry) -> None:
-        with entry.life:
+    async def _run_entry(self, entry: Entry) -> None:
+        with entry.scope:
             await entry.mirror.run()
 
-    def start_anew(self, number: int) -> None:
-        """End an entry, and start another of its name that knows nothing."""
+    def restart(self, number: int) -> None:
+        """Replace an entry by a new one of the same name without a copy."""
         assert self._tasks is not None
         name = f"entry-{number}"
-        self.entries[name].life.cancel()
+        self.entries[name].scope.cancel()
         entry = self.entries[name] = self._entry(name, self._ranking)
-        self._tasks.start_soon(self._live, entry)
+        self._tasks.start_soon(self._run_entry, entry)
 
     def reconnect(self) -> None:
-        """Let everything answer again."""
+        """End all faults."""
         self.store.is_down = False
         for entry in self.entries.values():
-            entry.is_silent = entry.is_down = entry.way.is_cut = False
+            entry.is_silent = entry.is_down = entry.connection.is_cut = False
 
     def _entry(
         self, name: str, ranking: tuple[peer_selection.Peer, ...]
     ) -> Entry:
-        way = Way(self.store)
+        connection = StoreConnection(self.store)
         health = store_health.StoreHealth()
         selector = peer_selection.PeerSelector(
             name, lambda: ranking, self, health
         )
         health.set_probe_interval(selector.pause)
-        sight = Sight()
+        follower = RecordingFollower()
         mirror = mirrors.Mirror(
-            way, KIND, sight, self._wait, lambda: 0.0, health, selector
+            connection,
+            KIND,
+            follower,
+            self._wait,
+            lambda: 0.0,
+            health,
+            selector,
         )
-        return Entry(name, way, health, selector, sight, mirror)
+        return Entry(name, connection, health, selector, follower, mirror)
 
     def __getitem__(self, number: int) -> Entry:
         return self.entries[f"entry-{number}"]
 
     @property
     def calls(self) -> int:
-        return sum(one.way.calls for one in self.entries.values())
+        return sum(one.connection.calls for one in self.entries.values())
 
     async def watch(
         self,
@@ -187,29 +192,29 @@
         after: stores.Position,
         wait: float,
     ) -> stores.PeerChanges:
-        """Ask an entry, as its HTTP side would."""
+        """Return an entry's changes, as its HTTP endpoint does."""
         entry = self.entries[peer.name]
         await anyio.sleep(0.001)
         if entry.is_down:
             raise _lost()
         if entry.is_silent:
-            await anyio.sleep(wait + PATIENCE)
+            await anyio.sleep(wait + TIMEOUT_SLACK_SECONDS)
             raise _lost()
         entry.selector.note_peer_request()
-        sighting = await entry.mirror.changes_since(after, wait)
-        if entry.is_too_large and sighting.changes.objects:
-            raise errors.CrowdeckError(errors.Code.TOO_LARGE, "400 KB")
+        peer_changes = await entry.mirror.changes_since(after, wait)
+        if entry.is_too_large and peer_changes.changes.objects:
+            raise errors.CrowdeckError(errors.Code.TOO_LARGE, "too large")
         if entry.is_silent:
-            await anyio.sleep(PATIENCE)
+            await anyio.sleep(TIMEOUT_SLACK_SECONDS)
             raise _lost()
         await anyio.sleep(0.001)
-        return sighting
+        return peer_changes
 
     def write(self) -> int:
         return self.store.write(KIND, "main", b"{}")
 
     def oldest(self) -> float:
-        """Return the greatest age of a copy of those that can be asked."""
+        """Return the greatest age of a copy among reachable entries."""
         return max(
             one.mirror.age()
             for one in self.entries.values()
@@ -218,13 +223,13 @@
 
 
 def _lost() -> errors.CrowdeckError:
-    return errors.CrowdeckError(errors.Code.UPSTREAM_LOST, "no answer")
+    return errors.CrowdeckError(errors.Code.UPSTREAM_LOST, "no response")
 
 
 Work = typing.Callable[[Zone], typing.Awaitable[None]]
 
 
-def play(count: int, work: Work, wait: float = WAIT) -> None:
+def play(count: int, work: Work, wait: float = WAIT_SECONDS) -> None:
     async def body() -> None:
         zone = Zone(count, wait)
         zone.write()
@@ -238,7 +243,7 @@
 
 
 async def oldest_over(zone: Zone, seconds: float) -> float:
-    """Return the greatest age of any copy within some time."""
+    """Return the greatest age of a copy over a time span."""
     ends = anyio.current_time() + seconds
     oldest = 0.0
     while anyio.current_time() < ends:
