--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -3,11 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What other writers put into the store, and bytes that nobody meant.
+"""Malformed data in the store, from other writers or damage.
 
-An entry with fields missing or of other types, an unknown state, or bytes
-that cannot be read names no engine. All others hold, and nothing that reads
-them ends.
+An entry that is malformed names no engine. The other entries stay valid, and
+no task that reads them fails.
 """
 
 import typing
@@ -61,7 +60,7 @@
     max_leaves=6,
 )
 
-ENTRY = orjson.loads(test_lives.an_entry(1, born=5).value)
+ENTRY = orjson.loads(test_lives.stored_entry(1, born=5).value)
 REPORT = {
     names.ORDERS_TAKEN: 3,
     names.BUSY: False,
@@ -92,7 +91,7 @@
     return whole
 
 
-def dumped(body: typing.Any) -> bytes:
+def to_bytes(body: typing.Any) -> bytes:
     try:
         return orjson.dumps(body)
     except TypeError:
@@ -104,17 +103,17 @@
 
 
 class TestDecoders:
-    """Nothing but the error that their callers know comes out."""
+    """Decoders raise nothing but the errors that callers handle."""
 
     @SETTINGS
     @hypothesis.given(ANYTHING | mutated(ENTRY), strategies.text(max_size=9))
     def test_entries(self, body: typing.Any, name: str) -> None:
         try:
-            found = upstreams.decode(stored(dumped(body), name))
+            found = upstreams.decode(stored(to_bytes(body), name))
         except errors.CrowdeckError as error:
             assert error.code is errors.Code.MALFORMED
             return
-        # What passes can be dialled and named in a header.
+        # The address can be dialled, and the id can be sent in a header.
         assert instances.Address.parse(str(found.address)) == found.address
         assert (
             found.incarnation.id.isascii()
@@ -126,7 +125,7 @@
     @hypothesis.given(ANYTHING | mutated(REPORT))
     def test_reports(self, body: typing.Any) -> None:
         try:
-            found = upstreams.decode_report(dumped(body))
+            found = upstreams.decode_report(to_bytes(body))
         except errors.CrowdeckError as error:
             assert error.code is errors.Code.MALFORMED
             return
@@ -136,7 +135,7 @@
     @hypothesis.given(ANYTHING | mutated(test_platform_formats.CONFIG))
     def test_configs(self, body: typing.Any) -> None:
         try:
-            config.decode(dumped(body))
+            config.decode(to_bytes(body))
         except errors.CrowdeckError:
             return
 
@@ -152,9 +151,9 @@
             }
         )
     )
-    def test_peers_answers(self, body: typing.Any) -> None:
+    def test_responses_of_peers(self, body: typing.Any) -> None:
         try:
-            peer_http._decode("servers", dumped(body))
+            peer_http._decode("servers", to_bytes(body))
         except errors.CrowdeckError:
             return
 
@@ -170,37 +169,37 @@
             }
         )
     )
-    def test_notes_of_entries(self, body: typing.Any) -> None:
+    def test_records_of_entries(self, body: typing.Any) -> None:
         one = rosters.Roster(
             standin_store.StandinStore(), "entry-0", rosters.EntryRecord("a")
         )
-        one.on_changed((stored(dumped(body), "other"),), ())
+        one.on_changed((stored(to_bytes(body), "other"),), ())
         assert one.count == 2
 
     @pytest.mark.parametrize(
         "state", ["loading", "", 7, None, ["ready"], {"state": "ready"}]
     )
-    def test_states_that_no_instance_has(self, state: object) -> None:
+    def test_unknown_states(self, state: object) -> None:
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(test_lives.an_entry(1, state=state))
+            upstreams.decode(test_lives.stored_entry(1, state=state))
 
-    def test_entry_without_a_state_names_no_instance(self) -> None:
-        # It counted as ready, and whatever stood at its address was called.
-        body = orjson.loads(test_lives.an_entry(1).value)
+    def test_entry_without_a_state_is_rejected(self) -> None:
+        # It must not count as ready.
+        body = orjson.loads(test_lives.stored_entry(1).value)
         del body[names.STATE]
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(stored(dumped(body)))
+            upstreams.decode(stored(to_bytes(body)))
 
     @pytest.mark.parametrize(
         "address", ["example.org:80", "10.0.0.1:0", "10.0.0.1:65536", "1:2:3"]
     )
     def test_addresses_that_cannot_be_dialled(self, address: str) -> None:
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(test_lives.an_entry(1, address=address))
+            upstreams.decode(test_lives.stored_entry(1, address=address))
 
 
 class FixedClient:
-    """Answers every question of the store with the same bytes."""
+    """Responds to every request with the same bytes."""
 
     def __init__(self, content: bytes) -> None:
         self._content = content
@@ -209,7 +208,7 @@
         return services.ServiceResponse(200, (), self._content)
 
 
-def ask(content: bytes) -> platform_store.HttpStore:
+def store_with(content: bytes) -> platform_store.HttpStore:
     client = typing.cast(http.HttpClient, FixedClient(content))
     return platform_store.HttpStore(client)
 
@@ -228,10 +227,10 @@
 
 
 class TestLists:
-    """A list in which one object is spoilt."""
+    """A listing in which one object is malformed."""
 
     @pytest.mark.parametrize(
-        "spoilt",
+        "malformed",
         [
             item("bad", b'"\\ud800"'),
             item("bad", b'"\xff\xfe"'),
@@ -243,28 +242,30 @@
             b"null",
         ],
     )
-    def test_the_others_are_read(self, spoilt: bytes) -> None:
+    def test_the_others_are_read(self, malformed: bytes) -> None:
         async def body() -> None:
             good = orjson.dumps(ENTRY)
-            content = listing(item("a", good), spoilt, item("z", good))
-            changes = await ask(content).list("servers")
+            content = listing(item("a", good), malformed, item("z", good))
+            changes = await store_with(content).list("servers")
             one = registries.UpstreamRegistry(upstreams.decode)
             one.on_listed(changes.objects)
             usable = one.usable(fleet_system.MODEL)
-            # Both have one address, of which the newer one keeps it.
+            # Both have the same address; the one listed last keeps it.
             assert [it.incarnation.id for it in usable] == ["z"]
             assert "a" in {it.name for it in changes.objects}
 
         virtual.run(body)
 
-    @pytest.mark.parametrize("spoilt", [b'"\\ud800"', b'"\xff"', b"1" * 400])
-    def test_peers_tell_one_another_of_the_others(self, spoilt: bytes) -> None:
+    @pytest.mark.parametrize(
+        "malformed", [b'"\\ud800"', b'"\xff"', b"1" * 400]
+    )
+    def test_the_others_are_sent_to_peers(self, malformed: bytes) -> None:
         async def body() -> None:
             good = orjson.dumps(ENTRY)
-            content = listing(item("a", good), item("bad", spoilt))
-            changes = await ask(content).list("servers")
-            told = peer_http._encode(stores.PeerChanges(changes, 0.0))
-            found = peer_http._decode("servers", told).changes.objects
+            content = listing(item("a", good), item("bad", malformed))
+            changes = await store_with(content).list("servers")
+            encoded = peer_http._encode(stores.PeerChanges(changes, 0.0))
+            found = peer_http._decode("servers", encoded).changes.objects
             assert {one.name for one in found} == {"a", "bad"}
             read = upstreams.decode(found[0])
             assert read.service == ENTRY[names.SERVICE]
@@ -288,10 +289,10 @@
             }
         )
     )
-    def test_watches_read_on_or_say_why_not(self, told: typing.Any) -> None:
+    def test_watches_raise_only_store_down(self, response: typing.Any) -> None:
         async def body() -> None:
             try:
-                await ask(dumped(told)).watch(
+                await store_with(to_bytes(response)).watch(
                     "servers", stores.Position(1), 0.1
                 )
             except errors.CrowdeckError as error:
@@ -300,15 +301,13 @@
         virtual.run(body)
 
 
-class TestLeaseOfAnotherWriter:
-    """A lease in the store that somebody else wrote over."""
+class TestOverwrittenLease:
+    """A lease in the store that another writer has overwritten."""
 
     @pytest.mark.parametrize(
-        "spoilt", [b"7", b'"mine"', b"{}", b'{"holder":"x","term":"y"}']
+        "malformed", [b"7", b'"mine"', b"{}", b'{"holder":"x","term":"y"}']
     )
-    def test_is_taken_once_it_has_not_changed_for_long(
-        self, spoilt: bytes
-    ) -> None:
+    def test_is_taken_once_it_has_expired(self, malformed: bytes) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             lease = leases.Lease(store, "placement", "one/1")
@@ -316,7 +315,7 @@
                 tasks.start_soon(lease.run)
                 await anyio.sleep(1.0)
                 assert lease.is_held
-                store.write(leases.KIND, "placement", spoilt)
+                store.write(leases.KIND, "placement", malformed)
                 await anyio.sleep(2.0)
                 await anyio.sleep(3 * leases.LEASE_SECONDS)
                 assert lease.is_held
@@ -325,10 +324,8 @@
 
         virtual.run(body)
 
-    def test_is_taken_though_it_is_spoilt_again_and_again(self) -> None:
-        # An entry that held it was killed while another program wrote over
-        # it, three times in two seconds. Each time the others waited its
-        # whole length anew, and layers were missing for 8 s and more.
+    def test_is_taken_while_it_is_overwritten_repeatedly(self) -> None:
+        # Overwriting it must not start the wait for its expiry anew.
         async def body() -> None:
             store = standin_store.StandinStore()
             gone = leases.Lease(store, "placement", "gone")
@@ -353,9 +350,9 @@
 
 
 class TestLayersBeyondTheModel:
-    """An engine that says it holds layers which the model does not have."""
+    """An engine whose entry names layers that the model does not have."""
 
-    def test_breaks_no_path_and_no_plan(self) -> None:
+    def test_do_not_break_paths_or_plans(self) -> None:
         async def body() -> None:
             profile = fleet_system.PROFILE
             engines = [
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Instances whose process starts again under the id that it had."""
+"""Instances whose process is restarted under the same id."""
 
 import functools
 
@@ -27,7 +27,7 @@
 ADDRESS = "10.0.0.1:8000"
 
 
-def an_entry(version: int, **changes: object) -> stores.StoredObject:
+def stored_entry(version: int, **changes: object) -> stores.StoredObject:
     """Return the entry of an engine ``e``."""
     body = {
         names.SERVICE: fleet_system.MODEL,
@@ -46,8 +46,8 @@
     return orjson.dumps({names.ORDERS_TAKEN: 0, **changes})
 
 
-class Book:
-    """A book of upstreams, and the ends that it told of."""
+class Registry:
+    """An upstream registry that records the ends it has reported."""
 
     def __init__(self) -> None:
         self.registry = registries.UpstreamRegistry(upstreams.decode)
@@ -62,7 +62,7 @@
         return list(self.registry.usable(fleet_system.MODEL))
 
 
-def in_time(test):  # type: ignore[no-untyped-def]
+def virtual_time(test):  # type: ignore[no-untyped-def]
     """Run an asynchronous test in virtual time."""
 
     @functools.wraps(test)
@@ -76,76 +76,74 @@
 
 
 class TestLife:
-    """What tells one run of an instance from the next."""
+    """Distinction of successive processes of an instance."""
 
-    def test_each_run_has_a_name_of_its_own(self) -> None:
-        runs = [
+    def test_each_process_has_a_name_of_its_own(self) -> None:
+        incarnations = [
             chain.Incarnation("e"),
             chain.Incarnation("e", 1),
             chain.Incarnation("e", 2),
         ]
-        assert len({one.name for one in runs}) == 3
-        assert runs[1].is_before(runs[2])
-        assert not runs[2].is_before(runs[1])
-        assert not runs[1].is_before(chain.Incarnation("f", 2))
+        assert len({one.name for one in incarnations}) == 3
+        assert incarnations[1].is_before(incarnations[2])
+        assert not incarnations[2].is_before(incarnations[1])
+        assert not incarnations[1].is_before(chain.Incarnation("f", 2))
 
 
-class TestStartedAgain:
-    """The book, when an entry tells of another run."""
+class TestRestart:
+    """The registry, when an entry names another process."""
 
-    @in_time
-    async def test_nothing_believed_before_counts(self) -> None:
-        one = Book()
-        one.take(an_entry(1, born=100))
+    @virtual_time
+    async def test_resets_what_was_known_before(self) -> None:
+        one = Registry()
+        one.take(stored_entry(1, born=100))
         one.registry.avoid("e#100", "failed", is_gone=True)
         assert one.usable == []
-        one.take(an_entry(2, born=200, layers=None))
+        one.take(stored_entry(2, born=200, layers=None))
         assert [it.name for it in one.usable] == ["e#200"]
         assert one.usable[0].layers is None
         assert one.usable[0].incarnation.id == "e"
         assert one.registry.has_ended("e#100")
         assert not one.registry.has_ended("e#200")
 
-    @in_time
-    async def test_the_earlier_run_is_told_to_have_ended_once(self) -> None:
-        one = Book()
-        one.take(an_entry(1, born=100))
-        one.take(an_entry(2, born=200))
+    @virtual_time
+    async def test_end_of_the_earlier_process_is_reported_once(self) -> None:
+        one = Registry()
+        one.take(stored_entry(1, born=100))
+        one.take(stored_entry(2, born=200))
         assert one.ends == ["e#100"]
         one.registry.on_changed((), ("e",))
         assert one.ends == ["e#100", "e#200"]
 
-    @in_time
-    async def test_an_older_entry_that_comes_late_changes_nothing(
-        self,
-    ) -> None:
-        one = Book()
-        one.take(an_entry(2, born=200))
-        one.take(an_entry(1, born=100, state=names.STATE_DRAINING))
+    @virtual_time
+    async def test_outdated_entry_changes_nothing(self) -> None:
+        one = Registry()
+        one.take(stored_entry(2, born=200))
+        one.take(stored_entry(1, born=100, state=names.STATE_DRAINING))
         assert [it.name for it in one.usable] == ["e#200"]
         assert one.ends == []
 
-    @in_time
-    async def test_a_removal_that_was_missed(self) -> None:
-        # The list that follows holds the new run's entry only.
-        one = Book()
-        one.take(an_entry(1, born=100))
-        one.registry.on_listed((an_entry(7, born=200),))
+    @virtual_time
+    async def test_removal_that_was_missed(self) -> None:
+        # The next listing holds only the entry of the new process.
+        one = Registry()
+        one.take(stored_entry(1, born=100))
+        one.registry.on_listed((stored_entry(7, born=200),))
         assert [it.name for it in one.usable] == ["e#200"]
         assert one.ends == ["e#100"]
 
-    @in_time
-    async def test_an_end_known_already_is_told_no_second_time(self) -> None:
-        one = Book()
-        one.take(an_entry(1, born=100))
+    @virtual_time
+    async def test_end_known_already_is_not_reported_again(self) -> None:
+        one = Registry()
+        one.take(stored_entry(1, born=100))
         one.registry.avoid("e#100", "nobody listens", is_gone=True)
-        one.take(an_entry(2, born=200))
+        one.take(stored_entry(2, born=200))
         assert one.ends == ["e#100"]
 
-    @in_time
-    async def test_an_end_is_told_while_it_is_left_alone(self) -> None:
-        one = Book()
-        one.take(an_entry(1, born=100))
+    @virtual_time
+    async def test_end_is_reported_while_the_instance_is_avoided(self) -> None:
+        one = Registry()
+        one.take(stored_entry(1, born=100))
         one.registry.avoid("e#100", "silent")
         assert one.ends == []
         one.registry.avoid("e#100", "nobody listens", is_gone=True)
@@ -162,11 +160,11 @@
             max_size=12,
         )
     )
-    def test_lives_never_go_back_in_any_order_of_entries(
+    def test_start_times_never_decrease_in_any_order_of_entries(
         self, steps: list[int | str]
     ) -> None:
         async def body() -> None:
-            one = Book()
+            one = Registry()
             newest = 0
             for version, step in enumerate(steps, 1):
                 if step == "gone":
@@ -175,7 +173,7 @@
                     assert one.usable == []
                     continue
                 assert isinstance(step, int)
-                one.take(an_entry(version, born=step))
+                one.take(stored_entry(version, born=step))
                 newest = max(newest, step)
                 assert [it.started_ms for it in one.usable] == [newest]
             assert len(one.ends) == len(set(one.ends)) or "gone" in steps
@@ -184,85 +182,85 @@
 
 
 class TestReports:
-    """Reports that another run of the engine made."""
+    """Reports of this and of other processes of an engine."""
 
-    def a_life(self, born: int) -> chain.Incarnation:
+    def incarnation(self, born: int) -> chain.Incarnation:
         return chain.Incarnation("e", born)
 
-    def test_of_this_run(self) -> None:
+    def test_of_this_process(self) -> None:
         report = upstreams.decode_report(a_report(born=100))
-        assert not report.is_from_later_run(self.a_life(100))
+        assert not report.is_from_later_run(self.incarnation(100))
 
-    def test_of_a_later_run(self) -> None:
+    def test_of_a_later_process(self) -> None:
         report = upstreams.decode_report(a_report(born=101))
-        assert report.is_from_later_run(self.a_life(100))
+        assert report.is_from_later_run(self.incarnation(100))
 
     @pytest.mark.parametrize("changes", [{"born": 99}, {}])
-    def test_of_an_earlier_run_or_of_none(
+    def test_of_an_earlier_process_or_without_start_time(
         self, changes: dict[str, object]
     ) -> None:
         report = upstreams.decode_report(a_report(**changes))
         with pytest.raises(errors.CrowdeckError) as caught:
-            report.is_from_later_run(self.a_life(100))
+            report.is_from_later_run(self.incarnation(100))
         assert caught.value.code is errors.Code.MALFORMED
 
-    def test_where_neither_tells(self) -> None:
+    def test_without_any_start_time(self) -> None:
         report = upstreams.decode_report(a_report())
-        assert not report.is_from_later_run(self.a_life(0))
+        assert not report.is_from_later_run(self.incarnation(0))
 
     @pytest.mark.parametrize("born", ["100", 1.5, True, None, -1, [], {}])
-    def test_no_whole_number(self, born: object) -> None:
+    def test_malformed_start_times(self, born: object) -> None:
         with pytest.raises(errors.CrowdeckError):
             upstreams.decode_report(a_report(born=born))
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(an_entry(1, born=born))
+            upstreams.decode(stored_entry(1, born=born))
 
 
-class TestUnreadableEntry:
-    """An entry that another writer spoilt."""
+class TestMalformedEntry:
+    """Entries that another writer has damaged."""
 
-    @in_time
-    async def test_of_an_unknown_service_takes_nobodys_place(self) -> None:
-        # It names the address of a sound engine.
-        one = Book()
+    @virtual_time
+    async def test_unknown_service_replaces_no_instance(self) -> None:
+        # The entry has the address of a healthy engine.
+        one = Registry()
         one.registry.set_services_source(
             lambda: frozenset({fleet_system.MODEL})
         )
-        one.take(an_entry(1))
-        foreign = an_entry(9, service="nobody's")
+        one.take(stored_entry(1))
+        foreign = stored_entry(9, service="nobody's")
         one.take(attrs.evolve(foreign, name="foreign"))
         assert [it.name for it in one.usable] == ["e"]
-        # Of a service that there is, an address is another's for good.
-        one.take(attrs.evolve(an_entry(10), name="next"))
+        # An entry of a known service replaces the one at its address.
+        one.take(attrs.evolve(stored_entry(10), name="next"))
         assert [it.name for it in one.usable] == ["next"]
 
-    @in_time
-    async def test_ends_the_use_of_its_engine_alone(self) -> None:
-        one = Book()
+    @virtual_time
+    async def test_only_its_own_engine_is_dropped(self) -> None:
+        one = Registry()
         other = attrs.evolve(
-            an_entry(1, address="10.0.0.2:8000"), name="other"
+            stored_entry(1, address="10.0.0.2:8000"), name="other"
         )
-        one.take(an_entry(1), other)
-        one.take(an_entry(2, address=7))
+        one.take(stored_entry(1), other)
+        one.take(stored_entry(2, address=7))
         assert [it.name for it in one.usable] == ["other"]
 
-    @in_time
-    async def test_is_used_again_once_it_can_be_read(self) -> None:
-        one = Book()
-        one.take(an_entry(1))
-        one.take(an_entry(2, slots="many"))
+    @virtual_time
+    async def test_engine_is_used_again_once_the_entry_is_valid(self) -> None:
+        one = Registry()
+        one.take(stored_entry(1))
+        one.take(stored_entry(2, slots="many"))
         assert one.usable == []
-        one.take(an_entry(3))
+        one.take(stored_entry(3))
         assert [it.name for it in one.usable] == ["e"]
 
-    @in_time
-    async def test_that_no_longer_tells_when_it_started(self) -> None:
-        one = Book()
-        one.take(an_entry(1, born=100))
-        one.take(an_entry(2))
+    @virtual_time
+    async def test_start_time_that_was_removed(self) -> None:
+        one = Registry()
+        one.take(stored_entry(1, born=100))
+        one.take(stored_entry(2))
         assert one.usable == []
 
-    def test_addresses_are_what_they_were(self) -> None:
-        found = upstreams.decode(an_entry(1))
+    def test_address_and_layers_are_decoded(self) -> None:
+        found = upstreams.decode(stored_entry(1))
         assert found.address == instances.Address.parse(ADDRESS)
         assert found.layers == pipeline.LayerRange(0, 80)
