--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -241,11 +241,11 @@
         self._versions[stored.name] = stored.version
         record = self._records[stored.name] = decode_record(stored)
         if stored.name != self._name:
-            self._quarantine.take(stored.name, record.evidence)
+            self._quarantine.set_peer_evidence(stored.name, record.evidence)
             return
         self._set_since()
         # Keeps the evidence of earlier processes of this entry.
-        self._quarantine.take_own(record.evidence)
+        self._quarantine.merge_own_evidence(record.evidence)
         self._publish_evidence()
 
     def _set_since(self) -> None:
--- a/src/crowdeck/quarantine/attribution.py
+++ b/src/crowdeck/quarantine/attribution.py
@@ -3,12 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which requests end the instances that begin them: the decision alone.
+"""Attribution of instances' unplanned ends to the requests that cause them.
 
-A request that ran at an instance when it ended need not be the cause; tens
-of others ran there too, and those that go on elsewhere meet the cause again
-when it comes. So each end is put down to the request that was at most ends
-in all, and no other of its requests is blamed for it.
+A request that ran at an instance when it ended need not be the cause. Many
+others ran there too, and those that are retried may meet the cause again at
+another instance. So each end is attributed to the request that was present
+at the most ends, and to no other.
 """
 
 import collections
@@ -19,20 +19,16 @@
 from crowdeck.quarantine import evidence
 from crowdeck.quarantine import fingerprint
 
-# Instances that a request may end. With two, one that is merely unlucky
-# twice is refused: when six of 39 engines are lost one after the other,
-# streams that move away from one meet the next. With three the cause takes
-# one more engine, for seconds.
-ENDS_ALLOWED = 3
-# Two that were at the same ends cannot be told apart by them: the one that
-# merely ran beside is served at its next attempt, or the cause ends one more
-# engine alone. So a tie is judged an end later.
-ENDS_ALLOWED_TIED = ENDS_ALLOWED + 1
-# Ends this long after a request was last served whole say nothing against
-# it. One that many callers send alike is at every engine that ends, and not
-# served while the cause comes: in 8 s with faults it was put in quarantine,
-# and 68 of 212 requests were served. Longer, a request that a new release of
-# the engines cannot run would end them for longer.
+# Ends at which a request is quarantined. Two may be a coincidence: a stream
+# that is moved from an instance that ended may meet the next one.
+ENDS_TO_BLAME = 3
+# Requests that were present at the same ends cannot be told apart. One more
+# end decides, unless the innocent one is served first.
+ENDS_TO_BLAME_TIED = ENDS_TO_BLAME + 1
+# Ends within this time after a request was served are not held against it.
+# That protects requests that many callers send alike, which are present at
+# every end. A request that crashes only a new release of the engines is found
+# this much later.
 SERVED_SECONDS = 30.0
 
 
@@ -40,12 +36,12 @@
 
 
 @attrs.frozen
-class Case:
-    """One instance's end, and who may have brought it about.
+class UnexplainedEnd:
+    """One instance's end, with the requests that may have caused it.
 
-    :ivar at: time of day.
-    :ivar unbegun: requests that had brought no event.
-    :ivar begun: requests whose first event had just come.
+    :ivar at: wall-clock time in seconds.
+    :ivar unbegun: requests that had not produced an event.
+    :ivar begun: requests that had just produced their first event.
     """
 
     at: float
@@ -54,21 +50,21 @@
 
     @property
     def suspects(self) -> Requests:
-        """All of them."""
+        """All requests that may have caused it."""
         return self.unbegun | self.begun
 
 
-def open_cases(
+def unexplained_ends(
     ends: typing.Iterable[evidence.InstanceEnd],
     served_at: typing.Mapping[fingerprint.Fingerprint, float],
-) -> list[Case]:
-    """Return the ends less the suspects that were served whole lately.
+) -> list[UnexplainedEnd]:
+    """Return the ends without the suspects that were served lately.
 
-    The cause never is, so an end before says nothing against those, nor
-    one soon after.
+    The cause is never served. So ends before a request was served, or soon
+    after, are not held against it.
 
-    :param ends: one for each instance, of all entries together.
-    :param served_at: when a suspect was last served, in the time of day.
+    :param ends: one per instance, merged from all entries.
+    :param served_at: wall-clock times at which suspects were last served.
     """
     never = float("-inf")
 
@@ -80,7 +76,7 @@
         )
 
     return [
-        Case(
+        UnexplainedEnd(
             one.at,
             unserved(one.unbegun, one.at),
             unserved(one.begun, one.at),
@@ -89,69 +85,82 @@
     ]
 
 
-def settle(cases: list[Case], before: float) -> list[Case]:
-    """Leave out what had begun at ends that are not known in full yet.
+def drop_unsettled(
+    unexplained: list[UnexplainedEnd], before: float
+) -> list[UnexplainedEnd]:
+    """Drop suspects that had begun from ends that are too recent.
 
-    :param before: later ends may have suspects that nobody told of yet.
+    :param before: wall-clock time; other entries may not have reported their
+        suspects of later ends yet.
     """
     return [
         one if one.at <= before else attrs.evolve(one, begun=frozenset())
-        for one in cases
+        for one in unexplained
     ]
 
 
-def count(cases: list[Case]) -> collections.Counter[fingerprint.Fingerprint]:
-    """Return at how many ends each suspect was."""
-    return collections.Counter(one for case in cases for one in case.suspects)
+def count_ends(
+    unexplained: list[UnexplainedEnd],
+) -> collections.Counter[fingerprint.Fingerprint]:
+    """Return the number of ends at which each suspect was present."""
+    return collections.Counter(
+        one for end in unexplained for one in end.suspects
+    )
 
 
-def culprits(
-    cases: list[Case],
-    allowed: int = ENDS_ALLOWED,
-    allowed_tied: int = ENDS_ALLOWED_TIED,
+def find_culprits(
+    unexplained: list[UnexplainedEnd],
+    threshold: int = ENDS_TO_BLAME,
+    threshold_tied: int = ENDS_TO_BLAME_TIED,
 ) -> dict[fingerprint.Fingerprint, int]:
-    """Return the requests that are to be sent on no more.
+    """Return the requests to quarantine.
 
-    :return: each culprit, and how many ends it is blamed for.
+    :return: the number of ends attributed to each of them.
     """
     found: dict[fingerprint.Fingerprint, int] = {}
-    left = cases
+    left = unexplained
     while True:
         ranks = _rank(left)
         first = max(
             ranks, key=lambda one: (ranks[one], str(one)), default=None
         )
-        if first is None or ranks[first][0] < allowed:
+        if first is None or ranks[first][0] < threshold:
             return found
         tied = _tied(first, ranks, left)
         ends = ranks[first][0]
-        if len(tied) == 1 or ends >= allowed_tied:
+        if len(tied) == 1 or ends >= threshold_tied:
             found |= dict.fromkeys(tied, ends)
-        # Whoever of them it was, nobody else is blamed for these ends.
-        left = [case for case in left if not case.suspects & tied]
+        # These ends are explained, so no other request is blamed for them.
+        left = [end for end in left if not end.suspects & tied]
 
 
 def _tied(
     first: fingerprint.Fingerprint,
     ranks: dict[fingerprint.Fingerprint, tuple[int, int]],
-    cases: list[Case],
+    unexplained: list[UnexplainedEnd],
 ) -> Requests:
-    """Return who cannot be told from a suspect, itself included."""
-    beside = frozenset[fingerprint.Fingerprint]().union(
-        *(case.suspects for case in cases if first in case.suspects)
+    """Return the suspects that share an end and the rank with ``first``.
+
+    The result includes ``first``.
+    """
+    present = frozenset[fingerprint.Fingerprint]().union(
+        *(end.suspects for end in unexplained if first in end.suspects)
     )
-    return frozenset(one for one in beside if ranks[one] == ranks[first])
+    return frozenset(one for one in present if ranks[one] == ranks[first])
 
 
 def _rank(
-    cases: list[Case],
+    unexplained: list[UnexplainedEnd],
 ) -> dict[fingerprint.Fingerprint, tuple[int, int]]:
-    """Return for each suspect its ends, and those without an event.
+    """Return for each suspect its ends, and how many of them had no event.
 
-    The cause ends its engine before its first event; one that ran beside
-    it has mostly had some at one end or another.
+    The cause ends its engine before its first event, while an innocent
+    request mostly had one at some of the ends.
     """
     without = collections.Counter(
-        one for case in cases for one in case.unbegun
+        one for end in unexplained for one in end.unbegun
     )
-    return {one: (ends, without[one]) for one, ends in count(cases).items()}
+    return {
+        one: (ends, without[one])
+        for one, ends in count_ends(unexplained).items()
+    }
--- a/src/crowdeck/quarantine/evidence.py
+++ b/src/crowdeck/quarantine/evidence.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What entries tell one another of instances that ended under requests."""
+"""The evidence that entries exchange about instances that ended unexpectedly."""
 
 import typing
 
@@ -11,28 +11,27 @@
 
 from crowdeck.quarantine import fingerprint
 
-# Ends and served requests that one entry tells of at most; the newest stay.
-# One entry had part in 17 ends within 13 s. What it tells stays below 20 KB,
-# which an entry with 10 Mbit/s reads in 16 ms.
-ENDS_MOST = 32
-SERVED_MOST = 32
-# Requests told of for one end: those that were at most ends before, and
-# then those without an event.
-SUSPECTS_MOST = 24
+# Ends and served requests that one entry reports; the newest are kept. They
+# bound the size of its record in the store.
+MAX_ENDS = 32
+MAX_SERVED = 32
+# Suspects reported per end, those at the most ends first, then those without
+# an event.
+MAX_SUSPECTS = 24
 
 Rank = typing.Callable[[fingerprint.Fingerprint], int]
 
 
 @attrs.frozen
 class InstanceEnd:
-    """One instance's end, and what may have brought it about.
-
-    :ivar instance: name of the instance's run.
-    :ivar at: time of day, in seconds. Clocks of entries differ by seconds;
-        it only decides what is forgotten after an hour.
-    :ivar unbegun: requests that the instance had been sent, and that had
-        brought no event.
-    :ivar begun: requests that had brought their first just before.
+    """One instance's unplanned end, with the requests that ran there.
+
+    :ivar instance: name of the instance.
+    :ivar at: wall-clock time in seconds. Clocks of entries may differ by some
+        seconds.
+    :ivar unbegun: requests that were sent to the instance and had not
+        produced an event.
+    :ivar begun: requests that had just produced their first event.
     """
 
     instance: str
@@ -42,11 +41,11 @@
 
     @property
     def suspects(self) -> frozenset[fingerprint.Fingerprint]:
-        """All requests that may have brought it about."""
+        """All requests that may have caused it."""
         return self.unbegun | self.begun
 
-    def joined(self, other: "InstanceEnd") -> "InstanceEnd":
-        """Return what two entries together know of the same end."""
+    def merged_with(self, other: "InstanceEnd") -> "InstanceEnd":
+        """Return the combined evidence of two entries on the same end."""
         unbegun = self.unbegun | other.unbegun
         return InstanceEnd(
             self.instance,
@@ -57,10 +56,11 @@
 
 
 @attrs.frozen
-class Served:
-    """A suspect that was served whole after all.
+class ServedRequest:
+    """A suspect that was served completely.
 
-    :ivar at: time of day; ends before it are not held against it.
+    :ivar at: wall-clock time in seconds; ends before it are not held against
+        the request.
     """
 
     request: fingerprint.Fingerprint
@@ -69,57 +69,57 @@
 
 @attrs.frozen
 class Evidence:
-    """All that one entry tells."""
+    """All evidence of one entry."""
 
     ends: tuple[InstanceEnd, ...] = ()
-    served: tuple[Served, ...] = ()
+    served: tuple[ServedRequest, ...] = ()
 
     @property
     def newest(self) -> float:
-        """The time of day of the last thing told of, 0 for nothing."""
+        """Wall-clock time of the newest item, 0 if there is none."""
         ended = max((one.at for one in self.ends), default=0.0)
         served = max((one.at for one in self.served), default=0.0)
         return max(ended, served)
 
     def __bool__(self) -> bool:
-        """Whether it tells anything."""
+        """Whether there is any evidence."""
         return bool(self.ends or self.served)
 
     def between(self, first: float, last: float) -> "Evidence":
-        """Return what is neither older nor newer than two times of day."""
+        """Return the evidence between two wall-clock times, inclusive."""
         return Evidence(
             tuple(one for one in self.ends if first <= one.at <= last),
             tuple(one for one in self.served if first <= one.at <= last),
         )
 
     def with_end(self, end: InstanceEnd, rank: Rank) -> "Evidence":
-        """Return it with another end, or with more suspects of one.
+        """Return the evidence with an end added or merged.
 
-        :param rank: at how many ends a request is known to have been.
+        :param rank: returns the number of known ends of a request.
         """
         held = {one.instance: one for one in self.ends}
         if end.instance in held:
-            end = held[end.instance].joined(end)
-        held[end.instance] = _bounded(end, rank)
-        return attrs.evolve(self, ends=tuple(held.values())[-ENDS_MOST:])
+            end = held[end.instance].merged_with(end)
+        held[end.instance] = _truncated(end, rank)
+        return attrs.evolve(self, ends=tuple(held.values())[-MAX_ENDS:])
 
-    def with_served(self, served: Served) -> "Evidence":
-        """Return it with another request that was served."""
+    def with_served(self, served: ServedRequest) -> "Evidence":
+        """Return the evidence with a served request added."""
         held = {one.request: one for one in self.served}
         before = held.get(served.request, served)
         held[served.request] = max(before, served, key=lambda one: one.at)
-        return attrs.evolve(self, served=tuple(held.values())[-SERVED_MOST:])
+        return attrs.evolve(self, served=tuple(held.values())[-MAX_SERVED:])
 
 
-def _bounded(end: InstanceEnd, rank: Rank) -> InstanceEnd:
-    """Keep the likeliest of an end's suspects."""
-    if len(end.suspects) <= SUSPECTS_MOST:
+def _truncated(end: InstanceEnd, rank: Rank) -> InstanceEnd:
+    """Return an end with its most likely suspects only."""
+    if len(end.suspects) <= MAX_SUSPECTS:
         return end
     order = sorted(
         end.suspects,
         key=lambda one: (-rank(one), one not in end.unbegun, str(one)),
     )
-    kept = frozenset(order[:SUSPECTS_MOST])
+    kept = frozenset(order[:MAX_SUSPECTS])
     return attrs.evolve(
         end, unbegun=end.unbegun & kept, begun=end.begun & kept
     )
@@ -142,17 +142,17 @@
 
 
 def decode(body: object) -> Evidence:
-    """Return the evidence that a JSON object holds.
+    """Return the evidence in a JSON object.
 
-    :raises ValueError: where it is no such object.
+    :raises ValueError: if the object is malformed.
     """
     try:
-        told = typing.cast(dict[str, typing.Any], body or {})
+        fields = typing.cast(dict[str, typing.Any], body or {})
         return Evidence(
-            tuple(_decode_end(one) for one in told.get("ends", ())),
+            tuple(_decode_end(one) for one in fields.get("ends", ())),
             tuple(
-                Served(fingerprint.Fingerprint(str(request)), float(at))
-                for request, at in told.get("served", ())
+                ServedRequest(fingerprint.Fingerprint(str(request)), float(at))
+                for request, at in fields.get("served", ())
             ),
         )
     except (
--- a/src/crowdeck/quarantine/fingerprint.py
+++ b/src/crowdeck/quarantine/fingerprint.py
@@ -3,15 +3,14 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What tells that two requests ask for the same thing of the same team."""
+"""Fingerprints by which repeated requests of a team are recognised."""
 
 import hashlib
 
 import attrs
 
-# 2**64 values: among a million requests two that differ share one with a
-# chance of 3 in 100 million. Not xxhash: a caller could choose contents
-# that collide with another's.
+# The digest is cryptographic, so that a caller cannot construct a request that
+# collides with another's.
 DIGEST_BYTES = 8
 
 
@@ -19,8 +18,8 @@
 class Fingerprint:
     """A digest of method, host, path, team and body.
 
-    Not of the request's id, nor of the key: a caller that sends a request
-    again gives it a new id, and may use another key of its team.
+    The request's id and API key are left out: a caller that repeats a request
+    gives it a new id, and may use another key of its team.
     """
 
     digest: str
@@ -34,13 +33,13 @@
 ) -> Fingerprint:
     """Return the fingerprint of a request.
 
-    :param target: path and query, exactly as the caller sent them.
+    :param target: path and query, exactly as sent by the caller.
     """
-    found = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method, host, target, team):
         content = part.encode("utf-8", "surrogateescape")
-        # With its length, so that no two lists of parts read the same.
-        found.update(len(content).to_bytes(4, "big"))
-        found.update(content)
-    found.update(body)
-    return Fingerprint(found.hexdigest())
+        # The length keeps different lists of parts from being equal.
+        digest.update(len(content).to_bytes(4, "big"))
+        digest.update(content)
+    digest.update(body)
+    return Fingerprint(digest.hexdigest())
