--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -144,10 +144,10 @@
         living.sort(key=lambda one: -busy[one.listed.name])
         for target in living[:count]:
             target.is_dead = True
-            fall = chain_fleet.EngineCrash(
+            crash = chain_fleet.EngineCrash(
                 target, target.listed.name, b"", now
             )
-            self.fleet.crashes.append(fall)
+            self.fleet.crashes.append(crash)
 
     def tell_all_leaving(self) -> None:
         """List every engine as leaving."""
@@ -187,8 +187,8 @@
             known = 0
             while True:
                 await anyio.sleep(LOOK_SECONDS)
-                for fall in self.fleet.crashes[known:]:
-                    tasks.start_soon(self._bring_back, fall.upstream)
+                for crash in self.fleet.crashes[known:]:
+                    tasks.start_soon(self._bring_back, crash.upstream)
                 known = len(self.fleet.crashes)
 
     def outcomes_of(self, body: bytes) -> list[Outcome]:
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -3,19 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A request that ends each instance which begins it.
-
-What users saw: for 15 s at a time an engine ended every 0.3 to 1.4 s, 18 in
-all, and half of what callers asked meanwhile was not served. Order of
-events: a caller sent one request, the engine that began it ended 0.1 s
-later, the caller was told 502 and sent it again under another id to any
-entry, which had never seen it and passed it on. Each engine took 3 to 61
-streams with it, which went on at the one sound first engine of their zone
-and were lost again with it, until the retry budget was spent.
-
-Evidence of the cause: at 11 of 13 engines' ends that the entries' logs cover
-a request of one and the same size was under way, under 20 ids and at all
-entries; none of the 20 brought an event. No other size was at more than five.
+"""A request that crashes each instance that begins it.
+
+Guards against one caller that repeats such a request at any entry and brings
+down one engine after another, each with the streams of other callers.
 """
 
 import anyio
@@ -33,105 +24,106 @@
 from tests import fleet_system
 
 BODY = b"ends whoever begins it"
-# As often as callers sent it.
-PAUSE = 0.4
-# Known everywhere this long after the third instance has ended.
+# Interval at which callers send it.
+PAUSE_SECONDS = 0.4
+# All entries know of it this long after the third instance has ended.
 KNOWN_SECONDS = 3.0
-# How often it may be sent on even then.
-SENDS_MOST = 3
-ENDS_MOST = 3
+# How often it may still be sent to an instance after that.
+MAX_SENDS = 3
+MAX_ENDS = 3
 
 
-async def wait_for_falls(
+async def wait_for_ends(
     entries: entries_system.Entries, count: int, limit: float = 20.0
 ) -> float:
-    """Return when the ``count``th instance had ended."""
+    """Wait until ``count`` instances have ended; return when the last did."""
     with anyio.move_on_after(limit):
         while len(entries.fleet.crashes) < count:
             await anyio.sleep(entries_system.LOOK_SECONDS)
     return entries.fleet.crashes[count - 1].at
 
 
-class TestRequestThatEndsEngines:
-    """What becomes of it, and of those beside it."""
+class TestCrashingRequest:
+    """The request itself, and others that run at the same instances."""
 
-    def test_is_sent_on_no_more_once_three_have_ended(self) -> None:
+    def test_is_not_sent_once_three_instances_have_ended(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(15.0, BODY, PAUSE)
-            third = entries.fleet.crashes[ENDS_MOST - 1].at
+            await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
+            third = entries.fleet.crashes[MAX_ENDS - 1].at
             late = entries.arrivals(BODY, third + KNOWN_SECONDS)
-            assert late <= SENDS_MOST
+            assert late <= MAX_SENDS
 
         entries_system.play(work)
 
-    def test_those_beside_it_are_served(self) -> None:
+    def test_other_requests_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(15.0, BODY, PAUSE)
+            await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
             await anyio.sleep(3.0)
-            third = entries.fleet.crashes[ENDS_MOST - 1].at
-            beside = entries.outcomes_beside(third + 1.0)
-            assert len(beside) > 20
-            assert [one for one in beside if not one.was_served] == []
+            third = entries.fleet.crashes[MAX_ENDS - 1].at
+            others = entries.outcomes_beside(third + 1.0)
+            assert len(others) > 20
+            assert [one for one in others if not one.was_served] == []
 
         entries_system.play(work)
 
     @pytest.mark.parametrize(
         "repeat", [entries_system.STREAM, entries_system.REPEATABLE]
     )
-    def test_one_coming_ends_no_more_than_one_caller_may(
+    def test_single_request_ends_a_bounded_number_of_instances(
         self, repeat: entries_system.routes.RepeatPolicy
     ) -> None:
-        # A request that may be repeated went from one instance to the next
-        # as long as each ended: those that end did not count as runs.
+        # Attempts at instances that end count as attempts.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             entries.start_request(0, repeat, BODY)
             await anyio.sleep(10.0)
-            assert len(entries.fleet.crashes) <= ENDS_MOST
+            assert len(entries.fleet.crashes) <= MAX_ENDS
 
         entries_system.play(work, count=1)
 
-    def test_instances_that_come_back_under_their_ids(self) -> None:
+    def test_instances_that_restart_under_their_ids(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.keeps_ids = True
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(15.0, BODY, PAUSE)
-            assert len(entries.fleet.crashes) <= ENDS_MOST + 1
-            third = entries.fleet.crashes[ENDS_MOST - 1].at
-            beside = entries.outcomes_beside(third + 1.0)
-            assert [one for one in beside if not one.was_served] == []
+            await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
+            assert len(entries.fleet.crashes) <= MAX_ENDS + 1
+            third = entries.fleet.crashes[MAX_ENDS - 1].at
+            others = entries.outcomes_beside(third + 1.0)
+            assert [one for one in others if not one.was_served] == []
 
         entries_system.play(work)
 
-    @pytest.mark.parametrize("fall_seconds", [0.001, 0.1])
-    def test_one_coming_is_told_why_it_goes_no_further(
-        self, fall_seconds: float, monkeypatch: pytest.MonkeyPatch
+    @pytest.mark.parametrize("crash_delay_seconds", [0.001, 0.1])
+    def test_caller_gets_the_quarantine_error(
+        self, crash_delay_seconds: float, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # However quickly an engine ends, that is known before the request is
-        # sent to the next; and nothing of the budget is spent on a fourth.
-        monkeypatch.setattr(chain_fleet, "CRASH_DELAY_SECONDS", fall_seconds)
+        # The end of an engine is known before the request is sent to the next
+        # one, and no retry budget is spent on a fourth attempt.
+        monkeypatch.setattr(
+            chain_fleet, "CRASH_DELAY_SECONDS", crash_delay_seconds
+        )
 
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            # The budget is none before.
+            # Before that there is no retry budget.
             await entries.wait_until_listed()
             budget = entries[0].context.budget(fleet_system.MODEL)
             before = budget.remaining
             entries.start_request(0, entries_system.STREAM, BODY)
             await anyio.sleep(3.0)
-            assert len(entries.fleet.crashes) == ENDS_MOST
+            assert len(entries.fleet.crashes) == MAX_ENDS
             error = entries.outcomes_of(BODY)[0].caller.error
             assert error is not None
             assert error.code is errors.Code.QUARANTINED
             assert error.verdict is verdicts.Verdict.MAY_HAVE_RUN
-            # Two repeats, less what the request itself earned.
-            assert round(before - budget.remaining) == ENDS_MOST - 1
+            # Two retries, less what the request itself added.
+            assert round(before - budget.remaining) == MAX_ENDS - 1
 
         entries_system.play(work, count=1)
 
-    def test_a_call_is_a_suspect_as_soon_as_its_instance_ends(self) -> None:
+    def test_call_is_a_suspect_as_soon_as_its_instance_ends(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             entries.start_request(0, entries_system.REPEATABLE, BODY)
@@ -142,9 +134,8 @@
 
         entries_system.play(work, count=1)
 
-    def test_a_caller_that_leaves_is_remembered_too(self) -> None:
-        # It left 0.05 s after it had sent the request, and its engine was
-        # found to have ended a moment later.
+    def test_cancelled_request_is_a_suspect_too(self) -> None:
+        # Its engine is found to have ended a moment after the cancellation.
         async def work(entries: entries_system.Entries) -> None:
             entry = entries[0]
             request = entry.request(entries_system.STREAM, body=BODY)
@@ -157,9 +148,9 @@
 
         entries_system.play(work, count=1)
 
-    def test_copies_that_wait_are_called_back(self) -> None:
-        # Two more are at engines that have not begun them when the third
-        # engine ends.
+    def test_waiting_attempts_are_cancelled(self) -> None:
+        # One is at an engine that has not begun it when the third engine
+        # ends.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             quarantine = entries[0].context.quarantine
@@ -169,13 +160,13 @@
                 one.hanging_streams = 1
             entries.start_request(0, entries_system.STREAM, BODY)
             await anyio.sleep(0.05)
-            for number in range(ENDS_MOST):
+            for number in range(MAX_ENDS):
                 name = f"gone-{number}"
                 quarantine.note_connection_lost(
                     name, trackers.AttemptRecord(known, None)
                 )
                 quarantine.note_end(name)
-            # It is told long before its caller gives up, 20 s.
+            # Long before the caller's own timeout.
             await anyio.sleep(trackers.SETTLE_SECONDS + 0.05)
             error = entries.outcomes_of(BODY)[0].caller.error
             assert error is not None
@@ -183,11 +174,11 @@
 
         entries_system.play(work, count=1)
 
-    def test_is_refused_at_once_and_truly(self) -> None:
+    def test_is_refused_at_once_as_not_run(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(15.0, BODY, PAUSE)
-            third = entries.fleet.crashes[ENDS_MOST - 1].at
+            await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
+            third = entries.fleet.crashes[MAX_ENDS - 1].at
             refused = [
                 one
                 for one in entries.outcomes_of(BODY)
@@ -205,87 +196,88 @@
         entries_system.play(work)
 
     @pytest.mark.parametrize("count", [1, 12])
-    def test_few_engines_end_at_any_number_of_entries(
+    def test_few_engines_end_with_any_number_of_entries(
         self, count: int
     ) -> None:
-        # Twelve entries that told one another nothing would each pass it on
-        # until three engines had ended there.
+        # Without the exchange of evidence each entry would send it to three.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(15.0, BODY, PAUSE)
-            assert len(entries.fleet.crashes) <= ENDS_MOST + 2
+            await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
+            assert len(entries.fleet.crashes) <= MAX_ENDS + 2
 
         entries_system.play(work, count=count)
 
-    def test_an_entry_that_starts_passes_it_on_no_more(self) -> None:
+    def test_restarted_entry_does_not_send_it(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(5.0, BODY, PAUSE)
+            await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
             ends = len(entries.fleet.crashes)
             for number in range(3):
                 entries.stop(number)
             await anyio.sleep(0.5)
-            await entries.send_repeatedly(5.0, BODY, PAUSE)
+            await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
             assert len(entries.fleet.crashes) == ends
 
         entries_system.play(work)
 
-    def test_an_entry_that_was_cut_off_learns_of_it(self) -> None:
+    def test_entries_learn_of_it_after_an_outage(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             entries.store.is_down = True
-            await entries.send_repeatedly(3.0, BODY, PAUSE)
+            await entries.send_repeatedly(3.0, BODY, PAUSE_SECONDS)
             entries.store.is_down = False
             await anyio.sleep(KNOWN_SECONDS)
             since = anyio.current_time()
-            await entries.send_repeatedly(10.0, BODY, PAUSE)
+            await entries.send_repeatedly(10.0, BODY, PAUSE_SECONDS)
             assert entries.arrivals(BODY, since) == 0
 
         entries_system.play(work)
 
-    def test_others_of_its_caller_and_path_are_served(self) -> None:
+    def test_other_requests_to_its_path_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(5.0, BODY, PAUSE)
+            await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
             entries.start_request(0, entries_system.STREAM, BODY + b"?")
             await anyio.sleep(3.0)
             assert entries.outcomes_of(BODY + b"?")[0].was_served
 
         entries_system.play(work)
 
-    def test_two_of_them_at_once(self) -> None:
+    def test_two_crashing_requests_at_once(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             others = [BODY + b"1", BODY + b"2"]
             entries.fleet.crashing_bodies.update(others)
             async with anyio.create_task_group() as tasks:
                 for one in others:
-                    tasks.start_soon(entries.send_repeatedly, 15.0, one, PAUSE)
+                    tasks.start_soon(
+                        entries.send_repeatedly, 15.0, one, PAUSE_SECONDS
+                    )
                     await anyio.sleep(0.05)
             since = entries.fleet.crashes[-1].at + KNOWN_SECONDS
             assert since < 10.0
-            assert len(entries.fleet.crashes) <= 2 * ENDS_MOST + 3
+            assert len(entries.fleet.crashes) <= 2 * MAX_ENDS + 3
 
         entries_system.play(work)
 
-    def test_a_call_of_a_plain_service_that_does_the_same(self) -> None:
+    def test_call_of_a_plain_service(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(
-                30.0, BODY, PAUSE, entries_system.REPEATABLE
+                30.0, BODY, PAUSE_SECONDS, entries_system.REPEATABLE
             )
-            third = entries.fleet.crashes[ENDS_MOST - 1].at
+            third = entries.fleet.crashes[MAX_ENDS - 1].at
             late = entries.arrivals(BODY, third + KNOWN_SECONDS)
-            assert late <= SENDS_MOST
+            assert late <= MAX_SENDS
 
         entries_system.play(work)
 
 
-class TestThoseBesideIt:
-    """Requests that were at the same engines, and are no cause."""
+class TestInnocentRequests:
+    """Requests that ran at the same engines and are not the cause."""
 
-    def test_none_is_blamed_however_crowded_the_first_engines(self) -> None:
-        # All streams of a zone begin at one first engine, which is where the
-        # next coming of the cause finds those that it cut a moment before.
+    def test_none_is_blamed_when_first_engines_are_crowded(self) -> None:
+        # All streams of a zone begin at one first engine, where streams that
+        # were cut a moment before meet the cause again.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.event_seconds = 0.1
             entries.fleet.crashing_bodies.add(BODY)
@@ -298,18 +290,17 @@
                     )
                     await anyio.sleep(0.03)
             await anyio.sleep(8.0)
-            beside = entries.outcomes_beside(0.0)
+            others = entries.outcomes_beside(0.0)
             codes = {
-                one.caller.error.code for one in beside if one.caller.error
+                one.caller.error.code for one in others if one.caller.error
             }
             assert errors.Code.QUARANTINED not in codes
-            served = sum(one.was_served for one in beside)
-            # 438 of 440; 12 entries, as crowded as the ones that users run.
-            assert served >= len(beside) - 4
+            served = sum(one.was_served for one in others)
+            assert served >= len(others) - 4
 
         entries_system.play(work, count=12)
 
-    def test_a_request_that_many_callers_send_alike_is_served(self) -> None:
+    def test_request_that_many_callers_send_alike_is_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             alike = b"how do I top up"
             for number in range(20):
@@ -317,34 +308,36 @@
                 await anyio.sleep(0.1)
             entries.fleet.crashing_bodies.add(BODY)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(entries.send_repeatedly, 6.0, BODY, PAUSE)
+                tasks.start_soon(
+                    entries.send_repeatedly, 6.0, BODY, PAUSE_SECONDS
+                )
                 for number in range(120):
                     entries.start_request(number, entries_system.STREAM, alike)
                     await anyio.sleep(0.05)
             await anyio.sleep(8.0)
-            told = entries.outcomes_of(alike)
-            assert len(told) == 140
-            assert sum(one.was_served for one in told) >= 138
-            assert len(entries.fleet.crashes) <= ENDS_MOST + 2
+            outcomes = entries.outcomes_of(alike)
+            assert len(outcomes) == 140
+            assert sum(one.was_served for one in outcomes) >= 138
+            assert len(entries.fleet.crashes) <= MAX_ENDS + 2
 
         entries_system.play(work, count=6)
 
-    def test_whoever_was_cut_thrice_goes_on_once_the_cause_is_told(
+    def test_stream_cut_three_times_resumes_once_the_cause_is_known(
         self,
     ) -> None:
-        # Another entry passed the cause on, and tells so 0.2 s after the
-        # third engine ended; until then this one knows its own part only.
+        # Another entry sent the cause, and its evidence arrives 0.2 s after
+        # the third engine has ended.
         async def work(entries: entries_system.Entries) -> None:
             beside = b"beside"
             entries.fleet.crashing_bodies.add(beside)
             entries.start_request(0, entries_system.STREAM, beside)
-            await wait_for_falls(entries, ENDS_MOST)
+            await wait_for_ends(entries, MAX_ENDS)
             entries.fleet.crashing_bodies.clear()
             await anyio.sleep(0.2)
             cause = frozenset({fingerprint.Fingerprint("cause")})
-            names = [fall.upstream for fall in entries.fleet.crashes]
+            names = [crash.upstream for crash in entries.fleet.crashes]
             now = anyio.current_time()
-            entries[0].context.quarantine.take(
+            entries[0].context.quarantine.set_peer_evidence(
                 "other",
                 evidence.Evidence(
                     tuple(
@@ -361,21 +354,19 @@
     @pytest.mark.parametrize(
         "repeat", [entries_system.STREAM, entries_system.REPEATABLE]
     )
-    def test_what_was_answered_is_remembered_as_served(
+    def test_answered_request_counts_as_served(
         self, repeat: entries_system.routes.RepeatPolicy
     ) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.start_request(0, repeat, b"served")
             await anyio.sleep(2.0)
-            told = entries.outcomes_of(b"served")[0]
-            assert told.was_served
-            assert self.is_cleared(entries, told.request)
+            outcome = entries.outcomes_of(b"served")[0]
+            assert outcome.was_served
+            assert self.is_cleared(entries, outcome.request)
 
         entries_system.play(work, count=1)
 
-    def test_what_ran_well_until_its_engine_ended_counts_as_served(
-        self,
-    ) -> None:
+    def test_stream_with_events_counts_as_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.event_seconds = 0.1
             entries.start_request(0, entries_system.STREAM, b"ran")
@@ -391,10 +382,10 @@
     def is_cleared(
         self, entries: entries_system.Entries, request: requests.CallerRequest
     ) -> bool:
-        """Whether three ends under a request do not make it a culprit."""
+        """Whether a request is not quarantined after three ends."""
         quarantine = entries[0].context.quarantine
         content = requests.fingerprint_of(request, "kiosks")
-        for number in range(ENDS_MOST):
+        for number in range(MAX_ENDS):
             name = f"gone-{number}"
             quarantine.note_connection_lost(
                 name, trackers.AttemptRecord(content, None)
@@ -402,7 +393,7 @@
             quarantine.note_end(name)
         return not quarantine.is_quarantined(content)
 
-    def test_engines_that_end_as_planned_are_held_against_nobody(self) -> None:
+    def test_planned_ends_are_no_evidence(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             entries.tell_all_leaving()
@@ -418,8 +409,8 @@
 
         entries_system.play(work)
 
-    def test_an_end_that_shows_later_counts_as_well(self) -> None:
-        # The engine that was asked said nothing; its entry goes later.
+    def test_end_that_becomes_known_later_counts(self) -> None:
+        # A silent engine, whose store entry is removed later.
         async def work(entries: entries_system.Entries) -> None:
             entry = entries[0]
             content = entries_system.STREAM
@@ -434,23 +425,23 @@
 
         entries_system.play(work, count=1)
 
-    def test_an_instance_that_answers_no_such_question_is_not_blamed(
+    def test_service_without_reports_does_not_count_as_ended(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Plain services know no reports; one that lost an answer lives.
+        # Plain services have no reports; one that lost a response still runs.
         async def work(entries: entries_system.Entries) -> None:
             report = entries.fleet.report
 
-            async def know_engines_alone(
+            async def report_engines_only(
                 upstream: chain.Upstream,
             ) -> chain.EngineReport:
                 if not upstream.card:
                     raise errors.CrowdeckError(
-                        errors.Code.UPSTREAM_FAILED, "a report came with 404"
+                        errors.Code.UPSTREAM_FAILED, "the status was 404"
                     )
                 return await report(upstream)
 
-            monkeypatch.setattr(entries.fleet, "report", know_engines_alone)
+            monkeypatch.setattr(entries.fleet, "report", report_engines_only)
             for one in entries.fleet.upstreams:
                 one.lost_answers = 0 if one.listed.card else 1
             entries.start_request(0, entries_system.REPEATABLE, b"lost")
@@ -460,7 +451,7 @@
 
         entries_system.play(work, count=1)
 
-    def test_losses_of_many_engines_put_nobody_in_quarantine(self) -> None:
+    def test_losses_of_many_engines_quarantine_no_request(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             for number in range(60):
                 entries.start_request(
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""By what a request is known when it comes again."""
+"""Fingerprints of repeated requests."""
 
 import hypothesis
 from hypothesis import strategies
@@ -16,7 +16,7 @@
 
 
 class TestFingerprint:
-    """Two requests that ask for the same, and two that do not."""
+    """When two requests have the same fingerprint."""
 
     @pytest.mark.parametrize("place", range(len(PARTS)))
     def test_depends_on_each_part(self, place: int) -> None:
@@ -24,9 +24,9 @@
         other[place] = b"other" if place == 4 else "other"
         assert fingerprint.of_request(*other) != fingerprint.of_request(*PARTS)
 
-    def test_does_not_depend_on_id_key_or_other_headers(self) -> None:
-        one = a_request(id="a", key="first", headers=[(b"x", b"1")])
-        other = a_request(id="b", key="second", headers=[])
+    def test_does_not_depend_on_id_key_or_headers(self) -> None:
+        one = make_request(id="a", key="first", headers=[(b"x", b"1")])
+        other = make_request(id="b", key="second", headers=[])
         assert requests.fingerprint_of(
             one, "kiosks"
         ) == requests.fingerprint_of(other, "kiosks")
@@ -35,7 +35,7 @@
         strategies.text(strategies.characters(codec="latin-1"), max_size=3),
         strategies.text(strategies.characters(codec="latin-1"), max_size=3),
     )
-    def test_what_stands_in_one_part_never_reads_as_another(
+    def test_moving_text_between_parts_changes_it(
         self, host: str, target: str
     ) -> None:
         moved = fingerprint.of_request("GET", host + target, "", "t", b"")
@@ -43,7 +43,7 @@
         assert (moved == whole) is (not target)
 
 
-def a_request(**parts: object) -> requests.CallerRequest:
+def make_request(**parts: object) -> requests.CallerRequest:
     whole = {
         "method": "POST",
         "target": "/stream/x",
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which requests are blamed for instances' ends, and who knows of it."""
+"""Attribution of instances' unplanned ends, and its exchange by entries."""
 
 import collections
 import random
@@ -26,8 +26,8 @@
 from tests import virtual
 
 
-def prints(text: str) -> frozenset[fingerprint.Fingerprint]:
-    """Return one fingerprint for each letter."""
+def fingerprints(text: str) -> frozenset[fingerprint.Fingerprint]:
+    """Return one fingerprint per letter."""
     return frozenset(fingerprint.Fingerprint(one) for one in text)
 
 
@@ -37,28 +37,32 @@
 def end(
     instance: str, unbegun: str = "", begun: str = "", at: float = 0.0
 ) -> evidence.InstanceEnd:
-    return evidence.InstanceEnd(instance, at, prints(unbegun), prints(begun))
+    return evidence.InstanceEnd(
+        instance, at, fingerprints(unbegun), fingerprints(begun)
+    )
 
 
 def blamed(*ends: evidence.InstanceEnd, **served: float) -> str:
     served_at = {
         fingerprint.Fingerprint(one): at for one, at in served.items()
     }
-    found = attribution.culprits(attribution.open_cases(ends, served_at))
+    found = attribution.find_culprits(
+        attribution.unexplained_ends(ends, served_at)
+    )
     return "".join(sorted(map(str, found)))
 
 
-class TestCauses:
-    """The decision, from the ends of all entries together."""
+class TestAttribution:
+    """Which requests are blamed, by the merged evidence of all entries."""
 
     def test_two_ends_blame_nobody(self) -> None:
         assert blamed(end("1", "c"), end("2", "c")) == ""
 
-    def test_three_do(self) -> None:
+    def test_three_ends_blame_a_request(self) -> None:
         assert blamed(end("1", "c"), end("2", "c"), end("3", "c")) == "c"
 
-    def test_those_beside_the_cause_are_not_blamed(self) -> None:
-        # b went on at the second and third engine and met the cause again.
+    def test_requests_that_ran_beside_the_cause_are_not_blamed(self) -> None:
+        # b was retried twice and met the cause again.
         ends = [
             end("1", "cab"),
             end("2", "cb"),
@@ -67,24 +71,22 @@
         ]
         assert blamed(*ends) == "c"
 
-    def test_those_with_an_event_are_not_blamed_before_those_without(
-        self,
-    ) -> None:
+    def test_requests_without_an_event_are_blamed_first(self) -> None:
         ends = [end("1", "cb"), end("2", "c", "b"), end("3", "cb")]
         assert blamed(*ends) == "c"
 
-    def test_many_lost_together_blame_nobody(self) -> None:
-        # A rack goes: each engine had requests of its own.
+    def test_simultaneous_ends_blame_nobody(self) -> None:
+        # A rack fails: each engine had requests of its own.
         ends = [end(str(number), "abc"[number % 3]) for number in range(6)]
         assert blamed(*ends) == ""
 
-    def test_what_was_served_since_is_not_blamed(self) -> None:
+    def test_request_served_since_is_not_blamed(self) -> None:
         ends = [end(str(at), "h", at=float(at)) for at in range(5)]
         assert blamed(*ends) == "h"
         assert blamed(*ends, h=3.0) == ""
 
-    def test_what_was_served_just_before_is_not_blamed(self) -> None:
-        # Many callers send the same, and it is at every engine that ends.
+    def test_request_served_just_before_is_not_blamed(self) -> None:
+        # Many callers send h, so it is present at every end.
         ends = [end(str(at), "hc", at=float(at)) for at in range(10, 16)]
         assert blamed(*ends, h=9.0) == "c"
         long_ago = 9.0 - attribution.SERVED_SECONDS
@@ -97,20 +99,26 @@
         ]
         assert blamed(*ends) == "cd"
 
-    def test_an_end_known_in_part_blames_nobody_that_had_begun(self) -> None:
+    def test_recent_ends_do_not_count_against_begun_requests(self) -> None:
         ends = [end(str(at), begun="b", at=float(at)) for at in range(3)]
-        cases = attribution.open_cases(ends, {})
-        assert attribution.culprits(attribution.settle(cases, 1.5)) == {}
-        assert attribution.culprits(attribution.settle(cases, 2.5)) != {}
+        cases = attribution.unexplained_ends(ends, {})
+        assert (
+            attribution.find_culprits(attribution.drop_unsettled(cases, 1.5))
+            == {}
+        )
+        assert (
+            attribution.find_culprits(attribution.drop_unsettled(cases, 2.5))
+            != {}
+        )
 
-    def test_a_tie_is_judged_one_end_later(self) -> None:
+    def test_tie_is_decided_one_end_later(self) -> None:
         ends = [end(str(number), "cb") for number in range(4)]
         assert blamed(*ends[:3]) == ""
         assert blamed(*ends[:3], end("4", "c")) == "c"
         assert blamed(*ends) == "bc"
 
-    def test_nobody_else_is_blamed_for_the_ends_of_a_tie(self) -> None:
-        # x was at three ends, each of which one of the tied was at as well.
+    def test_ends_of_a_tie_blame_no_other_request(self) -> None:
+        # x was present at three ends, one of them together with b.
         ends = [
             end("1", "c"),
             end("2", "cb"),
@@ -122,9 +130,9 @@
         ]
         assert blamed(*ends) == "bc"
 
-    def test_the_cause_is_found_and_hardly_anyone_else(self) -> None:
-        # Each end has the cause and four of 60 others; of those that were
-        # lost half go on with it, and half have an event by the next end.
+    def test_false_positives_are_rare(self) -> None:
+        # Each end has the cause and four of 60 others. Half of the others are
+        # retried at the next engine to end, and half of those have an event.
         others = [chr(200 + number) for number in range(60)]
         wrong = 0
         for seed in range(200):
@@ -140,12 +148,11 @@
             found = blamed(*ends)
             assert "c" in found
             wrong += found != "c"
-        # 2 of 200; where an event is worth nothing, 83.
         assert wrong <= 2
 
 
 class Clock:
-    """A time of day that tests set."""
+    """A wall clock that tests set."""
 
     def __init__(self) -> None:
         self.now = 1_000.0
@@ -154,7 +161,7 @@
         return self.now
 
 
-def ledger_after(ends: int, clock: Clock) -> trackers.QuarantineTracker:
+def tracker_after(ends: int, clock: Clock) -> trackers.QuarantineTracker:
     one = trackers.QuarantineTracker(clock)
     for number in range(ends):
         one.note_connection_lost(
@@ -164,25 +171,25 @@
     return one
 
 
-def in_time(body):  # type: ignore[no-untyped-def]
+def run_in_virtual_time(body):  # type: ignore[no-untyped-def]
     async def run() -> None:
         body()
 
     virtual.run(run)
 
 
-class TestLedger:
-    """One entry's memory."""
+class TestQuarantineTracker:
+    """The tracker of one entry."""
 
-    def test_third_end_makes_a_culprit(self) -> None:
+    def test_third_end_quarantines_a_request(self) -> None:
         def body() -> None:
-            one = ledger_after(2, Clock())
+            one = tracker_after(2, Clock())
             assert one.is_suspect(CAUSE) and not one.is_quarantined(CAUSE)
-            assert ledger_after(3, Clock()).is_quarantined(CAUSE)
+            assert tracker_after(3, Clock()).is_quarantined(CAUSE)
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_a_lost_connection_alone_is_no_end(self) -> None:
+    def test_lost_connection_alone_is_no_evidence(self) -> None:
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
             for number in range(5):
@@ -191,27 +198,29 @@
                 )
             assert one.is_empty
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_an_end_without_a_lost_attempt_tells_nothing(self) -> None:
+    def test_end_without_a_lost_attempt_is_no_evidence(self) -> None:
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
             one.note_end("e")
             assert one.is_empty and not one.own
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_an_attempt_that_ran_well_is_no_suspect(self) -> None:
+    def test_attempt_with_an_earlier_event_is_no_suspect(self) -> None:
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
-            sound = trackers.SOUND_SECONDS + 0.01
-            one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, sound))
+            seconds = trackers.HEALTHY_SECONDS + 0.01
+            one.note_connection_lost(
+                "e", trackers.AttemptRecord(CAUSE, seconds)
+            )
             one.note_end("e")
             assert one.is_empty
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_an_end_that_comes_too_late_is_another_matter(self) -> None:
+    def test_late_end_is_unrelated_to_a_lost_connection(self) -> None:
         async def body() -> None:
             one = trackers.QuarantineTracker(Clock())
             one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, None))
@@ -221,9 +230,7 @@
 
         virtual.run(body)
 
-    def test_a_caller_that_left_is_told_of_if_the_end_came_at_once(
-        self,
-    ) -> None:
+    def test_cancelled_attempt_counts_if_the_end_comes_soon(self) -> None:
         async def body() -> None:
             for seconds, is_suspect in ((0.1, True), (1.1, False)):
                 one = trackers.QuarantineTracker(Clock())
@@ -234,7 +241,7 @@
 
         virtual.run(body)
 
-    def test_a_planned_end_is_no_evidence(self) -> None:
+    def test_planned_end_is_no_evidence(self) -> None:
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
             one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, None))
@@ -242,55 +249,55 @@
             one.note_end("e")
             assert one.is_empty
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_is_sent_on_again_after_an_hour(self) -> None:
+    def test_quarantine_ends_after_an_hour(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = ledger_after(3, clock)
+            one = tracker_after(3, clock)
             clock.now += trackers.KEEP_SECONDS - 1.0
             assert one.is_quarantined(CAUSE)
-            clock.now += trackers.JUDGE_SECONDS + 2.0
+            clock.now += trackers.REVIEW_SECONDS + 2.0
             assert not one.is_quarantined(CAUSE)
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_what_claims_to_be_of_the_future_counts_for_nothing(self) -> None:
+    def test_evidence_from_the_future_is_ignored(self) -> None:
         def body() -> None:
             clock = Clock()
             one = trackers.QuarantineTracker(clock)
-            late = clock.now + 2 * trackers.AHEAD_SECONDS
-            one.take(
-                "spoilt",
+            late = clock.now + 2 * trackers.CLOCK_SKEW_SECONDS
+            one.set_peer_evidence(
+                "malformed",
                 evidence.Evidence(
                     tuple(end(str(it), "c", at=late) for it in range(3)),
-                    (evidence.Served(CAUSE, late),),
+                    (evidence.ServedRequest(CAUSE, late),),
                 ),
             )
             assert one.is_empty
             lose(one, 3)
             assert one.is_quarantined(CAUSE)
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_serving_it_clears_it(self) -> None:
+    def test_serving_a_request_clears_it(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = ledger_after(2, clock)
-            # Also where this entry's clock is behind that of the others.
+            one = tracker_after(2, clock)
+            # Also if this entry's clock is behind that of the others.
             clock.now -= 2 * attribution.SERVED_SECONDS
             one.note_served(CAUSE)
             assert one.is_empty
-            told = one.own.served
+            before = one.own.served
             one.note_served(CAUSE)
-            assert one.own.served == told
+            assert one.own.served == before
 
-        in_time(body)
+        run_in_virtual_time(body)
 
     @pytest.mark.parametrize("has_run", [True, False])
-    def test_refusal_tells_the_truth(self, has_run: bool) -> None:
+    def test_refusal_has_the_right_verdict(self, has_run: bool) -> None:
         def body() -> None:
-            error = ledger_after(3, Clock()).refusal_error(CAUSE, has_run)
+            error = tracker_after(3, Clock()).refusal_error(CAUSE, has_run)
             assert error.code is errors.Code.QUARANTINED
             assert error.verdict is (
                 verdicts.Verdict.MAY_HAVE_RUN
@@ -299,13 +306,13 @@
             )
             assert error.retry_after
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_entries_add_up_what_they_saw(self) -> None:
+    def test_evidence_of_entries_is_added_up(self) -> None:
         def body() -> None:
             clock = Clock()
             one, other = (
-                ledger_after(1, clock),
+                tracker_after(1, clock),
                 trackers.QuarantineTracker(clock),
             )
             for name in ("x", "y"):
@@ -313,29 +320,29 @@
                     name, trackers.AttemptRecord(CAUSE, None)
                 )
                 other.note_end(name)
-            one.take("other", other.own)
+            one.set_peer_evidence("other", other.own)
             assert one.is_quarantined(CAUSE)
             assert not other.is_quarantined(CAUSE)
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_what_others_saw_of_one_served_here_is_answered(self) -> None:
+    def test_request_served_here_is_cleared_for_other_entries(self) -> None:
         def body() -> None:
             clock = Clock()
             one, other = (
                 trackers.QuarantineTracker(clock),
-                ledger_after(3, clock),
+                tracker_after(3, clock),
             )
             one.note_served(CAUSE)
             assert not one.own
-            one.take("other", other.own)
+            one.set_peer_evidence("other", other.own)
             assert not one.is_quarantined(CAUSE)
-            other.take("one", one.own)
+            other.set_peer_evidence("one", one.own)
             assert not other.is_quarantined(CAUSE)
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_what_had_begun_is_blamed_once_all_can_have_told(self) -> None:
+    def test_begun_request_is_blamed_once_evidence_has_settled(self) -> None:
         def body() -> None:
             clock = Clock()
             one = trackers.QuarantineTracker(clock)
@@ -348,54 +355,54 @@
             clock.now += trackers.SETTLE_SECONDS + 0.01
             assert one.is_quarantined(CAUSE)
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_whoever_was_cut_waits_for_what_others_know(self) -> None:
+    def test_seconds_to_settle(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = ledger_after(3, clock)
+            one = tracker_after(3, clock)
             assert one.seconds_to_settle() == trackers.SETTLE_SECONDS
             clock.now += trackers.SETTLE_SECONDS
             assert one.seconds_to_settle() == 0.0
             clock.now -= 100.0
             assert one.seconds_to_settle() == trackers.SETTLE_SECONDS
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_the_same_end_seen_by_two_counts_once(self) -> None:
+    def test_end_reported_by_two_entries_counts_once(self) -> None:
         def body() -> None:
             clock = Clock()
-            one, other = ledger_after(2, clock), ledger_after(2, clock)
-            one.take("other", other.own)
+            one, other = tracker_after(2, clock), tracker_after(2, clock)
+            one.set_peer_evidence("other", other.own)
             assert not one.is_quarantined(CAUSE)
 
-        in_time(body)
+        run_in_virtual_time(body)
 
-    def test_listeners_hear_of_it_once(self) -> None:
+    def test_listeners_are_notified_once(self) -> None:
         def body() -> None:
-            heard = collections.Counter[str]()
+            notified = collections.Counter[str]()
             one = trackers.QuarantineTracker(Clock())
-            one.subscribe(lambda: heard.update(["culprit"]))
+            one.subscribe(lambda: notified.update(["culprit"]))
             for number in range(5):
                 one.note_connection_lost(
                     f"e{number}", trackers.AttemptRecord(CAUSE, None)
                 )
                 one.note_end(f"e{number}")
-            assert heard["culprit"] == 1
+            assert notified["culprit"] == 1
 
-        in_time(body)
+        run_in_virtual_time(body)
 
 
 class TestEvidence:
-    """What is told, and how much of it."""
+    """The encoding of evidence, and its bounds."""
 
-    def test_is_read_as_it_was_told(self) -> None:
+    def test_decodes_to_what_was_encoded(self) -> None:
         one = evidence.Evidence(
             (end("1", "ab", "c", 3.25), end("2", "c")),
-            (evidence.Served(CAUSE, 4.5),),
+            (evidence.ServedRequest(CAUSE, 4.5),),
         )
-        told = orjson.loads(orjson.dumps(evidence.encode(one)))
-        assert evidence.decode(told) == one
+        body = orjson.loads(orjson.dumps(evidence.encode(one)))
+        assert evidence.decode(body) == one
         assert evidence.decode(None) == evidence.Evidence()
 
     @hypothesis.settings(derandomize=True, database=None, deadline=None)
@@ -417,39 +424,39 @@
             ),
         )
     )
-    def test_anything_else_is_refused_and_breaks_nothing(
-        self, told: object
+    def test_malformed_evidence_raises_only_value_error(
+        self, body: object
     ) -> None:
         try:
-            found = evidence.decode(told)
+            found = evidence.decode(body)
         except ValueError:
             return
         assert isinstance(found, evidence.Evidence)
 
-    def test_is_bounded_and_keeps_the_likeliest(self) -> None:
+    def test_is_bounded_and_keeps_the_most_likely(self) -> None:
         many = "".join(chr(200 + number) for number in range(100))
         one = evidence.Evidence()
         for number in range(200):
             one = one.with_end(
                 end(str(number), "c" + many), lambda it: it == CAUSE
             )
-        assert len(one.ends) == evidence.ENDS_MOST
+        assert len(one.ends) == evidence.MAX_ENDS
         assert one.ends[-1].instance == "199"
         for each in one.ends:
-            assert len(each.suspects) == evidence.SUSPECTS_MOST
+            assert len(each.suspects) == evidence.MAX_SUSPECTS
             assert CAUSE in each.suspects
         assert len(orjson.dumps(evidence.encode(one))) < 20_000
 
 
-class TestTelling:
-    """Evidence on its way between entries, through their notes."""
+class TestExchange:
+    """Exchange of evidence between entries, through their records."""
 
     def play(self, count, body):  # type: ignore[no-untyped-def]
         async def run() -> None:
             store = standin_store.StandinStore()
             async with anyio.create_task_group() as tasks:
                 made = [
-                    an_entry(store, f"entry-{number}", tasks)
+                    start_entry(store, f"entry-{number}", tasks)
                     for number in range(count)
                 ]
                 await anyio.sleep(4.0)
@@ -458,7 +465,7 @@
 
         virtual.run(run)
 
-    def test_all_know_within_half_a_second(self) -> None:
+    def test_reaches_all_entries_within_half_a_second(self) -> None:
         async def body(store, made, tasks):  # type: ignore[no-untyped-def]
             for number in range(3):
                 made[number].note_connection_lost(
@@ -471,21 +478,21 @@
 
         self.play(6, body)
 
-    def test_one_that_starts_knows_as_soon_as_it_has_listed(self) -> None:
+    def test_reaches_a_new_entry_with_its_first_listing(self) -> None:
         async def body(store, made, tasks):  # type: ignore[no-untyped-def]
             lose(made[0], 3)
             await anyio.sleep(0.5)
-            fresh = an_entry(store, "fresh", tasks)
+            fresh = start_entry(store, "fresh", tasks)
             await anyio.sleep(0.1)
             assert fresh.is_quarantined(CAUSE)
 
         self.play(2, body)
 
-    def test_one_that_starts_again_keeps_what_it_had_told(self) -> None:
+    def test_survives_a_restart(self) -> None:
         async def body(store, made, tasks):  # type: ignore[no-untyped-def]
             lose(made[0], 2)
             await anyio.sleep(0.5)
-            again = an_entry(store, "entry-0", tasks)
+            again = start_entry(store, "entry-0", tasks)
             await anyio.sleep(0.5)
             lose(again, 1, "later")
             await anyio.sleep(0.5)
@@ -494,7 +501,7 @@
 
         self.play(2, body)
 
-    def test_one_that_was_cut_off_tells_and_learns_afterwards(self) -> None:
+    def test_is_exchanged_after_an_outage(self) -> None:
         async def body(store, made, tasks):  # type: ignore[no-untyped-def]
             store.is_down = True
             lose(made[0], 1, "a")
@@ -507,7 +514,7 @@
 
         self.play(3, body)
 
-    def test_a_lost_reply_loses_no_evidence(self) -> None:
+    def test_survives_a_lost_response(self) -> None:
         async def body(store, made, tasks):  # type: ignore[no-untyped-def]
             store.lost_replies = 1
             lose(made[0], 3)
@@ -516,7 +523,7 @@
 
         self.play(2, body)
 
-    def test_a_spoilt_note_spoils_nothing_else(self) -> None:
+    def test_malformed_records_are_skipped(self) -> None:
         async def body(store, made, tasks):  # type: ignore[no-untyped-def]
             store.write(rosters.KIND, "entry-9", b'{"evidence": [7]}')
             store.write(rosters.KIND, "entry-8", b'"nothing"')
@@ -526,7 +533,7 @@
 
         self.play(2, body)
 
-    def test_nothing_is_written_where_nothing_ends(self) -> None:
+    def test_nothing_is_written_without_new_evidence(self) -> None:
         async def body(store, made, tasks):  # type: ignore[no-untyped-def]
             before = store.calls["put"]
             await anyio.sleep(60.0)
@@ -536,7 +543,7 @@
 
 
 def lose(one: trackers.QuarantineTracker, count: int, name: str = "e") -> None:
-    """Have instances end under the cause at an entry."""
+    """Have instances end while they run the cause, as seen by one entry."""
     for number in range(count):
         one.note_connection_lost(
             f"{name}{number}", trackers.AttemptRecord(CAUSE, None)
@@ -544,12 +551,12 @@
         one.note_end(f"{name}{number}")
 
 
-def an_entry(
+def start_entry(
     store: standin_store.StandinStore,
     name: str,
     tasks: anyio.abc.TaskGroup,
 ) -> trackers.QuarantineTracker:
-    """Start an entry's part in the notes; returns its memory."""
+    """Start an entry's roster; return its tracker."""
     one = trackers.QuarantineTracker(anyio.current_time)
     roster = rosters.Roster(store, name, rosters.EntryRecord("a"), one)
     mirror = mirrors.Mirror(
