--- a/src/crowdeck/quarantine/evidence.py
+++ b/src/crowdeck/quarantine/evidence.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The evidence that entries exchange about instances that ended unexpectedly."""
+"""Evidence that entries exchange about unexpected ends of instances."""
 
 import typing
 
