--- a/src/crowdeck/state/claims.py
+++ b/src/crowdeck/state/claims.py
@@ -3,13 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Claims of idempotency keys: one run per key, across all entries.
+"""Claims on idempotency keys: one run per key across all entries.
 
 A key is claimed in the platform's store before its request runs. Claims
-that arrive together share one conditional update of their shard object,
-so store writes depend on shards and time, not on the request rate. The
-conditional update alone decides who holds a key; which process writes a
-shard is a matter of speed only.
+that arrive together are batched into one conditional update of their shard
+object, so the number of store writes does not grow with the request rate.
+Only the conditional update decides who holds a key.
 """
 
 import typing
@@ -28,39 +27,37 @@
 from crowdeck import timers
 
 KIND = "claims"
-# At most 1 / linger writes a second per shard and process: 16 shards
-# and 50 ms give 320 a second at the very most, and one write carries all
-# keys that came meanwhile.
 SHARD_COUNT = 16
+# Claims on one shard are gathered for this long before they are written.
 LINGER_SECONDS = 0.01
-# A claim is kept as long as its caller may ask again.
+# How long a caller may repeat a request under the same key.
 EXPIRE_SECONDS = 900.0
-WRITE_TRIES = 12
-# The platform holds values up to a megabyte; a shard near that refuses
-# new keys, since a claim that cannot be written must not run.
-SHARD_BYTES = 900_000
-# A store that comes back from a copy has lost its last claims. Those of so
-# long are written again; a copy is some seconds old, 20 at most where the
-# platform keeps no longer history.
-REMEMBER_SECONDS = 60.0
-# Entries look this often whether the store has come back from a copy, and
-# for so long after one did a key that looks free is given to nobody: time
-# for the others to see it as well, and to write what they hold.
+MAX_WRITE_ATTEMPTS = 12
+# The platform limits values to one megabyte. A shard near that limit refuses
+# new keys, since no request may run without a written claim.
+MAX_SHARD_BYTES = 900_000
+# Claims written within this time are written again after the store has been
+# restored from a backup. Longer than the age of any backup.
+REWRITE_WINDOW_SECONDS = 60.0
+# Interval at which entries check whether the store has been restored.
 EPOCH_CHECK_SECONDS = 0.2
+# After a restore, free keys are refused for this long, so that all entries
+# can notice the restore and rewrite their claims.
 SETTLE_SECONDS = 1.0
 
 
 @attrs.frozen
 class Claim:
-    """One key's claim.
+    """A claim on one key.
 
     :ivar key: digest of team, service and key; the key itself is secret.
-    :ivar fingerprint: digest of the request that the key stands for.
+    :ivar fingerprint: digest of the request that the key was used for.
     :ivar request: id under which the request runs.
-    :ivar nonce: unique mark of the claimant, by which it knows its own.
-    :ivar sidecars: names of those that may run it, in order of trial.
-    :ivar incarnations: the runs of these sidecars it was meant for.
-    :ivar expires: the platform's wall clock in seconds, coarse.
+    :ivar nonce: unique to the claimant, which recognises its claim by it.
+    :ivar sidecars: names of the sidecars that may run the request, in the
+        order in which they are tried.
+    :ivar incarnations: the incarnation of each of these sidecars.
+    :ivar expires: wall-clock seconds at which the claim expires.
     """
 
     key: str
@@ -80,7 +77,7 @@
 
 
 @attrs.define(eq=False)
-class _Waiting:
+class _PendingClaim:
     claim: Claim
     replaces: str
     done: anyio.Event = attrs.field(factory=anyio.Event)
@@ -97,30 +94,30 @@
 
 
 def digest_key(team: str, service: str, key: str) -> str:
-    """Return what stands for a caller's key in the store."""
+    """Return the digest under which a caller's key is stored."""
     named = f"{team}\0{service}\0{key}"
     return xxhash.xxh3_128_hexdigest(named.encode())
 
 
 def new_nonce() -> str:
-    """Return a mark that no other claimant has."""
+    """Return a nonce for a new claim."""
     return uuid.uuid4().hex
 
 
 @attrs.frozen
-class _Remembered:
+class _RecentClaim:
     claim: Claim
     until: float
 
 
 class ClaimsLedger:
-    """Claims keys for one entry, in group commits.
+    """Claims keys for one entry, batching concurrent claims.
 
-    A claim that the store has acknowledged may be lost when it comes back
-    from a copy, and the key's caller may come again, at another entry. So
-    entries write the claims that they know again, and give out no new ones
-    until all have had the time to do so. What an entry claimed that has
-    ended since, or is cut off, cannot be written again.
+    A store that is restored from a backup may lose acknowledged claims,
+    while the key's caller retries at another entry. So entries rewrite the
+    claims that they know, and grant no new ones until all entries have had
+    time to do so. The claims of an entry that has stopped or is cut off
+    from the store cannot be rewritten.
     """
 
     def __init__(
@@ -134,94 +131,96 @@
         self._clock = clock
         self._wall_clock = wall_clock
         self._linger = linger
-        self._queues: dict[int, list[_Waiting]] = {}
+        self._queues: dict[int, list[_PendingClaim]] = {}
         self._writing: set[int] = set()
         self._epoch: int | None = None
         self._settled_at = 0.0
-        self._remembered: dict[str, _Remembered] = {}
+        self._recent_claims: dict[str, _RecentClaim] = {}
         self._outdated: set[int] = set()
 
     async def check_epoch(self) -> None:
-        """Write the claims again that a restored store may have lost.
+        """Rewrite the claims that a restored store may have lost.
 
-        To be called every ``LOOK_SECONDS``; it calls the store only then.
+        To be called every ``EPOCH_CHECK_SECONDS``. The store is called only
+        when there are claims to rewrite.
         """
-        self._meet_epoch()
+        self._observe_epoch()
         for shard in sorted(self._outdated):
             if shard not in self._writing:
                 await self._write_shard(shard)
             if shard in self._outdated:
-                # The store does not answer: the others have time as well.
+                # Not rewritten yet; the next check tries again.
                 return
 
     async def claim(self, claim: Claim, replaces: str = "") -> Claim:
-        """Claim a key and return its holder's claim.
+        """Claim a key and return the claim that holds it.
 
-        The caller holds the key if the claim returned has its nonce.
+        The caller holds the key if the returned claim has its nonce.
 
-        :param replaces: nonce of an earlier claim that is known never to
-            run, because its attempts were sealed wherever it could have;
-            if that claim still stands, this one takes its place.
-        :raises CrowdeckError: ``STORE_DOWN`` or ``STORE_UNSURE`` with
-            ``NOT_RUN``: nothing ran, since claims come before runs.
+        :param replaces: nonce of an earlier claim whose request can no
+            longer run or be answered; if that claim still holds the key,
+            this one replaces it.
+        :raises CrowdeckError: ``STORE_DOWN``, ``STORE_UNSURE`` or
+            ``OVERLOADED`` with ``NOT_RUN``, since requests run only after
+            their claim.
         """
         shard = _shard_of(claim.key)
-        waiting = _Waiting(claim, replaces)
-        self._queues.setdefault(shard, []).append(waiting)
-        while not waiting.done.is_set():
+        pending = _PendingClaim(claim, replaces)
+        self._queues.setdefault(shard, []).append(pending)
+        while not pending.done.is_set():
             if shard in self._writing:
-                await waiting.done.wait()
+                await pending.done.wait()
             else:
                 await self._write_shard(shard)
-        if waiting.error is not None:
-            raise waiting.error
-        assert waiting.holder is not None
-        return waiting.holder
+        if pending.error is not None:
+            raise pending.error
+        assert pending.holder is not None
+        return pending.holder
 
     async def _write_shard(self, shard: int) -> None:
-        """Write all that waits for a shard; the first comer does it."""
+        """Write all pending claims on a shard in one batch."""
         self._writing.add(shard)
-        batch: list[_Waiting] = []
+        batch: list[_PendingClaim] = []
         try:
             await anyio.sleep(self._linger)
             batch = self._queues.pop(shard, [])
             await self._commit(shard, batch)
         except errors.CrowdeckError as error:
-            for waiting in batch:
-                waiting.error = error
+            for pending in batch:
+                pending.error = error
         except BaseException:
-            # The first comer's caller may leave in mid-write; the others
-            # must not wait for it forever, nor be told a falsehood.
-            for waiting in batch:
-                waiting.error = _unsure()
+            # The caller that writes may be cancelled. The others must not
+            # wait forever, and whether they hold their keys is unknown.
+            for pending in batch:
+                pending.error = _unsure_error()
             raise
         finally:
             self._writing.discard(shard)
-            for waiting in batch:
-                waiting.done.set()
-            self._wake_next(shard)
-
-    def _wake_next(self, shard: int) -> None:
-        # Whoever queued while we wrote waits on its own event; give the
-        # first of them the pen by ending its wait as "not yet done".
-        for waiting in self._queues.get(shard, ()):
-            event, waiting.done = waiting.done, anyio.Event()
+            for pending in batch:
+                pending.done.set()
+            self._wake_pending(shard)
+
+    def _wake_pending(self, shard: int) -> None:
+        # Wake the callers that queued during the write without marking
+        # them done: the first one to run writes the next batch.
+        for pending in self._queues.get(shard, ()):
+            event, pending.done = pending.done, anyio.Event()
             event.set()
 
-    async def _commit(self, number: int, batch: list[_Waiting]) -> None:
+    async def _commit(self, number: int, batch: list[_PendingClaim]) -> None:
         name = f"shard-{number}"
-        for _ in range(WRITE_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             found = await self._store.get(KIND, name)
-            if self._meet_epoch():
-                # This answer may still be of the epoch before.
+            if self._observe_epoch():
+                # The value may still be from the previous epoch.
                 continue
             shard = _decode(found.value if found is not None else None)
             merged = self._merge(shard, number, batch)
             if merged == shard:
-                self._note_written(number, batch)
+                self._remember(number, batch)
                 return
             value = _encode(merged)
-            if len(value) > SHARD_BYTES:
+            if len(value) > MAX_SHARD_BYTES:
                 raise errors.CrowdeckError(
                     errors.Code.OVERLOADED,
                     "too many idempotency keys are in use",
@@ -230,97 +229,97 @@
             version = found.version if found is not None else stores.CREATE
             try:
                 await self._store.put(KIND, name, value, version)
-                if self._meet_epoch():
-                    # It may have replaced what was written at the same
-                    # version of another epoch.
+                if self._observe_epoch():
+                    # The write may have replaced a value that has the same
+                    # version in the new epoch.
                     continue
                 counters.COUNTERS.add("claims.written", len(batch))
-                self._note_written(number, batch)
+                self._remember(number, batch)
                 return
             except errors.CrowdeckError as error:
                 if error.code == errors.Code.STORE_DOWN:
                     raise
-                # A conflict, or a lost reply: reading back tells which
-                # of our claims stand, by their nonces.
+                # After a conflict or a lost reply, reading back shows by
+                # their nonces which of our claims were written.
                 counters.COUNTERS.add(f"claims.{error.code.lower()}")
-        raise _unsure()
+        raise _unsure_error()
 
     def _merge(
-        self, shard: Shard, number: int, batch: list[_Waiting]
+        self, shard: Shard, number: int, batch: list[_PendingClaim]
     ) -> Shard:
-        """Add the batch's claims, the first claim of a key winning."""
+        """Add the batch's claims; the first claim on a key wins."""
         now = self._wall_clock()
         held = {one.key: one for one in shard.claims if one.expires > now}
-        for one in self._known(number):
+        for one in self._claims_to_rewrite(number):
             if held.setdefault(one.key, one).nonce != one.nonce:
                 counters.COUNTERS.add("claims.lost")
                 logs.change("claim_lost", request=one.request)
         is_settled = self._clock.now() >= self._settled_at
-        for waiting in batch:
-            key = waiting.claim.key
-            waiting.holder = waiting.error = None
-            if key in held and held[key].nonce == waiting.replaces:
+        for pending in batch:
+            key = pending.claim.key
+            pending.holder = pending.error = None
+            if key in held and held[key].nonce == pending.replaces:
                 del held[key]
             if key not in held and not is_settled:
-                waiting.error = self._unsettled()
+                pending.error = self._unsettled_error()
                 continue
-            waiting.holder = held.setdefault(key, waiting.claim)
+            pending.holder = held.setdefault(key, pending.claim)
         return Shard(tuple(held.values()))
 
-    # A store that came back from a copy.
+    # Restored store.
 
-    def _meet_epoch(self) -> bool:
-        """Whether the store is in an epoch that was not met before."""
+    def _observe_epoch(self) -> bool:
+        """Note the store's epoch and return whether it has changed."""
         epoch = self._store.epoch
         if epoch is None or epoch == self._epoch:
             return False
-        known, self._epoch = self._epoch, epoch
-        if known is None and not epoch:
-            # It has never come back from a copy.
+        previous, self._epoch = self._epoch, epoch
+        if previous is None and not epoch:
+            # The store has never been restored.
             return False
         self._settled_at = self._clock.now() + SETTLE_SECONDS
-        if known is None:
+        if previous is None:
             return False
-        self._outdated = set(map(_shard_of, self._remembered))
+        self._outdated = set(map(_shard_of, self._recent_claims))
         logs.change(
-            "claims_outdated", epoch=epoch, known=len(self._remembered)
+            "claims_outdated", epoch=epoch, known=len(self._recent_claims)
         )
         return True
 
-    def _known(self, number: int) -> list[Claim]:
-        """Return the claims of a shard that are written again."""
+    def _claims_to_rewrite(self, number: int) -> list[Claim]:
+        """Return the claims on a shard that have to be rewritten."""
         if number not in self._outdated:
             return []
         now = self._clock.now()
         return [
             one.claim
-            for key, one in self._remembered.items()
+            for key, one in self._recent_claims.items()
             if _shard_of(key) == number and one.until > now
         ]
 
-    def _note_written(self, number: int, batch: list[_Waiting]) -> None:
-        """Remember who holds the keys of a batch that was written."""
+    def _remember(self, number: int, batch: list[_PendingClaim]) -> None:
+        """Remember the holders of the keys of a written batch."""
         self._outdated.discard(number)
         now = self._clock.now()
-        for waiting in batch:
-            holder = waiting.holder
+        for pending in batch:
+            holder = pending.holder
             if holder is not None:
-                # Newest last, also where a key was known before.
-                self._remembered.pop(holder.key, None)
-                self._remembered[holder.key] = _Remembered(
-                    holder, now + REMEMBER_SECONDS
+                # Reinserted so that the newest claims come last.
+                self._recent_claims.pop(holder.key, None)
+                self._recent_claims[holder.key] = _RecentClaim(
+                    holder, now + REWRITE_WINDOW_SECONDS
                 )
-        while self._remembered:
-            oldest = next(iter(self._remembered))
-            if self._remembered[oldest].until > now:
+        while self._recent_claims:
+            oldest = next(iter(self._recent_claims))
+            if self._recent_claims[oldest].until > now:
                 return
-            del self._remembered[oldest]
+            del self._recent_claims[oldest]
 
-    def _unsettled(self) -> errors.CrowdeckError:
+    def _unsettled_error(self) -> errors.CrowdeckError:
         return errors.CrowdeckError(
             errors.Code.STORE_DOWN,
-            "the store came back from an older copy, and it is not known "
-            "yet whether this key is in use",
+            "the store was restored from a backup, and it is not known yet "
+            "whether this key is in use",
             retry_after=self._settled_at - self._clock.now(),
         )
 
@@ -339,9 +338,9 @@
     return orjson.dumps(cattrs.unstructure(shard))
 
 
-def _unsure() -> errors.CrowdeckError:
+def _unsure_error() -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.STORE_UNSURE,
-        "the store was too busy to say whether the key was claimed",
+        "it is not known whether the idempotency key was claimed",
         retry_after=1.0,
     )
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The platform's object store and instance list, as the system sees them."""
+"""Interfaces of the platform's object store and instance list."""
 
 import json
 import typing
@@ -17,22 +17,22 @@
 
 
 def write_json(value: object) -> bytes:
-    """Return an object's value as a JSON text, whatever stands in it."""
+    """Return an object's value as a JSON text."""
     try:
         return orjson.dumps(value)
     except TypeError:
-        # Half characters, numbers of any length: readers of this one object
-        # find that out, and nobody else has to.
+        # orjson refuses lone surrogates and long integers. They concern
+        # only those who read this object.
         return json.dumps(value).encode("ascii")
 
 
 def read_json(content: bytes) -> typing.Any:
-    """Return what a JSON text with the values of many objects holds.
+    """Parse a JSON text that holds the values of many objects.
 
-    One object's value that the strict reader refuses, half a character or
-    bytes that are none, would make a whole list unreadable.
+    One value that the strict parser refuses, such as a lone surrogate or
+    invalid UTF-8, must not make the whole list unreadable.
 
-    :raises ValueError: where it cannot be read at all.
+    :raises ValueError: if the lenient parser refuses the text as well.
     """
     try:
         return orjson.loads(content)
@@ -41,20 +41,20 @@
     try:
         return json.loads(content.decode("utf-8", "replace"))
     except RecursionError:
-        raise ValueError("it is nested without end") from None
+        raise ValueError("the JSON text is nested too deeply") from None
 
 
 @attrs.frozen
 class Position:
-    """How far something knows a store's history.
+    """A point in a store's history.
 
-    Versions order what happened within one epoch only. A store that comes
-    back from a copy has lost its last writes and gives their versions out
-    again, to others; each return begins another epoch. So two versions say
-    nothing of each other where their epochs differ.
+    Versions order writes within one epoch only. A store that is restored
+    from a backup loses its latest writes and assigns their versions again,
+    so each restore begins a new epoch. Versions of different epochs cannot
+    be compared.
 
-    :ivar epoch: how often the store has come back from a copy, as it counts;
-        0 for one that does not tell.
+    :ivar epoch: how often the store has been restored, by its own count;
+        0 for a store that does not report it.
     """
 
     version: int
@@ -65,10 +65,10 @@
 class StoredObject:
     """One object; ``version`` grows with each write and is never 0.
 
-    It does so within one epoch, as :class:`Position` has it.
+    Versions are comparable within one epoch only, see :class:`Position`.
 
-    ``value`` is a JSON text: the store keeps structured values and may
-    hand back other white space than it was given.
+    ``value`` is a JSON text. The store keeps structured values, so its white
+    space may differ from what was written.
     """
 
     kind: str
@@ -79,9 +79,9 @@
 
 @attrs.frozen
 class Changes:
-    """What a listing or a watch saw.
+    """The result of a listing or a watch.
 
-    :ivar version: the store's latest version, from which to watch on.
+    :ivar version: the store's latest version, from which to continue.
     :ivar objects: objects written, in order of their versions.
     :ivar removed: names of objects that are gone.
     :ivar epoch: the store's epoch when it answered.
@@ -94,19 +94,19 @@
 
     @property
     def position(self) -> Position:
-        """The position from which to watch on."""
+        """The position from which to continue."""
         return Position(self.version, self.epoch)
 
 
 @attrs.frozen
 class PeerChanges:
-    """What another process saw of the store, and how long before.
+    """Changes from a peer's copy of the store, and the age of that copy.
 
-    :ivar age: seconds before the question reached it at which its copy was
-        known to be current; below zero where it became so while the question
-        waited. Whoever asked may take its own time of asking less this for
-        the time at which it is current itself: the question was sent no
-        later than it arrived, and no two clocks are compared.
+    :ivar age: seconds from when the peer's copy was known to be current
+        until the question arrived; negative if the copy became current
+        while the question waited. The time of asking less this age is a
+        time at which the asker is current. It compares no two clocks, and
+        errs on the old side since a question arrives after it was sent.
     """
 
     changes: Changes
@@ -114,7 +114,7 @@
 
 
 class ObjectStore(typing.Protocol):
-    """Objects with versions, conditional updates and watches.
+    """A store of versioned objects, with conditional updates and watches.
 
     Every method raises ``CrowdeckError`` with ``STORE_DOWN`` when the
     store cannot be reached; a write whose reply is lost raises
@@ -125,8 +125,8 @@
     def epoch(self) -> int | None:
         """The epoch of the latest answer, ``None`` before the first.
 
-        A write that is conditional on a version read in another epoch may
-        have replaced what nobody here has read.
+        A write that is conditional on a version of another epoch may have
+        replaced a value that this process has not read.
         """
         ...
 
@@ -135,8 +135,8 @@
     ) -> StoredObject | None:
         """Return an object, or ``None`` where there is none.
 
-        :param allow_stale: take a cheaper answer, seconds old perhaps. Only
-            for what a later conditional write decides.
+        :param allow_stale: accept a cheaper answer that may be seconds old;
+            only for values that a later conditional write verifies.
         """
         ...
 
@@ -154,7 +154,7 @@
     async def watch(self, kind: str, after: Position, wait: float) -> Changes:
         """Return what changed after a position, waiting for it.
 
-        :param wait: seconds to wait at most; nothing changed is no error.
+        :param wait: seconds to wait at most; the result may be empty.
         :raises CrowdeckError: ``STORE_HISTORY`` when the store no longer
             knows what changed, or is in another epoch; list the kind again.
         """
@@ -174,12 +174,12 @@
 
 
 class InstanceList(typing.Protocol):
-    """The platform's list of instances, which lags."""
+    """The platform's list of instances, which may be out of date."""
 
     async def list_instances(self, known: str = "") -> Listing | None:
-        """Return live and leaving instances.
+        """Return the live and leaving instances.
 
-        :param known: etag of the listing that the caller has.
-        :return: ``None`` when that listing is still the latest.
+        :param known: etag of the caller's latest listing.
+        :return: ``None`` if that listing is still current.
         """
         ...
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The claims ledger on an unsure store."""
+"""The claims ledger on a store that fails or is restored."""
 
 import random
 
@@ -38,7 +38,7 @@
 
 
 class TestLedger:
-    """Who holds a key, and what it costs to know."""
+    """Holders of keys, and the store calls to find them out."""
 
     def test_many_claims_share_few_writes(self) -> None:
         async def check() -> None:
@@ -94,12 +94,12 @@
 
         virtual.run(check)
 
-    def test_full_shard_refuses_as_not_run(self) -> None:
+    def test_full_shard_refuses_new_keys_as_not_run(self) -> None:
         async def check() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
             big = attrs.evolve(
-                make_claim("key", "big"), request="x" * claims.SHARD_BYTES
+                make_claim("key", "big"), request="x" * claims.MAX_SHARD_BYTES
             )
             with pytest.raises(errors.CrowdeckError) as caught:
                 await ledger.claim(big)
@@ -149,7 +149,7 @@
             max_size=6,
         )
     )
-    def test_one_holder_whatever_the_store_does(
+    def test_key_has_one_holder_despite_store_faults(
         self, events: list[tuple[float, str]]
     ) -> None:
         async def check() -> None:
@@ -185,19 +185,17 @@
 
 
 class TestRestoredStore:
-    """Claims that the store acknowledged and has lost.
+    """Claims that the store acknowledged and then lost.
 
-    A caller's keyed call was claimed and run. The store came back from a
-    copy of before, and the caller came again, at another entry, before its
-    answer had arrived: the claim was made a second time, and the call run
-    twice.
+    If such a key could be claimed again at another entry, a retried call
+    would run twice.
     """
 
-    def test_key_is_not_given_out_twice(self) -> None:
+    def test_lost_claim_is_not_granted_to_another(self) -> None:
         async def check() -> None:
             store = stores.StandinStore()
             first, second = make_ledger(store), make_ledger(store)
-            # Both know the store as it was.
+            # Both have seen the epoch before the restore.
             await first.claim(make_claim("before", "a"))
             await second.claim(make_claim("other", "b"))
             backup = store.back_up()
@@ -210,7 +208,7 @@
             assert caught.value.verdict is verdicts.Verdict.NOT_RUN
             assert 0 < caught.value.retry_after <= claims.SETTLE_SECONDS
             await second.check_epoch()
-            # Its other calls have told the first entry's process.
+            # Another call shows the new epoch to the first entry.
             await store.list("settings")
             await first.check_epoch()
             await anyio.sleep(claims.SETTLE_SECONDS)
@@ -231,7 +229,7 @@
 
         virtual.run(check)
 
-    def test_free_keys_are_claimed_again_a_second_later(self) -> None:
+    def test_free_key_is_granted_after_the_settle_time(self) -> None:
         async def check() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
@@ -245,7 +243,7 @@
 
         virtual.run(check)
 
-    def test_entry_that_starts_then_waits_as_well(self) -> None:
+    def test_entry_started_after_a_restore_waits_too(self) -> None:
         async def check() -> None:
             store = stores.StandinStore()
             store.restore(store.back_up())
@@ -255,7 +253,7 @@
 
         virtual.run(check)
 
-    def test_store_that_is_down_again_is_asked_once_a_look(self) -> None:
+    def test_unreachable_store_is_called_once_per_check(self) -> None:
         async def check() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
@@ -269,7 +267,7 @@
 
         virtual.run(check)
 
-    def test_looking_costs_no_call(self) -> None:
+    def test_epoch_check_makes_no_call(self) -> None:
         async def check() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
@@ -283,7 +281,7 @@
 
     @hypothesis.given(strategies.integers(0, 2**32))
     @hypothesis.settings(max_examples=40, deadline=None, derandomize=True)
-    def test_each_key_has_one_holder_whatever_is_lost(self, seed: int) -> None:
+    def test_each_key_has_one_holder_despite_restores(self, seed: int) -> None:
         async def check() -> None:
             rng = random.Random(seed)
             store = stores.StandinStore()
