--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A local copy of one kind of the store's objects, kept up by a watch."""
+"""A local copy of one kind of the store's objects, updated by watches."""
 
 import typing
 
@@ -18,24 +18,21 @@
 
 
 Linger = typing.Callable[[], float]
-# Between two questions to other processes after one that was of no help:
-# a twentieth of what a proof's age may become, in seconds.
-ASK_PAUSE = 0.05
-# A watch proves the copy anew each time, and a change that ends it just
-# before its time leaves a proof one wait old; older, the process slept.
-OLD_WAITS = 2.0
-# Another process's copy is proved anew once in each of its watches. Whoever
-# waits just as long goes away a moment before, with a proof of that age:
-# copies were 1.6 s old at the most with a watch of 0.8 s, and 0.8 s with
-# this added.
-HELPER_SLACK = 0.2
+# Pause before the next question to a peer that gave no answer or an old one.
+PEER_RETRY_SECONDS = 0.05
+# Age of the proof, in watches, above which a call does not wait for changes.
+# A proof gets one watch old, or older after a suspension or an outage.
+MAX_PROOF_AGE_WATCHES = 2.0
+# Seconds added to the watch of a peer's copy, which is proved once in each
+# watch of the peer. A watch of the same length would end just before that.
+PEER_WATCH_SLACK_SECONDS = 0.2
 
 
 class ChangeListener(typing.Protocol):
-    """Takes what a mirror sees."""
+    """Receives the objects of a mirror and their changes."""
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
-        """Take all objects of the kind; others are gone."""
+        """Receive all objects of the kind; any others are gone."""
         ...
 
     def on_changed(
@@ -43,7 +40,7 @@
         objects: tuple[stores.StoredObject, ...],
         removed: tuple[str, ...],
     ) -> None:
-        """Take what was written and removed since the last call."""
+        """Receive what was written and removed since the last call."""
         ...
 
 
@@ -53,7 +50,7 @@
     async def watch(
         self, kind: str, after: stores.Position, wait: float
     ) -> stores.PeerChanges | None:
-        """Return what changed after a position, ``None`` for no help.
+        """Return what changed after a position, or ``None`` if it failed.
 
         :raises CrowdeckError: when only the store can tell.
         """
@@ -61,22 +58,22 @@
 
 
 class PeerSelector(typing.Protocol):
-    """Knows whether another process may be asked instead of the store."""
+    """Chooses the peer that is asked instead of the store."""
 
     def choose(self) -> PeerReplica | None:
-        """Return whom to ask, or ``None`` to ask the store."""
+        """Return the peer to ask, or ``None`` to ask the store."""
         ...
 
     def seconds_to_next(self) -> float:
-        """Return after how long :meth:`choose` may find one again."""
+        """Return the seconds after which :meth:`choose` may find a peer."""
         ...
 
 
 class NoPeers:
-    """Implements ``PeerSelector`` for a process that is alone."""
+    """Implements ``PeerSelector`` for a process without peers."""
 
     def choose(self) -> PeerReplica | None:
-        """Return nobody."""
+        """Return ``None``, so that the store is asked."""
         return None
 
     def seconds_to_next(self) -> float:
@@ -87,14 +84,14 @@
 class Mirror:
     """Lists a kind once, then follows its changes until cancelled.
 
-    :param linger: returns the seconds between one watch and the next, in which
-        changes gather. Each watch that is answered is charged for, and
-        fleets change many objects at once.
+    :param linger: returns the seconds between the end of one watch and the
+        next, in which changes are gathered. Each answered watch is charged
+        for, and many objects of a fleet change at once.
     :param wait: seconds that one watch waits for a change. An answered
         watch proves that the copy was current when the watch was sent,
-        so this also decides how old the proof may become.
-    :param health: what all mirrors of a process know of the store.
-    :param peers: other processes that may be asked instead.
+        so this also limits the age of the proof.
+    :param health: the store's health, shared by the mirrors of a process.
+    :param peers: chooses the peers that are asked instead of the store.
     """
 
     def __init__(
@@ -119,7 +116,7 @@
         self._must_list = True
         self._must_ask_store = False
         self._has_failed = False
-        self._moved_on = anyio.Event()
+        self._proof_changed = anyio.Event()
 
     @property
     def kind(self) -> str:
@@ -137,7 +134,7 @@
         return self._current_at is not None
 
     def age(self) -> float:
-        """Return for how many seconds the copy has not been proved current."""
+        """Return the seconds since the copy was last proved current."""
         if self._current_at is None:
             return float("inf")
         return anyio.current_time() - self._current_at
@@ -145,18 +142,18 @@
     async def run(self) -> None:
         """Follow the kind until cancelled."""
         while True:
-            helper = self._choose()
-            if helper is not None:
-                await self._ask(helper)
+            peer = self._choose_peer()
+            if peer is not None:
+                await self._ask_peer(peer)
                 continue
-            patience = self._peers.seconds_to_next()
-            async with self._health.permit(patience) as permit:
+            timeout = self._peers.seconds_to_next()
+            async with self._health.permit(timeout) as permit:
                 if permit is store_health.CallPermit.NONE:
                     continue
                 try:
-                    await self._step()
+                    await self._call_store()
                 except errors.CrowdeckError as error:
-                    await self._note(
+                    await self._handle_failure(
                         error, permit is store_health.CallPermit.PROBE
                     )
 
@@ -165,23 +162,23 @@
     ) -> stores.PeerChanges:
         """Return what changed after a position, for another process.
 
-        Answers once something has changed, or once the copy was proved
-        current after the question came, or when the wait is over.
+        Returns once something has changed, once the copy has been proved
+        current as of the question, or after ``wait`` seconds.
 
         :raises CrowdeckError: ``STORE_DOWN`` while the store is lost or its
-            present epoch not known here, ``STORE_HISTORY`` when it is not
-            known what changed.
+            current epoch is not known here, ``STORE_HISTORY`` when the
+            changes are not known.
         """
-        came_at = anyio.current_time()
+        asked_at = anyio.current_time()
         with (
             self._health.watch_scope(),
             anyio.move_on_after(wait),
         ):
-            while not self._has_news(after, came_at):
-                await self._moved_on.wait()
+            while not self._has_news(after, asked_at):
+                await self._proof_changed.wait()
         if self._health.is_lost or self._current_at is None:
             raise errors.CrowdeckError(
-                errors.Code.STORE_DOWN, "the store is lost from here as well"
+                errors.Code.STORE_DOWN, "this process has lost the store too"
             )
         if after.epoch > self.position.epoch:
             self._health.observe_epoch(after.epoch)
@@ -193,55 +190,56 @@
         if changes is None:
             raise errors.CrowdeckError(
                 errors.Code.STORE_HISTORY,
-                f"what happened after {after.version} of epoch "
-                f"{after.epoch} is not known",
+                f"the changes after version {after.version} of epoch "
+                f"{after.epoch} are not known",
             )
-        return stores.PeerChanges(changes, came_at - self._current_at)
+        return stores.PeerChanges(changes, asked_at - self._current_at)
 
-    def _has_news(self, after: stores.Position, came_at: float) -> bool:
+    def _has_news(self, after: stores.Position, asked_at: float) -> bool:
         if self._health.is_lost:
             return True
         if self._current_at is None:
             return False
-        if self._current_at >= came_at:
+        if self._current_at >= asked_at:
             return True
         changes = self._replica.changes_since(after)
         return changes is None or bool(changes.objects or changes.removed)
 
-    def _choose(self) -> PeerReplica | None:
+    def _choose_peer(self) -> PeerReplica | None:
         if self._must_list or self._must_ask_store:
             return None
         return self._peers.choose()
 
-    async def _ask(self, helper: PeerReplica) -> None:
-        """Ask another process and take what it tells."""
-        wait = 0.0 if self._has_failed else self._wait + HELPER_SLACK
+    async def _ask_peer(self, peer: PeerReplica) -> None:
+        """Ask a peer for changes and apply them."""
+        wait = (
+            0.0 if self._has_failed else self._wait + PEER_WATCH_SLACK_SECONDS
+        )
         sent_at = anyio.current_time()
         try:
-            sighting = await helper.watch(self._kind, self.position, wait)
+            answer = await peer.watch(self._kind, self.position, wait)
         except errors.CrowdeckError as error:
             logs.change(
                 "store_asked_instead", kind=self._kind, reason=error.message
             )
-            # At once: a watch from a position that the store does not have
-            # any more may wait to its end before it shows that.
+            # Do not wait for changes: the store may take a whole watch to
+            # report that it no longer has the position.
             self._must_ask_store = self._has_failed = True
             return
-        if sighting is not None:
-            self._take(sighting.changes, sent_at - sighting.age)
-        # All copies of a zone are old when the one that they were read from
-        # fell silent; the next in line has a proof within a moment.
-        self._has_failed = sighting is None or sighting.age > self._wait
+        if answer is not None:
+            self._apply(answer.changes, sent_at - answer.age)
+        # When the peer that a zone follows stops answering, all copies are
+        # old until the next peer has asked the store.
+        self._has_failed = answer is None or answer.age > self._wait
         if self._has_failed:
-            await anyio.sleep(ASK_PAUSE)
-
-    async def _step(self) -> None:
-        """Make one call of the store and take what it tells."""
-        # After a failure the first question is one that is answered at
-        # once: it shows that the store is back, and proves the copy.
-        # So is the first after a suspension: 0.8 s of refusals less.
-        is_old = self.age() > OLD_WAITS * self._wait
-        wait = 0.0 if self._has_failed or is_old else self._wait
+            await anyio.sleep(PEER_RETRY_SECONDS)
+
+    async def _call_store(self) -> None:
+        """Call the store once and apply its answer."""
+        # The first call after a failure or a suspension does not wait for
+        # changes, so that its answer proves the copy at once.
+        is_stale = self.age() > MAX_PROOF_AGE_WATCHES * self._wait
+        wait = 0.0 if self._has_failed or is_stale else self._wait
         sent_at = anyio.current_time()
         if self._must_list:
             listing = await self._store.list(self._kind)
@@ -249,39 +247,41 @@
             self._health.observe_epoch(listing.epoch)
             self._must_list = self._must_ask_store = self._has_failed = False
             self._replica.reset(listing)
-            self._note_current(sent_at)
+            self._set_current(sent_at)
             self._listener.on_listed(listing.objects)
             return
         changes: stores.Changes | None = None
         with self._health.watch_scope():
             changes = await self._store.watch(self._kind, self.position, wait)
         if changes is None:
-            # Contact was lost meanwhile: the watch is sent anew.
+            # The watch was cancelled; send it again.
             self._has_failed = True
             return
         self._has_failed = self._must_ask_store = False
         self._health.record_success()
         if not changes.objects and not changes.removed:
-            # The store waited to the end and still knew of no change.
+            # Without a change, the copy was current until the watch ended.
             sent_at += min(anyio.current_time() - sent_at, wait)
-            self._take(changes, sent_at)
+            self._apply(changes, sent_at)
             return
-        self._take(changes, sent_at)
+        self._apply(changes, sent_at)
         await anyio.sleep(self._linger())
 
-    def _take(self, changes: stores.Changes, current_at: float) -> None:
+    def _apply(self, changes: stores.Changes, current_at: float) -> None:
         self._replica.apply(changes)
-        self._note_current(current_at)
+        self._set_current(current_at)
         if changes.objects or changes.removed:
             self._listener.on_changed(changes.objects, changes.removed)
 
-    def _note_current(self, at: float) -> None:
-        known = self._current_at
-        self._current_at = at if known is None else max(known, at)
-        self._moved_on.set()
-        self._moved_on = anyio.Event()
+    def _set_current(self, at: float) -> None:
+        previous = self._current_at
+        self._current_at = at if previous is None else max(previous, at)
+        self._proof_changed.set()
+        self._proof_changed = anyio.Event()
 
-    async def _note(self, error: errors.CrowdeckError, is_probe: bool) -> None:
+    async def _handle_failure(
+        self, error: errors.CrowdeckError, is_probe: bool
+    ) -> None:
         counters.COUNTERS.add(f"store.{self._kind}.failed")
         if error.code is errors.Code.STORE_HISTORY:
             logs.change(
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Whether the store can be reached, found out once for a whole process."""
+"""Whether the store can be reached, tracked once for the whole process."""
 
 import collections
 import contextlib
@@ -16,20 +16,18 @@
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 
-# How long a process that lost the store waits between its tries. All
-# processes meet an outage together and each try is charged for, so not
-# less; the entries of upstreams come back within two seconds of the
-# store's return, so not much more.
+# Interval between probes of a lost store. All processes probe it at once
+# during an outage, and each call is charged for.
 PROBE_INTERVAL_SECONDS = 0.3
 
 
-Pause = typing.Callable[[], float]
+ProbeInterval = typing.Callable[[], float]
 
 
 class CallPermit(enum.Enum):
-    """What a caller of the store may do.
+    """Whether a caller may call the store.
 
-    ``TRY`` is the one question that is asked while the store is lost.
+    ``PROBE`` permits the one call that tests a lost store.
     """
 
     NONE = enum.auto()
@@ -38,26 +36,25 @@
 
 
 class StoreHealth:
-    """What a process's callers of the store know of it together.
+    """The store's health, shared by all its callers in one process.
 
-    A store that falls silent keeps its connections open: a watch that was
-    sent into the silence waits to its end, ten seconds perhaps, while the
-    store has long returned. So when one call fails, the watches of all
-    are taken back. Then one caller at a time tries, with a question that
-    is answered at once, and all others go on when one try succeeds.
+    A store that stops answering may keep its connections open, and a watch
+    then waits for its whole time although the store has recovered. So when
+    one call fails, all watches are cancelled. Then one caller at a time
+    probes the store, and all others go on once a probe succeeds.
     """
 
     def __init__(self) -> None:
         self._failed_at: float | None = None
-        self._tried_at = float("-inf")
+        self._own_failed_at = float("-inf")
         self._lost_at: float | None = None
         self._failures = 0
-        self._is_tried = False
-        self._tries = 0
-        self._next_try_at = 0.0
-        self._pause: Pause = lambda: PROBE_INTERVAL_SECONDS
+        self._is_probing = False
+        self._probe_count = 0
+        self._next_probe_at = 0.0
+        self._probe_interval: ProbeInterval = lambda: PROBE_INTERVAL_SECONDS
         self._epoch: int | None = None
-        self._line: collections.deque[object] = collections.deque()
+        self._queue: collections.deque[object] = collections.deque()
         self._changed = anyio.Event()
         self._watches: set[anyio.CancelScope] = set()
 
@@ -68,59 +65,64 @@
 
     @property
     def failed_at(self) -> float | None:
-        """The loop's time of the last call that failed, here or at a peer."""
+        """Loop time of the last restore, or failure here or at a peer."""
         return self._failed_at
 
     @property
     def own_failed_at(self) -> float:
-        """The loop's time at which this process's own call last failed."""
-        return self._tried_at
+        """Loop time at which this process's own call last failed."""
+        return self._own_failed_at
 
-    async def enter(self) -> CallPermit:
+    async def acquire(self) -> CallPermit:
         """Wait until the store may be called.
 
-        A try, the one question that is asked while the store is lost, is
-        ended by :meth:`succeed` or :meth:`fail`.
+        A probe is ended by :meth:`record_success` or
+        :meth:`record_failure`.
         """
-        mine = object()
-        self._line.append(mine)
+        ticket = object()
+        self._queue.append(ticket)
         try:
             while self.is_lost:
-                if self._may_try(mine):
-                    self._is_tried = True
+                if self._may_probe(ticket):
+                    self._is_probing = True
                     return CallPermit.PROBE
-                await self._wait(mine)
+                await self._wait(ticket)
             return CallPermit.CALL
         finally:
-            self._line.remove(mine)
-            self._tell()
+            self._queue.remove(ticket)
+            self._notify()
 
     @contextlib.asynccontextmanager
     async def permit(
-        self, patience: float = float("inf")
+        self, timeout: float = float("inf")
     ) -> typing.AsyncIterator[CallPermit]:
-        """Wait as :meth:`enter` does; a try ends with the block at the latest.
+        """Hold a permit for a block, as returned by :meth:`acquire`.
 
-        A caller that is cancelled in its try tells neither success nor
-        failure. All others then waited for it for ever, and the process
-        never called the store again.
+        A probe ends with the block at the latest. A caller that is cancelled
+        during its probe records no outcome, and the others would wait for it
+        forever.
 
-        :param patience: seconds to wait at most; then the turn is none.
+        :param timeout: seconds to wait at most, after which the permit is
+            ``NONE``.
         """
         permit = CallPermit.NONE
-        with anyio.move_on_after(patience):
-            permit = await self.enter()
+        with anyio.move_on_after(timeout):
+            permit = await self.acquire()
         is_probe = permit is CallPermit.PROBE
-        mine = self._tries = self._tries + is_probe
+        probe_number = self._probe_count = self._probe_count + is_probe
         try:
             yield permit
         finally:
-            if is_probe and self._is_tried and self._tries == mine:
-                self._let_on()
+            if (
+                is_probe
+                and self._is_probing
+                and self._probe_count == probe_number
+            ):
+                self._end_probe()
 
     @contextlib.contextmanager
     def watch_scope(self) -> typing.Iterator[anyio.CancelScope]:
-        """Give a scope for a watch; it is cancelled when contact is lost."""
+        """Yield the scope of a watch, cancelled on a loss or a restore."""
         with anyio.CancelScope() as scope:
             self._watches.add(scope)
             try:
@@ -128,39 +130,38 @@
             finally:
                 self._watches.discard(scope)
 
-    def set_probe_interval(self, pause: Pause) -> None:
-        """Ask ``pause`` for the seconds between two tries, at each try."""
-        self._pause = pause
+    def set_probe_interval(self, interval: ProbeInterval) -> None:
+        """Set the function that returns the seconds until the next probe."""
+        self._probe_interval = interval
 
     def note_peer_failure(self) -> None:
         """Note that a peer has lost the store.
 
-        This process's own way there may be well. What is missing from the
-        store soon after may have lapsed all the same.
+        Objects that are missing soon after may have expired during the
+        outage, even if this process could reach the store throughout.
         """
         self._failed_at = anyio.current_time()
 
     def observe_epoch(self, epoch: int) -> None:
-        """Note an epoch of the store, told by itself or by a peer.
+        """Note an epoch that the store or a peer has reported.
 
-        A later one than any before takes the watches of all back. Each is
-        sent anew and answered at once, from the new epoch: a watch that was
-        sent before may wait on for ten seconds, for versions that the store
-        gives out again.
+        A new epoch cancels all watches, and each is sent again. A watch
+        from the previous epoch may wait for versions that the store assigns
+        a second time.
         """
-        known, self._epoch = self._epoch, max(epoch, self._epoch or 0)
+        previous, self._epoch = self._epoch, max(epoch, self._epoch or 0)
         counters.COUNTERS.set_gauge("store.epoch", self._epoch)
-        if known is None or epoch <= known:
+        if previous is None or epoch <= previous:
             return
-        logs.change("store_restored", epoch=epoch, before=known)
+        logs.change("store_restored", epoch=epoch, before=previous)
         counters.COUNTERS.add("store.restored")
-        # What instances wrote last may be missing until they write again.
+        # The latest writes of instances may be missing until repeated.
         self._failed_at = anyio.current_time()
         for scope in self._watches:
             scope.cancel()
 
     def record_success(self) -> None:
-        """Note that a call was answered."""
+        """Record that a call was answered."""
         if self._lost_at is None:
             return
         logs.change(
@@ -170,43 +171,44 @@
         )
         self._lost_at = None
         self._failures = 0
-        self._let_on()
+        self._end_probe()
 
     async def record_failure(self, reason: str, was_probe: bool) -> None:
-        """Note that a call was not answered.
+        """Record that a call was not answered.
 
-        After a try that failed the next one waits, this caller's or
-        another's. The first try does not: most failures are a connection
-        that was cut, and no outage.
+        After a failed probe the next one waits. The first probe does not,
+        since most failures are a cut connection rather than an outage.
         """
         now = anyio.current_time()
-        self._failed_at = self._tried_at = now
+        self._failed_at = self._own_failed_at = now
         self._failures += 1
         if self._lost_at is None:
-            self._lost_at = self._next_try_at = now
+            self._lost_at = self._next_probe_at = now
             logs.change("store_lost", reason=reason)
             for scope in self._watches:
                 scope.cancel()
         if was_probe:
-            self._next_try_at = now + self._pause()
-            self._let_on()
-        # Whoever waited comes first, so that a kind whose answers are never
-        # right does not keep the others from trying.
+            self._next_probe_at = now + self._probe_interval()
+            self._end_probe()
+        # Let the other callers probe first, so that a kind whose calls
+        # always fail does not keep them waiting.
         await anyio.lowlevel.checkpoint()
 
-    def _may_try(self, mine: object) -> bool:
-        is_next = self._line[0] is mine and not self._is_tried
-        return is_next and anyio.current_time() >= self._next_try_at
+    def _may_probe(self, ticket: object) -> bool:
+        is_next = self._queue[0] is ticket and not self._is_probing
+        return is_next and anyio.current_time() >= self._next_probe_at
 
-    async def _wait(self, mine: object) -> None:
-        is_next = self._line[0] is mine and not self._is_tried
-        with anyio.move_on_at(self._next_try_at if is_next else float("inf")):
+    async def _wait(self, ticket: object) -> None:
+        is_next = self._queue[0] is ticket and not self._is_probing
+        with anyio.move_on_at(
+            self._next_probe_at if is_next else float("inf")
+        ):
             await self._changed.wait()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
 
-    def _let_on(self) -> None:
-        self._is_tried = False
-        self._tell()
+    def _end_probe(self) -> None:
+        self._is_probing = False
+        self._notify()
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -3,24 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A store that comes back from a copy some seconds old.
+"""A store that is restored from a backup some seconds old.
 
-What users saw: an entry called an instance more than two seconds after it
-had said that it leaves; two entries served by a config that had been
-replaced more than three seconds before. Nothing was wrong at that moment.
-
-The order of events: entries knew the store up to version 178. It was away for
-2.5 s and came back from a copy of version 170. Some entries asked it what
-happened after 178, were told that it does not know, and listed all anew.
-The others asked those, as entries of a zone do, what happened after 178.
-The next config was written at version 172, and they were told: nothing.
-
-The cause: a version was taken for a moment in the one history of a store.
-It is one of a life of the store only, and each return begins another.
-
-The evidence: of 29 entries 16 listed the config anew, and all of these had the
-next one within 25 ms. All 13 others had none before one was written at
-version 183, 8.2 s later.
+It assigns the versions of its lost writes again. An entry that asks a peer for
+the changes since such a version must notice the new epoch, or it misses all
+changes until the store has passed that version again.
 """
 
 import random
@@ -47,32 +34,32 @@
 from tests import virtual
 from tests import zone_system
 
-# A change of the config has to be in force this many seconds after it was
-# acknowledged, and a request may be sent just then.
+# A change of the config has to be in force this long after the store has
+# acknowledged it.
 IN_FORCE_SECONDS = 2.0
-# For so long the store was away, and so old was its copy.
-AWAY_SECONDS = 2.5
-COPY_AGE_SECONDS = 4.0
+# Length of the store's outage, and age of the backup.
+OUTAGE_SECONDS = 2.5
+BACKUP_AGE_SECONDS = 4.0
 
 
-async def come_back_from_copy(
+async def restore_from_backup(
     store: standin_store.StandinStore,
     lost_writes: int = 8,
-    away: float = AWAY_SECONDS,
+    outage: float = OUTAGE_SECONDS,
 ) -> None:
-    """Have the store lose its last writes in an outage."""
+    """Restore the store after an outage, without its last writes."""
     backup = store.back_up()
     for number in range(lost_writes):
-        await anyio.sleep(COPY_AGE_SECONDS / lost_writes)
+        await anyio.sleep(BACKUP_AGE_SECONDS / lost_writes)
         store.write(zone_system.KIND, "main", f"{number}".encode())
     store.is_down = True
-    await anyio.sleep(away)
+    await anyio.sleep(outage)
     store.restore(backup)
     store.is_down = False
 
 
-async def require_known(zone: zone_system.Zone, value: bytes) -> None:
-    """Write a value, and have every entry know it in time."""
+async def check_known(zone: zone_system.Zone, value: bytes) -> None:
+    """Write a value, and check that every entry knows it in time."""
     zone.store.write(zone_system.KIND, "main", value)
     await anyio.sleep(IN_FORCE_SECONDS)
     known = [one.sight.values.get("main") for one in zone.entries.values()]
@@ -82,31 +69,31 @@
 class TestZone:
     """Entries that read the store through one of them."""
 
-    def test_all_learn_of_changes_after_its_return(self) -> None:
+    def test_all_entries_see_changes_after_a_restore(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
             for number in range(3):
-                await come_back_from_copy(zone.store)
+                await restore_from_backup(zone.store)
                 await anyio.sleep(2.0)
-                await require_known(zone, f"new-{number}".encode())
+                await check_known(zone, f"new-{number}".encode())
 
         for count in (1, 2, 5, 14):
             zone_system.play(count, work)
 
-    def test_costs_two_listings_an_entry_at_most(self) -> None:
+    def test_restore_costs_two_listings_per_entry_at_most(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
-            await come_back_from_copy(zone.store)
+            await restore_from_backup(zone.store)
             await anyio.sleep(5.0)
             assert zone.store.calls["list"] <= 2 * len(zone.entries)
             before = zone.calls
             await anyio.sleep(10.0)
-            # Again one entry asks for all.
+            # One entry watches the store for all of them again.
             assert zone.calls - before <= 10.0 / zone_system.WAIT + 1
 
         zone_system.play(14, work)
 
-    def test_peer_that_has_missed_it_is_not_believed(self) -> None:
-        # The one that all ask is cut off without a word: it goes on to
-        # answer from its copy until its own watch fails.
+    def test_peer_that_missed_the_restore_is_not_believed(self) -> None:
+        # The peer that all ask is cut off unnoticed, and answers from its
+        # copy until its own watch fails.
         async def work(zone: zone_system.Zone) -> None:
             backup = zone.store.back_up()
             zone.write()
@@ -118,14 +105,13 @@
             assert caught.value.code is errors.Code.STORE_DOWN
             zone[0].way.is_cut = False
             await anyio.sleep(IN_FORCE_SECONDS)
-            await require_known(zone, b"new")
+            await check_known(zone, b"new")
 
         zone_system.play(5, work)
 
-    def test_long_watches_do_not_hold_it_up(self) -> None:
-        # Instances are watched for ten seconds. The first of the zone is
-        # asked by one that knows of the return, and the others are told by
-        # it that it knows nothing of the epoch before.
+    def test_long_watches_do_not_delay_changes(self) -> None:
+        # A watch lasts ten seconds. The first entry is told of the new epoch
+        # by a question, and then knows no changes of the previous one.
         async def work(zone: zone_system.Zone) -> None:
             await anyio.sleep(10.0)
             for _ in range(5):
@@ -137,15 +123,13 @@
                 await zone[0].mirror.changes_since(position, 0.1)
             await anyio.sleep(0.1)
             assert zone[0].mirror.position.epoch == zone.store.epoch
-            await require_known(zone, b"new")
+            await check_known(zone, b"new")
 
         zone_system.play(5, work, 10.0)
 
     @hypothesis.given(strategies.integers(0, 2**32))
     @hypothesis.settings(max_examples=25, deadline=None, derandomize=True)
-    def test_whatever_else_happens_all_know_all_soon_after(
-        self, seed: int
-    ) -> None:
+    def test_all_entries_recover_from_random_faults(self, seed: int) -> None:
         async def work(zone: zone_system.Zone) -> None:
             rng = random.Random(seed)
             for _ in range(4):
@@ -154,44 +138,44 @@
                     await _play_restores(zone, rng)
                     tasks.cancel_scope.cancel()
                 zone.reconnect()
-                # A peer that was silent is left alone for some seconds.
+                # A peer that did not answer is not asked for some seconds.
                 await anyio.sleep(3.0)
-                await require_known(zone, f"new-{seed}".encode())
+                await check_known(zone, f"new-{seed}".encode())
 
         zone_system.play(4, work)
 
 
 async def _play_restores(zone: zone_system.Zone, rng: random.Random) -> None:
-    """Write now and then, and go back to a copy of some moment before."""
+    """Write at random, and restore the store from earlier backups."""
     backups = [zone.store.back_up()]
-    truth: dict[int, float] = {}
+    written_at: dict[int, float] = {}
     for _ in range(600):
         if rng.random() < 0.03:
-            truth[zone.write()] = anyio.current_time()
+            written_at[zone.write()] = anyio.current_time()
         if rng.random() < 0.01:
             backups.append(zone.store.back_up())
         if rng.random() < 0.004:
             zone.store.restore(rng.choice(backups))
-            # Only what is written from now on may be asked for.
-            truth.clear()
-        _require_truth(zone, truth)
+            # The restore may have lost the earlier writes.
+            written_at.clear()
+        _check_ages(zone, written_at)
         await anyio.sleep(0.01)
 
 
-def _require_truth(zone: zone_system.Zone, truth: dict[int, float]) -> None:
-    """Have no copy be older than the moment it was proved for."""
-    if not truth:
+def _check_ages(zone: zone_system.Zone, written_at: dict[int, float]) -> None:
+    """Check that no copy lacks a write from before it was proved current."""
+    if not written_at:
         return
-    newest = max(truth)
+    newest = max(written_at)
     for entry in zone.entries.values():
         current_at = anyio.current_time() - entry.mirror.age()
-        if truth[newest] < current_at - 1e-9:
+        if written_at[newest] < current_at - 1e-9:
             assert entry.mirror.position.epoch == zone.store.epoch
             assert entry.mirror.position.version >= newest
 
 
 async def _disturb(zone: zone_system.Zone, rng: random.Random) -> None:
-    """Cut entries off, silence, stop and start them anew."""
+    """Cut entries off, silence them, and stop and restart them."""
     while True:
         number = rng.randrange(len(zone.entries))
         what = rng.choice(("is_silent", "is_down", "cut", "store", "anew"))
@@ -208,38 +192,38 @@
 
 
 class TestMirror:
-    """One copy of a kind, kept up by its own watch."""
+    """A mirror that watches the store itself."""
 
-    def test_versions_that_are_given_out_again_hide_nothing(self) -> None:
-        # The entry is cut off from the store meanwhile, and comes back when
-        # its version has long been another write's.
+    def test_reassigned_versions_hide_no_changes(self) -> None:
+        # The entry is cut off during the restore, and reconnects when its
+        # version has been assigned to another write.
         async def body() -> None:
             store = standin_store.StandinStore()
             sight = zone_system.Sight()
-            way = zone_system.Way(store)
-            mirror = mirrors.Mirror(way, zone_system.KIND, sight, 0.8)
+            connection = zone_system.Way(store)
+            mirror = mirrors.Mirror(connection, zone_system.KIND, sight, 0.8)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 backup = store.back_up()
                 store.write(zone_system.KIND, "main", b"lost")
                 await anyio.sleep(1.0)
-                way.is_cut = True
+                connection.is_cut = True
                 await anyio.sleep(1.0)
                 store.restore(backup)
                 store.write(zone_system.KIND, "first", b"1")
                 store.write(zone_system.KIND, "second", b"2")
-                way.is_cut = False
+                connection.is_cut = False
                 await anyio.sleep(IN_FORCE_SECONDS)
                 assert sight.values == {"first": b"1", "second": b"2"}
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
 
-    def test_long_watch_is_sent_anew_when_another_meets_the_epoch(
+    def test_long_watch_is_sent_again_in_a_new_epoch(
         self,
     ) -> None:
-        # A watch for instances waits ten seconds, and the store may go on
-        # waiting with it for a version that it gives out again.
+        # The store may keep the long watch waiting for a version that it
+        # assigns again.
         async def body() -> None:
             store = standin_store.StandinStore()
             health = store_health.StoreHealth()
@@ -267,7 +251,7 @@
 
 
 class _Fleet:
-    """Entries that note themselves and what they know of engines' ends."""
+    """Entries that store notes of themselves and of failed engines."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.store = standin_store.StandinStore()
@@ -303,11 +287,11 @@
             del self.rosters[name], self.trackers[name]
 
     async def settle(self) -> None:
-        """Let all be told to all."""
+        """Wait until every entry knows all notes."""
         await anyio.sleep(IN_FORCE_SECONDS)
 
     def find_cause(self, name: str) -> None:
-        """Have an entry see three engines end under one request."""
+        """Have an entry see three engines fail on one request."""
         quarantine = self.trackers[name]
         for number in range(3):
             quarantine.note_connection_lost(
@@ -334,7 +318,7 @@
 
 
 class TestRoster:
-    """What entries noted in a store that lost it."""
+    """Notes of entries that the store has lost."""
 
     def test_lost_note_is_written_again(self) -> None:
         async def work(fleet: _Fleet) -> None:
@@ -346,7 +330,7 @@
 
         play_fleet(work)
 
-    def test_what_was_told_since_the_copy_is_told_again(self) -> None:
+    def test_findings_since_the_backup_are_written_again(self) -> None:
         async def work(fleet: _Fleet) -> None:
             backup = fleet.store.back_up()
             fleet.find_cause("entry-0")
@@ -361,8 +345,8 @@
 
         play_fleet(work)
 
-    def test_an_older_note_takes_nothing_back(self) -> None:
-        # Whoever told it has ended since, and tells it to nobody again.
+    def test_older_note_revokes_nothing(self) -> None:
+        # The entry that found the cause has stopped and cannot repeat it.
         async def work(fleet: _Fleet) -> None:
             backup = fleet.store.back_up()
             fleet.find_cause("entry-0")
@@ -376,7 +360,7 @@
 
         play_fleet(work)
 
-    def test_new_notes_of_lower_versions_are_taken(self) -> None:
+    def test_new_notes_with_lower_versions_are_applied(self) -> None:
         async def work(fleet: _Fleet) -> None:
             for number in range(50):
                 fleet.store.write("other", f"o{number}", b"1")
@@ -391,7 +375,7 @@
 
         play_fleet(work)
 
-    def test_calm_notes_cost_no_call(self) -> None:
+    def test_unchanged_notes_cost_no_write(self) -> None:
         async def work(fleet: _Fleet) -> None:
             puts = fleet.store.calls["put"]
             await fleet.settle()
@@ -401,9 +385,9 @@
 
 
 class TestBook:
-    """Instances whose entries are older than what is known of them."""
+    """Instances whose stored entries are older than what is known."""
 
-    def test_instance_that_leaves_is_not_used_for_an_old_entry(self) -> None:
+    def test_old_entry_does_not_revive_a_leaving_instance(self) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
             one = fleet_system.upstream("a")
@@ -415,13 +399,13 @@
             assert system.registry.usable(one.service) == ()
             await anyio.sleep(registries.LAST_WORK_SECONDS)
             assert system.registry.usable_while_leaving(one.service) == ()
-            # What it writes itself from then on is believed.
+            # An entry that it writes later is believed.
             system.list_instance(one)
             assert system.registry.usable(one.service) == (one,)
 
         virtual.run(body)
 
-    def test_another_run_of_its_name_is_used(self) -> None:
+    def test_new_run_of_the_same_name_is_used(self) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
             one = attrs.evolve(fleet_system.upstream("a"), is_leaving=True)
@@ -437,9 +421,9 @@
 
         virtual.run(body)
 
-    def test_missing_entry_may_only_have_been_lost(self) -> None:
-        # An instance that began after the copy was made writes its entry
-        # again, though no call of this process failed.
+    def test_instance_whose_entry_was_lost_is_kept(self) -> None:
+        # An instance that started after the backup has to write its entry
+        # again, although no call of this process failed.
         async def body() -> None:
             store = standin_store.StandinStore()
             health = store_health.StoreHealth()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -3,11 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Machines that are suspended, and wake seconds later.
+"""Processes whose machine is suspended for some seconds.
 
-The loop's time counts the suspension (``timers.BootTimeEventLoop``), so a
-process that wakes finds itself later, as in
-``virtual.VirtualLoop.pass_time``.
+The clock of ``timers.BootTimeEventLoop`` counts the time of a suspension;
+``virtual.VirtualLoop.pass_time`` stands in for it.
 """
 
 import asyncio
@@ -30,34 +29,34 @@
 from tests import fleet_system
 from tests import virtual
 
-ASLEEP = (0.5, 2.0, 6.0, 60.0)
+SUSPENSIONS_SECONDS = (0.5, 2.0, 6.0, 60.0)
 
 
-def sleep_through(seconds: float) -> None:
-    """Suspend this machine, and wake it again."""
+def suspend(seconds: float) -> None:
+    """Suspend the machine for some seconds."""
     loop = asyncio.get_running_loop()
     assert isinstance(loop, virtual.VirtualLoop)
     loop.pass_time(seconds)
 
 
 class TestWakefulLoop:
-    """The clock by which daemons measure."""
+    """The clocks of a daemon's event loop."""
 
     def test_counts_time_asleep(self, monkeypatch: typing.Any) -> None:
-        asleep = 0.0
+        suspended = 0.0
         real = time.clock_gettime
 
         def boot_time(clock: int) -> float:
             assert clock == timers._BOOT
-            return real(clock) + asleep
+            return real(clock) + suspended
 
         async def body() -> None:
-            nonlocal asleep
+            nonlocal suspended
             began = anyio.current_time()
             fired: list[float] = []
             loop = asyncio.get_running_loop()
             loop.call_later(30.0, lambda: fired.append(loop.time()))
-            asleep = 60.0
+            suspended = 60.0
             await anyio.sleep(0.0)
             await anyio.sleep(0.01)
             assert anyio.current_time() - began >= 60.0
@@ -82,12 +81,10 @@
 
 
 class TestLease:
-    """A lease whose holder sleeps."""
+    """A lease whose holder is suspended."""
 
-    @pytest.mark.parametrize("seconds", ASLEEP)
-    def test_is_not_held_on_waking_once_others_may_have_it(
-        self, seconds: float
-    ) -> None:
+    @pytest.mark.parametrize("seconds", SUSPENSIONS_SECONDS)
+    def test_expires_during_a_long_suspension(self, seconds: float) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             lease = leases.Lease(store, "duty", "one")
@@ -95,20 +92,19 @@
                 tasks.start_soon(lease.run)
                 await anyio.sleep(0.1)
                 assert lease.is_held
-                sleep_through(seconds)
-                # Before anything else has run.
-                held = leases.LEASE_SECONDS - leases.SAFETY_SECONDS
+                suspend(seconds)
+                # Checked before any other task runs.
+                held = leases.LEASE_SECONDS - leases.SAFETY_MARGIN_SECONDS
                 assert lease.is_held is (seconds + 0.1 < held)
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
 
-    @pytest.mark.parametrize("asks", [True, False])
-    def test_no_order_is_given_by_one_that_lapsed_asleep(
-        self, asks: bool
+    @pytest.mark.parametrize("after_report", [True, False])
+    def test_holder_that_expired_gives_no_order(
+        self, after_report: bool
     ) -> None:
-        # It falls asleep while an engine is asked what it holds, or just
-        # before.
+        # It is suspended while an engine reports its layers, or just before.
         async def body() -> None:
             system = fleet_system.FleetSystem()
             system.install(system.config)
@@ -116,7 +112,7 @@
                 system.add(fleet_system.upstream(f"e{number}", card="large"))
             store = standin_store.StandinStore()
             lease = leases.Lease(store, "placement", "one")
-            orders = SleepyOrders(system.fleet, asks)
+            orders = SuspendingOrders(system.fleet, after_report)
             placement = controllers.PlacementController(
                 lease, system.registry, orders, lambda: system.holder.services
             )
@@ -124,7 +120,7 @@
                 tasks.start_soon(lease.run)
                 tasks.start_soon(placement.run)
                 with anyio.move_on_after(20.0):
-                    await orders.slept.wait()
+                    await orders.suspended.wait()
                 store.is_down = True
                 await anyio.sleep(3.0)
                 assert orders.given_late == 0
@@ -133,35 +129,35 @@
         virtual.run(body)
 
 
-class SleepyOrders:
-    """Gives orders; sleeps through a minute at the first question."""
+class SuspendingOrders:
+    """Gives orders; suspends the machine for a minute at the first report."""
 
-    def __init__(self, fleet: typing.Any, asks: bool) -> None:
+    def __init__(self, fleet: typing.Any, after_report: bool) -> None:
         self._fleet = fleet
-        self._asks = asks
-        self.slept = anyio.Event()
+        self._after_report = after_report
+        self.suspended = anyio.Event()
         self.given_late = 0
 
     async def report(self, upstream: typing.Any) -> typing.Any:
-        if not self._asks:
-            self._sleep()
+        if not self._after_report:
+            self._suspend_once()
         report = await self._fleet.report(upstream)
-        if self._asks:
-            self._sleep()
+        if self._after_report:
+            self._suspend_once()
         return report
 
     async def place(self, move: plan.Move, *arguments: int) -> bool:
-        self.given_late += self.slept.is_set()
+        self.given_late += self.suspended.is_set()
         return bool(await self._fleet.place(move, *arguments))
 
-    def _sleep(self) -> None:
-        if not self.slept.is_set():
-            sleep_through(60.0)
-            self.slept.set()
+    def _suspend_once(self) -> None:
+        if not self.suspended.is_set():
+            suspend(60.0)
+            self.suspended.set()
 
 
-class ChangeListener:
-    """Takes what a mirror sees and keeps nothing."""
+class NullListener:
+    """Ignores what a mirror reports."""
 
     def on_listed(self, objects: typing.Any) -> None:
         pass
@@ -171,33 +167,33 @@
 
 
 class TestCopy:
-    """A copy of the config, and the keys that it makes valid."""
+    """The mirrored config, and the API keys that it makes valid."""
 
-    @pytest.mark.parametrize("seconds", ASLEEP)
-    def test_is_as_old_as_it_is_on_waking(self, seconds: float) -> None:
+    @pytest.mark.parametrize("seconds", SUSPENSIONS_SECONDS)
+    def test_age_includes_the_suspension(self, seconds: float) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            mirror = mirrors.Mirror(store, "config", ChangeListener(), 0.8)
+            mirror = mirrors.Mirror(store, "config", NullListener(), 0.8)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 await anyio.sleep(2.0)
                 before = mirror.age()
-                sleep_through(seconds)
+                suspend(seconds)
                 assert mirror.age() >= before + seconds
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
 
-    def test_an_answer_from_before_proves_no_more_than_it_did(self) -> None:
-        # The watch had been answered when the machine fell asleep; the
-        # answer is read on waking.
+    def test_earlier_answer_does_not_prove_the_copy_current(self) -> None:
+        # The watch was answered before the suspension, and the answer is
+        # read after it.
         async def body() -> None:
             store = standin_store.StandinStore()
-            mirror = mirrors.Mirror(store, "config", ChangeListener(), 0.8)
+            mirror = mirrors.Mirror(store, "config", NullListener(), 0.8)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 await anyio.sleep(1.0)
-                sleep_through(30.0)
+                suspend(30.0)
                 for _ in range(3):
                     await anyio.sleep(0.0)
                 assert mirror.age() > 28.0
@@ -208,7 +204,7 @@
         virtual.run(body)
 
     @pytest.mark.parametrize("seconds", [2.0, 60.0])
-    def test_keys_taken_away_meanwhile_serve_nobody_on_waking(
+    def test_outdated_keys_are_refused_after_the_suspension(
         self, seconds: float
     ) -> None:
         async def body() -> None:
@@ -223,7 +219,7 @@
                 lambda: anyio.current_time() - proved_at,
                 3.5,
             )
-            sleep_through(seconds)
+            suspend(seconds)
             caller = fleet_system.Caller()
             request = system.request(routes.RepeatPolicy.ONCE)
             if seconds < 3.5:
@@ -238,25 +234,23 @@
 
 
 class TestRequests:
-    """Requests that were under way when the machine fell asleep."""
+    """Requests in progress during a suspension."""
 
-    def test_no_more_time_is_passed_on_than_its_caller_waits(self) -> None:
+    def test_request_past_its_deadline_is_not_sent(self) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
             system.install(system.config)
             system.add_model()
             request = system.request(routes.RepeatPolicy.STREAM)
-            sleep_through(request.timeout_seconds or 0.0)
+            suspend(request.timeout_seconds or 0.0)
             caller = await system.ask(request)
             assert caller.error is not None
             assert system.fleet.runs == []
 
         virtual.run(body)
 
-    @pytest.mark.parametrize("seconds", ASLEEP)
-    def test_a_stream_goes_on_or_ends_without_its_end(
-        self, seconds: float
-    ) -> None:
+    @pytest.mark.parametrize("seconds", SUSPENSIONS_SECONDS)
+    def test_stream_goes_on_or_is_cut(self, seconds: float) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
             system.install(system.config)
@@ -272,20 +266,20 @@
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(ask)
                     await anyio.sleep(0.2)
-                    sleep_through(seconds)
+                    suspend(seconds)
                 whole = fleet_system.whole_answer(request.id, one.fleet.events)
                 caller = done[0]
                 assert whole.startswith(caller.body)
                 assert caller.is_whole is (caller.body == whole)
-                # Nobody is blamed for our own sleep.
+                # No upstream is avoided because of the suspension.
                 assert one.registry.avoided() == ()
 
             await fleet_system.run_with(system, work)
 
         virtual.run(body)
 
-    @pytest.mark.parametrize("seconds", ASLEEP)
-    def test_an_engine_that_left_meanwhile_gets_nothing(
+    @pytest.mark.parametrize("seconds", SUSPENSIONS_SECONDS)
+    def test_engine_that_left_meanwhile_is_not_used(
         self, seconds: float
     ) -> None:
         async def body() -> None:
@@ -296,7 +290,7 @@
             leaving = fleet_system.attrs.evolve(one, is_leaving=True)
             system.list_instance(leaving)
             assert system.registry.usable_while_leaving(fleet_system.MODEL)
-            sleep_through(seconds)
+            suspend(seconds)
             left = system.registry.usable_while_leaving(fleet_system.MODEL)
             assert bool(left) is (seconds < 1.0)
 
@@ -304,7 +298,7 @@
 
 
 class TestPeer:
-    """A peer's answer that came while the machine slept."""
+    """A peer's answer that arrives during a suspension."""
 
     def test_proves_nothing_later_than_the_question(self) -> None:
         class PeerReplica:
@@ -312,8 +306,8 @@
                 self, kind: str, after: stores.Position, wait: float
             ) -> stores.PeerChanges:
                 await anyio.sleep(0.01)
-                sleep_through(40.0)
-                # Current when it was asked, as the peer's clock has it.
+                suspend(40.0)
+                # The peer's copy was current when the question arrived.
                 return stores.PeerChanges(
                     stores.Changes(after.version, ()), 0.0
                 )
@@ -330,7 +324,7 @@
             mirror = mirrors.Mirror(
                 store,
                 "config",
-                ChangeListener(),
+                NullListener(),
                 0.8,
                 peers=typing.cast(mirrors.PeerSelector, PeerSelector()),
             )
