--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -17,40 +17,36 @@
 from crowdeck.state import objects as stores
 
 KIND = "crowdeck-leases"
-# Long enough to outlive two lost renewals, short enough that a duty is
-# taken up again while a request that waits for it still has time.
+# Long enough to outlast two lost renewals, short enough that another holder
+# takes over while requests that depend on the duty still have time.
 LEASE_SECONDS = 4.5
 RENEW_SECONDS = 1.5
-# Whoever holds it tries again this soon while the store does not answer.
-# One process does, for 3.8 s at most. A store that was away for 2.5 s was
-# met by a try 1 s after its return, when the holder had already lapsed:
-# with this it is met within 0.5 s, and the duty is not interrupted.
-HOLD_RETRY_SECONDS = 0.5
-# Terms of one epoch of the store. Those of the next are all higher, also
-# where the store has forgotten the last ones that were given. More than the
-# versions of an epoch: 400 writes a second take 87 years.
+# The holder retries this soon while the store does not answer, so that it
+# renews the lease before it expires if the outage is short.
+HOLDER_RETRY_SECONDS = 0.5
+# Terms of one epoch of the store, more than an epoch has versions. Terms of
+# the next epoch are all higher, even if the store has lost the latest ones.
 TERMS_PER_EPOCH = 2**40
-# The holder stops this much before others may begin: time for an act
-# under way to arrive. Clocks need not agree, only run at one rate.
-SAFETY_SECONDS = 0.7
-# No process has this name.
+# The holder stops this long before others may take over, so that an action
+# under way can arrive. Clocks need not agree, only run at the same rate.
+SAFETY_MARGIN_SECONDS = 0.7
+# Holder of a lease that cannot be read; no process has this name.
 UNREADABLE_HOLDER = "?"
-# Objects in which a lease may stand one after the other. Each one that
-# another writer spoils is used up for good, and a process that starts asks
-# for three of the store's calls at each: at 4 ms, all are passed within a
-# quarter of the lease's length.
+# Index of the last object that may hold a lease. Each object that another
+# writer corrupts is abandoned for the next one, and a process that starts
+# has to step through all of them.
 LAST_OBJECT_INDEX = 64
 
 
 @attrs.frozen
-class Holding:
+class LeaseRecord:
     """The stored lease.
 
-    :ivar holder: name of the holder's run, empty when it was given up.
-    :ivar term: rises with each change of holder: the fencing token.
-    :ivar memo: what a holder tells the next one.
-    :ivar successor: name of the object that stands for it from now on; empty
-        while this one does.
+    :ivar holder: name of the holder's run, empty when it was released.
+    :ivar term: the fencing token, which grows with each change of holder.
+    :ivar memo: notes of a holder for the next one.
+    :ivar successor: name of the object that holds the lease instead of this
+        one; empty while this one does.
     """
 
     holder: str
@@ -62,32 +58,31 @@
 class Lease:
     """One process's side of a lease.
 
-    Others judge the holder by their own clocks: a lease whose object has
-    not changed for its whole length, as watched here, has run out. So no
-    wall clock matters, and a jump of one does no harm.
-
-    A store that comes back from a copy may show a lease that was passed on or
-    given up since. So for its whole length after a new epoch was met nobody
-    takes it. Whoever held it before the return holds it on meanwhile, and
-    may write it back: all others, also those that start anew, wait longer
-    than its time runs.
-
-    Another writer may spoil the object, and nobody can tell what stood in it
-    before: a renewal, or that somebody else had taken it. So a spoilt object
-    is never held again. Whoever finds it makes the next one, of another
-    name, and closes the spoilt one by a conditional write. From that write
-    on nobody renews the lease in the closed one, and whoever held it there
-    has lapsed a lease's length later, when the others take the next one. Who
-    still holds it moves there at once: nobody else can hold it before. What
-    has a next one is taken by nobody, whatever is written there again.
+    Each process times the lease by its own monotonic clock: a lease whose
+    object has not been seen to change for ``LEASE_SECONDS`` has expired.
+
+    A store that is restored from a backup may show a lease that has been
+    released or taken by another since. So nobody takes the lease for
+    ``LEASE_SECONDS`` after a new epoch. A process that held it before the
+    restore keeps it meanwhile and may write it back, since all others wait
+    longer than its time runs.
+
+    Another writer may corrupt the object, and it is then unknown whether the
+    lease had been renewed or taken by another. So a corrupted object never
+    holds the lease again. Whoever finds it creates the next object, under
+    another name, and closes the corrupted one by a conditional write. From
+    then on nobody renews the lease in the closed object, so its holder has
+    expired when others may take the next one, ``LEASE_SECONDS`` later. A
+    current holder moves there at once. An object that has a next one is
+    never taken, whatever is written to it later.
 
     :param holder: unique to this run of the process, so that a restarted
-        process does not take itself for the holder.
-    :param is_candidate: whether this process is to look after the lease. The
-        looks of a few are enough to find it free, and each is charged for.
-        Whoever holds it keeps it all the same.
+        process does not mistake itself for the holder.
+    :param is_candidate: whether this process is to read the lease and take
+        it when free. A few candidates are enough, and each read is charged
+        for. A holder keeps the lease in any case.
     :param is_new_fleet: whether no process of the fleet can have run before
-        this one; else a lease that is free may be so in an old copy only.
+        this one; otherwise the lease may be free only in an old backup.
     """
 
     def __init__(
@@ -102,33 +97,34 @@
         self._store = store
         self._duty = duty
         self._holder = holder
-        self._may_stand = is_candidate
+        self._is_candidate = is_candidate
         self._is_new_fleet = is_new_fleet
         self._epoch: int | None = None
-        # What is known of the lease is of an earlier epoch.
+        # Whether the lease was last read in an earlier epoch.
         self._is_outdated = False
         self._has_failed = False
-        # Before this moment only its holder may write it.
+        # Loop time before which only its holder may write the lease.
         self._free_at = 0.0
-        # Which of the objects it stands in.
-        self._place = 0
-        # Whether it was read in the first place, in this epoch.
-        self._was_there = False
-        # Whether what is held here was begun here, in this epoch.
-        self._is_settled = False
-        # The store's version when the place before was closed.
-        self._closed_at = 0
+        # Index of the current object.
+        self._index = 0
+        # Whether the lease has been found or written in this epoch. If its
+        # object is missing later, it has been removed by another writer.
+        self._has_existed = False
+        # Whether the lease was written to the current object in this epoch.
+        self._is_written_here = False
+        # The version of the previous object when it was closed.
+        self._closed_version = 0
         self._version = stores.CREATE
-        self._seen: Holding | None = None
-        self._seen_at = 0.0
+        self._record: LeaseRecord | None = None
+        self._record_seen_at = 0.0
         self._held_until = 0.0
         self._was_held = False
-        self._is_over = False
-        # The highest term seen: one that follows a spoilt lease is higher.
+        self._is_released = False
+        # The highest term seen; the term after a corrupted lease is higher.
         self._known_term = 0
         self._memo: tuple[str, ...] = ()
-        # What the last holder that could be read had noted.
-        self._told: tuple[str, ...] = ()
+        # The memo of the last lease that could be read.
+        self._last_memo: tuple[str, ...] = ()
         self._memo_changed = anyio.Event()
         self._taken = anyio.Event()
 
@@ -141,13 +137,13 @@
     def term(self) -> int:
         """The fencing token, while the lease is held."""
         if self.is_held:
-            # Not what a store that was restored shows of an earlier holder.
+            # A restored store may show the term of an earlier holder.
             return self._known_term
-        return self._seen.term if self._seen else 0
+        return self._record.term if self._record else 0
 
     @property
     def memo(self) -> tuple[str, ...]:
-        """What this holder, or the one before it, last noted."""
+        """The memo of this holder, or of the one before it."""
         return self._memo
 
     async def wait_held(self) -> None:
@@ -155,160 +151,158 @@
         await self._taken.wait()
 
     def set_memo(self, memo: tuple[str, ...]) -> None:
-        """Have the next holder told something; written with a renewal.
+        """Set the memo for the next holder, and renew the lease at once.
 
-        The renewal is made at once. A holder that dies before it has
-        arrived leaves its note untold.
+        The memo is lost if the holder dies before the renewal is stored.
         """
         if memo != self._memo:
             self._memo = memo
             self._memo_changed.set()
 
     async def run(self) -> None:
-        """Take, keep or await the lease until cancelled."""
-        while not self._is_over:
+        """Take, renew or wait for the lease until cancelled."""
+        while not self._is_released:
             epoch, self._has_failed = self._epoch, False
             try:
-                if self.is_held or self._is_mine or self._may_stand():
+                if self.is_held or self._is_mine or self._is_candidate():
                     await self._step()
             except errors.CrowdeckError as error:
                 self._has_failed = True
                 counters.COUNTERS.add("lease.failed")
-                await self._meet_failure(error)
-            self._note_change()
+                await self._handle_failure(error)
+            self._log_change()
             if self._is_outdated and self._epoch != epoch:
-                # Once for each epoch: what is held may be written back yet.
+                # A held lease may still be written back in a new epoch.
                 continue
-            with anyio.move_on_after(self._pause()):
+            with anyio.move_on_after(self._step_interval()):
                 await self._memo_changed.wait()
             self._memo_changed = anyio.Event()
 
     async def release(self) -> None:
-        """Let another have the lease at once, if it is held here.
+        """Release the lease, if it is held here, so that others may take it.
 
-        Without it the others wait for its whole length. A store that
-        cannot be reached costs no more than that.
+        If the store cannot be reached, the others wait until it expires.
         """
-        self._is_over = True
+        self._is_released = True
         self._held_until = 0.0
-        seen = self._seen
-        if seen is None or seen.holder != self._holder:
+        record = self._record
+        if record is None or record.holder != self._holder:
             return
         try:
-            await self._write(Holding("", seen.term, self._memo))
+            await self._write(LeaseRecord("", record.term, self._memo))
         except errors.CrowdeckError as error:
             logs.change("lease_kept", duty=self._duty, reason=error.message)
         self._held_until = 0.0
-        self._note_change()
+        self._log_change()
 
     @property
     def _is_mine(self) -> bool:
-        return self._seen is not None and self._seen.holder == self._holder
+        return self._record is not None and self._record.holder == self._holder
 
     @property
     def _is_closed(self) -> bool:
-        return self._seen is not None and bool(self._seen.successor)
+        return self._record is not None and bool(self._record.successor)
 
     @property
-    def _is_spoilt(self) -> bool:
-        """Whether it cannot be held where it was looked for."""
-        if self._seen is None or self._place >= LAST_OBJECT_INDEX:
+    def _is_corrupted(self) -> bool:
+        """Whether the current object cannot hold the lease."""
+        if self._record is None or self._index >= LAST_OBJECT_INDEX:
             return False
-        return self._is_closed or self._seen.holder == UNREADABLE_HOLDER
+        return self._is_closed or self._record.holder == UNREADABLE_HOLDER
 
     async def _step(self) -> None:
-        if self._seen is None or not self._is_mine or self._is_outdated:
-            # An old answer only makes a take-over fail at its conditional
-            # write; looking is what all other processes do all day.
-            is_needed = self._seen is None or self._is_outdated
+        if self._record is None or not self._is_mine or self._is_outdated:
+            # A stale answer only makes a take-over fail at its conditional
+            # write, and most calls of other processes are such reads.
+            is_needed = self._record is None or self._is_outdated
             allow_stale = not (is_needed or self.is_held)
-            await self._look(allow_stale=allow_stale)
-            if allow_stale and self._is_spoilt:
-                # An old answer may be from before the object was made.
-                await self._look()
+            await self._refresh(allow_stale=allow_stale)
+            if allow_stale and self._is_corrupted:
+                # A stale answer may be from before the object was created.
+                await self._refresh()
         while True:
-            may_begin = self._may_begin
-            if not self._is_spoilt and not (
-                may_begin and await self._has_next()
+            may_take = self._may_take
+            if not self._is_corrupted and not (
+                may_take and await self._has_next()
             ):
                 break
-            await self._pass_on()
-        if may_begin:
-            await self._begin()
+            await self._move_to_next()
+        if may_take:
+            await self._take()
         elif self.is_held:
             await self._write(
-                Holding(self._holder, self._known_term, self._memo)
+                LeaseRecord(self._holder, self._known_term, self._memo)
             )
 
-    async def _begin(self) -> None:
-        """Take the lease where it was looked for, or move it there."""
-        if not self._may_begin:
-            # It lapsed while the next object was asked for.
+    async def _take(self) -> None:
+        """Take the lease in the current object, or move it there."""
+        if not self._may_take:
+            # It expired while the next object was being read.
             return
         if not self.is_held and not self._is_mine:
-            self._memo = self._seen.memo if self._seen else ()
-        is_written_back = self.is_held and self._place == 0
+            self._memo = self._record.memo if self._record else ()
+        is_written_back = self.is_held and self._index == 0
         term = self._known_term if is_written_back else self._next_term()
-        await self._write(Holding(self._holder, term, self._memo))
+        await self._write(LeaseRecord(self._holder, term, self._memo))
 
     @property
-    def _may_begin(self) -> bool:
-        """Whether this process may begin to hold it in this object."""
+    def _may_take(self) -> bool:
+        """Whether this process may take or move the lease here."""
         if self.is_held:
-            return not self._is_settled
+            return not self._is_written_here
         now = anyio.current_time()
         return now >= self._free_at and self._is_free(now)
 
     def _is_free(self, now: float) -> bool:
-        seen = self._seen
+        record = self._record
         return (
-            seen is None
-            or not seen.holder
-            # Nobody else can have had it since: writes are conditional.
+            record is None
+            or not record.holder
+            # Nobody else can have held it since: writes are conditional.
             or self._is_mine
-            or now - self._seen_at >= LEASE_SECONDS
+            or now - self._record_seen_at >= LEASE_SECONDS
         )
 
-    def _name(self, place: int) -> str:
-        return f"{self._duty}.{place}" if place else self._duty
+    def _object_name(self, index: int) -> str:
+        return f"{self._duty}.{index}" if index else self._duty
 
     async def _has_next(self) -> bool:
-        """Whether there is an object after the one it stands in."""
-        found = await self._store.get(KIND, self._name(self._place + 1))
+        """Whether there is an object after the current one."""
+        found = await self._store.get(KIND, self._object_name(self._index + 1))
         return found is not None
 
-    async def _pass_on(self) -> None:
-        """Leave an object for the next one."""
+    async def _move_to_next(self) -> None:
+        """Close the current object and move on to the next one."""
         epoch = self._epoch
         if not await self._has_next():
-            await self._make_next()
-        # Closed or not counts only now that the next one is there: whoever
-        # looks from here on finds it, and begins nothing here.
-        await self._look()
+            await self._create_next()
+        # Read only now that the next object exists. Others that read this
+        # one from here on find the next one, and do not take the lease here.
+        await self._refresh()
         if self._epoch != epoch:
-            # This is the first object again, as the new epoch has it.
+            # A new epoch begins with the first object again.
             return
         if not self._is_closed:
             await self._close()
-        self._closed_at = max(self._closed_at, self._version)
+        self._closed_version = max(self._closed_version, self._version)
         self._free_at = max(
             self._free_at, anyio.current_time() + LEASE_SECONDS
         )
-        self._place += 1
-        self._is_settled = False
-        self._seen, self._version = None, stores.CREATE
+        self._index += 1
+        self._is_written_here = False
+        self._record, self._version = None, stores.CREATE
         logs.change(
             "lease_passed_on",
             duty=self._duty,
-            place=self._name(self._place),
+            place=self._object_name(self._index),
             is_held=self.is_held,
         )
-        await self._look()
+        await self._refresh()
 
-    async def _make_next(self) -> None:
-        """Make the next object, free for whoever may begin."""
-        name = self._name(self._place + 1)
-        value = orjson.dumps(attrs.asdict(Holding("", 0, self._told)))
+    async def _create_next(self) -> None:
+        """Create the next object with a free lease."""
+        name = self._object_name(self._index + 1)
+        value = orjson.dumps(attrs.asdict(LeaseRecord("", 0, self._last_memo)))
         try:
             await self._store.put(KIND, name, value, stores.CREATE)
         except errors.CrowdeckError as error:
@@ -316,150 +310,150 @@
                 raise
 
     async def _close(self) -> None:
-        """Have an object hold the lease no more."""
-        successor = self._name(self._place + 1)
-        closed = Holding(
-            UNREADABLE_HOLDER, self._known_term, self._told, successor
+        """Mark the current object as replaced by the next one."""
+        successor = self._object_name(self._index + 1)
+        closed = LeaseRecord(
+            UNREADABLE_HOLDER, self._known_term, self._last_memo, successor
         )
         value = orjson.dumps(attrs.asdict(closed))
         version = await self._store.put(
-            KIND, self._name(self._place), value, self._version
+            KIND, self._object_name(self._index), value, self._version
         )
         self._version = version
 
     def _next_term(self) -> int:
-        stored = self._seen.term if self._seen else 0
+        stored = self._record.term if self._record else 0
         before = (self._epoch or 0) * TERMS_PER_EPOCH
-        is_unread = self._seen and self._seen.holder == UNREADABLE_HOLDER
+        is_unread = self._record and self._record.holder == UNREADABLE_HOLDER
         if stored <= before or is_unread:
-            # The first term of this epoch or of this object, or the one after
-            # some that were replaced: by another writer, or by a write which
-            # crossed the store's return. No term is higher than the version
-            # it was written over.
-            return before + max(1, self._version, self._closed_at)
+            # There may be terms that were overwritten unread, by another
+            # writer or by a write that raced with a restore. No term exceeds
+            # the version that it was written over.
+            return before + max(1, self._version, self._closed_version)
         return stored if self._is_mine else stored + 1
 
-    def _pause(self) -> float:
+    def _step_interval(self) -> float:
         """Return the seconds until the next step."""
         has_failed = self.is_held and self._has_failed
-        return HOLD_RETRY_SECONDS if has_failed else RENEW_SECONDS
+        return HOLDER_RETRY_SECONDS if has_failed else RENEW_SECONDS
 
-    async def _meet_failure(self, error: errors.CrowdeckError) -> None:
+    async def _handle_failure(self, error: errors.CrowdeckError) -> None:
         if error.code is errors.Code.STORE_CONFLICT:
-            # A version of an earlier epoch says nothing of who wrote it.
+            # A version of an earlier epoch does not show who wrote last.
             if not self._is_outdated:
-                await self._meet_conflict()
+                await self._handle_conflict()
         elif error.code is errors.Code.STORE_UNSURE:
-            # Our own write may stand under a version that we do not know;
-            # reading it back tells.
+            # Our write may have been stored under an unknown version.
             await self._read_back()
 
-    async def _meet_conflict(self) -> None:
-        """Find out who wrote a lease that was to be written here."""
+    async def _handle_conflict(self) -> None:
+        """Find out who wrote the lease instead of this process."""
         if self.is_held:
-            self._seen = None
+            self._record = None
             await self._read_back()
-            if self._is_spoilt:
-                # No other can hold it within the time that it is held here
-                # yet: it is moved.
+            if self._is_corrupted:
+                # Nobody else can hold the lease before it expires here, so
+                # it is moved.
                 return
-        self._lost("another wrote it")
+        self._drop("another process wrote the lease")
 
-    def _meet_epoch(self) -> bool:
-        """Whether the store is in an epoch that was not met before."""
+    def _observe_epoch(self) -> bool:
+        """Note the store's epoch and return whether it has changed."""
         epoch = self._store.epoch
         if epoch is None or epoch == self._epoch:
             return False
-        known, self._epoch = self._epoch, epoch
-        if known is None and self._is_new_fleet:
+        previous, self._epoch = self._epoch, epoch
+        if previous is None and self._is_new_fleet:
             return False
         self._free_at = anyio.current_time() + LEASE_SECONDS
-        if known is None:
+        if previous is None:
             return False
         self._is_outdated = True
-        self._place, self._closed_at = 0, 0
-        self._was_there = self._is_settled = False
+        self._index, self._closed_version = 0, 0
+        self._has_existed = self._is_written_here = False
         logs.change(
             "lease_outdated",
             duty=self._duty,
             epoch=self._epoch,
-            before=known,
+            before=previous,
             is_held=self.is_held,
         )
         return True
 
-    async def _look(self, allow_stale: bool = False) -> None:
+    async def _refresh(self, allow_stale: bool = False) -> None:
         found = await self._store.get(
-            KIND, self._name(self._place), allow_stale=allow_stale
+            KIND, self._object_name(self._index), allow_stale=allow_stale
         )
-        while self._meet_epoch():
-            # This answer may still be of the epoch before.
-            found = await self._store.get(KIND, self._name(self._place))
+        while self._observe_epoch():
+            # The value may still be from the previous epoch.
+            found = await self._store.get(KIND, self._object_name(self._index))
         is_new, self._is_outdated = self._is_outdated, False
-        if found is None and not self._was_there:
-            self._seen, self._version = None, stores.CREATE
+        if found is None and not self._has_existed:
+            self._record, self._version = None, stores.CREATE
             return
-        self._was_there = True
+        self._has_existed = True
         version = found.version if found else stores.CREATE
-        if is_new or version != self._version or self._seen is None:
+        if is_new or version != self._version or self._record is None:
             self._version = version
-            self._seen = self._read(found.value if found else b"")
-            self._seen_at = anyio.current_time()
+            self._record = self._parse(found.value if found else b"")
+            self._record_seen_at = anyio.current_time()
 
-    def _read(self, value: bytes) -> Holding:
-        """Return what a stored lease says.
+    def _parse(self, value: bytes) -> LeaseRecord:
+        """Parse a stored lease.
 
-        One that another writer spoilt, or removed, is taken for somebody's
-        who never renews it.
+        One that is corrupted or missing counts as held by an unknown process
+        that never renews it.
         """
         try:
             found = _decode(value)
         except errors.CrowdeckError as error:
             logs.change("lease_unread", duty=self._duty, reason=error.message)
-            return Holding(UNREADABLE_HOLDER, self._known_term, self._told)
+            return LeaseRecord(
+                UNREADABLE_HOLDER, self._known_term, self._last_memo
+            )
         self._known_term = max(self._known_term, found.term)
-        self._told = found.memo
+        self._last_memo = found.memo
         return found
 
     async def _read_back(self) -> None:
         try:
-            await self._look()
+            await self._refresh()
         except errors.CrowdeckError as error:
             logs.change("lease_unread", duty=self._duty, reason=error.message)
 
-    async def _write(self, holding: Holding) -> None:
+    async def _write(self, record: LeaseRecord) -> None:
         sent_at = anyio.current_time()
-        value = orjson.dumps(attrs.asdict(holding))
-        # A changed value each time: a write that changes nothing would
-        # not move the version by which the others see a renewal.
+        value = orjson.dumps(attrs.asdict(record))
+        # A write that does not change the value may keep its version, by
+        # which the others notice a renewal.
         value = value[:-1] + f',"sent":{sent_at:.6f}}}'.encode()
         try:
             version = await self._store.put(
-                KIND, self._name(self._place), value, self._version
+                KIND, self._object_name(self._index), value, self._version
             )
         finally:
-            is_outdated = self._meet_epoch()
+            is_outdated = self._observe_epoch()
         if is_outdated:
-            # It may have replaced what another wrote at the same version.
+            # It may have replaced another's write of the same version.
             raise errors.CrowdeckError(
                 errors.Code.STORE_CONFLICT,
-                f"the lease {self._duty} was written in another epoch of the "
-                "store than it was read in",
+                f"the store was restored between reading and writing the "
+                f"lease {self._duty}",
             )
         self._version = version
-        self._was_there = True
-        self._is_settled = True
-        self._seen = holding
-        self._known_term = max(self._known_term, holding.term)
-        self._seen_at = sent_at
-        self._held_until = sent_at + LEASE_SECONDS - SAFETY_SECONDS
-
-    def _lost(self, reason: str) -> None:
+        self._has_existed = True
+        self._is_written_here = True
+        self._record = record
+        self._known_term = max(self._known_term, record.term)
+        self._record_seen_at = sent_at
+        self._held_until = sent_at + LEASE_SECONDS - SAFETY_MARGIN_SECONDS
+
+    def _drop(self, reason: str) -> None:
         self._held_until = 0.0
-        self._seen = None
+        self._record = None
         logs.change("lease_conflict", duty=self._duty, reason=reason)
 
-    def _note_change(self) -> None:
+    def _log_change(self) -> None:
         if self.is_held != self._was_held:
             self._was_held = self.is_held
             if self.is_held:
@@ -468,12 +462,12 @@
             logs.change(what, duty=self._duty, term=self.term)
 
 
-def _decode(value: bytes) -> Holding:
+def _decode(value: bytes) -> LeaseRecord:
     try:
         body = orjson.loads(value)
         holder, term = str(body["holder"]), int(body["term"])
         memo = tuple(str(one) for one in body.get("memo", ()))
-        return Holding(holder, term, memo, str(body.get("successor", "")))
+        return LeaseRecord(holder, term, memo, str(body.get("successor", "")))
     except (
         AttributeError,
         KeyError,
--- a/tests/test_restored_lease.py
+++ b/tests/test_restored_lease.py
@@ -3,13 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A lease in a store that comes back from a copy some seconds old.
+"""A lease in a store that is restored from a backup.
 
-What was seen beside the missed changes that ``test_restored_store`` tells of:
-the giver of orders found its lease written by "another", which was its own
-older lease, gave the duty up for three seconds, and took it again with the
-term that it had had before. A lease that is free in the copy, or at a version
-given out again, could as well be taken beside its holder.
+The backup may hold an older lease of the same holder, or a free one, and the
+store assigns versions again. The holder must keep the lease, no other may take
+it meanwhile, and no term may be used twice.
 """
 
 import random
@@ -27,7 +25,7 @@
 
 
 class TestLease:
-    """Who holds a duty when the store that says so came back from a copy."""
+    """The holder of a lease after a restore of the store."""
 
     def play(
         self,
@@ -38,74 +36,72 @@
     ) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            rivals = [
+            candidates = [
                 leases.Lease(store, "duty", f"run-{number}")
                 for number in range(3)
             ]
             async with anyio.create_task_group() as tasks:
-                for rival in rivals:
-                    tasks.start_soon(rival.run)
+                for candidate in candidates:
+                    tasks.start_soon(candidate.run)
                     await anyio.sleep(0.5)
-                await work(store, rivals)
+                await work(store, candidates)
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
 
-    def test_is_held_on_through_a_short_return(self) -> None:
-        # It was lost for three seconds, and taken again with the term that
-        # it had before.
+    def test_holder_keeps_it_through_a_short_outage(self) -> None:
         async def work(
-            store: standin_store.StandinStore, rivals: list[leases.Lease]
+            store: standin_store.StandinStore, candidates: list[leases.Lease]
         ) -> None:
-            held = rivals[0]
+            held = candidates[0]
             term = held.term
-            # At each phase of its renewals.
+            # At each phase of the renewal interval.
             for number in range(31):
                 backup = store.back_up()
                 await anyio.sleep(4.0 + 0.05 * number)
                 store.is_down = True
-                await _require_held(held, term, 1.8)
+                await _check_held(held, term, 1.8)
                 store.restore(backup)
                 store.is_down = False
-                await _require_held(held, term, 6.0)
+                await _check_held(held, term, 6.0)
 
         self.play(work)
 
-    def test_answer_of_the_epoch_before_costs_its_holder_nothing(
+    def test_holder_keeps_it_when_restored_during_a_read(
         self,
     ) -> None:
-        # The store returns a second time while the holder is being told
-        # how its first return left the lease.
+        # The store is restored a second time while the holder reads the
+        # lease after the first restore.
         async def body() -> None:
             store = standin_store.StandinStore()
-            way = Hooked(store)
-            lease = leases.Lease(way, "duty", "run")
+            connection = Hooked(store)
+            lease = leases.Lease(connection, "duty", "run")
             async with anyio.create_task_group() as tasks:
                 empty = store.back_up()
                 tasks.start_soon(lease.run)
                 await anyio.sleep(0.1)
                 backup = store.back_up()
                 await anyio.sleep(4.0)
-                way.after_get = lambda: store.restore(empty)
+                connection.after_get = lambda: store.restore(empty)
                 store.restore(backup)
-                await _require_held(lease, lease.term, 6.0)
-                assert way.after_get is None
+                await _check_held(lease, lease.term, 6.0)
+                assert connection.after_get is None
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
 
-    def test_write_over_another_at_the_same_version_holds_nothing(
+    def test_renewal_at_a_reassigned_version_holds_nothing(
         self,
     ) -> None:
-        # Cut off until it had lapsed, it renews at a version that is
-        # another holder's by now.
+        # The holder is cut off until its lease expires, then renews it at a
+        # version that belongs to another holder's write by now.
         async def body() -> None:
             store = standin_store.StandinStore()
             empty = store.back_up()
-            way = Hooked(store)
-            lease = leases.Lease(way, "duty", "run")
+            connection = Hooked(store)
+            lease = leases.Lease(connection, "duty", "run")
 
-            def give_version_out_again(version: int) -> None:
+            def reassign_version(version: int) -> None:
                 store.restore(empty)
                 while store.write("other", "o", b"1") < version - 1:
                     pass
@@ -115,26 +111,26 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(lease.run)
                 await anyio.sleep(4.0)
-                way.is_cut = True
+                connection.is_cut = True
                 await anyio.sleep(5.0)
                 assert not lease.is_held
-                way.before_put = give_version_out_again
-                way.is_cut = False
+                connection.before_put = reassign_version
+                connection.is_cut = False
                 for _ in range(int(leases.LEASE_SECONDS * 100)):
                     await anyio.sleep(0.01)
                     assert not lease.is_held
-                assert way.before_put is None
+                assert connection.before_put is None
                 await anyio.sleep(2 * leases.RENEW_SECONDS)
                 assert lease.is_held
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
 
-    def test_free_in_an_old_copy_it_is_not_taken_from_its_holder(
+    def test_lease_free_in_the_backup_is_not_taken(
         self,
     ) -> None:
         async def work(
-            store: standin_store.StandinStore, rivals: list[leases.Lease]
+            store: standin_store.StandinStore, candidates: list[leases.Lease]
         ) -> None:
             store.restore(standin_store.StandinStore().back_up())
             fresh = leases.Lease(store, "duty", "fresh", is_new_fleet=False)
@@ -142,13 +138,13 @@
                 tasks.start_soon(fresh.run)
                 for _ in range(1_000):
                     await anyio.sleep(0.01)
-                    assert rivals[0].is_held
+                    assert candidates[0].is_held
                     assert not fresh.is_held
                 tasks.cancel_scope.cancel()
 
         self.play(work)
 
-    def test_one_that_starts_anew_takes_it_when_nobody_can_hold_it(
+    def test_new_process_waits_until_nobody_can_hold_it(
         self,
     ) -> None:
         async def body() -> None:
@@ -164,17 +160,17 @@
 
         virtual.run(body)
 
-    def test_write_over_another_hides_no_term(self) -> None:
-        # Found by the model: a write that crossed the return replaced the
-        # first term of the epoch by an older one, and it was given again.
+    def test_overwritten_term_is_not_used_again(self) -> None:
+        # A write that races with the restore replaces the first term of the
+        # epoch by an older one. The first term must not be used again.
         async def body() -> None:
             store = standin_store.StandinStore()
             empty = store.back_up()
-            way = Hooked(store)
-            lease = leases.Lease(way, "duty", "run")
+            connection = Hooked(store)
+            lease = leases.Lease(connection, "duty", "run")
             given = 0
 
-            def pass_on(version: int) -> None:
+            def replace_holder(version: int) -> None:
                 nonlocal given
                 store.restore(empty)
                 given = leases.TERMS_PER_EPOCH + 1
@@ -185,10 +181,10 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(lease.run)
                 await anyio.sleep(4.0)
-                way.is_cut = True
+                connection.is_cut = True
                 await anyio.sleep(5.0)
-                way.before_put = pass_on
-                way.is_cut = False
+                connection.before_put = replace_holder
+                connection.is_cut = False
                 await anyio.sleep(3 * leases.LEASE_SECONDS)
                 assert lease.is_held
                 assert lease.term > given > 0
@@ -198,13 +194,13 @@
 
     @hypothesis.given(strategies.integers(0, 2**32))
     @hypothesis.settings(max_examples=60, deadline=None, derandomize=True)
-    def test_never_has_two_holders_nor_a_term_twice(self, seed: int) -> None:
+    def test_never_has_two_holders_or_a_term_twice(self, seed: int) -> None:
         async def body() -> None:
             rng = random.Random(seed)
             store = standin_store.StandinStore()
-            rivals = Rivals(store, rng)
+            candidates = Candidates(store, rng)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(rivals.run)
+                tasks.start_soon(candidates.run)
                 backups = [store.back_up()]
                 for _ in range(3_000):
                     if rng.random() < 0.01:
@@ -212,19 +208,17 @@
                     if rng.random() < 0.003:
                         store.restore(rng.choice(backups[-5:]))
                     if rng.random() < 0.01:
-                        # Versions are given out again to other writes.
+                        # Takes a version that was lost in a restore.
                         store.write("other", "o", b"1")
                     await anyio.sleep(0.01)
-                    rivals.require_one_holder()
+                    candidates.check_one_holder()
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
 
 
-async def _require_held(
-    lease: leases.Lease, term: int, seconds: float
-) -> None:
-    """Have a lease be held for some time, in one term."""
+async def _check_held(lease: leases.Lease, term: int, seconds: float) -> None:
+    """Check for some seconds that a lease is held in one term."""
     for _ in range(int(seconds * 100)):
         await anyio.sleep(0.01)
         assert lease.is_held
@@ -232,7 +226,7 @@
 
 
 class Hooked(zone_system.Way):
-    """A way to the store on which something happens once."""
+    """A connection to the store that calls each of its hooks once."""
 
     def __init__(self, store: standin_store.StandinStore) -> None:
         super().__init__(store)
@@ -258,16 +252,16 @@
         return await super().put(kind, name, value, expected)
 
 
-class Rivals:
-    """Processes that stand for one duty, cut off and started anew."""
+class Candidates:
+    """Processes that compete for one lease, are cut off and restarted."""
 
     def __init__(
         self, store: standin_store.StandinStore, rng: random.Random
     ) -> None:
         self._store = store
-        self._chance = rng
+        self._rng = rng
         self._leases: list[leases.Lease] = []
-        self._ways: list[zone_system.Way] = []
+        self._connections: list[zone_system.Way] = []
         self._holders: dict[int, leases.Lease] = {}
         self._count = 0
 
@@ -276,28 +270,28 @@
             for _ in range(3):
                 tasks.start_soon(self._live)
             while True:
-                await anyio.sleep(self._chance.uniform(0.2, 4.0))
-                way = self._chance.choice(self._ways)
-                way.is_cut = not way.is_cut
-                self._store.lost_replies = self._chance.choice((0, 0, 1, 2))
+                await anyio.sleep(self._rng.uniform(0.2, 4.0))
+                connection = self._rng.choice(self._connections)
+                connection.is_cut = not connection.is_cut
+                self._store.lost_replies = self._rng.choice((0, 0, 1, 2))
 
     async def _live(self) -> None:
         while True:
             self._count += 1
-            way = zone_system.Way(self._store)
+            connection = zone_system.Way(self._store)
             lease = leases.Lease(
-                way, "duty", f"run-{self._count}", is_new_fleet=False
+                connection, "duty", f"run-{self._count}", is_new_fleet=False
             )
-            self._ways.append(way)
+            self._connections.append(connection)
             self._leases.append(lease)
-            with anyio.move_on_after(self._chance.uniform(3.0, 25.0)):
+            with anyio.move_on_after(self._rng.uniform(3.0, 25.0)):
                 await lease.run()
-            if self._chance.random() < 0.3:
+            if self._rng.random() < 0.3:
                 await lease.release()
             self._leases.remove(lease)
-            self._ways.remove(way)
+            self._connections.remove(connection)
 
-    def require_one_holder(self) -> None:
+    def check_one_holder(self) -> None:
         holding = [one for one in self._leases if one.is_held]
         assert len(holding) <= 1
         for one in holding:
