--- a/src/crowdeck/entry/answers.py
+++ b/src/crowdeck/entry/answers.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Hands each arriving record to the request that it belongs to."""
+"""Delivers each arriving record to the inbox of its request."""
 
 import collections
 
@@ -21,14 +21,14 @@
 
 @attrs.frozen
 class HeadLost:
-    """The link on which a request's answer came is gone."""
+    """The link on which a request's answer arrived was lost."""
 
     instance: str
 
 
 @attrs.frozen
 class StageChanged:
-    """A stage of the path in use leaves or was lost."""
+    """A stage of the path in use is leaving or lost."""
 
     name: str
     state: fleets.State
@@ -44,10 +44,10 @@
 
 
 class Inbox:
-    """What has arrived for one request and was not yet taken.
+    """The arrivals for one request that were not yet taken.
 
-    The head sends no more than its window, so the inbox is bounded; one
-    that overflows holds records of a head that breaks the protocol.
+    The head sends no more than its window, so the inbox overflows only if
+    the head breaks the protocol.
     """
 
     def __init__(self, limit: int) -> None:
@@ -57,7 +57,7 @@
         self.source: link.Peer | None = None
 
     def put(self, arrival: Arrival) -> bool:
-        """Add an arrival; false when the inbox is full."""
+        """Add an arrival; return false if the inbox is full."""
         if len(self._arrivals) >= self._limit:
             return False
         self._arrivals.append(arrival)
@@ -72,12 +72,12 @@
         return self._arrivals.popleft()
 
     def clear(self) -> None:
-        """Forget what was not taken, before another attempt begins."""
+        """Discard all arrivals, before another attempt begins."""
         self._arrivals.clear()
 
 
 class AnswerInboxes:
-    """All inboxes of one entry; the entry's part of the link handler."""
+    """The inboxes of one entry, filled with the records of its links."""
 
     def __init__(self) -> None:
         self._inboxes: dict[str, Inbox] = {}
@@ -102,7 +102,7 @@
         self._inboxes.pop(request, None)
 
     def on_opened(self, peer: link.Peer) -> None:
-        """Take note of a new link; there is nothing to do."""
+        """Do nothing: a link matters once a request is sent on it."""
 
     def on_record(self, peer: link.Peer, record: messages.Record) -> None:
         """Put a record into its request's inbox."""
@@ -125,15 +125,15 @@
     async def on_question(
         self, peer: link.Peer, question: questions.Question
     ) -> questions.Reply:
-        """Refuse: entries answer no sidecar's questions."""
+        """Refuse the question, as entries answer none from sidecars."""
         raise errors.CrowdeckError(
             errors.Code.MALFORMED,
-            "an entry does not answer this",
+            "an entry does not answer this question",
             verdict=verdicts.Verdict.NOT_RUN,
         )
 
     def on_closed(self, peer: link.Peer) -> None:
-        """Tell every request whose answer came on a lost link."""
+        """Notify the requests whose answers arrived on a lost link."""
         lost = HeadLost(peer.greeting.instance)
         for inbox in tuple(self._inboxes.values()):
             if inbox.source is peer:
--- a/src/crowdeck/entry/silence.py
+++ b/src/crowdeck/entry/arrival_watch.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Waiting for an answer's next record, and finding out why none comes."""
+"""Waits for an answer's next record, and probes a path that is silent."""
 
 import anyio
 
@@ -14,19 +14,17 @@
 from crowdeck import timers
 from crowdeck import verdict as verdicts
 
-# Silence after which a path's stages are probed: ten times the aim between
-# two tokens, or five times this answer's own pace where that is slower, so
-# that probing is rare while all is well. A loaded system that probed at
-# 0.4 s regardless sent a thousand probes in half a minute, and lost live
-# sidecars to them.
-SUSPECT_SECONDS = 0.4
-SUSPECT_GAPS = 5.0
-SLOWEST_SUSPECT_SECONDS = 2.0
+# Silence after which a path's stages are probed, and the same in token gaps
+# of the answer. The longer one applies, up to a maximum, so that a loaded
+# system is not flooded with probes.
+PROBE_AFTER_SECONDS = 0.4
+PROBE_AFTER_GAPS = 5.0
+MAX_PROBE_AFTER_SECONDS = 2.0
 GAP_SMOOTHING = 0.2
 
 
 class ArrivalWatch:
-    """Waits for the records of one answer, at that answer's own pace."""
+    """Waits for the records of one answer, and probes its path's stages."""
 
     def __init__(
         self, fleet: fleets.Fleet, clock: timers.Clock, inbox: answers.Inbox
@@ -38,7 +36,7 @@
         self._token_at = 0.0
 
     def note_token(self, at: float) -> None:
-        """Learn the answer's pace from a token that came at a time."""
+        """Update the answer's average gap between tokens."""
         if self._token_at:
             gap = at - self._token_at
             self._gap_seconds += GAP_SMOOTHING * (gap - self._gap_seconds)
@@ -49,14 +47,14 @@
     ) -> answers.Arrival:
         """Return the next record, probing the path's stages meanwhile.
 
-        A stage that is found lost comes as an arrival.
+        A stage that a probe finds lost is returned as an arrival.
 
         :raises CrowdeckError: ``STALLED`` after ``timeout`` seconds.
         """
         started = self._clock.now()
-        suspect = self._suspect_seconds()
+        probe_after = self._probe_after_seconds()
         while self._clock.now() - started < timeout:
-            with anyio.move_on_after(suspect):
+            with anyio.move_on_after(probe_after):
                 return await self._inbox.get()
             if path is not None:
                 await self._fleet.probe(one.instance for one in path.stages)
@@ -64,15 +62,15 @@
             errors.Code.STALLED,
             f"the path was silent for {timeout:g} s",
             verdict=verdicts.Verdict.MAY_HAVE_RUN,
-            culprit=self._suspect(path),
+            culprit=self._find_unusable(path),
         )
 
-    def _suspect_seconds(self) -> float:
-        own_pace = SUSPECT_GAPS * self._gap_seconds
-        return min(SLOWEST_SUSPECT_SECONDS, max(SUSPECT_SECONDS, own_pace))
+    def _probe_after_seconds(self) -> float:
+        by_gaps = PROBE_AFTER_GAPS * self._gap_seconds
+        return min(MAX_PROBE_AFTER_SECONDS, max(PROBE_AFTER_SECONDS, by_gaps))
 
-    def _suspect(self, path: pipeline.Path | None) -> str:
-        """Return the stage that a silence is most likely due to."""
+    def _find_unusable(self, path: pipeline.Path | None) -> str:
+        """Return the first unusable stage of the path, or an empty name."""
         if path is None:
             return ""
         for stage in path.stages:
--- a/src/crowdeck/entry/delivery.py
+++ b/src/crowdeck/entry/delivery.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The answer that a caller has been given so far, checked as it grows."""
+"""Delivers the tokens of an answer and verifies its end."""
 
 from crowdeck import digest as digests
 from crowdeck.entry import model_request as model_requests
@@ -17,10 +17,10 @@
 
 
 class Delivery:
-    """Takes tokens in order, shows them to the caller, checks the end.
+    """Passes tokens to the caller in order and verifies the end.
 
-    :ivar shown: positions below this one the caller has already.
-    :ivar finish: why the answer ended, empty while it runs.
+    :ivar shown: positions below this one the caller already has.
+    :ivar finish: the finish reason, empty while the answer runs.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self.finish = ""
 
     def __len__(self) -> int:
-        """Return how many tokens there are."""
+        """Return the number of tokens received."""
         return len(self._pieces)
 
     @property
@@ -44,7 +44,7 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether the last token is here, though perhaps not the end."""
+        """Whether the last token has arrived, perhaps without the end."""
         is_longest = len(self._pieces) >= self._request.max_tokens
         return bool(self.finish) or is_longest
 
@@ -60,7 +60,7 @@
         if answer.position > position:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_POSITION,
-                f"token {answer.position} came, not {position}",
+                f"received token {answer.position} instead of {position}",
                 verdict=_MAY_HAVE_RUN,
             )
         self.finish = answer.finish
@@ -68,7 +68,7 @@
         return True
 
     async def put(self, piece: messages.Piece) -> None:
-        """Add the next token and show it, unless the caller has it."""
+        """Add the next token, and pass it on unless the caller has it."""
         position = len(self._pieces)
         self._pieces.append(piece)
         self._digest.add(piece.token, piece.text)
@@ -76,9 +76,9 @@
             await self._sink.put(position, piece)
 
     def check_end(self, end: messages.AnswerEnd) -> None:
-        """Refuse an end that does not belong to what was delivered.
+        """Check the answer's end against the tokens received.
 
-        :raises CrowdeckError: ``WRONG_ANSWER``.
+        :raises CrowdeckError: ``WRONG_ANSWER`` if they do not match.
         """
         is_whole = (
             end.count == self._digest.count
@@ -89,7 +89,7 @@
         counters.COUNTERS.add("entry.answer_not_whole")
         raise errors.CrowdeckError(
             errors.Code.WRONG_ANSWER,
-            f"the answer's end speaks of {end.count} tokens, or others "
-            f"than the {self._digest.count} that came",
+            f"the answer's end, of {end.count} tokens, does not match the "
+            f"{self._digest.count} tokens received",
             verdict=_MAY_HAVE_RUN,
         )
--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -5,10 +5,11 @@
 
 """Drives one model request to the end of its answer.
 
-An attempt runs on one path. When a part of it fails, the next attempt has
-a higher epoch, avoids what failed, and begins with what was delivered; the
-caller sees one answer without a seam. Each delivered token thus belongs to
-exactly one attempt, in which every layer ran once for it, in order.
+An attempt runs on one path. When it fails, the next attempt has a higher
+epoch, avoids the instance that failed and continues after the tokens that
+were delivered, so that the caller sees one uninterrupted answer. Each
+delivered token belongs to exactly one attempt, in which each layer ran once
+for it, in order.
 """
 
 import contextlib
@@ -19,9 +20,9 @@
 import attrs
 
 from crowdeck.entry import answers as answers_module
+from crowdeck.entry import arrival_watch
 from crowdeck.entry import delivery as deliveries
 from crowdeck.entry import model_request as model_requests
-from crowdeck.entry import silence
 from crowdeck.entry import sink as sinks
 from crowdeck import errors
 from crowdeck.membership import fleet as fleets
@@ -37,28 +38,26 @@
 from crowdeck.wire import questions
 
 FINISH_LENGTH = "length"
-OPEN_TIMEOUT = 2.0
-MOVE_TIMEOUT = 8.0
-# Silence after which a path is given up although nobody reported a
-# failure. A long prompt's prefill may take most of the first.
-FIRST_TOKEN_TIMEOUT = 30.0
-TOKEN_TIMEOUT = 2.0
-# A further attempt has a reader in the middle of an answer. One such waited
-# 27 s under load for a path whose stages all lived.
-REPLAY_TIMEOUT = 5.0
-# What is taken up is running, or broken; its path is not known here, so
-# that probes cannot tell.
-RESUME_TIMEOUT = 4.0
-# How long an answer waits for a caller whose connection has broken.
-LEAVE_SECONDS = 5.0
-# Beyond the window: an end, a failure and a lost link may come as well.
+OPEN_TIMEOUT_SECONDS = 2.0
+MOVE_TIMEOUT_SECONDS = 8.0
+# A path is given up after this long without a record, although no failure
+# was reported. The first token has to wait for the prefill.
+FIRST_TOKEN_TIMEOUT_SECONDS = 30.0
+TOKEN_TIMEOUT_SECONDS = 2.0
+# The first token of a further attempt, whose caller has read a part of the
+# answer and waits for the next token.
+REPLAY_TIMEOUT_SECONDS = 5.0
+# The first token of a resumed answer. Its path is not known here, so its
+# stages are not probed.
+RESUME_TIMEOUT_SECONDS = 4.0
+# How long an answer is kept running after its caller has disconnected.
+RECONNECT_GRACE_SECONDS = 5.0
+# Room beyond the window, for an end, failures and changes of stages.
 INBOX_SLACK = 16
 
-# Errors that another attempt cannot mend. Two entries that drive one
-# request in turn would only take it away from each other; an answer that
-# is gone cannot be gone on with; and one whose digest is wrong has been
-# shown in part, so that a further attempt would only hide it.
-_FINAL = frozenset(
+# Errors that are not retried: another entry drives the request, the answer
+# is no longer kept, or its digest does not match what the caller has read.
+_NOT_RETRIED = frozenset(
     {
         errors.Code.SUPERSEDED,
         errors.Code.STALE_EPOCH,
@@ -70,8 +69,8 @@
 _NOT_RUN = verdicts.Verdict.NOT_RUN
 
 
-class _Superseded(Exception):
-    """The attempt goes on as another one; carries its opening."""
+class _AttemptMoved(Exception):
+    """The attempt is continued by another one, with this opening."""
 
     def __init__(self, opening: messages.Opening) -> None:
         super().__init__(opening.request)
@@ -80,7 +79,7 @@
 
 @attrs.frozen
 class DriverDependencies:
-    """What every drive of an entry shares."""
+    """What all request drivers of an entry share."""
 
     fleet: fleets.Fleet
     planner: planners.Planner
@@ -92,7 +91,7 @@
 
 
 class RequestDriver:
-    """The life of one model request at one entry."""
+    """Drives one model request at one entry."""
 
     def __init__(
         self,
@@ -108,14 +107,14 @@
         self._deadline = parts.clock.now() + request.seconds_left
         self._budget = parts.budgets.get(request.team, request.model)
         self._backoff = retry.Backoff(parts.randomness)
-        self._avoid: set[str] = set()
+        self._avoided: set[str] = set()
         self._delivery = deliveries.Delivery(request, sink)
         self._epoch = -1
         self._path: pipeline.Path | None = None
         self._head: link.Peer | None = None
-        self._former: tuple[link.Peer, int] | None = None
+        self._former_head: tuple[link.Peer, int] | None = None
         self._inbox: answers_module.Inbox | None = None
-        self._arrivals: silence.ArrivalWatch | None = None
+        self._arrivals: arrival_watch.ArrivalWatch | None = None
 
     @property
     def pieces(self) -> tuple[messages.Piece, ...]:
@@ -127,10 +126,10 @@
         resume: model_requests.ResumePoint | None = None,
         path: pipeline.Path | None = None,
     ) -> str:
-        """Deliver the whole answer and return why it ended.
+        """Deliver the whole answer and return its finish reason.
 
-        :param resume: where to take up an answer that was begun before.
-        :param path: path of the first attempt, if it was chosen already.
+        :param resume: where to resume an answer that was begun earlier.
+        :param path: path of the first attempt, if already chosen.
         :raises CrowdeckError: when no further attempt can be made.
         """
         self._budget.earn()
@@ -138,22 +137,22 @@
             self._open_inbox(stack)
             self._parts.fleet.subscribe(self)
             stack.callback(self._parts.fleet.unsubscribe, self)
-            stack.callback(self._hold_path, None)
+            stack.callback(self._set_path, None)
             stack.callback(self._cancel)
             try:
                 with anyio.move_on_at(self._deadline):
                     return await self._run_attempts(resume, path)
             except anyio.get_cancelled_exc_class():
-                self._leave_soon()
+                self._cancel_later()
                 raise
         raise errors.CrowdeckError(
             errors.Code.DEADLINE,
-            "the answer was not whole by its deadline",
+            "the answer was not complete by its deadline",
             verdict=_MAY_HAVE_RUN if self._epoch >= 0 else _NOT_RUN,
         )
 
     def on_sidecar_changed(self, view: fleets.SidecarView) -> None:
-        """Wake up when a stage of our path is lost or leaves."""
+        """Note that a stage of the current path is leaving or lost."""
         path = self._path
         if path is None or view.state is fleets.State.UP:
             return
@@ -171,7 +170,7 @@
             )
         limit = self._request.window + INBOX_SLACK
         self._inbox = self._parts.answers.open(request, limit)
-        self._arrivals = silence.ArrivalWatch(
+        self._arrivals = arrival_watch.ArrivalWatch(
             self._parts.fleet, self._parts.clock, self._inbox
         )
         stack.callback(self._parts.answers.close, request)
@@ -188,24 +187,23 @@
                     pending, resume = resume, None
                     return await self._resume(pending)
                 return await self._attempt(opening or self._plan())
-            except _Superseded as superseded:
-                opening = superseded.opening
+            except _AttemptMoved as moved:
+                opening = moved.opening
             except errors.CrowdeckError as error:
-                if self._delivery.is_whole and error.code not in _FINAL:
-                    # Only its end got lost. Another attempt would go on
-                    # past the end and give tokens that nobody asked for.
+                if self._delivery.is_whole and error.code not in _NOT_RETRIED:
+                    # Only the end was lost. Another attempt would generate
+                    # tokens past the end.
                     self._cancel()
                     return self._delivery.finish or FINISH_LENGTH
                 opening = None
                 await self._recover(error)
 
     def _plan(self) -> messages.Opening:
-        # Only a new answer may be refused for being slow; one that has
-        # begun is served to its end.
+        # Only a new answer may be refused because paths are slow.
         limit = self._request.gap_limit if self._epoch < 0 else 0.0
         path = self._parts.planner.choose(
             self._request.model,
-            frozenset(self._avoid),
+            frozenset(self._avoided),
             self._request.adapter,
             limit,
         )
@@ -229,18 +227,18 @@
         )
 
     async def _recover(self, error: errors.CrowdeckError) -> None:
-        """Get ready for another attempt, or raise ``error``."""
+        """Prepare for another attempt, or raise ``error``."""
         is_refused = error.code == errors.Code.OVERLOADED and not error.culprit
-        if error.code in _FINAL or is_refused:
+        if error.code in _NOT_RETRIED or is_refused:
             raise error
         self._cancel()
         if error.culprit:
-            self._avoid.add(error.culprit)
-        if error.code == errors.Code.NO_PATH and self._avoid:
-            # Rather an instance that failed once than no answer.
-            self._avoid.clear()
-        # A model's answer may be computed again: what the caller has is
-        # replayed as input, so nothing of it is ever given twice.
+            self._avoided.add(error.culprit)
+        if error.code == errors.Code.NO_PATH and self._avoided:
+            # An instance that failed once is better than no path.
+            self._avoided.clear()
+        # A model's answer may be computed again: the delivered tokens are
+        # replayed as input, and are not delivered twice.
         may_retry = retry.may_retry(
             error,
             is_repeatable=True,
@@ -260,36 +258,36 @@
         assert self._inbox is not None
         self._inbox.clear()
         self._epoch = opening.epoch
-        self._hold_path(opening.path)
+        self._set_path(opening.path)
         head = self._require_head(opening.path)
         self._head = head
         self._inbox.source = head
-        reply = await head.ask(questions.Open(opening), OPEN_TIMEOUT)
+        reply = await head.ask(questions.Open(opening), OPEN_TIMEOUT_SECONDS)
         if isinstance(reply, questions.Refused):
             raise reply.as_error()
-        self._release_former()
+        self._cancel_former()
         path = opening.path
         self._sink.set_location(
             opening.epoch, path.head.instance, path.tail.instance
         )
         counters.COUNTERS.add("drive.attempts")
         if len(self._delivery):
-            return await self._consume(REPLAY_TIMEOUT)
-        return await self._consume(FIRST_TOKEN_TIMEOUT)
+            return await self._consume(REPLAY_TIMEOUT_SECONDS)
+        return await self._consume(FIRST_TOKEN_TIMEOUT_SECONDS)
 
-    def _hold_path(self, path: pipeline.Path | None) -> None:
-        """Count our work on a path, and no longer on the one before."""
+    def _set_path(self, path: pipeline.Path | None) -> None:
+        """Count this request on a path instead of the previous one."""
         if self._path is not None:
             self._parts.planner.release(self._path)
         if path is not None:
             self._parts.planner.acquire(path)
         self._path = path
 
-    def _release_former(self) -> None:
-        """Let go of a head whose part has moved to another instance."""
-        if self._former is not None:
-            peer, epoch = self._former
-            self._former = None
+    def _cancel_former(self) -> None:
+        """Cancel the attempt at a head that has been replaced."""
+        if self._former_head is not None:
+            peer, epoch = self._former_head
+            self._former_head = None
             peer.send(messages.Cancel(self._request.request, epoch))
 
     def _require_head(self, path: pipeline.Path) -> link.Peer:
@@ -309,7 +307,7 @@
         return view.peer
 
     async def _resume(self, resume: model_requests.ResumePoint) -> str:
-        """Take up an answer that another entry began."""
+        """Resume an answer that was begun earlier."""
         self._delivery.shown = resume.position
         attached: questions.Attached | None = None
         for name in dict.fromkeys((resume.head, resume.tail)):
@@ -319,7 +317,7 @@
         if attached is None:
             raise errors.CrowdeckError(
                 errors.Code.ANSWER_GONE,
-                "nobody keeps this answer any more; ask anew",
+                "this answer is no longer kept; repeat the request",
                 verdict=_MAY_HAVE_RUN,
             )
         counters.COUNTERS.add("drive.resumed")
@@ -331,10 +329,10 @@
         if attached.finish:
             return attached.finish
         if attached.is_running:
-            return await self._consume(RESUME_TIMEOUT)
+            return await self._consume(RESUME_TIMEOUT_SECONDS)
         raise errors.CrowdeckError(
             errors.Code.LINK_LOST,
-            "the answer's path broke before it was taken up",
+            "the answer's path failed before it was resumed",
             verdict=_MAY_HAVE_RUN,
         )
 
@@ -351,7 +349,7 @@
             window=self._delivery.shown + self._request.window,
         )
         try:
-            reply = await view.peer.ask(question, OPEN_TIMEOUT)
+            reply = await view.peer.ask(question, OPEN_TIMEOUT_SECONDS)
         except errors.LinkLost:
             return None
         if not isinstance(reply, questions.Attached):
@@ -360,13 +358,13 @@
         return reply
 
     async def _consume(self, timeout: float) -> str:
-        """Take records until the answer ends."""
+        """Process arrivals until the answer ends."""
         while True:
             arrival = await self._next(timeout)
             match arrival:
                 case messages.Answer():
                     if await self._take(arrival):
-                        timeout = TOKEN_TIMEOUT
+                        timeout = TOKEN_TIMEOUT_SECONDS
                 case messages.AnswerEnd():
                     if arrival.epoch == self._epoch:
                         return self._take_end(arrival)
@@ -388,16 +386,16 @@
 
     async def _take(self, answer: messages.Answer) -> bool:
         """Deliver a token if it is the next one of this attempt."""
-        came_at = self._parts.clock.now()
+        received_at = self._parts.clock.now()
         if not await self._delivery.take(answer, self._epoch):
             return False
         assert self._arrivals is not None
-        self._arrivals.note_token(came_at)
+        self._arrivals.note_token(received_at)
         self._give_credit()
         return True
 
     def _take_end(self, end: messages.AnswerEnd) -> str:
-        """Return why the answer ended, if this is its true end."""
+        """Verify the answer's end and return its finish reason."""
         self._delivery.check_end(end)
         self._head = None
         self._span.note("tokens", end.count)
@@ -414,27 +412,30 @@
                 )
             )
 
-    def _leave_soon(self) -> None:
-        """Give the answer up a little after its caller has gone.
+    def _cancel_later(self) -> None:
+        """Cancel the answer some time after its caller has disconnected.
 
-        The caller's connection may only have broken: until then it can
-        take its answer up again here or elsewhere, with the last event's
-        id. The head runs on for one window at the most meanwhile.
+        Until then the caller may resume it here or at another entry, with
+        the last event's id. Meanwhile the head generates at most one window.
         """
         if self._head is not None:
-            self._parts.tasks.start_soon(self._leave, self._head, self._epoch)
+            self._parts.tasks.start_soon(
+                self._cancel_unless_resumed, self._head, self._epoch
+            )
             self._head = None
 
-    async def _leave(self, head: link.Peer, epoch: int) -> None:
-        await anyio.sleep(LEAVE_SECONDS)
+    async def _cancel_unless_resumed(
+        self, head: link.Peer, epoch: int
+    ) -> None:
+        await anyio.sleep(RECONNECT_GRACE_SECONDS)
         request = self._request.request
-        # An entry that attached meanwhile made the head heed only itself;
-        # only a caller that came back to this very entry has to be seen.
+        # Once another entry has attached, the head ignores this one. So only
+        # a caller that has resumed at this entry has to be looked for.
         if not self._parts.answers.is_open(request):
             head.send(messages.Cancel(request, epoch))
 
     def _cancel(self) -> None:
-        """Tell the head that nobody waits for this attempt any more."""
+        """Cancel the current attempt at its head."""
         if self._head is not None:
             self._head.send(
                 messages.Cancel(self._request.request, self._epoch)
@@ -453,13 +454,13 @@
         opening = await self._move_away(change.name)
         if opening is not None:
             counters.COUNTERS.add("drive.moved")
-            raise _Superseded(opening)
+            raise _AttemptMoved(opening)
 
     async def _move_away(self, leaving: str) -> messages.Opening | None:
-        """Move the answer off a leaving stage, KV cache and all.
+        """Move the answer off a leaving stage, together with its KV cache.
 
-        Returns ``None`` where that cannot be; the stage then finishes
-        the answer itself, as a planned stop lets it.
+        Returns ``None`` if there is nothing to move or no replacement; the
+        leaving stage then finishes the answer itself.
         """
         if self._path is None or not len(self._delivery):
             return None
@@ -473,10 +474,10 @@
             epoch=self._epoch,
             target=path.stages[index],
         )
-        reply = await view.peer.ask(question, MOVE_TIMEOUT)
+        reply = await view.peer.ask(question, MOVE_TIMEOUT_SECONDS)
         if not isinstance(reply, questions.MovedOut):
             counters.COUNTERS.add("drive.move_refused")
-            # It may have stopped already: go on cold, without the stage.
+            # The stage may have stopped already: replay without it.
             raise errors.CrowdeckError(
                 errors.Code.LEAVING,
                 "the KV cache could not be moved",
@@ -485,7 +486,7 @@
             )
         await self._catch_up(reply.position)
         if index == 0:
-            self._former = (view.peer, self._epoch)
+            self._former_head = (view.peer, self._epoch)
         return attrs.evolve(
             self._opening(path),
             warm_position=reply.position,
@@ -493,9 +494,9 @@
         )
 
     async def _catch_up(self, position: int) -> None:
-        """Take the tokens that were under way when the stage stopped."""
+        """Receive the tokens that were sent before the stage paused."""
         while len(self._delivery) < position:
-            arrival = await self._next(TOKEN_TIMEOUT)
+            arrival = await self._next(TOKEN_TIMEOUT_SECONDS)
             match arrival:
                 case messages.Answer():
                     await self._take(arrival)
@@ -504,7 +505,7 @@
                 case _:
                     raise errors.CrowdeckError(
                         errors.Code.LINK_LOST,
-                        "the path broke while it was being moved",
+                        "the path failed while a stage was being moved",
                         verdict=_MAY_HAVE_RUN,
                     )
 
--- a/src/crowdeck/entry/model_request.py
+++ b/src/crowdeck/entry/model_request.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What is known of a model request, and of an answer taken up again."""
+"""A model request, and the point at which its answer is resumed."""
 
 import attrs
 
@@ -12,7 +12,7 @@
 class ModelRequest:
     """One request for a model's answer.
 
-    :ivar seconds_left: time to its deadline, when it was received.
+    :ivar seconds_left: time to its deadline when it was received.
     :ivar gap_limit: seconds between tokens above which a new answer is
         refused rather than begun; 0 for never.
     """
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class ResumePoint:
-    """Where an answer is to be taken up again.
+    """Where to resume an answer.
 
     :ivar position: the first position that the caller does not have.
     :ivar head: instance that keeps the answer.
--- a/src/crowdeck/entry/service_calls.py
+++ b/src/crowdeck/entry/service_calls.py
@@ -3,11 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Calls of plain services through the sidecars beside them.
+"""Calls of plain services through their sidecars.
 
-What a failed call may do next is decided by its verdict alone. When a
-reply is lost, the sidecar that the call was sent to is asked to seal it:
-either it had not run and now never will, or its answer is collected.
+When a reply is lost, the sidecar that the call was sent to is asked to seal
+it: either the call has not run and never will, or its answer is collected.
 """
 
 import random
@@ -28,17 +27,15 @@
 from crowdeck.wire import link
 from crowdeck.wire import questions
 
-ASK_TIMEOUT = 1.0
-RECONNECT_SECONDS = 0.1
-# How long a sidecar that fell silent may take to come back and tell what
-# became of a call. Pauses and reconnects are over by then; a caller is
-# not kept waiting for a machine that is gone.
-FIND_OUT_SECONDS = 5.0
-# How long a key's second caller waits for the first one's call to begin
-# before it is sealed: the first is then about to send it, or dead.
+SEAL_TIMEOUT_SECONDS = 1.0
+RECONNECT_INTERVAL_SECONDS = 0.1
+# How long a sidecar that stopped answering is asked for a call's outcome.
+OUTCOME_TIMEOUT_SECONDS = 5.0
+# How long a second caller with the same key waits for the first one's call
+# to begin before sealing it.
 BEGIN_SECONDS = 0.5
-# Sidecars that one key's call may be tried at, in order.
-CLAIM_SIDECARS = 2
+# Number of sidecars at which a claimed call may be tried.
+MAX_SIDECARS_PER_CLAIM = 2
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 _NOT_RUN = verdicts.Verdict.NOT_RUN
@@ -66,21 +63,21 @@
 
     @property
     def fingerprint(self) -> str:
-        """Digest of what is asked for, to tell reuse of a key."""
+        """Digest of the request, to detect reuse of its key for another."""
         parts = (self.method, self.path, self.body.hex())
         return claims_module.digest_key(*parts)
 
 
 @attrs.frozen
 class _Target:
-    """One run of one sidecar."""
+    """One incarnation of one sidecar."""
 
     name: str
     incarnation: int
 
 
 class ServiceCalls:
-    """Makes calls for one entry."""
+    """Makes the service calls of one entry."""
 
     def __init__(
         self,
@@ -100,43 +97,43 @@
         self._wall_clock = wall_clock
         self._random = randomness
 
-    async def call(self, order: ServiceCall) -> questions.Called:
+    async def call(self, call: ServiceCall) -> questions.Called:
         """Make a call and return its answer.
 
-        :raises CrowdeckError: with a true verdict.
+        :raises CrowdeckError: with a verdict on whether the call ran.
         """
-        if order.key:
-            return await self._call_keyed(order)
-        return await self._call_unkeyed(order)
+        if call.key:
+            return await self._call_keyed(call)
+        return await self._call_unkeyed(call)
 
-    async def _call_unkeyed(self, order: ServiceCall) -> questions.Called:
-        budget = self._budgets.get(order.team, order.service)
+    async def _call_unkeyed(self, call: ServiceCall) -> questions.Called:
+        budget = self._budgets.get(call.team, call.service)
         budget.earn()
         backoff = retry.Backoff(self._random)
-        avoid: set[str] = set()
+        avoided: set[str] = set()
         epoch = 0
         while True:
             try:
-                target = self._pick(order.service, avoid)
-                return await self._send(order, target, epoch)
+                target = self._pick(call.service, avoided)
+                return await self._send(call, target, epoch)
             except errors.CrowdeckError as error:
                 may_retry = retry.may_retry(
                     error,
-                    order.contract.is_repeatable,
+                    call.contract.is_repeatable,
                     budget,
                     self._clock,
-                    order.deadline,
+                    call.deadline,
                 )
                 if not may_retry:
                     raise
                 counters.COUNTERS.add("calls.retried")
-                avoid.add(error.culprit)
+                avoided.add(error.culprit)
                 epoch += 1
             await anyio.sleep(backoff.next())
 
-    def _pick(self, service: str, avoid: set[str]) -> _Target:
+    def _pick(self, service: str, avoided: set[str]) -> _Target:
         targets = self._candidates(service)
-        fresh = [one for one in targets if one.name not in avoid]
+        fresh = [one for one in targets if one.name not in avoided]
         if not targets:
             raise errors.CrowdeckError(
                 errors.Code.NO_PATH,
@@ -146,58 +143,59 @@
         return (fresh or targets)[0]
 
     def _candidates(self, service: str) -> list[_Target]:
-        """Return who serves it, the least loaded first."""
+        """Return the sidecars of a service, the least loaded first."""
         views = [
             view for view in self._fleet.usable if view.has_service(service)
         ]
-        # Random among equals, so that entries do not all pick the same.
+        # Random order among equals, so that entries spread their calls.
         self._random.shuffle(views)
         views.sort(key=lambda view: view.inflight)
         return [_Target(view.name, view.incarnation) for view in views]
 
     async def _send(
-        self, order: ServiceCall, target: _Target, epoch: int
+        self, call: ServiceCall, target: _Target, epoch: int
     ) -> questions.Called:
-        """Send a call to one run of one sidecar and learn what became."""
-        call = self._message(order, target, epoch)
+        """Send a call to one sidecar and return its answer."""
+        message = self._message(call, target, epoch)
         peer = await self._links.get(target.name)
-        self._require_run(peer, target, _NOT_RUN)
+        self._require_incarnation(peer, target, _NOT_RUN)
         view = self._fleet.find(target.name)
         if view is not None:
             view.own_inflight += 1
         try:
             reply = await self._fleet.ask_with_probes(
-                peer, call, max(0.0, call.seconds_left)
+                peer, message, max(0.0, message.seconds_left)
             )
         except errors.LinkLost as lost:
-            if not lost.was_sent or order.contract.is_repeatable:
-                # Nothing is at stake: asking another is the quickest way.
+            if not lost.was_sent or call.contract.is_repeatable:
+                # The call was not sent or may run again: do not ask for its
+                # outcome.
                 raise
-            reply = await self._find_out(order, target, epoch)
+            reply = await self._resolve_lost_reply(call, target, epoch)
         finally:
             if view is not None:
                 view.own_inflight -= 1
         return _called(reply)
 
     def _message(
-        self, order: ServiceCall, target: _Target, epoch: int
+        self, call: ServiceCall, target: _Target, epoch: int
     ) -> questions.Call:
         return questions.Call(
-            request=order.request,
+            request=call.request,
             epoch=epoch,
             incarnation=target.incarnation,
-            team=order.team,
-            service=order.service,
-            method=order.method,
-            path=order.path,
-            headers=order.headers,
-            body=order.body,
-            seconds_left=order.deadline - self._clock.now(),
-            traceparent=order.traceparent,
-            has_companions=order.contract.has_companions,
+            team=call.team,
+            service=call.service,
+            method=call.method,
+            path=call.path,
+            headers=call.headers,
+            body=call.body,
+            seconds_left=call.deadline - self._clock.now(),
+            traceparent=call.traceparent,
+            has_companions=call.contract.has_companions,
         )
 
-    def _require_run(
+    def _require_incarnation(
         self, peer: link.Peer, target: _Target, verdict: verdicts.Verdict
     ) -> None:
         if peer.greeting.incarnation != target.incarnation:
@@ -210,20 +208,20 @@
 
     # A lost reply.
 
-    async def _find_out(
-        self, order: ServiceCall, target: _Target, epoch: int
+    async def _resolve_lost_reply(
+        self, call: ServiceCall, target: _Target, epoch: int
     ) -> questions.Reply:
         """Seal a call whose reply was lost, or collect its answer."""
         counters.COUNTERS.add("calls.reply_lost")
-        until = min(order.deadline, self._clock.now() + FIND_OUT_SECONDS)
+        until = min(call.deadline, self._clock.now() + OUTCOME_TIMEOUT_SECONDS)
         while self._clock.now() < until:
             try:
-                outcome = await self._seal(order.request, target, epoch)
+                outcome = await self._seal(call.request, target, epoch)
                 if outcome is _NOT_RUN:
                     raise _sealed(target)
-                return await self._collect(order, target)
+                return await self._collect(call, target)
             except errors.LinkLost:
-                await anyio.sleep(RECONNECT_SECONDS)
+                await anyio.sleep(RECONNECT_INTERVAL_SECONDS)
         raise errors.CrowdeckError(
             errors.Code.LINK_LOST,
             f"{target.name} could not be asked whether the call ran",
@@ -235,28 +233,28 @@
         self, request: str, target: _Target, epoch: int
     ) -> verdicts.Verdict:
         peer = await self._links.get(target.name)
-        self._require_run(peer, target, _MAY_HAVE_RUN)
+        self._require_incarnation(peer, target, _MAY_HAVE_RUN)
         question = questions.Seal(request, epoch, target.incarnation)
-        reply = await peer.ask(question, ASK_TIMEOUT)
+        reply = await peer.ask(question, SEAL_TIMEOUT_SECONDS)
         if isinstance(reply, questions.Sealed):
             return reply.outcome
         return _MAY_HAVE_RUN
 
     async def _collect(
-        self, order: ServiceCall, target: _Target
+        self, call: ServiceCall, target: _Target
     ) -> questions.Reply:
         peer = await self._links.get(target.name)
-        self._require_run(peer, target, _MAY_HAVE_RUN)
-        seconds_left = order.deadline - self._clock.now()
-        question = questions.Collect(order.request, order.team)
+        self._require_incarnation(peer, target, _MAY_HAVE_RUN)
+        seconds_left = call.deadline - self._clock.now()
+        question = questions.Collect(call.request, call.team)
         return await self._fleet.ask_with_probes(
             peer, question, max(0.0, seconds_left)
         )
 
     # Keyed calls.
 
-    async def _call_keyed(self, order: ServiceCall) -> questions.Called:
-        own = self._make_claim(order)
+    async def _call_keyed(self, call: ServiceCall) -> questions.Called:
+        own = self._make_claim(call)
         holder = await self._claims.claim(own)
         while holder.nonce != own.nonce:
             if holder.fingerprint != own.fingerprint:
@@ -264,27 +262,27 @@
                     errors.Code.KEY_IN_USE,
                     "this idempotency key was used for another request",
                 )
-            answer = await self._collect_claimed(order, holder)
+            answer = await self._collect_claimed(call, holder)
             if answer is not None:
                 counters.COUNTERS.add("calls.answered_again")
                 return answer
-            # The holder's call is sealed wherever it could have run, so
-            # it never will: ours may take the key over.
+            # The holder's call is sealed at every sidecar that could have
+            # run it, so this call may take over the key.
             holder = await self._claims.claim(own, replaces=holder.nonce)
-        return await self._run_claimed(order, own)
+        return await self._run_claimed(call, own)
 
-    def _make_claim(self, order: ServiceCall) -> claims_module.Claim:
-        targets = self._candidates(order.service)[:CLAIM_SIDECARS]
+    def _make_claim(self, call: ServiceCall) -> claims_module.Claim:
+        targets = self._candidates(call.service)[:MAX_SIDECARS_PER_CLAIM]
         if not targets:
             raise errors.CrowdeckError(
                 errors.Code.NO_PATH,
-                f"no live instance serves {order.service}",
+                f"no live instance serves {call.service}",
                 retry_after=1.0,
             )
         return claims_module.Claim(
-            key=claims_module.digest_key(order.team, order.service, order.key),
-            fingerprint=order.fingerprint,
-            request=order.request,
+            key=claims_module.digest_key(call.team, call.service, call.key),
+            fingerprint=call.fingerprint,
+            request=call.request,
             nonce=claims_module.new_nonce(),
             sidecars=tuple(one.name for one in targets),
             incarnations=tuple(one.incarnation for one in targets),
@@ -292,13 +290,13 @@
         )
 
     async def _run_claimed(
-        self, order: ServiceCall, claim: claims_module.Claim
+        self, call: ServiceCall, claim: claims_module.Claim
     ) -> questions.Called:
-        """Run our claimed call at the first claimed sidecar that can."""
+        """Run a claimed call at the first of its sidecars that accepts it."""
         refusal: errors.CrowdeckError | None = None
         for target in _targets(claim):
             try:
-                return await self._send(order, target, 0)
+                return await self._send(call, target, 0)
             except errors.CrowdeckError as error:
                 if error.verdict is not _NOT_RUN:
                     raise
@@ -307,19 +305,19 @@
         raise refusal
 
     async def _collect_claimed(
-        self, order: ServiceCall, claim: claims_module.Claim
+        self, call: ServiceCall, claim: claims_module.Claim
     ) -> questions.Called | None:
-        """Return the answer of another's claimed call.
+        """Return the answer of another caller's claimed call.
 
         Returns ``None`` once the call is known never to run.
 
-        :raises CrowdeckError: ``KEY_SPENT`` when it may have run, and
-            nobody can tell any more.
+        :raises CrowdeckError: ``KEY_SPENT`` if the call may have run and
+            its answer is not available.
         """
-        theirs = attrs.evolve(order, request=claim.request)
+        held_call = attrs.evolve(call, request=claim.request)
         for target in _targets(claim):
             try:
-                reply = await self._collect_or_seal(theirs, target)
+                reply = await self._collect_or_seal(held_call, target)
             except errors.LinkLost as lost:
                 raise _spent(lost.message) from None
             except errors.CrowdeckError as error:
@@ -330,17 +328,17 @@
         return None
 
     async def _collect_or_seal(
-        self, order: ServiceCall, target: _Target
+        self, call: ServiceCall, target: _Target
     ) -> questions.Reply:
         begin_by = self._clock.now() + BEGIN_SECONDS
         while True:
-            reply = await self._collect(order, target)
+            reply = await self._collect(call, target)
             if not _is_gone(reply):
                 return reply
             if self._clock.now() >= begin_by:
                 break
-            await anyio.sleep(RECONNECT_SECONDS)
-        return await self._find_out(order, target, 0)
+            await anyio.sleep(RECONNECT_INTERVAL_SECONDS)
+        return await self._resolve_lost_reply(call, target, 0)
 
 
 def _targets(claim: claims_module.Claim) -> list[_Target]:
@@ -362,7 +360,7 @@
         raise reply.as_error()
     raise errors.CrowdeckError(
         errors.Code.MALFORMED,
-        "a call was answered by something else",
+        "unexpected reply to a call",
         verdict=_MAY_HAVE_RUN,
     )
 
@@ -378,6 +376,6 @@
 def _spent(reason: str) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.KEY_SPENT,
-        f"this key's call may have run, its answer is not to be had: {reason}",
+        f"the key's call may have run, its answer is unavailable: {reason}",
         verdict=_MAY_HAVE_RUN,
     )
--- a/src/crowdeck/entry/sink.py
+++ b/src/crowdeck/entry/sink.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Where an answer goes: the caller's side of one request."""
+"""The interface through which a caller receives an answer."""
 
 import typing
 
@@ -11,12 +11,12 @@
 
 
 class AnswerSink(typing.Protocol):
-    """Takes an answer piece by piece, as fast as its caller does."""
+    """Receives an answer piece by piece, at its caller's pace."""
 
     async def put(self, position: int, piece: messages.Piece) -> None:
-        """Pass on one piece; returns once the caller has room for more."""
+        """Pass on one piece; return once the caller has room for more."""
         ...
 
     def set_location(self, epoch: int, head: str, tail: str) -> None:
-        """Take note of who keeps the answer from now on."""
+        """Set the instances that keep the answer from now on."""
         ...
--- a/tests/system.py
+++ b/tests/system.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A whole system in memory, in virtual time, with scripted faults."""
+"""A complete in-memory system for tests in virtual time, with faults."""
 
 import collections
 import contextlib
@@ -40,7 +40,7 @@
 
 
 class CountingService:
-    """A plain service that counts what it was really made to do."""
+    """A plain service that counts its runs."""
 
     def __init__(self, seconds: float = 0.02) -> None:
         self.seconds = seconds
@@ -62,7 +62,7 @@
 
 
 class Caller:
-    """A caller's sink, and what it saw."""
+    """The sink of a caller, which records what it receives."""
 
     def __init__(self, seconds_per_piece: float = 0.0) -> None:
         self.seconds_per_piece = seconds_per_piece
@@ -91,7 +91,7 @@
 @attrs.define(eq=False)
 class Node:
     scope: anyio.CancelScope
-    part: typing.Any
+    process: typing.Any
 
 
 class System:
@@ -123,7 +123,7 @@
         try:
             await self._start()
         except BaseException as error:
-            # The group knows which of its tasks has failed, and says so.
+            # The task group raises the error of the task that has failed.
             await self._stack.__aexit__(type(error), error, None)
             raise
         return self
@@ -180,14 +180,14 @@
         self.nodes[name].scope.cancel()
 
     def sidecar(self, name: str) -> sidecars.Sidecar:
-        part = self.nodes[name].part
-        assert isinstance(part, sidecars.Sidecar)
-        return part
+        process = self.nodes[name].process
+        assert isinstance(process, sidecars.Sidecar)
+        return process
 
     def entry(self, index: int = 0) -> entries.Entry:
-        part = self.nodes[f"e{index}"].part
-        assert isinstance(part, entries.Entry)
-        return part
+        process = self.nodes[f"e{index}"].process
+        assert isinstance(process, entries.Entry)
+        return process
 
     def expected(self, prompt: str, count: int) -> list[str]:
         return [one.text for one in self.model.answer(prompt, count)]
@@ -210,7 +210,7 @@
         )
         return attrs.evolve(request, **changes)
 
-    def drive(
+    def make_driver(
         self,
         request: model_requests.ModelRequest,
         caller: Caller,
@@ -227,9 +227,9 @@
         self, prompt: str, caller: Caller, count: int = 20, entry: int = 0
     ) -> str:
         request = self.request(prompt, count)
-        return await self.drive(request, caller, entry).run()
+        return await self.make_driver(request, caller, entry).run()
 
-    def order(
+    def service_call(
         self,
         body: str,
         key: str = "",
@@ -326,7 +326,7 @@
 
 
 class _Book:
-    """A directory that does not lag; the lag has tests of its own."""
+    """A directory that is always up to date."""
 
     def __init__(self, store: stores.StandinStore) -> None:
         self._store = store
@@ -335,7 +335,7 @@
         return self._store.listed(name)
 
     async def refresh(self) -> None:
-        """There is nothing to read again."""
+        """Do nothing: the directory is always up to date."""
 
 
 def may_have_run(code: errors.Code) -> errors.CrowdeckError:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Answers of models, whole and right, whatever fails on the way."""
+"""Answers of models are complete and correct, whichever part fails."""
 
 import typing
 
@@ -24,9 +24,9 @@
 
 
 class TestUndisturbed:
-    """Nothing fails."""
+    """Answers without any fault."""
 
-    def test_answer_is_what_the_whole_model_says(self) -> None:
+    def test_answer_equals_that_of_the_whole_model(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 caller = systems.Caller()
@@ -36,7 +36,7 @@
 
         virtual.run(check)
 
-    def test_many_answers_do_not_mix(self) -> None:
+    def test_concurrent_answers_do_not_mix(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 callers = {
@@ -53,7 +53,7 @@
 
         virtual.run(check)
 
-    def test_one_stage_alone_serves_whole_answers(self) -> None:
+    def test_single_stage_serves_complete_answers(self) -> None:
         async def check() -> None:
             async with systems.System(stages=1, replicas=1) as system:
                 caller = systems.Caller()
@@ -84,7 +84,7 @@
                 caller = systems.Caller()
 
                 def kill() -> None:
-                    system.kill(_busy(system, stage))
+                    system.kill(_running_sidecar(system, stage))
 
                 caller.at[position] = kill
                 await system.answer(PROMPT, caller)
@@ -94,10 +94,10 @@
 
     @pytest.mark.parametrize("dies", ["head", "tail", "both"])
     @pytest.mark.parametrize("length", [20, 1])
-    def test_death_after_the_last_token_adds_none(
+    def test_death_after_the_last_token_adds_no_token(
         self, dies: str, length: int
     ) -> None:
-        """Found by rolling replacement under load: tokens past the end."""
+        """A further attempt must not generate tokens past the end."""
 
         async def check() -> None:
             async with systems.System() as system:
@@ -117,7 +117,7 @@
 
         virtual.run(check)
 
-    def test_death_after_the_models_own_end_adds_none(self) -> None:
+    def test_death_after_a_stop_token_adds_no_token(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 prompt, length = _prompt_that_stops(system)
@@ -133,12 +133,15 @@
         async def check() -> None:
             async with systems.System() as system:
                 caller = systems.Caller()
-                doomed: list[str] = []
+                killed: list[str] = []
 
                 def kill() -> None:
-                    for name in (_busy(system, 0), _busy(system, 2)):
-                        doomed.append(name)
-                    for name in doomed:
+                    for name in (
+                        _running_sidecar(system, 0),
+                        _running_sidecar(system, 2),
+                    ):
+                        killed.append(name)
+                    for name in killed:
                         system.kill(name)
 
                 caller.at[5] = kill
@@ -155,14 +158,14 @@
                 frozen: list[str] = []
 
                 def freeze() -> None:
-                    frozen.append(_busy(system, stage))
+                    frozen.append(_running_sidecar(system, stage))
                     system.network.freeze(frozen[0])
 
                 caller.at[5] = freeze
                 started = anyio.current_time()
                 await system.answer(PROMPT, caller)
                 assert anyio.current_time() - started < 4.0
-                # What the frozen stage says when it wakes harms nobody.
+                # Records that the frozen stage sends later change nothing.
                 system.network.thaw(frozen[0])
                 await anyio.sleep(10.0)
                 assert caller.texts == system.expected(PROMPT, 20)
@@ -175,7 +178,10 @@
                 caller = systems.Caller()
 
                 def cut() -> None:
-                    ends = (_busy(system, 0), _busy(system, 1))
+                    ends = (
+                        _running_sidecar(system, 0),
+                        _running_sidecar(system, 1),
+                    )
                     system.network.cut(*ends)
 
                 caller.at[5] = cut
@@ -190,7 +196,7 @@
                 caller = systems.Caller()
 
                 def fail() -> None:
-                    name = _busy(system, 1)
+                    name = _running_sidecar(system, 1)
                     system.engines[name].failure = systems.may_have_run(
                         errors.Code.UPSTREAM_LOST
                     )
@@ -216,10 +222,10 @@
 
 
 class TestEntryDeath:
-    """The entry dies; its caller comes back at another one."""
+    """The entry dies, and its caller resumes at another one."""
 
     @pytest.mark.parametrize("position", [0, 6, 19])
-    def test_answer_is_taken_up_elsewhere(self, position: int) -> None:
+    def test_answer_is_resumed_at_another_entry(self, position: int) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 first, second = systems.Caller(), systems.Caller()
@@ -228,7 +234,7 @@
                 resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
-                await system.drive(request, second, entry=1).run(resume)
+                await system.make_driver(request, second, entry=1).run(resume)
                 together = first.texts + (
                     second.texts if second.pieces else []
                 )
@@ -246,7 +252,7 @@
                 resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
-                await system.drive(request, second, entry=1).run(resume)
+                await system.make_driver(request, second, entry=1).run(resume)
                 assert first.texts + second.texts == system.expected(
                     PROMPT, 20
                 )
@@ -264,7 +270,9 @@
                 )
                 resume = model_requests.ResumePoint(0, *first.location)
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await system.drive(foreign, second, entry=1).run(resume)
+                    await system.make_driver(foreign, second, entry=1).run(
+                        resume
+                    )
                 assert caught.value.code == errors.Code.ANSWER_GONE
                 assert not second.pieces
 
@@ -296,7 +304,7 @@
 
         virtual.run(check)
 
-    def test_former_entry_is_told_when_it_lives(self) -> None:
+    def test_former_entry_is_told_that_it_was_superseded(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 first, second = systems.Caller(0.05), systems.Caller()
@@ -305,7 +313,7 @@
 
                 async def run_first() -> None:
                     try:
-                        await system.drive(request, first).run()
+                        await system.make_driver(request, first).run()
                     except errors.CrowdeckError as error:
                         outcome.append(error.code)
 
@@ -315,7 +323,9 @@
                     resume = model_requests.ResumePoint(
                         len(first.pieces), *first.location
                     )
-                    await system.drive(request, second, entry=1).run(resume)
+                    await system.make_driver(request, second, entry=1).run(
+                        resume
+                    )
                 assert outcome == [errors.Code.SUPERSEDED]
                 assert second.texts[-1] == system.expected(PROMPT, 200)[-1]
 
@@ -323,7 +333,7 @@
 
 
 class TestPlannedStop:
-    """A stage leaves while it serves."""
+    """A stage leaves while it runs an answer."""
 
     @pytest.mark.parametrize("stage", [0, 1, 2])
     @pytest.mark.parametrize("position", [1, 9])
@@ -336,14 +346,14 @@
                 left: list[str] = []
 
                 def leave() -> None:
-                    left.append(_busy(system, stage))
+                    left.append(_running_sidecar(system, stage))
                     system.sidecar(left[0]).begin_drain(30.0)
 
                 caller.at[position] = leave
                 await system.answer(PROMPT, caller, count=400)
                 assert caller.texts == system.expected(PROMPT, 400)
-                # Nothing was computed twice: the prompt ran through each
-                # stage's layers once, whichever engine held them.
+                # Nothing is computed twice: the prompt runs through each
+                # stage's layers once, on whichever engine holds them.
                 sequences = [
                     name
                     for engine in system.engines.values()
@@ -356,7 +366,7 @@
 
     @pytest.mark.parametrize("stage", [0, 1, 2])
     def test_answer_moves_while_engines_are_busy(self, stage: int) -> None:
-        """Found under load: a busy stage refused, and all was replayed."""
+        """A busy stage must not refuse the move, which costs a replay."""
 
         async def check() -> None:
             async with systems.System() as system:
@@ -365,7 +375,9 @@
                 caller = systems.Caller()
 
                 def leave() -> None:
-                    system.sidecar(_busy(system, stage)).begin_drain(30.0)
+                    system.sidecar(
+                        _running_sidecar(system, stage)
+                    ).begin_drain(30.0)
 
                 caller.at[3] = leave
                 await system.answer(PROMPT, caller, count=12)
@@ -379,7 +391,7 @@
 
         virtual.run(check)
 
-    def test_no_replacement_means_the_stage_finishes(self) -> None:
+    def test_stage_without_a_replacement_finishes_the_answer(self) -> None:
         async def check() -> None:
             async with systems.System(replicas=1) as system:
                 caller = systems.Caller()
@@ -405,13 +417,13 @@
 class TestCallers:
     """Callers that are slow, or leave."""
 
-    def test_slow_caller_holds_the_head_back(self) -> None:
+    def test_slow_caller_limits_the_head(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 caller = systems.Caller(seconds_per_piece=0.5)
                 request = system.request(PROMPT, 300, window=8)
                 with anyio.move_on_after(10.0):
-                    await system.drive(request, caller).run()
+                    await system.make_driver(request, caller).run()
                 head = system.sidecar(caller.location[0])
                 assert head._stage is not None
                 made = max(len(one.pieces) for one in head._stage.registry.all)
@@ -420,20 +432,20 @@
         virtual.run(check)
 
     @pytest.mark.parametrize("entry", [0, 1])
-    def test_broken_connection_is_no_lost_answer(self, entry: int) -> None:
-        """Found under load: a caller that came back got ANSWER_GONE."""
+    def test_answer_survives_a_broken_connection(self, entry: int) -> None:
+        """A caller that reconnects soon must not get ANSWER_GONE."""
 
         async def check() -> None:
             async with systems.System() as system:
                 first, second = systems.Caller(0.05), systems.Caller()
                 request = system.request(PROMPT, 100, window=8)
                 with anyio.move_on_after(1.0):
-                    await system.drive(request, first).run()
+                    await system.make_driver(request, first).run()
                 await anyio.sleep(2.0)
                 resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
-                await system.drive(request, second, entry).run(resume)
+                await system.make_driver(request, second, entry).run(resume)
                 assert first.texts + second.texts == system.expected(
                     PROMPT, 100
                 )
@@ -446,19 +458,19 @@
                 caller = systems.Caller(seconds_per_piece=0.5)
                 request = system.request(PROMPT, 300, window=8)
                 with anyio.move_on_after(3.0):
-                    await system.drive(request, caller).run()
-                await anyio.sleep(driver.LEAVE_SECONDS + 1.0)
+                    await system.make_driver(request, caller).run()
+                await anyio.sleep(driver.RECONNECT_GRACE_SECONDS + 1.0)
                 for engine in system.engines.values():
                     assert not engine.sequences
 
         virtual.run(check)
 
-    def test_deadline_ends_an_answer_with_a_code(self) -> None:
+    def test_deadline_ends_an_answer_with_an_error(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 request = system.request(PROMPT, 5000, seconds_left=0.5)
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await system.drive(request, systems.Caller()).run()
+                    await system.make_driver(request, systems.Caller()).run()
                 assert caught.value.code == errors.Code.DEADLINE
                 await anyio.sleep(1.0)
                 for engine in system.engines.values():
@@ -468,9 +480,9 @@
 
 
 class TestForeignRecords:
-    """Records that are late, doubled, crossed or torn."""
+    """Records that are late, duplicated, misdirected or altered."""
 
-    def test_doubled_records_change_nothing(self) -> None:
+    def test_duplicate_records_change_nothing(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 system.network.fault = lambda source, target, message: (
@@ -486,7 +498,7 @@
 
         virtual.run(check)
 
-    def test_lost_token_is_noticed_by_silence(self) -> None:
+    def test_lost_token_is_detected_by_a_timeout(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 lost: list[messages.Token] = []
@@ -520,20 +532,20 @@
     def test_wrong_record_never_reaches_the_caller(
         self, change: dict[str, int]
     ) -> None:
-        """A record altered on its way is refused by whoever gets it."""
+        """A record that was altered on its way is refused."""
 
         async def check() -> None:
             async with systems.System() as system:
                 altered: list[object] = []
 
-                def tamper(record: messages.Record) -> messages.Record:
+                def alter(record: messages.Record) -> messages.Record:
                     is_step = isinstance(record, messages.Step)
                     if is_step and record.position == 4 and not altered:
                         altered.append(record)
                         return attrs.evolve(record, **change)
                     return record
 
-                _tamper_records(system, tamper)
+                _alter_records(system, alter)
                 caller = systems.Caller()
                 await system.answer(PROMPT, caller)
                 assert altered
@@ -542,7 +554,7 @@
         virtual.run(check)
 
     def test_record_for_an_earlier_stage_is_refused(self) -> None:
-        """A step that skips a stage would give a wrong token."""
+        """A step that skips a stage would produce a wrong token."""
 
         async def check() -> None:
             async with systems.System() as system:
@@ -561,7 +573,7 @@
                         return messages.Cancel("nobody", 0)
                     return record
 
-                _tamper_records(system, cross)
+                _alter_records(system, cross)
                 caller = systems.Caller()
                 await system.answer(PROMPT, caller)
                 assert crossed
@@ -570,7 +582,7 @@
         virtual.run(check)
 
     def test_record_of_an_earlier_epoch_is_refused(self) -> None:
-        """A late step of a given-up attempt fits but for its epoch."""
+        """A late step of an earlier attempt differs only in its epoch."""
 
         async def check() -> None:
             async with systems.System() as system:
@@ -590,7 +602,7 @@
                     late.append(step)
                     tail.on_step(_NO_PEER, step)
 
-                caller.at[3] = lambda: system.kill(_busy(system, 1))
+                caller.at[3] = lambda: system.kill(_running_sidecar(system, 1))
                 caller.at[8] = inject
                 await system.answer(PROMPT, caller)
                 assert late
@@ -598,19 +610,19 @@
 
         virtual.run(check)
 
-    def test_answer_with_a_foreign_token_does_not_pass(self) -> None:
+    def test_answer_with_an_altered_token_is_refused(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 altered: list[object] = []
 
-                def tamper(record: messages.Record) -> messages.Record:
+                def alter(record: messages.Record) -> messages.Record:
                     is_answer = isinstance(record, messages.Answer)
                     if is_answer and record.position == 19 and not altered:
                         altered.append(record)
                         return attrs.evolve(record, text="foreign")
                     return record
 
-                _tamper_records(system, tamper)
+                _alter_records(system, alter)
                 with pytest.raises(errors.CrowdeckError) as caught:
                     await system.answer(PROMPT, systems.Caller())
                 assert caught.value.code == errors.Code.WRONG_ANSWER
@@ -618,23 +630,23 @@
         virtual.run(check)
 
 
-# Records are judged by what they say, not by the link they come on.
+# Records are checked by their content, not by the link they arrive on.
 _NO_PEER: typing.Any = None
 
 
 def _stage_of(system: systems.System, stage: int) -> stages.Stage:
-    found = system.sidecar(_busy(system, stage))._stage
+    found = system.sidecar(_running_sidecar(system, stage))._stage
     assert found is not None
     return found
 
 
 def _is_first_run(sequence: str) -> bool:
-    """Whether a sequence is no replay: an attempt 0, or moved from one."""
+    """Return whether a sequence is of attempt 0, or was moved from one."""
     return sequence.endswith((".0", ".import"))
 
 
 def _prompt_that_stops(system: systems.System) -> tuple[str, int]:
-    """Return a prompt whose answer the model itself ends, and its length."""
+    """Return a prompt whose answer the model ends, and the length of it."""
     for number in range(1000):
         prompt = f"short question {number}"
         length = len(system.expected(prompt, 60))
@@ -655,14 +667,14 @@
     raise AssertionError(f"no tail runs epoch {epoch}")
 
 
-def _busy(system: systems.System, stage: int) -> str:
+def _running_sidecar(system: systems.System, stage: int) -> str:
     for name in system.engines:
         if name.startswith(f"s{stage}-") and system.sidecar(name).running:
             return name
     raise AssertionError(f"no stage {stage} runs anything")
 
 
-def _tamper_records(system: systems.System, tamper: typing.Any) -> None:
+def _alter_records(system: systems.System, alter: typing.Any) -> None:
     """Let ``tamper`` alter each record as it arrives."""
     for node in system.network.nodes:
         handler = node.handler
@@ -673,7 +685,7 @@
             record: messages.Record,
             original: typing.Any = original,
         ) -> None:
-            original(peer, tamper(record))
+            original(peer, alter(record))
 
         handler.on_record = on_record
 
@@ -692,4 +704,4 @@
             tasks.cancel_scope.cancel()
 
         caller.at[position] = kill
-        await system.drive(request, caller).run()
+        await system.make_driver(request, caller).run()
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Calls of plain services: at most once, with true verdicts."""
+"""Calls of plain services run at most once and have true verdicts."""
 
 import typing
 
@@ -18,7 +18,7 @@
 
 
 def lose_first(kind: type) -> typing.Any:
-    """Lose the first message of a class, on whatever link."""
+    """Return a fault that loses the first message of a class."""
     lost: list[object] = []
 
     def fault(
@@ -38,13 +38,15 @@
     def test_call_runs_once(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                called = await system.entry().calls.call(system.order("a"))
+                called = await system.entry().calls.call(
+                    system.service_call("a")
+                )
                 assert called.body == b"a run 1"
                 assert system.service.runs == {"a": 1}
 
         virtual.run(check)
 
-    def test_unreached_upstream_is_not_run_and_tried_elsewhere(self) -> None:
+    def test_call_is_retried_when_the_upstream_was_not_reached(self) -> None:
         async def check() -> None:
             async with systems.System(services=1) as system:
                 broken = systems.CountingService()
@@ -54,8 +56,8 @@
                 await system.add_sidecar("r9", None, {"records": broken})
                 await anyio.sleep(2.0)
                 for number in range(8):
-                    order = system.order(f"n{number}")
-                    await system.entry().calls.call(order)
+                    service_call = system.service_call(f"n{number}")
+                    await system.entry().calls.call(service_call)
                 assert set(system.service.runs.values()) == {1}
                 assert not broken.runs
 
@@ -68,30 +70,32 @@
                     errors.Code.UPSTREAM_LOST
                 )
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await system.entry().calls.call(system.order("a"))
+                    await system.entry().calls.call(system.service_call("a"))
                 assert caught.value.verdict is verdicts.Verdict.MAY_HAVE_RUN
 
         virtual.run(check)
 
-    def test_repeatable_call_survives_the_sidecars_death(self) -> None:
+    def test_repeatable_call_survives_the_death_of_its_sidecar(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 system.service.seconds = 0.5
-                order = system.order("a", is_repeatable=True)
+                service_call = system.service_call("a", is_repeatable=True)
                 replies: list[questions.Called] = []
 
                 async def call() -> None:
-                    replies.append(await system.entry().calls.call(order))
+                    replies.append(
+                        await system.entry().calls.call(service_call)
+                    )
 
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(call)
                     await anyio.sleep(0.2)
-                    system.kill(_serving(system))
+                    system.kill(_running_sidecar(system))
                 assert replies
 
         virtual.run(check)
 
-    def test_sidecars_death_in_mid_call_may_have_run(self) -> None:
+    def test_call_may_have_run_when_its_sidecar_dies(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 system.service.seconds = 0.5
@@ -100,7 +104,7 @@
                 async def call() -> None:
                     try:
                         await system.entry().calls.call(
-                            system.order("a", seconds=3.0)
+                            system.service_call("a", seconds=3.0)
                         )
                     except errors.CrowdeckError as error:
                         raised.append(error)
@@ -108,7 +112,7 @@
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(call)
                     await anyio.sleep(0.2)
-                    system.kill(_serving(system))
+                    system.kill(_running_sidecar(system))
                 assert raised[0].verdict is verdicts.Verdict.MAY_HAVE_RUN
                 assert sum(system.service.runs.values()) == 1
 
@@ -122,36 +126,38 @@
         async def check() -> None:
             async with systems.System() as system:
                 system.service.seconds = 0.3
-                order = system.order("a", is_repeatable=True, seconds=60.0)
+                service_call = system.service_call(
+                    "a", is_repeatable=True, seconds=60.0
+                )
                 started = anyio.current_time()
 
                 async def freeze() -> None:
                     await anyio.sleep(0.1)
-                    system.network.freeze(_serving(system))
+                    system.network.freeze(_running_sidecar(system))
 
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(freeze)
-                    await system.entry().calls.call(order)
+                    await system.entry().calls.call(service_call)
                 assert anyio.current_time() - started < 4.0
 
         virtual.run(check)
 
 
 class TestLostReplies:
-    """Messages of a call are lost, and its sidecar lives."""
+    """Messages of a call are lost while its sidecar lives."""
 
-    def test_lost_call_is_sealed_and_tried_elsewhere(self) -> None:
+    def test_lost_call_is_not_sent_again(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 system.network.fault = lose_first(questions.Call)
-                order = system.order("a", seconds=1.0)
+                service_call = system.service_call("a", seconds=1.0)
                 raised: list[errors.CrowdeckError] = []
                 try:
-                    await system.entry().calls.call(order)
+                    await system.entry().calls.call(service_call)
                 except errors.CrowdeckError as error:
                     raised.append(error)
-                # The whole time went into waiting for a reply: nothing is
-                # claimed about it, and it was not sent again.
+                # The whole time is spent on waiting for a reply, and the
+                # call is not sent again.
                 assert sum(system.service.runs.values()) <= 1
                 assert raised
 
@@ -161,11 +167,13 @@
         async def check() -> None:
             async with systems.System(services=1) as system:
                 system.network.fault = lose_first(questions.Call)
-                order = system.order("a")
+                service_call = system.service_call("a")
                 replies: list[questions.Called] = []
 
                 async def call() -> None:
-                    replies.append(await system.entry().calls.call(order))
+                    replies.append(
+                        await system.entry().calls.call(service_call)
+                    )
 
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(call)
@@ -181,11 +189,13 @@
         async def check() -> None:
             async with systems.System(services=1) as system:
                 system.network.fault = lose_first(questions.Called)
-                order = system.order("a")
+                service_call = system.service_call("a")
                 replies: list[questions.Called] = []
 
                 async def call() -> None:
-                    replies.append(await system.entry().calls.call(order))
+                    replies.append(
+                        await system.entry().calls.call(service_call)
+                    )
 
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(call)
@@ -254,10 +264,10 @@
         async def check() -> None:
             async with systems.System() as system:
                 first = await system.entry(0).calls.call(
-                    system.order("a", key="k")
+                    system.service_call("a", key="k")
                 )
                 second = await system.entry(1).calls.call(
-                    system.order("a", key="k")
+                    system.service_call("a", key="k")
                 )
                 assert first == second
                 assert system.service.runs == {"a": 1}
@@ -271,7 +281,7 @@
 
                 async def call(entry: int) -> None:
                     called = await system.entry(entry).calls.call(
-                        system.order("a", key="k")
+                        system.service_call("a", key="k")
                     )
                     replies.append(called.body)
 
@@ -285,16 +295,20 @@
     def test_key_of_another_request_is_refused(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                await system.entry().calls.call(system.order("a", key="k"))
+                await system.entry().calls.call(
+                    system.service_call("a", key="k")
+                )
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await system.entry().calls.call(system.order("b", key="k"))
+                    await system.entry().calls.call(
+                        system.service_call("b", key="k")
+                    )
                 assert caught.value.code == errors.Code.KEY_IN_USE
 
         virtual.run(check)
 
     @pytest.mark.parametrize("step", range(14))
     def test_retry_at_each_point_of_the_first_run(self, step: int) -> None:
-        """The first entry dies after so long; its caller asks another."""
+        """The first entry dies at some point, and its caller retries."""
 
         async def check() -> None:
             async with systems.System() as system:
@@ -302,14 +316,14 @@
 
                 async def first() -> None:
                     await system.entry(0).calls.call(
-                        system.order("a", key="k")
+                        system.service_call("a", key="k")
                     )
 
                 with anyio.move_on_after(0.004 * step):
                     await first()
                 system.kill("e0")
                 called = await system.entry(1).calls.call(
-                    system.order("a", key="k")
+                    system.service_call("a", key="k")
                 )
                 assert called.body == b"a run 1"
                 await anyio.sleep(5.0)
@@ -320,7 +334,9 @@
     def test_lost_sidecar_means_the_key_is_spent(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                await system.entry().calls.call(system.order("a", key="k"))
+                await system.entry().calls.call(
+                    system.service_call("a", key="k")
+                )
                 for name in ("r0", "r1"):
                     system.kill(name)
                     await system.add_sidecar(
@@ -328,7 +344,9 @@
                     )
                 await anyio.sleep(4.0)
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await system.entry().calls.call(system.order("a", key="k"))
+                    await system.entry().calls.call(
+                        system.service_call("a", key="k")
+                    )
                 assert caught.value.code == errors.Code.KEY_SPENT
                 assert caught.value.verdict is verdicts.Verdict.MAY_HAVE_RUN
                 assert system.service.runs == {"a": 1}
@@ -342,38 +360,42 @@
                     errors.Code.UPSTREAM_LOST, "refused"
                 )
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await system.entry().calls.call(system.order("a", key="k"))
+                    await system.entry().calls.call(
+                        system.service_call("a", key="k")
+                    )
                 assert caught.value.verdict is verdicts.Verdict.NOT_RUN
                 system.service.failure = None
                 called = await system.entry(1).calls.call(
-                    system.order("a", key="k")
+                    system.service_call("a", key="k")
                 )
                 assert called.body == b"a run 1"
 
         virtual.run(check)
 
-    def test_store_down_is_not_run_with_a_time(self) -> None:
+    def test_store_down_is_not_run_with_a_retry_time(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 system.store.is_down = True
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await system.entry().calls.call(system.order("a", key="k"))
+                    await system.entry().calls.call(
+                        system.service_call("a", key="k")
+                    )
                 assert caught.value.code == errors.Code.STORE_DOWN
                 assert caught.value.verdict is verdicts.Verdict.NOT_RUN
                 assert caught.value.retry_after is not None
                 assert not system.service.runs
                 # Calls without a key need no store.
-                await system.entry().calls.call(system.order("b"))
+                await system.entry().calls.call(system.service_call("b"))
                 assert system.service.runs == {"b": 1}
 
         virtual.run(check)
 
-    def test_lost_store_replies_do_not_double_a_call(self) -> None:
+    def test_lost_store_replies_do_not_repeat_a_call(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 system.store.lost_replies = 1
                 called = await system.entry().calls.call(
-                    system.order("a", key="k")
+                    system.service_call("a", key="k")
                 )
                 assert called.body == b"a run 1"
                 assert system.service.runs == {"a": 1}
@@ -381,7 +403,7 @@
         virtual.run(check)
 
 
-def _serving(system: systems.System) -> str:
+def _running_sidecar(system: systems.System) -> str:
     for name in ("r0", "r1"):
         if system.sidecar(name).running:
             return name
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Random schedules of faults, judged by the promises themselves.
+"""Random schedules of faults, checked against the system's guarantees.
 
-The oracle is kept by the stand-ins and the callers: what the whole model
-says, what the service was really made to do, and what callers were told.
+Answers are compared with those of the whole model, and verdicts of calls with
+the runs that the stand-in service has counted.
 """
 
 import os
@@ -31,7 +31,7 @@
 
 # More schedules than CI has time for: CROWDECK_SCHEDULES=500 make unit.
 EXAMPLES = int(os.environ.get("CROWDECK_SCHEDULES", "12"))
-# Whatever is under way has arrived by then: the longest fault takes 3 s.
+# Time after which all messages have arrived; the longest fault takes 3 s.
 SETTLE_SECONDS = 6.0
 
 SETTINGS = hypothesis.settings(
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Fault:
-    """One fault: what happens, to whom, when, and for how long."""
+    """One fault: its kind, targets, start and duration."""
 
     kind: str
     target: str
@@ -70,7 +70,7 @@
 
 @attrs.define(eq=False)
 class Outcome:
-    """What one caller was told."""
+    """The outcome of one call, as its caller sees it."""
 
     name: str
     body: bytes = b""
@@ -96,8 +96,8 @@
                 for entry in (0, 1):
                     tasks.start_soon(self._call, f"k{number}", entry)
             for fault in schedule:
-                tasks.start_soon(self._cause, fault)
-        # Whatever is still under way arrives now.
+                tasks.start_soon(self._inject, fault)
+        # Lets the messages that are still under way arrive.
         await anyio.sleep(SETTLE_SECONDS)
 
     async def _answer(self, number: int) -> None:
@@ -112,15 +112,15 @@
     async def _call(self, key: str, entry: int) -> None:
         await anyio.sleep(0.1 * int(key[1:]) + 0.03 * entry)
         outcome = Outcome(key)
-        order = self.system.order(key, key=key, seconds=12.0)
+        service_call = self.system.service_call(key, key=key, seconds=12.0)
         try:
-            called = await self.system.entry(entry).calls.call(order)
+            called = await self.system.entry(entry).calls.call(service_call)
             outcome.body = called.body
         except errors.CrowdeckError as error:
             outcome.error = error
         self.calls.append(outcome)
 
-    async def _cause(self, fault: Fault) -> None:
+    async def _inject(self, fault: Fault) -> None:
         await anyio.sleep(fault.at)
         system = self.system
         match fault.kind:
@@ -155,12 +155,12 @@
             services = {"records": self.system.service}
         await self.system.add_sidecar(name, engine, services)
 
-    def judge(self) -> None:
-        """Hold what happened against the promises."""
-        self._judge_answers()
-        self._judge_calls()
+    def check_guarantees(self) -> None:
+        """Check the answers and calls against the guarantees."""
+        self._check_answers()
+        self._check_calls()
 
-    def _judge_answers(self) -> None:
+    def _check_answers(self) -> None:
         for prompt, caller in self.answers.items():
             expected = self.system.expected(prompt, TOKENS)
             texts = caller.texts if caller.pieces else []
@@ -171,7 +171,7 @@
         )
         assert whole + len(self.failures) >= len(self.answers), "lost"
 
-    def _judge_calls(self) -> None:
+    def _check_calls(self) -> None:
         runs = self.system.service.runs
         assert max(runs.values(), default=0) <= 1, "a call ran twice"
         for outcome in self.calls:
@@ -181,48 +181,48 @@
 
 
 class TestAnyFaults:
-    """Up to four faults of any kinds, at any moments."""
+    """Up to four faults of any kind, at any time."""
 
     @SETTINGS
     @hypothesis.given(
         schedule=strategies.lists(faults(), max_size=4),
         seed=strategies.integers(0, 1000),
     )
-    def test_promises_hold(self, schedule: list[Fault], seed: int) -> None:
+    def test_guarantees_hold(self, schedule: list[Fault], seed: int) -> None:
         async def check() -> None:
             async with systems.System(seed=seed) as system:
                 run = Run(system)
                 await run.play(schedule)
-                run.judge()
+                run.check_guarantees()
 
         virtual.run(check)
 
 
 class TestOneFault:
-    """One fault with a spare for everything: nothing may fail at all."""
+    """One fault, with a spare of everything: no answer may fail."""
 
     @SETTINGS
     @hypothesis.given(fault=faults(), seed=strategies.integers(0, 1000))
-    def test_every_answer_is_whole(self, fault: Fault, seed: int) -> None:
+    def test_every_answer_is_complete(self, fault: Fault, seed: int) -> None:
         async def check() -> None:
             async with systems.System(seed=seed) as system:
                 run = Run(system)
                 await run.play([fault])
-                run.judge()
+                run.check_guarantees()
                 assert not run.failures
 
         virtual.run(check)
 
 
 class TestNotRun:
-    """A refusal as not run is true, even where nobody retries."""
+    """A call that is refused as not run has not run."""
 
     @SETTINGS
     @hypothesis.given(
         schedule=strategies.lists(faults(), max_size=3),
         seed=strategies.integers(0, 1000),
     )
-    def test_not_run_did_not_run(
+    def test_call_refused_as_not_run_has_not_run(
         self, schedule: list[Fault], seed: int
     ) -> None:
         async def check() -> None:
@@ -232,9 +232,11 @@
 
                 async def call(number: int) -> None:
                     await anyio.sleep(0.05 * number)
-                    order = system.order(f"u{number}", seconds=6.0)
+                    service_call = system.service_call(
+                        f"u{number}", seconds=6.0
+                    )
                     try:
-                        await system.entry(number % 2).calls.call(order)
+                        await system.entry(number % 2).calls.call(service_call)
                     except errors.CrowdeckError as error:
                         if error.verdict is verdicts.Verdict.NOT_RUN:
                             refused.append(f"u{number}")
@@ -243,7 +245,7 @@
                     for number in range(20):
                         tasks.start_soon(call, number)
                     for fault in schedule:
-                        tasks.start_soon(run._cause, fault)
+                        tasks.start_soon(run._inject, fault)
                 await anyio.sleep(SETTLE_SECONDS)
                 runs = system.service.runs
                 assert max(runs.values(), default=0) <= 1
@@ -254,7 +256,7 @@
 
 
 def test_resume_names_are_not_addresses() -> None:
-    """What a caller sends back can never be dialled as an address."""
+    """Names that a caller sends back are never dialled as addresses."""
     resume = model_requests.ResumePoint(0, "127.0.0.1:1", "127.0.0.1:2")
 
     async def check() -> None:
@@ -262,7 +264,7 @@
             request = system.request("q")
             caller = systems.Caller()
             try:
-                await system.drive(request, caller).run(resume)
+                await system.make_driver(request, caller).run(resume)
             except errors.CrowdeckError as error:
                 assert error.code == errors.Code.ANSWER_GONE
             assert not caller.pieces
