--- a/src/crowdeck/entry/__init__.py
+++ b/src/crowdeck/entry/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The callers' side: HTTP, admission, answers and re-drive."""
+"""The entry: its HTTP interface, admission, answers and retries."""
--- a/src/crowdeck/entry/admission.py
+++ b/src/crowdeck/entry/admission.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Admission: who may begin a request at this entry now."""
+"""Admission control for the requests of one entry."""
 
 import collections
 import contextlib
@@ -13,8 +13,8 @@
 from crowdeck.observe import counters
 
 RETRY_SECONDS = 1.0
-# A tenth of the room is kept for teams below their share. Their arrivals
-# within a report's age have to fit in; a small team's do at our sizes.
+# The part of the capacity that teams above their share may use. The rest is
+# kept for requests of the other teams until the next load reports.
 OVER_SHARE_FACTOR = 0.9
 
 
@@ -64,12 +64,11 @@
                 del self._weights[team]
 
     def share_factor(self, team: str) -> float:
-        """Return which part of the upstreams' room a team may fill.
+        """Return the part of the upstreams' capacity that a team may use.
 
-        A team that has more in progress than its weighted share of all
-        that is in progress stops a little before the room is full, and
-        what is left stays for those that have less. No team is held to
-        its share while there is room.
+        A team with more than its weighted share of the requests in progress
+        may not use all of it, so that the other teams find room. No team is
+        limited to its share while there is capacity.
         """
         total = self.running
         weights = sum(self._weights.values())
@@ -78,18 +77,19 @@
 
     def _require_room(self, team: str, team_limit: int) -> None:
         if self._is_leaving:
-            raise _refused(errors.Code.LEAVING, "this entry is leaving")
+            raise _refusal(errors.Code.LEAVING, "this entry is leaving")
         if self.running >= self.limit:
-            raise _refused(
-                errors.Code.OVERLOADED, "this entry has no room for more"
+            raise _refusal(
+                errors.Code.OVERLOADED,
+                "this entry has reached its request limit",
             )
         if self._by_team[team] >= team_limit:
-            raise _refused(
+            raise _refusal(
                 errors.Code.TEAM_LIMIT,
                 f"team {team} has {team_limit} requests in progress",
             )
 
 
-def _refused(code: errors.Code, message: str) -> errors.CrowdeckError:
+def _refusal(code: errors.Code, message: str) -> errors.CrowdeckError:
     counters.COUNTERS.add(f"admission.{code.lower()}")
     return errors.CrowdeckError(code, message, retry_after=RETRY_SECONDS)
--- a/src/crowdeck/entry/context.py
+++ b/src/crowdeck/entry/context.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What every caller's request has, whichever kind it is."""
+"""The context that requests of all kinds have in common."""
 
 import attrs
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class RequestContext:
-    """What every request has: who asks, where, and until when."""
+    """The caller, settings and limits of one request."""
 
     caller: teams.Caller
     tree: trees.Tree
--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The entry: the process that callers' requests come to."""
+"""The entry: the process that receives callers' requests."""
 
 import json
 import random
@@ -41,16 +41,16 @@
 from crowdeck.wire import messages
 from crowdeck.wire import questions
 
-FOLLOW_SECONDS = 1.0
+FLEET_REFRESH_SECONDS = 1.0
 IDLE_POLL_SECONDS = 0.05
 
 
 @attrs.frozen
 class EntryOptions:
-    """What an entry is told at its start.
+    """Options of an entry.
 
-    :ivar request_limit: requests in progress, all teams together.
-    :ivar policy: how paths are chosen; others are for comparison.
+    :ivar request_limit: requests in progress, of all teams together.
+    :ivar policy: name of the policy by which paths are chosen.
     """
 
     name: str
@@ -62,22 +62,22 @@
 
 
 class EntryLinkHandler:
-    """The entry's side of its links: answers, and operators' questions."""
+    """Handles the records and operators' questions on an entry's links."""
 
     def __init__(self, answers: answers_module.AnswerInboxes) -> None:
         self._answers = answers
         self.entry: Entry | None = None
 
     def on_opened(self, peer: link.Peer) -> None:
-        """Take note of a new link."""
+        """Handle a new link."""
         self._answers.on_opened(peer)
 
     def on_closed(self, peer: link.Peer) -> None:
-        """Tell every request whose answer came on a lost link."""
+        """Notify the requests whose answers arrived on a lost link."""
         self._answers.on_closed(peer)
 
     def on_record(self, peer: link.Peer, record: messages.Record) -> None:
-        """Hand a record to its request, and reports to the fleet."""
+        """Pass load reports to the fleet, other records to their request."""
         if isinstance(record, messages.Load):
             if self.entry is not None:
                 self.entry.fleet.on_report(peer, record)
@@ -87,7 +87,7 @@
     async def on_question(
         self, peer: link.Peer, question: questions.Question
     ) -> questions.Reply:
-        """Answer an operator."""
+        """Answer an operator's question."""
         if self.entry is None:
             raise errors.CrowdeckError(
                 errors.Code.NO_PATH, "this entry is starting", retry_after=1.0
@@ -105,7 +105,7 @@
 
 
 class Entry:
-    """All parts of one entry, wired together."""
+    """One entry, with all its parts."""
 
     def __init__(
         self,
@@ -178,11 +178,13 @@
         return self._settings
 
     async def start(self) -> None:
-        """Read list and settings once and begin to follow both."""
+        """Read the instance list, and begin to follow it and the settings."""
         await self._directory.refresh()
         await self._fleet.follow()
         self._tasks.start_soon(self._directory.follow)
-        self._timers.subscribe("fleet", FOLLOW_SECONDS, self._fleet.follow)
+        self._timers.subscribe(
+            "fleet", FLEET_REFRESH_SECONDS, self._fleet.follow
+        )
         self._timers.subscribe(
             "claims",
             claims_module.EPOCH_CHECK_SECONDS,
@@ -210,7 +212,7 @@
     async def drain(self, limit: float) -> bool:
         """Refuse new requests and wait until running ones have ended.
 
-        :param limit: seconds to wait at the most.
+        :param limit: seconds to wait at most.
         :return: whether nothing was left running.
         """
         if not self.admission.is_leaving:
@@ -233,7 +235,7 @@
         return self._tracer.find(trace)
 
     def status(self) -> dict[str, object]:
-        """Return what operators see of this process."""
+        """Return the status of this process for operators."""
         return {
             "instance": self._options.name,
             "role": str(instances.Role.ENTRY),
--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The callers' side: HTTP in, answers and errors out."""
+"""The HTTP interface of an entry for its callers."""
 
 import contextlib
 import typing
@@ -37,8 +37,8 @@
 
 HEADER_LIMIT = 100
 METHODS = ["GET", "POST", "PUT", "PATCH", "DELETE", "HEAD"]
-# Headers that are between the caller and us: never sent to a service.
-OWN_HEADERS = frozenset(
+# Headers meant for the entry, which are not forwarded to services.
+ENTRY_HEADERS = frozenset(
     {
         "authorization",
         "idempotency-key",
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds on what one caller may send."""
+    """Limits on what one caller may send."""
 
     body_bytes: int = 1_048_576
 
@@ -149,11 +149,11 @@
         self, request: requests.Request, is_chat: bool
     ) -> responses.Response:
         context = self._context(request, "entry")
-        with _ends_on_error(context.span):
+        with _end_span_on_error(context.span):
             body = openai.parse_body(await self._read_body(request), is_chat)
             event = request.headers.get("last-event-id", "")
             resume = openai.EventId.parse(event) if event else None
-            wanted = self._model_request(context, body, resume)
+            model_request = self._model_request(context, body, resume)
             answer = model_answer.ModelAnswer(
                 self._drive_parts,
                 self._keys,
@@ -161,7 +161,7 @@
                 self._admission,
                 context,
                 body,
-                wanted,
+                model_request,
                 resume,
             )
             if body.is_stream:
@@ -203,30 +203,30 @@
 
     async def _service(self, request: requests.Request) -> responses.Response:
         context = self._context(request, "entry")
-        with _ends_on_error(context.span):
-            order = await self._order(request, context)
-            place = context.caller.place(order.service)
+        with _end_span_on_error(context.span):
+            call = await self._service_call(request, context)
+            place = context.caller.place(call.service)
             limit = context.tree.integer(place, "concurrency")
             session = context.session_name
-            if not order.contract.is_ordered:
+            if not call.contract.is_ordered:
                 session = ""
             with self._admission.enter(context.caller.team, limit):
-                called = await self._call_in_turn(order, session, context)
+                called = await self._call_in_turn(call, session, context)
         context.span.end("answered")
         return replies.service_response(called)
 
     async def _call_in_turn(
         self,
-        order: service_calls.ServiceCall,
+        call: service_calls.ServiceCall,
         session: str,
         context: context_module.RequestContext,
     ) -> questions.Called:
         async with self._turns.hold(
-            session, order.request, context.sequence, order.deadline
+            session, call.request, context.sequence, call.deadline
         ):
-            return await self._calls.call(order)
+            return await self._calls.call(call)
 
-    async def _order(
+    async def _service_call(
         self, request: requests.Request, context: context_module.RequestContext
     ) -> service_calls.ServiceCall:
         service = request.path_params["service"]
@@ -237,7 +237,7 @@
         headers = tuple(
             http_header.Header(name, value)
             for name, value in request.headers.items()
-            if name not in OWN_HEADERS
+            if name not in ENTRY_HEADERS
         )
         now = self._drive_parts.clock.now()
         return service_calls.ServiceCall(
@@ -260,14 +260,14 @@
         place = context.caller.place(service)
         allowed = context.tree.names(place, "services")
         contract = context.tree.services.get(service)
-        # Whether a service exists is not for other teams to learn.
+        # Other teams must not learn whether a service exists.
         if contract is None or not allowed & {service, "*"}:
             raise errors.CrowdeckError(
                 errors.Code.NOT_FOUND, f"no service {service} for your team"
             )
         return contract
 
-    # What all requests share.
+    # Common to all requests.
 
     def _context(
         self, request: requests.Request, name: str
@@ -283,7 +283,7 @@
         )
         place = caller.place()
         longest = tree.number(place, "deadline_seconds")
-        wanted = _number(request, "x-deadline-seconds", longest)
+        requested_seconds = _number(request, "x-deadline-seconds", longest)
         span = self._tracer.begin(
             name,
             request.headers.get("traceparent", ""),
@@ -294,7 +294,7 @@
             caller=caller,
             tree=tree,
             sequence=int(_number(request, "x-session-sequence", -1)),
-            seconds_left=min(max(wanted, 0.0), longest),
+            seconds_left=min(max(requested_seconds, 0.0), longest),
             key=request.headers.get("idempotency-key", ""),
             span=span,
         )
@@ -314,7 +314,7 @@
 
 
 @contextlib.contextmanager
-def _ends_on_error(span: traces.OpenSpan) -> typing.Iterator[None]:
+def _end_span_on_error(span: traces.OpenSpan) -> typing.Iterator[None]:
     try:
         yield
     except errors.CrowdeckError as error:
--- a/src/crowdeck/entry/keys.py
+++ b/src/crowdeck/entry/keys.py
@@ -5,9 +5,9 @@
 
 """Idempotency keys of model requests.
 
-A model's answer may be computed twice without harm, but a caller that
-asks again with its key wants the answer it was being given. The claim
-names the head and tail that keep it.
+A model's answer may be computed twice, but a caller that repeats a request
+with its key is to receive the answer that was already begun. The claim names
+the head and the tail that keep that answer.
 """
 
 import attrs
@@ -20,10 +20,10 @@
 
 @attrs.frozen
 class ClaimedAnswer:
-    """What a key's claim says: begin on ``path``, or take up ``resume``.
+    """The result of a claim: begin on ``path``, or resume at ``resume``.
 
     :ivar request: id under which the answer is kept.
-    :ivar nonce: mark of the claim that stands.
+    :ivar nonce: nonce of the claim that holds the key.
     """
 
     request: str
@@ -46,24 +46,31 @@
         self._wall_clock = wall_clock
 
     async def claim(
-        self, wanted: model_requests.ModelRequest, key: str, replaces: str = ""
+        self,
+        model_request: model_requests.ModelRequest,
+        key: str,
+        replaces: str = "",
     ) -> ClaimedAnswer:
-        """Claim a key, or find who holds it.
+        """Claim a key, or return the claim that holds it.
 
-        :param replaces: nonce of a claim whose answer is gone.
-        :raises CrowdeckError: when the store is down or no path exists.
+        :param replaces: nonce of a claim whose answer is no longer kept.
+        :raises CrowdeckError: if the store is down or there is no path.
         """
         path = self._planner.choose(
-            wanted.model, adapter=wanted.adapter, gap_limit=wanted.gap_limit
+            model_request.model,
+            adapter=model_request.adapter,
+            gap_limit=model_request.gap_limit,
         )
-        keepers = (path.head, path.tail)
+        stages = (path.head, path.tail)
         own = claims_module.Claim(
-            key=claims_module.digest_key(wanted.team, wanted.model, key),
+            key=claims_module.digest_key(
+                model_request.team, model_request.model, key
+            ),
             fingerprint="",
-            request=wanted.request,
+            request=model_request.request,
             nonce=claims_module.new_nonce(),
-            sidecars=tuple(stage.instance for stage in keepers),
-            incarnations=tuple(stage.incarnation for stage in keepers),
+            sidecars=tuple(stage.instance for stage in stages),
+            incarnations=tuple(stage.incarnation for stage in stages),
             expires=self._wall_clock() + claims_module.EXPIRE_SECONDS,
         )
         holder = await self._claims.claim(own, replaces)
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -36,7 +36,7 @@
         admission: admissions.Admission,
         context: context_module.RequestContext,
         body: openai.CompletionBody,
-        wanted: model_requests.ModelRequest,
+        model_request: model_requests.ModelRequest,
         resume: openai.EventId | None,
     ) -> None:
         self._parts = parts
@@ -45,7 +45,7 @@
         self._admission = admission
         self._context = context
         self._body = body
-        self._wanted = wanted
+        self._model_request = model_request
         self._resume = resume
 
     async def collect(self, request: requests.Request) -> responses.Response:
@@ -55,7 +55,7 @@
         finish = await self._run(sink)
         self._context.span.end("answered")
         whole = openai.whole_answer(
-            self._wanted.request,
+            self._model_request.request,
             self._body,
             "".join(texts),
             len(texts),
@@ -68,9 +68,9 @@
     ) -> None:
         """Stream the answer as server-sent events."""
         writer = openai.EventWriter(
-            self._wanted.request, self._body.model, self._body.is_chat
+            self._model_request.request, self._body.model, self._body.is_chat
         )
-        sink = _Streamer(send, writer, self._wanted.request)
+        sink = _Streamer(send, writer, self._model_request.request)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_cancel_on_disconnect, receive, tasks)
             try:
@@ -106,9 +106,11 @@
         with self._admission.enter(team, limit, weight):
             gap = tree.number(place, "token_gap_seconds")
             factor = self._admission.share_factor(team)
-            self._wanted = attrs.evolve(self._wanted, gap_limit=gap * factor)
+            self._model_request = attrs.evolve(
+                self._model_request, gap_limit=gap * factor
+            )
             if self._resume is not None:
-                # The turn is the first connection's; it is still held.
+                # The first connection has taken the session's turn.
                 return await self._drive(sink).run(self._resume.as_resume())
             return await self._run_in_turn(sink)
 
@@ -116,18 +118,21 @@
         session = self._context.session_name
         deadline = self._parts.clock.now() + self._context.seconds_left
         async with self._turns.hold(
-            session, self._wanted.request, self._context.sequence, deadline
+            session,
+            self._model_request.request,
+            self._context.sequence,
+            deadline,
         ):
             if not self._context.key:
                 return await self._drive(sink).run()
             return await self._run_keyed(sink)
 
     async def _run_keyed(self, sink: "_Collector | _Streamer") -> str:
-        """Give the key's first answer again, or begin it."""
+        """Resume the answer that the key's claim names, or begin it."""
         key = self._context.key
-        claimed = await self._keys.claim(self._wanted, key)
+        claimed = await self._keys.claim(self._model_request, key)
         while claimed.resume is not None:
-            first = attrs.evolve(self._wanted, request=claimed.request)
+            first = attrs.evolve(self._model_request, request=claimed.request)
             drive = driver.RequestDriver(
                 self._parts, first, sink, self._context.span
             )
@@ -136,19 +141,21 @@
             except errors.CrowdeckError as error:
                 if error.code != errors.Code.ANSWER_GONE or drive.pieces:
                     raise
-            # Nobody keeps it any more. A model's answer may be computed
-            # again, so the key starts anew rather than being lost.
-            claimed = await self._keys.claim(self._wanted, key, claimed.nonce)
+            # That answer is no longer kept. A model's answer may be computed
+            # again, so the key is claimed for a new one.
+            claimed = await self._keys.claim(
+                self._model_request, key, claimed.nonce
+            )
         return await self._drive(sink).run(path=claimed.path)
 
     def _drive(self, sink: "_Collector | _Streamer") -> driver.RequestDriver:
         return driver.RequestDriver(
-            self._parts, self._wanted, sink, self._context.span
+            self._parts, self._model_request, sink, self._context.span
         )
 
 
 class _Collector:
-    """Keeps an answer's texts."""
+    """Collects an answer's texts."""
 
     def __init__(self, texts: list[str]) -> None:
         self._texts = texts
@@ -157,11 +164,11 @@
         self._texts.append(piece.text)
 
     def set_location(self, epoch: int, head: str, tail: str) -> None:
-        """Who keeps the answer does not matter to this caller."""
+        """Do nothing: an answer that is not streamed cannot be resumed."""
 
 
 class _Streamer:
-    """Writes an answer's events as its caller takes them."""
+    """Writes an answer as server-sent events, at its caller's pace."""
 
     def __init__(
         self, send: types.Send, writer: openai.EventWriter, request: str
@@ -179,7 +186,7 @@
         return self._has_begun
 
     def set_location(self, epoch: int, head: str, tail: str) -> None:
-        """Name the answer's keepers in the events from now on."""
+        """Set the instances that the ids of the next events name."""
         self._head = head
         self._tail = tail
 
--- a/src/crowdeck/entry/openai.py
+++ b/src/crowdeck/entry/openai.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The OpenAI-compatible shapes of requests and answers."""
+"""Requests and answers in the format of the OpenAI API."""
 
 import time
 import typing
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class CompletionBody:
-    """What of a request's body the router looks at."""
+    """The fields of a request's body that the router reads."""
 
     model: str
     prompt: str
@@ -29,9 +29,9 @@
 
 
 def parse_body(raw: bytes, is_chat: bool) -> CompletionBody:
-    """Read a completion request.
+    """Parse a completion request.
 
-    :raises CrowdeckError: ``BAD_REQUEST`` saying which field is wrong.
+    :raises CrowdeckError: ``BAD_REQUEST``, naming the invalid field.
     """
     try:
         body = orjson.loads(raw)
@@ -107,10 +107,10 @@
 
 @attrs.frozen
 class EventId:
-    """Names a place in an answer, and who keeps it.
+    """A position in an answer, and the instances that keep the answer.
 
-    It goes out with every streamed event and comes back in a
-    ``Last-Event-ID`` header; it holds instance names, never addresses.
+    It is sent with every streamed event and returned by the caller in a
+    ``Last-Event-ID`` header. It holds instance names, never addresses.
     """
 
     request: str
@@ -125,9 +125,9 @@
 
     @classmethod
     def parse(cls, text: str) -> "EventId":
-        """Read an event id.
+        """Parse an event id.
 
-        :raises CrowdeckError: ``BAD_REQUEST`` when it is none of ours.
+        :raises CrowdeckError: ``BAD_REQUEST`` if it is malformed.
         """
         parts = text.split(EVENT_ID_SEPARATOR)
         if len(parts) != 4 or not parts[3].isdecimal():
@@ -135,7 +135,7 @@
         return cls(parts[0], parts[1], parts[2], int(parts[3]))
 
     def as_resume(self) -> model_requests.ResumePoint:
-        """Return where to take the answer up: after this event."""
+        """Return the point to resume at, which is after this event."""
         return model_requests.ResumePoint(
             position=self.position + 1, head=self.head, tail=self.tail
         )
@@ -144,9 +144,8 @@
 class EventWriter:
     """Writes one answer's server-sent events.
 
-    Everything but the text and the event id is the same in each event,
-    so it is encoded once; per token, that took half the time of encoding
-    the whole object.
+    Everything but the text and the event id is the same in each event, so
+    it is encoded only once.
     """
 
     def __init__(self, request: str, model: str, is_chat: bool) -> None:
@@ -185,7 +184,7 @@
         return b"data: %b\n\ndata: [DONE]\n\n" % body
 
     def error(self, report: errors.ErrorReport) -> bytes:
-        """Return the event that ends an answer which cannot go on."""
+        """Return the event that ends an answer with an error."""
         return b"data: %b\n\n" % orjson.dumps({"error": error_body(report)})
 
     def _object(
@@ -231,7 +230,7 @@
 
 
 def error_body(report: errors.ErrorReport) -> dict[str, typing.Any]:
-    """Return an error in the shape that OpenAI clients expect."""
+    """Return an error in the format that OpenAI clients expect."""
     body = attrs.asdict(report)
     body["type"] = "crowdeck_error"
     return body
--- a/src/crowdeck/entry/replies.py
+++ b/src/crowdeck/entry/replies.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Answers to callers that are not streamed: JSON, errors, services."""
+"""HTTP responses that are not streamed: JSON, errors, service answers."""
 
 import typing
 import uuid
@@ -21,14 +21,14 @@
 
 
 def json_response(body: typing.Any) -> responses.Response:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     return responses.Response(
         orjson.dumps(body), media_type="application/json"
     )
 
 
 def error_response(error: errors.CrowdeckError) -> responses.Response:
-    """Return the HTTP answer that reports an error."""
+    """Return the response that reports an error."""
     report = errors.ErrorReport.of(error)
     response = responses.Response(
         orjson.dumps({"error": openai.error_body(report)}),
@@ -44,7 +44,7 @@
 
 
 def service_response(called: questions.Called) -> responses.Response:
-    """Return a plain service's answer, with its companions if any."""
+    """Return a plain service's answer, with any companions."""
     if called.companions:
         return _multipart(called)
     response = responses.Response(called.body, called.status)
@@ -55,7 +55,7 @@
 
 
 def _multipart(called: questions.Called) -> responses.Response:
-    """Put an answer and its companions into one body, whole or not."""
+    """Return an answer and its companions in one multipart body."""
     body_digest = digest.digest_answer(
         "companions", [(len(one.body), one.path) for one in called.companions]
     )
--- a/src/crowdeck/entry/turns.py
+++ b/src/crowdeck/entry/turns.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Turns of sessions, as an entry takes and holds them."""
+"""Takes and holds the turns of sessions for an entry's requests."""
 
 import contextlib
 import typing
@@ -19,15 +19,15 @@
 from crowdeck import timers
 from crowdeck.wire import questions
 
-END_TIMEOUT = 1.0
-# Sidecars that changed this recently may disagree with us, or with other
-# entries, on whose home a session is.
+END_TIMEOUT_SECONDS = 1.0
+# Processes may disagree on a session's home for this long after a sidecar's
+# state has changed.
 RECENT_SECONDS = 10.0
 RETRY_SECONDS = 0.2
 
 
 @attrs.define(eq=False)
-class _Held:
+class _HeldTurn:
     session: str
     request: str
     sequence: int
@@ -35,7 +35,7 @@
 
 
 class SessionTurns:
-    """Takes turns for this entry's requests, at each session's home."""
+    """Takes turns at the sessions' homes for the requests of one entry."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._fleet = fleet
         self._clock = clock
         self._tasks = tasks
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _HeldTurn] = {}
         fleet.subscribe(self)
 
     @contextlib.asynccontextmanager
@@ -57,31 +57,31 @@
 
         :param session: the session's full name, team included.
         :param sequence: the caller's own number of the turn, or -1.
-        :raises CrowdeckError: ``ORDER`` when it does not come up in time.
+        :raises CrowdeckError: ``ORDER`` if it is not granted in time.
         """
         if not session:
             yield
             return
-        held = _Held(session, request, sequence, "")
+        held = _HeldTurn(session, request, sequence, "")
         try:
             await self._take(held, deadline, is_holding=False)
             self._held[request] = held
             yield
         finally:
-            # Also when the caller left while the turn was being taken:
-            # the grant may be on its way to us.
+            # Also when the caller left while the turn was being taken, as
+            # the home may have granted it.
             self._held.pop(request, None)
             self._tasks.start_soon(self._end, held)
 
     def on_sidecar_changed(self, view: fleets.SidecarView) -> None:
-        """Come forward at the new home of a session whose turn we hold."""
+        """Take held turns again at the new homes of their sessions."""
         for held in tuple(self._held.values()):
             home, _ = self._home(held.session)
             if home is not None and home.name != held.home:
-                self._tasks.start_soon(self._come_forward, held)
+                self._tasks.start_soon(self._take_again, held)
 
     def _home(self, session: str) -> tuple[fleets.SidecarView | None, bool]:
-        """Return a session's home, and whether others may see another."""
+        """Return a session's home, and whether others may see another one."""
         views = {view.name: view for view in self._fleet.views}
         now = self._clock.now()
         is_moved = False
@@ -95,12 +95,12 @@
         return None, is_moved
 
     def _has_history(self, view: fleets.SidecarView) -> bool:
-        # When this entry has just started, every sidecar is new to it;
-        # that is no reason to hold up sessions that nobody else moves.
+        # To an entry that has just started, every sidecar has changed
+        # recently. That must not delay sessions which have not moved.
         return view.state is not fleets.State.UP or view.changes > 1
 
     async def _take(
-        self, held: _Held, deadline: float, is_holding: bool
+        self, held: _HeldTurn, deadline: float, is_holding: bool
     ) -> None:
         while True:
             seconds_left = deadline - self._clock.now()
@@ -108,7 +108,7 @@
             if home is None or home.peer is None or seconds_left <= 0:
                 raise errors.CrowdeckError(
                     errors.Code.ORDER,
-                    "the session has no home to take a turn at",
+                    "the session's turn could not be taken at any sidecar",
                     retry_after=1.0,
                 )
             question = questions.TakeTurn(
@@ -134,23 +134,23 @@
                 raise reply.as_error()
             return
 
-    async def _come_forward(self, held: _Held) -> None:
+    async def _take_again(self, held: _HeldTurn) -> None:
         counters.COUNTERS.add("turns.came_forward")
         try:
             await self._take(
-                held, self._clock.now() + END_TIMEOUT, is_holding=True
+                held, self._clock.now() + END_TIMEOUT_SECONDS, is_holding=True
             )
         except errors.CrowdeckError:
-            # The session's next turn waits out the settling time; what
-            # runs now is not stopped for it.
+            # The request goes on, and the session's next turn waits until
+            # the new home has settled.
             counters.COUNTERS.add("turns.not_kept")
 
-    async def _end(self, held: _Held) -> None:
+    async def _end(self, held: _HeldTurn) -> None:
         view = self._fleet.find(held.home)
         if view is None or view.peer is None:
             return
         question = questions.EndTurn(held.session, held.request)
         try:
-            await view.peer.ask(question, END_TIMEOUT)
+            await view.peer.ask(question, END_TIMEOUT_SECONDS)
         except errors.LinkLost:
             counters.COUNTERS.add("turns.end_lost")
