--- a/src/crowdeck/sidecar/calls.py
+++ b/src/crowdeck/sidecar/calls.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Calls of plain services: each runs at most once, its answer is kept.
+"""Runs calls of plain services at most once, and keeps their answers.
 
-A call runs in the sidecar's own task, not in its asker's: an entry that
-dies, or a link that breaks, neither cuts the call nor loses the answer.
+A call runs in a task of the sidecar, so that an entry that dies or a link
+that breaks neither cancels the call nor loses its answer.
 """
 
 import collections
@@ -26,17 +26,17 @@
 from crowdeck import verdict as verdicts
 from crowdeck.wire import questions
 
-# Longer than any caller waits before it asks again with the same key.
+# Longer than any caller waits before it repeats a request with its key.
 KEEP_SECONDS = 300.0
-# Kept answers' bodies together; the oldest go first.
-KEEP_BYTES = 64 * 1024 * 1024
-COMPANION_LIMIT = 16
+# Total size of the kept answers, of which the oldest are dropped first.
+MAX_KEPT_BYTES = 64 * 1024 * 1024
+MAX_COMPANIONS = 16
 
 _COMPANION = re.compile(r'<([^>]+)>\s*;\s*rel="?companion"?')
 
 
 @attrs.define(eq=False)
-class _Kept:
+class _CallRecord:
     team: str
     epoch: int
     time: float
@@ -45,7 +45,7 @@
 
     @property
     def size(self) -> int:
-        """Bytes that the kept answer takes, roughly."""
+        """Size of the answer's bodies in bytes."""
         if not isinstance(self.reply, questions.Called):
             return 0
         companions = sum(len(one.body) for one in self.reply.companions)
@@ -53,7 +53,7 @@
 
 
 class CallRunner:
-    """The calls of the plain services beside one sidecar."""
+    """Runs the calls of the plain services beside one sidecar."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self._clock = clock
         self._tracer = tracer
         self._tasks = tasks
-        self._kept: collections.OrderedDict[str, _Kept] = (
+        self._records: collections.OrderedDict[str, _CallRecord] = (
             collections.OrderedDict()
         )
         self._running = 0
@@ -84,44 +84,44 @@
         return tuple(sorted(self._services))
 
     async def call(self, call: questions.Call) -> questions.Called:
-        """Run a call, or join the run of an earlier arrival of it.
+        """Run a call, or wait for the run that an earlier arrival began.
 
         :raises CrowdeckError: with the verdict of the gate or the call.
         """
-        kept = self._kept.get(call.request)
-        if kept is None or self._is_retry(call, kept):
-            kept = self._begin(call)
-        return await self._wait(kept, call.team, call.seconds_left)
+        record = self._records.get(call.request)
+        if record is None or self._is_retry(call, record):
+            record = self._begin(call)
+        return await self._wait(record, call.team, call.seconds_left)
 
     async def collect(self, question: questions.Collect) -> questions.Called:
         """Return the answer of an earlier call, waiting while it runs."""
-        kept = self._kept.get(question.request)
-        if kept is None:
+        record = self._records.get(question.request)
+        if record is None:
             raise _gone()
-        return await self._wait(kept, question.team, KEEP_SECONDS)
+        return await self._wait(record, question.team, KEEP_SECONDS)
 
     async def sweep(self) -> None:
-        """Drop answers that nobody will ask for any more."""
+        """Drop the answers that are too old or exceed the total size."""
         limit = self._clock.now() - KEEP_SECONDS
-        total = sum(kept.size for kept in self._kept.values())
-        for request, kept in tuple(self._kept.items()):
-            is_old = kept.time < limit
-            if kept.reply is None or not (is_old or total > KEEP_BYTES):
+        total = sum(record.size for record in self._records.values())
+        for request, record in tuple(self._records.items()):
+            is_old = record.time < limit
+            if record.reply is None or not (is_old or total > MAX_KEPT_BYTES):
                 continue
-            total -= kept.size
-            del self._kept[request]
+            total -= record.size
+            del self._records[request]
 
-    def _is_retry(self, call: questions.Call, kept: _Kept) -> bool:
-        """Whether a call is a further try of one that ended in an error.
+    def _is_retry(self, call: questions.Call, record: _CallRecord) -> bool:
+        """Return whether a call retries one that ended in an error.
 
-        An entry makes one only where the first did not run, or where the
-        service's contract allows it to run again.
+        An entry retries a call only if it did not run, or if the service's
+        contract allows it to run again.
         """
-        has_failed = isinstance(kept.reply, errors.CrowdeckError)
-        is_own = kept.team == call.team
-        return has_failed and is_own and call.epoch > kept.epoch
+        has_failed = isinstance(record.reply, errors.CrowdeckError)
+        is_own = record.team == call.team
+        return has_failed and is_own and call.epoch > record.epoch
 
-    def _begin(self, call: questions.Call) -> _Kept:
+    def _begin(self, call: questions.Call) -> _CallRecord:
         if call.incarnation != self._gate.incarnation:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_INCARNATION,
@@ -132,37 +132,37 @@
             raise errors.CrowdeckError(
                 errors.Code.NOT_FOUND, f"no service {call.service} here"
             )
-        self._gate.enter(call.request, call.epoch, is_new_work=True)
-        kept = self._kept[call.request] = _Kept(
+        self._gate.admit(call.request, call.epoch, is_new_work=True)
+        record = self._records[call.request] = _CallRecord(
             call.team, call.epoch, self._clock.now()
         )
         self._running += 1
         counters.COUNTERS.add("calls.begun")
-        self._tasks.start_soon(self._run, call, service, kept)
-        return kept
+        self._tasks.start_soon(self._run, call, service, record)
+        return record
 
     async def _wait(
-        self, kept: _Kept, team: str, timeout: float
+        self, record: _CallRecord, team: str, timeout: float
     ) -> questions.Called:
-        if kept.team != team:
+        if record.team != team:
             raise _gone()
         with anyio.move_on_after(timeout):
-            await kept.done.wait()
-        if kept.reply is None:
+            await record.done.wait()
+        if record.reply is None:
             raise errors.CrowdeckError(
                 errors.Code.DEADLINE,
                 "the call has not ended by its deadline",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
-        if isinstance(kept.reply, errors.CrowdeckError):
-            raise kept.reply
-        return kept.reply
+        if isinstance(record.reply, errors.CrowdeckError):
+            raise record.reply
+        return record.reply
 
     async def _run(
         self,
         call: questions.Call,
         service: upstream.PlainService,
-        kept: _Kept,
+        record: _CallRecord,
     ) -> None:
         span = self._tracer.begin(
             "service",
@@ -170,20 +170,20 @@
             {"service": call.service, "request": call.request},
         )
         try:
-            kept.reply = await self._call_service(call, service, span)
+            record.reply = await self._call_service(call, service, span)
             self._gate.finish(call.request)
             span.end("answered")
         except errors.CrowdeckError as error:
-            kept.reply = error
+            record.reply = error
             span.end(error.code)
             if error.verdict is verdicts.Verdict.NOT_RUN:
-                # The upstream was never reached: let another try, but
-                # keep this attempt from ever running here.
+                # The upstream was never reached: allow a retry, but prevent
+                # this attempt from running here later.
                 self._gate.withdraw(call.request, call.epoch)
-                del self._kept[call.request]
+                del self._records[call.request]
         finally:
             self._running -= 1
-            kept.done.set()
+            record.done.set()
 
     async def _call_service(
         self,
@@ -221,8 +221,8 @@
         response: upstream.ServiceResponse,
     ) -> tuple[questions.Companion, ...]:
         paths = _companion_paths(response.headers)
-        if len(paths) > COMPANION_LIMIT:
-            raise _missing(f"more than {COMPANION_LIMIT} companions")
+        if len(paths) > MAX_COMPANIONS:
+            raise _missing(f"more than {MAX_COMPANIONS} companions")
         found = []
         for path in paths:
             found.append(await self._fetch_companion(call, service, path))
@@ -275,7 +275,7 @@
 
 
 def _missing(what: str) -> errors.CrowdeckError:
-    # The call itself did run; only its companions are wanting.
+    # The call itself has run; only its companions are missing.
     return errors.CrowdeckError(
         errors.Code.COMPANION_MISSING, what, verdict=verdicts.Verdict.RAN
     )
--- a/src/crowdeck/sidecar/gate.py
+++ b/src/crowdeck/sidecar/gate.py
@@ -3,12 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The gate before an upstream: the one place that may say NOT_RUN.
+"""Admits attempts to an upstream, and tells whether they have run.
 
-Each request passes here once per attempt, before anything of it reaches
-the upstream. The gate remembers which attempts entered and which were
-sealed, so that a late, doubled or foreign arrival is refused and a
-question "did it run?" has a true answer.
+Each attempt passes the gate before anything of it reaches the upstream. The
+gate remembers which attempts were admitted and which were sealed, so that
+late or duplicate arrivals are refused and an attempt that was reported as
+``NOT_RUN`` never runs.
 """
 
 import collections
@@ -19,20 +19,18 @@
 from crowdeck import timers
 from crowdeck import verdict as verdicts
 
-# A note must outlive every message that could still be under way for its
-# request. Deadlines are at most 300 s, and a link's messages die with the
-# link, so twice that leaves a paused sender no window.
-NOTE_SECONDS = 600.0
-# At 200 bytes a note this is 40 MB, and 600 s at 333 requests/s: twenty
-# times one sidecar's share of the size designed for.
-NOTE_LIMIT = 200_000
+# A record has to outlive every message that may still arrive for its request.
+# This is twice the longest deadline.
+RECORD_TTL_SECONDS = 600.0
+# Bounds the memory that records take.
+MAX_RECORDS = 200_000
 
 
 @attrs.define
-class _Note:
+class _AttemptRecord:
     time: float
-    entered: int = -1
-    sealed: int = -1
+    admitted_epoch: int = -1
+    sealed_epoch: int = -1
     is_done: bool = False
 
 
@@ -43,115 +41,116 @@
         self,
         incarnation: int,
         clock: timers.Clock,
-        note_limit: int = NOTE_LIMIT,
+        max_records: int = MAX_RECORDS,
     ) -> None:
         self._incarnation = incarnation
         self._clock = clock
-        self._note_limit = note_limit
-        self._notes: collections.OrderedDict[str, _Note] = (
+        self._max_records = max_records
+        self._records: collections.OrderedDict[str, _AttemptRecord] = (
             collections.OrderedDict()
         )
         self._is_leaving = False
 
     @property
     def incarnation(self) -> int:
-        """The run of this sidecar that the gate speaks for."""
+        """The incarnation of this sidecar."""
         return self._incarnation
 
     @property
     def is_leaving(self) -> bool:
-        """Whether new work is refused because a stop is planned."""
+        """Whether new work is refused because of a planned stop."""
         return self._is_leaving
 
     def leave(self) -> None:
         """Refuse all new work from now on."""
         self._is_leaving = True
 
-    def enter(self, request: str, epoch: int, is_new_work: bool) -> None:
-        """Let an attempt in.
+    def admit(self, request: str, epoch: int, is_new_work: bool) -> None:
+        """Admit an attempt.
 
         :param is_new_work: false for a stage of an answer in progress,
-            which a leaving sidecar still takes.
-        :raises CrowdeckError: always with ``NOT_RUN``: the attempt has
-            not run here and, for this epoch, never will.
+            which a leaving sidecar still admits.
+        :raises CrowdeckError: ``STALE_EPOCH`` with ``MAY_HAVE_RUN`` if this
+            or a later attempt was admitted before. All other errors have
+            ``NOT_RUN``, and the attempt has not run here.
         """
-        note = self._notes.get(request)
-        if note is not None and epoch <= note.sealed:
+        record = self._records.get(request)
+        if record is not None and epoch <= record.sealed_epoch:
             raise errors.CrowdeckError(
-                errors.Code.SEALED, "this attempt was sealed before it came"
+                errors.Code.SEALED, "this attempt was sealed before it arrived"
             )
-        if note is not None and epoch <= note.entered:
+        if record is not None and epoch <= record.admitted_epoch:
             raise errors.CrowdeckError(
                 errors.Code.STALE_EPOCH,
-                "this or a later attempt has entered already",
+                "this or a later attempt was admitted already",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
         if self._is_leaving and is_new_work:
             raise errors.CrowdeckError(
                 errors.Code.LEAVING, "this upstream is leaving", retry_after=0
             )
-        self._write(request).entered = epoch
+        self._touch(request).admitted_epoch = epoch
 
     def finish(self, request: str) -> None:
-        """Note that the request's latest attempt has ended."""
-        note = self._notes.get(request)
-        if note is not None:
-            note.is_done = True
+        """Record that the request's latest attempt has ended."""
+        record = self._records.get(request)
+        if record is not None:
+            record.is_done = True
 
     def withdraw(self, request: str, epoch: int) -> None:
-        """Take back an entry: the upstream was never reached.
+        """Undo the admission of an attempt that never reached the upstream.
 
-        The attempt is sealed as well, so that ``NOT_RUN`` stays true.
+        The attempt is sealed, so that it cannot run later.
         """
-        note = self._write(request)
-        note.entered = -1
-        note.sealed = max(note.sealed, epoch)
+        record = self._touch(request)
+        record.admitted_epoch = -1
+        record.sealed_epoch = max(record.sealed_epoch, epoch)
 
     def seal(
         self, request: str, epoch: int, incarnation: int
     ) -> verdicts.Verdict:
-        """Bar attempts up to ``epoch`` and say whether one has run.
+        """Refuse attempts up to ``epoch``, and return whether one has run.
 
-        ``NOT_RUN`` is given only by the very run of the sidecar that the
-        attempt was sent to: another run cannot know what that one did.
+        ``NOT_RUN`` is returned only by the incarnation that the attempt was
+        sent to. Another one cannot know what that one did.
         """
         if incarnation != self._incarnation:
             return verdicts.Verdict.MAY_HAVE_RUN
-        note = self._write(request)
-        note.sealed = max(note.sealed, epoch)
-        if note.entered < 0:
+        record = self._touch(request)
+        record.sealed_epoch = max(record.sealed_epoch, epoch)
+        if record.admitted_epoch < 0:
             return verdicts.Verdict.NOT_RUN
-        if note.is_done:
+        if record.is_done:
             return verdicts.Verdict.RAN
         return verdicts.Verdict.MAY_HAVE_RUN
 
     def has_sealed(self, request: str, epoch: int) -> bool:
-        """Whether an attempt was barred by :meth:`seal`."""
-        note = self._notes.get(request)
-        return note is not None and epoch <= note.sealed
+        """Whether an attempt was sealed."""
+        record = self._records.get(request)
+        return record is not None and epoch <= record.sealed_epoch
 
-    def _write(self, request: str) -> _Note:
+    def _touch(self, request: str) -> _AttemptRecord:
         self._expire()
-        note = self._notes.get(request)
-        if note is None:
-            if len(self._notes) >= self._note_limit:
-                # Forgetting a note early could let a sealed request run,
-                # so a full gate refuses work instead.
+        record = self._records.get(request)
+        if record is None:
+            if len(self._records) >= self._max_records:
+                # Dropping a record early could admit a sealed attempt, so a
+                # full gate refuses new requests instead.
                 raise errors.CrowdeckError(
                     errors.Code.OVERLOADED,
-                    "the gate's notes are full",
+                    "this sidecar has too many recent requests",
                     retry_after=1.0,
                 )
-            note = self._notes[request] = _Note(self._clock.now())
+            record = self._records[request] = _AttemptRecord(self._clock.now())
         else:
-            note.time = self._clock.now()
-            self._notes.move_to_end(request)
-        return note
+            record.time = self._clock.now()
+            self._records.move_to_end(request)
+        return record
 
     def _expire(self) -> None:
-        limit = self._clock.now() - NOTE_SECONDS
-        while self._notes:
-            oldest = next(iter(self._notes.values()))
+        limit = self._clock.now() - RECORD_TTL_SECONDS
+        while self._records:
+            oldest = next(iter(self._records.values()))
             if oldest.time > limit:
                 return
-            self._notes.popitem(last=False)
+            self._records.popitem(last=False)
--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""How an attempt begins at one stage: checked, let in once, and kept.
+"""Begins attempts at one stage.
 
-A cold opening reads everything again. A warm one goes on with a KV cache
-that is here, left by the attempt before it or imported from another stage.
+A cold opening prefills the whole context. A warm one continues with a KV
+cache that the previous attempt left here or another stage has sent.
 """
 
 from crowdeck import errors
@@ -22,27 +22,27 @@
 from crowdeck.wire import messages
 
 
-class Openings:
+class AttemptOpener:
     """Begins the attempts of one sidecar."""
 
     def __init__(
         self,
         instance: str,
         gate: gates.Gate,
-        kept: attempt_registry.AttemptRegistry,
+        registry: attempt_registry.AttemptRegistry,
         clock: timers.Clock,
         tracer: traces.Tracer,
     ) -> None:
         self._instance = instance
         self._gate = gate
-        self._registry = kept
+        self._registry = registry
         self._clock = clock
         self._tracer = tracer
 
     def begin(
         self, peer: link.Peer, opening: messages.Opening
     ) -> attempts.Attempt:
-        """Let an attempt in and keep it, in place of an earlier one.
+        """Admit an attempt and register it in place of an earlier one.
 
         :raises CrowdeckError: with the gate's verdict when refused.
         """
@@ -52,11 +52,11 @@
         warm_sequence = ""
         if earlier is not None and earlier.opening.team != opening.team:
             raise errors.CrowdeckError(
-                errors.Code.FORBIDDEN, "this request is another team's"
+                errors.Code.FORBIDDEN, "this request belongs to another team"
             )
         if is_warm:
             warm_sequence = self._require_warm(earlier, opening)
-        self._gate.enter(
+        self._gate.admit(
             opening.request, opening.epoch, is_new_work=not is_warm
         )
         attempt = self._make(peer, opening, index)
@@ -76,14 +76,14 @@
         opening: messages.Opening,
         keeps_kv: bool,
     ) -> None:
-        """End an earlier attempt, at stages the new path leaves out too.
+        """End an earlier attempt, also at a next stage off the new path.
 
-        Stages of both paths get the new opening; a ``Cancel`` there would
-        race it and throw away the KV cache that a warm one counts on.
+        Stages on both paths receive the new opening. A ``Cancel`` would race
+        with it and drop the KV cache that a warm opening needs.
         """
-        kept = {one.instance for one in opening.path.stages}
+        remaining = {one.instance for one in opening.path.stages}
         forward = earlier.forward
-        if forward is not None and forward.greeting.instance not in kept:
+        if forward is not None and forward.greeting.instance not in remaining:
             self._registry.send_forward(
                 earlier, messages.Cancel(earlier.request, earlier.epoch)
             )
@@ -122,14 +122,14 @@
         except LookupError:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_INCARNATION,
-                f"the path was chosen for another run of {self._instance}",
+                f"the path is for another incarnation of {self._instance}",
                 culprit=self._instance,
             ) from None
 
     def _require_warm(
         self, earlier: attempts.Attempt | None, opening: messages.Opening
     ) -> str:
-        """Return the engine sequence that a warm opening goes on with."""
+        """Return the engine sequence that a warm opening continues."""
         held = self._registry.find_import(opening.request)
         if held is not None and held.team == opening.team:
             if held.context == opening.warm_context:
@@ -150,7 +150,7 @@
 
 
 def first_step(attempt: attempts.Attempt) -> upstream.EngineStep:
-    """Return what a head's engine is to run first."""
+    """Return the first engine step of an attempt at its head."""
     opening = attempt.opening
     tokens = tuple(piece.token for piece in opening.delivered)
     if opening.warm_position >= 0:
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -13,7 +13,7 @@
 from crowdeck.sidecar import gate as gates
 from crowdeck import verdict as verdicts
 
-RUN = 7
+INCARNATION = 7
 
 
 class _Clock:
@@ -24,9 +24,9 @@
         return self.seconds
 
 
-def make_gate(note_limit: int = 10) -> tuple[gates.Gate, _Clock]:
+def make_gate(max_records: int = 10) -> tuple[gates.Gate, _Clock]:
     clock = _Clock()
-    return gates.Gate(RUN, clock, note_limit), clock
+    return gates.Gate(INCARNATION, clock, max_records), clock
 
 
 def code_of(function: object, *arguments: object) -> errors.Code:
@@ -36,53 +36,55 @@
 
 
 class TestGate:
-    """What the gate lets in, and what it says."""
+    """Which attempts the gate admits, and the verdicts that it returns."""
 
-    def test_sealed_attempt_never_enters(self) -> None:
+    def test_sealed_attempt_is_never_admitted(self) -> None:
         gate, _ = make_gate()
-        assert gate.seal("a", 0, RUN) is verdicts.Verdict.NOT_RUN
-        assert code_of(gate.enter, "a", 0, True) is errors.Code.SEALED
-        gate.enter("a", 1, True)
+        assert gate.seal("a", 0, INCARNATION) is verdicts.Verdict.NOT_RUN
+        assert code_of(gate.admit, "a", 0, True) is errors.Code.SEALED
+        gate.admit("a", 1, True)
 
-    def test_entered_attempt_is_not_called_not_run(self) -> None:
+    def test_admitted_attempt_is_not_reported_as_not_run(self) -> None:
         gate, _ = make_gate()
-        gate.enter("a", 0, True)
-        assert gate.seal("a", 0, RUN) is verdicts.Verdict.MAY_HAVE_RUN
+        gate.admit("a", 0, True)
+        assert gate.seal("a", 0, INCARNATION) is verdicts.Verdict.MAY_HAVE_RUN
         gate.finish("a")
-        assert gate.seal("a", 0, RUN) is verdicts.Verdict.RAN
+        assert gate.seal("a", 0, INCARNATION) is verdicts.Verdict.RAN
 
-    def test_other_run_never_says_not_run(self) -> None:
+    def test_other_incarnation_never_reports_not_run(self) -> None:
         gate, _ = make_gate()
-        assert gate.seal("a", 0, RUN + 1) is verdicts.Verdict.MAY_HAVE_RUN
+        assert (
+            gate.seal("a", 0, INCARNATION + 1) is verdicts.Verdict.MAY_HAVE_RUN
+        )
 
-    def test_attempt_enters_once(self) -> None:
+    def test_attempt_is_admitted_once(self) -> None:
         gate, _ = make_gate()
-        gate.enter("a", 2, True)
+        gate.admit("a", 2, True)
         for epoch in (0, 1, 2):
-            code = code_of(gate.enter, "a", epoch, True)
+            code = code_of(gate.admit, "a", epoch, True)
             assert code is errors.Code.STALE_EPOCH
 
-    def test_leaving_gate_takes_no_new_work(self) -> None:
+    def test_leaving_gate_refuses_new_work(self) -> None:
         gate, _ = make_gate()
         gate.leave()
-        assert code_of(gate.enter, "a", 0, True) is errors.Code.LEAVING
-        gate.enter("a", 0, False)
+        assert code_of(gate.admit, "a", 0, True) is errors.Code.LEAVING
+        gate.admit("a", 0, False)
 
     def test_withdrawn_attempt_is_not_run_and_stays_so(self) -> None:
         gate, _ = make_gate()
-        gate.enter("a", 0, True)
+        gate.admit("a", 0, True)
         gate.withdraw("a", 0)
-        assert gate.seal("a", 0, RUN) is verdicts.Verdict.NOT_RUN
-        assert code_of(gate.enter, "a", 0, True) is errors.Code.SEALED
-
-    def test_full_gate_refuses_rather_than_forgets(self) -> None:
-        gate, clock = make_gate(note_limit=2)
-        gate.seal("a", 0, RUN)
-        gate.enter("b", 0, True)
-        assert code_of(gate.enter, "c", 0, True) is errors.Code.OVERLOADED
-        assert code_of(gate.enter, "a", 0, True) is errors.Code.SEALED
-        clock.seconds = gates.NOTE_SECONDS + 1
-        gate.enter("c", 0, True)
+        assert gate.seal("a", 0, INCARNATION) is verdicts.Verdict.NOT_RUN
+        assert code_of(gate.admit, "a", 0, True) is errors.Code.SEALED
+
+    def test_full_gate_refuses_new_requests(self) -> None:
+        gate, clock = make_gate(max_records=2)
+        gate.seal("a", 0, INCARNATION)
+        gate.admit("b", 0, True)
+        assert code_of(gate.admit, "c", 0, True) is errors.Code.OVERLOADED
+        assert code_of(gate.admit, "a", 0, True) is errors.Code.SEALED
+        clock.seconds = gates.RECORD_TTL_SECONDS + 1
+        gate.admit("c", 0, True)
 
     @hypothesis.settings(derandomize=True, database=None, deadline=None)
     @hypothesis.given(
@@ -103,11 +105,11 @@
         for move, epoch in moves:
             try:
                 if move == "enter":
-                    gate.enter("a", epoch, True)
+                    gate.admit("a", epoch, True)
                     entered.append(epoch)
                     assert epoch > promised
                 elif move == "seal":
-                    outcome = gate.seal("a", epoch, RUN)
+                    outcome = gate.seal("a", epoch, INCARNATION)
                     if outcome is verdicts.Verdict.NOT_RUN:
                         assert not entered
                         promised = max(promised, epoch)
