--- a/src/crowdeck/sidecar/turns.py
+++ b/src/crowdeck/sidecar/turns.py
@@ -3,12 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Turns of sessions: one at a time, in the order received.
+"""Grants the turns of sessions, one at a time and in the order received.
 
-A session's home is the sidecar that rendezvous hashing picks for it; its
-``Turns`` hand out that session's turns. Nothing is stored: after a change
-of home, entries that hold turns come forward, and a moved session waits
-for them before a new turn is granted.
+A session's home is the sidecar that rendezvous hashing picks for it, which
+grants the session's turns. Nothing is stored: after a change of home, entries
+take the turns that they hold again, and a moved session waits for them before
+a new turn is granted.
 """
 
 import collections
@@ -22,18 +22,18 @@
 from crowdeck.wire import link
 from crowdeck.wire import questions
 
-# An entry notices a lost home within its heartbeat time-out (1.5 s) and
-# comes forward at once; twice that covers a late one.
+# How long a moved session waits for entries that hold its turn. This is twice
+# the heartbeat timeout within which an entry notices a lost home.
 SETTLE_SECONDS = 3.0
-# A holder whose entry is gone may be picked up by another entry, as its
-# caller reconnects; after this long the session goes on without it.
+# How long a turn is kept for a holder whose entry is lost, as its caller may
+# reconnect at another entry.
 GRACE_SECONDS = 5.0
-# Sessions idle this long are forgotten, and their numbering with them.
+# Sessions that are idle for this long are dropped with their numbering.
 IDLE_SECONDS = 900.0
 
 
 @attrs.define(eq=False)
-class _Waiting:
+class _Waiter:
     question: questions.TakeTurn
     peer: link.Peer
     granted: anyio.Event = attrs.field(factory=anyio.Event)
@@ -43,10 +43,10 @@
 class _Session:
     touched: float
     settled_at: float
-    holder: _Waiting | None = None
+    holder: _Waiter | None = None
     lost_at: float | None = None
     last_sequence: int = -1
-    waiting: collections.deque[_Waiting] = attrs.field(
+    waiting: collections.deque[_Waiter] = attrs.field(
         factory=collections.deque
     )
 
@@ -65,43 +65,44 @@
         return len(self._sessions)
 
     def leave(self) -> None:
-        """Send all who wait, and all who come, to the sessions' new homes.
+        """Refuse all waiting and later requests, which go to the new homes.
 
-        Holders come forward there by themselves.
+        Entries take the turns that they hold again at the new homes.
         """
         self._is_leaving = True
         for session in self._sessions.values():
-            for asked in session.waiting:
-                asked.granted.set()
+            for waiter in session.waiting:
+                waiter.granted.set()
 
     async def take(
         self, peer: link.Peer, question: questions.TakeTurn
     ) -> None:
         """Return once the turn is granted.
 
-        :raises CrowdeckError: ``ORDER``, with ``NOT_RUN``: the turn did
-            not come up in time, or its number was used before.
+        :raises CrowdeckError: with ``NOT_RUN``; ``ORDER`` if the turn was
+            not granted in time or its number was used before, ``LEAVING``
+            if this sidecar is leaving.
         """
         if self._is_leaving:
-            raise _leaving()
+            raise _leaving_error()
         session = self._session(question)
-        asked = _Waiting(question, peer)
-        if self._take_again(session, asked):
+        waiter = _Waiter(question, peer)
+        if self._take_again(session, waiter):
             return
         self._require_fresh(session, question)
-        session.waiting.append(asked)
+        session.waiting.append(waiter)
         self._grant(session)
         try:
             with anyio.move_on_after(question.seconds_left):
-                await asked.granted.wait()
+                await waiter.granted.wait()
         finally:
-            # Also when the asker is gone: a turn granted to nobody would
-            # hold the session up until somebody noticed.
-            if asked in session.waiting:
-                session.waiting.remove(asked)
+            # Also when cancelled: a turn granted to a request that has ended
+            # would block the session.
+            if waiter in session.waiting:
+                session.waiting.remove(waiter)
         if self._is_leaving:
-            raise _leaving()
-        if not asked.granted.is_set():
+            raise _leaving_error()
+        if not waiter.granted.is_set():
             raise errors.CrowdeckError(
                 errors.Code.ORDER,
                 "the session's earlier turns did not end in time",
@@ -109,13 +110,13 @@
             )
 
     def end(self, question: questions.EndTurn) -> None:
-        """Take a turn back and grant the next one."""
+        """End a turn and grant the next one."""
         session = self._sessions.get(question.session)
         if session is None:
             return
-        for asked in tuple(session.waiting):
-            if asked.question.request == question.request:
-                session.waiting.remove(asked)
+        for waiter in tuple(session.waiting):
+            if waiter.question.request == question.request:
+                session.waiting.remove(waiter)
         holder = session.holder
         if holder and holder.question.request == question.request:
             session.holder = None
@@ -123,16 +124,16 @@
             self._grant(session)
 
     def on_closed(self, peer: link.Peer) -> None:
-        """Forget who waited on a lost link, note whose holder is lost."""
+        """Drop requests of a lost link, and note the holders that are lost."""
         for session in self._sessions.values():
-            for asked in tuple(session.waiting):
-                if asked.peer is peer:
-                    session.waiting.remove(asked)
+            for waiter in tuple(session.waiting):
+                if waiter.peer is peer:
+                    session.waiting.remove(waiter)
             if session.holder is not None and session.holder.peer is peer:
                 session.lost_at = self._clock.now()
 
     async def sweep(self) -> None:
-        """Go on without holders that stay lost; forget idle sessions."""
+        """Drop holders that stay lost, and sessions that are idle."""
         now = self._clock.now()
         for name, session in tuple(self._sessions.items()):
             lost_at = session.lost_at
@@ -155,18 +156,18 @@
         session.touched = now
         return session
 
-    def _take_again(self, session: _Session, asked: _Waiting) -> bool:
-        """Recognise a holder that comes forward, or asks twice."""
+    def _take_again(self, session: _Session, waiter: _Waiter) -> bool:
+        """Let a holder take its turn again, and return whether it did."""
         holder = session.holder
-        request = asked.question.request
+        request = waiter.question.request
         if holder is not None and holder.question.request == request:
-            session.holder = asked
+            session.holder = waiter
             session.lost_at = None
             return True
-        if asked.question.is_holding and holder is None:
-            session.holder = asked
+        if waiter.question.is_holding and holder is None:
+            session.holder = waiter
             session.last_sequence = max(
-                session.last_sequence, asked.question.sequence
+                session.last_sequence, waiter.question.sequence
             )
             return True
         return False
@@ -178,7 +179,7 @@
         if is_used:
             raise errors.CrowdeckError(
                 errors.Code.ORDER,
-                f"turn {question.sequence} of this session was given before",
+                f"turn {question.sequence} of this session was used before",
             )
 
     def _grant(self, session: _Session) -> None:
@@ -186,22 +187,23 @@
             return
         if self._clock.now() < session.settled_at:
             return
-        asked = self._pick(session)
-        if asked is None:
+        waiter = self._next_waiter(session)
+        if waiter is None:
             return
-        session.waiting.remove(asked)
-        session.holder = asked
+        session.waiting.remove(waiter)
+        session.holder = waiter
         session.last_sequence = max(
-            session.last_sequence, asked.question.sequence
+            session.last_sequence, waiter.question.sequence
         )
-        asked.granted.set()
+        waiter.granted.set()
         counters.COUNTERS.add("turns.granted")
 
-    def _pick(self, session: _Session) -> _Waiting | None:
-        """Return whose turn it is: the caller's number decides, if given.
+    def _next_waiter(self, session: _Session) -> _Waiter | None:
+        """Return the waiting request to grant next, ``None`` for none yet.
 
-        A numbered turn waits for the numbers before it, once any number
-        of the session is known; without one, arrival decides.
+        Numbered turns are granted in the order of their numbers, and wait
+        for missing ones once a number of the session is known. Turns without
+        a number are granted in order of arrival.
         """
         first = session.waiting[0]
         numbered = [one for one in session.waiting if _is_numbered(one)]
@@ -214,11 +216,11 @@
         return None if _is_numbered(first) else first
 
 
-def _leaving() -> errors.CrowdeckError:
+def _leaving_error() -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.LEAVING, "the session's home is leaving", retry_after=0.0
     )
 
 
-def _is_numbered(asked: _Waiting) -> bool:
-    return asked.question.sequence >= 0
+def _is_numbered(waiter: _Waiter) -> bool:
+    return waiter.question.sequence >= 0
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -3,9 +3,9 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The real programs over TCP, as callers and operators meet them.
+"""The programs over TCP, as callers and operators use them.
 
-Nothing here depends on how long a thing takes.
+No test here depends on timing.
 """
 
 import contextlib
@@ -127,7 +127,7 @@
 
         run(check)
 
-    def test_wrong_key_is_the_clients_own_error(self) -> None:
+    def test_wrong_key_raises_an_authentication_error(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             async with openai.AsyncOpenAI(
                 base_url=cluster.urls[0] + "/v1",
@@ -143,7 +143,7 @@
 class TestResume:
     """``Last-Event-ID`` at another entry."""
 
-    def test_stream_goes_on_at_the_other_entry(self) -> None:
+    def test_stream_resumes_at_the_other_entry(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             body = chat("draft a reply", stream=True, max_tokens=60)
             texts, last = await _read_events(cluster, body, {}, stop_at=20)
@@ -156,7 +156,7 @@
 
         run(check)
 
-    def test_made_up_event_id_is_refused(self) -> None:
+    def test_invalid_event_id_is_refused(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             for event_id in ("nonsense", "a~b~c~-1", "a~b~c~x"):
                 response = await ask(
@@ -174,7 +174,7 @@
 class TestServices:
     """Plain services, their keys and their companions."""
 
-    def test_receipt_is_fetched_once_for_one_key(self) -> None:
+    def test_keyed_call_runs_once(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             answers = [
                 await ask(
@@ -191,7 +191,7 @@
 
         run(check)
 
-    def test_lot_comes_with_all_its_tiles(self) -> None:
+    def test_answer_includes_its_companions(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             response = await ask(
                 cluster, "GET", "/services/maps/lots/12", bearer=SURVEYORS
@@ -202,7 +202,7 @@
 
         run(check)
 
-    def test_missing_tile_is_a_clear_error(self) -> None:
+    def test_missing_companion_is_an_error(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             response = await ask(
                 cluster, "GET", "/services/maps/lots/torn", bearer=SURVEYORS
@@ -233,7 +233,7 @@
         run(check)
 
     @pytest.mark.parametrize("header", ["", "Bearer x", "Basic a2V5", "x"])
-    def test_no_key_no_work(self, header: str) -> None:
+    def test_request_without_a_valid_key_is_refused(self, header: str) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             response = await ask(
                 cluster,
@@ -281,7 +281,7 @@
             chat(" "),
         ],
     )
-    def test_bad_body_is_an_error_with_a_code(self, body: bytes) -> None:
+    def test_bad_body_is_refused_with_a_code(self, body: bytes) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             response = await ask(cluster, "POST", "/v1/chat/completions", body)
             error = orjson.loads(response.content)["error"]
@@ -297,9 +297,9 @@
 
 
 class TestForeignLinks:
-    """Bytes on the peers' port that are not ours."""
+    """Foreign bytes on the port for peers."""
 
-    def test_noise_closes_its_own_link_only(self) -> None:
+    def test_foreign_bytes_close_only_their_own_link(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             address = cluster.sidecars["engine-0-0"].running.address
             for noise in (
@@ -371,7 +371,7 @@
 
         run(check)
 
-    def test_trace_has_a_span_for_each_hop(self) -> None:
+    def test_trace_has_a_span_per_hop(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             trace = "4bf92f3577b34da6a3ce929d0e0e4736"
             response = await ask(
@@ -398,10 +398,10 @@
 
 
 class TestDaemon:
-    """``crowdeckd`` and its files."""
+    """``crowdeckd`` and its configuration files."""
 
     @pytest.mark.parametrize("role", ["entry", "sidecar"])
-    def test_stop_signal_ends_it_cleanly(
+    def test_stop_signal_ends_the_daemon_cleanly(
         self, role: str, tmp_path: pathlib.Path
     ) -> None:
         """An entry that serves, and a sidecar that waits for its engine."""
@@ -429,7 +429,7 @@
             assert daemon.wait() == 0
 
     @pytest.mark.parametrize("name", ["entry", "sidecar"])
-    def test_sample_files_are_in_order(self, name: str) -> None:
+    def test_sample_files_are_valid(self, name: str) -> None:
         path = os.path.join(os.path.dirname(__file__), "..", "etc")
         assert cli.main(["check", f"{path}/{name}.ini"]) == 0
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Turns of sessions: one at a time, in order, across changes of home."""
+"""Turns of sessions run one at a time and in order, also across homes."""
 
 import anyio
 import pytest
@@ -13,8 +13,8 @@
 from tests import virtual
 
 
-class _Desk:
-    """A caller's session whose turns note when they run."""
+class _Session:
+    """A caller's session that records the order of its turns."""
 
     def __init__(self, system: systems.System, session: str) -> None:
         self.system = system
@@ -45,39 +45,39 @@
 
 
 class TestOrder:
-    """Turns when nothing fails."""
+    """The order of turns without any fault."""
 
-    def test_turns_run_one_after_another_as_received(self) -> None:
+    def test_turns_run_one_at_a_time_in_arrival_order(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                desk = _Desk(system, "kiosks/desk-7")
+                session = _Session(system, "kiosks/desk-7")
                 async with anyio.create_task_group() as tasks:
                     for number in range(6):
-                        tasks.start_soon(desk.turn, str(number), number % 2)
+                        tasks.start_soon(session.turn, str(number), number % 2)
                         await anyio.sleep(0.01)
-                assert desk.log == [str(number) for number in range(6)]
+                assert session.log == [str(number) for number in range(6)]
 
         virtual.run(check)
 
-    def test_numbers_decide_over_arrival(self) -> None:
+    def test_numbered_turns_run_in_the_order_of_their_numbers(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                desk = _Desk(system, "kiosks/desk-7")
+                session = _Session(system, "kiosks/desk-7")
                 async with anyio.create_task_group() as tasks:
                     for number in (0, 3, 1, 2):
-                        tasks.start_soon(desk.turn, str(number), 0, number)
+                        tasks.start_soon(session.turn, str(number), 0, number)
                         await anyio.sleep(0.01)
-                assert desk.log == ["0", "1", "2", "3"]
+                assert session.log == ["0", "1", "2", "3"]
 
         virtual.run(check)
 
     def test_used_number_is_refused_as_not_run(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                desk = _Desk(system, "kiosks/desk-7")
-                await desk.turn("a", 0, 4)
+                session = _Session(system, "kiosks/desk-7")
+                await session.turn("a", 0, 4)
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await desk.turn("b", 1, 4)
+                    await session.turn("b", 1, 4)
                 assert caught.value.code == errors.Code.ORDER
                 assert caught.value.verdict.is_retry_safe
 
@@ -89,26 +89,26 @@
                 started = anyio.current_time()
                 async with anyio.create_task_group() as tasks:
                     for number in range(20):
-                        desk = _Desk(system, f"kiosks/desk-{number}")
-                        tasks.start_soon(desk.turn, "a")
+                        session = _Session(system, f"kiosks/desk-{number}")
+                        tasks.start_soon(session.turn, "a")
                 assert anyio.current_time() - started < 0.5
 
         virtual.run(check)
 
-    def test_turn_that_does_not_come_up_is_refused(self) -> None:
+    def test_turn_not_granted_in_time_is_refused(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                desk = _Desk(system, "kiosks/desk-7")
+                session = _Session(system, "kiosks/desk-7")
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(desk.turn, "a")
+                    tasks.start_soon(session.turn, "a")
                     await anyio.sleep(0.05)
                     with pytest.raises(errors.CrowdeckError) as caught:
-                        await desk.turn("b", 1, wait=0.1)
+                        await session.turn("b", 1, wait=0.1)
                 assert caught.value.code == errors.Code.ORDER
-                assert desk.log == ["a"]
-                # It left no ghost that would be granted the next turn.
-                await desk.turn("c")
-                assert desk.log == ["a", "c"]
+                assert session.log == ["a"]
+                # The refused request is not granted the next turn.
+                await session.turn("c")
+                assert session.log == ["a", "c"]
 
         virtual.run(check)
 
@@ -120,34 +120,34 @@
     def test_holder_keeps_its_turn(self, is_planned: bool) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                desk = _Desk(system, "kiosks/desk-7")
+                session = _Session(system, "kiosks/desk-7")
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(desk.turn, "a", 0)
+                    tasks.start_soon(session.turn, "a", 0)
                     await anyio.sleep(0.1)
-                    home = desk.home()
+                    home = session.home()
                     if is_planned:
                         system.sidecar(home).begin_drain(10.0)
                     else:
                         system.kill(home)
-                    tasks.start_soon(desk.turn, "b", 1)
+                    tasks.start_soon(session.turn, "b", 1)
                     await anyio.sleep(0.05)
-                    tasks.start_soon(desk.turn, "c", 0)
-                assert desk.log[0] == "a"
-                assert sorted(desk.log) == ["a", "b", "c"]
+                    tasks.start_soon(session.turn, "c", 0)
+                assert session.log[0] == "a"
+                assert sorted(session.log) == ["a", "b", "c"]
 
         virtual.run(check)
 
-    def test_lost_entry_gives_its_turn_back_in_time(self) -> None:
+    def test_turn_of_a_lost_entry_is_released(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                desk = _Desk(system, "kiosks/desk-7")
+                session = _Session(system, "kiosks/desk-7")
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(desk.turn, "a", 0)
+                    tasks.start_soon(session.turn, "a", 0)
                     await anyio.sleep(0.1)
                     system.kill("e0")
                     tasks.cancel_scope.cancel()
-                desk.running = 0
-                await desk.turn("b", 1)
-                assert desk.log == ["a", "b"]
+                session.running = 0
+                await session.turn("b", 1)
+                assert session.log == ["a", "b"]
 
         virtual.run(check)
