--- a/src/crowdeck/sidecar/attempt.py
+++ b/src/crowdeck/sidecar/attempt.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One attempt of one request, as one stage sees it."""
+"""The state of an attempt at one stage."""
 
 import attrs
 
@@ -16,7 +16,7 @@
 
 @attrs.define(eq=False)
 class Attempt:
-    """What a stage keeps of an attempt.
+    """One attempt of a request, as one stage keeps it.
 
     :ivar sequence: name of its KV cache on the engine.
     :ivar source: link on which it came: the entry's for the head, the
@@ -29,7 +29,7 @@
     :ivar is_held: whether the next step waits for the caller's credit.
     :ivar is_moved: whether its KV cache was handed to another stage.
     :ivar is_in_engine: whether the engine has a step of it.
-    :ivar finish: why the answer ended, empty while it runs.
+    :ivar finish: the finish reason, empty while the answer runs.
     """
 
     opening: messages.Opening
@@ -86,14 +86,14 @@
         return self.opening.path.stages[self.index].end_layer
 
     def check_layer(self, next_layer: int) -> None:
-        """Refuse a record that a wrong layer comes next for.
+        """Check that a record continues at this stage's first layer.
 
-        :raises CrowdeckError: ``WRONG_LAYER``.
+        :raises CrowdeckError: ``WRONG_LAYER`` if it does not.
         """
         if next_layer != self.first_layer:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_LAYER,
-                f"layer {next_layer} comes next, not {self.first_layer}",
+                f"received layer {next_layer} instead of {self.first_layer}",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
 
@@ -107,17 +107,17 @@
         if position > self.next_position or context != self.context:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_POSITION,
-                f"position {position} came, not {self.next_position}",
+                f"received position {position}, not {self.next_position}",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
         return True
 
 
 @attrs.frozen
-class HeldImport:
+class PendingImport:
     """An imported KV cache that waits for its warm opening.
 
-    :ivar time: monotonic seconds at which it came.
+    :ivar time: monotonic seconds at which it was imported.
     """
 
     sequence: str
--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The attempts that a sidecar keeps, running and ended ones.
+"""The attempts at a sidecar, both running and ended.
 
-An answer outlives its attempt for a while, for a caller whose entry died;
-so does the KV cache of a stage whose predecessor was lost.
+An answer is kept for a while after its attempt, for a caller whose entry has
+died, and so is the KV cache of a stage whose predecessor was lost.
 """
 
 import anyio
@@ -23,12 +23,12 @@
 from crowdeck.wire import messages
 from crowdeck.wire import questions
 
-# A stage whose predecessor is gone keeps its KV cache this long for the
-# attempt that replaces the broken one; detection takes about 1.5 s.
+# How long a stage without a predecessor keeps its KV cache for the next
+# attempt. This exceeds the time in which a failure is detected.
 ORPHAN_SECONDS = 5.0
-# A caller whose entry died has this long to come back for its answer.
+# How long an answer is kept for a caller whose entry has died.
 KEEP_SECONDS = 60.0
-KEPT_LIMIT = 10_000
+MAX_ATTEMPTS = 10_000
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
@@ -50,7 +50,7 @@
         self._clock = clock
         self._tasks = tasks
         self._attempts: dict[str, attempts.Attempt] = {}
-        self._imports: dict[str, attempts.HeldImport] = {}
+        self._imports: dict[str, attempts.PendingImport] = {}
 
     @property
     def running(self) -> int:
@@ -67,7 +67,7 @@
         return self._attempts.get(request)
 
     def forget(self, attempt: attempts.Attempt) -> None:
-        """Drop an attempt and its KV cache."""
+        """Drop an attempt that is no longer needed, and its KV cache."""
         self.drop(attempt, "forgotten")
 
     def put(self, attempt: attempts.Attempt) -> None:
@@ -75,13 +75,13 @@
         self._imports.pop(attempt.request, None)
         self._attempts[attempt.request] = attempt
 
-    def find_import(self, request: str) -> attempts.HeldImport | None:
+    def find_import(self, request: str) -> attempts.PendingImport | None:
         """Return the imported KV cache that waits for a request."""
         return self._imports.get(request)
 
     def hold_import(self, question: questions.ImportKv, sequence: str) -> None:
         """Keep an imported KV cache for the warm opening to come."""
-        self._imports[question.request] = attempts.HeldImport(
+        self._imports[question.request] = attempts.PendingImport(
             sequence=sequence,
             team=question.team,
             context=question.context,
@@ -98,7 +98,7 @@
     def fail(
         self, attempt: attempts.Attempt, error: errors.CrowdeckError
     ) -> None:
-        """End an attempt that broke, and tell whoever sent it."""
+        """Mark an attempt as failed, and report that towards the entry."""
         if not attempt.is_running:
             return
         if self._attempts.get(attempt.request) is not attempt:
@@ -114,7 +114,7 @@
     def failure(
         self, request: str, epoch: int, error: errors.CrowdeckError
     ) -> messages.Failure:
-        """Put an error into the record that tells of it."""
+        """Return the record that reports an error."""
         return messages.Failure(
             request=request,
             epoch=epoch,
@@ -127,7 +127,7 @@
     def send_source(
         self, attempt: attempts.Attempt, record: messages.Record
     ) -> None:
-        """Send a record towards the entry, while its link stands."""
+        """Send a record towards the entry, if its link is open."""
         if attempt.source is not None:
             attempt.source.send(record)
 
@@ -140,7 +140,7 @@
             attempt.forward.send(record)
 
     def drop(self, attempt: attempts.Attempt, outcome: str) -> None:
-        """Keep an attempt no longer, nor its KV cache."""
+        """Drop an attempt and its KV cache."""
         if self._attempts.get(attempt.request) is attempt:
             del self._attempts[attempt.request]
         attempt.span.end(outcome)
@@ -148,16 +148,15 @@
         self._tasks.start_soon(self.cancel_engine, attempt.sequence)
 
     async def cancel_engine(self, sequence: str) -> None:
-        """Have the engine forget a KV cache."""
+        """Have the engine drop a KV cache."""
         try:
             await self._engine.cancel(sequence)
         except errors.CrowdeckError:
-            # The engine forgets by itself in time; there is nobody who
-            # could do anything about it now.
+            # The engine drops an unused KV cache by itself in time.
             counters.COUNTERS.add("engine.cancel_failed")
 
     def on_closed(self, peer: link.Peer) -> None:
-        """Fail what went out on a lost link, keep what came in on it."""
+        """Fail the attempts that send to a lost link, keep those from it."""
         for attempt in tuple(self._attempts.values()):
             if attempt.forward is peer:
                 attempt.forward = None
@@ -176,13 +175,13 @@
                 attempt.touched = self._clock.now()
 
     async def sweep(self) -> None:
-        """End attempts past their deadline, drop those nobody will ask."""
+        """Fail attempts past their deadline, and drop expired ones."""
         now = self._clock.now()
         for attempt in tuple(self._attempts.values()):
             if attempt.is_head:
                 self._sweep_head(attempt, now)
             else:
-                self._sweep_later(attempt, now)
+                self._sweep_later_stage(attempt, now)
         self._drop_imports(now)
         self._drop_surplus()
 
@@ -201,7 +200,7 @@
                 attempt,
                 errors.CrowdeckError(
                     errors.Code.DEADLINE,
-                    "the answer was not whole by its deadline",
+                    "the answer was not complete by its deadline",
                     verdict=_MAY_HAVE_RUN,
                 ),
             )
@@ -212,7 +211,9 @@
             )
             self.drop(attempt, "expired")
 
-    def _sweep_later(self, attempt: attempts.Attempt, now: float) -> None:
+    def _sweep_later_stage(
+        self, attempt: attempts.Attempt, now: float
+    ) -> None:
         is_orphan = (
             attempt.source is None or attempt.is_failed or attempt.is_moved
         )
@@ -222,7 +223,7 @@
             self.drop(attempt, "expired")
 
     def _drop_surplus(self) -> None:
-        surplus = len(self._attempts) - KEPT_LIMIT
+        surplus = len(self._attempts) - MAX_ATTEMPTS
         if surplus <= 0:
             return
         ended = [one for one in self._attempts.values() if not one.is_running]
--- a/src/crowdeck/sidecar/batcher.py
+++ b/src/crowdeck/sidecar/batcher.py
@@ -3,12 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Feeds an engine: decode steps in shared batches, prefills beside them.
+"""Batches an engine's decode steps, and runs prefills beside them.
 
-Decode steps that arrive while a batch runs form the next one, so the
-batch grows with the load and never waits for company. A prefill goes in
-a call of its own: engines batch continuously, and a long prompt must not
-hold up everyone else's next token.
+Decode steps that arrive while a batch runs form the next one, so batches
+grow with the load and never wait to fill up. Each prefill is a call of its
+own, so that a long prompt does not delay the next tokens of other requests.
 """
 
 import collections
@@ -23,28 +22,26 @@
 from crowdeck import upstream
 from crowdeck import verdict as verdicts
 
-# More prefills at once would only take turns inside the engine while
-# their KV caches crowd out running sequences.
-PREFILL_LIMIT = 8
-# One batch at the engine and one on its way there: with a single one the
-# device idles for the round trip between two batches.
-DECODE_CALLS = 2
+# Concurrent prefills. More of them would only share the engine's time, and
+# their KV caches would displace those of running sequences.
+CONCURRENT_PREFILLS = 8
+# Concurrent decode batches: the next one is sent while one runs, so that the
+# device does not idle for a round trip between two batches.
+CONCURRENT_DECODES = 2
 
 Result = upstream.EngineOutput | errors.CrowdeckError
 Callback = abc.Callable[[Result], None]
 
 
 class StepTimes:
-    """Learns how a batch's time depends on its size.
+    """Estimates how a batch's duration depends on its size.
 
-    A line through recent batches by least squares, older ones fading; a
-    plain average would read a loaded engine as a slow one, and the same
-    engine when idle as fast.
+    Fits a line to the batches by least squares, with weights that decay. A
+    plain average would take a loaded engine for a slow one.
     """
 
-    # A batch counts half after about 70 more, some seconds under load:
-    # soon enough to see a device slow down, late enough to be steady.
-    FADE = 0.99
+    # Factor on the weight of all earlier batches at each new one.
+    DECAY_PER_BATCH = 0.99
 
     def __init__(self) -> None:
         self._count = 0.0
@@ -53,20 +50,20 @@
         self._seconds = 0.0
         self._products = 0.0
 
-    def learn(self, size: int, seconds: float) -> None:
-        """Take note of one batch."""
-        fade = self.FADE
-        self._count = self._count * fade + 1.0
-        self._sizes = self._sizes * fade + size
-        self._squares = self._squares * fade + size * size
-        self._seconds = self._seconds * fade + seconds
-        self._products = self._products * fade + size * seconds
+    def add_batch(self, size: int, seconds: float) -> None:
+        """Add one batch to the estimate."""
+        decay = self.DECAY_PER_BATCH
+        self._count = self._count * decay + 1.0
+        self._sizes = self._sizes * decay + size
+        self._squares = self._squares * decay + size * size
+        self._seconds = self._seconds * decay + seconds
+        self._products = self._products * decay + size * seconds
 
     @property
     def token_seconds(self) -> float:
-        """What each further sequence adds to a batch, in seconds."""
+        """Seconds that each further sequence adds to a batch."""
         spread = self._count * self._squares - self._sizes**2
-        # Batches of nearly one size say nothing about the slope.
+        # Batches of nearly the same size do not determine the slope.
         if spread <= 0.05 * self._count**2:
             return 0.0
         slope = self._count * self._products - self._sizes * self._seconds
@@ -74,7 +71,7 @@
 
     @property
     def batch_seconds(self) -> float:
-        """Time of a batch, whatever is in it, in seconds; 0 unknown."""
+        """Seconds of a batch regardless of its size, 0 if unknown."""
         if not self._count:
             return 0.0
         mean = self._seconds / self._count
@@ -83,7 +80,7 @@
 
 
 class Batcher:
-    """Runs steps on one engine and hands each its result."""
+    """Runs steps on one engine and passes the results to callbacks."""
 
     def __init__(
         self,
@@ -91,8 +88,8 @@
         clock: timers.Clock,
         batch_limit: int,
     ) -> None:
-        # A call larger than the engine's batch would be split there, and
-        # its first part would wait for its last before it is answered.
+        # The engine would split a larger call, and answer its first part
+        # only once the last one has run.
         self._batch_limit = max(1, batch_limit)
         self._engine = engine
         self._clock = clock
@@ -114,7 +111,7 @@
 
     @property
     def times(self) -> "StepTimes":
-        """What was learned of the engine's decode batches."""
+        """The estimated durations of the engine's decode batches."""
         return self._times
 
     def decode(self, step: upstream.EngineStep, callback: Callback) -> None:
@@ -130,9 +127,9 @@
     async def run(self) -> None:
         """Serve both queues until cancelled."""
         async with anyio.create_task_group() as tasks:
-            for _ in range(DECODE_CALLS):
+            for _ in range(CONCURRENT_DECODES):
                 tasks.start_soon(self._run_decodes)
-            for _ in range(PREFILL_LIMIT):
+            for _ in range(CONCURRENT_PREFILLS):
                 tasks.start_soon(self._run_prefills)
 
     async def _run_decodes(self) -> None:
@@ -145,11 +142,11 @@
             batch = [self._decodes.popleft() for _ in range(size)]
             started = self._clock.now()
             await self._run_batch(batch)
-            # The engine began it when it had ended the batch before.
+            # The engine began this batch once the previous one had ended.
             now = self._clock.now()
             elapsed = now - max(started, self._ended_at)
             self._ended_at = now
-            self._times.learn(len(batch), elapsed)
+            self._times.add_batch(len(batch), elapsed)
             counters.COUNTERS.time("engine.step", elapsed)
 
     async def _run_prefills(self) -> None:
@@ -179,13 +176,13 @@
 def _wrong_count(asked: int, got: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.UPSTREAM_FAILED,
-        f"the engine gave {got} outputs for {asked} steps",
+        f"the engine returned {got} outputs for {asked} steps",
         verdict=verdicts.Verdict.MAY_HAVE_RUN,
     )
 
 
 def _checked(step: upstream.EngineStep, result: Result) -> Result:
-    """Turn an output for another sequence, or an error in it, to an error."""
+    """Return a result, or the error of one that failed or is misaddressed."""
     if isinstance(result, errors.CrowdeckError):
         return result
     if result.sequence != step.sequence:
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The first stage's part: it collects tokens, keeps the answer, drives on."""
+"""The head of a path: collects the tokens of answers and keeps them."""
 
 import typing
 
@@ -31,9 +31,9 @@
 
 
 class Head:
-    """Drives the answers that begin at one sidecar.
+    """Generates the answers whose first stage is this sidecar.
 
-    :param decode: has the engine run an attempt's next position.
+    :param decode: queues the engine step of an attempt's next position.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
     def take_token(
         self, attempt: attempts.Attempt, record: messages.Token
     ) -> None:
-        """Take the next token of an answer, and begin the one after it."""
+        """Add the next token to an answer, and start the one after it."""
         position = len(attempt.pieces)
         if record.position < position:
             counters.COUNTERS.add("stage.refused.repeated_record")
@@ -84,9 +84,9 @@
                 finish=finish,
             ),
         )
-        self._drive_on(attempt, finish)
+        self._continue(attempt, finish)
 
-    def _drive_on(self, attempt: attempts.Attempt, finish: str) -> None:
+    def _continue(self, attempt: attempts.Attempt, finish: str) -> None:
         if finish:
             self._finish(attempt, finish)
         elif attempt.is_moved:
@@ -94,9 +94,9 @@
         elif attempt.next_position >= attempt.upto:
             attempt.is_held = True
         else:
-            self._next_position(attempt)
+            self._start_next_position(attempt)
 
-    def _next_position(self, attempt: attempts.Attempt) -> None:
+    def _start_next_position(self, attempt: attempts.Attempt) -> None:
         attempt.is_held = False
         self._decode(
             attempt,
@@ -132,22 +132,22 @@
         )
 
     def on_credit(self, peer: link.Peer, record: messages.Credit) -> None:
-        """Let the head go on as far as the caller has room."""
+        """Raise the limit on positions that may be generated."""
         attempt = self._registry.current(record.request, record.epoch)
         if attempt is None or attempt.source is not peer:
             return
         attempt.upto = max(attempt.upto, record.upto)
-        can_go_on = attempt.is_held and attempt.next_position < attempt.upto
-        if can_go_on and attempt.is_running and not attempt.is_moved:
-            self._next_position(attempt)
+        can_continue = attempt.is_held and attempt.next_position < attempt.upto
+        if can_continue and attempt.is_running and not attempt.is_moved:
+            self._start_next_position(attempt)
 
     def attach(
         self, peer: link.Peer, question: questions.Attach
     ) -> questions.Attached:
-        """Give an answer to an entry that asks for the rest of it.
+        """Attach an entry to an answer, and return the answer so far.
 
-        :raises CrowdeckError: ``ANSWER_GONE`` when it is not kept here,
-            and just the same when it is another team's.
+        :raises CrowdeckError: ``ANSWER_GONE`` if the answer is not kept
+            here or belongs to another team.
         """
         attempt = self._registry.find(question.request)
         if attempt is None or attempt.opening.team != question.team:
@@ -180,22 +180,22 @@
                     attempt.epoch,
                     errors.CrowdeckError(
                         errors.Code.SUPERSEDED,
-                        "the answer went on to another entry",
+                        "another entry has taken over the answer",
                         verdict=_MAY_HAVE_RUN,
                     ),
                 )
             )
 
     async def _resume_soon(self, attempt: attempts.Attempt) -> None:
-        can_go_on = attempt.is_held and attempt.next_position < attempt.upto
-        if can_go_on and attempt.is_running:
-            self._next_position(attempt)
+        can_continue = attempt.is_held and attempt.next_position < attempt.upto
+        if can_continue and attempt.is_running:
+            self._start_next_position(attempt)
 
 
 def _wrong_token(got: int, expected: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_POSITION,
-        f"token {got} came, not {expected}",
+        f"received token {got} instead of {expected}",
         verdict=_MAY_HAVE_RUN,
     )
 
@@ -203,6 +203,6 @@
 def _unfinished_token(next_layer: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_LAYER,
-        f"a token came out before layer {next_layer} had run",
+        f"received a token for which layer {next_layer} has not run",
         verdict=_MAY_HAVE_RUN,
     )
--- a/src/crowdeck/sidecar/kv_transfer.py
+++ b/src/crowdeck/sidecar/kv_transfer.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Moves of KV caches from a leaving stage to the one that replaces it.
+"""Transfers KV caches from a leaving stage to the one that replaces it.
 
-The leaving stage stops between two positions, so what it exports is
-exactly the context of the positions it has run; the entry then opens the
-next attempt warm, and no layer runs again for any token.
+The leaving stage pauses between two positions, so the exported KV cache holds
+exactly the positions it has run. The entry then opens a warm attempt, in
+which no layer runs again for any token.
 """
 
 from crowdeck import errors
@@ -19,11 +19,11 @@
 from crowdeck import upstream
 from crowdeck.wire import questions
 
-IMPORT_TIMEOUT = 5.0
+IMPORT_TIMEOUT_SECONDS = 5.0
 
 
 class KvTransfers:
-    """Exports from, and imports into, one stage's engine."""
+    """Exports and imports the KV caches of one stage's engine."""
 
     def __init__(
         self,
@@ -38,10 +38,10 @@
     async def move_out(
         self, question: questions.MoveOut
     ) -> questions.MovedOut:
-        """Hand a request's KV cache to the stage that will replace us.
+        """Send a request's KV cache to the stage that replaces this one.
 
-        :raises CrowdeckError: when it could not be; the attempt is then
-            to be opened anew, cold.
+        :raises CrowdeckError: if it could not be sent; the next attempt then
+            has to be opened cold.
         """
         attempt = self._stage.registry.find(question.request)
         if attempt is None or attempt.epoch != question.epoch:
@@ -55,17 +55,17 @@
         moved = questions.MovedOut(
             position=attempt.next_position, context=attempt.context
         )
-        await self._hand_over(question.target, attempt, kv)
+        await self._send(question.target, attempt, kv)
         counters.COUNTERS.add("stage.moved_out")
         return moved
 
     def _require_boundary(self, attempt: attempts.Attempt) -> None:
         if attempt.is_in_engine or not attempt.is_running:
             raise errors.CrowdeckError(
-                errors.Code.STALLED, "the attempt did not pause to be moved"
+                errors.Code.STALLED, "the attempt has ended or did not pause"
             )
 
-    async def _hand_over(
+    async def _send(
         self, target: pipeline.StageRef, attempt: attempts.Attempt, kv: bytes
     ) -> None:
         peer = await self._links.get(target.instance)
@@ -76,13 +76,13 @@
                 context=attempt.context,
                 kv=kv,
             ),
-            IMPORT_TIMEOUT,
+            IMPORT_TIMEOUT_SECONDS,
         )
         if isinstance(reply, questions.Refused):
             raise reply.as_error()
 
     async def import_kv(self, question: questions.ImportKv) -> questions.Done:
-        """Take a KV cache, for a warm opening that will follow soon."""
+        """Import a KV cache for the warm opening that follows."""
         sequence = f"{question.request}.import"
         await self._engine.import_kv(sequence, question.kv)
         self._stage.registry.hold_import(question, sequence)
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The sidecar: one small process beside each upstream."""
+"""The sidecar: the process beside an upstream."""
 
 import json
 
@@ -30,16 +30,15 @@
 from crowdeck.wire import questions
 
 IDLE_POLL_SECONDS = 0.05
-# One report to one entry at each tick: at most 4 a second, and none while
-# the load does not change.
+# Interval of load reports. Each goes to one entry whose last report differs.
 REPORT_SECONDS = 0.25
 
 
 class Sidecar:
-    """Answers other processes' questions and takes their records.
+    """Handles the links of a sidecar's process.
 
-    It is the :class:`crowdeck.wire.link.Handler` of its process. An
-    engine, plain services, or both may stand behind it.
+    It implements :class:`crowdeck.wire.link.Handler`. Its upstreams are an
+    engine, plain services, or both.
     """
 
     def __init__(
@@ -69,10 +68,10 @@
         self._turns = turns_module.TurnQueues(timer_service)
         self._batcher: batchers.Batcher | None = None
         self._stage: stages.Stage | None = None
-        self._moves: kv_transfer.KvTransfers | None = None
+        self._kv_transfers: kv_transfer.KvTransfers | None = None
         self._stopped = anyio.Event()
         self._peers: set[link.Peer] = set()
-        self._told: dict[str, tuple[int, int]] = {}
+        self._reported: dict[str, tuple[int, int]] = {}
         self._tick = 0
 
     @property
@@ -94,7 +93,7 @@
         return self._gate.is_leaving
 
     async def start(self, transport: link.Transport) -> None:
-        """Learn what the engine serves and begin to serve it."""
+        """Ask the engine what it serves, and begin to serve it."""
         self._timers.subscribe("calls", 1.0, self._calls.sweep)
         self._timers.subscribe("report", REPORT_SECONDS, self._report)
         self._timers.subscribe("turns", 0.25, self._turns.sweep)
@@ -116,7 +115,9 @@
             tracer=self._tracer,
             tasks=self._tasks,
         )
-        self._moves = kv_transfer.KvTransfers(self._stage, self._engine, links)
+        self._kv_transfers = kv_transfer.KvTransfers(
+            self._stage, self._engine, links
+        )
         self._timers.subscribe(
             "stage", stages.SWEEP_SECONDS, self._stage.registry.sweep
         )
@@ -124,12 +125,12 @@
     # The link handler.
 
     def on_opened(self, peer: link.Peer) -> None:
-        """Take note of a new link."""
+        """Add a new link."""
         counters.COUNTERS.add("link.opened")
         self._peers.add(peer)
 
     def on_closed(self, peer: link.Peer) -> None:
-        """Tell the parts that a link is gone."""
+        """Remove a lost link, and notify what uses it."""
         counters.COUNTERS.add("link.closed")
         self._peers.discard(peer)
         self._turns.on_closed(peer)
@@ -137,7 +138,7 @@
             self._stage.registry.on_closed(peer)
 
     def on_record(self, peer: link.Peer, record: messages.Record) -> None:
-        """Hand a record to the stage."""
+        """Pass a record to the stage."""
         stage = self._stage
         if stage is None:
             counters.COUNTERS.add("sidecar.record_without_engine")
@@ -197,9 +198,9 @@
     ) -> questions.Reply:
         match question:
             case questions.MoveOut():
-                return await self._require_moves().move_out(question)
+                return await self._require_kv_transfers().move_out(question)
             case questions.ImportKv():
-                return await self._require_moves().import_kv(question)
+                return await self._require_kv_transfers().import_kv(question)
             case questions.Drain():
                 self.begin_drain(question.limit)
                 return questions.Done()
@@ -209,7 +210,8 @@
                 return questions.Spans(self._tracer.find(question.trace))
             case _:
                 raise errors.CrowdeckError(
-                    errors.Code.MALFORMED, "a sidecar does not answer this"
+                    errors.Code.MALFORMED,
+                    "a sidecar does not answer this question",
                 )
 
     # Planned stop.
@@ -221,14 +223,14 @@
     async def drain(self, limit: float) -> bool:
         """Refuse new work and wait until running work has ended.
 
-        :param limit: seconds to wait at the most.
+        :param limit: seconds to wait at most.
         :return: whether nothing was left running.
         """
         if not self._gate.is_leaving:
             self._gate.leave()
             self._turns.leave()
             logs.change("leaving", instance=self._name)
-            # Heartbeats may be far apart: say it to every entry at once.
+            # Heartbeats may be far apart, so every entry is told at once.
             for peer in self._entry_peers:
                 peer.send(self._load())
         with anyio.move_on_after(limit):
@@ -252,27 +254,27 @@
         ]
 
     async def _report(self) -> None:
-        """Tell one entry, in turn, how much runs here, if that changed.
+        """Report the load to one entry, in turn, if it has changed.
 
-        One report at each tick whatever the number of entries: what it
-        costs does not grow with the fleet, only what it says gets older.
+        Only one report is sent per tick. With more entries reports get
+        older, but their cost does not grow.
         """
         load = self._load()
         for peer in sorted(
             self._entry_peers, key=lambda one: one.greeting.instance
         ):
-            told = self._told.get(peer.greeting.instance, (-1, 0))
-            if told[0] != load.running and self._tick >= told[1]:
+            reported = self._reported.get(peer.greeting.instance, (-1, 0))
+            if reported[0] != load.running and self._tick >= reported[1]:
                 peer.send(load)
                 self._tick += 1
-                self._told[peer.greeting.instance] = (
+                self._reported[peer.greeting.instance] = (
                     load.running,
                     self._tick + len(self._peers) // 2,
                 )
                 return
 
     def status(self) -> dict[str, object]:
-        """Return what operators see of this process."""
+        """Return the status of this process for operators."""
         return {
             "instance": self._name,
             "role": str(instances.Role.SIDECAR),
@@ -302,11 +304,11 @@
     def _require_stage(self) -> stages.Stage:
         if self._stage is None:
             raise errors.CrowdeckError(
-                errors.Code.NOT_FOUND, "no engine stands behind this sidecar"
+                errors.Code.NOT_FOUND, "this sidecar has no engine"
             )
         return self._stage
 
-    def _require_moves(self) -> kv_transfer.KvTransfers:
+    def _require_kv_transfers(self) -> kv_transfer.KvTransfers:
         self._require_stage()
-        assert self._moves is not None
-        return self._moves
+        assert self._kv_transfers is not None
+        return self._kv_transfers
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -3,12 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One stage of the pipelines: takes records, steps the engine, passes on.
+"""One stage of a path: runs records on its engine and sends the results on.
 
-The head (stage 0) drives each position and keeps the answer; the tail
-sends tokens back to it. Every record is checked for attempt, epoch, layer
-and position before the engine sees it, so "each layer once, in order" is
-a property of the data and not of the timing.
+The head (stage 0) starts each position and keeps the answer; the tail sends
+tokens back to it. The epoch, layer and position of each record are checked
+before the engine runs it, so that each layer runs once and in order whatever
+the timing of the records.
 """
 
 import anyio
@@ -31,14 +31,14 @@
 from crowdeck.wire import messages
 
 SWEEP_SECONDS = 0.25
-BOUNDARY_TIMEOUT = 2.0
+BOUNDARY_TIMEOUT_SECONDS = 2.0
 BOUNDARY_POLL_SECONDS = 0.002
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
 
 class Stage:
-    """All attempts that cross one sidecar's engine."""
+    """The attempts that run on one sidecar's engine."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._registry = attempt_registry.AttemptRegistry(
             instance, gate, engine, clock, tasks
         )
-        self._openings = openings.Openings(
+        self._opener = openings.AttemptOpener(
             instance, gate, self._registry, clock, tracer
         )
         self._head = heads.Head(
@@ -68,22 +68,22 @@
 
     @property
     def head(self) -> heads.Head:
-        """What this sidecar does as the first stage of an answer."""
+        """The answers of which this sidecar is the first stage."""
         return self._head
 
     @property
     def registry(self) -> attempt_registry.AttemptRegistry:
-        """The attempts that are kept here."""
+        """The attempts, both running and ended."""
         return self._registry
 
-    # Openings: the first record of an attempt, at the head a question.
+    # Openings: a question at the head, a record at the later stages.
 
     def open(self, peer: link.Peer, opening: messages.Opening) -> None:
         """Begin an attempt as its head.
 
         :raises CrowdeckError: with the gate's verdict when refused.
         """
-        attempt = self._openings.begin(peer, opening)
+        attempt = self._opener.begin(peer, opening)
         if not attempt.is_head:
             self._registry.drop(attempt, "misdirected")
             raise errors.CrowdeckError(
@@ -97,13 +97,13 @@
         )
 
     async def wait_boundary(self, request: str) -> None:
-        """Wait until the engine has no step of a request, or too long.
+        """Wait for a limited time until the engine has no step of a request.
 
-        A warm opening comes while its stages may still run the step that
-        the moved stage left out; refusing it then would cost a replay.
+        A warm opening may arrive while a stage still runs a step of the
+        previous attempt. Refusing it would cost a replay.
         """
         attempt = self._registry.find(request)
-        with anyio.move_on_after(BOUNDARY_TIMEOUT):
+        with anyio.move_on_after(BOUNDARY_TIMEOUT_SECONDS):
             while attempt is not None and attempt.is_in_engine:
                 await anyio.sleep(BOUNDARY_POLL_SECONDS)
 
@@ -123,11 +123,11 @@
     def _prefill(self, peer: link.Peer, record: messages.Prefill) -> None:
         opening = record.opening
         try:
-            attempt = self._openings.begin(peer, opening)
+            attempt = self._opener.begin(peer, opening)
         except errors.CrowdeckError as error:
             counters.COUNTERS.add(f"stage.refused.{error.code.lower()}")
-            # A repeat on the same link is dropped; the same epoch on
-            # another link is a second driver, who must be told.
+            # A repeat on the same link is dropped. The same epoch on another
+            # link comes from a second driver, which has to be told.
             held = self._registry.current(opening.request, opening.epoch)
             if held is None or held.source is not peer:
                 peer.send(
@@ -153,7 +153,7 @@
             step, lambda result: self._on_prefilled(attempt, result)
         )
 
-    # Results of the engine, and the way on.
+    # Results of the engine.
 
     def _on_prefilled(
         self, attempt: attempts.Attempt, result: batchers.Result
@@ -166,17 +166,17 @@
         position = attempt.next_position
         attempt.next_position += 1
         self._tasks.start_soon(
-            self._pass_on_first, attempt, position, before, output
+            self._forward_first, attempt, position, before, output
         )
 
-    async def _pass_on_first(
+    async def _forward_first(
         self,
         attempt: attempts.Attempt,
         position: int,
         before: int,
         output: upstream.EngineOutput,
     ) -> None:
-        """Open the link that the attempt's records will take from here."""
+        """Connect to the next stage and send it the first result."""
         try:
             await self._connect_forward(attempt)
         except errors.CrowdeckError as error:
@@ -185,7 +185,7 @@
         if self._registry.find(attempt.request) is not attempt:
             return
         if attempt.is_tail:
-            self._pass_token(attempt, position, output)
+            self._forward_token(attempt, position, output)
             return
         assert attempt.forward is not None
         attempt.forward.send(
@@ -258,7 +258,7 @@
         if output is None:
             return
         if attempt.is_tail:
-            self._pass_token(attempt, position, output)
+            self._forward_token(attempt, position, output)
             return
         assert attempt.forward is not None
         attempt.forward.send(
@@ -277,22 +277,22 @@
     ) -> upstream.EngineOutput | None:
         attempt.is_in_engine = False
         if self._registry.find(attempt.request) is not attempt:
-            # Cancelled or replaced while the engine worked: the result is
-            # nobody's, and its KV cache was made after our cancel.
+            # The attempt was dropped while the engine ran the step, which
+            # may have created the KV cache again.
             self._tasks.start_soon(
                 self._registry.cancel_engine, attempt.sequence
             )
             return None
         if not attempt.is_running:
-            # It failed meanwhile, so its link on may be gone; whoever
-            # replaces it begins from what was delivered.
+            # The attempt has failed meanwhile, and its link to the next
+            # stage may be lost.
             return None
         if isinstance(result, errors.CrowdeckError):
             self._registry.fail(attempt, result)
             return None
         return result
 
-    def _pass_token(
+    def _forward_token(
         self,
         attempt: attempts.Attempt,
         position: int,
@@ -312,7 +312,7 @@
             self._head.take_token(attempt, token)
             return
         attempt.pieces.append(messages.Piece(output.token, output.text))
-        # Whoever takes the answer up here has to know that it is whole.
+        # An entry that resumes the answer here has to see that it is complete.
         attempt.finish = output.finish
         assert attempt.forward is not None
         attempt.forward.send(token)
@@ -328,7 +328,7 @@
     # Failure, cancellation and time.
 
     def on_failure(self, peer: link.Peer, record: messages.Failure) -> None:
-        """Take a later stage's failure and pass it towards the entry."""
+        """Report a later stage's failure towards the entry."""
         attempt = self._registry.current(record.request, record.epoch)
         if attempt is None or attempt.forward is not peer:
             return
@@ -348,8 +348,8 @@
         if attempt.is_head and attempt.finish:
             return
         if not attempt.is_moved:
-            # The stages after a moved one serve the next attempt, warm:
-            # they must not lose their KV caches to the end of this one.
+            # After a move, the later stages need their KV caches for the
+            # next attempt.
             self._registry.send_forward(attempt, record)
         self._registry.drop(attempt, "cancelled")
 
@@ -357,6 +357,6 @@
 def _wrong_context(got: int, held: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_POSITION,
-        f"the record follows {got} tokens of context, {held} are held",
+        f"the record needs {got} tokens of context, but {held} are held",
         verdict=_MAY_HAVE_RUN,
     )
