--- a/tests/test_restored_lease.py
+++ b/tests/test_restored_lease.py
@@ -225,7 +225,7 @@
         assert lease.term == term
 
 
-class Hooked(zone_system.Way):
+class Hooked(zone_system.StoreConnection):
     """A connection to the store that calls each of its hooks once."""
 
     def __init__(self, store: standin_store.StandinStore) -> None:
@@ -261,7 +261,7 @@
         self._store = store
         self._rng = rng
         self._leases: list[leases.Lease] = []
-        self._connections: list[zone_system.Way] = []
+        self._connections: list[zone_system.StoreConnection] = []
         self._holders: dict[int, leases.Lease] = {}
         self._count = 0
 
@@ -278,7 +278,7 @@
     async def _live(self) -> None:
         while True:
             self._count += 1
-            connection = zone_system.Way(self._store)
+            connection = zone_system.StoreConnection(self._store)
             lease = leases.Lease(
                 connection, "duty", f"run-{self._count}", is_new_fleet=False
             )
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -87,7 +87,7 @@
             before = zone.calls
             await anyio.sleep(10.0)
             # One entry watches the store for all of them again.
-            assert zone.calls - before <= 10.0 / zone_system.WAIT + 1
+            assert zone.calls - before <= 10.0 / zone_system.WAIT_SECONDS + 1
 
         zone_system.play(14, work)
 
@@ -202,7 +202,7 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             sight = zone_system.Sight()
-            connection = zone_system.Way(store)
+            connection = zone_system.StoreConnection(store)
             mirror = mirrors.Mirror(connection, zone_system.KIND, sight, 0.8)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -161,7 +161,7 @@
         # Another held the lease between two reads that found it corrupted.
         async def body() -> None:
             store = standin_store.StandinStore()
-            connection = zone_system.Way(store)
+            connection = zone_system.StoreConnection(store)
             first = leases.Lease(connection, "duty", "first")
             second = leases.Lease(store, "duty", "second")
             async with anyio.create_task_group() as tasks:
@@ -561,7 +561,7 @@
     return sorted(one.name for one in changes.objects)
 
 
-class _StaleConnection(zone_system.Way):
+class _StaleConnection(zone_system.StoreConnection):
     """A connection to the store whose stale answers are six seconds old."""
 
     def __init__(
@@ -587,7 +587,7 @@
         return old
 
 
-class _DelayedProcess(zone_system.Way):
+class _DelayedProcess(zone_system.StoreConnection):
     """A process whose calls of the store can be delayed."""
 
     def __init__(
