--- a/src/crowdeck/routing/__init__.py
+++ b/src/crowdeck/routing/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Choice of paths, limits and retries."""
+"""Path selection, load balancing, rate limits and retry budgets."""
--- a/src/crowdeck/routing/cheapest.py
+++ b/src/crowdeck/routing/cheapest.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The cheapest way from the first layer to the last, over engines' ranges."""
+"""Search for the cheapest path over engines that hold ranges of layers."""
 
 import heapq
 import itertools
@@ -14,30 +14,28 @@
 from crowdeck import chain
 from crowdeck import pipeline
 
-# One more engine on a path is one more thing to fail and one more batch to
-# wait for. In ms a token, from 1,807 streams over 3 to 10 engines of three
-# paces: an event of four tokens took 25 ms over three engines that step in
-# 2.4 ms together, 39 over five and 45 over six that do so in 5.7.
+# Cost of another engine on a path, in ms a token: one more batch to wait for
+# and one more point of failure.
 HOP_MS = 1.2
-# Engines refuse longer paths.
+# Engines reject longer paths.
 MAX_HOPS = 32
 
 
 @attrs.frozen
 class PartialPath:
-    """The cheapest way found to the end of one engine's part."""
+    """A path up to the end of one engine's layers."""
 
     cost: float
-    count: int
+    hop_count: int
     hop: chain.Hop
     previous: "PartialPath | None"
 
 
 @attrs.frozen
 class Holder:
-    """The cheapest of the engines of one zone that hold the same layers.
+    """The cheapest engine of one zone that holds a given range of layers.
 
-    :ivar token_ms: what a token costs there for each layer.
+    :ivar token_ms: cost of a token for each layer, in ms.
     """
 
     engine: chain.Upstream
@@ -47,110 +45,114 @@
     token_ms: float
 
 
-Crossing = typing.Callable[[str, str], float]
+CrossingCost = typing.Callable[[str, str], float]
 _NEVER = float("inf")
 
 
 class CheapestPathSearch:
-    """The cheapest way over the holders of layers, the likeliest first.
+    """Best-first search for the cheapest path over the holders of layers.
 
-    Ways are gone on with in the order of what they cost so far and must
-    cost at least from there on: each layer left at the cheapest of all that
-    hold it, without hand-overs. Most of a large fleet is never looked at:
-    with every way weighed, a choice over 130 engines of five zones took
-    10.5 ms of a full core instead of 2.1 (``python -m bench.paths``), in
-    which an entry relays nothing, a small one for three times as long.
+    A partial path is ranked by its cost so far and the least that the
+    remaining layers cost: each at the cheapest engine that holds it, without
+    hops and crossings. This avoids looking at most engines of a large fleet,
+    as an entry relays nothing while it searches.
 
-    :param crossing: what going from one zone to another costs, in ms a
-        token; infinite where that is not possible.
+    :param crossing: cost of going from one zone to another, in ms a token;
+        infinite where that is not possible.
     """
 
     def __init__(
-        self, holders: list[Holder], layer_count: int, crossing: Crossing
+        self, holders: list[Holder], layer_count: int, crossing: CrossingCost
     ) -> None:
         self._holders = holders
         self._crossing = crossing
         self._last = layer_count
-        self._rest = _least_rest(holders, self._last)
-        self._heap: list[tuple[float, int, PartialPath]] = []
+        self._least_remaining = _least_costs(holders, self._last)
+        self._queue: list[tuple[float, int, PartialPath]] = []
         self._best: dict[tuple[int, str], float] = {}
-        self._fitting: dict[int, list[Holder]] = {}
+        self._holders_by_layer: dict[int, list[Holder]] = {}
         self._order = itertools.count()
         self._zones = {one.zone for one in holders}
-        # What the cheapest whole path found so far costs.
-        self._bound = _NEVER
-
-    def offer(self, leg: PartialPath) -> None:
-        """Take a way for one to go on with, unless a cheaper one is known."""
-        end = leg.hop.layers.end
-        state = (end, leg.hop.upstream.availability_zone)
-        least = leg.cost + self._rest[end]
-        if least >= self._bound or leg.cost >= self._best.get(state, _NEVER):
+        # Cost of the cheapest whole path found so far.
+        self._best_total = _NEVER
+
+    def offer(self, partial: PartialPath) -> None:
+        """Add a partial path, unless one that ends alike is cheaper."""
+        end = partial.hop.layers.end
+        state = (end, partial.hop.upstream.availability_zone)
+        least = partial.cost + self._least_remaining[end]
+        if least >= self._best_total or partial.cost >= self._best.get(
+            state, _NEVER
+        ):
             return
-        self._best[state] = leg.cost
+        self._best[state] = partial.cost
         if end == self._last:
-            self._bound = leg.cost
-        heapq.heappush(self._heap, (least, next(self._order), leg))
+            self._best_total = partial.cost
+        heapq.heappush(self._queue, (least, next(self._order), partial))
 
     def run(self) -> chain.ChainPath | None:
         """Return the cheapest path to the last layer, if there is one."""
-        while self._heap:
-            _, _, leg = heapq.heappop(self._heap)
-            end = leg.hop.layers.end
-            zone = leg.hop.upstream.availability_zone
-            if leg.cost > self._best[end, zone]:
+        while self._queue:
+            _, _, partial = heapq.heappop(self._queue)
+            end = partial.hop.layers.end
+            zone = partial.hop.upstream.availability_zone
+            if partial.cost > self._best[end, zone]:
                 continue
             if end == self._last:
-                return _path(leg)
-            if leg.count < MAX_HOPS:
-                self._go_on(leg, end, zone)
+                return _build_path(partial)
+            if partial.hop_count < MAX_HOPS:
+                self._extend(partial, end, zone)
         return None
 
-    def _go_on(self, leg: PartialPath, position: int, zone: str) -> None:
-        # Every engine goes to the end of its range: whoever could follow
-        # earlier can follow there too, or is not needed.
-        ways_in = {
-            after: leg.cost + HOP_MS + self._crossing(zone, after)
+    def _extend(self, partial: PartialPath, position: int, zone: str) -> None:
+        # Every engine runs to the end of its range: a successor that could
+        # start earlier can also start there, or is not needed.
+        entry_costs = {
+            after: partial.cost + HOP_MS + self._crossing(zone, after)
             for after in self._zones
         }
-        best, rest = self._best, self._rest
-        for holder in self._at(position):
+        best, least_remaining = self._best, self._least_remaining
+        for holder in self._holders_at(position):
             end = holder.end
-            cost = ways_in[holder.zone] + holder.token_ms * (end - position)
-            if cost + rest[end] >= self._bound:
+            cost = entry_costs[holder.zone] + holder.token_ms * (
+                end - position
+            )
+            if cost + least_remaining[end] >= self._best_total:
                 continue
             if cost < best.get((end, holder.zone), _NEVER):
                 hop = chain.Hop(
                     holder.engine, pipeline.LayerRange(position, end)
                 )
-                self.offer(PartialPath(cost, leg.count + 1, hop, leg))
+                self.offer(
+                    PartialPath(cost, partial.hop_count + 1, hop, partial)
+                )
 
-    def _at(self, position: int) -> list[Holder]:
-        found = self._fitting.get(position)
+    def _holders_at(self, position: int) -> list[Holder]:
+        found = self._holders_by_layer.get(position)
         if found is None:
-            found = self._fitting[position] = [
+            found = self._holders_by_layer[position] = [
                 one for one in self._holders if one.first <= position < one.end
             ]
         return found
 
 
-def _least_rest(holders: list[Holder], last: int) -> list[float]:
-    """Return what the layers from each one on cost at the least, in ms."""
+def _least_costs(holders: list[Holder], last: int) -> list[float]:
+    """Return the least cost of the layers from each one on, in ms."""
     least = [float("inf")] * last
     for holder in holders:
         token_ms = holder.token_ms
         for layer in range(holder.first, min(holder.end, last)):
             if token_ms < least[layer]:
                 least[layer] = token_ms
-    rest = [0.0] * (last + 1)
+    remaining = [0.0] * (last + 1)
     for layer in reversed(range(last)):
-        rest[layer] = rest[layer + 1] + least[layer]
-    return rest
+        remaining[layer] = remaining[layer + 1] + least[layer]
+    return remaining
 
 
-def _path(leg: PartialPath) -> chain.ChainPath:
+def _build_path(partial: PartialPath) -> chain.ChainPath:
     hops: list[chain.Hop] = []
-    step: PartialPath | None = leg
+    step: PartialPath | None = partial
     while step is not None:
         hops.append(step.hop)
         step = step.previous
--- a/src/crowdeck/routing/planner.py
+++ b/src/crowdeck/routing/planner.py
@@ -6,10 +6,9 @@
 """Choice of the path that a request takes through the stages.
 
 The cost of a path is the predicted time of one position along it: each
-stage's queue and step, and each link on the way. A shortest-path search
-over layer boundaries finds the cheapest; near-equal ones are chosen among
-at random, so that many entries with the same lagging reports do not all
-pick the same stages.
+stage's queue and step, and each link. A shortest-path search over layer
+boundaries finds the cheapest. Costs are jittered, so that entries with the
+same outdated reports do not all choose the same stages.
 """
 
 import random
@@ -23,17 +22,17 @@
 from crowdeck import pipeline
 from crowdeck.routing import policies
 
-# Costs within a tenth of each other cannot be told apart by reports that
-# are some tenths of a second old; see docs/decisions/0007.
-NEAR_EQUAL = 0.1
-# Promises are about 95 of 100 gaps, predictions about their mean; bench's
-# steady scenario gave 1.3 to 1.5 between the two.
-GAP_SPREAD = 1.4
+# Largest relative jitter: reports are too old to tell costs apart that differ
+# by less. See docs/decisions/0007.
+COST_JITTER = 0.1
+# Ratio of the 95th percentile of token gaps, which is promised, to their mean,
+# which is predicted.
+GAP_P95_FACTOR = 1.4
 
 
 @attrs.frozen
 class Candidate:
-    """One sidecar that could be a stage."""
+    """A sidecar that could be a stage."""
 
     view: fleets.SidecarView
     offer: pipeline.Offer
@@ -41,7 +40,7 @@
 
     @property
     def ref(self) -> pipeline.StageRef:
-        """This run of it, as a stage."""
+        """The sidecar's present run as a stage."""
         return pipeline.StageRef(
             instance=self.view.name,
             incarnation=self.view.incarnation,
@@ -52,7 +51,7 @@
 
 @attrs.frozen
 class _Partial:
-    """The cheapest way found to a stage."""
+    """The cheapest path found up to a stage."""
 
     seconds: float
     stages: tuple[Candidate, ...]
@@ -93,26 +92,26 @@
         """Return a path for a new attempt.
 
         :param avoid: instances not to use.
-        :param gap_limit: seconds between tokens that may be predicted at
-            the most; 0 for any.
+        :param gap_limit: longest predicted time between tokens in seconds;
+            0 for any.
         :raises CrowdeckError: ``NO_PATH`` when none covers every layer,
             ``OVERLOADED`` when all would be too slow.
         """
         groups = self._group(model, adapter, avoid)
-        found = [
+        complete_paths = [
             one
             for group in groups.values()
             if (one := self._search(group)) is not None
         ]
-        if not found:
+        if not complete_paths:
             counters.COUNTERS.add("planner.no_path")
             raise errors.CrowdeckError(
                 errors.Code.NO_PATH,
                 f"no live stages cover all layers of {model}",
                 retry_after=1.0,
             )
-        best = min(found, key=lambda one: one.seconds)
-        self._require_fast(best, gap_limit)
+        best = min(complete_paths, key=lambda one: one.seconds)
+        self._check_gap(best, gap_limit)
         first = best.stages[0].offer
         return pipeline.Path(
             model=first.model,
@@ -129,30 +128,30 @@
             view.times_chosen += 1
 
     def release(self, path: pipeline.Path) -> None:
-        """Count it as no longer in progress there."""
+        """Count an answer as no longer in progress on a path."""
         for view in self._views(path):
-            # A view that was dropped and made anew starts from nothing.
+            # A view that was replaced meanwhile counts from 0.
             view.own_inflight = max(0, view.own_inflight - 1)
 
     def _views(self, path: pipeline.Path) -> list[fleets.SidecarView]:
         found = [self._fleet.find(stage.instance) for stage in path.stages]
         return [view for view in found if view is not None]
 
-    def _require_fast(self, best: _Partial, gap_limit: float) -> None:
+    def _check_gap(self, best: _Partial, gap_limit: float) -> None:
         if not gap_limit:
             return
-        gap = GAP_SPREAD * max(
+        gap = GAP_P95_FACTOR * max(
             policies.congestion_seconds(one.view, one.offer)
             for one in best.stages
         )
         if gap > gap_limit:
             counters.COUNTERS.add("planner.overloaded")
-            # Streams end all the time, so room comes soon; the jitter
-            # keeps those that were refused together from coming back so.
+            # Capacity becomes free as streams end. The jitter spreads the
+            # retries of requests that were refused together.
             raise errors.CrowdeckError(
                 errors.Code.OVERLOADED,
-                f"tokens would come {gap:.2f} s apart, over the "
-                f"{gap_limit:g} s that are promised",
+                f"the predicted time between tokens is {gap:.2f} s, over "
+                f"the limit of {gap_limit:g} s",
                 retry_after=self._random.uniform(1.0, 3.0),
             )
 
@@ -161,23 +160,23 @@
     ) -> pipeline.Path | None:
         """Return ``path`` with another stage in place of ``instance``.
 
-        Only a stage of the very same layers, model version and adapter
-        will do, since it takes over the KV cache.
+        The other stage must have the same layers, model version and
+        adapter, since it takes over the KV cache.
         """
         used = {stage.instance for stage in path.stages}
         leaving = next(
             stage for stage in path.stages if stage.instance == instance
         )
         group = self._group(path.model, path.adapter, frozenset(used))
-        fitting = [
+        replacements = [
             candidate
             for candidate in group.get((path.version, path.layer_count), [])
             if candidate.ref.first_layer == leaving.first_layer
             and candidate.ref.end_layer == leaving.end_layer
         ]
-        if not fitting:
+        if not replacements:
             return None
-        chosen = min(fitting, key=lambda one: one.seconds)
+        chosen = min(replacements, key=lambda one: one.seconds)
         return attrs.evolve(
             path,
             stages=tuple(
@@ -189,7 +188,7 @@
     def _group(
         self, model: str, adapter: str, avoid: frozenset[str]
     ) -> dict[tuple[str, int], list[Candidate]]:
-        """Return candidates by version: a path never mixes two."""
+        """Return candidates by version and layer count: paths mix neither."""
         groups: dict[tuple[str, int], list[Candidate]] = {}
         for view in self._fleet.usable:
             if view.name in avoid:
@@ -197,54 +196,57 @@
             for offer in view.offers:
                 if (offer.model, offer.adapter) != (model, adapter):
                     continue
-                spread = 1.0 + self._random.uniform(0.0, NEAR_EQUAL)
+                jitter = 1.0 + self._random.uniform(0.0, COST_JITTER)
                 cost = self._policy.cost(view, offer)
-                candidate = Candidate(view, offer, cost * spread)
+                candidate = Candidate(view, offer, cost * jitter)
                 key = (offer.version, offer.layer_count)
                 groups.setdefault(key, []).append(candidate)
         return groups
 
     def _search(self, group: list[Candidate]) -> _Partial | None:
-        """Find the cheapest path, by its stages' first layers in order.
+        """Return the cheapest path, if any covers all layers.
 
-        A stage extends every way that ends at its first layer, and since
-        candidates come sorted by that layer, each way to it is complete
-        when it is reached.
+        Candidates are visited by first layer, so all partial paths that a
+        candidate can extend are known when it is reached.
         """
         best: dict[int, dict[str, _Partial]] = {}
         for candidate in sorted(group, key=lambda one: one.ref.first_layer):
-            way = self._way_to(candidate, best)
-            if way is not None:
-                ends = best.setdefault(candidate.ref.end_layer, {})
-                ends[candidate.view.name] = way
-        whole = best.get(group[0].offer.layer_count, {})
-        closed = [self._close(way) for way in whole.values()]
-        return min(closed, key=lambda one: one.seconds, default=None)
-
-    def _way_to(
+            partial = self._extend_to(candidate, best)
+            if partial is not None:
+                by_last_stage = best.setdefault(candidate.ref.end_layer, {})
+                by_last_stage[candidate.view.name] = partial
+        complete = best.get(group[0].offer.layer_count, {})
+        paths = [
+            self._add_return_link(partial) for partial in complete.values()
+        ]
+        return min(paths, key=lambda one: one.seconds, default=None)
+
+    def _extend_to(
         self, candidate: Candidate, best: dict[int, dict[str, _Partial]]
     ) -> _Partial | None:
         first = candidate.ref.first_layer
         if first == 0:
-            seconds = candidate.seconds + self._entry_seconds(candidate)
+            seconds = candidate.seconds + self._entry_link_seconds(candidate)
             return _Partial(seconds, (candidate,))
-        ways = [
+        extended = [
             _Partial(
-                way.seconds
-                + self._link_seconds(way.stages[-1], candidate)
+                partial.seconds
+                + self._link_seconds(partial.stages[-1], candidate)
                 + candidate.seconds,
-                (*way.stages, candidate),
+                (*partial.stages, candidate),
             )
-            for way in best.get(first, {}).values()
+            for partial in best.get(first, {}).values()
         ]
-        return min(ways, key=lambda one: one.seconds, default=None)
+        return min(extended, key=lambda one: one.seconds, default=None)
 
-    def _close(self, way: _Partial) -> _Partial:
-        """Add the token's way back from the tail to the head."""
-        back = self._link_seconds(way.stages[-1], way.stages[0])
-        return _Partial(way.seconds + back, way.stages)
+    def _add_return_link(self, partial: _Partial) -> _Partial:
+        """Add the link by which a token returns from the tail to the head."""
+        return_seconds = self._link_seconds(
+            partial.stages[-1], partial.stages[0]
+        )
+        return _Partial(partial.seconds + return_seconds, partial.stages)
 
-    def _entry_seconds(self, candidate: Candidate) -> float:
+    def _entry_link_seconds(self, candidate: Candidate) -> float:
         zone = candidate.view.instance.availability_zone
         return self._zone_links.between(self._zone, zone).seconds
 
--- a/src/crowdeck/routing/policies.py
+++ b/src/crowdeck/routing/policies.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a stage is expected to cost a request: the policy of paths.
+"""Policies that estimate what a stage costs a request.
 
-``crowdeck`` predicts times; the other two are the usual simple ways, kept
-so that every figure can be compared with them in the same run.
+``crowdeck`` predicts times; the other two are common simple policies, kept
+for comparison.
 """
 
 from __future__ import annotations
@@ -14,8 +14,7 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    # An entry in front of engines that chain themselves reads the names of
-    # policies with its configuration, and loads no sidecar's code for it.
+    # The config reads policy names in entries that load no sidecar code.
     from crowdeck.membership import fleet as fleets
     from crowdeck import pipeline
 
@@ -24,23 +23,23 @@
 LEAST_LOAD = "least_load"
 NAMES = (CROWDECK, ROUND_ROBIN, LEAST_LOAD)
 
-# Assumed until a sidecar has reported batches of its own.
+# Assumed until a sidecar has reported batch times.
 UNKNOWN_STEP_SECONDS = 0.005
-# A step that comes while a batch runs waits for half of it on average,
-# then takes one of its own.
+# A step that arrives while a batch runs waits for half of it on average, then
+# runs in the next.
 QUEUE_FACTOR = 1.5
 
 
 class Policy(typing.Protocol):
-    """Says what a stage costs; the cheapest path is taken."""
+    """Estimates the cost of a stage; the cheapest path is taken."""
 
     def cost(self, view: fleets.SidecarView, offer: pipeline.Offer) -> float:
-        """Return the cost of one more answer at a stage, in seconds."""
+        """Return the cost of another answer at a stage, in seconds."""
         ...
 
 
 def step_seconds(view: fleets.SidecarView, size: float) -> float:
-    """Return the time of a batch of ``size`` at a stage."""
+    """Return the time of a batch of ``size`` sequences at a stage."""
     load = view.load
     if load is None or not load.batch_seconds:
         return UNKNOWN_STEP_SECONDS
@@ -50,18 +49,17 @@
 def congestion_seconds(
     view: fleets.SidecarView, offer: pipeline.Offer
 ) -> float:
-    """Return the least time between tokens that a stage can keep up with.
+    """Return the least time between tokens that a stage can sustain.
 
-    With n answers in progress and full batches, an engine gives each of
-    them a token every n / (limit / batch time) seconds, however short the
-    rest of the path is.
+    With n answers in progress and full batches, each gets a token every
+    n * batch time / limit seconds, however fast the other stages are.
     """
     limit = max(1, offer.batch_limit)
     return (view.inflight + 1) / limit * step_seconds(view, limit)
 
 
 class PredictedTime:
-    """Queue, step and congestion, from learned times and live counts."""
+    """Queue, step and congestion, from reported times and live counts."""
 
     def cost(self, view: fleets.SidecarView, offer: pipeline.Offer) -> float:
         """Return the predicted time of a position at a stage."""
@@ -71,7 +69,7 @@
 
 
 class RoundRobin:
-    """Each stage in turn, whatever its speed: the least chosen so far."""
+    """Chooses the stage that was chosen least often so far."""
 
     def cost(self, view: fleets.SidecarView, offer: pipeline.Offer) -> float:
         """Return how often a stage was chosen."""
@@ -79,10 +77,10 @@
 
 
 class LeastLoad:
-    """The least reported load, without correction or times."""
+    """Chooses the stage with the least reported load."""
 
     def cost(self, view: fleets.SidecarView, offer: pipeline.Offer) -> float:
-        """Return the work that a stage last reported."""
+        """Return the number of answers that a stage last reported."""
         return 1.0 + (view.load.running if view.load is not None else 0)
 
 
