--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A retry budget that entries share without asking one another."""
+"""A retry budget that entries share without coordination."""
 
 import bisect
 import collections
@@ -14,57 +14,57 @@
 import anyio
 import attrs
 
-# Of what an entry may repeat in a window, its process uses one part and the
-# processes that are started in its place within the window the other. None
-# of them knows what those before it spent, so the parts add up to all.
+# The part of an entry's share that a running process spends; the rest is
+# for processes that replace it within a window. None of them knows what its
+# predecessors spent, so the parts must not add up to more than the share.
 STEADY_SHARE = 0.8
 RESTART_SHARE = 1.0 - STEADY_SHARE
 
-# A window is looked at in so many parts. What falls into the part in which
-# a window begins counts against it, and earns nothing.
-WINDOW_PARTS = 40
+# Buckets per window. In the bucket in which a window begins, repeats count
+# and requests earn nothing.
+WINDOW_BUCKETS = 40
 
-# A repeat that is under way may arrive in a window that begins so many parts
-# from now. Counting further ahead, few requests would be left to earn it.
-PARTS_AHEAD = WINDOW_PARTS // 2
+# A repeat in flight may arrive in a window that begins this many buckets
+# from now. Further ahead, few requests would be left to earn it.
+BUCKETS_AHEAD = WINDOW_BUCKETS // 2
 
-# What a process left under way may arrive in a window that begins so long
-# after its end, and counts until that is over.
-RESTART_WINDOWS = 1.0 + PARTS_AHEAD / WINDOW_PARTS
+# Repeats that a process left in flight count for this many windows after its
+# end.
+RESTART_WINDOWS = 1.0 + BUCKETS_AHEAD / WINDOW_BUCKETS
 
 
 class Membership(typing.Protocol):
-    """What an entry knows of those that share a budget with it."""
+    """What an entry knows of the entries that share its budget."""
 
     @property
     def entries(self) -> int:
-        """How many there are, this one included; 0 while not known."""
+        """Number of entries, this one included; 0 while unknown."""
         ...
 
     @property
     def since(self) -> float:
-        """The loop's time from which the others count this entry."""
+        """Loop time from which the other entries count this one."""
         ...
 
     @property
     def is_settled(self) -> bool:
-        """Whether those are counted that started at the same time."""
+        """Whether entries that started at the same time are counted."""
         ...
 
 
 @attrs.frozen
 class FixedMembership:
-    """So many entries, for as long as the process runs."""
+    """A constant number of entries."""
 
     entries: int = 1
     since: float = float("-inf")
     is_settled: bool = True
 
 
-class _Tally:
-    """Counts by parts of time, for the newest ``kept`` of them.
+class _BucketCounter:
+    """Event counts for the newest ``kept`` time buckets.
 
-    :param seconds: length of a part.
+    :param seconds: length of a bucket.
     """
 
     def __init__(self, seconds: float, kept: int) -> None:
@@ -73,106 +73,112 @@
         self._newest: int | None = None
 
     def add(self, ago: float = 0.0) -> None:
-        """Count one as of ``ago`` seconds before now."""
-        self._move_on()
+        """Count one event ``ago`` seconds before now."""
+        self._advance()
         then = math.floor((anyio.current_time() - ago) / self._seconds)
-        passed = self._present() - then
+        passed = self._current_bucket() - then
         if passed < len(self._counts):
             self._counts[-1 - passed] += 1
 
     def newest_first(self) -> list[int]:
-        """Return the counts, that of the present part first."""
-        self._move_on()
+        """Return the counts, that of the current bucket first."""
+        self._advance()
         return list(reversed(self._counts))
 
-    def _move_on(self) -> None:
-        present = self._present()
+    def _advance(self) -> None:
+        present = self._current_bucket()
         passed = 0 if self._newest is None else present - self._newest
         self._newest = present
         self._counts.extend([0] * min(passed, len(self._counts)))
 
-    def _present(self) -> int:
+    def _current_bucket(self) -> int:
         return math.floor(anyio.current_time() / self._seconds)
 
 
 @attrs.frozen
-class _Basis:
-    """From what it follows how many repeats are left.
+class _CacheKey:
+    """What the number of remaining repeats depends on.
 
-    :ivar part: number of the present part of the window.
-    :ivar changes: how often a repeat was sent, or its end known.
+    :ivar bucket: number of the current bucket.
+    :ivar changes: repeats counted as sent, arrived, abandoned or cancelled.
     """
 
-    part: int
+    bucket: int
     changes: int
     entries: int
     is_settled: bool
 
 
 class _Arrivals:
-    """Repeats that arrived in a window, and those that still may.
+    """Repeats that arrived within a window, and those in flight.
 
-    :ivar changes: how often one was sent, or its end known.
+    :ivar changes: repeats counted as sent, arrived, abandoned or cancelled.
     :param window: length of the window in seconds.
     """
 
     def __init__(self, window: float) -> None:
         self.changes = 0
         self._window = window
-        self._part = window / WINDOW_PARTS
-        self._arrived = _Tally(self._part, WINDOW_PARTS + 1)
-        # The times until which they may arrive, in order.
-        self._under_way: list[float] = []
-        self._left_open: list[float] = []
+        self._bucket_seconds = window / WINDOW_BUCKETS
+        self._arrived = _BucketCounter(
+            self._bucket_seconds, WINDOW_BUCKETS + 1
+        )
+        # Until when they count against windows to come, ascending.
+        self._in_flight: list[float] = []
+        self._abandoned: list[float] = []
 
     def newest_first(self) -> list[int]:
-        """Return how many count since each part in which a window begins."""
-        self._close()
-        open_ones = len(self._under_way) + len(self._left_open)
+        """Return the repeats since each bucket, the newest first."""
+        self._settle_abandoned()
+        in_flight = len(self._in_flight) + len(self._abandoned)
         arrived = itertools.accumulate(self._arrived.newest_first())
-        return [open_ones + count for count in arrived]
+        return [in_flight + count for count in arrived]
 
-    def next_first(self) -> list[int]:
-        """Return how many may arrive from each part on that is to come."""
-        if not self._under_way and not self._left_open:
-            return [0] * PARTS_AHEAD
-        present = math.floor(anyio.current_time() / self._part)
+    def counts_ahead(self) -> list[int]:
+        """Return the repeats in flight that count in each coming window."""
+        if not self._in_flight and not self._abandoned:
+            return [0] * BUCKETS_AHEAD
+        present = math.floor(anyio.current_time() / self._bucket_seconds)
         return [
-            _count_from(self._under_way, (present + ahead) * self._part)
-            + _count_from(self._left_open, (present + ahead) * self._part)
-            for ahead in range(1, PARTS_AHEAD + 1)
+            _count_from(
+                self._in_flight, (present + ahead) * self._bucket_seconds
+            )
+            + _count_from(
+                self._abandoned, (present + ahead) * self._bucket_seconds
+            )
+            for ahead in range(1, BUCKETS_AHEAD + 1)
         ]
 
     def send(self) -> float:
-        """Count one that is on its way; returns until when it may arrive."""
+        """Count a repeat as in flight; return until when it counts ahead."""
         self.changes += 1
         until = anyio.current_time() + self._window
-        self._under_way.append(until)
+        self._in_flight.append(until)
         return until
 
     def arrive(self, until: float) -> None:
-        """Count one that was on its way as arrived by now."""
+        """Count a repeat in flight as arrived now."""
         self.cancel(until)
         self._arrived.add()
 
-    def leave_open(self, until: float) -> None:
-        """Count one as on its way for one window more, then as arrived."""
+    def abandon(self, until: float) -> None:
+        """Count a repeat as in flight for one more window, then as arrived."""
         self.cancel(until)
-        self._left_open.append(anyio.current_time() + self._window)
+        self._abandoned.append(anyio.current_time() + self._window)
 
     def cancel(self, until: float) -> None:
-        """Count one no more that was on its way."""
+        """Stop counting a repeat in flight."""
         self.changes += 1
-        del self._under_way[bisect.bisect_left(self._under_way, until)]
+        del self._in_flight[bisect.bisect_left(self._in_flight, until)]
 
-    def _close(self) -> None:
-        """Count those as arrived that were open for long enough."""
+    def _settle_abandoned(self) -> None:
+        """Count abandoned repeats as arrived once their time is over."""
         now = anyio.current_time()
-        closed = bisect.bisect_right(self._left_open, now)
-        for until in self._left_open[:closed]:
-            # Looked at only when a repeat is wanted, which may be much later.
+        closed = bisect.bisect_right(self._abandoned, now)
+        for until in self._abandoned[:closed]:
+            # This may run long after that time.
             self._arrived.add(now - until)
-        del self._left_open[:closed]
+        del self._abandoned[:closed]
 
 
 def _count_from(times: list[float], since: float) -> int:
@@ -180,31 +186,28 @@
 
 
 class SharedRetryBudget:
-    """This entry's share of a service's budget in a sliding window.
-
-    All entries together may repeat ``ratio`` of the requests and ``slack``
-    more in any window. Entries do not ask one another, and their callers
-    move between them. So every entry keeps to its share in every window
-    that contains the present, and in each of them the requests of the window
-    before it count: added up over all entries, those are the requests of
-    one and the same time, and none earns in two windows. What is under way
-    may arrive in a window that begins later: it keeps to what requests up to
-    now earn there, which is less the later the window begins.
-
-    A part of the slack is this entry's from when the others know of it; what
-    its own requests earn is its own whoever else there is.
-
-    A process starts after the one before it has ended, and knows nothing of
-    it. It may have spent its whole share a moment before, and so may several
-    that ended soon after they started. So a share comes at a constant rate
-    at first: what processes spend in one window, one after the other, stays
-    below the part that is kept for them. A process has its full share once
-    no window is left in which something of those before it may arrive.
+    """This entry's share of a service's retry budget in a sliding window.
+
+    All entries together may repeat ``ratio`` of the requests, and ``slack``
+    more, in any window. Entries do not coordinate, and callers move between
+    them, so each entry keeps to its share in every window that contains the
+    present. A window's repeats are earned by the requests of the window
+    before it: those of all entries come from the same time, and no request
+    earns twice. A repeat in flight may arrive in a later window, so it must
+    also be covered by what requests so far earn there.
+
+    An entry has a part of the slack from when the others count it. What its
+    own requests earn is its own in any case.
+
+    A new process does not know what its predecessors spent. Its share grows
+    from zero to ``RESTART_SHARE`` over one window, which bounds what several
+    processes spend one after the other, and becomes ``STEADY_SHARE`` once
+    nothing that they left in flight still counts.
 
     :param ratio: repeats allowed for each request.
     :param slack: repeats allowed on top, by all entries together.
     :param window: length of the sliding window in seconds.
-    :param began: the loop's time at which this process was started.
+    :param began: loop time at which this process was started.
     :param membership: the entries that share the slack.
     """
 
@@ -222,97 +225,96 @@
         self._began = began
         self._membership = membership
         self._repeats = _Arrivals(window)
-        self._basis: _Basis | None = None
-        self._left = 0.0
-        self._requests = _Tally(window / WINDOW_PARTS, 2 * WINDOW_PARTS)
+        self._cache_key: _CacheKey | None = None
+        self._remaining = 0.0
+        self._requests = _BucketCounter(
+            window / WINDOW_BUCKETS, 2 * WINDOW_BUCKETS
+        )
 
     @property
     def remaining(self) -> float:
         """Repeats that may be made now.
 
-        Streams that wait for one ask many times a second, and what is left
-        changes by arrivals and with each part of the window only.
+        Cached, because waiting streams ask many times a second.
         """
-        basis = _Basis(
-            math.floor(anyio.current_time() * WINDOW_PARTS / self._window),
+        cache_key = _CacheKey(
+            math.floor(anyio.current_time() * WINDOW_BUCKETS / self._window),
             self._repeats.changes,
             self._membership.entries,
             self._membership.is_settled,
         )
-        if basis != self._basis:
-            self._left = self._count_left()
-            self._basis = basis
-        return self._left
+        if cache_key != self._cache_key:
+            self._remaining = self._compute_remaining()
+            self._cache_key = cache_key
+        return self._remaining
 
     @property
     def remaining_share(self) -> float:
-        """The part of what may be repeated that is left, 0 to 1.
+        """The part of the allowed repeats that remains, 0 to 1.
 
-        0 where less than one repeat is left: who begins anew relies on it.
+        It is 0 while less than one repeat remains.
         """
         remaining = self.remaining
         if remaining < 1.0:
             return 0.0
-        earned = self._earned(self._requests_since())[0]
-        allowed = self._share_since(self._began) * earned + self._slack_part()
+        earned = self._earned(self._cumulative_requests())[0]
+        allowed = self._share_since(self._began) * earned + self._slack_share()
         return min(1.0, remaining / allowed)
 
     @property
     def requests(self) -> int:
         """Requests in the last window."""
-        return sum(self._requests.newest_first()[:WINDOW_PARTS])
+        return sum(self._requests.newest_first()[:WINDOW_BUCKETS])
 
     def earn(self) -> None:
         """Count a request."""
         self._requests.add()
 
     def track_sends(self) -> "SendTracker":
-        """Return the account of one request's sends; who has it closes it."""
+        """Return a tracker of one request's sends, for the caller to close."""
         return SendTracker(self, self._repeats, self._window)
 
-    def _requests_since(self) -> list[int]:
-        """Return how many came in the newest parts, from none to all."""
+    def _cumulative_requests(self) -> list[int]:
+        """Return the sums of the newest buckets, from none to all of them."""
         counts = self._requests.newest_first()
         return [0, *itertools.accumulate(counts)]
 
-    def _count_left(self) -> float:
-        total = self._requests_since()
-        earned = [*self._earned(total), *self._earned_ahead(total)]
+    def _compute_remaining(self) -> float:
+        cumulative = self._cumulative_requests()
+        earned = [*self._earned(cumulative), *self._earned_ahead(cumulative)]
         share = self._share_since(self._began)
-        slack = self._slack_part()
-        spent = [*self._repeats.newest_first(), *self._repeats.next_first()]
+        slack = self._slack_share()
+        spent = [*self._repeats.newest_first(), *self._repeats.counts_ahead()]
         return min(
-            share * one + slack - repeats
-            for one, repeats in zip(earned, spent, strict=True)
+            share * allowed + slack - repeats
+            for allowed, repeats in zip(earned, spent, strict=True)
         )
 
-    def _earned(self, total: list[int]) -> list[float]:
+    def _earned(self, cumulative: list[int]) -> list[float]:
         """Return what requests earned for each window, the newest first.
 
-        One entry for each part in which a window can begin that contains the
-        present. Of the window before it, only parts that are in it whole.
+        There is one item for each bucket in which a window that contains
+        the present can begin. Only buckets that are wholly in the window
+        before it count.
         """
         return [
-            self._ratio * (total[part + WINDOW_PARTS] - total[part + 1])
-            for part in range(WINDOW_PARTS + 1)
+            self._ratio
+            * (cumulative[bucket + WINDOW_BUCKETS] - cumulative[bucket + 1])
+            for bucket in range(WINDOW_BUCKETS + 1)
         ]
 
-    def _earned_ahead(self, total: list[int]) -> list[float]:
-        """Return what requests up to now earn for windows to come.
-
-        One entry for each part ahead in which a window can begin.
-        """
+    def _earned_ahead(self, cumulative: list[int]) -> list[float]:
+        """Return what requests so far earn for each window to come."""
         return [
-            self._ratio * total[WINDOW_PARTS - ahead]
-            for ahead in range(1, PARTS_AHEAD + 1)
+            self._ratio * cumulative[WINDOW_BUCKETS - ahead]
+            for ahead in range(1, BUCKETS_AHEAD + 1)
         ]
 
-    def _slack_part(self) -> float:
+    def _slack_share(self) -> float:
         """Return this entry's part of the slack.
 
-        While the number of entries is not known any part may be too much.
-        One that others may still miss stays with the part of a process that
-        has just started.
+        It is 0 while the number of entries is unknown, and no more than
+        that of a new process while some entries may not be counted.
         """
         entries = self._membership.entries
         if not entries:
@@ -324,7 +326,7 @@
         return share * self._slack / entries
 
     def _share_since(self, since: float) -> float:
-        """Return which part may be spent so long after a start."""
+        """Return the part of a share that may be spent this long after."""
         age = max(0.0, anyio.current_time() - since)
         if age >= RESTART_WINDOWS * self._window:
             return STEADY_SHARE
@@ -332,14 +334,14 @@
 
 
 class SendTracker:
-    """How often one request is sent, and whether each time is known to end.
+    """Tracks how often one request is sent, and which sends have arrived.
 
-    A repeat counts from its reservation until one window after its arrival:
-    what waits for a path, a connection or an instance that does not read
-    may arrive in any window until then. After one that was given up without
-    an answer no later one of the request is the last to arrive.
+    A repeat counts from its reservation until one window after its arrival,
+    since it may wait for a path, a connection or an unresponsive instance.
+    A send that was given up without an answer may arrive after later ones,
+    so for one window those count as if they had been given up too.
 
-    :param budget: the budget of which its repeats are reserved.
+    :param budget: the budget in which repeats are reserved.
     :param repeats: where they are counted.
     :param window: length of the budget's window in seconds.
     """
@@ -352,12 +354,12 @@
         self._window = window
         self._reserved_until: float | None = None
         self._is_sent = False
-        self._open_until = float("-inf")
+        self._abandoned_until = float("-inf")
 
     def reserve(self) -> bool:
         """Reserve a repeat; false where the budget is spent.
 
-        One that was reserved and not sent serves again.
+        An unused reservation is kept for the next repeat.
         """
         if self._reserved_until is not None:
             return True
@@ -367,43 +369,43 @@
         return True
 
     def send(self) -> None:
-        """Note that the request is sent, for the first time or again."""
+        """Record that the request is sent, for the first time or again."""
         self._is_sent = True
 
     def arrive(self) -> None:
-        """Note that what was sent last has arrived."""
+        """Record that the last send has arrived."""
         if not self._is_sent:
             return
         self._is_sent = False
-        until = self._take_reserved()
+        until = self._take_reservation()
         if until is None:
             return
-        if self._open_until > anyio.current_time():
-            self._repeats.leave_open(until)
+        if self._abandoned_until > anyio.current_time():
+            self._repeats.abandon(until)
         else:
             self._repeats.arrive(until)
 
     def fail_to_send(self) -> None:
-        """Note that what was to be sent has not left: none was connected."""
+        """Record that the last send failed before any connection was made."""
         self._is_sent = False
 
     def give_up(self) -> None:
-        """Note that what was sent last is waited for no longer."""
+        """Record that the last send is abandoned; it may still arrive."""
         if not self._is_sent:
             return
         self._is_sent = False
-        self._open_until = anyio.current_time() + self._window
-        until = self._take_reserved()
+        self._abandoned_until = anyio.current_time() + self._window
+        until = self._take_reservation()
         if until is not None:
-            self._repeats.leave_open(until)
+            self._repeats.abandon(until)
 
     def close(self) -> None:
-        """End the account: what was reserved and not sent is free again."""
+        """Abandon the last send and release an unused reservation."""
         self.give_up()
-        until = self._take_reserved()
+        until = self._take_reservation()
         if until is not None:
             self._repeats.cancel(until)
 
-    def _take_reserved(self) -> float | None:
+    def _take_reservation(self) -> float | None:
         until, self._reserved_until = self._reserved_until, None
         return until
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Choice of paths over layers, zones and room; and the shared budget."""
+"""Tests of path planning and of the shared retry budget."""
 
 import cProfile
 import pstats
@@ -25,7 +25,7 @@
 from tests import virtual
 
 PROFILE = fleet_system.PROFILE
-WANTED = hops.PathRequest(PROFILE, 900.0, "plateau")
+REQUEST = hops.PathRequest(PROFILE, 900.0, "plateau")
 
 RANGES = strategies.lists(
     strategies.tuples(
@@ -74,7 +74,7 @@
 def all_paths(
     fleet: list[chain.Upstream], hops_so_far: tuple[chain.Hop, ...] = ()
 ) -> typing.Iterator[chain.ChainPath]:
-    """Yield every path in which each engine goes to its range's end."""
+    """Yield every path in which each engine runs to the end of its range."""
     position = hops_so_far[-1].layers.end if hops_so_far else 0
     if position == PROFILE.layer_count:
         yield chain.ChainPath(hops_so_far)
@@ -90,19 +90,19 @@
         yield from all_paths(fleet, (*hops_so_far, hop))
 
 
-def has_room(engine: chain.Upstream, usage: usages.InFlight) -> bool:
+def has_capacity(engine: chain.Upstream, usage: usages.InFlight) -> bool:
     assert engine.layers is not None
     count = engine.layers.end - engine.layers.first
     token_capacity = PROFILE.token_capacity(engine.card, count)
     return (
         usage.cache_utilization(engine, PROFILE) * token_capacity
-        + WANTED.tokens
+        + REQUEST.tokens
         <= token_capacity
     )
 
 
-class TestCheapest:
-    """The path chosen against all there are."""
+class TestCheapestPath:
+    """The planned path compared with all possible ones."""
 
     @hypothesis.given(
         strategies.lists(
@@ -129,29 +129,28 @@
                     hop = chain.Hop(one, one.layers)
                     usage.add_request(chain.ChainPath((hop,)), 900.0)
             planner = hops.HopPlanner(usage)
-            path = planner.plan(fleet, WANTED)
-            roomy = [one for one in fleet if has_room(one, usage)]
-            costs = [planner.cost(it, WANTED) for it in all_paths(roomy)]
+            path = planner.plan(fleet, REQUEST)
+            usable = [one for one in fleet if has_capacity(one, usage)]
+            costs = [planner.cost(it, REQUEST) for it in all_paths(usable)]
             sound = [cost for cost in costs if cost < float("inf")]
             assert (path is None) == (not sound)
             if path is not None:
-                assert planner.cost(path, WANTED) <= min(sound) + 1e-9
+                assert planner.cost(path, REQUEST) <= min(sound) + 1e-9
 
         virtual.run(body)
 
-    def test_a_large_fleet_is_hardly_looked_at(self) -> None:
-        # Choosing among 130 engines of five zones took 15,091 calls and
-        # 10.5 ms of a full core, in which an entry relays nothing; then
-        # 2,656 calls and 2.1 ms (python -m bench.paths has the times).
+    def test_a_large_fleet_is_not_searched_whole(self) -> None:
+        # An entry relays nothing while it plans a path, so the search must
+        # not expand every engine.
         async def body() -> None:
             fleet = paths.a_fleet(130)
             usage = usages.InFlight()
             usage.set_entry_count(13, 68)
             planner = hops.HopPlanner(usage)
-            wanted = hops.PathRequest(paths.PROFILE, 800.0, paths.ZONES[0])
+            request = hops.PathRequest(paths.PROFILE, 800.0, paths.ZONES[0])
             profiler = cProfile.Profile(builtins=False)
-            planner.plan(fleet, wanted)
-            profiler.runcall(planner.plan, fleet, wanted)
+            planner.plan(fleet, request)
+            profiler.runcall(planner.plan, fleet, request)
             calls = sum(
                 one[0] for one in pstats.Stats(profiler).stats.values()
             )
@@ -170,25 +169,25 @@
     ) -> None:
         fleet = engines(ranges)
         planner = hops.HopPlanner(usages.InFlight())
-        path = planner.plan(fleet, WANTED)
+        path = planner.plan(fleet, REQUEST)
         assert (path is not None) == is_covered(fleet)
         if path is not None:
             assert_each_layer_once(path)
 
     @hypothesis.given(RANGES, strategies.integers(0, 24))
     @hypothesis.settings(max_examples=200, deadline=None)
-    def test_detour_replaces_only_what_failed(
+    def test_detour_replaces_only_failed_hops(
         self, ranges: list[tuple[int, int, str]], failed: int
     ) -> None:
         fleet = engines([(0, 40, "plateau"), (40, 40, "plateau"), *ranges])
         planner = hops.HopPlanner(usages.InFlight())
-        path = planner.plan(fleet, WANTED)
+        path = planner.plan(fleet, REQUEST)
         assert path is not None
         if len(path.hops) < 2:
             return
         lost = path.hops[1 + failed % (len(path.hops) - 1)].upstream
         rest = [one for one in fleet if one.name != lost.name]
-        other = planner.detour(rest, WANTED, path, {lost.name})
+        other = planner.detour(rest, REQUEST, path, {lost.name})
         if other is None:
             return
         assert_each_layer_once(other)
@@ -201,17 +200,17 @@
             + [(0, 40, "plateau"), (40, 40, "plateau")]
         )
         planner = hops.HopPlanner(usages.InFlight())
-        path = planner.plan(fleet, WANTED)
+        path = planner.plan(fleet, REQUEST)
         assert path is not None
         assert path.crossings == 0
         assert path.head.availability_zone == "plateau"
 
-    def test_goes_to_another_zone_whole_rather_than_cross(self) -> None:
+    def test_prefers_another_zone_to_crossing_zones(self) -> None:
         fleet = engines(
             [(0, 40, "almadies"), (40, 40, "almadies"), (0, 40, "plateau")]
         )
         planner = hops.HopPlanner(usages.InFlight())
-        path = planner.plan(fleet, WANTED)
+        path = planner.plan(fleet, REQUEST)
         assert path is not None
         assert path.crossings == 0
 
@@ -221,9 +220,9 @@
         planner = hops.HopPlanner(usage)
         heads = set()
         for _ in range(3):
-            path = planner.plan(fleet, WANTED)
+            path = planner.plan(fleet, REQUEST)
             assert path is not None
-            usage.add_request(path, WANTED.tokens)
+            usage.add_request(path, REQUEST.tokens)
             heads.add(path.head.name)
         assert len(heads) == 3
 
@@ -233,64 +232,64 @@
         planner = hops.HopPlanner(usage)
         count = 0
         while True:
-            path = planner.plan(fleet, WANTED)
+            path = planner.plan(fleet, REQUEST)
             if path is None:
                 break
-            usage.add_request(path, WANTED.tokens)
+            usage.add_request(path, REQUEST.tokens)
             count += 1
         token_capacity = PROFILE.token_capacity("large", 40)
-        assert count == int(token_capacity // WANTED.tokens)
+        assert count == int(token_capacity // REQUEST.tokens)
 
-    def test_entries_of_a_zone_share_the_room(self) -> None:
+    def test_entries_of_a_zone_share_the_capacity(self) -> None:
         fleet = engines([(0, 40, "plateau"), (40, 40, "plateau")])
         usage = usages.InFlight()
         planner = hops.HopPlanner(usage)
-        path = planner.plan(fleet, WANTED)
+        path = planner.plan(fleet, REQUEST)
         assert path is not None
-        usage.add_request(path, WANTED.tokens)
-        alone = usage.cache_utilization(fleet[0], PROFILE)
+        usage.add_request(path, REQUEST.tokens)
+        single = usage.cache_utilization(fleet[0], PROFILE)
         usage.set_entry_count(3)
-        assert usage.cache_utilization(fleet[0], PROFILE) == 3 * alone
+        assert usage.cache_utilization(fleet[0], PROFILE) == 3 * single
 
-    def test_what_a_first_engine_tells_counts_for_the_whole_path(
+    def test_load_of_a_first_engine_scales_the_whole_path(
         self,
     ) -> None:
         async def body() -> None:
             fleet = engines([(0, 40, "plateau"), (40, 40, "plateau")])
             usage = usages.InFlight()
-            path = hops.HopPlanner(usage).plan(fleet, WANTED)
+            path = hops.HopPlanner(usage).plan(fleet, REQUEST)
             assert path is not None
-            usage.add_request(path, WANTED.tokens)
-            alone = usage.cache_utilization(fleet[1], PROFILE)
+            usage.add_request(path, REQUEST.tokens)
+            single = usage.cache_utilization(fleet[1], PROFILE)
             usage.note_load(fleet[0], 20)
             full = usage.cache_utilization(fleet[1], PROFILE)
-            assert full == pytest.approx(20 * alone)
+            assert full == pytest.approx(20 * single)
             assert usage.sequences(fleet[1]) == 20.0
             await anyio.sleep(usages.LOAD_REPORT_TTL_SECONDS + 0.1)
-            assert usage.cache_utilization(fleet[1], PROFILE) == alone
+            assert usage.cache_utilization(fleet[1], PROFILE) == single
 
         virtual.run(body)
 
-    def test_told_load_counts_where_none_of_ours_is(self) -> None:
+    def test_reported_load_counts_without_own_requests(self) -> None:
         async def body() -> None:
             fleet = engines([(0, 40, "plateau"), (40, 40, "plateau")])
             usage = usages.InFlight()
             usage.note_load(fleet[0], 1000)
-            assert hops.HopPlanner(usage).plan(fleet, WANTED) is None
+            assert hops.HopPlanner(usage).plan(fleet, REQUEST) is None
 
         virtual.run(body)
 
-    def test_unknown_card_is_taken_for_roomy(self) -> None:
+    def test_unknown_accelerator_has_unlimited_capacity(self) -> None:
         fleet = [
             attrs.evolve(one, card="new")
             for one in engines([(0, 40, "plateau"), (40, 40, "plateau")])
         ]
         planner = hops.HopPlanner(usages.InFlight())
-        assert planner.plan(fleet, WANTED) is not None
+        assert planner.plan(fleet, REQUEST) is not None
 
 
 class TestBudget:
-    """Repeats in a sliding window, shared without asking."""
+    """Repeats in a sliding window, shared without coordination."""
 
     def test_all_entries_together_stay_within_it(self) -> None:
         async def body() -> None:
@@ -308,14 +307,12 @@
 
         virtual.run(body)
 
-    def test_entries_started_anew_do_not_spend_it_a_second_time(self) -> None:
-        # All were stopped and started within a second: 637 repeats came in
-        # ten seconds, and 549 were allowed. The slack then came back over
-        # one window, and 160 repeats were sent where 100 are allowed.
+    def test_restarted_entries_do_not_spend_it_twice(self) -> None:
+        # A restarted process knows nothing of its predecessor's repeats.
         async def body() -> None:
-            former = budgets.SharedRetryBudget(0.2, 100.0, 10.0)
+            before = budgets.SharedRetryBudget(0.2, 100.0, 10.0)
             spent = 0
-            while fleet_system.spend_retry(former):
+            while fleet_system.spend_retry(before):
                 spent += 1
             await anyio.sleep(1.5)
             after = budgets.SharedRetryBudget(
@@ -339,8 +336,8 @@
                 pass
             await anyio.sleep(5.0)
             assert not fleet_system.spend_retry(one)
-            # What was spent in one part of the window leaves with it.
-            await anyio.sleep(5.0 + 10.0 / budgets.WINDOW_PARTS)
+            # Repeats count until their bucket has left the window.
+            await anyio.sleep(5.0 + 10.0 / budgets.WINDOW_BUCKETS)
             assert fleet_system.spend_retry(one)
 
         virtual.run(body)
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One entry's share of a service's retry budget, without a network."""
+"""Tests of one entry's share of a service's retry budget."""
 
 import contextlib
 
@@ -22,7 +22,7 @@
 RATIO = 0.2
 SLACK = 100.0
 WINDOW = 10.0
-PART = WINDOW / budgets.WINDOW_PARTS
+BUCKET_SECONDS = WINDOW / budgets.WINDOW_BUCKETS
 
 
 @attrs.define
@@ -52,16 +52,16 @@
 
 
 async def _earn_for(budget: budgets.SharedRetryBudget, seconds: float) -> None:
-    """Have ten requests come in each part of a window for some time."""
-    until = anyio.current_time() + seconds - PART / 2
+    """Count ten requests in each bucket for some time."""
+    until = anyio.current_time() + seconds - BUCKET_SECONDS / 2
     while anyio.current_time() < until:
         for _ in range(10):
             budget.earn()
-        await anyio.sleep(PART)
+        await anyio.sleep(BUCKET_SECONDS)
 
 
 class TestSlack:
-    """The part of the slack that an entry takes."""
+    """An entry's part of the slack."""
 
     @pytest.mark.parametrize("entries, spent", [(1, 80), (5, 16), (70, 1)])
     def test_is_shared_among_those_known(
@@ -73,7 +73,7 @@
 
         virtual.run(body)
 
-    def test_is_none_while_it_is_not_known_how_many_there_are(self) -> None:
+    def test_is_none_while_the_number_of_entries_is_unknown(self) -> None:
         async def body() -> None:
             members = Members(entries=0)
             budget = _budget(membership=members)
@@ -83,7 +83,7 @@
 
         virtual.run(body)
 
-    def test_grows_from_when_the_others_know_of_this_entry(self) -> None:
+    def test_grows_from_when_others_count_this_entry(self) -> None:
         async def body() -> None:
             members = Members(entries=2, since=float("inf"))
             budget = _budget(membership=members)
@@ -97,7 +97,7 @@
 
         virtual.run(body)
 
-    def test_of_a_new_process_is_small_until_what_was_under_way_is_over(
+    def test_of_a_new_process_is_small_while_old_repeats_may_arrive(
         self,
     ) -> None:
         async def body() -> None:
@@ -106,31 +106,31 @@
             assert not _spend_all(budget)
             spent: list[int] = []
             full_at = 30.0 + budgets.RESTART_WINDOWS * WINDOW
-            while anyio.current_time() < full_at - 2 * PART:
-                await anyio.sleep(PART)
+            while anyio.current_time() < full_at - 2 * BUCKET_SECONDS:
+                await anyio.sleep(BUCKET_SECONDS)
                 spent.append(_spend_all(budget))
             most = max(
-                sum(spent[first : first + budgets.WINDOW_PARTS])
+                sum(spent[first : first + budgets.WINDOW_BUCKETS])
                 for first in range(len(spent))
             )
             assert 0 < most <= budgets.RESTART_SHARE * SLACK + 0.001
-            await anyio.sleep(3 * PART)
+            await anyio.sleep(3 * BUCKET_SECONDS)
             assert _spend_all(budget) > budgets.RESTART_SHARE * SLACK
 
         virtual.run(body)
 
-    def test_of_a_new_process_is_small_half_a_window_after_the_first(
+    def test_of_a_new_process_is_small_for_one_and_a_half_windows(
         self,
     ) -> None:
-        # The one before it may have ended with all of its part under way.
+        # Its predecessor may have ended with all of its share in flight.
         async def body() -> None:
             budget = _budget(began=anyio.current_time())
-            await anyio.sleep(1.5 * WINDOW - PART)
+            await anyio.sleep(1.5 * WINDOW - BUCKET_SECONDS)
             assert _spend_all(budget) <= budgets.RESTART_SHARE * SLACK + 0.001
 
         virtual.run(body)
 
-    def test_is_small_until_those_are_counted_that_started_alike(self) -> None:
+    def test_is_small_until_entries_started_together_are_counted(self) -> None:
         async def body() -> None:
             members = Members(entries=1, is_settled=False)
             budget = _budget(membership=members)
@@ -138,34 +138,34 @@
 
         virtual.run(body)
 
-    def test_shrinks_with_what_was_spent_as_others_join(self) -> None:
+    def test_shrinks_as_others_join(self) -> None:
         async def body() -> None:
             members = Members(entries=1)
             budget = _budget(membership=members)
             assert _spend_all(budget) == 80
             members.entries = 10
-            await anyio.sleep(WINDOW + PART)
+            await anyio.sleep(WINDOW + BUCKET_SECONDS)
             assert _spend_all(budget) == 8
 
         virtual.run(body)
 
 
-class TestRequestsThatEarn:
-    """A request earns in the window before, and in no other."""
+class TestEarnedRepeats:
+    """A request earns repeats in the window after its own only."""
 
     def test_earns_nothing_in_its_own_window(self) -> None:
         async def body() -> None:
             budget = _budget(slack=0.0)
             await _earn_for(budget, WINDOW)
             assert not _spend_all(budget)
-            await _earn_for(budget, WINDOW + PART)
+            await _earn_for(budget, WINDOW + BUCKET_SECONDS)
             spent = _spend_all(budget)
-            requests = 10 * (budgets.WINDOW_PARTS - 1)
+            requests = 10 * (budgets.WINDOW_BUCKETS - 1)
             assert spent == int(budgets.STEADY_SHARE * RATIO * requests)
 
         virtual.run(body)
 
-    def test_earns_in_no_window_that_begins_later_than_the_next(self) -> None:
+    def test_earns_nothing_after_the_next_window(self) -> None:
         async def body() -> None:
             budget = _budget(slack=0.0)
             await _earn_for(budget, 3 * WINDOW)
@@ -174,157 +174,159 @@
 
         virtual.run(body)
 
-    def test_what_falls_into_the_part_of_the_edge_earns_nothing(self) -> None:
-        # The window may begin before it in the same part.
+    def test_earns_nothing_in_the_first_bucket_of_a_window(self) -> None:
+        # The window may begin earlier in the same bucket.
         async def body() -> None:
             budget = _budget(slack=0.0)
-            await anyio.sleep(PART / 2)
+            await anyio.sleep(BUCKET_SECONDS / 2)
             await _earn_for(budget, 3 * WINDOW)
-            requests = 10 * (budgets.WINDOW_PARTS - 1)
+            requests = 10 * (budgets.WINDOW_BUCKETS - 1)
             assert budget.remaining <= budgets.STEADY_SHARE * RATIO * requests
 
         virtual.run(body)
 
-    def test_repeats_of_the_part_of_the_edge_count(self) -> None:
+    def test_repeats_in_the_first_bucket_of_a_window_count(self) -> None:
         async def body() -> None:
             budget = _budget()
-            await anyio.sleep(PART / 2)
+            await anyio.sleep(BUCKET_SECONDS / 2)
             assert _spend_all(budget) == 80
             await anyio.sleep(WINDOW)
             assert not _spend_all(budget)
-            await anyio.sleep(PART)
+            await anyio.sleep(BUCKET_SECONDS)
             assert _spend_all(budget) == 80
 
         virtual.run(body)
 
 
-class TestSends:
-    """A repeat counts from its reservation until a window after it came."""
+class TestSendTracker:
+    """A repeat counts from its reservation until a window after arrival."""
 
-    def test_one_under_way_counts_however_long_that_takes(self) -> None:
+    def test_a_repeat_in_flight_counts_until_it_arrives(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            sends = budget.track_sends()
-            assert sends.reserve()
-            sends.send()
+            tracker = budget.track_sends()
+            assert tracker.reserve()
+            tracker.send()
             await anyio.sleep(5 * WINDOW)
             assert budget.remaining < 1.0
-            sends.arrive()
-            await anyio.sleep(WINDOW - PART)
+            tracker.arrive()
+            await anyio.sleep(WINDOW - BUCKET_SECONDS)
             assert budget.remaining < 1.0
-            await anyio.sleep(2 * PART)
+            await anyio.sleep(2 * BUCKET_SECONDS)
             assert budget.remaining >= 1.0
 
         virtual.run(body)
 
-    def test_those_under_way_keep_to_what_earns_later(self) -> None:
-        # They may arrive half a window from now, when what was asked in the
-        # first half of this window earns no more.
+    def test_repeats_in_flight_are_covered_by_later_windows(self) -> None:
+        # They may arrive half a window from now, when the requests of the
+        # first half of this window no longer earn.
         async def body() -> None:
             budget = _budget(slack=0.0)
             await _earn_for(budget, 3 * WINDOW)
-            accounts = [budget.track_sends() for _ in range(200)]
-            sent = sum(1 for one in accounts if one.reserve())
-            requests = 10 * (budgets.WINDOW_PARTS - budgets.PARTS_AHEAD)
+            trackers = [budget.track_sends() for _ in range(200)]
+            sent = sum(1 for one in trackers if one.reserve())
+            requests = 10 * (budgets.WINDOW_BUCKETS - budgets.BUCKETS_AHEAD)
             most = budgets.STEADY_SHARE * RATIO * requests
             assert 0.9 * most <= sent <= most
 
         virtual.run(body)
 
-    def test_one_given_up_counts_for_two_windows(self) -> None:
+    def test_an_abandoned_repeat_counts_for_two_windows(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.track_sends()) as sends:
-                assert sends.reserve()
-                sends.send()
-                sends.give_up()
-            for _ in range(2 * budgets.WINDOW_PARTS - 1):
-                await anyio.sleep(PART)
+            with contextlib.closing(budget.track_sends()) as tracker:
+                assert tracker.reserve()
+                tracker.send()
+                tracker.give_up()
+            for _ in range(2 * budgets.WINDOW_BUCKETS - 1):
+                await anyio.sleep(BUCKET_SECONDS)
                 assert budget.remaining < 1.0
-            await anyio.sleep(2 * PART)
+            await anyio.sleep(2 * BUCKET_SECONDS)
             assert budget.remaining >= 1.0
 
         virtual.run(body)
 
-    def test_those_given_up_count_with_those_that_arrived(self) -> None:
+    def test_abandoned_repeats_add_to_arrived_ones(self) -> None:
         async def body() -> None:
             budget = _budget(slack=2.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.track_sends()) as sends:
-                assert sends.reserve()
-                sends.send()
-                sends.give_up()
+            with contextlib.closing(budget.track_sends()) as tracker:
+                assert tracker.reserve()
+                tracker.send()
+                tracker.give_up()
             assert fleet_system.spend_retry(budget)
             await anyio.sleep(WINDOW / 2)
             assert budget.remaining < 1.0
 
         virtual.run(body)
 
-    def test_one_after_one_given_up_counts_for_two_windows(self) -> None:
-        # The first may be read after the second was answered.
+    def test_a_repeat_after_an_abandoned_send_counts_for_two_windows(
+        self,
+    ) -> None:
+        # The first send may arrive after the second was answered.
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.track_sends()) as sends:
-                sends.send()
-                sends.give_up()
-                assert sends.reserve()
-                sends.send()
-                sends.arrive()
-            await anyio.sleep(2 * WINDOW - PART)
+            with contextlib.closing(budget.track_sends()) as tracker:
+                tracker.send()
+                tracker.give_up()
+                assert tracker.reserve()
+                tracker.send()
+                tracker.arrive()
+            await anyio.sleep(2 * WINDOW - BUCKET_SECONDS)
             assert budget.remaining < 1.0
-            await anyio.sleep(2 * PART)
+            await anyio.sleep(2 * BUCKET_SECONDS)
             assert budget.remaining >= 1.0
 
         virtual.run(body)
 
-    def test_one_whose_caller_leaves_counts_as_given_up(self) -> None:
+    def test_closing_abandons_the_last_send(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.track_sends()) as sends:
-                assert sends.reserve()
-                sends.send()
-            await anyio.sleep(2 * WINDOW - PART)
+            with contextlib.closing(budget.track_sends()) as tracker:
+                assert tracker.reserve()
+                tracker.send()
+            await anyio.sleep(2 * WINDOW - BUCKET_SECONDS)
             assert budget.remaining < 1.0
 
         virtual.run(body)
 
-    def test_one_that_is_not_sent_is_given_back(self) -> None:
+    def test_closing_releases_an_unused_reservation(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.track_sends()) as sends:
-                assert sends.reserve()
+            with contextlib.closing(budget.track_sends()) as tracker:
+                assert tracker.reserve()
                 assert budget.remaining < 1.0
             assert budget.remaining >= 1.0
 
         virtual.run(body)
 
-    def test_one_that_was_not_connected_serves_once_more(self) -> None:
+    def test_a_reservation_survives_failed_connections(self) -> None:
         async def body() -> None:
             budget = _budget(slack=2.0 / budgets.STEADY_SHARE)
-            with contextlib.closing(budget.track_sends()) as sends:
+            with contextlib.closing(budget.track_sends()) as tracker:
                 for _ in range(3):
-                    assert sends.reserve()
-                    sends.send()
-                    sends.fail_to_send()
+                    assert tracker.reserve()
+                    tracker.send()
+                    tracker.fail_to_send()
                 assert budget.remaining >= 1.0
-                assert sends.reserve()
-                sends.send()
-                sends.arrive()
-                assert sends.reserve()
+                assert tracker.reserve()
+                tracker.send()
+                tracker.arrive()
+                assert tracker.reserve()
                 assert budget.remaining < 1.0
             assert budget.remaining >= 1.0
 
         virtual.run(body)
 
-    def test_the_first_is_no_repeat(self) -> None:
+    def test_the_first_send_is_no_repeat(self) -> None:
         async def body() -> None:
             budget = _budget()
             before = budget.remaining
-            with contextlib.closing(budget.track_sends()) as sends:
-                sends.send()
-                sends.arrive()
-            with contextlib.closing(budget.track_sends()) as sends:
-                sends.send()
-                sends.give_up()
+            with contextlib.closing(budget.track_sends()) as tracker:
+                tracker.send()
+                tracker.arrive()
+            with contextlib.closing(budget.track_sends()) as tracker:
+                tracker.send()
+                tracker.give_up()
             assert budget.remaining == before
 
         virtual.run(body)
@@ -332,17 +334,17 @@
 
 @attrs.frozen
 class Step:
-    """What one entry does, some time after the step before.
+    """One entry's actions, some time after the previous step.
 
-    :ivar late: seconds until the repeats of this step arrive.
+    :ivar arrival_delay: seconds until the repeats of this step arrive.
     """
 
     pause: float
     entry: int
     requests: int
     repeats: int
-    late: float
-    ends_before: bool
+    arrival_delay: float
+    restarts_before: bool
 
 
 steps = strategies.lists(
@@ -352,8 +354,8 @@
         entry=strategies.integers(0, 4),
         requests=strategies.sampled_from((0, 10, 100)),
         repeats=strategies.sampled_from((0, 5, 300)),
-        late=strategies.sampled_from((0.0, 0.0, 0.2, 1.0, 4.9)),
-        ends_before=strategies.sampled_from((False, False, False, True)),
+        arrival_delay=strategies.sampled_from((0.0, 0.0, 0.2, 1.0, 4.9)),
+        restarts_before=strategies.sampled_from((False, False, False, True)),
     ),
     min_size=20,
     max_size=60,
@@ -361,7 +363,7 @@
 
 
 class Service:
-    """Entries that send one service what their budgets allow."""
+    """Entries that send a service all repeats that their budgets allow."""
 
     def __init__(self, count: int) -> None:
         self._members = Members(count)
@@ -372,10 +374,10 @@
         self.account = repeats.RepeatAccount()
 
     async def take(self, step: Step, tasks: anyio.abc.TaskGroup) -> None:
-        """Take one step."""
+        """Execute one step."""
         await anyio.sleep(step.pause)
         at = step.entry % len(self._budgets)
-        if step.ends_before:
+        if step.restarts_before:
             self._budgets[at] = _budget(
                 began=anyio.current_time(), membership=self._members
             )
@@ -384,30 +386,34 @@
             budget.earn()
             self.account.note_request(anyio.current_time())
         for _ in range(step.repeats):
-            sends = budget.track_sends()
-            if not sends.reserve():
+            tracker = budget.track_sends()
+            if not tracker.reserve():
                 break
-            sends.send()
-            tasks.start_soon(self._arrive, sends, step.late)
+            tracker.send()
+            tasks.start_soon(self._arrive, tracker, step.arrival_delay)
 
-    async def _arrive(self, sends: budgets.SendTracker, late: float) -> None:
+    async def _arrive(
+        self, tracker: budgets.SendTracker, arrival_delay: float
+    ) -> None:
         self._number += 1
         request = str(self._number)
         self.account.note_arrival(request, anyio.current_time())
-        await anyio.sleep(late)
+        await anyio.sleep(arrival_delay)
         self.account.note_arrival(request, anyio.current_time())
-        sends.arrive()
+        tracker.arrive()
 
 
 class TestAllEntriesTogether:
-    """The service gets no more than its budget, whatever entries do."""
+    """The service receives no more repeats than its budget allows."""
 
     @pytest.mark.parametrize("count", (1, 2, 5))
     @hypothesis.given(plan=steps)
     @hypothesis.settings(
         max_examples=60, deadline=None, derandomize=True, database=None
     )
-    def test_no_window_is_over(self, count: int, plan: list[Step]) -> None:
+    def test_no_window_exceeds_the_budget(
+        self, count: int, plan: list[Step]
+    ) -> None:
         async def body() -> repeats.Peak:
             service = Service(count)
             async with anyio.create_task_group() as tasks:
@@ -420,14 +426,12 @@
         assert not peak.is_over, peak
 
 
-class TestLeftShare:
-    """What is left, for those who ask before they give up a stream."""
+class TestRemainingShare:
+    """The remaining share, checked before a stream is given up."""
 
     @pytest.mark.parametrize("slack", (1.0, 2.0, 2.5, 3.0, 4.0, 100.0))
-    def test_is_nothing_where_no_repeat_may_be_made(
-        self, slack: float
-    ) -> None:
-        # What was given up to begin anew elsewhere is lost where it may not.
+    def test_is_zero_without_a_whole_repeat(self, slack: float) -> None:
+        # A stream given up for a retry that is not allowed would be lost.
         async def body() -> None:
             budget = _budget(slack)
             _spend_all(budget)
@@ -436,7 +440,7 @@
 
         virtual.run(body)
 
-    def test_is_all_where_nothing_was_spent(self) -> None:
+    def test_is_one_while_nothing_is_spent(self) -> None:
         async def body() -> None:
             assert _budget().remaining_share == 1.0
 
