--- a/src/crowdeck/routing/balance.py
+++ b/src/crowdeck/routing/balance.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Choice among the instances of a plain service."""
+"""Load balancing over the instances of a plain service."""
 
 import typing
 
@@ -13,30 +13,29 @@
 from crowdeck import chain
 from crowdeck.routing import usage as usages
 
-# What an instance said of its load counts less the older it is: calls
-# take some tens of milliseconds, so after this long it says little.
-LOAD_SECONDS = 0.5
-# Weight of the newest answer in the averages of time and failure.
-NEWEST = 0.2
-# An instance in another zone is a little farther, and its bytes cost.
-FOREIGN_COST = 0.3
-# An instance that fails every call is worth as much as one with so many
-# more calls under way for each slot.
+# The weight of a reported load falls to zero over this time.
+LOAD_REPORT_TTL_SECONDS = 0.5
+# Weight of the newest answer in the moving averages.
+EWMA_WEIGHT = 0.2
+# Costs are in requests per slot. Added for an instance of another zone,
+# which is farther away and whose traffic is billed.
+CROSS_ZONE_COST = 0.3
+# Added for an instance that fails every call.
 FAILURE_COST = 3.0
-# A slow instance counts as fuller: a second counts like so many slots.
-SECOND_COST = 4.0
-# Failures are forgotten at this rate, so that an instance which got well
-# is tried again: halved in this many seconds.
-FORGET_SECONDS = 2.0
-# Costs that differ by less say nothing: 5 ms of an answer's time, a fiftieth
-# of a slot. Who of such instances waited longest for a call gets it.
-EVEN_COST = 0.02
-# Records kept at most; instances that were replaced leave theirs behind.
+# Added for each second of mean latency.
+LATENCY_COST = 4.0
+# Half-life of the failure rate, so that an instance which recovered is
+# tried again.
+FAILURE_HALF_LIFE_SECONDS = 2.0
+# Costs that differ by no more than this count as equal; of such instances
+# the least recently chosen one is taken.
+COST_TOLERANCE = 0.02
+# Bounds the records, as replaced instances leave theirs behind.
 MAX_RECORDS = 2_000
 
 
 class LoadReport(typing.Protocol):
-    """What an instance said of its load."""
+    """The load that an instance reported."""
 
     @property
     def running(self) -> int:
@@ -52,84 +51,88 @@
 @attrs.define
 class _Record:
     seconds: float = 0.0
-    failure: float = 0.0
-    noted_at: float = 0.0
+    failure_rate: float = 0.0
+    outcome_at: float = 0.0
     load: float = 0.0
-    load_at: float = -1e9
-    turn: int = 0
+    load_reported_at: float = -1e9
+    pick_number: int = 0
 
 
 class Balancer:
-    """Prefers instances that are near, free, fast and sound."""
+    """Prefers instances that are near, idle, fast and reliable."""
 
     def __init__(self, usage: usages.InFlight, zone: str) -> None:
         self._usage = usage
         self._zone = zone
         self._records: dict[str, _Record] = {}
-        self._turns = 0
+        self._pick_count = 0
 
     def pick(
         self, upstreams: typing.Iterable[chain.Upstream]
     ) -> chain.Upstream | None:
-        """Return the best instance, or ``None`` where there is none."""
+        """Return the cheapest instance, or ``None`` where there is none."""
         costs = [(self._cost(one), one) for one in upstreams]
         if not costs:
             return None
-        most = min(cost for cost, _ in costs) + EVEN_COST
-        found = min(
-            (one for cost, one in costs if cost <= most),
-            key=lambda one: self._record(one).turn,
+        threshold = min(cost for cost, _ in costs) + COST_TOLERANCE
+        chosen = min(
+            (one for cost, one in costs if cost <= threshold),
+            key=lambda one: self._record(one).pick_number,
         )
-        self._turns += 1
-        self._record(found).turn = self._turns
+        self._pick_count += 1
+        self._record(chosen).pick_number = self._pick_count
         if len(self._records) > MAX_RECORDS:
-            self._forget()
-        return found
+            self._drop_oldest()
+        return chosen
 
-    def _forget(self) -> None:
-        """Drop the records that were not added to for longest."""
-        by_age = sorted(self._records.items(), key=lambda it: it[1].noted_at)
+    def _drop_oldest(self) -> None:
+        """Drop the half of the records with the oldest outcomes."""
+        by_age = sorted(self._records.items(), key=lambda it: it[1].outcome_at)
         for name, _ in by_age[: MAX_RECORDS // 2]:
             del self._records[name]
 
     def note_load(self, upstream: chain.Upstream, load: LoadReport) -> None:
-        """Take what an instance told of its load."""
+        """Record the load that an instance reported."""
         record = self._record(upstream)
         record.load = float(load.running + load.waiting)
-        record.load_at = anyio.current_time()
+        record.load_reported_at = anyio.current_time()
 
     def note_answer(
         self, upstream: chain.Upstream, seconds: float, has_failed: bool
     ) -> None:
-        """Take how an instance answered."""
+        """Record the latency of an answer and whether it was a failure."""
         record = self._record(upstream)
-        record.seconds += NEWEST * (seconds - record.seconds)
-        self._fail(record, 1.0 if has_failed else 0.0)
+        record.seconds += EWMA_WEIGHT * (seconds - record.seconds)
+        self._add_outcome(record, 1.0 if has_failed else 0.0)
 
     def note_failure(self, upstream: chain.Upstream) -> None:
-        """Take that an instance gave no usable answer."""
-        self._fail(self._record(upstream), 1.0)
+        """Record that an instance gave no usable answer."""
+        self._add_outcome(self._record(upstream), 1.0)
 
-    def _fail(self, record: _Record, value: float) -> None:
-        failure = self._failure(record)
-        record.failure = failure + NEWEST * (value - failure)
-        record.noted_at = anyio.current_time()
+    def _add_outcome(self, record: _Record, value: float) -> None:
+        failure_rate = self._failure_rate(record)
+        record.failure_rate = failure_rate + EWMA_WEIGHT * (
+            value - failure_rate
+        )
+        record.outcome_at = anyio.current_time()
 
     def _record(self, upstream: chain.Upstream) -> _Record:
         return self._records.setdefault(upstream.name, _Record())
 
-    def _failure(self, record: _Record) -> float:
-        age = anyio.current_time() - record.noted_at
-        return float(record.failure * 0.5 ** (age / FORGET_SECONDS))
+    def _failure_rate(self, record: _Record) -> float:
+        age = anyio.current_time() - record.outcome_at
+        return float(
+            record.failure_rate * 0.5 ** (age / FAILURE_HALF_LIFE_SECONDS)
+        )
 
     def _cost(self, upstream: chain.Upstream) -> float:
         record = self._record(upstream)
-        age = anyio.current_time() - record.load_at
-        told = record.load * max(0.0, 1.0 - age / LOAD_SECONDS)
+        age = anyio.current_time() - record.load_reported_at
+        reported = record.load * max(0.0, 1.0 - age / LOAD_REPORT_TTL_SECONDS)
         own_requests = self._usage.own_requests(upstream)
-        cost = max(own_requests, told) / max(1, upstream.slots)
-        cost += FAILURE_COST * self._failure(record)
-        cost += SECOND_COST * record.seconds
+        cost = max(own_requests, reported) / max(1, upstream.slots)
+        cost += FAILURE_COST * self._failure_rate(record)
+        cost += LATENCY_COST * record.seconds
         if upstream.availability_zone != self._zone:
-            cost += FOREIGN_COST
+            cost += CROSS_ZONE_COST
         return cost
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -3,12 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What engines that chain their stages can serve at most, and what binds.
+"""Upper bound on what a group of chained engines can serve.
 
-An upper bound: every request needs, for each layer, an engine that holds
-it, so no more can pass than the engines of the narrowest layer take
-together. What routing reaches of it, under faults or without, is
-measured; this is what to measure it against.
+Every request needs, for each layer, an engine that holds it, so the layer
+whose engines have the least capacity together limits all requests.
 """
 
 import enum
@@ -21,7 +19,7 @@
 
 
 class Binding(enum.StrEnum):
-    """What a bound comes from."""
+    """The resource that limits a bound."""
 
     MISSING = "layers that no engine holds"
     MEMORY = "memory for requests"
@@ -34,11 +32,10 @@
     """The most that a group of engines can serve.
 
     :ivar concurrent_requests: requests in progress.
-    :ivar answer_seconds: how long an answer of usual length takes with so
-        many in progress.
+    :ivar answer_seconds: duration of a mean answer at that concurrency.
     :ivar per_second: requests served in a second.
-    :ivar binding: what it is that allows no more.
-    :ivar bottleneck: the layers at which that is so.
+    :ivar binding: the limiting resource.
+    :ivar bottleneck: the layers that it limits.
     """
 
     concurrent_requests: float
@@ -48,35 +45,39 @@
     bottleneck: pipeline.LayerRange
 
 
-Weigh = typing.Callable[[chain.Upstream, pipeline.LayerRange], float]
+LayerCapacity = typing.Callable[[chain.Upstream, pipeline.LayerRange], float]
 
 
 def bound(
     engines: typing.Iterable[chain.Upstream], profile: chain.EngineProfile
 ) -> Bound:
-    """Return the bound of engines that serve one model together."""
-    held = [one for one in engines if one.layers is not None]
-    usual = max(
+    """Return the bound of the engines of one model."""
+    holders = [one for one in engines if one.layers is not None]
+    mean_tokens = max(
         1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
     )
 
-    def token_capacity(
+    def request_capacity(
         engine: chain.Upstream, layers: pipeline.LayerRange
     ) -> float:
         tokens = profile.token_capacity(engine.card, layers.end - layers.first)
-        return max(0.0, tokens) / usual
+        return max(0.0, tokens) / mean_tokens
 
-    def reading(engine: chain.Upstream, layers: pipeline.LayerRange) -> float:
-        share = (layers.end - layers.first) / profile.layer_count
-        factor = _card(engine, profile).prefill_factor
-        rate = profile.prefill_tokens_per_second / factor / share
+    def prefill_rate(
+        engine: chain.Upstream, layers: pipeline.LayerRange
+    ) -> float:
+        layer_share = (layers.end - layers.first) / profile.layer_count
+        factor = _accelerator_type(engine, profile).prefill_factor
+        rate = profile.prefill_tokens_per_second / factor / layer_share
         return rate / max(1.0, profile.mean_prompt_tokens)
 
-    memory, at_memory = _narrowest(held, profile, token_capacity)
+    memory, at_memory = _find_bottleneck(holders, profile, request_capacity)
     if memory <= 0.0:
         return Bound(0.0, 0.0, 0.0, Binding.MISSING, at_memory)
     slots = float(
-        sum(one.slots for one in held if one.layers and not one.layers.first)
+        sum(
+            one.slots for one in holders if one.layers and not one.layers.first
+        )
     )
     concurrent_requests, binding, bottleneck = (
         memory,
@@ -86,29 +87,31 @@
     if slots < memory:
         concurrent_requests, binding = slots, Binding.SLOTS
         bottleneck = pipeline.LayerRange(0, 1)
-    seconds = _answer_seconds(held, profile, concurrent_requests, usual)
+    seconds = _answer_seconds(
+        holders, profile, concurrent_requests, mean_tokens
+    )
     per_second = concurrent_requests / seconds
-    read, at_read = _narrowest(held, profile, reading)
-    if read < per_second:
-        per_second, binding, bottleneck = read, Binding.PREFILL, at_read
+    prefill, at_prefill = _find_bottleneck(holders, profile, prefill_rate)
+    if prefill < per_second:
+        per_second, binding, bottleneck = prefill, Binding.PREFILL, at_prefill
     return Bound(concurrent_requests, seconds, per_second, binding, bottleneck)
 
 
-def _narrowest(
+def _find_bottleneck(
     engines: list[chain.Upstream],
     profile: chain.EngineProfile,
-    weigh: Weigh,
+    capacity_of: LayerCapacity,
 ) -> tuple[float, pipeline.LayerRange]:
-    """Return the least that any layer allows, and the layers where."""
-    sums = [0.0] * profile.layer_count
+    """Return the least capacity of any layer, and the first such layers."""
+    capacities = [0.0] * profile.layer_count
     for engine in engines:
         assert engine.layers is not None
-        weight = weigh(engine, engine.layers)
+        capacity = capacity_of(engine, engine.layers)
         for layer in range(engine.layers.first, engine.layers.end):
-            sums[layer] += weight
-    least = min(sums)
-    first = end = sums.index(least)
-    while end < len(sums) and sums[end] == least:
+            capacities[layer] += capacity
+    least = min(capacities)
+    first = end = capacities.index(least)
+    while end < len(capacities) and capacities[end] == least:
         end += 1
     return least, pipeline.LayerRange(first, end)
 
@@ -117,33 +120,35 @@
     engines: list[chain.Upstream],
     profile: chain.EngineProfile,
     concurrent_requests: float,
-    usual: float,
+    mean_tokens: float,
 ) -> float:
-    """Return how long the tokens of a usual answer take.
+    """Return how long the tokens of a mean answer take.
 
-    Each engine of a layer is taken for as much as its part of the room;
-    the time between stages is left out, which keeps this a bound.
+    The requests of a layer are spread evenly over its engines. Transfers
+    between stages are left out, which keeps the result a bound.
     """
-    context = profile.context_ms * usual / 1000.0
+    context = profile.context_ms * mean_tokens / 1000.0
     total = 0.0
     for layer in range(profile.layer_count):
-        inside = [
+        holders = [
             one
             for one in engines
             if one.layers is not None
             and one.layers.first <= layer < one.layers.end
         ]
-        together = concurrent_requests / len(inside)
-        step = profile.step_ms + together * (profile.sequence_ms + context)
-        factors = [_card(one, profile).step_factor for one in inside]
+        batch_size = concurrent_requests / len(holders)
+        step = profile.step_ms + batch_size * (profile.sequence_ms + context)
+        factors = [
+            _accelerator_type(one, profile).step_factor for one in holders
+        ]
         total += step * sum(factors) / len(factors) / profile.layer_count
     return max(1e-3, total * max(1.0, profile.mean_answer_tokens) / 1000.0)
 
 
-def _card(
+def _accelerator_type(
     engine: chain.Upstream, profile: chain.EngineProfile
 ) -> chain.AcceleratorType:
-    """Return an engine's card; an unknown one is taken for the fastest."""
+    """Return an engine's type; an unknown one has the profile's speed."""
     return profile.cards.get(
         engine.card, chain.AcceleratorType(engine.card, 0.0, 1.0, 1.0)
     )
