--- a/src/crowdeck/routing/rendezvous.py
+++ b/src/crowdeck/routing/rendezvous.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Weighted rendezvous hashing: which member a key belongs to.
+"""Weighted rendezvous hashing of keys to members.
 
-Chosen over a ring of points: the spread is exact for any number of
-members and weights, no point count has to be chosen, and when a member
-goes only its own keys move. ``docs/decisions/0006`` has the figures.
+Unlike a hash ring it has no points to configure and follows the weights
+exactly, and when a member goes only its own keys move. See
+``docs/decisions/0006``.
 """
 
 from collections import abc
@@ -19,7 +19,7 @@
 
 
 def score(key: str, member: str, weight: float = 1.0) -> float:
-    """Return how strongly ``key`` is drawn to ``member``.
+    """Return the score of ``member`` for ``key``; the highest one wins.
 
     The logarithm makes shares proportional to weights.
     """
@@ -32,7 +32,7 @@
     members: abc.Iterable[str],
     weights: dict[str, float] | None = None,
 ) -> list[str]:
-    """Return members from the strongest to the weakest for ``key``.
+    """Return members by their score for ``key``, the highest first.
 
     >>> rank("desk-7", ["a", "b", "c"]) == rank("desk-7", ["c", "b", "a"])
     True
--- a/src/crowdeck/routing/retry.py
+++ b/src/crowdeck/routing/retry.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Retry budgets: how much of the load may be work done again."""
+"""Retry budgets, backoff and the decision to retry."""
 
 import random
 
@@ -11,17 +11,17 @@
 from crowdeck import timers
 from crowdeck import verdict as verdicts
 
-# A tenth: retries may add that much to the load, and no more, however
-# many requests fail, so a failure never grows into a storm.
+# Retries per request, which keeps retries from multiplying the load while
+# requests fail.
 BUDGET_RATIO = 0.1
-# A quiet team has to be able to retry at all.
+# Initial and largest balance, which lets teams with few requests retry.
 BUDGET_FLOOR = 10.0
 BACKOFF_BASE_SECONDS = 0.02
 BACKOFF_LIMIT_SECONDS = 1.0
 
 
 class RetryBudget:
-    """One team's budget: each request earns a tenth of a retry."""
+    """A balance of retries, of which each request earns a fraction."""
 
     def __init__(
         self, ratio: float = BUDGET_RATIO, floor: float = BUDGET_FLOOR
@@ -59,18 +59,18 @@
 
 
 class Backoff:
-    """Growing, fully jittered pauses between tries."""
+    """Exponential backoff with full jitter."""
 
     def __init__(self, randomness: random.Random) -> None:
         self._random = randomness
-        self._tries = 0
+        self._attempts = 0
 
     def next(self) -> float:
         """Return the next pause in seconds."""
         ceiling = min(
-            BACKOFF_LIMIT_SECONDS, BACKOFF_BASE_SECONDS * 2**self._tries
+            BACKOFF_LIMIT_SECONDS, BACKOFF_BASE_SECONDS * 2**self._attempts
         )
-        self._tries += 1
+        self._attempts += 1
         return self._random.uniform(0.0, ceiling)
 
 
@@ -83,8 +83,8 @@
 ) -> bool:
     """Decide whether a failed request is tried again.
 
-    Only what did not run is, and what may have run where the contract
-    allows it to run again. What did run has had its answer.
+    A request that did not run may be retried, and one that may have run
+    if the contract allows to repeat it. A retry is taken from ``budget``.
     """
     is_allowed = error.verdict is verdicts.Verdict.NOT_RUN or (
         is_repeatable and error.verdict is verdicts.Verdict.MAY_HAVE_RUN
--- a/src/crowdeck/routing/routes.py
+++ b/src/crowdeck/routing/routes.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Finding a request's route, team and service in the config in force."""
+"""Look-up of a request's route, team and service in the config."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class Admitted:
-    """What the config says of one request.
+    """The route, team and priority of one request.
 
     :ivar team: name of the team, empty on a route that needs no key.
     """
@@ -34,14 +34,14 @@
         self._by_host: dict[str, list[routes.Route]] = {}
         for route in config.routes:
             self._by_host.setdefault(route.host, []).append(route)
-        for listed in self._by_host.values():
-            listed.sort(key=lambda route: -len(route.prefix))
+        for host_routes in self._by_host.values():
+            host_routes.sort(key=lambda route: -len(route.prefix))
         self._teams = {key: team for team in config.teams for key in team.keys}
         self._services = {one.name: one for one in config.services}
 
     @property
     def config(self) -> routes.FleetConfig:
-        """The config that is indexed."""
+        """The indexed config."""
         return self._config
 
     @property
@@ -50,7 +50,7 @@
         return self._config.version
 
     def service(self, name: str) -> routes.Service | None:
-        """Return a service."""
+        """Return the service of that name, if there is one."""
         return self._services.get(name)
 
     def find(self, host: str, path: str) -> routes.Route | None:
@@ -61,7 +61,7 @@
         return None
 
     def admit(self, host: str, path: str, key: str) -> Admitted:
-        """Return route and team of a request.
+        """Return the route, team and priority of a request.
 
         :param host: host name without a port, in lower case.
         :param path: path without its query.
@@ -87,7 +87,7 @@
 
 
 def pick_service(route: routes.Route, rng: random.Random) -> str:
-    """Return the service that takes a request, by the route's shares."""
+    """Draw a service by the route's traffic shares."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
--- a/src/crowdeck/routing/subset.py
+++ b/src/crowdeck/routing/subset.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which engines of a large fleet an entry sends its streams to."""
+"""Subsets of large fleets, to bound the cost of choosing a path."""
 
 import heapq
 import typing
@@ -11,21 +11,19 @@
 from crowdeck import chain
 from crowdeck.routing import rendezvous
 
-# Fleets up to the first size are used whole. Of larger ones an entry takes
-# so many of its own availability zone, and others. Choosing a path weighs
-# each engine: 2.1 ms of a full core with 130, 32 ms with 2,997, three times
-# that for a small entry, in which it relays nothing. With 100 of 600 a zone
-# each layer is still held by ten of them.
+# Larger fleets are split, as the time to choose a path grows with the number
+# of engines. Of these an entry uses at most so many of its own availability
+# zone, enough for several copies of each layer, and of all others.
 MAX_UNSPLIT_ENGINES = 150
 MAX_OWN_ZONE_ENGINES = 100
 MAX_OTHER_ZONE_ENGINES = 50
 
 
 class EngineSubset:
-    """One entry's part of the engines, the same at each choice.
+    """The engines that one entry uses, drawn by rendezvous hashing.
 
-    Entries draw theirs by rendezvous hashing, so all engines get their
-    share, and one that goes takes nothing else with it.
+    Engines are spread evenly over entries, and one that goes changes the
+    subset by no more than its own replacement.
     """
 
     def __init__(self, entry: str, zone: str) -> None:
@@ -40,7 +38,7 @@
         if len(engines) <= MAX_UNSPLIT_ENGINES:
             return engines
         if len(self._scores) > 2 * len(engines):
-            # Engines come and go all day, each under a new name.
+            # Drops the scores of engines that went; names are not reused.
             self._scores.clear()
         own: list[chain.Upstream] = []
         others: list[chain.Upstream] = []
