--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Callers whose requests fail, and the repeats that their service gets."""
+"""Callers whose requests fail, and the repeats that a service receives."""
 
 import typing
 
@@ -18,7 +18,7 @@
 ALLOWANCE = repeats.Allowance(ratio=0.2, slack=100.0, window=10.0)
 CALM_SECONDS = 24.0
 FAILURES = 10**6
-# Longer than any attempt of what is asked here.
+# Longer than any attempt of these requests.
 LAST_SECONDS = 3.0
 # A stream that breaks does so after its first event.
 STREAM_EVENTS = 3
@@ -29,9 +29,9 @@
 
 
 class Demand:
-    """Requests at an even pace, to one entry after another.
+    """Requests at a constant rate, to one entry after another.
 
-    :param kind: what is asked for: calls that may be repeated, or streams.
+    :param kind: whether to send repeatable calls or streams.
     """
 
     def __init__(
@@ -45,17 +45,17 @@
 
     @property
     def service(self) -> str:
-        """The service that is asked."""
+        """The service that receives the requests."""
         return SERVICES[self._kind]
 
     @property
     def peak(self) -> repeats.Peak:
-        """The window in which the service got too many repeats, or most."""
+        """The window in which repeats most exceed their allowance."""
         return self.account.peak(ALLOWANCE)
 
     @property
     def account(self) -> repeats.RepeatAccount:
-        """What the service got."""
+        """The requests that the service received."""
         return self.entries.fleet.accounts[self.service]
 
     async def ask(
@@ -68,8 +68,8 @@
     ) -> None:
         """Send requests for some time.
 
-        :param fails: whether every instance fails what it is sent.
-        :param among: numbers of the entries that are asked; none for all.
+        :param fails: whether every instance fails its requests.
+        :param among: numbers of the entries to use, empty for all.
         """
         until = anyio.current_time() + seconds
         while anyio.current_time() < until:
@@ -83,17 +83,17 @@
             await anyio.sleep(1.0 / per_second)
 
     def freeze(self) -> None:
-        """Have no instance of the service read anything."""
+        """Freeze all instances, so that they read no requests."""
         for one in self._instances():
             one.is_suspended = True
 
     def thaw(self) -> None:
-        """Have them read what came, and go on."""
+        """Let all instances read the requests that arrived, and continue."""
         for one in self._instances():
             self.entries.fleet.thaw(one)
 
     async def end(self) -> None:
-        """Wait for the last attempts."""
+        """Wait until the last attempts have ended."""
         await anyio.sleep(LAST_SECONDS)
 
     def _instances(self) -> list[chain_fleet.StandinUpstream]:
@@ -119,9 +119,9 @@
     *,
     are_noted: bool = True,
 ) -> Demand:
-    """Play a scenario with some entries, and return what came of it.
+    """Run a scenario with some entries, and return its demand.
 
-    :param are_noted: whether the entries at the start are known to the store.
+    :param are_noted: whether the store knows the entries at the start.
     """
     made: list[Demand] = []
 
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What engines can serve at most."""
+"""Tests of the upper bound on what engines can serve."""
 
 import attrs
 import pytest
@@ -26,61 +26,77 @@
 
 
 class TestBound:
-    """An upper bound, and what it comes from."""
+    """The bound and the resource that limits it."""
 
-    def test_narrowest_layers_bind(self) -> None:
-        fleet = [engine("a", 0, 30), engine("b", 30, 70), engine("c", 70, 80)]
-        most = bound.bound(fleet, PROFILE)
-        assert most.binding is bound.Binding.MEMORY
-        assert most.bottleneck == pipeline.LayerRange(30, 70)
-        usual = PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
+    def test_is_limited_by_the_bottleneck_layers(self) -> None:
+        engines = [
+            engine("a", 0, 30),
+            engine("b", 30, 70),
+            engine("c", 70, 80),
+        ]
+        found = bound.bound(engines, PROFILE)
+        assert found.binding is bound.Binding.MEMORY
+        assert found.bottleneck == pipeline.LayerRange(30, 70)
+        mean_tokens = (
+            PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
+        )
         token_capacity = PROFILE.token_capacity("large", 40)
-        assert most.concurrent_requests == pytest.approx(
-            token_capacity / usual
+        assert found.concurrent_requests == pytest.approx(
+            token_capacity / mean_tokens
         )
 
-    def test_a_second_copy_doubles_what_it_holds(self) -> None:
-        fleet = [engine("a", 0, 30), engine("b", 30, 70), engine("c", 70, 80)]
-        alone = bound.bound(fleet, PROFILE).concurrent_requests
-        fleet.append(engine("d", 30, 70))
+    def test_a_second_copy_of_the_bottleneck_doubles_it(self) -> None:
+        engines = [
+            engine("a", 0, 30),
+            engine("b", 30, 70),
+            engine("c", 70, 80),
+        ]
+        single = bound.bound(engines, PROFILE).concurrent_requests
+        engines.append(engine("d", 30, 70))
         assert bound.bound(
-            fleet, PROFILE
-        ).concurrent_requests == pytest.approx(2 * alone)
+            engines, PROFILE
+        ).concurrent_requests == pytest.approx(2 * single)
 
     def test_missing_layers_serve_nothing(self) -> None:
-        fleet = [engine("a", 0, 30), engine("b", 35, 60), engine("c", 60, 80)]
-        most = bound.bound(fleet, PROFILE)
-        assert most.binding is bound.Binding.MISSING
-        assert most.bottleneck == pipeline.LayerRange(30, 35)
-        assert most.per_second == 0.0
+        engines = [
+            engine("a", 0, 30),
+            engine("b", 35, 60),
+            engine("c", 60, 80),
+        ]
+        found = bound.bound(engines, PROFILE)
+        assert found.binding is bound.Binding.MISSING
+        assert found.bottleneck == pipeline.LayerRange(30, 35)
+        assert found.per_second == 0.0
 
-    def test_first_engines_take_no_more_than_their_slots(self) -> None:
-        fleet = [engine("a", 0, 30, slots=3), engine("b", 30, 60)]
-        fleet.append(engine("c", 60, 80))
-        most = bound.bound(fleet, PROFILE)
-        assert most.binding is bound.Binding.SLOTS
-        assert most.concurrent_requests == 3.0
+    def test_is_limited_by_the_slots_of_first_engines(self) -> None:
+        engines = [engine("a", 0, 30, slots=3), engine("b", 30, 60)]
+        engines.append(engine("c", 60, 80))
+        found = bound.bound(engines, PROFILE)
+        assert found.binding is bound.Binding.SLOTS
+        assert found.concurrent_requests == 3.0
 
-    def test_long_prompts_bind_by_reading(self) -> None:
+    def test_is_limited_by_the_prefill_of_long_prompts(self) -> None:
         profile = attrs.evolve(PROFILE, prefill_tokens_per_second=1000.0)
-        fleet = [engine("a", 0, 30), engine("b", 30, 60)]
-        fleet.append(engine("c", 60, 80))
-        assert bound.bound(fleet, profile).binding is bound.Binding.PREFILL
+        engines = [engine("a", 0, 30), engine("b", 30, 60)]
+        engines.append(engine("c", 60, 80))
+        assert bound.bound(engines, profile).binding is bound.Binding.PREFILL
 
-    def test_paths_reach_the_bound_on_memory_and_no_more(self) -> None:
-        fleet = [
+    def test_planned_paths_reach_the_memory_bound(self) -> None:
+        engines = [
             engine("a", 0, 30),
             engine("b", 30, 70),
             engine("c", 30, 70),
             engine("d", 70, 80),
         ]
-        usual = PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
-        wanted = hops.PathRequest(PROFILE, usual, "plateau")
+        mean_tokens = (
+            PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
+        )
+        request = hops.PathRequest(PROFILE, mean_tokens, "plateau")
         usage = usages.InFlight()
         planner = hops.HopPlanner(usage)
         count = 0
-        while (path := planner.plan(fleet, wanted)) is not None:
-            usage.add_request(path, usual)
+        while (path := planner.plan(engines, request)) is not None:
+            usage.add_request(path, mean_tokens)
             count += 1
-        most = bound.bound(fleet, PROFILE).concurrent_requests
-        assert most - 2 < count <= most
+        found = bound.bound(engines, PROFILE).concurrent_requests
+        assert found - 2 < count <= found
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -3,18 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Instances that name how many requests a second they take.
-
-What callers saw: nothing yet; the engines that named a limit served all the
-same. The order of events: a first engine that got ten requests a second named
-a limit of 3.2 a second in its answers. Each entry went on as before, 23
-requests in four seconds from one of them alone, where all entries together
-may send 24.
-
-The cause: what an answer's head says of how much its engine can bear went on
-to the caller like any other header, and no choice of an engine knew of it.
-The evidence: requests by entry and second were the same before and after the
-limit was named, all of them first attempts, and no log line told of it.
+"""Tests of rate limits that instances announce in their answers.
+
+All entries together must keep to a limit, however requests are spread over
+them, and still use most of it.
 """
 
 import random
@@ -35,26 +27,25 @@
 
 STREAM = routes.RepeatPolicy.STREAM
 IDEMPOTENT = routes.RepeatPolicy.IDEMPOTENT
-# What an instance may get in any four seconds from three seconds after it
-# first named its limit.
+# From three seconds after an instance announced its limit, requests in any
+# window must stay below limit * seconds * factor + extra.
 GRACE_SECONDS = 3.0
-TOLD_SECONDS = 0.5
+LEARNED_SECONDS = 0.5
 WINDOW_SECONDS = 4.0
 BOUND_FACTOR = 1.5
 BOUND_EXTRA = 5
-# An instance is to get about what it takes; what is left is for what
-# entries do not know of one another.
-USED_LEAST = 0.7
+# Least part of a limit that has to be used.
+MIN_USED_SHARE = 0.7
 PER_SECOND = 30.0
 LIMIT = 3.2
-# New streams wait for room for so long at the most, calls shorter.
-LONGEST_WAIT = paths.QUEUE_WAIT_SECONDS + 0.1
-# A stream takes two seconds, as usual.
+# Streams wait no longer for a first engine, and calls wait less.
+LONGEST_WAIT_SECONDS = paths.QUEUE_WAIT_SECONDS + 0.1
+# Makes a stream take two seconds.
 EVENTS = 100
 
 
 class Play:
-    """Requests to some entries, and an instance that names a limit.
+    """Requests to some entries, and an instance that announces a limit.
 
     :param weights: how the requests are split among the entries.
     """
@@ -65,7 +56,7 @@
         self.entries = entries
         self.fleet = entries.fleet
         self._weights = weights
-        self._chance = random.Random(7)
+        self._rng = random.Random(7)
         self._sent = 0
         for target in self.fleet.upstreams:
             target.tells_load = True
@@ -77,14 +68,14 @@
         until = anyio.current_time() + seconds
         numbers = range(len(self._weights))
         while anyio.current_time() < until:
-            (number,) = self._chance.choices(numbers, self._weights)
+            (number,) = self._rng.choices(numbers, self._weights)
             self._sent += 1
             body = b"one-%d" % self._sent
             self.entries.ask_soon(number, repeat, body)
-            await anyio.sleep(self._chance.expovariate(per_second))
+            await anyio.sleep(self._rng.expovariate(per_second))
 
     def busiest(self) -> chain_fleet.StandinUpstream:
-        """Return the instance that got most requests so far."""
+        """Return the instance that received most requests so far."""
         counts: dict[str, int] = {}
         for run in self.fleet.runs:
             counts[run.upstream] = counts.get(run.upstream, 0) + 1
@@ -97,40 +88,43 @@
     def arrivals(
         self, target: chain_fleet.StandinUpstream, since: float
     ) -> list[float]:
-        """Return when an instance got requests since then."""
+        """Return when an instance received requests since a time."""
         return [
             run.at
             for run in self.fleet.runs
             if run.upstream == target.listed.name and run.at >= since
         ]
 
-    def counted(
-        self, target: chain_fleet.StandinUpstream, named_at: float
+    def bounded_arrivals(
+        self, target: chain_fleet.StandinUpstream, announced_at: float
     ) -> list[float]:
-        """Return the arrivals that a limit named then is to bound.
+        """Return the arrivals that a limit announced then has to bound.
 
-        Those of entries that had an answer with it half a second before.
+        Only requests of entries that have learned of it count.
         """
-        told: dict[str, float] = {}
+        learned_at: dict[str, float] = {}
         found = []
         for run in self.fleet.runs:
-            if run.upstream != target.listed.name or run.at < named_at:
+            if run.upstream != target.listed.name or run.at < announced_at:
                 continue
             entry = run.request.rpartition("r")[0]
-            told_at = told.setdefault(entry, run.at)
-            since = max(named_at + GRACE_SECONDS, told_at + TOLD_SECONDS)
+            entry_learned_at = learned_at.setdefault(entry, run.at)
+            since = max(
+                announced_at + GRACE_SECONDS,
+                entry_learned_at + LEARNED_SECONDS,
+            )
             if run.at >= since:
                 found.append(run.at)
         return found
 
     @property
     def refused(self) -> list[entries_system.Told]:
-        """What callers were told that were not served."""
+        """The callers that were not served."""
         return [one for one in self.entries.told if not one.was_served]
 
 
-def most_within(times: list[float], seconds: float) -> int:
-    """Return the most of some moments that lie within a span."""
+def max_within(times: list[float], seconds: float) -> int:
+    """Return the most times that lie within a window."""
     most = first = 0
     for last, time in enumerate(times):
         while time - times[first] > seconds:
@@ -141,7 +135,7 @@
 
 def assert_kept(times: list[float], limit: float) -> None:
     allowed = BOUND_FACTOR * limit * WINDOW_SECONDS + BOUND_EXTRA
-    assert most_within(times, WINDOW_SECONDS) <= allowed
+    assert max_within(times, WINDOW_SECONDS) <= allowed
 
 
 def play(
@@ -164,27 +158,27 @@
 
 @pytest.mark.parametrize("weights", [ALONE, EVEN, UNEVEN])
 class TestOneInstance:
-    """One instance of several names a limit."""
+    """One instance of several announces a limit."""
 
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
-    def test_gets_what_it_takes_from_all_entries(
+    def test_all_entries_keep_and_use_the_limit(
         self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
         async def work(one: Play) -> None:
             await one.send(4.0, PER_SECOND, repeat)
             target = one.busiest()
             target.limit = LIMIT
-            named_at = anyio.current_time()
+            announced_at = anyio.current_time()
             await one.send(20.0, PER_SECOND, repeat)
-            times = one.counted(target, named_at)
+            times = one.bounded_arrivals(target, announced_at)
             assert_kept(times, LIMIT)
-            assert len(times) >= USED_LEAST * LIMIT * 17.0
+            assert len(times) >= MIN_USED_SHARE * LIMIT * 17.0
             assert not one.refused
 
         play(work, weights)
 
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
-    def test_gets_its_part_again_once_it_names_no_limit(
+    def test_gets_its_share_again_once_the_limit_is_lifted(
         self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
         async def work(one: Play) -> None:
@@ -204,68 +198,68 @@
 
 
 class TestManyEntries:
-    """Entries that know of one another only how many they are."""
+    """Entries that only know how many they are."""
 
     @pytest.mark.parametrize("share", [1.0 / 70, 0.9])
-    def test_seventy_keep_a_limit_together(self, share: float) -> None:
+    def test_seventy_entries_keep_a_limit_together(self, share: float) -> None:
         rest = (1.0 - share) / 69
 
         async def work(one: Play) -> None:
             await one.send(3.0, PER_SECOND, STREAM)
             target = one.busiest()
             target.limit = LIMIT
-            named_at = anyio.current_time()
+            announced_at = anyio.current_time()
             await one.send(15.0, PER_SECOND, STREAM)
-            times = one.counted(target, named_at)
+            times = one.bounded_arrivals(target, announced_at)
             assert_kept(times, LIMIT)
             assert times
 
         play(work, (share, *[rest] * 69))
 
-    def test_one_that_starts_anew_learns_it_with_its_first_answer(
+    def test_a_restarted_entry_learns_it_from_its_first_answer(
         self,
     ) -> None:
         async def work(one: Play) -> None:
             await one.send(4.0, PER_SECOND, STREAM)
             target = one.busiest()
             target.limit = LIMIT
-            named_at = anyio.current_time()
+            announced_at = anyio.current_time()
             await one.send(5.0, PER_SECOND, STREAM)
             one.entries.stop(0)
             await one.send(10.0, PER_SECOND, STREAM)
-            # It knew nothing for a moment, and those are its to send.
-            times = one.counted(target, named_at)
+            # The new process sends a few requests before it knows the limit.
+            times = one.bounded_arrivals(target, announced_at)
             allowed = BOUND_FACTOR * LIMIT * WINDOW_SECONDS + BOUND_EXTRA
-            assert most_within(times, WINDOW_SECONDS) <= allowed + 3
+            assert max_within(times, WINDOW_SECONDS) <= allowed + 3
 
         play(work, EVEN)
 
 
 class TestWholeService:
-    """All instances of a service name limits."""
+    """All instances of a service announce limits."""
 
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
     @pytest.mark.parametrize("weights", [ALONE, EVEN])
-    def test_what_they_take_is_served_and_the_rest_told_at_once(
+    def test_limits_are_used_and_the_rest_is_refused_at_once(
         self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
         async def work(one: Play) -> None:
-            takers = [
+            limited = [
                 target
                 for target in one.fleet.upstreams
                 if _may_begin(target, repeat)
             ]
-            for target in takers:
+            for target in limited:
                 target.limit = LIMIT
             await one.send(3.0, PER_SECOND, repeat)
             since = anyio.current_time()
             await one.send(20.0, PER_SECOND, repeat)
             taken = 0
-            for target in takers:
+            for target in limited:
                 times = one.arrivals(target, since)
                 assert_kept(times, LIMIT)
                 taken += len(times)
-            assert taken >= USED_LEAST * LIMIT * len(takers) * 20.0
+            assert taken >= MIN_USED_SHARE * LIMIT * len(limited) * 20.0
             told = [it for it in one.entries.told if it.sent_at >= since]
             for it in told:
                 if it.was_served:
@@ -273,8 +267,8 @@
                 error = it.caller.error
                 assert error is not None
                 assert error.verdict is verdicts.Verdict.NOT_RUN
-                # Held no longer than those that were served in time.
-                assert it.seconds <= LONGEST_WAIT
+                # Refused no later than others were served in time.
+                assert it.seconds <= LONGEST_WAIT_SECONDS
                 assert error.retry_after is not None
                 assert 0.0 < error.retry_after <= 6.0
 
@@ -290,52 +284,50 @@
     return layers is None
 
 
-class TestEveryWay:
-    """Whatever an entry sends a request for, the limit holds."""
+class TestRetriedRequests:
+    """The limit holds for resumed streams and retried calls too."""
 
-    def test_streams_that_go_on_elsewhere(self) -> None:
+    def test_resumed_streams_keep_the_limit(self) -> None:
         async def work(one: Play) -> None:
             await one.send(3.0, PER_SECOND, STREAM)
             target = one.busiest()
             target.limit = LIMIT
-            named_at = anyio.current_time()
+            announced_at = anyio.current_time()
             await one.send(4.0, PER_SECOND, STREAM)
             others = [
                 it
                 for it in one.fleet.upstreams
                 if _may_begin(it, STREAM) and it is not target
             ]
-            # All streams of one engine have to go on at another.
+            # All streams of one engine have to be resumed at another.
             others[0].is_dead = True
             await one.send(6.0, PER_SECOND, STREAM)
-            times = one.counted(target, named_at)
+            times = one.bounded_arrivals(target, announced_at)
             assert_kept(times, LIMIT)
 
         play(work, EVEN)
 
-    def test_calls_that_are_tried_again(self) -> None:
+    def test_retried_calls_keep_the_limit(self) -> None:
         async def work(one: Play) -> None:
             await one.send(3.0, PER_SECOND, IDEMPOTENT)
             target = one.busiest()
             target.limit = LIMIT
-            named_at = anyio.current_time()
+            announced_at = anyio.current_time()
             for it in one.fleet.upstreams:
                 if it is not target:
                     it.failed_calls = 1000
             await one.send(10.0, PER_SECOND, IDEMPOTENT)
-            times = one.counted(target, named_at)
+            times = one.bounded_arrivals(target, announced_at)
             assert_kept(times, LIMIT)
 
         play(work, EVEN)
 
 
-class TestCallsInLine:
-    """More calls than instances take: who waits, and who is told at once.
+class TestWaitingCalls:
+    """More calls than instances accept.
 
-    What was seen: at a limit of 4 a second, 30 asked by one entry, half of
-    those that were refused had waited 0.86 s first. Each knew when the next
-    call is taken, and took itself for that one: all that waited woke
-    together, one was sent, and the others had waited in vain.
+    Calls that cannot be served are refused at once instead of waiting for a
+    turn that others take.
     """
 
     def play(
@@ -367,7 +359,7 @@
     @pytest.mark.parametrize("seed", range(5))
     @pytest.mark.parametrize("objective", [0.5, 2.0])
     @pytest.mark.parametrize("count", [1, 2, 5])
-    def test_who_is_refused_is_so_at_once(
+    def test_refused_calls_are_refused_at_once(
         self, count: int, objective: float, seed: int
     ) -> None:
         rng = random.Random(seed)
@@ -397,10 +389,9 @@
         assert refused
         assert max(took for _, took, _ in refused) < 0.01
         served = len(late) - len(refused)
-        # Three quarters of what the limits allow are to be served.
         assert served >= 0.75 * limit * count * 20.0
 
-    def test_all_that_wait_for_a_rest_go_when_it_is_over(self) -> None:
+    def test_calls_that_wait_for_a_backoff_are_sent_after_it(self) -> None:
         async def work(
             system: fleet_system.FleetSystem, found: list[chain.Upstream]
         ) -> None:
@@ -420,7 +411,7 @@
 
         self.play(work, 1)
 
-    def test_without_any_instance_nothing_is_waited_for(self) -> None:
+    def test_calls_do_not_wait_without_any_instance(self) -> None:
         async def work(
             system: fleet_system.FleetSystem, found: list[chain.Upstream]
         ) -> None:
@@ -443,7 +434,7 @@
 
 
 class TestContext:
-    """What an entry takes from answers, and forgets."""
+    """What an entry learns of limits from answers, and drops."""
 
     def play(
         self,
@@ -461,7 +452,7 @@
 
         virtual.run(body)
 
-    def test_a_report_may_tell_nothing_of_a_limit(self) -> None:
+    def test_a_report_without_a_limit_keeps_that_of_an_answer(self) -> None:
         async def work(
             system: fleet_system.FleetSystem, one: chain.Upstream
         ) -> None:
@@ -485,7 +476,7 @@
 
 
 class _Usage:
-    """Requests under way, as a test sets them."""
+    """A settable number of requests in progress."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -495,7 +486,7 @@
 
 
 class TestRateLimits:
-    """One entry's parts, by themselves."""
+    """One entry's shares of limits."""
 
     def play(
         self,
@@ -528,9 +519,8 @@
                 sent += 1
         return sent
 
-    def test_entries_that_know_of_no_other_keep_it_together(self) -> None:
-        # Entries that started while the store was silent each took the
-        # whole of what all may send, as each does of the retry budget.
+    def test_entries_of_unknown_number_keep_a_limit_together(self) -> None:
+        # An entry that cannot read the store must not use the whole limit.
         async def body() -> None:
             entries = []
             for number in range(5):
@@ -557,7 +547,7 @@
         self.play(work)
 
     @pytest.mark.parametrize("entries", [1, 4, 70])
-    def test_an_even_part_where_no_load_is_told(self, entries: int) -> None:
+    def test_shares_are_even_without_reported_load(self, entries: int) -> None:
         async def work(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
@@ -568,7 +558,7 @@
 
         self.play(work, entries)
 
-    def test_the_part_that_own_requests_are_of_all(self) -> None:
+    def test_share_follows_own_requests(self) -> None:
         async def work(
             limits: rate_limits.RateLimits, usage: _Usage, one: chain.Upstream
         ) -> None:
@@ -583,7 +573,7 @@
 
         self.play(work, entries=4)
 
-    def test_one_that_sent_nothing_for_long_catches_up_on_little(
+    def test_an_idle_entry_accumulates_little(
         self,
     ) -> None:
         async def work(
@@ -597,7 +587,7 @@
 
         self.play(work)
 
-    def test_at_one_moment_it_sends_little(self) -> None:
+    def test_bursts_are_bounded(self) -> None:
         async def work(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
@@ -609,7 +599,7 @@
 
         self.play(work)
 
-    def test_one_of_many_does_not_gather_for_long(self) -> None:
+    def test_one_of_many_entries_accumulates_less_than_a_request(self) -> None:
         async def work(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
@@ -622,7 +612,7 @@
 
         self.play(work, entries=70)
 
-    def test_a_limit_of_nothing_is_looked_at_again(self) -> None:
+    def test_a_limit_of_zero_is_probed(self) -> None:
         async def work(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
@@ -632,7 +622,7 @@
 
         self.play(work)
 
-    def test_a_report_without_a_limit_lifts_what_a_report_named(
+    def test_a_report_without_a_limit_lifts_that_of_a_report(
         self,
     ) -> None:
         async def work(
@@ -657,7 +647,7 @@
 
         self.play(work)
 
-    def test_forgets_an_instance_that_ended(self) -> None:
+    def test_drops_the_limit_of_an_ended_instance(self) -> None:
         async def work(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Repeats, counted at the service that gets them.
+"""Tests of the retry budget, with repeats counted at the service.
 
-What was seen: a service got more arrivals beyond the first of each request
-than the retry budget allows in ten seconds.
+A service must not receive more repeats in any window than its budget allows,
+while entries restart, join, lose the store, or instances freeze.
 """
 
 import anyio
@@ -16,10 +16,10 @@
 from tests import repeats_system
 
 CALM = repeats_system.CALM_SECONDS
-# Requests a second of which the slack is a small part.
-BUSY = 240.0
-# Requests a second that earn little, so that the slack decides.
-FEW = 18.0
+# Requests a second at which the slack is a small part of the budget.
+HIGH_RATE = 240.0
+# Requests a second at which the slack is most of the budget.
+LOW_RATE = 18.0
 KINDS = (routes.RepeatPolicy.IDEMPOTENT, routes.RepeatPolicy.STREAM)
 COUNTS = (1, 5, 70)
 
@@ -28,7 +28,7 @@
 
 
 async def _spend_all(demand: repeats_system.Demand) -> None:
-    """Have all that may be repeated be repeated, after a calm time."""
+    """Use up the budget after a time without failures."""
     await demand.ask(CALM, fails=False)
     await demand.ask(3.0)
 
@@ -38,12 +38,14 @@
         demand.entries.stop(number)
 
 
-class TestEntriesThatEnd:
-    """All that the processes of an entry send counts together."""
+class TestRestartedEntries:
+    """Repeats of an entry's consecutive processes count together."""
 
     @kinds
     @counts
-    def test_all_at_once(self, count: int, kind: routes.RepeatPolicy) -> None:
+    def test_restart_together(
+        self, count: int, kind: routes.RepeatPolicy
+    ) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             await _spend_all(demand)
             _restart_all(demand, count)
@@ -53,7 +55,7 @@
         assert not peak.is_over, peak
 
     @counts
-    def test_one_a_second(self, count: int) -> None:
+    def test_restart_one_each_second(self, count: int) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             await _spend_all(demand)
             for number in range(10):
@@ -65,7 +67,7 @@
         assert not peak.is_over, peak
 
     @counts
-    def test_all_again_and_again(self, count: int) -> None:
+    def test_restart_together_many_times(self, count: int) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             await _spend_all(demand)
             for _ in range(10):
@@ -77,12 +79,12 @@
         assert not peak.is_over, peak
 
 
-class TestEntriesThatKnowNoOther:
-    """An entry that does not know how many there are takes no share."""
+class TestUnknownNumberOfEntries:
+    """An entry that does not know the number of entries has no share."""
 
     @kinds
     @pytest.mark.parametrize("count", (5, 70))
-    def test_all_start_while_the_store_is_silent(
+    def test_all_start_during_a_store_outage(
         self, count: int, kind: routes.RepeatPolicy
     ) -> None:
         async def body(demand: repeats_system.Demand) -> None:
@@ -97,9 +99,7 @@
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (5, 70))
-    def test_all_list_before_the_others_have_told_of_themselves(
-        self, count: int
-    ) -> None:
+    def test_store_outage_before_all_have_registered(self, count: int) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             await demand.entries.tell_of_themselves()
             demand.entries.store.is_down = True
@@ -111,10 +111,10 @@
 
 
 class TestEntriesThatJoin:
-    """A new entry waits until the others leave it a part."""
+    """A new entry waits until the others count it."""
 
     @pytest.mark.parametrize("count", (1, 5))
-    def test_as_many_as_there_are(self, count: int) -> None:
+    def test_double_the_entries(self, count: int) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             await _spend_all(demand)
             for _ in range(count):
@@ -125,11 +125,8 @@
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (1, 5))
-    def test_while_the_others_are_cut_off_from_the_store(
-        self, count: int
-    ) -> None:
-        # The new one writes that it is there before it takes a part, so a
-        # store that answers nobody leaves it none.
+    def test_join_during_a_store_outage(self, count: int) -> None:
+        # A new entry registers in the store before it takes a share.
         async def body(demand: repeats_system.Demand) -> None:
             await demand.ask(CALM, fails=False)
             demand.entries.store.is_down = True
@@ -142,25 +139,24 @@
 
     @pytest.mark.parametrize("count", (1, 5, 12))
     def test_while_those_there_are_cut_off(self, count: int) -> None:
-        # Who is cut off from the store believes in too few, while a new one
-        # takes its part.
+        # Entries that are cut off from the store do not count the new one.
         async def body(demand: repeats_system.Demand) -> None:
             await demand.ask(CALM, fails=False)
             for number in range(count):
                 demand.entries.cut_off(number)
             for _ in range(max(1, count // 4)):
                 demand.entries.start()
-            await demand.ask(30.0, FEW, fails=False)
-            await demand.ask(12.0, FEW)
+            await demand.ask(30.0, LOW_RATE, fails=False)
+            await demand.ask(12.0, LOW_RATE)
 
         peak = repeats_system.play(body, count).peak
         assert not peak.is_over, peak
 
 
-class TestCallersThatMove:
-    """Requests earn repeats once, whichever entries get them."""
+class TestMovingCallers:
+    """Requests earn repeats once, whichever entries receive them."""
 
-    @pytest.mark.parametrize("per_second", (60.0, BUSY))
+    @pytest.mark.parametrize("per_second", (60.0, HIGH_RATE))
     @pytest.mark.parametrize("count", (5, 70))
     def test_from_one_entry_to_all_others(
         self, count: int, per_second: float
@@ -176,13 +172,11 @@
         assert not peak.is_over, peak
 
 
-class TestInstancesThatFreeze:
-    """A repeat counts until it is known to have arrived."""
+class TestFrozenInstances:
+    """A repeat counts until a window after it has arrived."""
 
     @pytest.mark.parametrize("count", (1, 5))
-    def test_what_it_reads_late_counts_with_what_is_sent_then(
-        self, count: int
-    ) -> None:
+    def test_late_arrivals_count_with_new_repeats(self, count: int) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             await demand.ask(CALM, fails=False)
             demand.freeze()
@@ -194,25 +188,21 @@
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (2, 5))
-    def test_what_it_reads_late_counts_though_callers_moved(
-        self, count: int
-    ) -> None:
+    def test_late_arrivals_count_after_callers_moved(self, count: int) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             others = range(1, count)
-            await demand.ask(CALM, BUSY, fails=False, among=[0])
+            await demand.ask(CALM, HIGH_RATE, fails=False, among=[0])
             demand.freeze()
-            await demand.ask(2.0, BUSY, among=[0])
-            await demand.ask(6.0, BUSY, among=others)
+            await demand.ask(2.0, HIGH_RATE, among=[0])
+            await demand.ask(6.0, HIGH_RATE, among=others)
             demand.thaw()
-            await demand.ask(12.0, BUSY, among=others)
+            await demand.ask(12.0, HIGH_RATE, among=others)
 
         peak = repeats_system.play(body, count).peak
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (1, 5))
-    def test_what_it_reads_late_counts_though_entries_ended(
-        self, count: int
-    ) -> None:
+    def test_late_arrivals_count_after_restarts(self, count: int) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             await demand.ask(CALM, fails=False)
             demand.freeze()
@@ -226,8 +216,8 @@
         assert not peak.is_over, peak
 
 
-class TestCallersAreServed:
-    """What may be repeated still is."""
+class TestUseOfTheBudget:
+    """Repeats within the budget are made."""
 
     @kinds
     @counts
@@ -241,7 +231,7 @@
         peak = repeats_system.play(body, count, kind).peak
         assert 0.6 * peak.allowed <= peak.repeats <= peak.allowed, peak
 
-    def test_an_entry_that_starts_repeats_at_once(self) -> None:
+    def test_a_restarted_entry_repeats_soon(self) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             await demand.ask(CALM, fails=False)
             _restart_all(demand, 5)
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which engines of a large fleet an entry uses."""
+"""Tests of the engine subsets of entries."""
 
 import collections
 
@@ -15,14 +15,13 @@
 
 
 class TestEngineSubset:
-    """An entry's part of the engines."""
+    """The engines that one entry uses of a fleet."""
 
-    def test_a_fleet_of_today_is_used_whole(self) -> None:
+    def test_a_small_fleet_is_used_whole(self) -> None:
         fleet = paths.a_fleet(subsets.MAX_UNSPLIT_ENGINES)
         assert subsets.EngineSubset("entry-0", ZONE).pick(fleet) == fleet
 
-    def test_a_part_of_a_large_fleet_holds_every_layer(self) -> None:
-        # Weighing 2,997 engines for each stream took 32 ms of a full core.
+    def test_a_subset_holds_every_layer(self) -> None:
         fleet = paths.a_fleet(2_997)
         for number in range(20):
             picked = subsets.EngineSubset(f"entry-{number}", ZONE).pick(fleet)
@@ -34,7 +33,7 @@
             own = [one for one in picked if one.availability_zone == ZONE]
             assert min(chain.coverage(own, paths.LAYERS)) >= 2
 
-    def test_all_engines_get_their_share(self) -> None:
+    def test_engines_are_spread_evenly(self) -> None:
         fleet = paths.a_fleet(1_500)
         drawn: collections.Counter[str] = collections.Counter()
         for number in range(60):
@@ -49,7 +48,7 @@
         assert len(drawn) == len(own)
         assert max(drawn.values()) < 2 * mean
 
-    def test_the_part_stays_when_others_go(self) -> None:
+    def test_is_stable_when_other_engines_go(self) -> None:
         fleet = paths.a_fleet(1_500)
         subset = subsets.EngineSubset("entry-0", ZONE)
         before = {one.name for one in subset.pick(fleet)}
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A service of which all instances name a limit at once.
+"""Tests of a service whose instances all announce a limit at once.
 
-Twice as many requests come as the limits allow. Callers are to be served up
-to three quarters of that at least, however they are spread over entries, and
-no instance is to get more than it bears.
+Twice as many requests arrive as the limits allow. At least three quarters of
+the limits must be used, however callers are spread over entries, and no
+instance may receive more than its limit bounds.
 """
 
 import collections
@@ -26,30 +26,29 @@
 
 INSTANCES = 8
 LIMIT = 3.2
-ASKED_FACTOR = 2.0
-SERVED_LEAST = 0.75
-# What an instance bears of a limit of L requests a second in any four
-# seconds, from three seconds after it first named it: 6 L + 5.
+DEMAND_FACTOR = 2.0
+MIN_SERVED_SHARE = 0.75
+# Requests that an instance may receive in any window, from COUNTED_FROM on.
 WINDOW_SECONDS = 4.0
 BOUND = 1.5 * WINDOW_SECONDS * LIMIT + 5.0
-NAMED_AT = 5.0
+ANNOUNCED_AT = 5.0
 COUNTED_FROM = 8.0
-PLAYED_SECONDS = 60.0
+SIMULATED_SECONDS = 60.0
 ANSWER_SECONDS = 0.05
-# An entry's requests count so long after its first answer of an instance.
-TOLD_SECONDS = 0.5
-EVEN, MOST = "even", "skewed"
-SHORT, LONG = 0.04, 2.5
+# An entry's requests count from this long after an instance's first answer.
+LEARNED_SECONDS = 0.5
+EVEN_LOAD, SKEWED_LOAD = "even", "skewed"
+SHORT_CALL_SECONDS, LONG_CALL_SECONDS = 0.04, 2.5
 
 
 class _Entry:
-    """One entry's parts of the limits, and what it has under way."""
+    """One entry's limits and its requests in progress."""
 
     def __init__(self, entries: int, rng: random.Random) -> None:
         self.limits = rate_limits.RateLimits(self, rng)
         self.limits.set_entry_count(entries)
         self.counts: collections.Counter[str] = collections.Counter()
-        self.told_at: dict[str, float] = {}
+        self.learned_at: dict[str, float] = {}
 
     def own_requests(self, upstream: chain.Upstream) -> int:
         return self.counts[upstream.name]
@@ -57,7 +56,7 @@
 
 @attrs.define(eq=False)
 class _Service:
-    """Its instances, and what they got."""
+    """The instances of a service, and the requests they received."""
 
     entries: list[_Entry]
     weights: list[float]
@@ -65,13 +64,13 @@
     tells_load: bool
     rng: random.Random
     upstreams: list[chain.Upstream]
-    got: dict[str, list[float]]
-    borne: dict[str, list[float]]
+    received: dict[str, list[float]]
+    bounded: dict[str, list[float]]
     events: list[tuple[float, float, typing.Callable[[], None]]]
 
     async def run(self) -> None:
         self._at(0.0, self._arrive)
-        while self.events[0][0] <= PLAYED_SECONDS:
+        while self.events[0][0] <= SIMULATED_SECONDS:
             at, _, act = heapq.heappop(self.events)
             await anyio.sleep(max(0.0, at - anyio.current_time()))
             act()
@@ -81,7 +80,7 @@
 
     def _arrive(self) -> None:
         now = anyio.current_time()
-        rate = ASKED_FACTOR * LIMIT * INSTANCES
+        rate = DEMAND_FACTOR * LIMIT * INSTANCES
         self._at(now + self.rng.expovariate(rate), self._arrive)
         (entry,) = self.rng.choices(self.entries, self.weights)
         free = [one for one in self.upstreams if entry.limits.allows(one)]
@@ -93,10 +92,10 @@
         entry.limits.take(chosen)
         entry.counts[chosen.name] += 1
         if now >= COUNTED_FROM:
-            self.got[chosen.name].append(now)
-            told_at = entry.told_at.get(chosen.name, float("inf"))
-            if now >= told_at + TOLD_SECONDS:
-                self.borne[chosen.name].append(now)
+            self.received[chosen.name].append(now)
+            learned_at = entry.learned_at.get(chosen.name, float("inf"))
+            if now >= learned_at + LEARNED_SECONDS:
+                self.bounded[chosen.name].append(now)
         answered = now + ANSWER_SECONDS
         ended = answered + self.rng.expovariate(1.0 / self.seconds)
         self._at(answered, lambda: self._answer(entry, chosen))
@@ -106,19 +105,19 @@
         return self.rng.random()
 
     def _answer(self, entry: _Entry, upstream: chain.Upstream) -> None:
-        if anyio.current_time() >= NAMED_AT:
+        if anyio.current_time() >= ANNOUNCED_AT:
             load = sum(one.own_requests(upstream) for one in self.entries)
-            told = load if self.tells_load else None
-            entry.limits.note(upstream, LIMIT, told)
-            entry.told_at.setdefault(upstream.name, anyio.current_time())
+            reported = load if self.tells_load else None
+            entry.limits.note(upstream, LIMIT, reported)
+            entry.learned_at.setdefault(upstream.name, anyio.current_time())
 
 
 def play(
     entries: int, spread: str, seconds: float, tells_load: bool
 ) -> _Service:
-    """Return a service that was played."""
+    """Simulate a service and return it."""
     rng = random.Random(1)
-    busiest = 0.9 if spread == MOST else 1.0 / entries
+    busiest = 0.9 if spread == SKEWED_LOAD else 1.0 / entries
     rest = (1.0 - busiest) / max(1, entries - 1)
     upstreams = [
         chain.Upstream(
@@ -147,33 +146,49 @@
 
 
 class TestLimits:
-    """What callers get of a service whose instances all limit themselves."""
+    """Limits that all instances of a service announce are used and kept."""
 
     @pytest.mark.parametrize("tells_load", [True, False])
-    @pytest.mark.parametrize("seconds", [SHORT, LONG])
+    @pytest.mark.parametrize(
+        "seconds", [SHORT_CALL_SECONDS, LONG_CALL_SECONDS]
+    )
     @pytest.mark.parametrize(
         ("entries", "spread"),
-        [(1, EVEN), (5, EVEN), (5, MOST), (70, EVEN), (70, MOST)],
+        [
+            (1, EVEN_LOAD),
+            (5, EVEN_LOAD),
+            (5, SKEWED_LOAD),
+            (70, EVEN_LOAD),
+            (70, SKEWED_LOAD),
+        ],
     )
     def test_are_used(
         self, entries: int, spread: str, seconds: float, tells_load: bool
     ) -> None:
         service = play(entries, spread, seconds, tells_load)
-        served = sum(len(times) for times in service.got.values())
-        allowed = LIMIT * INSTANCES * (PLAYED_SECONDS - COUNTED_FROM)
-        assert served >= SERVED_LEAST * allowed, f"{served / allowed:.2f}"
+        served = sum(len(times) for times in service.received.values())
+        allowed = LIMIT * INSTANCES * (SIMULATED_SECONDS - COUNTED_FROM)
+        assert served >= MIN_SERVED_SHARE * allowed, f"{served / allowed:.2f}"
 
     @pytest.mark.parametrize("tells_load", [True, False])
-    @pytest.mark.parametrize("seconds", [SHORT, LONG])
+    @pytest.mark.parametrize(
+        "seconds", [SHORT_CALL_SECONDS, LONG_CALL_SECONDS]
+    )
     @pytest.mark.parametrize(
         ("entries", "spread"),
-        [(1, EVEN), (5, EVEN), (5, MOST), (70, EVEN), (70, MOST)],
+        [
+            (1, EVEN_LOAD),
+            (5, EVEN_LOAD),
+            (5, SKEWED_LOAD),
+            (70, EVEN_LOAD),
+            (70, SKEWED_LOAD),
+        ],
     )
     def test_are_kept(
         self, entries: int, spread: str, seconds: float, tells_load: bool
     ) -> None:
         service = play(entries, spread, seconds, tells_load)
-        for times in service.borne.values():
+        for times in service.bounded.values():
             first = 0
             for last, at in enumerate(times):
                 while at - times[first] > WINDOW_SECONDS:
