--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -201,7 +201,7 @@
         # version has been assigned to another write.
         async def body() -> None:
             store = standin_store.StandinStore()
-            sight = zone_system.Sight()
+            sight = zone_system.RecordingFollower()
             connection = zone_system.StoreConnection(store)
             mirror = mirrors.Mirror(connection, zone_system.KIND, sight, 0.8)
             async with anyio.create_task_group() as tasks:
