--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -61,7 +61,7 @@
     def __init__(
         self,
         context: contexts.RelayContext,
-        watch: StreamMonitor,
+        monitor: StreamMonitor,
         stream: live.LiveStream,
         admitted: tables.Admitted,
         sink: requests.Sink,
@@ -69,7 +69,7 @@
         deadline: float,
     ) -> None:
         self._context = context
-        self._watch = watch
+        self._monitor = monitor
         self._stream = stream
         self._admitted = admitted
         self._route = admitted.route
@@ -99,7 +99,7 @@
                 dispatch,
                 http.Timeouts(self._context.connect_seconds, left),
             ) as answer:
-                await self._pass_on(answer)
+                await self._forward(answer)
                 return
         raise errors.CrowdeckError(
             errors.Code.DEADLINE,
@@ -108,31 +108,31 @@
             culprit=self._path.head.name,
         )
 
-    async def _pass_on(self, answer: interfaces.Answer) -> None:
+    async def _forward(self, answer: interfaces.Answer) -> None:
         self._stream.sends.arrive()
         if answer.load is not None:
             self._context.usage.note_load(self._path.head, answer.load.running)
         if answer.has_not_run:
             raise self._refusal(answer)
         if not answer.belongs_to(self._request):
-            raise self._wrong("it bears another request's id")
+            raise self._wrong_answer("it bears another request's id")
         if answer.status >= 300:
-            await self._pass_failure(answer)
+            await self._forward_error(answer)
             return
         if not answer.is_signed:
-            raise self._wrong("it bears no signature")
+            raise self._wrong_answer("it bears no signature")
         splitter = events.EventSplitter(answer.event_id)
         async for chunk in answer.chunks():
             for event in splitter.feed(chunk):
-                await self._pass_event(answer, event)
-        if not splitter.is_between:
-            raise self._wrong("it ends in the middle of an event")
+                await self._forward_event(answer, event)
+        if not splitter.is_complete:
+            raise self._wrong_answer("it ends in the middle of an event")
         if not self._sink.has_started:
-            raise self._wrong("it holds no event")
+            raise self._wrong_answer("it holds no event")
         self._context.registry.note_healthy(self._path.head.name)
         await self._sink.finish()
 
-    async def _pass_event(
+    async def _forward_event(
         self,
         answer: interfaces.Answer,
         event: events.Event,
@@ -144,7 +144,7 @@
             if event.id <= stream.last_event:
                 return
             if stream.last_event >= 0 and event.id != stream.last_event + 1:
-                raise self._wrong(
+                raise self._wrong_answer(
                     f"event {event.id} follows {stream.last_event}"
                 )
         if not self._sink.has_started:
@@ -157,9 +157,9 @@
     def _refusal(self, answer: interfaces.Answer) -> errors.CrowdeckError:
         culprit = self._culprit(answer)
         if culprit.name != self._path.head.name:
-            self._watch.check_now(culprit)
+            self._monitor.check_now(culprit)
             # Full, or gone: one that answers is merely full.
-            self._watch.verify(culprit)
+            self._monitor.verify(culprit)
         is_stale = answer.status == STALE_STATUS
         self._context.registry.pause(
             culprit.name,
@@ -185,22 +185,22 @@
             or self._path.head
         )
 
-    async def _pass_failure(self, answer: interfaces.Answer) -> None:
+    async def _forward_error(self, answer: interfaces.Answer) -> None:
         body = await answer.read(BODY_LIMIT)
         if (
             self._sink.has_started
             or answer.status in requests.NOT_RUN_STATUSES
         ):
-            raise self._wrong(f"status {answer.status}")
+            raise self._wrong_answer(f"status {answer.status}")
         if self._route.is_resumable and answer.status >= 500:
-            raise self._wrong(f"status {answer.status}")
+            raise self._wrong_answer(f"status {answer.status}")
         await self._sink.reply(answer.status, answer.caller_headers, body)
 
-    def _wrong(self, why: str) -> errors.CrowdeckError:
+    def _wrong_answer(self, reason: str) -> errors.CrowdeckError:
         head = self._path.head.name
         return errors.CrowdeckError(
             errors.Code.WRONG_ANSWER,
-            f"a stream of {head} cannot be passed on: {why}",
+            f"a stream of {head} cannot be passed on: {reason}",
             verdict=_MAY_HAVE_RUN,
             culprit=head,
         )
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -30,20 +30,20 @@
 
 # A repeatable call that got no answer within this share of its time is
 # tried at another instance while there is time left for that.
-FIRST_TRY_SHARE = 0.4
+FIRST_ATTEMPT_SHARE = 0.4
 # The caller is told before its own time is over, not after.
-ANSWER_MARGIN = 0.03
+ANSWER_MARGIN_SECONDS = 0.03
 # With less than this left no upstream could answer in time.
-LEAST_SECONDS = 0.05
+MIN_ATTEMPT_SECONDS = 0.05
 # Instances whose connection is refused did not get the request: others
 # are tried, but not all of a large fleet.
 CONNECT_TRIES = 4
-RETRY_AFTER = 0.5
+RETRY_AFTER_SECONDS = 0.5
 # While all instances are at their limits, or want rest, a call waits for so
 # much of its objective. It is served in time then; what takes longer is told
 # at once when to come back.
-WAIT_SHARE = 0.5
-CALL_BYTES = http.RESPONSE_LIMIT
+QUEUE_WAIT_SHARE = 0.5
+MAX_ANSWER_BYTES = http.RESPONSE_LIMIT
 
 
 @attrs.frozen
@@ -62,10 +62,10 @@
     """Passes calls on to the instances of plain services."""
 
     def __init__(
-        self, context: contexts.RelayContext, watch: attempts.StreamMonitor
+        self, context: contexts.RelayContext, monitor: attempts.StreamMonitor
     ) -> None:
         self._context = context
-        self._watch = watch
+        self._monitor = monitor
         self._balancer = balance.Balancer(context.usage, context.zone)
 
     async def serve(
@@ -84,7 +84,7 @@
         sends = budget.track_sends()
         call = _Call(
             self._context,
-            self._watch,
+            self._monitor,
             self._balancer,
             request,
             admitted,
@@ -106,7 +106,7 @@
     def __init__(
         self,
         context: contexts.RelayContext,
-        watch: attempts.StreamMonitor,
+        monitor: attempts.StreamMonitor,
         balancer: balance.Balancer,
         request: requests.CallerRequest,
         admitted: tables.Admitted,
@@ -114,7 +114,7 @@
         sends: budgets.SendTracker,
     ) -> None:
         self._context = context
-        self._watch = watch
+        self._monitor = monitor
         self._balancer = balancer
         self._sends = sends
         self._request = request
@@ -123,7 +123,7 @@
         self._route = admitted.route
         timeout_seconds = request.timeout_seconds or self._route.timeout
         limit = min(timeout_seconds, self._route.timeout)
-        self._deadline = request.arrived + limit - ANSWER_MARGIN
+        self._deadline = request.arrived + limit - ANSWER_MARGIN_SECONDS
         self._tried: set[str] = set()
         self._sent = 0
         self._verdict = verdicts.Verdict.NOT_RUN
@@ -132,7 +132,7 @@
     async def run(self) -> _Answer:
         failed: _Answer | None = None
         for _ in range(CONNECT_TRIES + self._route.max_attempts):
-            self._refuse_culprit()
+            self._refuse_if_quarantined()
             try:
                 upstream = await self._choose()
             except errors.CrowdeckError:
@@ -140,31 +140,31 @@
                     return failed
                 raise
             try:
-                answer = await self._try(upstream)
+                answer = await self._attempt(upstream)
             except errors.CrowdeckError as error:
-                self._note(upstream, error)
-                await self._note_loss(upstream, error)
-                if self._may_go_on(error.verdict):
+                self._record_failure(upstream, error)
+                await self._record_loss(upstream, error)
+                if self._may_retry(error.verdict):
                     continue
                 if failed is not None:
                     # An upstream's own failure says more than ours.
                     return failed
-                raise self._failure(error) from None
+                raise self._final_error(error) from None
             if not answer.has_failed:
                 self._context.quarantine.note_served(self._fingerprint)
                 return answer
             failed = answer
-            if not self._may_go_on(answer.verdict):
+            if not self._may_retry(answer.verdict):
                 break
         if failed is not None:
             return failed
-        raise self._failure(self._none_left(0.0))
+        raise self._final_error(self._no_instance(0.0))
 
     @property
     def _fingerprint(self) -> fingerprint.Fingerprint:
         return requests.fingerprint_of(self._request, self._admitted.team)
 
-    def _refuse_culprit(self) -> None:
+    def _refuse_if_quarantined(self) -> None:
         """Send a call on no more under which instances ended.
 
         :raises CrowdeckError: ``QUARANTINED``.
@@ -177,7 +177,7 @@
         has_run = self._verdict is not verdicts.Verdict.NOT_RUN
         raise quarantine.refusal_error(self._fingerprint, has_run)
 
-    async def _note_loss(
+    async def _record_loss(
         self, upstream: chain.Upstream, error: errors.CrowdeckError
     ) -> None:
         """Find out whether an instance ended while it had the call."""
@@ -189,7 +189,7 @@
         self._context.quarantine.note_connection_lost(
             upstream.name, attempt_record
         )
-        if await self._watch.has_ended(upstream):
+        if await self._monitor.has_ended(upstream):
             self._context.note_end(upstream)
 
     async def _choose(self) -> chain.Upstream:
@@ -197,7 +197,9 @@
 
         :raises CrowdeckError: ``NO_PATH`` where none takes a call in time.
         """
-        until = self._request.arrived + WAIT_SHARE * self._route.objective
+        until = (
+            self._request.arrived + QUEUE_WAIT_SHARE * self._route.objective
+        )
         self._held_back = self._context.backpressure.held_back(
             self._service.name
         )
@@ -214,10 +216,12 @@
         # served by the next request that it takes.
         seconds = self._seconds_until(len(wait_queue))
         if not self._may_wait(seconds, until):
-            raise self._failure(self._none_left(seconds))
+            raise self._final_error(self._no_instance(seconds))
         async with wait_queue.turn(until) as is_first:
             if not is_first:
-                raise self._failure(self._none_left(self._seconds_until()))
+                raise self._final_error(
+                    self._no_instance(self._seconds_until())
+                )
             return await self._await_turn(until)
 
     async def _await_turn(self, until: float) -> chain.Upstream:
@@ -225,20 +229,20 @@
         while (upstream := self._pick()) is None:
             seconds = self._seconds_until()
             if not self._may_wait(seconds, until):
-                raise self._failure(self._none_left(seconds))
+                raise self._final_error(self._no_instance(seconds))
             await anyio.sleep(seconds)
         return upstream
 
     def _pick(self) -> chain.Upstream | None:
         """Take an instance that takes a call now, if there is one."""
-        if self._left() < LEAST_SECONDS:
-            raise self._failure(
+        if self._seconds_left() < MIN_ATTEMPT_SECONDS:
+            raise self._final_error(
                 errors.CrowdeckError(errors.Code.DEADLINE, "no time is left")
             )
         limits = self._context.limits
         usable = self._context.registry.usable(self._service.name)
-        fresh = self._fresh(usable)
-        upstream = self._balancer.pick(filter(limits.allows, fresh))
+        untried = self._untried(usable)
+        upstream = self._balancer.pick(filter(limits.allows, untried))
         if upstream is not None:
             # At once: whoever chooses next has to know.
             limits.take(upstream)
@@ -250,7 +254,7 @@
         :param ahead: calls that are served before it.
         """
         registry = self._context.registry
-        soon = self._fresh(registry.usable_after_backoff(self._service.name))
+        soon = self._untried(registry.usable_after_backoff(self._service.name))
         return self._context.seconds_until_any(soon, ahead)
 
     @staticmethod
@@ -258,17 +262,17 @@
         """Whether a call is to be served within its wait."""
         return 0.0 < seconds <= until - anyio.current_time()
 
-    def _fresh(
+    def _untried(
         self, upstreams: typing.Iterable[chain.Upstream]
     ) -> list[chain.Upstream]:
         """Return those of some instances that were not tried yet."""
         return [one for one in upstreams if one.name not in self._tried]
 
-    async def _try(self, upstream: chain.Upstream) -> _Answer:
+    async def _attempt(self, upstream: chain.Upstream) -> _Answer:
         self._tried.add(upstream.name)
         self._context.usage.add_call(upstream)
         began = anyio.current_time()
-        seconds = self._try_seconds()
+        seconds = self._attempt_seconds()
         try:
             with anyio.fail_after(seconds):
                 answer = await self._exchange(upstream)
@@ -297,20 +301,22 @@
         )
         return answer
 
-    def _try_seconds(self) -> float:
-        left = self._left()
+    def _attempt_seconds(self) -> float:
+        left = self._seconds_left()
         if self._route.may_repeat and self._sent < self._max_sends:
-            return min(left, self._route.timeout * FIRST_TRY_SHARE)
+            return min(left, self._route.timeout * FIRST_ATTEMPT_SHARE)
         return left
 
     async def _exchange(self, upstream: chain.Upstream) -> _Answer:
         dispatch = interfaces.Dispatch(
             self._admitted.team,
             self._admitted.priority,
-            self._left(),
+            self._seconds_left(),
             last_event=self._request.last_event,
         )
-        timeouts = http.Timeouts(self._context.connect_seconds, self._left())
+        timeouts = http.Timeouts(
+            self._context.connect_seconds, self._seconds_left()
+        )
         self._sent += 1
         self._sends.send()
         async with self._context.client.open(
@@ -331,12 +337,12 @@
                 culprit=upstream.name,
             )
         if not answer.belongs_to(self._request):
-            raise _wrong(upstream, "it bears another request's id")
+            raise _wrong_answer(upstream, "it bears another request's id")
         if answer.status < 300 and not answer.is_signed:
-            raise _wrong(upstream, "it bears no signature")
-        body = await answer.read(CALL_BYTES)
+            raise _wrong_answer(upstream, "it bears no signature")
+        body = await answer.read(MAX_ANSWER_BYTES)
         if answer.status in requests.NOT_RUN_STATUSES:
-            raise _wrong(upstream, f"{answer.status} without a promise")
+            raise _wrong_answer(upstream, f"{answer.status} without a promise")
         return _Answer(
             answer.status,
             answer.caller_headers,
@@ -344,7 +350,7 @@
             verdicts.Verdict.RAN,
         )
 
-    def _note(
+    def _record_failure(
         self, upstream: chain.Upstream, error: errors.CrowdeckError
     ) -> None:
         if error.verdict is not verdicts.Verdict.NOT_RUN:
@@ -375,7 +381,7 @@
     def _max_sends(self) -> int:
         return max(1, self._route.max_attempts)
 
-    def _may_go_on(self, verdict: verdicts.Verdict) -> bool:
+    def _may_retry(self, verdict: verdicts.Verdict) -> bool:
         """Whether the call is tried at another instance."""
         if verdict is not verdicts.Verdict.NOT_RUN:
             if not self._route.may_repeat:
@@ -386,13 +392,13 @@
             return True
         service = self._service.name
         if not self._sends.reserve():
-            self._context.note_unrepeated(service, self._request.id)
+            self._context.log_retry_refused(service, self._request.id)
             return False
         counters.COUNTERS.add("relay.call.repeated")
-        self._context.note_repeat(service, self._request.id)
+        self._context.log_retry(service, self._request.id)
         return True
 
-    def _none_left(self, seconds: float) -> errors.CrowdeckError:
+    def _no_instance(self, seconds: float) -> errors.CrowdeckError:
         """Return the refusal of a call that no instance takes.
 
         :param seconds: in how long one does, 0 where that is not known.
@@ -410,17 +416,19 @@
             return errors.CrowdeckError(
                 errors.Code.NO_PATH,
                 "no instance of the service can take it now",
-                retry_after=RETRY_AFTER,
+                retry_after=RETRY_AFTER_SECONDS,
             )
         counters.COUNTERS.add("relay.limited")
-        spread = self._context.rng.uniform(0.0, RETRY_AFTER)
+        jitter = self._context.rng.uniform(0.0, RETRY_AFTER_SECONDS)
         return errors.CrowdeckError(
             errors.Code.NO_PATH,
             "all instances are at their limits or want rest",
-            retry_after=seconds + spread,
+            retry_after=seconds + jitter,
         )
 
-    def _failure(self, error: errors.CrowdeckError) -> errors.CrowdeckError:
+    def _final_error(
+        self, error: errors.CrowdeckError
+    ) -> errors.CrowdeckError:
         """Return the error with what is known of all tries together."""
         verdict = error.verdict
         if self._verdict is not verdicts.Verdict.NOT_RUN:
@@ -429,18 +437,20 @@
             error.code,
             error.message,
             verdict=verdict,
-            retry_after=error.retry_after or RETRY_AFTER,
+            retry_after=error.retry_after or RETRY_AFTER_SECONDS,
             culprit=error.culprit,
         )
 
-    def _left(self) -> float:
+    def _seconds_left(self) -> float:
         return self._deadline - anyio.current_time()
 
 
-def _wrong(upstream: chain.Upstream, why: str) -> errors.CrowdeckError:
+def _wrong_answer(
+    upstream: chain.Upstream, reason: str
+) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_ANSWER,
-        f"an answer of {upstream.name} cannot be passed on: {why}",
+        f"an answer of {upstream.name} cannot be passed on: {reason}",
         verdict=verdicts.Verdict.MAY_HAVE_RUN,
         culprit=upstream.name,
     )
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -35,12 +35,12 @@
 # Beginning anew spends the retry budget; this share of it is kept for
 # requests that cannot be served in another way. As a number, ten, it was
 # more than all that one of 29 entries may repeat.
-BUDGET_KEPT_SHARE = 0.3
+RESTART_RESERVE_SHARE = 0.3
 # Far above a connection's half millisecond, and a small part of what is
 # left of an objective of 0.5 s.
 CONNECT_SECONDS = 0.25
 # A connection takes two turns of the loop: its making, and its answer.
-LATE_FACTOR = 2.0
+LAG_FACTOR = 2.0
 
 
 @attrs.frozen
@@ -99,7 +99,7 @@
             self.registry, self.limits
         )
         self.registry.subscribe_ends(self.note_end)
-        self.client.subscribe(self._take_notice)
+        self.client.subscribe(self._apply_notice)
 
     @property
     def connect_seconds(self) -> float:
@@ -109,7 +109,7 @@
         with all callers, an entry took sound engines for lost, 219 times
         in three seconds, and made each time a new connection.
         """
-        return CONNECT_SECONDS + LATE_FACTOR * self.lag_meter.recent()
+        return CONNECT_SECONDS + LAG_FACTOR * self.lag_meter.recent()
 
     @property
     def heads(self) -> heads.HeadRecords:
@@ -131,16 +131,18 @@
             self._budgets[service] = found
         return found
 
-    def note_repeat(self, service: str, request: str) -> None:
+    def log_retry(self, service: str, request: str) -> None:
         """Note that a request may be sent again."""
-        self._log_repeat("repeat_allowed", service, request)
+        self._log_retry_decision("repeat_allowed", service, request)
 
-    def note_unrepeated(self, service: str, request: str) -> None:
+    def log_retry_refused(self, service: str, request: str) -> None:
         """Note that a request is not sent again for want of budget."""
         counters.COUNTERS.add("relay.unrepeated")
-        self._log_repeat("repeat_refused", service, request)
+        self._log_retry_decision("repeat_refused", service, request)
 
-    def _log_repeat(self, what: str, service: str, request: str) -> None:
+    def _log_retry_decision(
+        self, kind: str, service: str, request: str
+    ) -> None:
         """Log from what a budget follows.
 
         Entries together can send too much though each keeps to its own.
@@ -150,7 +152,7 @@
             f"relay.budget.{service}", budget.remaining
         )
         logs.decision(
-            what,
+            kind,
             request,
             service=service,
             left=round(budget.remaining, 2),
@@ -170,19 +172,19 @@
         else:
             self.quarantine.note_end(upstream.name)
 
-    def _take_notice(
+    def _apply_notice(
         self, upstream: chain.Upstream, notice: interfaces.Notice
     ) -> None:
         """Take what an answer tells of the instance that gave it."""
-        asked = notice.backpressure
-        if asked.backoff:
-            self.registry.back_off(upstream.name, asked.backoff)
-        if asked.is_leaving:
+        signals = notice.backpressure
+        if signals.backoff:
+            self.registry.back_off(upstream.name, signals.backoff)
+        if signals.is_leaving:
             self.registry.note_leaving(upstream.name)
         load = notice.load
         self.limits.note(
             upstream,
-            asked.limit,
+            signals.limit,
             None if load is None else load.running + load.waiting,
             in_report=not notice.answers_request,
         )
@@ -198,17 +200,17 @@
         :param ahead: requests that are to be sent first.
         """
         found = list(upstreams)
-        turns = [
+        next_times = [
             (self._seconds_until(one), 1.0 / self.limits.per_second(one))
             for one in found
         ]
-        if not min(turns, default=(0.0, 0.0))[0]:
+        if not min(next_times, default=(0.0, 0.0))[0]:
             return 0.0
-        heapq.heapify(turns)
+        heapq.heapify(next_times)
         for _ in range(ahead):
-            soonest, pause = turns[0]
-            heapq.heapreplace(turns, (soonest + pause, pause))
-        return turns[0][0]
+            soonest, interval = next_times[0]
+            heapq.heapreplace(next_times, (soonest + interval, interval))
+        return next_times[0][0]
 
     def _seconds_until(self, upstream: chain.Upstream) -> float:
         return max(
@@ -220,9 +222,9 @@
         """Return the line of requests that wait for a service's engines."""
         return self._wait_queues.setdefault(service, waiting.WaitQueue())
 
-    def may_begin_anew(self, service: str) -> bool:
+    def may_restart_stream(self, service: str) -> bool:
         """Whether the budget allows a stream to begin again elsewhere."""
-        return self.budget(service).remaining_share >= BUDGET_KEPT_SHARE
+        return self.budget(service).remaining_share >= RESTART_RESERVE_SHARE
 
     def follow(self, roster: rosters.Roster) -> None:
         """Share what is limited with the entries that a roster knows.
@@ -231,10 +233,10 @@
         """
         assert not self._budgets, "budgets follow the roster from the first"
 
-        def take() -> None:
+        def apply_shares() -> None:
             self.usage.set_entry_count(roster.zone_count, roster.entries)
             self.limits.set_entry_count(roster.entries)
 
         self.membership = roster
-        roster.subscribe(take)
-        take()
+        roster.subscribe(apply_shares)
+        apply_shares()
--- a/src/crowdeck/relay/events.py
+++ b/src/crowdeck/relay/events.py
@@ -15,9 +15,9 @@
 # An event of 2 tokens takes some hundred bytes; one that is larger than
 # this is no event.
 EVENT_LIMIT = 1024 * 1024
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 
-IdOf = typing.Callable[[bytes], int | None]
+EventIdReader = typing.Callable[[bytes], int | None]
 
 
 @attrs.frozen
@@ -35,32 +35,32 @@
     middle of one, and what goes on elsewhere begins with a whole one.
     """
 
-    def __init__(self, id_of: IdOf) -> None:
-        self._id_of = id_of
-        self._rest = b""
+    def __init__(self, read_id: EventIdReader) -> None:
+        self._read_id = read_id
+        self._buffer = b""
 
     @property
-    def is_between(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether everything so far was whole events."""
-        return not self._rest
+        return not self._buffer
 
     def feed(self, chunk: bytes) -> list[Event]:
         """Return the events that ``chunk`` completes.
 
         :raises CrowdeckError: ``WRONG_ANSWER`` for an endless event.
         """
-        data = self._rest + chunk
+        data = self._buffer + chunk
         events = []
-        begin = 0
+        start = 0
         while True:
-            end = _end_of_event(data, begin)
+            end = _end_of_event(data, start)
             if end < 0:
                 break
-            content = data[begin:end]
-            events.append(Event(content, self._id_of(content)))
-            begin = end
-        self._rest = data[begin:]
-        if len(self._rest) > EVENT_LIMIT:
+            content = data[start:end]
+            events.append(Event(content, self._read_id(content)))
+            start = end
+        self._buffer = data[start:]
+        if len(self._buffer) > EVENT_LIMIT:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_ANSWER,
                 f"an event is over {EVENT_LIMIT} bytes",
@@ -69,10 +69,10 @@
         return events
 
 
-def _end_of_event(data: bytes, begin: int) -> int:
+def _end_of_event(data: bytes, start: int) -> int:
     ends = []
-    for mark in _ENDS:
-        found = data.find(mark, begin)
+    for separator in _EVENT_ENDS:
+        found = data.find(separator, start)
         if found >= 0:
-            ends.append(found + len(mark))
+            ends.append(found + len(separator))
     return min(ends, default=-1)
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -112,7 +112,7 @@
         self,
         context: contexts.RelayContext,
         holder: ConfigHolder,
-        watch: attempts.StreamMonitor,
+        monitor: attempts.StreamMonitor,
         age: Age,
         trust_seconds: float,
     ) -> None:
@@ -120,8 +120,8 @@
         self._holder = holder
         self._age = age
         self._trust_seconds = trust_seconds
-        self._calls = calls.CallRelay(context, watch)
-        self._streams = streams.StreamRelay(context, watch)
+        self._calls = calls.CallRelay(context, monitor)
+        self._streams = streams.StreamRelay(context, monitor)
         self._is_leaving = False
         self._in_progress = 0
         self._idle = anyio.Event()
--- a/src/crowdeck/relay/detours.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -23,7 +23,7 @@
 Verify = typing.Callable[[chain.Upstream], None]
 
 
-class Detours:
+class Rerouter:
     """Changes the paths of one entry's streams.
 
     :param streams: those in progress; whoever owns the set adds to it.
@@ -44,7 +44,7 @@
         self._verify = verify
         self._repathing: set[live.LiveStream] = set()
 
-    async def lead_around_all(
+    async def reroute_around_all(
         self, culprits: typing.Iterable[chain.Upstream]
     ) -> None:
         """Change the path of every stream that passes one of some engines.
@@ -54,9 +54,9 @@
         """
         async with anyio.create_task_group() as tasks:
             for culprit in culprits:
-                tasks.start_soon(self.lead_around, culprit)
+                tasks.start_soon(self.reroute_around, culprit)
 
-    async def lead_around(self, culprit: chain.Upstream) -> None:
+    async def reroute_around(self, culprit: chain.Upstream) -> None:
         """Change the path of every stream that passes a failed engine."""
         async with anyio.create_task_group() as tasks:
             for stream in tuple(self._streams):
@@ -73,9 +73,9 @@
                     # it may yet go on, or its connection breaks.
                     continue
                 self._repathing.add(stream)
-                tasks.start_soon(self._lead, stream, path, culprit)
+                tasks.start_soon(self._reroute, stream, path, culprit)
 
-    async def _lead(
+    async def _reroute(
         self,
         stream: live.LiveStream,
         path: chain.ChainPath,
@@ -96,8 +96,8 @@
         refused = {culprit.name}
         refused |= {hop.upstream.name for hop in path.hops} & failed
         while True:
-            other = self._around(stream, path, refused)
-            if self._is_better_begun_anew(stream, path, other):
+            other = self._find_path(stream, path, refused)
+            if self._should_restart(stream, path, other):
                 self._log(stream, path, None, "goes on elsewhere")
                 stream.abandon(f"{culprit.address} is silent")
                 return
@@ -111,14 +111,14 @@
                 refused |= silent
                 continue
             if not self._context.registry.may_probe(path.head.name):
-                self._give_up(stream, path)
+                self._restart_elsewhere(stream, path)
                 return
             outcome = await self._context.client.repath(
                 path.head, stream.request.id, other
             )
             if stream.path is not path:
                 return
-            self._log(stream, path, other, _words(outcome))
+            self._log(stream, path, other, _describe(outcome))
             if outcome.is_done:
                 stream.take_path(other)
                 counters.COUNTERS.add("relay.repathed")
@@ -127,11 +127,13 @@
             if not outcome.is_known:
                 return
             if named is None or named.name in refused:
-                self._give_up(stream, path)
+                self._restart_elsewhere(stream, path)
                 return
             refused.add(named.name)
 
-    def _give_up(self, stream: live.LiveStream, path: chain.ChainPath) -> None:
+    def _restart_elsewhere(
+        self, stream: live.LiveStream, path: chain.ChainPath
+    ) -> None:
         """Begin a stream anew that no other path was allowed for.
 
         Its first engine names nobody, or again one that was left already:
@@ -140,7 +142,7 @@
         """
         if not stream.may_resume:
             return
-        if not self._context.may_begin_anew(stream.service.name):
+        if not self._context.may_restart_stream(stream.service.name):
             return
         self._log(stream, path, None, "goes on elsewhere")
         stream.abandon(f"{path.head.address} allows no other path")
@@ -172,7 +174,7 @@
             self._verify(upstream)
         return {one.name for one in silent}
 
-    def _is_better_begun_anew(
+    def _should_restart(
         self,
         stream: live.LiveStream,
         path: chain.ChainPath,
@@ -187,11 +189,11 @@
         """
         if not stream.may_resume:
             return False
-        if not self._context.may_begin_anew(stream.service.name):
+        if not self._context.may_restart_stream(stream.service.name):
             return False
         return other is None or other.crossings > path.crossings
 
-    def _around(
+    def _find_path(
         self,
         stream: live.LiveStream,
         path: chain.ChainPath,
@@ -228,7 +230,7 @@
         )
 
 
-def _words(outcome: interfaces.RepathOutcome) -> str:
+def _describe(outcome: interfaces.RepathOutcome) -> str:
     if outcome.is_done:
         return "done"
     if not outcome.is_known:
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -13,9 +13,9 @@
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.relay import context as contexts
-from crowdeck.relay import detours
 from crowdeck.relay import live
 from crowdeck.relay import probes
+from crowdeck.relay import rerouting
 
 # The shortest time between two looks at the streams: a small part of the
 # pause that is allowed, at little cost for some tens of streams.
@@ -81,7 +81,7 @@
         )
         self._streams: set[live.LiveStream] = set()
         self._looking: set[live.LiveStream] = set()
-        self._detours = detours.Detours(
+        self._rerouter = rerouting.Rerouter(
             context, self._streams, self._prober, self.verify
         )
         self._to_verify: dict[str, chain.Upstream] = {}
@@ -119,7 +119,7 @@
             self._context.registry.avoid(
                 upstream.name, probe.reason, is_gone=True
             )
-            await self._detours.lead_around(upstream)
+            await self._rerouter.reroute_around(upstream)
         elif upstream.card:
             # Plain services answer no such question otherwise.
             self.verify(upstream)
@@ -199,7 +199,7 @@
             self._context.registry.avoid(
                 upstream.name, probe.reason, is_gone=probe.is_gone
             )
-            await self._detours.lead_around(upstream)
+            await self._rerouter.reroute_around(upstream)
         elif probe.report is not None:
             self._context.registry.note_healthy(upstream.name)
 
@@ -279,7 +279,7 @@
         )
         for culprit in found.culprits:
             self._context.registry.avoid(culprit.name, "silent in a stream")
-        await self._detours.lead_around_all(found.culprits)
+        await self._rerouter.reroute_around_all(found.culprits)
         if not found.culprits and self._is_hung(stream, path, found):
             self._give_up_hung(stream, path)
 
@@ -297,7 +297,7 @@
         now = anyio.current_time()
         if now - stream.moved_at < limit:
             return False
-        if not self._context.may_begin_anew(stream.service.name):
+        if not self._context.may_restart_stream(stream.service.name):
             return False
         if stream.begins and self._is_quicker_elsewhere(stream, path):
             return True
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -27,8 +27,8 @@
 # are worth it; each waits for a path with room and for the budget. Three
 # times as many, by judgement and not by measurement.
 REFUSED_TRIES_BEGUN = 12
-ANSWER_MARGIN = 0.05
-LEAST_SECONDS = 0.1
+ANSWER_MARGIN_SECONDS = 0.05
+MIN_ATTEMPT_SECONDS = 0.1
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 # What the first engine of a path is to blame for.
@@ -41,10 +41,10 @@
     """Passes streams on, over paths of engines that it chooses."""
 
     def __init__(
-        self, context: contexts.RelayContext, watch: attempts.StreamMonitor
+        self, context: contexts.RelayContext, monitor: attempts.StreamMonitor
     ) -> None:
         self._context = context
-        self._watch = watch
+        self._monitor = monitor
 
     async def serve(
         self,
@@ -74,13 +74,13 @@
             last_event=request.last_event,
             team=admitted.team,
         )
-        self._watch.add(stream)
+        self._monitor.add(stream)
         try:
             await self._drive(stream, admitted, sink).run()
         finally:
             sends.close()
             stream.end()
-            self._watch.drop(stream)
+            self._monitor.drop(stream)
 
     def _drive(
         self,
@@ -88,7 +88,7 @@
         admitted: tables.Admitted,
         sink: requests.Sink,
     ) -> "_Drive":
-        return _Drive(self._context, self._watch, stream, admitted, sink)
+        return _Drive(self._context, self._monitor, stream, admitted, sink)
 
 
 class _Drive:
@@ -97,13 +97,13 @@
     def __init__(
         self,
         context: contexts.RelayContext,
-        watch: attempts.StreamMonitor,
+        monitor: attempts.StreamMonitor,
         stream: live.LiveStream,
         admitted: tables.Admitted,
         sink: requests.Sink,
     ) -> None:
         self._context = context
-        self._watch = watch
+        self._monitor = monitor
         self._stream = stream
         self._admitted = admitted
         self._route = admitted.route
@@ -111,24 +111,24 @@
         self._sink = sink
         timeout_seconds = self._request.timeout_seconds or self._route.timeout
         limit = min(timeout_seconds, self._route.timeout)
-        self._deadline = self._request.arrived + limit - ANSWER_MARGIN
+        self._deadline = self._request.arrived + limit - ANSWER_MARGIN_SECONDS
         self._ran_on: set[str] = set()
         self._refusals = 0
         self._paths = paths.PathSearch(
-            context, stream, self._deadline - LEAST_SECONDS
+            context, stream, self._deadline - MIN_ATTEMPT_SECONDS
         )
 
     async def run(self) -> None:
         while True:
-            await self._refuse_culprit()
+            await self._refuse_if_quarantined()
             path = await self._await_path()
             error = await self._attempt(path)
             if error is None:
                 return
-            await self._note(path, error)
-            await self._refuse_culprit()
-            if not await self._may_go_on(path, error):
-                raise self._failure(error)
+            await self._record_failure(path, error)
+            await self._refuse_if_quarantined()
+            if not await self._may_retry(path, error):
+                raise self._final_error(error)
             if self._context.lag_meter.is_overloaded:
                 # Another attempt at once would make us later still.
                 await anyio.sleep(self._context.lag_meter.recent())
@@ -139,12 +139,12 @@
         with anyio.CancelScope() as scope:
             self._stream.wait(scope)
             path = await self._paths.find(has_begun=self._sink.has_started)
-        await self._refuse_culprit()
+        await self._refuse_if_quarantined()
         if path is not None:
             return path
-        raise self._failure(self._paths.refusal())
+        raise self._final_error(self._paths.refusal())
 
-    async def _refuse_culprit(self) -> None:
+    async def _refuse_if_quarantined(self) -> None:
         """Send a request on no more under which engines ended.
 
         Checked before each attempt and not only on arrival: the third end
@@ -193,7 +193,7 @@
                 )
                 await attempts.Attempt(
                     self._context,
-                    self._watch,
+                    self._monitor,
                     self._stream,
                     self._admitted,
                     self._sink,
@@ -251,10 +251,10 @@
             attempts=len(self._ran_on) + 1,
         )
 
-    async def _note(
+    async def _record_failure(
         self, path: chain.ChainPath, error: errors.CrowdeckError
     ) -> None:
-        await self._note_loss(path.head, error)
+        await self._record_loss(path.head, error)
         if error.code in _FAILURES and error.verdict is _MAY_HAVE_RUN:
             self._note_failed(path.head)
         if error.verdict is _MAY_HAVE_RUN:
@@ -274,14 +274,14 @@
             has_begun=not self._stream.begins,
         )
 
-    async def _note_loss(
+    async def _record_loss(
         self, head: chain.Upstream, error: errors.CrowdeckError
     ) -> None:
         """Find out whether an engine ended while it had the request."""
         if error.verdict is not _MAY_HAVE_RUN:
             if error.code is errors.Code.UPSTREAM_LOST:
                 # No connection is no proof that the engine ended.
-                self._watch.verify(head)
+                self._monitor.verify(head)
             return
         if error.code not in _LOSSES:
             return
@@ -293,7 +293,7 @@
         )
         if error.code is errors.Code.STALLED:
             return
-        if await self._watch.has_ended(head):
+        if await self._monitor.has_ended(head):
             self._context.note_end(head)
 
     def _note_failed(self, head: chain.Upstream) -> None:
@@ -306,11 +306,11 @@
                 reason="its streams failed",
             )
 
-    async def _may_go_on(
+    async def _may_retry(
         self, path: chain.ChainPath, error: errors.CrowdeckError
     ) -> bool:
         """Whether another attempt is made."""
-        if self._deadline - anyio.current_time() < LEAST_SECONDS:
+        if self._deadline - anyio.current_time() < MIN_ATTEMPT_SECONDS:
             return False
         if error.code is errors.Code.DEADLINE:
             return False
@@ -346,11 +346,11 @@
             until = min(until + paths.BEGUN_WAIT_SECONDS, self._deadline)
         while not self._stream.sends.reserve():
             if anyio.current_time() >= until:
-                self._context.note_unrepeated(service, self._request.id)
+                self._context.log_retry_refused(service, self._request.id)
                 return False
             await anyio.sleep(paths.WAIT_STEP)
         counters.COUNTERS.add("relay.stream.repeated")
-        self._context.note_repeat(service, self._request.id)
+        self._context.log_retry(service, self._request.id)
         return True
 
     def _may_resume(self) -> bool:
@@ -373,7 +373,9 @@
         sound = sum(1 for name in names if not registry.has_ended(name))
         return self._route.max_attempts - sound
 
-    def _failure(self, error: errors.CrowdeckError) -> errors.CrowdeckError:
+    def _final_error(
+        self, error: errors.CrowdeckError
+    ) -> errors.CrowdeckError:
         verdict = _MAY_HAVE_RUN if self._ran_on else error.verdict
         return errors.CrowdeckError(
             error.code,
