--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -19,12 +19,12 @@
 from crowdeck.observe import logs
 from crowdeck.routing import rate_limits
 
-LOOK_SECONDS = 0.5
+POLL_SECONDS = 0.5
 # Of instances that begin, or end, within one look so many have a line each;
 # one more tells how many others did. Hundreds do when a service is in need.
-LINES_MOST = 20
+MAX_LINES = 20
 # Instances that are named with one request.
-NAMED_MOST = 5
+MAX_NAMED = 5
 
 
 class SignalKind(enum.StrEnum):
@@ -95,7 +95,7 @@
 
     def now(self) -> tuple[BackpressureSignal, ...]:
         """Return what is asked for now."""
-        return (*self._limited(), *self._resting(), *self._leaving())
+        return (*self._limited(), *self._backing_off(), *self._leaving())
 
     def held_back(self, service: str) -> str:
         """Return addresses of those that get no request now for it.
@@ -116,13 +116,13 @@
                 self._registry.is_usable(name) and self._limits.allows(one)
             )
         )
-        return ",".join(itertools.islice(found, NAMED_MOST))
+        return ",".join(itertools.islice(found, MAX_NAMED))
 
     async def run(self) -> None:
         """Log what changes and set the gauges, until cancelled."""
         while True:
-            self._look()
-            await anyio.sleep(LOOK_SECONDS)
+            self._check()
+            await anyio.sleep(POLL_SECONDS)
 
     def _limited(self) -> typing.Iterator[BackpressureSignal]:
         for one in self._limits.views():
@@ -137,7 +137,7 @@
                     share=one.share,
                 )
 
-    def _resting(self) -> typing.Iterator[BackpressureSignal]:
+    def _backing_off(self) -> typing.Iterator[BackpressureSignal]:
         now = anyio.current_time()
         for name, since, until in self._registry.backing_off():
             upstream = self._registry.find(name)
@@ -153,7 +153,7 @@
             if upstream is not None:
                 yield BackpressureSignal(upstream, SignalKind.LEAVING, since)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         found = {one.key: one for one in self.now()}
         begun = [one for key, one in found.items() if key not in self._known]
         ended = [one for key, one in self._known.items() if key not in found]
@@ -177,10 +177,10 @@
             counters.COUNTERS.set_gauge(name, levels[name])
 
 
-def _log(what: str, needs: list[BackpressureSignal]) -> None:
-    for one in needs[:LINES_MOST]:
+def _log(what: str, signals: list[BackpressureSignal]) -> None:
+    for one in signals[:MAX_LINES]:
         logs.change(what, **one.as_fields())
-    others = needs[LINES_MOST:]
+    others = signals[MAX_LINES:]
     if others:
         counts = collections.Counter(
             f"{one.upstream.service} {one.upstream.availability_zone} "
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -82,7 +82,7 @@
     )
     limits: rate_limits.RateLimits = attrs.field(init=False)
     retry_advisor: retry_advice.RetryAdvisor = attrs.field(init=False)
-    gaps: layer_gaps.LayerGaps = attrs.field(init=False)
+    gaps: layer_gaps.LayerGapTracker = attrs.field(init=False)
     backpressure: backpressure_monitor.BackpressureMonitor = attrs.field(
         init=False
     )
@@ -92,7 +92,7 @@
 
     def __attrs_post_init__(self) -> None:
         self.retry_advisor = retry_advice.RetryAdvisor(self.rng)
-        self.gaps = layer_gaps.LayerGaps(self.registry)
+        self.gaps = layer_gaps.LayerGapTracker(self.registry)
         self.subset = subsets.EngineSubset(self.name, self.zone)
         self.limits = rate_limits.RateLimits(self.usage, self.rng)
         self.backpressure = backpressure_monitor.BackpressureMonitor(
@@ -109,7 +109,7 @@
         with all callers, an entry took sound engines for lost, 219 times
         in three seconds, and made each time a new connection.
         """
-        return CONNECT_SECONDS + LAG_FACTOR * self.lag_meter.recent()
+        return CONNECT_SECONDS + LAG_FACTOR * self.lag_meter.recent_lag()
 
     @property
     def heads(self) -> heads.HeadRecords:
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -20,22 +20,22 @@
 
 # Requests that an engine has memory for beside its layers, at the least: as
 # the placement, which an entry does not load, lays layers out.
-ROOM_REQUESTS = 4.0
+MIN_CONCURRENT_REQUESTS = 4.0
 # Where what is left can hold the model it is whole again after the longest
 # load, and so much for noticing the loss, ordering and telling.
 ORDER_DELAY_SECONDS = 3.0
-LOOK_SECONDS = 0.5
+POLL_SECONDS = 0.5
 # Hundreds of requests a second find no path while layers are missing, and a
 # look at 1,000 engines takes a millisecond. No path is looked for more often.
-FRESH_SECONDS = 0.02
+REUSE_SECONDS = 0.02
 # A gap of less is one that a replacement closes; the log is spared it.
-LOGGED_SECONDS = 1.0
+MIN_LOGGED_SECONDS = 1.0
 
 Services = typing.Callable[[], tuple[routes.Service, ...]]
 
 
 @attrs.frozen
-class Gap:
+class LayerGap:
     """Layers of one service that no engine holds.
 
     :ivar layers: the runs of them, first to last.
@@ -53,10 +53,10 @@
     since: float
     engines: frozenset[str]
     engines_since: float
-    holdable: int
+    layer_capacity: int
     profile: chain.EngineProfile
     load_seconds: float
-    was_whole: bool
+    was_complete: bool
 
     def __str__(self) -> str:
         return ",".join(f"{one.first}-{one.end}" for one in self.layers)
@@ -64,7 +64,7 @@
     @property
     def can_be_held(self) -> bool:
         """Whether the engines that are left can hold the whole model."""
-        return self.holdable >= self.profile.layer_count
+        return self.layer_capacity >= self.profile.layer_count
 
     @property
     def seconds_left(self) -> float | None:
@@ -73,7 +73,7 @@
         It is not for a model that was never whole: its first loads may
         take any part of the usual time.
         """
-        if not self.can_be_held or not self.was_whole:
+        if not self.can_be_held or not self.was_complete:
             return None
         ready_at = self.engines_since + self.load_seconds + ORDER_DELAY_SECONDS
         left = ready_at - anyio.current_time()
@@ -87,7 +87,7 @@
             "layers": str(self),
             "seconds": round(anyio.current_time() - self.since, 3),
             "engines": len(self.engines),
-            "can_hold": self.holdable,
+            "can_hold": self.layer_capacity,
             "of": self.profile.layer_count,
             "needed": self.needed,
             "ready_in": None if left is None else round(left, 3),
@@ -103,7 +103,7 @@
         """What would close the gap, for an operator."""
         if self.can_be_held:
             return f"a load of about {self.load_seconds:.1f} s"
-        lacking = self.profile.layer_count - self.holdable
+        lacking = self.profile.layer_count - self.layer_capacity
         kinds = [
             f"{math.ceil(lacking / most)} {name}"
             for name in sorted(self.profile.cards)
@@ -121,32 +121,34 @@
     request = max(
         1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
     )
-    room = ROOM_REQUESTS * request * profile.token_layer_mb
+    room = MIN_CONCURRENT_REQUESTS * request * profile.token_layer_mb
     most = int(known.memory_mb / (profile.layer_mb + room))
     return min(profile.layer_count, most)
 
 
-class LayerGaps:
+class LayerGapTracker:
     """Finds the layers that no engine holds, and tells operators."""
 
     def __init__(self, registry: registries.UpstreamRegistry) -> None:
         self._registry = registry
-        self._gaps: dict[str, Gap] = {}
-        self._looked_at: dict[str, float] = {}
-        self._whole: set[str] = set()
-        self._logged: dict[str, Gap] = {}
+        self._gaps: dict[str, LayerGap] = {}
+        self._checked_at: dict[str, float] = {}
+        self._seen_complete: set[str] = set()
+        self._logged: dict[str, LayerGap] = {}
 
     @property
-    def known(self) -> tuple[Gap, ...]:
+    def known(self) -> tuple[LayerGap, ...]:
         """The gaps as they were last seen."""
         return tuple(self._gaps.values())
 
-    def look(self, service: str, profile: chain.EngineProfile) -> Gap | None:
+    def find_gap(
+        self, service: str, profile: chain.EngineProfile
+    ) -> LayerGap | None:
         """Return the gap in a service's model, if there is one now."""
         now = anyio.current_time()
-        if now - self._looked_at.get(service, -math.inf) < FRESH_SECONDS:
+        if now - self._checked_at.get(service, -math.inf) < REUSE_SECONDS:
             return self._gaps.get(service)
-        self._looked_at[service] = now
+        self._checked_at[service] = now
         staying = chain.engines_within(
             (
                 one
@@ -159,7 +161,7 @@
         missing = missing_layers(staying, profile.layer_count)
         if not missing:
             self._gaps.pop(service, None)
-            self._whole.add(service)
+            self._seen_complete.add(service)
             return None
         known = self._gaps.get(service)
         names = frozenset(one.name for one in staying)
@@ -167,7 +169,7 @@
         most = [most_layers(one.card, profile) for one in staying]
         longest = max(one.end - one.first for one in missing)
         share = min(longest, max(most, default=0)) / profile.layer_count
-        gap = self._gaps[service] = Gap(
+        gap = self._gaps[service] = LayerGap(
             service,
             missing,
             known.since if known else now,
@@ -176,7 +178,7 @@
             sum(most),
             profile,
             profile.load_seconds * share,
-            service in self._whole,
+            service in self._seen_complete,
         )
         return gap
 
@@ -185,11 +187,11 @@
         while True:
             for service in services():
                 if service.profile is not None:
-                    self._tell(service.name, service.profile)
-            await anyio.sleep(LOOK_SECONDS)
+                    self._report(service.name, service.profile)
+            await anyio.sleep(POLL_SECONDS)
 
-    def _tell(self, service: str, profile: chain.EngineProfile) -> None:
-        gap = self.look(service, profile)
+    def _report(self, service: str, profile: chain.EngineProfile) -> None:
+        gap = self.find_gap(service, profile)
         count = sum(one.end - one.first for one in gap.layers) if gap else 0
         counters.COUNTERS.set_gauge(f"layers.unheld.{service}", count)
         before = self._logged.get(service)
@@ -205,13 +207,13 @@
                 )
             return
         seconds = now - gap.since
-        if seconds < LOGGED_SECONDS or _is_alike(gap, before):
+        if seconds < MIN_LOGGED_SECONDS or _is_already_logged(gap, before):
             return
         self._logged[service] = gap
         logs.change("layers_unheld", **gap.as_fields())
 
 
-def _is_alike(gap: Gap, before: Gap | None) -> bool:
+def _is_already_logged(gap: LayerGap, before: LayerGap | None) -> bool:
     """Whether a line of the log tells of a gap what another told."""
     if before is None:
         return False
--- a/src/crowdeck/relay/ingress.py
+++ b/src/crowdeck/relay/ingress.py
@@ -154,7 +154,11 @@
         counters.COUNTERS.add("relay.requests")
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(
-                _await_leaving, request, sink, receive, tasks.cancel_scope
+                _cancel_on_disconnect,
+                request,
+                sink,
+                receive,
+                tasks.cancel_scope,
             )
             try:
                 await self._server.serve(request, sink)
@@ -213,7 +217,7 @@
         """
         status = requests.status_of(error)
         now = anyio.current_time()
-        held = 0.0 if arrived is None else now - arrived
+        elapsed = 0.0 if arrived is None else now - arrived
         counters.COUNTERS.add(f"relay.ended.{status}")
         logs.decision(
             "answer_cut" if sink.has_started else "refused",
@@ -222,7 +226,7 @@
             code=str(error.code),
             reason=error.message,
             verdict=str(error.verdict),
-            held=round(held, 3),
+            held=round(elapsed, 3),
             retry_after=error.retry_after,
         )
         if sink.has_started:
@@ -239,11 +243,11 @@
         await sink.reply(status, headers, body)
 
 
-async def _await_leaving(
+async def _cancel_on_disconnect(
     request: requests.CallerRequest,
     sink: CallerSink,
     receive: Receive,
-    work: anyio.CancelScope,
+    cancel_scope: anyio.CancelScope,
 ) -> None:
     """End the work on a request once its caller has gone."""
     while True:
@@ -257,5 +261,5 @@
                 request.id,
                 after=round(anyio.current_time() - request.arrived, 3),
             )
-            work.cancel()
+            cancel_scope.cancel()
             return
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -19,7 +19,7 @@
 from crowdeck.routing import usage as usages
 
 # Weight of the newest pause in a stream's mean.
-NEWEST = 0.1
+NEWEST_WEIGHT = 0.1
 
 
 @attrs.define(eq=False)
@@ -51,18 +51,18 @@
     tokens: float
     _usage: usages.InFlight
     sends: budgets.SendTracker
-    resumes: typing.Callable[[], bool] = lambda: False
+    can_resume: typing.Callable[[], bool] = lambda: False
     last_event: int = -1
     has_events: bool = False
-    moved_at: float = 0.0
-    next_look: float = 0.0
-    looks: int = 0
-    is_suspect: bool = False
+    progress_at: float = 0.0
+    next_check: float = 0.0
+    checks: int = 0
+    needs_check: bool = False
     usual_pause: float = 0.0
     longest_pause: float = 0.0
     first_event_at: float | None = None
-    begins: bool = True
-    abandoned: str = ""
+    is_starting: bool = True
+    abandon_reason: str = ""
     team: str = ""
     _began_at: float | None = None
     _fingerprint: fingerprint.Fingerprint | None = None
@@ -76,7 +76,7 @@
         Asked anew each time: an engine that it ran on may have ended
         meanwhile, which leaves it one run more.
         """
-        return self.resumes()
+        return self.can_resume()
 
     @property
     def fingerprint(self) -> fingerprint.Fingerprint:
@@ -110,14 +110,14 @@
     def begin(self, path: chain.ChainPath, scope: anyio.CancelScope) -> None:
         """Begin an attempt; ``scope`` is cancelled to abandon it."""
         self._scope = scope
-        self.abandoned = ""
-        self.moved_at = anyio.current_time()
-        self.next_look = 0.0
-        self.begins = True
+        self.abandon_reason = ""
+        self.progress_at = anyio.current_time()
+        self.next_check = 0.0
+        self.is_starting = True
         self._began_at = None
-        self.take_path(path)
+        self.switch_path(path)
 
-    def take_path(self, path: chain.ChainPath) -> None:
+    def switch_path(self, path: chain.ChainPath) -> None:
         """Go on along another path."""
         self._leave_path()
         self._path = path
@@ -130,25 +130,25 @@
 
     def abandon(self, reason: str) -> None:
         """Give up the attempt; the stream then goes on elsewhere."""
-        if self._scope is not None and not self.abandoned:
-            self.abandoned = reason
+        if self._scope is not None and not self.abandon_reason:
+            self.abandon_reason = reason
             self._scope.cancel()
 
-    def moved(self) -> None:
+    def note_event(self) -> None:
         """Note that an event came."""
         now = anyio.current_time()
         if self.first_event_at is None:
             self.first_event_at = now
         else:
-            pause = now - self.moved_at
-            self.usual_pause += NEWEST * (pause - self.usual_pause)
+            pause = now - self.progress_at
+            self.usual_pause += NEWEST_WEIGHT * (pause - self.usual_pause)
             self.longest_pause = max(self.longest_pause, pause)
-        if self.begins:
+        if self.is_starting:
             self._began_at = now
-        self.begins = False
-        self.moved_at = now
-        self.next_look = 0.0
-        self.looks = 0
+        self.is_starting = False
+        self.progress_at = now
+        self.next_check = 0.0
+        self.checks = 0
 
     def _leave_path(self) -> None:
         if self._path is not None:
--- a/src/crowdeck/relay/loop_lag.py
+++ b/src/crowdeck/relay/loop_lag.py
@@ -11,18 +11,18 @@
 from crowdeck.observe import logs
 
 # A beat of those that a silent engine is waited out with.
-BEAT_SECONDS = 0.009
+TICK_SECONDS = 0.009
 # A beat of the meter that runs all day. What holds the loop up for longer
 # is always noticed; shorter than a quarter of the shortest pause after which
 # a stream is looked into, it does no harm unnoticed.
-METER_SECONDS = 0.02
+METER_TICK_SECONDS = 0.02
 # Only beats count that came on time. While our own loop was late, by its
 # share of the processor or a long task, answers lay unread and questions
 # unsent: entries with 0.4 of a core took five sound engines for silent at
 # one moment when a large config came.
-LATE_SECONDS = 0.006
+ON_TIME_SECONDS = 0.006
 # Lateness from which the loop's own work shows in the log.
-TOLD_SECONDS = 0.03
+LOGGED_SECONDS = 0.03
 # How long after a late beat streams may seem silent that only wait to be
 # read.
 SETTLE_SECONDS = 0.03
@@ -45,23 +45,23 @@
     async def run(self) -> None:
         """Measure until cancelled."""
         while True:
-            self._due = anyio.current_time() + METER_SECONDS
-            late = await beat(METER_SECONDS)
-            if late <= LATE_SECONDS:
+            self._due = anyio.current_time() + METER_TICK_SECONDS
+            late = await tick(METER_TICK_SECONDS)
+            if late <= ON_TIME_SECONDS:
                 continue
             now = self._late_at = anyio.current_time()
             if late >= self._peak or now - self._peak_at > RECENT_SECONDS:
                 self._peak, self._peak_at = late, now
-            if late > TOLD_SECONDS:
+            if late > LOGGED_SECONDS:
                 counters.COUNTERS.time("loop.late", late)
                 logs.change("loop_late", seconds=round(late, 4))
 
     @property
     def is_overloaded(self) -> bool:
         """Whether the process does not keep up with its work."""
-        return self.recent() > OVERLOAD_SECONDS
+        return self.recent_lag() > OVERLOAD_SECONDS
 
-    def recent(self) -> float:
+    def recent_lag(self) -> float:
         """Return by how much the loop was late at the most just now."""
         now = anyio.current_time()
         overdue = max(0.0, now - self._due)
@@ -74,7 +74,7 @@
         return anyio.current_time() - self._late_at < SETTLE_SECONDS
 
 
-async def beat(seconds: float = BEAT_SECONDS) -> float:
+async def tick(seconds: float = TICK_SECONDS) -> float:
     """Sleep for one beat; returns by how much it was late, in seconds."""
     due = anyio.current_time() + seconds
     await anyio.sleep(seconds)
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -201,9 +201,9 @@
             return _no_path(ALL_IN_NEED, seconds + advice)
         return _no_path("no path through the model has room", advice)
 
-    def _gap(self) -> gaps.Gap | None:
+    def _gap(self) -> gaps.LayerGap | None:
         """Return the layers that no engine holds which stays, if any."""
-        return self._context.gaps.look(self._service, self._stream.profile)
+        return self._context.gaps.find_gap(self._service, self._stream.profile)
 
     def _note_no_path(self) -> None:
         registry = self._context.registry
@@ -270,11 +270,11 @@
         return path
 
 
-def _lack_of(gap: gaps.Gap) -> str:
+def _lack_of(gap: gaps.LayerGap) -> str:
     reason = f"no engine holds layers {gap}"
     if not gap.can_be_held:
         count = gap.profile.layer_count
-        reason += f", and those left can hold {gap.holdable} of {count}"
+        reason += f", and those left can hold {gap.layer_capacity} of {count}"
     return reason
 
 
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -25,11 +25,11 @@
 BEATS_MOST = 25
 # An answer serves everybody who asks within this time. When an engine
 # fails, all streams through it ask at once.
-FRESH_SECONDS = 0.05
+REUSE_SECONDS = 0.05
 # For streams that have yet to begin a sound answer serves longer: they wait
 # for some tenths of a second, and hundreds wait when a fleet is full. Asked
 # every 50 ms by 29 entries, engines got six questions for each request.
-FRESH_BEGIN_SECONDS = 0.25
+STARTING_REUSE_SECONDS = 0.25
 
 # Engines asked beside one that is silent, to tell its silence from ours.
 CONTROLS = 2
@@ -83,7 +83,7 @@
         return bool(self._asking)
 
     async def ask(
-        self, upstream: chain.Upstream, fresh: float = FRESH_SECONDS
+        self, upstream: chain.Upstream, fresh: float = REUSE_SECONDS
     ) -> Probe:
         """Return what an engine says now, or said a moment ago.
 
@@ -93,7 +93,7 @@
             known = self._known.get(upstream.name)
             now = anyio.current_time()
             if known is not None:
-                serves = FRESH_SECONDS if known.report is None else fresh
+                serves = REUSE_SECONDS if known.report is None else fresh
                 if now - known.at < serves:
                     return known
             waiting = self._asking.get(upstream.name)
@@ -116,7 +116,7 @@
 
     def _forget(self) -> None:
         """Drop what is no longer fresh: engines come and go all day."""
-        since = anyio.current_time() - FRESH_BEGIN_SECONDS
+        since = anyio.current_time() - STARTING_REUSE_SECONDS
         for name in [n for n, one in self._known.items() if one.at < since]:
             del self._known[name]
 
@@ -178,7 +178,7 @@
     """Wait for the beats of a silent engine; true if enough were on time."""
     on_time = 0
     for _ in range(BEATS_MOST):
-        if await loop_lag.beat() <= loop_lag.LATE_SECONDS:
+        if await loop_lag.tick() <= loop_lag.ON_TIME_SECONDS:
             on_time += 1
         if on_time >= SILENT_BEATS:
             return True
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -207,7 +207,7 @@
 
         :raises CrowdeckError: ``OVERLOADED``, not run.
         """
-        late = self._context.lag_meter.recent()
+        late = self._context.lag_meter.recent_lag()
         if late > loop_lag.OVERLOAD_SECONDS:
             counters.COUNTERS.add("relay.shed")
             raise errors.CrowdeckError(
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -63,7 +63,7 @@
                 path = stream.path
                 if path is None or not path.passes(culprit.name):
                     continue
-                if stream.abandoned or stream in self._repathing:
+                if stream.abandon_reason or stream in self._repathing:
                     continue
                 if path.head.name == culprit.name:
                     if stream.may_resume:
@@ -120,7 +120,7 @@
                 return
             self._log(stream, path, other, _describe(outcome))
             if outcome.is_done:
-                stream.take_path(other)
+                stream.switch_path(other)
                 counters.COUNTERS.add("relay.repathed")
                 return
             named = self._context.registry.find_by_address(outcome.culprit)
@@ -226,7 +226,7 @@
             before=str(path),
             path=str(other) if other else "",
             outcome=outcome,
-            silent=round(anyio.current_time() - stream.moved_at, 3),
+            silent=round(anyio.current_time() - stream.progress_at, 3),
         )
 
 
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -133,7 +133,9 @@
         """
         quarantine = self._context.quarantine
         for stream in tuple(self._streams):
-            if stream.begins and quarantine.is_quarantined(stream.fingerprint):
+            if stream.is_starting and quarantine.is_quarantined(
+                stream.fingerprint
+            ):
                 stream.abandon("it ends the engines that begin it")
 
     def check_now(self, upstream: chain.Upstream) -> None:
@@ -145,8 +147,8 @@
         for stream in self._streams:
             path = stream.path
             if path is not None and path.passes(upstream.name):
-                stream.next_look = 0.0
-                stream.is_suspect = True
+                stream.next_check = 0.0
+                stream.needs_check = True
                 self._woken.set()
 
     async def run(self) -> None:
@@ -234,8 +236,8 @@
     def _is_silent(self, stream: live.LiveStream, now: float) -> bool:
         if stream.path is None or stream in self._looking:
             return False
-        if stream.is_suspect:
-            stream.is_suspect = False
+        if stream.needs_check:
+            stream.needs_check = False
             return True
         return now >= self._silent_at(stream)
 
@@ -247,24 +249,24 @@
             limit = min(limit, LATEST_SHARE * stream.gap)
         else:
             limit = FIRST_SHARE * stream.objective
-        return max(stream.moved_at + limit, stream.next_look)
+        return max(stream.progress_at + limit, stream.next_check)
 
     async def _look_into(self, stream: live.LiveStream) -> None:
         try:
             await self._find_cause(stream)
         finally:
-            stream.looks += 1
-            again = AGAIN_SHARE * stream.gap * 2.0 ** (stream.looks - 1)
-            stream.next_look = anyio.current_time() + again
+            stream.checks += 1
+            again = AGAIN_SHARE * stream.gap * 2.0 ** (stream.checks - 1)
+            stream.next_check = anyio.current_time() + again
             self._looking.discard(stream)
 
     async def _find_cause(self, stream: live.LiveStream) -> None:
         path = stream.path
         if path is None:
             return
-        silent_since = stream.moved_at
+        silent_since = stream.progress_at
         found = await self._culprits(stream, path)
-        if stream.path is not path or stream.moved_at != silent_since:
+        if stream.path is not path or stream.progress_at != silent_since:
             return
         logs.decision(
             "stream_silent",
@@ -292,20 +294,20 @@
         if found.head is None or not found.is_sure:
             return False
         limit = HUNG_GAPS * stream.gap
-        if stream.begins:
+        if stream.is_starting:
             limit = HUNG_SHARE * stream.objective
         now = anyio.current_time()
-        if now - stream.moved_at < limit:
+        if now - stream.progress_at < limit:
             return False
         if not self._context.may_restart_stream(stream.service.name):
             return False
-        if stream.begins and self._is_quicker_elsewhere(stream, path):
+        if stream.is_starting and self._is_quicker_elsewhere(stream, path):
             return True
         return not found.head.waiting and any(
             other.path is not None
             and other.path.head.name == path.head.name
             and other.has_events
-            and now - other.moved_at < SIBLING_PAUSES * other.usual_pause
+            and now - other.progress_at < SIBLING_PAUSES * other.usual_pause
             for other in self._streams
             if other is not stream
         )
@@ -321,13 +323,13 @@
         """
         heads = self._context.heads
         name = path.head.name
-        if heads.has_first_event_since(name, stream.moved_at):
+        if heads.has_first_event_since(name, stream.progress_at):
             return False
         if heads.has_fast_alternative(name, QUICK_SHARE * stream.objective):
             return True
         # An entry with few streams may know of no other. One that was not
         # seen to be slow is worth the try when this one is late anyway.
-        waited = anyio.current_time() - stream.moved_at
+        waited = anyio.current_time() - stream.progress_at
         return (
             waited > LATE_SHARE * stream.objective
             and not heads.has_slow_alternative(name, stream.objective)
@@ -356,9 +358,9 @@
         but its report is of some moments ago. When it knows of nothing
         the others are asked; one question serves all who want to know.
         """
-        fresh = probes.FRESH_SECONDS
-        if stream.begins:
-            fresh = probes.FRESH_BEGIN_SECONDS
+        fresh = probes.REUSE_SECONDS
+        if stream.is_starting:
+            fresh = probes.STARTING_REUSE_SECONDS
         head = await self._prober.ask(path.head, fresh)
         if head.report is None:
             others = tuple(hop.upstream for hop in path.hops[1:])
@@ -394,7 +396,7 @@
             hop.upstream.name
             for stream in self._streams
             if stream.path is not None
-            and not stream.begins
-            and stream.moved_at >= since
+            and not stream.is_starting
+            and stream.progress_at >= since
             for hop in stream.path.hops
         }
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -131,7 +131,7 @@
                 raise self._final_error(error)
             if self._context.lag_meter.is_overloaded:
                 # Another attempt at once would make us later still.
-                await anyio.sleep(self._context.lag_meter.recent())
+                await anyio.sleep(self._context.lag_meter.recent_lag())
 
     async def _await_path(self) -> chain.ChainPath:
         """Return a path, waiting a little where there is none yet."""
@@ -187,7 +187,7 @@
                 self._stream.begin(path, scope)
                 self._context.heads.begin(path.head.name, self._stream)
                 self._stream.sends.send()
-                self._stream.resumes = lambda: (
+                self._stream.can_resume = lambda: (
                     self._route.is_resumable
                     and self._runs_left(path.head.name) > 0
                 )
@@ -216,7 +216,7 @@
         self._stream.sends.give_up()
         return errors.CrowdeckError(
             errors.Code.STALLED,
-            self._stream.abandoned or "abandoned",
+            self._stream.abandon_reason or "abandoned",
             verdict=_MAY_HAVE_RUN,
             culprit=path.head.name,
         )
@@ -271,7 +271,7 @@
             verdict=str(error.verdict),
             after=self._stream.last_event,
             content=str(self._stream.fingerprint),
-            has_begun=not self._stream.begins,
+            has_begun=not self._stream.is_starting,
         )
 
     async def _record_loss(
--- a/src/crowdeck/relay/survey.py
+++ b/src/crowdeck/relay/survey.py
@@ -16,7 +16,7 @@
 
 # How often a starting entry looks whether engines are listed, and for how
 # long: they are within some tenths of a second after its config.
-LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 LOOKS_MOST = 100
 # Questions under way at once: a round of them takes about 3 ms.
 AT_ONCE = 32
@@ -66,7 +66,7 @@
                 return self._nearest(
                     [one for one in found if one.layers is not None]
                 )
-            await anyio.sleep(LOOK_SECONDS)
+            await anyio.sleep(POLL_SECONDS)
         return []
 
     async def _ask(
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -164,7 +164,7 @@
         assert (
             3.0
             <= ended["seconds"]
-            <= 3.0 + 2 * backpressure_monitor.LOOK_SECONDS
+            <= 3.0 + 2 * backpressure_monitor.POLL_SECONDS
         )
 
     def test_hundreds_at_once_have_few_lines(self, lines: Lines) -> None:
@@ -175,10 +175,10 @@
 
         play(work, plain=300)
         for what in ("need_begun", "need_ended"):
-            assert len(of(what, lines)) == backpressure_monitor.LINES_MOST
+            assert len(of(what, lines)) == backpressure_monitor.MAX_LINES
             (others,) = of(f"{what}_by_others", lines)
             assert others["instances"] == {
-                f"{PLAIN} plateau rest": 300 - backpressure_monitor.LINES_MOST
+                f"{PLAIN} plateau rest": 300 - backpressure_monitor.MAX_LINES
             }
 
     def test_gauges_by_service_and_zone(self) -> None:
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -178,7 +178,7 @@
                 least = load + gaps.ORDER_DELAY_SECONDS
                 assert least - 0.1 <= comes_at
                 # Noticed half a second late, and spread.
-                most = least + gaps.LOOK_SECONDS + retry_advice.WINDOW_SECONDS
+                most = least + gaps.POLL_SECONDS + retry_advice.WINDOW_SECONDS
                 assert comes_at <= most + 0.1
                 assert "20-40" in error.message
 
@@ -340,7 +340,7 @@
             await anyio.sleep(0.6)
             (gap,) = system.context.gaps.known
             most = gaps.most_layers("small", PROFILE)
-            assert gap.holdable == 6 * most
+            assert gap.layer_capacity == 6 * most
             lacking = 80 - 6 * most
             assert gap.needed == (
                 f"engines for {lacking} more layers: 1 large or "
