--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -177,9 +177,9 @@
             counters.COUNTERS.set_gauge(name, levels[name])
 
 
-def _log(what: str, signals: list[BackpressureSignal]) -> None:
+def _log(event: str, signals: list[BackpressureSignal]) -> None:
     for one in signals[:MAX_LINES]:
-        logs.change(what, **one.as_fields())
+        logs.change(event, **one.as_fields())
     others = signals[MAX_LINES:]
     if others:
         counts = collections.Counter(
@@ -187,4 +187,4 @@
             f"{one.kind}"
             for one in others
         )
-        logs.change(f"{what}_by_others", instances=dict(counts))
+        logs.change(f"{event}_by_others", instances=dict(counts))
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -105,15 +105,15 @@
             return f"a load of about {self.load_seconds:.1f} s"
         lacking = self.profile.layer_count - self.layer_capacity
         kinds = [
-            f"{math.ceil(lacking / most)} {name}"
+            f"{math.ceil(lacking / capacity)} {name}"
             for name in sorted(self.profile.cards)
-            if (most := most_layers(name, self.profile))
+            if (capacity := max_layers(name, self.profile))
         ]
         engines = " or ".join(kinds) or "no known kind"
         return f"engines for {lacking} more layers: {engines}"
 
 
-def most_layers(card: str, profile: chain.EngineProfile) -> int:
+def max_layers(card: str, profile: chain.EngineProfile) -> int:
     """Return how many layers an engine can hold and still serve."""
     known = profile.cards.get(card)
     if known is None:
@@ -121,9 +121,9 @@
     request = max(
         1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
     )
-    room = MIN_CONCURRENT_REQUESTS * request * profile.token_layer_mb
-    most = int(known.memory_mb / (profile.layer_mb + room))
-    return min(profile.layer_count, most)
+    kv_cache_mb = MIN_CONCURRENT_REQUESTS * request * profile.token_layer_mb
+    count = int(known.memory_mb / (profile.layer_mb + kv_cache_mb))
+    return min(profile.layer_count, count)
 
 
 class LayerGapTracker:
@@ -166,16 +166,16 @@
         known = self._gaps.get(service)
         names = frozenset(one.name for one in staying)
         is_same = known is not None and known.engines == names
-        most = [most_layers(one.card, profile) for one in staying]
+        capacities = [max_layers(one.card, profile) for one in staying]
         longest = max(one.end - one.first for one in missing)
-        share = min(longest, max(most, default=0)) / profile.layer_count
+        share = min(longest, max(capacities, default=0)) / profile.layer_count
         gap = self._gaps[service] = LayerGap(
             service,
             missing,
             known.since if known else now,
             names,
             known.engines_since if known and is_same else now,
-            sum(most),
+            sum(capacities),
             profile,
             profile.load_seconds * share,
             service in self._seen_complete,
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -46,7 +46,7 @@
     request: requests.CallerRequest
     service: routes.Service
     profile: chain.EngineProfile
-    gap: float
+    max_pause: float
     objective: float
     tokens: float
     _usage: usages.InFlight
@@ -64,7 +64,7 @@
     is_starting: bool = True
     abandon_reason: str = ""
     team: str = ""
-    _began_at: float | None = None
+    _attempt_event_at: float | None = None
     _fingerprint: fingerprint.Fingerprint | None = None
     _path: chain.ChainPath | None = None
     _scope: anyio.CancelScope | None = None
@@ -94,8 +94,8 @@
     def attempt_record(self) -> trackers.AttemptRecord:
         """What came of the attempt under way, or of the last one."""
         seconds = None
-        if self._began_at is not None:
-            seconds = anyio.current_time() - self._began_at
+        if self._attempt_event_at is not None:
+            seconds = anyio.current_time() - self._attempt_event_at
         return trackers.AttemptRecord(self.fingerprint, seconds)
 
     @property
@@ -114,7 +114,7 @@
         self.progress_at = anyio.current_time()
         self.next_check = 0.0
         self.is_starting = True
-        self._began_at = None
+        self._attempt_event_at = None
         self.switch_path(path)
 
     def switch_path(self, path: chain.ChainPath) -> None:
@@ -144,7 +144,7 @@
             self.usual_pause += NEWEST_WEIGHT * (pause - self.usual_pause)
             self.longest_pause = max(self.longest_pause, pause)
         if self.is_starting:
-            self._began_at = now
+            self._attempt_event_at = now
         self.is_starting = False
         self.progress_at = now
         self.next_check = 0.0
--- a/src/crowdeck/relay/loop_lag.py
+++ b/src/crowdeck/relay/loop_lag.py
@@ -22,7 +22,7 @@
 # one moment when a large config came.
 ON_TIME_SECONDS = 0.006
 # Lateness from which the loop's own work shows in the log.
-LOGGED_SECONDS = 0.03
+LOGGED_LAG_SECONDS = 0.03
 # How long after a late beat streams may seem silent that only wait to be
 # read.
 SETTLE_SECONDS = 0.03
@@ -52,7 +52,7 @@
             now = self._late_at = anyio.current_time()
             if late >= self._peak or now - self._peak_at > RECENT_SECONDS:
                 self._peak, self._peak_at = late, now
-            if late > LOGGED_SECONDS:
+            if late > LOGGED_LAG_SECONDS:
                 counters.COUNTERS.time("loop.late", late)
                 logs.change("loop_late", seconds=round(late, 4))
 
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -25,16 +25,16 @@
 # Where a layer is held by no engine that is listed, waiting does not help
 # within that time: loading takes longer. A watch may lag by so much after
 # the layer was first missed.
-MISSING_WAIT_SECONDS = 0.1
+UNHELD_WAIT_SECONDS = 0.1
 # A stream that has begun waits longer: its caller gives up only after a
 # silence of two seconds or more.
-BEGUN_WAIT_SECONDS = 1.6
-WAIT_STEP = 0.02
+STARTED_WAIT_SECONDS = 1.6
+POLL_SECONDS = 0.02
 # In a line each look is in vain but one, and a look in vain at a full fleet
 # of 38 engines takes 30 ms of a small entry's time: every 20 ms it left no
 # time for the streams under way.
 QUEUE_POLL_SECONDS = 0.08
-ALL_IN_NEED = "all engines of some layers are at their limits or want rest"
+ALL_UNAVAILABLE = "all engines of some layers are at their limits or want rest"
 
 
 class PathSearch:
@@ -55,13 +55,13 @@
         self._arrived = stream.request.arrived
         self._deadline = deadline
         self._excluded: set[str] = set()
-        self._waited_for = ""
+        self._held_back_at_start = ""
 
     def exclude(self, name: str) -> None:
         """Use an engine no more, unless there is no path without it."""
         self._excluded.add(name)
 
-    async def find(self, *, has_begun: bool) -> chain.ChainPath | None:
+    async def find(self, *, has_started: bool) -> chain.ChainPath | None:
         """Return a path, or ``None`` where none can be had in time.
 
         :param has_begun: whether the caller has a part of the answer; such
@@ -69,30 +69,30 @@
         """
         wait_queue = self._context.wait_queue(self._service)
         path = None
-        if has_begun:
-            path = await self._await_begun()
-        elif self._has_turns(wait_queue) or (path := self._plan()) is None:
-            self._waited_for = self._context.backpressure.held_back(
+        if has_started:
+            path = await self._wait_as_started()
+        elif self._must_queue(wait_queue) or (path := self._plan()) is None:
+            self._held_back_at_start = self._context.backpressure.held_back(
                 self._service
             )
-            path = await self._wait_in(wait_queue)
+            path = await self._wait_in_queue(wait_queue)
         if path is None:
             self._note_no_path()
         return path
 
-    async def _await_begun(self) -> chain.ChainPath | None:
+    async def _wait_as_started(self) -> chain.ChainPath | None:
         """Return a path for a stream that has begun.
 
         Layers that are being loaded are waited for as room is. What cannot
         be held is not.
         """
-        until = anyio.current_time() + BEGUN_WAIT_SECONDS
+        until = anyio.current_time() + STARTED_WAIT_SECONDS
         gap = self._gap()
         if gap is not None and not gap.can_be_held:
-            until = gap.since + MISSING_WAIT_SECONDS
+            until = gap.since + UNHELD_WAIT_SECONDS
         return await self._poll(until)
 
-    async def _wait_in(
+    async def _wait_in_queue(
         self, wait_queue: waiting.WaitQueue
     ) -> chain.ChainPath | None:
         """Return a path once it is this request's turn and there is one.
@@ -103,12 +103,12 @@
         until = self._arrived + QUEUE_WAIT_SECONDS
         gap = self._gap()
         if gap is not None and not gap.closes_by(until):
-            until = gap.since + MISSING_WAIT_SECONDS
+            until = gap.since + UNHELD_WAIT_SECONDS
         until = min(until, self._deadline)
-        expected = self._context.retry_advisor.seconds_until_room(
+        expected = self._context.retry_advisor.seconds_until_capacity(
             len(wait_queue) + 1
         )
-        expected = max(expected, self.seconds_until_taken())
+        expected = max(expected, self.seconds_until_accepted())
         if wait_queue.is_full or now + expected > until:
             return None
         async with wait_queue.turn(until) as is_first:
@@ -117,7 +117,7 @@
             return await self._poll(until, QUEUE_POLL_SECONDS)
 
     async def _poll(
-        self, until: float, step: float = WAIT_STEP
+        self, until: float, step: float = POLL_SECONDS
     ) -> chain.ChainPath | None:
         """Look for a path again and again."""
         until = min(until, self._deadline)
@@ -127,7 +127,7 @@
             await anyio.sleep(step)
         return path
 
-    def seconds_until_taken(self) -> float:
+    def seconds_until_accepted(self) -> float:
         """Return in how long engines take a request for a stream.
 
         By what they ask for themselves: 0 where they do now. While all first
@@ -143,9 +143,9 @@
         ]
         ahead = len(self._context.wait_queue(self._service))
         until_first = self._context.seconds_until_any(firsts, ahead)
-        return max(until_first, self._seconds_until_rested())
+        return max(until_first, self._seconds_until_backoffs_end())
 
-    def _seconds_until_rested(self) -> float:
+    def _seconds_until_backoffs_end(self) -> float:
         """Return in how long engines that want rest are there for a path.
 
         0 where there is one without them, or layers are missing all the
@@ -175,31 +175,31 @@
             for layer in range(run.first, run.end)
         )
 
-    def _has_turns(self, wait_queue: waiting.WaitQueue) -> bool:
+    def _must_queue(self, wait_queue: waiting.WaitQueue) -> bool:
         """Whether others wait, for what will come."""
         return bool(len(wait_queue)) and self._gap() is None
 
     def held_back(self) -> str:
         """Return which engines are in need, or were when a wait began."""
         now = self._context.backpressure.held_back(self._service)
-        return now or self._waited_for
+        return now or self._held_back_at_start
 
     def refusal(self) -> errors.CrowdeckError:
         """Return the refusal of a stream that found no path."""
         rng = self._context.rng
-        advice = self._context.retry_advisor.estimate_delay()
+        delay = self._context.retry_advisor.estimate_delay()
         gap = self._gap()
         if gap is not None:
             counters.COUNTERS.add("relay.unheld")
             left = gap.seconds_left
             if left is not None:
-                advice = left + rng.uniform(0.0, retry_advice.WINDOW_SECONDS)
-            return _no_path(_lack_of(gap), advice)
-        seconds = self.seconds_until_taken()
+                delay = left + rng.uniform(0.0, retry_advice.WINDOW_SECONDS)
+            return _no_path(_describe_gap(gap), delay)
+        seconds = self.seconds_until_accepted()
         if seconds:
             counters.COUNTERS.add("relay.limited")
-            return _no_path(ALL_IN_NEED, seconds + advice)
-        return _no_path("no path through the model has room", advice)
+            return _no_path(ALL_UNAVAILABLE, seconds + delay)
+        return _no_path("no path through the model has room", delay)
 
     def _gap(self) -> gaps.LayerGap | None:
         """Return the layers that no engine holds which stays, if any."""
@@ -212,7 +212,7 @@
         held = chain.coverage(usable, count)
         missing = [layer for layer, copies in enumerate(held) if not copies]
         gap = self._gap()
-        ready_in = self.seconds_until_taken()
+        ready_in = self.seconds_until_accepted()
         logs.decision(
             "no_path",
             self._stream.request.id,
@@ -242,7 +242,7 @@
             for one in registry.usable(self._service)
             if one.name not in self._excluded
         ]
-        path = self._best_path(usable, wanted)
+        path = self._plan_over(usable, wanted)
         if path is None or path.crossings:
             last = [
                 one
@@ -250,7 +250,7 @@
                 if one.name not in self._excluded
             ]
             if last:
-                path = self._best_path(usable + last, wanted)
+                path = self._plan_over(usable + last, wanted)
         if path is None and self._excluded:
             # What refused a moment ago may serve by now.
             self._excluded.clear()
@@ -259,7 +259,7 @@
             self._context.limits.take(path.head)
         return path
 
-    def _best_path(
+    def _plan_over(
         self, usable: list[chain.Upstream], wanted: hops.PathRequest
     ) -> chain.ChainPath | None:
         """Return the best path over this entry's engines, or over all."""
@@ -270,7 +270,7 @@
         return path
 
 
-def _lack_of(gap: gaps.LayerGap) -> str:
+def _describe_gap(gap: gaps.LayerGap) -> str:
     reason = f"no engine holds layers {gap}"
     if not gap.can_be_held:
         count = gap.profile.layer_count
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -20,9 +20,9 @@
 # ones answer within 2 ms, those of another zone within 3; with 60 ms
 # instead of 36, streams through a dark engine went on 230 ms after their
 # last event, and 200 ms are in time.
-SILENT_BEATS = 4
+SILENT_TICKS = 4
 # Beats in all, on time or not; an entry this busy learns nothing by asking.
-BEATS_MOST = 25
+MAX_TICKS = 25
 # An answer serves everybody who asks within this time. When an engine
 # fails, all streams through it ask at once.
 REUSE_SECONDS = 0.05
@@ -32,7 +32,7 @@
 STARTING_REUSE_SECONDS = 0.25
 
 # Engines asked beside one that is silent, to tell its silence from ours.
-CONTROLS = 2
+CONTROL_COUNT = 2
 
 
 @attrs.frozen
@@ -83,7 +83,7 @@
         return bool(self._asking)
 
     async def ask(
-        self, upstream: chain.Upstream, fresh: float = REUSE_SECONDS
+        self, upstream: chain.Upstream, max_age: float = REUSE_SECONDS
     ) -> Probe:
         """Return what an engine says now, or said a moment ago.
 
@@ -93,8 +93,10 @@
             known = self._known.get(upstream.name)
             now = anyio.current_time()
             if known is not None:
-                serves = REUSE_SECONDS if known.report is None else fresh
-                if now - known.at < serves:
+                reuse_seconds = (
+                    REUSE_SECONDS if known.report is None else max_age
+                )
+                if now - known.at < reuse_seconds:
                     return known
             waiting = self._asking.get(upstream.name)
             if waiting is None:
@@ -125,12 +127,12 @@
         found: list[Probe] = []
 
         async def report(scope: anyio.CancelScope) -> None:
-            told: chain.EngineReport | None = None
+            answer: chain.EngineReport | None = None
             reason = ""
             is_gone = False
             is_sure = True
             try:
-                told = await self._upstreams.report(upstream)
+                answer = await self._upstreams.report(upstream)
             except errors.CrowdeckError as error:
                 reason = error.message
                 is_gone = isinstance(error, errors.InstanceGone)
@@ -140,11 +142,11 @@
             found.append(
                 Probe(
                     upstream,
-                    told,
+                    answer,
                     reason,
                     is_sure,
                     now,
-                    told is None and is_sure,
+                    answer is None and is_sure,
                     is_gone,
                 )
             )
@@ -153,7 +155,7 @@
         is_sure = False
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(report, tasks.cancel_scope)
-            is_sure = await _wait_out()
+            is_sure = await _wait_for_silence()
             tasks.cancel_scope.cancel()
         if found:
             return found[0]
@@ -171,15 +173,15 @@
     zone = upstream.availability_zone
     others = [one for one in usable if one.name != upstream.name]
     others.sort(key=lambda one: (one.availability_zone == zone, one.name))
-    return others[:CONTROLS]
+    return others[:CONTROL_COUNT]
 
 
-async def _wait_out() -> bool:
+async def _wait_for_silence() -> bool:
     """Wait for the beats of a silent engine; true if enough were on time."""
     on_time = 0
-    for _ in range(BEATS_MOST):
+    for _ in range(MAX_TICKS):
         if await loop_lag.tick() <= loop_lag.ON_TIME_SECONDS:
             on_time += 1
-        if on_time >= SILENT_BEATS:
+        if on_time >= SILENT_TICKS:
             return True
     return False
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -27,12 +27,12 @@
 # sent elsewhere, before their requests have to be refused. A config is
 # proved current every 1.2 of 3.9 s; whoever passes new connections on
 # stops one to two seconds after the first bad answer about readiness.
-WELCOME_SHARE = 0.46
+READY_AGE_SHARE = 0.46
 # A process that has just started knows its config within a few calls.
-START_RETRY_AFTER = 0.3
+START_RETRY_SECONDS = 0.3
 
 Decoder = typing.Callable[[bytes], routes.FleetConfig]
-Age = typing.Callable[[], float]
+ConfigAge = typing.Callable[[], float]
 
 
 class ConfigHolder:
@@ -113,13 +113,13 @@
         context: contexts.RelayContext,
         holder: ConfigHolder,
         monitor: attempts.StreamMonitor,
-        age: Age,
-        trust_seconds: float,
+        age: ConfigAge,
+        max_config_age: float,
     ) -> None:
         self._context = context
         self._holder = holder
         self._age = age
-        self._trust_seconds = trust_seconds
+        self._max_config_age = max_config_age
         self._calls = calls.CallRelay(context, monitor)
         self._streams = streams.StreamRelay(context, monitor)
         self._is_leaving = False
@@ -149,7 +149,7 @@
 
     @property
     def _is_current(self) -> bool:
-        return self._age() <= WELCOME_SHARE * self._trust_seconds
+        return self._age() <= READY_AGE_SHARE * self._max_config_age
 
     @property
     def in_progress(self) -> int:
@@ -191,7 +191,7 @@
             raise errors.CrowdeckError(
                 errors.Code.STORE_DOWN,
                 "no config is known yet",
-                retry_after=START_RETRY_AFTER,
+                retry_after=START_RETRY_SECONDS,
             )
         admitted = self._admit(table, request)
         self._refuse_overload()
@@ -207,12 +207,12 @@
 
         :raises CrowdeckError: ``OVERLOADED``, not run.
         """
-        late = self._context.lag_meter.recent_lag()
-        if late > loop_lag.OVERLOAD_SECONDS:
+        lag = self._context.lag_meter.recent_lag()
+        if lag > loop_lag.OVERLOAD_SECONDS:
             counters.COUNTERS.add("relay.shed")
             raise errors.CrowdeckError(
                 errors.Code.OVERLOADED,
-                f"this entry is {late:.2f} s late with {self._in_progress} "
+                f"this entry is {lag:.2f} s late with {self._in_progress} "
                 "requests under way",
                 retry_after=self._context.retry_advisor.estimate_delay(),
             )
@@ -221,24 +221,24 @@
         self, table: tables.RouteTable, request: requests.CallerRequest
     ) -> tables.Admitted:
         age = self._age()
-        is_trusted = age <= self._trust_seconds
+        is_valid = age <= self._max_config_age
         try:
             admitted = table.admit(request.host, request.path, request.key)
         except errors.CrowdeckError:
-            if is_trusted:
+            if is_valid:
                 raise
             # A newer config may well have this route or key.
-            raise self._untrusted(age) from None
+            raise self._outdated(age) from None
         needs_key = bool(table.config.teams) and not (
             admitted.route.is_anonymous
         )
-        if needs_key and not is_trusted:
-            raise self._untrusted(age)
+        if needs_key and not is_valid:
+            raise self._outdated(age)
         return admitted
 
-    def _untrusted(self, age: float) -> errors.CrowdeckError:
+    def _outdated(self, age: float) -> errors.CrowdeckError:
         return errors.CrowdeckError(
             errors.Code.STORE_DOWN,
             f"the config was last known to be current {age:.1f} s ago",
-            retry_after=retry_advice.ELSEWHERE_SECONDS,
+            retry_after=retry_advice.OTHER_ENTRY_DELAY_SECONDS,
         )
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -107,8 +107,8 @@
 
 # Statuses by which a caller is promised that its request has not run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-UNKNOWN_STATUS = 502
-LATE_STATUS = 504
+MAY_HAVE_RUN_STATUS = 502
+TIMEOUT_STATUS = 504
 
 
 def status_of(error: errors.CrowdeckError) -> int:
@@ -119,5 +119,7 @@
             return 503
         return status
     if error.code is errors.Code.DEADLINE:
-        return LATE_STATUS
-    return UNKNOWN_STATUS if status in NOT_RUN_STATUSES else max(status, 500)
+        return TIMEOUT_STATUS
+    return (
+        MAY_HAVE_RUN_STATUS if status in NOT_RUN_STATUSES else max(status, 500)
+    )
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -104,7 +104,7 @@
             if other is None:
                 self._log(stream, path, None, "no other engine has room")
                 return
-            silent = await self._silent_parts(path, other)
+            silent = await self._find_silent(path, other)
             if stream.path is not path:
                 return
             if silent:
@@ -123,13 +123,13 @@
                 stream.switch_path(other)
                 counters.COUNTERS.add("relay.repathed")
                 return
-            named = self._context.registry.find_by_address(outcome.culprit)
+            blamed = self._context.registry.find_by_address(outcome.culprit)
             if not outcome.is_known:
                 return
-            if named is None or named.name in refused:
+            if blamed is None or blamed.name in refused:
                 self._restart_elsewhere(stream, path)
                 return
-            refused.add(named.name)
+            refused.add(blamed.name)
 
     def _restart_elsewhere(
         self, stream: live.LiveStream, path: chain.ChainPath
@@ -147,7 +147,7 @@
         self._log(stream, path, None, "goes on elsewhere")
         stream.abandon(f"{path.head.address} allows no other path")
 
-    async def _silent_parts(
+    async def _find_silent(
         self, path: chain.ChainPath, other: chain.ChainPath
     ) -> set[str]:
         """Return the new parts of a path that do not answer.
--- a/src/crowdeck/relay/retry_advice.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -14,14 +14,14 @@
 # takes.
 WINDOW_SECONDS = 2.0
 # A lone refusal: room comes with the next stream that ends.
-LEAST_SECONDS = 0.3
+MIN_DELAY_SECONDS = 0.3
 # Callers follow the advice up to a third of the time they have left, which
 # for streams of 20 s is over six seconds.
-MOST_SECONDS = 4.0
+MAX_DELAY_SECONDS = 4.0
 # What one entry cannot serve for a reason of its own another may serve now.
 # Callers that come back so soon can still be answered in time; the entry
 # stopped welcoming connections two seconds before, so they reach another.
-ELSEWHERE_SECONDS = 0.25
+OTHER_ENTRY_DELAY_SECONDS = 0.25
 
 
 class RetryAdvisor:
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, rng: random.Random) -> None:
-        self._chance = rng
+        self._rng = rng
         self._refused: collections.deque[float] = collections.deque()
         self._ended: collections.deque[float] = collections.deque()
 
@@ -41,7 +41,7 @@
         self._ended.append(anyio.current_time())
         self._forget(self._ended)
 
-    def seconds_until_room(self, count: int) -> float:
+    def seconds_until_capacity(self, count: int) -> float:
         """Return in how long room comes for ``count`` more, in seconds.
 
         0 where no stream was seen to end lately: nothing is known then.
@@ -61,8 +61,8 @@
         self._forget(self._ended)
         ends = max(1, len(self._ended))
         seconds = WINDOW_SECONDS * (len(self._refused) - 1) / ends
-        spread = min(seconds, MOST_SECONDS - LEAST_SECONDS)
-        return LEAST_SECONDS + self._chance.uniform(0.0, spread)
+        spread = min(seconds, MAX_DELAY_SECONDS - MIN_DELAY_SECONDS)
+        return MIN_DELAY_SECONDS + self._rng.uniform(0.0, spread)
 
     def _forget(self, times: collections.deque[float]) -> None:
         since = anyio.current_time() - WINDOW_SECONDS
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -19,31 +19,31 @@
 
 # The shortest time between two looks at the streams: a small part of the
 # pause that is allowed, at little cost for some tens of streams.
-LOOK_SECONDS = 0.02
+CHECK_SECONDS = 0.02
 # Without streams only engines that were avoided are looked after; their
 # pauses are a second and more. With a look every 0.02 s all day, and beats
 # of 0.009 s, an entry with nothing to do was woken 200 times a second and
 # took 2 % of a core.
-IDLE_LOOK_SECONDS = 0.2
+IDLE_CHECK_SECONDS = 0.2
 # A stream is looked into when it was silent for this many times its own
 # usual pause, but neither before the first nor after the second share of
 # the longest pause that is in time; the rest is for asking and acting.
-RHYTHM_FACTOR = 2.5
+PAUSE_FACTOR = 2.5
 EARLIEST_SHARE = 0.3
 LATEST_SHARE = 0.45
 # A first event takes a prompt's reading as well: this share of its
 # objective.
-FIRST_SHARE = 0.4
+FIRST_EVENT_SHARE = 0.4
 # A stream whose engines all answer is only slow; it is looked into again
 # after this share of the pause, and each time after twice as long.
-AGAIN_SHARE = 0.5
+RECHECK_SHARE = 0.5
 
 # An engine may take a request and never work on it, while its report and
 # its other streams are well. This share of the objective without a first
 # event, or so many times the allowed pause between events, is taken for
 # that; what is merely slow has begun by then on all but the worst days.
 HUNG_SHARE = 0.8
-HUNG_GAPS = 3.0
+HUNG_PAUSES = 3.0
 # Streams at another first engine begin within this share of the objective:
 # what waits here longer than the whole has more to gain than to lose there.
 QUICK_SHARE = 0.5
@@ -53,7 +53,7 @@
 SIBLING_PAUSES = 3.0
 # An engine that a stream's event passed so lately lives. Events travel for
 # 10 to 20 ms from stage to stage.
-MOVING_SECONDS = 0.03
+RECENT_EVENT_SECONDS = 0.03
 
 
 @attrs.frozen
@@ -75,19 +75,19 @@
 
     def __init__(self, context: contexts.RelayContext) -> None:
         self._context = context
-        self._lateness = context.lag_meter
+        self._lag_meter = context.lag_meter
         self._prober = probes.Prober(
             context.client, context.registry.may_probe
         )
         self._streams: set[live.LiveStream] = set()
-        self._looking: set[live.LiveStream] = set()
+        self._checking: set[live.LiveStream] = set()
         self._rerouter = rerouting.Rerouter(
             context, self._streams, self._prober, self.verify
         )
         self._to_verify: dict[str, chain.Upstream] = {}
         self._woken = anyio.Event()
         context.registry.subscribe_lapses(self.verify)
-        context.quarantine.subscribe(self._stop_culprits)
+        context.quarantine.subscribe(self._abandon_quarantined)
 
     @property
     def is_probing(self) -> bool:
@@ -125,7 +125,7 @@
             self.verify(upstream)
         return probe.is_gone
 
-    def _stop_culprits(self) -> None:
+    def _abandon_quarantined(self) -> None:
         """Call back requests that end engines, where they have not begun.
 
         Several copies may be on their way at once. An engine drops what it
@@ -154,43 +154,43 @@
     async def run(self) -> None:
         """Look at all streams again and again, until cancelled."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._lateness.run)
+            tasks.start_soon(self._lag_meter.run)
             while True:
-                await self._wait_for_look()
+                await self._wait_for_check()
                 for upstream in self._to_verify.values():
                     tasks.start_soon(self._verify, upstream)
                 self._to_verify.clear()
                 for upstream in self._context.registry.due_for_probe():
                     tasks.start_soon(self._verify, upstream)
-                if self._lateness.is_settling():
+                if self._lag_meter.is_settling():
                     continue
                 now = anyio.current_time()
                 for stream in tuple(self._streams):
                     if self._is_silent(stream, now):
-                        self._looking.add(stream)
-                        tasks.start_soon(self._look_into, stream)
+                        self._checking.add(stream)
+                        tasks.start_soon(self._check, stream)
 
-    async def _wait_for_look(self) -> None:
+    async def _wait_for_check(self) -> None:
         """Sleep until a stream may have been silent for too long."""
-        await anyio.sleep(LOOK_SECONDS)
-        with anyio.move_on_at(self._next_look()):
+        await anyio.sleep(CHECK_SECONDS)
+        with anyio.move_on_at(self._next_check()):
             await self._woken.wait()
         self._woken = anyio.Event()
 
-    def _next_look(self) -> float:
+    def _next_check(self) -> float:
         """Return the loop's time before which no stream is silent.
 
         A stream that begins may be silent sooner than one that has not
         begun, but never sooner than the earliest share of its pause.
         """
         now = anyio.current_time()
-        if self._lateness.is_settling():
+        if self._lag_meter.is_settling():
             return now
-        soonest = IDLE_LOOK_SECONDS
+        soonest = IDLE_CHECK_SECONDS
         for stream in self._streams:
-            if stream in self._looking:
+            if stream in self._checking:
                 continue
-            soonest = min(soonest, EARLIEST_SHARE * stream.gap)
+            soonest = min(soonest, EARLIEST_SHARE * stream.max_pause)
             if stream.path is not None:
                 soonest = min(soonest, self._silent_at(stream) - now)
         return now + soonest
@@ -234,7 +234,7 @@
         )
 
     def _is_silent(self, stream: live.LiveStream, now: float) -> bool:
-        if stream.path is None or stream in self._looking:
+        if stream.path is None or stream in self._checking:
             return False
         if stream.needs_check:
             stream.needs_check = False
@@ -244,28 +244,30 @@
     def _silent_at(self, stream: live.LiveStream) -> float:
         """Return when a stream is to be looked into unless it moves."""
         if stream.has_events:
-            limit = RHYTHM_FACTOR * stream.usual_pause
-            limit = max(limit, EARLIEST_SHARE * stream.gap)
-            limit = min(limit, LATEST_SHARE * stream.gap)
+            limit = PAUSE_FACTOR * stream.usual_pause
+            limit = max(limit, EARLIEST_SHARE * stream.max_pause)
+            limit = min(limit, LATEST_SHARE * stream.max_pause)
         else:
-            limit = FIRST_SHARE * stream.objective
+            limit = FIRST_EVENT_SHARE * stream.objective
         return max(stream.progress_at + limit, stream.next_check)
 
-    async def _look_into(self, stream: live.LiveStream) -> None:
+    async def _check(self, stream: live.LiveStream) -> None:
         try:
             await self._find_cause(stream)
         finally:
             stream.checks += 1
-            again = AGAIN_SHARE * stream.gap * 2.0 ** (stream.checks - 1)
+            again = (
+                RECHECK_SHARE * stream.max_pause * 2.0 ** (stream.checks - 1)
+            )
             stream.next_check = anyio.current_time() + again
-            self._looking.discard(stream)
+            self._checking.discard(stream)
 
     async def _find_cause(self, stream: live.LiveStream) -> None:
         path = stream.path
         if path is None:
             return
         silent_since = stream.progress_at
-        found = await self._culprits(stream, path)
+        found = await self._find_culprits(stream, path)
         if stream.path is not path or stream.progress_at != silent_since:
             return
         logs.decision(
@@ -283,7 +285,7 @@
             self._context.registry.avoid(culprit.name, "silent in a stream")
         await self._rerouter.reroute_around_all(found.culprits)
         if not found.culprits and self._is_hung(stream, path, found):
-            self._give_up_hung(stream, path)
+            self._abandon_hung(stream, path)
 
     def _is_hung(
         self, stream: live.LiveStream, path: chain.ChainPath, found: _Finding
@@ -293,7 +295,7 @@
             return False
         if found.head is None or not found.is_sure:
             return False
-        limit = HUNG_GAPS * stream.gap
+        limit = HUNG_PAUSES * stream.max_pause
         if stream.is_starting:
             limit = HUNG_SHARE * stream.objective
         now = anyio.current_time()
@@ -335,7 +337,7 @@
             and not heads.has_slow_alternative(name, stream.objective)
         )
 
-    def _give_up_hung(
+    def _abandon_hung(
         self, stream: live.LiveStream, path: chain.ChainPath
     ) -> None:
         counters.COUNTERS.add("relay.hung")
@@ -349,7 +351,7 @@
         )
         stream.abandon(reason)
 
-    async def _culprits(
+    async def _find_culprits(
         self, stream: live.LiveStream, path: chain.ChainPath
     ) -> _Finding:
         """Return the engines that hold a stream up.
@@ -358,10 +360,10 @@
         but its report is of some moments ago. When it knows of nothing
         the others are asked; one question serves all who want to know.
         """
-        fresh = probes.REUSE_SECONDS
+        max_age = probes.REUSE_SECONDS
         if stream.is_starting:
-            fresh = probes.STARTING_REUSE_SECONDS
-        head = await self._prober.ask(path.head, fresh)
+            max_age = probes.STARTING_REUSE_SECONDS
+        head = await self._prober.ask(path.head, max_age)
         if head.report is None:
             others = tuple(hop.upstream for hop in path.hops[1:])
             if await self._is_lost(head, others):
@@ -378,20 +380,20 @@
         answers: list[probes.Probe] = []
 
         async def ask(upstream: chain.Upstream) -> None:
-            answers.append(await self._prober.ask(upstream, fresh))
+            answers.append(await self._prober.ask(upstream, max_age))
 
-        moving = self._moving()
+        active = self._recently_active()
         async with anyio.create_task_group() as tasks:
             for hop in path.hops[1:]:
-                if hop.upstream.name not in moving:
+                if hop.upstream.name not in active:
                     tasks.start_soon(ask, hop.upstream)
         silent = [one.upstream for one in answers if one.is_silent]
         is_sure = all(one.is_sure for one in answers)
         return _Finding(silent, is_sure, head.report)
 
-    def _moving(self) -> set[str]:
+    def _recently_active(self) -> set[str]:
         """Return the engines that an event has passed just now."""
-        since = anyio.current_time() - MOVING_SECONDS
+        since = anyio.current_time() - RECENT_EVENT_SECONDS
         return {
             hop.upstream.name
             for stream in self._streams
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -26,7 +26,7 @@
 # An answer that has begun is lost to its caller when it is cut, so more
 # are worth it; each waits for a path with room and for the budget. Three
 # times as many, by judgement and not by measurement.
-REFUSED_TRIES_BEGUN = 12
+MAX_REFUSALS_STARTED = 12
 ANSWER_MARGIN_SECONDS = 0.05
 MIN_ATTEMPT_SECONDS = 0.1
 
@@ -66,7 +66,7 @@
             request=request,
             service=service,
             profile=service.profile,
-            gap=admitted.route.gap or admitted.route.objective,
+            max_pause=admitted.route.gap or admitted.route.objective,
             objective=admitted.route.objective,
             tokens=size.mean_tokens(service.profile.mean_answer_tokens),
             usage=self._context.usage,
@@ -76,22 +76,22 @@
         )
         self._monitor.add(stream)
         try:
-            await self._drive(stream, admitted, sink).run()
+            await self._create_run(stream, admitted, sink).run()
         finally:
             sends.close()
             stream.end()
             self._monitor.drop(stream)
 
-    def _drive(
+    def _create_run(
         self,
         stream: live.LiveStream,
         admitted: tables.Admitted,
         sink: requests.Sink,
-    ) -> "_Drive":
-        return _Drive(self._context, self._monitor, stream, admitted, sink)
+    ) -> "_StreamRun":
+        return _StreamRun(self._context, self._monitor, stream, admitted, sink)
 
 
-class _Drive:
+class _StreamRun:
     """Drives one stream to its end, attempt by attempt."""
 
     def __init__(
@@ -138,7 +138,7 @@
         path = None
         with anyio.CancelScope() as scope:
             self._stream.wait(scope)
-            path = await self._paths.find(has_begun=self._sink.has_started)
+            path = await self._paths.find(has_started=self._sink.has_started)
         await self._refuse_if_quarantined()
         if path is not None:
             return path
@@ -324,17 +324,17 @@
             return True
         else:
             self._refusals += 1
-            if self._refusals > self._refusals_most:
+            if self._refusals > self._max_refusals:
                 return False
-        return await self._reserve()
+        return await self._reserve_retry()
 
     @property
-    def _refusals_most(self) -> int:
+    def _max_refusals(self) -> int:
         if self._sink.has_started:
-            return REFUSED_TRIES_BEGUN
+            return MAX_REFUSALS_STARTED
         return MAX_REFUSALS
 
-    async def _reserve(self) -> bool:
+    async def _reserve_retry(self) -> bool:
         """Reserve one repeat of the budget; false where none can be had.
 
         An answer that has begun waits for one: what is cut is lost to its
@@ -343,12 +343,12 @@
         service = self._stream.service.name
         until = anyio.current_time()
         if self._sink.has_started:
-            until = min(until + paths.BEGUN_WAIT_SECONDS, self._deadline)
+            until = min(until + paths.STARTED_WAIT_SECONDS, self._deadline)
         while not self._stream.sends.reserve():
             if anyio.current_time() >= until:
                 self._context.log_retry_refused(service, self._request.id)
                 return False
-            await anyio.sleep(paths.WAIT_STEP)
+            await anyio.sleep(paths.POLL_SECONDS)
         counters.COUNTERS.add("relay.stream.repeated")
         self._context.log_retry(service, self._request.id)
         return True
@@ -370,8 +370,8 @@
         """
         names = self._ran_on | {running_on} if running_on else self._ran_on
         registry = self._context.registry
-        sound = sum(1 for name in names if not registry.has_ended(name))
-        return self._route.max_attempts - sound
+        counted = sum(1 for name in names if not registry.has_ended(name))
+        return self._route.max_attempts - counted
 
     def _final_error(
         self, error: errors.CrowdeckError
--- a/src/crowdeck/relay/survey.py
+++ b/src/crowdeck/relay/survey.py
@@ -17,14 +17,14 @@
 # How often a starting entry looks whether engines are listed, and for how
 # long: they are within some tenths of a second after its config.
 POLL_SECONDS = 0.02
-LOOKS_MOST = 100
+MAX_POLLS = 100
 # Questions under way at once: a round of them takes about 3 ms.
-AT_ONCE = 32
+MAX_CONCURRENT = 32
 # Questions in all, those to the own availability zone first: nearly all
 # paths stay there. Asking is worth 0.03 of a day with 38 engines, all of
 # them asked. Each question takes 1.5 ms of a full core; with 130, an entry
 # with 0.4 of one served nobody for half a second when callers came back.
-QUESTIONS_MOST = 40
+MAX_QUESTIONS = 40
 
 
 class Survey:
@@ -41,8 +41,8 @@
 
     async def run(self, services: tuple[routes.Service, ...]) -> None:
         """Ask the engines of ``services`` that hold layers."""
-        engines = await self._listed(services)
-        limiter = anyio.CapacityLimiter(AT_ONCE)
+        engines = await self._find_engines(services)
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT)
         async with anyio.create_task_group() as tasks:
             for one in engines:
                 tasks.start_soon(self._ask, one, limiter)
@@ -51,12 +51,12 @@
     def _nearest(self, engines: list[chain.Upstream]) -> list[chain.Upstream]:
         zone = self._context.zone
         engines.sort(key=lambda one: one.availability_zone != zone)
-        return engines[:QUESTIONS_MOST]
+        return engines[:MAX_QUESTIONS]
 
-    async def _listed(
+    async def _find_engines(
         self, services: tuple[routes.Service, ...]
     ) -> list[chain.Upstream]:
-        for _ in range(LOOKS_MOST):
+        for _ in range(MAX_POLLS):
             found = [
                 one
                 for service in services
--- a/src/crowdeck/relay/waiting.py
+++ b/src/crowdeck/relay/waiting.py
@@ -15,7 +15,7 @@
 
 # Beyond so many nobody joins: about what the engines of one availability
 # zone serve at once, so the last of them would wait for all their ends.
-MOST_WAITING = 100
+MAX_WAITING = 100
 
 
 class WaitQueue:
@@ -28,16 +28,16 @@
     """
 
     def __init__(self) -> None:
-        self._turns: collections.deque[anyio.Event] = collections.deque()
+        self._waiters: collections.deque[anyio.Event] = collections.deque()
 
     def __len__(self) -> int:
         """Return how many wait."""
-        return len(self._turns)
+        return len(self._waiters)
 
     @property
     def is_full(self) -> bool:
         """Whether nobody may join."""
-        return len(self._turns) >= MOST_WAITING
+        return len(self._waiters) >= MAX_WAITING
 
     @contextlib.asynccontextmanager
     async def turn(self, until: float) -> typing.AsyncIterator[bool]:
@@ -46,16 +46,16 @@
         :param until: the loop's time at which the wait is given up.
         :returns: whether the turn has come.
         """
-        mine = anyio.Event()
-        self._turns.append(mine)
-        if len(self._turns) == 1:
-            mine.set()
+        turn_event = anyio.Event()
+        self._waiters.append(turn_event)
+        if len(self._waiters) == 1:
+            turn_event.set()
         counters.COUNTERS.add("relay.waited")
         try:
             with anyio.move_on_at(until):
-                await mine.wait()
-            yield mine.is_set()
+                await turn_event.wait()
+            yield turn_event.is_set()
         finally:
-            self._turns.remove(mine)
-            if self._turns:
-                self._turns[0].set()
+            self._waiters.remove(turn_event)
+            if self._waiters:
+                self._waiters[0].set()
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -57,7 +57,7 @@
         assert system.usage.sequences(one) == 0
         assert system.usage.own_requests(one) == 0
     assert not system.monitor._streams
-    assert not system.monitor._looking
+    assert not system.monitor._checking
     assert len(system.context.wait_queue(fleet_system.MODEL)) == 0
     assert not system.context.heads._records or not any(
         record.waiting for record in system.context.heads._records.values()
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -179,7 +179,7 @@
                     system.context,
                     typing.cast(store_view.StoreView, view),
                 )
-                looks = surveys.POLL_SECONDS * surveys.LOOKS_MOST
+                looks = surveys.POLL_SECONDS * surveys.MAX_POLLS
                 await anyio.sleep(looks + 1.0)
                 assert not process._surveyed.is_set()
                 view.roster.listed.set()
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -273,7 +273,7 @@
             caller = await system.ask(system.request(STREAM))
             assert caller.error is not None
             assert caller.error.retry_after is not None
-            assert caller.error.retry_after <= retry_advice.MOST_SECONDS
+            assert caller.error.retry_after <= retry_advice.MAX_DELAY_SECONDS
 
         play(work)
 
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -20,7 +20,7 @@
     def test_a_lone_refusal_comes_back_soon(self) -> None:
         async def body() -> None:
             times = retry_advice.RetryAdvisor(random.Random(1))
-            assert times.estimate_delay() == retry_advice.LEAST_SECONDS
+            assert times.estimate_delay() == retry_advice.MIN_DELAY_SECONDS
 
         virtual.run(body)
 
@@ -34,7 +34,7 @@
             told = [times.estimate_delay() for _ in range(40)]
             assert max(told) > 2.0
             assert min(told) < 0.5
-            assert max(told) <= retry_advice.MOST_SECONDS
+            assert max(told) <= retry_advice.MAX_DELAY_SECONDS
 
         virtual.run(body)
 
@@ -44,7 +44,7 @@
             for _ in range(40):
                 times.estimate_delay()
             await anyio.sleep(retry_advice.WINDOW_SECONDS + 0.1)
-            assert times.estimate_delay() == retry_advice.LEAST_SECONDS
+            assert times.estimate_delay() == retry_advice.MIN_DELAY_SECONDS
 
         virtual.run(body)
 
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -190,7 +190,7 @@
             await anyio.sleep(0.6)
             error = await refused(system)
             assert error.retry_after is not None
-            assert error.retry_after <= retry_advice.MOST_SECONDS
+            assert error.retry_after <= retry_advice.MAX_DELAY_SECONDS
             assert "10-20" in error.message
             assert "those left can hold" in error.message
 
@@ -205,7 +205,7 @@
             assert gap.seconds_left is None
             error = await refused(system)
             assert error.retry_after is not None
-            assert error.retry_after <= retry_advice.MOST_SECONDS
+            assert error.retry_after <= retry_advice.MAX_DELAY_SECONDS
 
         play(work, "large")
 
@@ -258,7 +258,7 @@
                 fresh.list_instance(system.listed[name])
             error = await refused(fresh)
             assert error.retry_after is not None
-            assert error.retry_after <= retry_advice.MOST_SECONDS
+            assert error.retry_after <= retry_advice.MAX_DELAY_SECONDS
 
         play(work, "large")
 
@@ -296,7 +296,7 @@
     ) -> None:
         one = fleet_system.upstream("one", card=card)
         expected = plan.most_layers(one, PROFILE)
-        assert gaps.most_layers(card, PROFILE) == expected
+        assert gaps.max_layers(card, PROFILE) == expected
 
     def test_is_what_counting_each_layer_finds(self) -> None:
         rng = random.Random(7)
@@ -339,7 +339,7 @@
             lose(system, "e-1", "e-2")
             await anyio.sleep(0.6)
             (gap,) = system.context.gaps.known
-            most = gaps.most_layers("small", PROFILE)
+            most = gaps.max_layers("small", PROFILE)
             assert gap.layer_capacity == 6 * most
             lacking = 80 - 6 * most
             assert gap.needed == (
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -240,7 +240,7 @@
             client = _Reports(silent="")
             system.context.client = client  # type: ignore[assignment]
             await surveys.Survey(system.context).run(system.holder.services)
-            assert len(client.asked) == surveys.QUESTIONS_MOST
+            assert len(client.asked) == surveys.MAX_QUESTIONS
             own = [
                 name
                 for name, one in system.listed.items()
