--- a/src/crowdeck/relay/__init__.py
+++ b/src/crowdeck/relay/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Serving callers where engines chain their stages themselves."""
+"""Relay for engines that forward pipeline stages to each other."""
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One attempt at a stream: a request on one path, and its events."""
+"""One attempt to serve a stream: a request sent along one path."""
 
 import typing
 
@@ -21,7 +21,8 @@
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
 
-# An engine that does not hold its part of a path, or is another one.
+# Sent by an engine that does not hold the layers asked of it, or that is not
+# the engine the request was meant for.
 STALE_STATUS = 421
 BODY_LIMIT = http.RESPONSE_LIMIT
 
@@ -29,33 +30,33 @@
 
 
 class StreamMonitor(typing.Protocol):
-    """Looks after streams in progress."""
+    """Monitors streams in progress for stalls."""
 
     def add(self, stream: live.LiveStream) -> None:
-        """Look after a stream from now on."""
+        """Start monitoring a stream."""
         ...
 
     def drop(self, stream: live.LiveStream) -> None:
-        """Look after it no longer."""
+        """Stop monitoring a stream."""
         ...
 
     def verify(self, upstream: chain.Upstream) -> None:
-        """Ask an engine whether it lives; if not, act on it."""
+        """Probe an engine soon, and reroute its streams if it is lost."""
         ...
 
     async def has_ended(self, upstream: chain.Upstream) -> bool:
-        """Ask an instance whose connection broke; true if it is gone."""
+        """Return whether an instance whose connection broke has ended."""
         ...
 
     def check_now(self, upstream: chain.Upstream) -> None:
-        """Look at once into all streams that pass an engine."""
+        """Check all streams that pass an engine as soon as possible."""
         ...
 
 
 class Attempt:
-    """Sends a request along one path and passes on what comes.
+    """Sends a request along one path and forwards the events.
 
-    :param deadline: the loop's time at which the answer has to be whole.
+    :param deadline: loop time by which the answer must be complete.
     """
 
     def __init__(
@@ -81,8 +82,8 @@
     async def run(self) -> None:
         """Make the attempt.
 
-        :raises CrowdeckError: with the verdict, when the answer has not
-            come to its end.
+        :raises CrowdeckError: when the answer is not complete; its verdict
+            says whether the request may have run.
         """
         left = self._deadline - anyio.current_time()
         dispatch = interfaces.Dispatch(
@@ -103,7 +104,7 @@
                 return
         raise errors.CrowdeckError(
             errors.Code.DEADLINE,
-            "the request's time is over",
+            "the request's deadline has passed",
             verdict=_MAY_HAVE_RUN,
             culprit=self._path.head.name,
         )
@@ -115,12 +116,12 @@
         if answer.has_not_run:
             raise self._refusal(answer)
         if not answer.belongs_to(self._request):
-            raise self._wrong_answer("it bears another request's id")
+            raise self._wrong_answer("it has the id of another request")
         if answer.status >= 300:
             await self._forward_error(answer)
             return
         if not answer.is_signed:
-            raise self._wrong_answer("it bears no signature")
+            raise self._wrong_answer("it has no signature")
         splitter = events.EventSplitter(answer.event_id)
         async for chunk in answer.chunks():
             for event in splitter.feed(chunk):
@@ -128,7 +129,7 @@
         if not splitter.is_complete:
             raise self._wrong_answer("it ends in the middle of an event")
         if not self._sink.has_started:
-            raise self._wrong_answer("it holds no event")
+            raise self._wrong_answer("it has no events")
         self._context.registry.note_healthy(self._path.head.name)
         await self._sink.finish()
 
@@ -158,7 +159,7 @@
         culprit = self._culprit(answer)
         if culprit.name != self._path.head.name:
             self._monitor.check_now(culprit)
-            # Full, or gone: one that answers is merely full.
+            # It may be full or gone; the probe tells which.
             self._monitor.verify(culprit)
         is_stale = answer.status == STALE_STATUS
         self._context.registry.pause(
@@ -173,9 +174,10 @@
         )
 
     def _culprit(self, answer: interfaces.Answer) -> chain.Upstream:
-        """Return the engine that a refusal is due to.
+        """Return the engine that caused a refusal.
 
-        It names an address; who was meant is whom the path has there.
+        The answer names an address. The path's engine at that address comes
+        first, since the listing may have changed since the path was chosen.
         """
         for hop in self._path.hops:
             if str(hop.upstream.address) == answer.culprit:
@@ -200,7 +202,7 @@
         head = self._path.head.name
         return errors.CrowdeckError(
             errors.Code.WRONG_ANSWER,
-            f"a stream of {head} cannot be passed on: {reason}",
+            f"cannot forward a stream from {head}: {reason}",
             verdict=_MAY_HAVE_RUN,
             culprit=head,
         )
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Calls of plain services: one answer, at most as many runs as allowed."""
+"""Relays calls to plain services, each answered as a whole."""
 
 import contextlib
 import typing
@@ -28,20 +28,20 @@
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
 
-# A repeatable call that got no answer within this share of its time is
-# tried at another instance while there is time left for that.
+# Share of the route's timeout after which a call that may be repeated is
+# tried at another instance.
 FIRST_ATTEMPT_SHARE = 0.4
-# The caller is told before its own time is over, not after.
+# Errors reach the caller this long before its own deadline.
 ANSWER_MARGIN_SECONDS = 0.03
-# With less than this left no upstream could answer in time.
+# Minimum time left for which a call is still sent.
 MIN_ATTEMPT_SECONDS = 0.05
-# Instances whose connection is refused did not get the request: others
-# are tried, but not all of a large fleet.
+# Extra tries for instances that refuse the connection, which do not count
+# as runs. Bounded because a fleet may have many of them.
 CONNECT_TRIES = 4
 RETRY_AFTER_SECONDS = 0.5
-# While all instances are at their limits, or want rest, a call waits for so
-# much of its objective. It is served in time then; what takes longer is told
-# at once when to come back.
+# Share of the latency objective for which a call waits while all instances
+# are rate limited or backing off. If the wait would be longer, the call is
+# refused at once with a retry time.
 QUEUE_WAIT_SHARE = 0.5
 MAX_ANSWER_BYTES = http.RESPONSE_LIMIT
 
@@ -59,7 +59,7 @@
 
 
 class CallRelay:
-    """Passes calls on to the instances of plain services."""
+    """Relays calls to the instances of plain services."""
 
     def __init__(
         self, context: contexts.RelayContext, monitor: attempts.StreamMonitor
@@ -77,7 +77,8 @@
     ) -> None:
         """Answer one call.
 
-        :raises CrowdeckError: with the verdict, when there is no answer.
+        :raises CrowdeckError: when there is no answer; its verdict says
+            whether the call may have run.
         """
         budget = self._context.budget(service.name)
         budget.earn()
@@ -99,8 +100,8 @@
 class _Call:
     """One call in progress.
 
-    ``_sent`` counts the instances that may have got it, ``_verdict``
-    is the worst that became of it at any of them.
+    ``_sent`` counts the instances that may have received it; ``_verdict``
+    combines the verdicts of all tries.
     """
 
     def __init__(
@@ -147,7 +148,7 @@
                 if self._may_retry(error.verdict):
                     continue
                 if failed is not None:
-                    # An upstream's own failure says more than ours.
+                    # The upstream's own error is more specific.
                     return failed
                 raise self._final_error(error) from None
             if not answer.has_failed:
@@ -165,7 +166,7 @@
         return requests.fingerprint_of(self._request, self._admitted.team)
 
     def _refuse_if_quarantined(self) -> None:
-        """Send a call on no more under which instances ended.
+        """Refuse a call that is known to crash instances.
 
         :raises CrowdeckError: ``QUARANTINED``.
         """
@@ -180,7 +181,7 @@
     async def _record_loss(
         self, upstream: chain.Upstream, error: errors.CrowdeckError
     ) -> None:
-        """Find out whether an instance ended while it had the call."""
+        """Record a lost connection, and whether the instance has ended."""
         if error.verdict is verdicts.Verdict.NOT_RUN:
             return
         if error.code is not errors.Code.UPSTREAM_LOST:
@@ -193,9 +194,9 @@
             self._context.note_end(upstream)
 
     async def _choose(self) -> chain.Upstream:
-        """Return the instance to try, waiting a little for one.
+        """Return the instance to try, waiting briefly if none is free.
 
-        :raises CrowdeckError: ``NO_PATH`` where none takes a call in time.
+        :raises CrowdeckError: ``NO_PATH`` if none accepts a call in time.
         """
         until = (
             self._request.arrived + QUEUE_WAIT_SHARE * self._route.objective
@@ -204,16 +205,15 @@
             self._service.name
         )
         wait_queue = self._context.wait_queue(self._service.name)
-        # One that is tried again is not held up by those that can go to
-        # instances which it has left behind.
+        # A call that is retried skips the queue: those in the queue may be
+        # able to use instances that this call has already tried.
         if self._tried or not len(wait_queue):
             upstream = self._pick()
             if upstream is not None:
                 return upstream
         if self._tried:
             return await self._await_turn(until)
-        # Counted before its wait: all that wait for one instance cannot be
-        # served by the next request that it takes.
+        # Those in the queue are served first, so the wait includes theirs.
         seconds = self._seconds_until(len(wait_queue))
         if not self._may_wait(seconds, until):
             raise self._final_error(self._no_instance(seconds))
@@ -225,7 +225,7 @@
             return await self._await_turn(until)
 
     async def _await_turn(self, until: float) -> chain.Upstream:
-        """Return the instance to try once one takes a call."""
+        """Wait until an instance accepts a call, and return it."""
         while (upstream := self._pick()) is None:
             seconds = self._seconds_until()
             if not self._may_wait(seconds, until):
@@ -234,24 +234,28 @@
         return upstream
 
     def _pick(self) -> chain.Upstream | None:
-        """Take an instance that takes a call now, if there is one."""
+        """Reserve an instance that accepts a call now, if there is one."""
         if self._seconds_left() < MIN_ATTEMPT_SECONDS:
             raise self._final_error(
-                errors.CrowdeckError(errors.Code.DEADLINE, "no time is left")
+                errors.CrowdeckError(
+                    errors.Code.DEADLINE, "too little time is left"
+                )
             )
         limits = self._context.limits
         usable = self._context.registry.usable(self._service.name)
         untried = self._untried(usable)
         upstream = self._balancer.pick(filter(limits.allows, untried))
         if upstream is not None:
-            # At once: whoever chooses next has to know.
+            # Before any other task can choose the same instance.
             limits.take(upstream)
         return upstream
 
     def _seconds_until(self, ahead: int = 0) -> float:
-        """Return in how long an instance takes this call, 0 if unknown.
+        """Return the seconds until an instance accepts this call.
+
+        0 if that is not known.
 
-        :param ahead: calls that are served before it.
+        :param ahead: number of calls that are served before it.
         """
         registry = self._context.registry
         soon = self._untried(registry.usable_after_backoff(self._service.name))
@@ -259,13 +263,13 @@
 
     @staticmethod
     def _may_wait(seconds: float, until: float) -> bool:
-        """Whether a call is to be served within its wait."""
+        """Whether a call can be served before its wait ends."""
         return 0.0 < seconds <= until - anyio.current_time()
 
     def _untried(
         self, upstreams: typing.Iterable[chain.Upstream]
     ) -> list[chain.Upstream]:
-        """Return those of some instances that were not tried yet."""
+        """Return the instances that have not been tried yet."""
         return [one for one in upstreams if one.name not in self._tried]
 
     async def _attempt(self, upstream: chain.Upstream) -> _Answer:
@@ -337,12 +341,15 @@
                 culprit=upstream.name,
             )
         if not answer.belongs_to(self._request):
-            raise _wrong_answer(upstream, "it bears another request's id")
+            raise _wrong_answer(upstream, "it has the id of another request")
         if answer.status < 300 and not answer.is_signed:
-            raise _wrong_answer(upstream, "it bears no signature")
+            raise _wrong_answer(upstream, "it has no signature")
         body = await answer.read(MAX_ANSWER_BYTES)
         if answer.status in requests.NOT_RUN_STATUSES:
-            raise _wrong_answer(upstream, f"{answer.status} without a promise")
+            raise _wrong_answer(
+                upstream,
+                f"status {answer.status} without a not-executed header",
+            )
         return _Answer(
             answer.status,
             answer.caller_headers,
@@ -358,14 +365,13 @@
             self._balancer.note_failure(upstream)
             self._sends.arrive()
         elif error.code is errors.Code.UPSTREAM_LOST:
-            # No connection was had, so it was not sent after all.
+            # There was no connection, so the request was not sent.
             self._sent -= 1
             self._sends.fail_to_send()
             self._context.registry.avoid(upstream.name, error.message)
         elif not self._context.registry.backoff_seconds_left(upstream.name):
-            # One that refuses at once has nothing under way, and would look
-            # like the freest to the next call. One that says for how long it
-            # wants rest is sent nothing until then, and is sound afterwards.
+            # An instance that refuses has no calls in progress and would
+            # look least loaded. One that is backing off gets none anyway.
             self._balancer.note_failure(upstream)
         logs.decision(
             "call_failed",
@@ -382,7 +388,7 @@
         return max(1, self._route.max_attempts)
 
     def _may_retry(self, verdict: verdicts.Verdict) -> bool:
-        """Whether the call is tried at another instance."""
+        """Whether to try the call at another instance."""
         if verdict is not verdicts.Verdict.NOT_RUN:
             if not self._route.may_repeat:
                 return False
@@ -399,9 +405,9 @@
         return True
 
     def _no_instance(self, seconds: float) -> errors.CrowdeckError:
-        """Return the refusal of a call that no instance takes.
+        """Return the error for a call that no instance accepts.
 
-        :param seconds: in how long one does, 0 where that is not known.
+        :param seconds: time until one accepts it, 0 if unknown.
         """
         logs.decision(
             "no_instance",
@@ -415,21 +421,21 @@
         if not seconds:
             return errors.CrowdeckError(
                 errors.Code.NO_PATH,
-                "no instance of the service can take it now",
+                "no instance of the service can serve it now",
                 retry_after=RETRY_AFTER_SECONDS,
             )
         counters.COUNTERS.add("relay.limited")
         jitter = self._context.rng.uniform(0.0, RETRY_AFTER_SECONDS)
         return errors.CrowdeckError(
             errors.Code.NO_PATH,
-            "all instances are at their limits or want rest",
+            "all instances are rate limited or backing off",
             retry_after=seconds + jitter,
         )
 
     def _final_error(
         self, error: errors.CrowdeckError
     ) -> errors.CrowdeckError:
-        """Return the error with what is known of all tries together."""
+        """Return the error with the combined verdict of all tries."""
         verdict = error.verdict
         if self._verdict is not verdicts.Verdict.NOT_RUN:
             verdict = self._verdict
@@ -450,7 +456,7 @@
 ) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_ANSWER,
-        f"an answer of {upstream.name} cannot be passed on: {reason}",
+        f"cannot forward an answer from {upstream.name}: {reason}",
         verdict=verdicts.Verdict.MAY_HAVE_RUN,
         culprit=upstream.name,
     )
--- a/src/crowdeck/relay/events.py
+++ b/src/crowdeck/relay/events.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Splitting a stream into its events."""
+"""Splits a stream of bytes into server-sent events."""
 
 import typing
 
@@ -12,8 +12,7 @@
 from crowdeck import errors
 from crowdeck import verdict as verdicts
 
-# An event of 2 tokens takes some hundred bytes; one that is larger than
-# this is no event.
+# Far above the size of any event: a longer one means a broken stream.
 EVENT_LIMIT = 1024 * 1024
 _EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 
@@ -22,17 +21,17 @@
 
 @attrs.frozen
 class Event:
-    """One event as its bytes, and its id if it bears one."""
+    """The bytes of one event, and its id if it has one."""
 
     content: bytes
     id: int | None
 
 
 class EventSplitter:
-    """Takes a stream's bytes and gives its whole events.
+    """Splits a stream's bytes into complete events.
 
-    Only whole events are handed on: an upstream may break off in the
-    middle of one, and what goes on elsewhere begins with a whole one.
+    Incomplete events are held back: the stream may break in the middle of
+    one and resume at another engine with a complete event.
     """
 
     def __init__(self, read_id: EventIdReader) -> None:
@@ -41,13 +40,13 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether everything so far was whole events."""
+        """Whether the bytes so far end with a complete event."""
         return not self._buffer
 
     def feed(self, chunk: bytes) -> list[Event]:
         """Return the events that ``chunk`` completes.
 
-        :raises CrowdeckError: ``WRONG_ANSWER`` for an endless event.
+        :raises CrowdeckError: ``WRONG_ANSWER`` if an event is too long.
         """
         data = self._buffer + chunk
         events = []
@@ -63,7 +62,7 @@
         if len(self._buffer) > EVENT_LIMIT:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_ANSWER,
-                f"an event is over {EVENT_LIMIT} bytes",
+                f"an event is longer than {EVENT_LIMIT} bytes",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
         return events
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Callers' requests and what they are answered, as the relay sees them."""
+"""Callers' requests, and where their answers go."""
 
 import typing
 
@@ -17,12 +17,12 @@
 
 @attrs.frozen
 class TokenCounts:
-    """What a model request asks for, in tokens.
+    """Token counts of a model request.
 
     :ivar prompt: tokens of the prompt.
-    :ivar most: tokens that the answer may have at most.
-    :ivar guess: the caller's guess of the answer's tokens, often far off;
-        0 where it gave none.
+    :ivar max_answer: maximum tokens of the answer, 0 if unlimited.
+    :ivar answer_hint: the caller's estimate of the answer's tokens, often
+        inaccurate; 0 if there is none.
     """
 
     prompt: int
@@ -30,11 +30,10 @@
     answer_hint: int = 0
 
     def mean_tokens(self, mean_answer_tokens: float) -> float:
-        """Return the tokens that the request holds on average as it runs.
+        """Return the mean number of tokens held while the request runs.
 
-        Half of its answer, not the whole: of the many that an engine runs
-        at once some have begun and some are about to end. Guesses are off
-        by half and more, so each counts as much as the mean answer does.
+        That is the prompt and half of the expected answer, which is the
+        mean of the caller's hint and the usual answer, up to the maximum.
         """
         answer = mean_answer_tokens
         if self.answer_hint:
@@ -50,8 +49,8 @@
 
     :ivar target: path and query, exactly as the caller sent them.
     :ivar path: the path without its query.
-    :ivar patience: seconds that the caller waits, ``None`` if unsaid.
-    :ivar arrived: the loop's time when its head had been read.
+    :ivar timeout_seconds: how long the caller waits, ``None`` if not given.
+    :ivar arrived: loop time when its headers had been read.
     :ivar last_event: id of the last event that the caller has, or -1.
     """
 
@@ -72,22 +71,22 @@
 def fingerprint_of(
     request: CallerRequest, team: str
 ) -> fingerprint.Fingerprint:
-    """Return by what the same request is known when it comes again."""
+    """Return the fingerprint that identifies repeats of a request."""
     return fingerprint.of_request(
         request.method, request.host, request.target, team, request.body
     )
 
 
 class Sink(typing.Protocol):
-    """Where an answer goes: the caller's connection."""
+    """Receives an answer, such as a caller's connection."""
 
     @property
     def has_started(self) -> bool:
-        """Whether the head of an answer was sent."""
+        """Whether the status and headers of an answer were sent."""
         ...
 
     async def start(self, status: int, headers: http.RawHeaders) -> None:
-        """Send the head of an answer whose body follows in pieces."""
+        """Send the status and headers; the body follows in pieces."""
         ...
 
     async def write(self, piece: bytes) -> None:
@@ -101,18 +100,22 @@
     async def reply(
         self, status: int, headers: http.RawHeaders, body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         ...
 
 
-# Statuses by which a caller is promised that its request has not run.
+# Statuses that promise the caller that its request has not run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 MAY_HAVE_RUN_STATUS = 502
 TIMEOUT_STATUS = 504
 
 
 def status_of(error: errors.CrowdeckError) -> int:
-    """Return the status that tells a caller the truth about an error."""
+    """Return the HTTP status for an error.
+
+    It matches the verdict: a request that may have run never gets a status
+    that promises the opposite.
+    """
     status = error.http_status
     if error.verdict is verdicts.Verdict.NOT_RUN:
         if status >= 500:
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Streams of model engines, carried on when an engine fails."""
+"""Relays streams of model engines, and resumes them after failures."""
 
 import anyio
 
@@ -20,25 +20,23 @@
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
 
-# Attempts that an engine refused without running them: each shows some
-# engine that holds other layers or is full, so a few are worth making.
+# Attempts that may be refused by an engine without having run.
 MAX_REFUSALS = 4
-# An answer that has begun is lost to its caller when it is cut, so more
-# are worth it; each waits for a path with room and for the budget. Three
-# times as many, by judgement and not by measurement.
+# The same for an answer that has started, which its caller would lose. Each
+# further attempt waits for a path and for the retry budget.
 MAX_REFUSALS_STARTED = 12
 ANSWER_MARGIN_SECONDS = 0.05
 MIN_ATTEMPT_SECONDS = 0.1
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
-# What the first engine of a path is to blame for.
+# Errors that the first engine of a path is to blame for.
 _FAILURES = frozenset({errors.Code.UPSTREAM_LOST, errors.Code.WRONG_ANSWER})
-# How an attempt may fail whose engine ended under it.
+# Errors of an attempt whose engine may have ended.
 _LOSSES = _FAILURES | {errors.Code.STALLED}
 
 
 class StreamRelay:
-    """Passes streams on, over paths of engines that it chooses."""
+    """Relays streams over paths of engines."""
 
     def __init__(
         self, context: contexts.RelayContext, monitor: attempts.StreamMonitor
@@ -55,7 +53,8 @@
     ) -> None:
         """Answer one request for a stream.
 
-        :raises CrowdeckError: with the verdict, when it cannot be ended.
+        :raises CrowdeckError: when the stream cannot be completed; its
+            verdict says whether the request may have run.
         """
         assert service.profile is not None
         budget = self._context.budget(service.name)
@@ -92,7 +91,7 @@
 
 
 class _StreamRun:
-    """Drives one stream to its end, attempt by attempt."""
+    """Makes attempts at one stream until it is complete."""
 
     def __init__(
         self,
@@ -130,11 +129,11 @@
             if not await self._may_retry(path, error):
                 raise self._final_error(error)
             if self._context.lag_meter.is_overloaded:
-                # Another attempt at once would make us later still.
+                # Another attempt at once would add to the lag.
                 await anyio.sleep(self._context.lag_meter.recent_lag())
 
     async def _await_path(self) -> chain.ChainPath:
-        """Return a path, waiting a little where there is none yet."""
+        """Return a path, waiting briefly if there is none yet."""
         path = None
         with anyio.CancelScope() as scope:
             self._stream.wait(scope)
@@ -145,12 +144,11 @@
         raise self._final_error(self._paths.refusal())
 
     async def _refuse_if_quarantined(self) -> None:
-        """Send a request on no more under which engines ended.
+        """Refuse a request that is known to crash engines.
 
-        Checked before each attempt and not only on arrival: the third end
-        may be this request's own, or be told of while it waits. One whose
-        own runs ended so a moment ago is not refused before other entries
-        can have told that they know another cause.
+        Checked before each attempt, since the request may be quarantined
+        while it runs or waits. A request that has run is refused only after
+        other entries had time to report another cause.
 
         :raises CrowdeckError: ``QUARANTINED``.
         """
@@ -170,7 +168,7 @@
     async def _attempt(
         self, path: chain.ChainPath
     ) -> errors.CrowdeckError | None:
-        """Try one path; returns why the stream is not ended, if so."""
+        """Try one path; returns the error if the stream is not complete."""
         logs.decision(
             "path_chosen",
             self._request.id,
@@ -222,7 +220,7 @@
         )
 
     def _note_send(self, error: errors.CrowdeckError) -> None:
-        """Tell the budget what an attempt's end says of its arrival."""
+        """Tell the retry budget whether a failed attempt had arrived."""
         sends = self._stream.sends
         if error.code is not errors.Code.UPSTREAM_LOST:
             sends.give_up()
@@ -277,10 +275,10 @@
     async def _record_loss(
         self, head: chain.Upstream, error: errors.CrowdeckError
     ) -> None:
-        """Find out whether an engine ended while it had the request."""
+        """Record a lost attempt, and whether its engine has ended."""
         if error.verdict is not _MAY_HAVE_RUN:
             if error.code is errors.Code.UPSTREAM_LOST:
-                # No connection is no proof that the engine ended.
+                # A failed connection does not prove that the engine ended.
                 self._monitor.verify(head)
             return
         if error.code not in _LOSSES:
@@ -309,7 +307,7 @@
     async def _may_retry(
         self, path: chain.ChainPath, error: errors.CrowdeckError
     ) -> bool:
-        """Whether another attempt is made."""
+        """Whether to make another attempt."""
         if self._deadline - anyio.current_time() < MIN_ATTEMPT_SECONDS:
             return False
         if error.code is errors.Code.DEADLINE:
@@ -319,8 +317,8 @@
                 return False
         elif error.code is errors.Code.UPSTREAM_LOST:
             self._paths.exclude(path.head.name)
-            # No connection was had: nothing arrived anywhere, so what was
-            # reserved for this attempt serves the next.
+            # Nothing was sent, so the retry that was reserved for this
+            # attempt is used by the next.
             return True
         else:
             self._refusals += 1
@@ -335,10 +333,10 @@
         return MAX_REFUSALS
 
     async def _reserve_retry(self) -> bool:
-        """Reserve one repeat of the budget; false where none can be had.
+        """Reserve a retry in the budget; returns whether that succeeded.
 
-        An answer that has begun waits for one: what is cut is lost to its
-        caller, and the budget comes back as its window moves on.
+        A stream whose answer has started waits for one, since its caller
+        would lose the answer, and the budget recovers as its window moves.
         """
         service = self._stream.service.name
         until = anyio.current_time()
@@ -357,16 +355,15 @@
         if not self._route.is_resumable:
             return False
         if self._stream.has_events and self._stream.last_event < 0:
-            # Its events bear no ids: none can be asked for again.
+            # Its events have no ids, so it cannot be resumed after one.
             return False
         return self._runs_left() > 0
 
     def _runs_left(self, running_on: str = "") -> int:
         """Return at how many more engines the request may run.
 
-        Engines that ended do not count: they were not left by choice.
-        One that merely leaves, is full, passes a path that broke or was
-        silent for a moment does.
+        Engines that ended do not count. Engines that are leaving, are full,
+        were silent or had a broken path do.
         """
         names = self._ran_on | {running_on} if running_on else self._ran_on
         registry = self._context.registry
