--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Streams in progress, as the watch over them sees them."""
+"""State of streams in progress."""
 
 import typing
 
@@ -26,21 +26,24 @@
 class LiveStream:
     """One stream in progress.
 
-    :ivar profile: of the engines that serve it.
-    :ivar tokens: what the request is expected to hold while it runs.
-    :ivar sends: the account of its sends that the retry budget keeps.
-    :ivar resumes: tells whether it may go on at another first engine.
-    :ivar last_event: id of the last event passed on, -1 for none.
-    :ivar moved_at: the loop's time when it last moved: an event came,
-        or an attempt began.
-    :ivar next_look: not looked at before this time.
-    :ivar looks: how often it was looked into since it last moved.
-    :ivar is_suspect: whether it is to be looked into though not silent.
-    :ivar usual_pause: mean pause between its events, in seconds.
-    :ivar longest_pause: the longest of them.
-    :ivar first_event_at: the loop's time of its first event.
-    :ivar begins: whether the attempt under way has brought no event yet.
-    :ivar team: on whose behalf it was asked for.
+    Times are in seconds of the event loop's clock.
+
+    :ivar profile: profile of the engines that serve it.
+    :ivar max_pause: longest pause between events that is in time.
+    :ivar tokens: mean number of tokens that the request holds while it runs.
+    :ivar sends: its sends, as the retry budget counts them.
+    :ivar can_resume: returns whether it may resume at another first engine.
+    :ivar last_event: id of the last event forwarded, -1 for none.
+    :ivar progress_at: when its last event came or its attempt began.
+    :ivar next_check: it is not checked before this time.
+    :ivar checks: how often it was checked since ``progress_at``.
+    :ivar needs_check: whether to check it now though it is not silent.
+    :ivar usual_pause: moving average of the pauses between its events.
+    :ivar longest_pause: longest pause between its events.
+    :ivar first_event_at: when its first event came.
+    :ivar is_starting: whether the current attempt has had no event yet.
+    :ivar abandon_reason: why the current attempt was abandoned, or empty.
+    :ivar team: the team that sent the request.
     """
 
     request: requests.CallerRequest
@@ -71,19 +74,16 @@
 
     @property
     def may_resume(self) -> bool:
-        """Whether it may go on elsewhere if this attempt is given up now.
+        """Whether it may resume elsewhere if it is abandoned now.
 
-        Asked anew each time: an engine that it ran on may have ended
-        meanwhile, which leaves it one run more.
+        Not cached: when an engine that it ran on ends, another run becomes
+        available.
         """
         return self.can_resume()
 
     @property
     def fingerprint(self) -> fingerprint.Fingerprint:
-        """By what the request is known when it comes again.
-
-        Found only when asked for: on a day without losses nobody does.
-        """
+        """Fingerprint of the request, computed when first needed."""
         if self._fingerprint is None:
             self._fingerprint = requests.fingerprint_of(
                 self.request, self.team
@@ -92,7 +92,7 @@
 
     @property
     def attempt_record(self) -> trackers.AttemptRecord:
-        """What came of the attempt under way, or of the last one."""
+        """The request, and the time since its attempt's first event."""
         seconds = None
         if self._attempt_event_at is not None:
             seconds = anyio.current_time() - self._attempt_event_at
@@ -104,11 +104,11 @@
         return self._path
 
     def wait(self, scope: anyio.CancelScope) -> None:
-        """Wait for a path; ``scope`` is cancelled to abandon that."""
+        """Note that it waits for a path; ``abandon`` cancels ``scope``."""
         self._scope = scope
 
     def begin(self, path: chain.ChainPath, scope: anyio.CancelScope) -> None:
-        """Begin an attempt; ``scope`` is cancelled to abandon it."""
+        """Begin an attempt; ``abandon`` cancels ``scope``."""
         self._scope = scope
         self.abandon_reason = ""
         self.progress_at = anyio.current_time()
@@ -118,7 +118,7 @@
         self.switch_path(path)
 
     def switch_path(self, path: chain.ChainPath) -> None:
-        """Go on along another path."""
+        """Continue on another path."""
         self._leave_path()
         self._path = path
         self._usage.add_request(path, self.tokens)
@@ -129,13 +129,13 @@
         self._leave_path()
 
     def abandon(self, reason: str) -> None:
-        """Give up the attempt; the stream then goes on elsewhere."""
+        """Abandon the current attempt, so that another can be made."""
         if self._scope is not None and not self.abandon_reason:
             self.abandon_reason = reason
             self._scope.cancel()
 
     def note_event(self) -> None:
-        """Note that an event came."""
+        """Note that an event arrived."""
         now = anyio.current_time()
         if self.first_event_at is None:
             self.first_event_at = now
--- a/src/crowdeck/relay/loop_lag.py
+++ b/src/crowdeck/relay/loop_lag.py
@@ -3,33 +3,34 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""How late an entry itself is, so that it blames no engine for that."""
+"""Measures the lag of the event loop.
+
+An entry whose own event loop lags must not take engines for lost.
+"""
 
 import anyio
 
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 
-# A beat of those that a silent engine is waited out with.
+# Default length of a tick; several are waited for before an engine counts as
+# silent.
 TICK_SECONDS = 0.009
-# A beat of the meter that runs all day. What holds the loop up for longer
-# is always noticed; shorter than a quarter of the shortest pause after which
-# a stream is looked into, it does no harm unnoticed.
+# Length of the meter's ticks: longer delays of the loop are always noticed,
+# and shorter ones do not make a stream look silent.
 METER_TICK_SECONDS = 0.02
-# Only beats count that came on time. While our own loop was late, by its
-# share of the processor or a long task, answers lay unread and questions
-# unsent: entries with 0.4 of a core took five sound engines for silent at
-# one moment when a large config came.
+# A tick that is later than this is not on time. Answers may then be unread,
+# so it does not count towards an engine's silence.
 ON_TIME_SECONDS = 0.006
-# Lateness from which the loop's own work shows in the log.
+# Larger lags are logged.
 LOGGED_LAG_SECONDS = 0.03
-# How long after a late beat streams may seem silent that only wait to be
-# read.
+# How long after a late tick streams may look silent only because their
+# events are unread.
 SETTLE_SECONDS = 0.03
-# Lateness is remembered for so long: a burst of work comes in pieces.
+# How long the peak lag is remembered.
 RECENT_SECONDS = 0.3
-# So late, an entry does not keep up with what it has; what comes on top
-# makes all of it late. A large config that is read takes up to 0.09 s.
+# Lag above which an entry counts as overloaded. More than what reading a large
+# config causes.
 OVERLOAD_SECONDS = 0.15
 
 
@@ -62,7 +63,7 @@
         return self.recent_lag() > OVERLOAD_SECONDS
 
     def recent_lag(self) -> float:
-        """Return by how much the loop was late at the most just now."""
+        """Return the peak lag of the recent past, in seconds."""
         now = anyio.current_time()
         overdue = max(0.0, now - self._due)
         if now - self._peak_at > RECENT_SECONDS:
@@ -70,12 +71,12 @@
         return max(overdue, self._peak)
 
     def is_settling(self) -> bool:
-        """Whether the loop was late just now."""
+        """Whether the loop was late a moment ago."""
         return anyio.current_time() - self._late_at < SETTLE_SECONDS
 
 
 async def tick(seconds: float = TICK_SECONDS) -> float:
-    """Sleep for one beat; returns by how much it was late, in seconds."""
+    """Sleep for one tick, and return by how many seconds it was late."""
     due = anyio.current_time() + seconds
     await anyio.sleep(seconds)
     return anyio.current_time() - due
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Asking engines whether they live, once for all who want to know."""
+"""Probes of engines, shared by all tasks that ask at the same time."""
 
 import typing
 
@@ -16,33 +16,33 @@
 from crowdeck.relay import interfaces
 from crowdeck.relay import loop_lag
 
-# An engine that says nothing for so many beats is taken for silent. Sound
-# ones answer within 2 ms, those of another zone within 3; with 60 ms
-# instead of 36, streams through a dark engine went on 230 ms after their
-# last event, and 200 ms are in time.
+# An engine that has not answered after this many ticks on time is silent. Far
+# above the round trip between availability zones, and short enough for a
+# stream to be rerouted in time.
 SILENT_TICKS = 4
-# Beats in all, on time or not; an entry this busy learns nothing by asking.
+# Ticks after which a probe ends without a result, on time or not.
 MAX_TICKS = 25
-# An answer serves everybody who asks within this time. When an engine
-# fails, all streams through it ask at once.
+# How long a result is reused. When an engine fails, all its streams probe it
+# at once.
 REUSE_SECONDS = 0.05
-# For streams that have yet to begin a sound answer serves longer: they wait
-# for some tenths of a second, and hundreds wait when a fleet is full. Asked
-# every 50 ms by 29 entries, engines got six questions for each request.
+# How long a report is reused for streams without a first event. Many wait when
+# a fleet is full, and would overload its engines with probes.
 STARTING_REUSE_SECONDS = 0.25
 
-# Engines asked beside one that is silent, to tell its silence from ours.
+# Other engines probed beside a silent one. If none answers either, the entry's
+# own network may be at fault.
 CONTROL_COUNT = 2
 
 
 @attrs.frozen
 class Probe:
-    """What came of asking an engine.
+    """The result of probing an engine.
 
-    :ivar report: what it said, ``None`` if it said nothing.
-    :ivar is_sure: whether silence is the engine's and not our own.
-    :ivar was_refused: whether a refusal or a reset came back: no answer,
-        but a sign that the way there is open.
+    :ivar report: its report, ``None`` if there was none.
+    :ivar is_sure: whether a missing report is the engine's fault and not
+        that of this entry's own lag.
+    :ivar was_refused: whether the connection failed in a way that shows that
+        the network works, such as a refusal or a reset.
     :ivar is_gone: whether its process is known to have ended.
     """
 
@@ -56,15 +56,15 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether the engine is known to say nothing."""
+        """Whether the engine certainly did not answer."""
         return self.report is None and self.is_sure
 
 
 class Prober:
-    """Asks engines for their reports, each at most once at a time.
+    """Probes engines, each at most once at a time.
 
-    :param may_probe: whether an engine, by its name, may be asked now. One
-        that wants rest is not; that it says nothing then proves nothing.
+    :param may_probe: whether an engine, by its name, may be probed now. An
+        engine that is backing off is not, so that its silence proves nothing.
     """
 
     def __init__(
@@ -79,15 +79,15 @@
 
     @property
     def is_probing(self) -> bool:
-        """Whether an engine was asked and has not answered yet."""
+        """Whether any probe is in progress."""
         return bool(self._asking)
 
     async def ask(
         self, upstream: chain.Upstream, max_age: float = REUSE_SECONDS
     ) -> Probe:
-        """Return what an engine says now, or said a moment ago.
+        """Return a new or recent probe of an engine.
 
-        :param fresh: seconds for which a sound answer serves.
+        :param fresh: seconds for which a probe with a report is reused.
         """
         while True:
             known = self._known.get(upstream.name)
@@ -101,7 +101,9 @@
             waiting = self._asking.get(upstream.name)
             if waiting is None:
                 if not self._may_probe(upstream.name):
-                    return Probe(upstream, None, "it wants rest", False, now)
+                    return Probe(
+                        upstream, None, "it is backing off", False, now
+                    )
                 return await self._ask(upstream)
             await waiting.wait()
 
@@ -117,7 +119,7 @@
             done.set()
 
     def _forget(self) -> None:
-        """Drop what is no longer fresh: engines come and go all day."""
+        """Drop probes that are too old to be reused."""
         since = anyio.current_time() - STARTING_REUSE_SECONDS
         for name in [n for n, one in self._known.items() if one.at < since]:
             del self._known[name]
@@ -136,7 +138,7 @@
             except errors.CrowdeckError as error:
                 reason = error.message
                 is_gone = isinstance(error, errors.InstanceGone)
-                # One that cannot be read came from a process that lives.
+                # An unreadable answer still shows that the engine runs.
                 is_sure = error.code is not errors.Code.MALFORMED
             now = anyio.current_time()
             found.append(
@@ -166,9 +168,9 @@
 def controls(
     upstream: chain.Upstream, usable: typing.Iterable[chain.Upstream]
 ) -> list[chain.Upstream]:
-    """Return engines to ask beside one that is silent.
+    """Return engines to probe beside one that is silent.
 
-    Those of other zones first: a zone may be lost as a whole.
+    Those of other zones first, since a whole zone may be lost.
     """
     zone = upstream.availability_zone
     others = [one for one in usable if one.name != upstream.name]
@@ -177,7 +179,7 @@
 
 
 async def _wait_for_silence() -> bool:
-    """Wait for the beats of a silent engine; true if enough were on time."""
+    """Wait until silence counts; returns whether the ticks were on time."""
     on_time = 0
     for _ in range(MAX_TICKS):
         if await loop_lag.tick() <= loop_lag.ON_TIME_SECONDS:
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Leading streams around an engine that failed."""
+"""Rerouting of streams around engines that failed."""
 
 import typing
 
@@ -26,9 +26,9 @@
 class Rerouter:
     """Changes the paths of one entry's streams.
 
-    :param streams: those in progress; whoever owns the set adds to it.
-    :param prober: asks engines whether they live.
-    :param verify: has an engine that said nothing looked into.
+    :param streams: streams in progress; the owner of the set updates it.
+    :param prober: probes the engines of a new path.
+    :param verify: called with each engine that did not answer a probe.
     """
 
     def __init__(
@@ -47,17 +47,17 @@
     async def reroute_around_all(
         self, culprits: typing.Iterable[chain.Upstream]
     ) -> None:
-        """Change the path of every stream that passes one of some engines.
+        """Reroute every stream that passes one of the engines.
 
-        Those that failed together are left together: a path that leaves
-        one of them and keeps another is refused, after a tenth of a second.
+        All of them are avoided together: a path that avoids one and keeps
+        another would be refused.
         """
         async with anyio.create_task_group() as tasks:
             for culprit in culprits:
                 tasks.start_soon(self.reroute_around, culprit)
 
     async def reroute_around(self, culprit: chain.Upstream) -> None:
-        """Change the path of every stream that passes a failed engine."""
+        """Reroute every stream that passes a failed engine."""
         async with anyio.create_task_group() as tasks:
             for stream in tuple(self._streams):
                 path = stream.path
@@ -69,8 +69,8 @@
                     if stream.may_resume:
                         reason = f"first engine {culprit.address} is silent"
                         stream.abandon(reason)
-                    # Otherwise there is nothing to gain by giving it up:
-                    # it may yet go on, or its connection breaks.
+                    # Any other stream would be lost if it were abandoned,
+                    # while the engine may yet recover.
                     continue
                 self._repathing.add(stream)
                 tasks.start_soon(self._reroute, stream, path, culprit)
@@ -98,11 +98,13 @@
         while True:
             other = self._find_path(stream, path, refused)
             if self._should_restart(stream, path, other):
-                self._log(stream, path, None, "goes on elsewhere")
+                self._log(
+                    stream, path, None, "restarts at another first engine"
+                )
                 stream.abandon(f"{culprit.address} is silent")
                 return
             if other is None:
-                self._log(stream, path, None, "no other engine has room")
+                self._log(stream, path, None, "no other engine has capacity")
                 return
             silent = await self._find_silent(path, other)
             if stream.path is not path:
@@ -134,30 +136,25 @@
     def _restart_elsewhere(
         self, stream: live.LiveStream, path: chain.ChainPath
     ) -> None:
-        """Begin a stream anew that no other path was allowed for.
+        """Restart a stream whose first engine allows no other path.
 
-        Its first engine names nobody, or again one that was left already:
-        asking it once more gets the same answer. Streams were led around
-        five times a second that way and paused for 1.0 to 1.4 s.
+        Asking the engine again would get the same refusal, and the stream
+        would stay paused.
         """
         if not stream.may_resume:
             return
         if not self._context.may_restart_stream(stream.service.name):
             return
-        self._log(stream, path, None, "goes on elsewhere")
+        self._log(stream, path, None, "restarts at another first engine")
         stream.abandon(f"{path.head.address} allows no other path")
 
     async def _find_silent(
         self, path: chain.ChainPath, other: chain.ChainPath
     ) -> set[str]:
-        """Return the new parts of a path that do not answer.
-
-        Engines are lost together, and whoever takes a lost one's place may
-        be lost too without anybody's having noticed. A sound one answers
-        within 3 ms, a lost one is known in 40; a path with a lost part is
-        refused by its first engine after 70 to 100 ms. On a day with
-        losses of five, 418 changes of path met 281 such refusals, and half
-        of the streams paused for over 330 ms where 300 are in time.
+        """Return the names of a path's new engines that do not answer.
+
+        Engines often fail together, so a replacement may be lost as well.
+        Probing it takes less time than a refusal by the first engine.
         """
         kept = {hop.upstream.name for hop in path.hops}
         answers: list[probes.Probe] = []
@@ -180,12 +177,11 @@
         path: chain.ChainPath,
         other: chain.ChainPath | None,
     ) -> bool:
-        """Whether a stream had better go on from its last event elsewhere.
+        """Whether a stream should resume at another first engine instead.
 
-        A detour through another zone has all tokens so far cross between
-        zones. With tens of streams that fills the pipe which all share
-        for seconds, and stops the streams that cross it as well. Read
-        again in another zone from the beginning, nothing crosses.
+        A path through another zone sends the state of all tokens so far
+        across the link between zones, which many streams would saturate.
+        A stream that restarts in the other zone sends nothing across.
         """
         if not stream.may_resume:
             return False
@@ -234,5 +230,5 @@
     if outcome.is_done:
         return "done"
     if not outcome.is_known:
-        return "unknown to its first engine"
+        return "its first engine does not know the request"
     return f"refused because of {outcome.culprit or 'itself'}"
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Finding out why a stream fell silent, and leading it around."""
+"""Detects stalled streams, finds the cause and reroutes them."""
 
 import anyio
 import anyio.abc
@@ -17,52 +17,50 @@
 from crowdeck.relay import probes
 from crowdeck.relay import rerouting
 
-# The shortest time between two looks at the streams: a small part of the
-# pause that is allowed, at little cost for some tens of streams.
+# Minimum time between two checks of the streams.
 CHECK_SECONDS = 0.02
-# Without streams only engines that were avoided are looked after; their
-# pauses are a second and more. With a look every 0.02 s all day, and beats
-# of 0.009 s, an entry with nothing to do was woken 200 times a second and
-# took 2 % of a core.
+# Maximum time between two checks. An idle entry checks only the engines that
+# are avoided, and should cost little processor time.
 IDLE_CHECK_SECONDS = 0.2
-# A stream is looked into when it was silent for this many times its own
-# usual pause, but neither before the first nor after the second share of
-# the longest pause that is in time; the rest is for asking and acting.
+# A stream is checked after a silence of this many times its usual pause, but
+# not before the first and not after the second share of its maximum pause. The
+# rest of that pause is for probing and rerouting.
 PAUSE_FACTOR = 2.5
 EARLIEST_SHARE = 0.3
 LATEST_SHARE = 0.45
-# A first event takes a prompt's reading as well: this share of its
-# objective.
+# Share of the latency objective after which a stream without a first event is
+# checked. The engines read the prompt in that time.
 FIRST_EVENT_SHARE = 0.4
-# A stream whose engines all answer is only slow; it is looked into again
-# after this share of the pause, and each time after twice as long.
+# A stream whose engines all answer is checked again after this share of its
+# maximum pause, and each time after twice as long.
 RECHECK_SHARE = 0.5
 
-# An engine may take a request and never work on it, while its report and
-# its other streams are well. This share of the objective without a first
-# event, or so many times the allowed pause between events, is taken for
-# that; what is merely slow has begun by then on all but the worst days.
+# An engine may accept a request and never work on it, while its report and its
+# other streams look healthy. A stream counts as hung after this share of its
+# objective without a first event, or this many maximum pauses between events.
 HUNG_SHARE = 0.8
 HUNG_PAUSES = 3.0
-# Streams at another first engine begin within this share of the objective:
-# what waits here longer than the whole has more to gain than to lose there.
+# If streams at another first engine start within this share of the objective,
+# a hung stream is moved there.
 QUICK_SHARE = 0.5
-# After this share of the objective the event is late already.
+# After this share of the objective the first event is late.
 LATE_SHARE = 1.2
-# A sibling that moved within this many pauses shows that the engine works.
+# Another stream with an event within this many of its usual pauses shows that
+# the engine works.
 SIBLING_PAUSES = 3.0
-# An engine that a stream's event passed so lately lives. Events travel for
-# 10 to 20 ms from stage to stage.
+# Engines that an event passed within this time are not probed. Above the time
+# that an event takes through all stages.
 RECENT_EVENT_SECONDS = 0.03
 
 
 @attrs.frozen
 class _Finding:
-    """What a look into a silent stream found.
+    """The result of checking a silent stream.
 
-    :ivar culprits: engines that hold it up.
-    :ivar is_sure: whether silence was the engines' and not our own.
-    :ivar head: what the first engine said, if it did.
+    :ivar culprits: engines that stall it.
+    :ivar is_sure: whether missing answers are the engines' fault and not that
+        of this entry's own lag.
+    :ivar head: the report of the first engine, if there is one.
     """
 
     culprits: list[chain.Upstream]
@@ -71,7 +69,7 @@
 
 
 class StallMonitor:
-    """Looks after the streams of one entry."""
+    """Monitors the streams of one entry for stalls."""
 
     def __init__(self, context: contexts.RelayContext) -> None:
         self._context = context
@@ -91,28 +89,27 @@
 
     @property
     def is_probing(self) -> bool:
-        """Whether an engine was asked and has not answered yet."""
+        """Whether any probe is in progress."""
         return self._prober.is_probing
 
     def add(self, stream: live.LiveStream) -> None:
-        """Look after a stream from now on."""
+        """Start monitoring a stream."""
         self._streams.add(stream)
 
     def drop(self, stream: live.LiveStream) -> None:
-        """Look after it no longer."""
+        """Stop monitoring a stream."""
         self._streams.discard(stream)
 
     def verify(self, upstream: chain.Upstream) -> None:
-        """Ask an engine whether it lives; if not, act on it."""
+        """Probe an engine soon, and reroute its streams if it is lost."""
         self._to_verify[upstream.name] = upstream
         self._woken.set()
 
     async def has_ended(self, upstream: chain.Upstream) -> bool:
-        """Ask an instance whose connection broke; true if it is gone.
+        """Return whether an instance whose connection broke has ended.
 
-        A refused connection is known after a millisecond. Whoever sends a
-        request on to another instance has to know: as long as this one
-        lives the request is one that merely met a broken connection.
+        Awaited before a retry elsewhere, since a request is blamed for the
+        end of an instance but not for a broken connection.
         """
         probe = await self._prober.ask(upstream)
         if probe.is_gone:
@@ -121,28 +118,30 @@
             )
             await self._rerouter.reroute_around(upstream)
         elif upstream.card:
-            # Plain services answer no such question otherwise.
+            # Only engines answer probes; plain services do not.
             self.verify(upstream)
         return probe.is_gone
 
     def _abandon_quarantined(self) -> None:
-        """Call back requests that end engines, where they have not begun.
+        """Abandon attempts of quarantined requests without a first event.
 
-        Several copies may be on their way at once. An engine drops what it
-        has not begun when the connection closes.
+        Several copies may be in progress. An engine drops a request that it
+        has not started when its connection closes.
         """
         quarantine = self._context.quarantine
         for stream in tuple(self._streams):
             if stream.is_starting and quarantine.is_quarantined(
                 stream.fingerprint
             ):
-                stream.abandon("it ends the engines that begin it")
+                stream.abandon(
+                    "the request is quarantined: it crashes engines"
+                )
 
     def check_now(self, upstream: chain.Upstream) -> None:
-        """Look at once into all streams that pass an engine.
+        """Check all streams that pass an engine as soon as possible.
 
-        A first engine refused a request because of it, which it knows
-        before the streams' silence shows.
+        Used when a first engine refuses a request because of that engine,
+        which may be before the streams fall silent.
         """
         for stream in self._streams:
             path = stream.path
@@ -152,7 +151,7 @@
                 self._woken.set()
 
     async def run(self) -> None:
-        """Look at all streams again and again, until cancelled."""
+        """Check all streams at intervals, until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._lag_meter.run)
             while True:
@@ -178,10 +177,10 @@
         self._woken = anyio.Event()
 
     def _next_check(self) -> float:
-        """Return the loop's time before which no stream is silent.
+        """Return the loop time before which no stream has to be checked.
 
-        A stream that begins may be silent sooner than one that has not
-        begun, but never sooner than the earliest share of its pause.
+        A stream may get its first event meanwhile, which shortens its time
+        to the earliest share of its maximum pause.
         """
         now = anyio.current_time()
         if self._lag_meter.is_settling():
@@ -208,11 +207,11 @@
     async def _is_lost(
         self, probe: probes.Probe, others: tuple[chain.Upstream, ...]
     ) -> bool:
-        """Whether an engine that did not answer is lost, and not we.
+        """Whether an engine that did not answer is lost.
 
-        Silence counts only while others answer: when our own link is full
-        or cut, all engines are silent at once, and leaving them all would
-        end every stream for nothing.
+        Silence counts only if other engines answer: when the entry's own
+        network fails, all engines are silent, and abandoning them would
+        end every stream.
         """
         if not probe.is_silent:
             return False
@@ -242,7 +241,7 @@
         return now >= self._silent_at(stream)
 
     def _silent_at(self, stream: live.LiveStream) -> float:
-        """Return when a stream is to be looked into unless it moves."""
+        """Return when a stream counts as silent if no event arrives."""
         if stream.has_events:
             limit = PAUSE_FACTOR * stream.usual_pause
             limit = max(limit, EARLIEST_SHARE * stream.max_pause)
@@ -290,7 +289,7 @@
     def _is_hung(
         self, stream: live.LiveStream, path: chain.ChainPath, found: _Finding
     ) -> bool:
-        """Whether its first engine holds a stream and does not work on it."""
+        """Whether a stream's first engine does not work on it."""
         if not stream.may_resume or path.crossings:
             return False
         if found.head is None or not found.is_sure:
@@ -317,11 +316,10 @@
     def _is_quicker_elsewhere(
         self, stream: live.LiveStream, path: chain.ChainPath
     ) -> bool:
-        """Whether nothing begins at its first engine, and much elsewhere.
+        """Whether no streams start at this first engine but do elsewhere.
 
-        An engine that holds all that it is given, and is well by its
-        reports, has no streams that move; others' show that it is not the
-        whole fleet which is slow.
+        Streams at other first engines show whether only this engine is
+        stuck or the whole fleet is slow.
         """
         heads = self._context.heads
         name = path.head.name
@@ -329,8 +327,8 @@
             return False
         if heads.has_fast_alternative(name, QUICK_SHARE * stream.objective):
             return True
-        # An entry with few streams may know of no other. One that was not
-        # seen to be slow is worth the try when this one is late anyway.
+        # An entry with few streams may know of no other first engine. One that
+        # is not known to be slow is worth a try when this one is late anyway.
         waited = anyio.current_time() - stream.progress_at
         return (
             waited > LATE_SHARE * stream.objective
@@ -341,24 +339,24 @@
         self, stream: live.LiveStream, path: chain.ChainPath
     ) -> None:
         counters.COUNTERS.add("relay.hung")
-        reason = f"{path.head.address} holds it and does not work on it"
+        reason = f"{path.head.address} accepted it but does not work on it"
         self._context.heads.bar(path.head.name)
         logs.change(
             "upstream_barred",
             upstream=path.head.name,
             address=str(path.head.address),
-            reason="it holds streams and does not work on them",
+            reason="it accepts streams but does not work on them",
         )
         stream.abandon(reason)
 
     async def _find_culprits(
         self, stream: live.LiveStream, path: chain.ChainPath
     ) -> _Finding:
-        """Return the engines that hold a stream up.
+        """Return the engines that stall a stream.
 
-        The first engine tells which requests wait for whom, all at once,
-        but its report is of some moments ago. When it knows of nothing
-        the others are asked; one question serves all who want to know.
+        The first engine reports which engines its requests wait for, though
+        the report may be slightly old. If it names none for this request,
+        the other engines of the path are probed.
         """
         max_age = probes.REUSE_SECONDS
         if stream.is_starting:
@@ -392,7 +390,7 @@
         return _Finding(silent, is_sure, head.report)
 
     def _recently_active(self) -> set[str]:
-        """Return the engines that an event has passed just now."""
+        """Return the names of engines that an event passed recently."""
         since = anyio.current_time() - RECENT_EVENT_SECONDS
         return {
             hop.upstream.name
