--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What the parts of the relay share."""
+"""State shared by the parts of the relay."""
 
 import heapq
 import random
@@ -32,20 +32,18 @@
 from crowdeck.routing import usage as usages
 
 
-# Beginning anew spends the retry budget; this share of it is kept for
-# requests that cannot be served in another way. As a number, ten, it was
-# more than all that one of 29 entries may repeat.
+# Restarting a stream spends the retry budget. This share of it is reserved
+# for requests that cannot be served in any other way.
 RESTART_RESERVE_SHARE = 0.3
-# Far above a connection's half millisecond, and a small part of what is
-# left of an objective of 0.5 s.
+# Connection timeout while the event loop is on time.
 CONNECT_SECONDS = 0.25
-# A connection takes two turns of the loop: its making, and its answer.
+# A connection takes two turns of the event loop, each of which may be late.
 LAG_FACTOR = 2.0
 
 
 @attrs.frozen
 class RetryBudgetSettings:
-    """The terms of the retry budget, as the operator sets them."""
+    """The operator's settings of the retry budget."""
 
     ratio: float
     slack: float
@@ -54,14 +52,14 @@
 
 @attrs.define(eq=False)
 class RelayContext:
-    """One entry's knowledge of upstreams and its means to reach them.
+    """What one entry knows of upstreams, and the client to reach them.
 
     :ivar zone: the entry's availability zone.
-    :ivar began: the loop's time at which the process was started.
+    :ivar began: loop time at which the process was started.
     :ivar name: the entry's name.
-    :ivar membership: the entries that share what is limited with it.
-    :ivar loop: how late the entry's own event loop is.
-    :ivar quarantine: requests under which instances ended.
+    :ivar membership: the entries that share limits and budgets with it.
+    :ivar lag_meter: measures the lag of the entry's event loop.
+    :ivar quarantine: requests that were running when instances ended.
     """
 
     zone: str
@@ -103,17 +101,15 @@
 
     @property
     def connect_seconds(self) -> float:
-        """How long a connection may take; longer while we are late.
+        """Timeout of a connection, longer while the event loop lags.
 
-        A connection that waits for our own loop is no lost engine. Alone
-        with all callers, an entry took sound engines for lost, 219 times
-        in three seconds, and made each time a new connection.
+        Otherwise an overloaded entry takes healthy engines for lost.
         """
         return CONNECT_SECONDS + LAG_FACTOR * self.lag_meter.recent_lag()
 
     @property
     def heads(self) -> heads.HeadRecords:
-        """How first engines have served this entry's streams."""
+        """Records of how first engines served this entry's streams."""
         return self.planner.heads
 
     def budget(self, service: str) -> budgets.SharedRetryBudget:
@@ -132,20 +128,21 @@
         return found
 
     def log_retry(self, service: str, request: str) -> None:
-        """Note that a request may be sent again."""
+        """Log that the retry budget allows a request to be sent again."""
         self._log_retry_decision("repeat_allowed", service, request)
 
     def log_retry_refused(self, service: str, request: str) -> None:
-        """Note that a request is not sent again for want of budget."""
+        """Log that the retry budget does not allow another send."""
         counters.COUNTERS.add("relay.unrepeated")
         self._log_retry_decision("repeat_refused", service, request)
 
     def _log_retry_decision(
         self, kind: str, service: str, request: str
     ) -> None:
-        """Log from what a budget follows.
+        """Log a retry decision with the state of the budget.
 
-        Entries together can send too much though each keeps to its own.
+        The sum over entries can be checked from these lines: each entry
+        knows only its own share.
         """
         budget = self.budget(service)
         counters.COUNTERS.set_gauge(
@@ -164,7 +161,7 @@
     def note_end(self, upstream: chain.Upstream) -> None:
         """Note that an instance has ended.
 
-        One that was leaving ended as planned, whatever ran there.
+        If it was leaving, its end is not blamed on its requests.
         """
         self.limits.forget(upstream)
         if upstream.is_leaving:
@@ -175,7 +172,7 @@
     def _apply_notice(
         self, upstream: chain.Upstream, notice: interfaces.Notice
     ) -> None:
-        """Take what an answer tells of the instance that gave it."""
+        """Apply the backpressure and load that an answer reports."""
         signals = notice.backpressure
         if signals.backoff:
             self.registry.back_off(upstream.name, signals.backoff)
@@ -192,12 +189,12 @@
     def seconds_until_any(
         self, upstreams: typing.Iterable[chain.Upstream], ahead: int = 0
     ) -> float:
-        """Return in how long one of some instances takes a request.
+        """Return the seconds until any of the instances accepts a request.
 
-        By what they ask for themselves; 0 where that is now, or where
-        there are none. Each takes one after the other, as its limit allows.
+        Follows from their rate limits and backoffs; 0 if one accepts a
+        request now, or if there are no instances.
 
-        :param ahead: requests that are to be sent first.
+        :param ahead: number of requests that are sent first.
         """
         found = list(upstreams)
         next_times = [
@@ -219,19 +216,19 @@
         )
 
     def wait_queue(self, service: str) -> waiting.WaitQueue:
-        """Return the line of requests that wait for a service's engines."""
+        """Return the queue of requests that wait for a service."""
         return self._wait_queues.setdefault(service, waiting.WaitQueue())
 
     def may_restart_stream(self, service: str) -> bool:
-        """Whether the budget allows a stream to begin again elsewhere."""
+        """Whether the budget allows a stream to restart elsewhere."""
         return self.budget(service).remaining_share >= RESTART_RESERVE_SHARE
 
     def follow(self, roster: rosters.Roster) -> None:
-        """Share what is limited with the entries that a roster knows.
+        """Share limits and budgets with the entries of a roster.
 
-        Before the first budget is used.
+        Call it before the first budget is used.
         """
-        assert not self._budgets, "budgets follow the roster from the first"
+        assert not self._budgets, "budgets are in use already"
 
         def apply_shares() -> None:
             self.usage.set_entry_count(roster.zone_count, roster.entries)
--- a/src/crowdeck/relay/ingress.py
+++ b/src/crowdeck/relay/ingress.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Callers' HTTP connections, as an ASGI application."""
+"""ASGI application for callers' HTTP connections."""
 
 import typing
 
@@ -33,12 +33,12 @@
 
     @property
     def body_limit(self) -> int:
-        """Most bytes that a request's body may have."""
+        """Maximum size of a request body in bytes."""
         ...
 
     @property
     def closes_connections(self) -> bool:
-        """Whether callers are to use other connections from now on."""
+        """Whether connections are closed after their next answer."""
         ...
 
     async def serve(
@@ -46,13 +46,13 @@
     ) -> None:
         """Answer one request.
 
-        :raises CrowdeckError: when there is no answer to pass on.
+        :raises CrowdeckError: when there is no answer to forward.
         """
         ...
 
 
 class CallerSink:
-    """An answer on a caller's connection."""
+    """Writes an answer to a caller's connection."""
 
     def __init__(self, send: Send, server: Server) -> None:
         self._send = send
@@ -67,11 +67,11 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the whole answer was sent."""
+        """Whether the complete answer was sent."""
         return self._has_ended
 
     async def start(self, status: int, headers: http.RawHeaders) -> None:
-        """Send the head of an answer whose body follows in pieces."""
+        """Send the status and headers; the body follows in pieces."""
         self._has_started = True
         headers = [pair for pair in headers if pair[0] != b"content-length"]
         if self._server.closes_connections:
@@ -98,7 +98,7 @@
     async def reply(
         self, status: int, headers: http.RawHeaders, body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         length = (b"content-length", str(len(body)).encode())
         self._has_started = True
         headers = [*headers, length]
@@ -122,7 +122,7 @@
 
 
 class Ingress:
-    """Reads requests, has them served, and tells callers of failures."""
+    """Decodes requests, has them served, and answers with errors."""
 
     def __init__(self, server: Server, codec: interfaces.CallerCodec) -> None:
         self._server = server
@@ -131,7 +131,7 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Serve one request of one connection."""
+        """Serve one request; an ASGI application."""
         assert scope["type"] == "http", "only HTTP is served"
         arrived = anyio.current_time()
         sink = CallerSink(send, self._server)
@@ -180,7 +180,7 @@
             if size > self._server.body_limit:
                 raise errors.CrowdeckError(
                     errors.Code.TOO_LARGE,
-                    f"a body may have {self._server.body_limit} bytes",
+                    f"the body is larger than {self._server.body_limit} bytes",
                 )
             pieces.append(piece)
             if not message.get("more_body"):
@@ -199,7 +199,7 @@
         )
         if request is None:
             raise errors.CrowdeckError(
-                errors.Code.BAD_REQUEST, "a request needs an id"
+                errors.Code.BAD_REQUEST, "the request has no id"
             )
         return request
 
@@ -210,10 +210,10 @@
         error: errors.CrowdeckError,
         arrived: float | None = None,
     ) -> None:
-        """Tell a caller of a failure, unless its answer has begun.
+        """Answer with an error, unless an answer has started.
 
-        An answer that has begun is left without its end: the server then
-        closes the connection, and the caller sees that it is not whole.
+        An answer that has started is left incomplete: the server then
+        closes the connection, which the caller sees as truncated.
         """
         status = requests.status_of(error)
         now = anyio.current_time()
@@ -249,7 +249,7 @@
     receive: Receive,
     cancel_scope: anyio.CancelScope,
 ) -> None:
-    """End the work on a request once its caller has gone."""
+    """Cancel the work on a request when its caller disconnects."""
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
--- a/src/crowdeck/relay/interfaces.py
+++ b/src/crowdeck/relay/interfaces.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What the relay asks of an adapter: to reach callers and upstreams."""
+"""Interfaces that platform adapters implement for the relay."""
 
 import contextlib
 import typing
@@ -18,12 +18,12 @@
 
 @attrs.frozen
 class Dispatch:
-    """How a request goes to an upstream this time.
+    """Parameters of one send of a request to an upstream.
 
-    :ivar seconds_left: how long the upstream may take.
+    :ivar seconds_left: time that the upstream may take.
     :ivar path: the engines it passes, ``None`` for a plain service.
-    :ivar last_event: id of the last event that is not wanted again, -1
-        for a request that begins at the beginning.
+    :ivar last_event: id of the last event already received, -1 to start
+        with the first.
     """
 
     team: str
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Load:
-    """What an upstream tells of its load."""
+    """The load that an upstream reports."""
 
     running: int
     waiting: int
@@ -44,10 +44,10 @@
 
 @attrs.frozen
 class RepathOutcome:
-    """What became of a change of path.
+    """The result of changing the path of a running request.
 
     :ivar is_known: whether the first engine knows the request.
-    :ivar culprit: address of the engine because of which it was refused.
+    :ivar culprit: address of the engine that caused a refusal.
     """
 
     is_done: bool
@@ -57,11 +57,11 @@
 
 @attrs.frozen
 class Notice:
-    """What an instance tells of itself in the head of an answer.
+    """What an instance reports about itself in an answer's headers.
 
-    :ivar load: the load that it tells, if it does.
-    :ivar answers_request: whether it answers a request. Where it answers a
-        question or an order, what it does not tell may still be so.
+    :ivar load: the reported load, if any.
+    :ivar answers_request: whether it came with the answer to a request. In
+        other answers a signal that is missing may still be in force.
     """
 
     backpressure: pressures.Backpressure
@@ -73,7 +73,7 @@
 
 
 class Answer(typing.Protocol):
-    """An upstream's answer whose body is still to come."""
+    """An upstream's answer whose body has not been read."""
 
     @property
     def status(self) -> int:
@@ -82,7 +82,7 @@
 
     @property
     def caller_headers(self) -> http.RawHeaders:
-        """The headers that go to the caller."""
+        """The headers to forward to the caller."""
         ...
 
     @property
@@ -92,21 +92,21 @@
 
     @property
     def is_signed(self) -> bool:
-        """Whether the answer bears the upstream's signature."""
+        """Whether the answer has the upstream's signature."""
         ...
 
     @property
     def culprit(self) -> str:
-        """Address of the engine that made a path fail, or nothing."""
+        """Address of the engine that made a path fail, or empty."""
         ...
 
     @property
     def load(self) -> Load | None:
-        """The load that the upstream tells, if it does."""
+        """The load that the upstream reports, if any."""
         ...
 
     def belongs_to(self, request: requests.CallerRequest) -> bool:
-        """Whether this is the answer to ``request`` and to no other."""
+        """Whether this is the answer to ``request``."""
         ...
 
     def event_id(self, event: bytes) -> int | None:
@@ -114,7 +114,7 @@
         ...
 
     def chunks(self) -> typing.AsyncIterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the body in pieces as it arrives.
 
         :raises CrowdeckError: ``UPSTREAM_LOST`` when it ends early.
         """
@@ -132,7 +132,7 @@
     """Reaches upstream instances."""
 
     def subscribe(self, listener: NoticeListener) -> None:
-        """Call ``listener`` with what each answer tells of its sender."""
+        """Call ``listener`` with the notice of each answer."""
         ...
 
     def open(
@@ -142,28 +142,29 @@
         dispatch: Dispatch,
         timeouts: http.Timeouts,
     ) -> contextlib.AbstractAsyncContextManager[Answer]:
-        """Send a request and yield its answer once the head is here.
+        """Send a request and yield its answer once its headers arrived.
 
-        :raises CrowdeckError: ``UPSTREAM_LOST``, with the verdict.
+        :raises CrowdeckError: ``UPSTREAM_LOST``; its verdict says whether
+            the request may have run.
         """
         ...
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
-        """Return what an engine says of itself.
+        """Return an engine's report.
 
-        :raises CrowdeckError: when it cannot be had.
+        :raises CrowdeckError: when there is no readable report.
         """
         ...
 
     async def repath(
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
     ) -> RepathOutcome:
-        """Have a running request go on along another path."""
+        """Change the path of a running request."""
         ...
 
 
 class CallerCodec(typing.Protocol):
-    """Reads callers' requests, and says when to come back."""
+    """Decodes callers' requests and encodes the retry header."""
 
     def decode(
         self,
@@ -174,9 +175,9 @@
         body: bytes,
         arrived: float,
     ) -> requests.CallerRequest | None:
-        """Return a caller's request, or ``None`` if it has no id."""
+        """Return the decoded request, or ``None`` if it has no id."""
         ...
 
     def retry_after(self, seconds: float) -> tuple[bytes, bytes]:
-        """Return the header that tells when to come back."""
+        """Return the header that says when to retry."""
         ...
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The relay: which config is in force, and who serves a request."""
+"""Holds the config in force and dispatches requests."""
 
 import typing
 
@@ -23,12 +23,11 @@
 from crowdeck.routing import routes as tables
 from crowdeck.state import objects as stores
 
-# Beyond this share of the time for which a config is trusted, callers are
-# sent elsewhere, before their requests have to be refused. A config is
-# proved current every 1.2 of 3.9 s; whoever passes new connections on
-# stops one to two seconds after the first bad answer about readiness.
+# Share of the maximum config age after which the entry reports that it is not
+# ready. Load balancers need up to two seconds to react, so that they stop
+# before requests have to be refused.
 READY_AGE_SHARE = 0.46
-# A process that has just started knows its config within a few calls.
+# A starting process soon knows its config.
 START_RETRY_SECONDS = 0.3
 
 Decoder = typing.Callable[[bytes], routes.FleetConfig]
@@ -36,12 +35,12 @@
 
 
 class ConfigHolder:
-    """The newest version of the config seen; never goes back.
+    """Holds the newest config seen; ignores older versions.
 
-    A follower of the mirror of configs.
+    It is a follower of the mirror of configs.
 
-    :param decode: turns a stored config into the product's types.
-    :param name: name of the object that is in force.
+    :param decode: decodes a stored config.
+    :param name: name of the stored object to use.
     """
 
     def __init__(self, decode: Decoder, name: str) -> None:
@@ -52,7 +51,7 @@
 
     @property
     def table(self) -> tables.RouteTable | None:
-        """The config in force, or ``None`` before the first was seen."""
+        """The config in force, or ``None`` before the first."""
         return self._table
 
     @property
@@ -65,7 +64,7 @@
         await self._known.wait()
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
-        """Take all configs."""
+        """Take the full listing of configs."""
         self.on_changed(objects, ())
 
     def on_changed(
@@ -73,7 +72,7 @@
         objects: tuple[stores.StoredObject, ...],
         removed: tuple[str, ...],
     ) -> None:
-        """Take configs that were written; a removed one stays in force."""
+        """Take written configs; a removed config stays in force."""
         for one in objects:
             if one.name == self._name:
                 self._take(one)
@@ -103,9 +102,9 @@
 class Relay:
     """Serves callers' requests.
 
-    :param age: seconds since the config was last known to be the newest.
-    :param trust_seconds: with an older config, no key is known to stand,
-        and requests that need one are refused.
+    :param age: returns the seconds since the config was known to be current.
+    :param max_config_age: beyond this age keys may have been revoked, so
+        requests that need one are refused.
     """
 
     def __init__(
@@ -128,23 +127,23 @@
 
     @property
     def body_limit(self) -> int:
-        """Most bytes that a request's body may have."""
+        """Maximum size of a request body in bytes."""
         table = self._holder.table
         limits = table.config.limits if table else routes.Limits()
         return limits.body_bytes
 
     @property
     def closes_connections(self) -> bool:
-        """Whether callers are to use other connections from now on.
+        """Whether connections are closed after their next answer.
 
-        A planned stop has begun, or requests will soon be refused because
-        the config is not known to be current.
+        True during a planned stop, and when requests may soon be refused
+        because the config is not known to be current.
         """
         return self._is_leaving or not self._is_current
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections are welcome."""
+        """Whether new connections should be sent here."""
         return self._holder.table is not None and not self.closes_connections
 
     @property
@@ -153,17 +152,17 @@
 
     @property
     def in_progress(self) -> int:
-        """Requests being served."""
+        """Number of requests being served."""
         return self._in_progress
 
     def leave(self) -> None:
-        """Begin a planned stop: connections end with their next answer."""
+        """Begin a planned stop; connections close after their next answer."""
         self._is_leaving = True
         if not self._in_progress:
             self._idle.set()
 
     async def wait_idle(self) -> None:
-        """Wait until nothing is served any more."""
+        """Wait until no request is being served."""
         while self._in_progress:
             self._idle = anyio.Event()
             await self._idle.wait()
@@ -173,7 +172,7 @@
     ) -> None:
         """Answer one request.
 
-        :raises CrowdeckError: when there is no answer to pass on.
+        :raises CrowdeckError: when there is no answer to forward.
         """
         self._in_progress += 1
         try:
@@ -203,17 +202,17 @@
             await self._calls.serve(request, admitted, service, sink)
 
     def _refuse_overload(self) -> None:
-        """Take nothing more while what is under way is late already.
+        """Refuse new requests while the event loop lags too much.
 
-        :raises CrowdeckError: ``OVERLOADED``, not run.
+        :raises CrowdeckError: ``OVERLOADED``, with the verdict not run.
         """
         lag = self._context.lag_meter.recent_lag()
         if lag > loop_lag.OVERLOAD_SECONDS:
             counters.COUNTERS.add("relay.shed")
             raise errors.CrowdeckError(
                 errors.Code.OVERLOADED,
-                f"this entry is {lag:.2f} s late with {self._in_progress} "
-                "requests under way",
+                f"this entry lags by {lag:.2f} s with {self._in_progress} "
+                "requests in progress",
                 retry_after=self._context.retry_advisor.estimate_delay(),
             )
 
@@ -227,7 +226,7 @@
         except errors.CrowdeckError:
             if is_valid:
                 raise
-            # A newer config may well have this route or key.
+            # A newer config may have this route or key.
             raise self._outdated(age) from None
         needs_key = bool(table.config.teams) and not (
             admitted.route.is_anonymous
--- a/src/crowdeck/relay/status.py
+++ b/src/crowdeck/relay/status.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Readiness and metrics of an entry, as an ASGI application."""
+"""Status of an entry, and an ASGI application for its metrics."""
 
 import typing
 
@@ -17,20 +17,20 @@
 
 
 class Ready(typing.Protocol):
-    """Knows whether new connections are welcome."""
+    """Knows whether the entry is ready."""
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections are welcome."""
+        """Whether new connections should be sent here."""
         ...
 
 
 class _Relay(Ready, typing.Protocol):
-    """Knows what it serves."""
+    """Knows how many requests are being served."""
 
     @property
     def in_progress(self) -> int:
-        """Requests that are being served."""
+        """Number of requests being served."""
         ...
 
 
@@ -44,7 +44,7 @@
 
 
 class EntryStatus:
-    """What an entry tells an operator of itself, and of what it knows.
+    """The status of an entry and of the upstreams it knows.
 
     :param name: the entry's name.
     """
@@ -62,7 +62,7 @@
         self._relay = relay
 
     def read(self) -> dict[str, typing.Any]:
-        """Return it as it is now, ready for JSON."""
+        """Return the current status, ready for JSON."""
         table = self._config.table
         return {
             "instance": self._name,
@@ -79,7 +79,7 @@
 
 
 class StatusApp:
-    """Answers balancers and collectors of metrics."""
+    """Answers load balancers and metrics collectors."""
 
     def __init__(
         self, ready: Ready, table: counters.Counters, readiness_path: str
--- a/src/crowdeck/relay/survey.py
+++ b/src/crowdeck/relay/survey.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a starting entry asks of engines before it sends them anything."""
+"""Surveys the load of engines when an entry starts."""
 
 import anyio
 
@@ -14,33 +14,29 @@
 from crowdeck.relay import context as contexts
 from crowdeck import route as routes
 
-# How often a starting entry looks whether engines are listed, and for how
-# long: they are within some tenths of a second after its config.
+# How often, and how many times, to check whether engines are listed.
 POLL_SECONDS = 0.02
 MAX_POLLS = 100
-# Questions under way at once: a round of them takes about 3 ms.
+# Maximum number of questions in progress.
 MAX_CONCURRENT = 32
-# Questions in all, those to the own availability zone first: nearly all
-# paths stay there. Asking is worth 0.03 of a day with 38 engines, all of
-# them asked. Each question takes 1.5 ms of a full core; with 130, an entry
-# with 0.4 of one served nobody for half a second when callers came back.
+# Maximum number of engines asked, those of the entry's own availability zone
+# first. More questions would delay the start of a small entry.
 MAX_QUESTIONS = 40
 
 
 class Survey:
-    """Asks engines, once, what they hold for other entries' streams.
+    """Asks engines once what they hold for other entries' streams.
 
-    When all entries lose power at once, engines go on with the streams of
-    the dead until they notice, two seconds and more. Entries that start
-    then know of none of it: they took full engines for empty, and engines
-    refused 54 of the first 100 streams that callers brought back.
+    When all entries fail at once, engines work on their streams until they
+    notice. Without the survey, entries that start then take full engines
+    for empty ones.
     """
 
     def __init__(self, context: contexts.RelayContext) -> None:
         self._context = context
 
     async def run(self, services: tuple[routes.Service, ...]) -> None:
-        """Ask the engines of ``services`` that hold layers."""
+        """Survey the engines of ``services`` that hold layers."""
         engines = await self._find_engines(services)
         limiter = anyio.CapacityLimiter(MAX_CONCURRENT)
         async with anyio.create_task_group() as tasks:
