--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What instances ask for themselves, told to operators."""
+"""Reports the backpressure of instances to operators."""
 
 import collections
 import enum
@@ -20,15 +20,15 @@
 from crowdeck.routing import rate_limits
 
 POLL_SECONDS = 0.5
-# Of instances that begin, or end, within one look so many have a line each;
-# one more tells how many others did. Hundreds do when a service is in need.
+# Changes of one check that are logged a line each. The others are counted in
+# one further line, since a whole service may signal at once.
 MAX_LINES = 20
-# Instances that are named with one request.
+# Instances named in the log line of one request.
 MAX_NAMED = 5
 
 
 class SignalKind(enum.StrEnum):
-    """What an instance asks for."""
+    """Kind of backpressure."""
 
     LIMIT = "limit"
     BACKOFF = "rest"
@@ -37,13 +37,13 @@
 
 @attrs.frozen
 class BackpressureSignal:
-    """What one instance asks for.
+    """Backpressure of one kind that an instance signals.
 
-    :ivar since: the loop's time at which this entry learned of it.
-    :ivar per_second: the limit, in requests a second from all entries.
-    :ivar used: how many of them this entry sends.
-    :ivar share: the part of the limit that this entry takes for its own.
-    :ivar seconds_left: how long the rest still takes.
+    :ivar since: loop time at which this entry learned of it.
+    :ivar per_second: the rate limit in requests per second, over all entries.
+    :ivar used: requests per second that this entry sends.
+    :ivar share: this entry's share of the rate limit.
+    :ivar seconds_left: remaining time of the backoff.
     """
 
     upstream: chain.Upstream
@@ -56,11 +56,11 @@
 
     @property
     def key(self) -> tuple[str, SignalKind]:
-        """What tells it from others."""
+        """Identifies the signal: the instance's name and the kind."""
         return self.upstream.name, self.kind
 
     def as_fields(self) -> dict[str, typing.Any]:
-        """Return it for a log line or a status, without what it lacks."""
+        """Return the fields that are set, for a log line or a status."""
         fields = {
             "upstream": self.upstream.name,
             "address": str(self.upstream.address),
@@ -81,7 +81,7 @@
 
 
 class BackpressureMonitor:
-    """Gathers what instances ask of this entry, or of all."""
+    """Collects the backpressure that instances signal."""
 
     def __init__(
         self,
@@ -94,13 +94,13 @@
         self._gauges: set[str] = set()
 
     def now(self) -> tuple[BackpressureSignal, ...]:
-        """Return what is asked for now."""
+        """Return the signals in force."""
         return (*self._limited(), *self._backing_off(), *self._leaving())
 
     def held_back(self, service: str) -> str:
-        """Return addresses of those that get no request now for it.
+        """Return addresses of a service's instances that get no requests.
 
-        The first few of them; they are named with a request.
+        The first few that backpressure excludes, separated by commas.
         """
         names = itertools.chain(
             (name for name, _, _ in self._registry.backing_off()),
@@ -119,7 +119,7 @@
         return ",".join(itertools.islice(found, MAX_NAMED))
 
     async def run(self) -> None:
-        """Log what changes and set the gauges, until cancelled."""
+        """Log changes and set the gauges, until cancelled."""
         while True:
             self._check()
             await anyio.sleep(POLL_SECONDS)
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Layers that no engine holds: since when, and what would be needed."""
+"""Tracks model layers that no engine holds."""
 
 import math
 import typing
@@ -18,17 +18,16 @@
 from crowdeck import pipeline
 from crowdeck import route as routes
 
-# Requests that an engine has memory for beside its layers, at the least: as
-# the placement, which an entry does not load, lays layers out.
+# Requests that an engine must have memory for besides its layers. The same as
+# in the placement, which an entry does not import.
 MIN_CONCURRENT_REQUESTS = 4.0
-# Where what is left can hold the model it is whole again after the longest
-# load, and so much for noticing the loss, ordering and telling.
+# Time beyond the longest load until the layers are held again: detecting the
+# loss, ordering the loads and reporting them.
 ORDER_DELAY_SECONDS = 3.0
 POLL_SECONDS = 0.5
-# Hundreds of requests a second find no path while layers are missing, and a
-# look at 1,000 engines takes a millisecond. No path is looked for more often.
+# How long a result is reused: while layers are missing every request asks.
 REUSE_SECONDS = 0.02
-# A gap of less is one that a replacement closes; the log is spared it.
+# Shorter gaps, which a replacement closes, are not logged.
 MIN_LOGGED_SECONDS = 1.0
 
 Services = typing.Callable[[], tuple[routes.Service, ...]]
@@ -38,14 +37,14 @@
 class LayerGap:
     """Layers of one service that no engine holds.
 
-    :ivar layers: the runs of them, first to last.
-    :ivar since: the loop's time at which a gap was first seen.
-    :ivar engines: names of the engines that are left.
-    :ivar engines_since: when others than before were left for the last time.
-        What they are to load follows from which there are.
-    :ivar holdable: how many layers these can hold together.
-    :ivar load_seconds: how long the longest load takes that closes it.
-    :ivar was_whole: whether all layers were held before.
+    :ivar layers: the missing ranges, in order.
+    :ivar since: loop time at which the gap was first seen.
+    :ivar engines: names of the remaining engines.
+    :ivar engines_since: loop time at which ``engines`` last changed, and
+        with it the loads that close the gap.
+    :ivar layer_capacity: how many layers these engines can hold together.
+    :ivar load_seconds: duration of the longest load that closes the gap.
+    :ivar was_complete: whether all layers were held before.
     """
 
     service: str
@@ -63,15 +62,15 @@
 
     @property
     def can_be_held(self) -> bool:
-        """Whether the engines that are left can hold the whole model."""
+        """Whether the remaining engines can hold the whole model."""
         return self.layer_capacity >= self.profile.layer_count
 
     @property
     def seconds_left(self) -> float | None:
-        """In how long the model is whole again, where that is known.
+        """Expected seconds until all layers are held, if known.
 
-        It is not for a model that was never whole: its first loads may
-        take any part of the usual time.
+        Unknown for a model that was never complete, since its first loads
+        may have begun at any time.
         """
         if not self.can_be_held or not self.was_complete:
             return None
@@ -80,7 +79,7 @@
         return left if left > 0.0 else None
 
     def as_fields(self) -> dict[str, typing.Any]:
-        """Return it for a log line or a status."""
+        """Return the fields of a log line or a status."""
         left = self.seconds_left
         return {
             "service": self.service,
@@ -94,13 +93,13 @@
         }
 
     def closes_by(self, moment: float) -> bool:
-        """Whether the model is known to be whole by a loop's time."""
+        """Whether the gap is expected to be closed by a loop time."""
         left = self.seconds_left
         return left is not None and anyio.current_time() + left <= moment
 
     @property
     def needed(self) -> str:
-        """What would close the gap, for an operator."""
+        """What would close the gap, as a text for operators."""
         if self.can_be_held:
             return f"a load of about {self.load_seconds:.1f} s"
         lacking = self.profile.layer_count - self.layer_capacity
@@ -114,7 +113,7 @@
 
 
 def max_layers(card: str, profile: chain.EngineProfile) -> int:
-    """Return how many layers an engine can hold and still serve."""
+    """Return how many layers a card can hold and still serve."""
     known = profile.cards.get(card)
     if known is None:
         return profile.layer_count
@@ -127,7 +126,7 @@
 
 
 class LayerGapTracker:
-    """Finds the layers that no engine holds, and tells operators."""
+    """Finds layers that no engine holds, and logs them."""
 
     def __init__(self, registry: registries.UpstreamRegistry) -> None:
         self._registry = registry
@@ -138,13 +137,13 @@
 
     @property
     def known(self) -> tuple[LayerGap, ...]:
-        """The gaps as they were last seen."""
+        """The gaps found by the last check of each service."""
         return tuple(self._gaps.values())
 
     def find_gap(
         self, service: str, profile: chain.EngineProfile
     ) -> LayerGap | None:
-        """Return the gap in a service's model, if there is one now."""
+        """Return the gap in a service's model, or ``None``."""
         now = anyio.current_time()
         if now - self._checked_at.get(service, -math.inf) < REUSE_SECONDS:
             return self._gaps.get(service)
@@ -183,7 +182,7 @@
         return gap
 
     async def run(self, services: Services) -> None:
-        """Look at all models again and again, until cancelled."""
+        """Check all models at intervals, until cancelled."""
         while True:
             for service in services():
                 if service.profile is not None:
@@ -214,7 +213,7 @@
 
 
 def _is_already_logged(gap: LayerGap, before: LayerGap | None) -> bool:
-    """Whether a line of the log tells of a gap what another told."""
+    """Whether a gap was already logged with the same content."""
     if before is None:
         return False
     return (
@@ -225,7 +224,7 @@
 def missing_layers(
     engines: typing.Iterable[chain.Upstream], layer_count: int
 ) -> tuple[pipeline.LayerRange, ...]:
-    """Return the runs of layers that none of some engines holds."""
+    """Return the ranges of layers that none of the engines holds."""
     held = {
         (one.layers.first, one.layers.end)
         for one in engines
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Finding a path for one stream, now or after a wait for room."""
+"""Finds a path for one stream, waiting for capacity if needed."""
 
 import anyio
 
@@ -18,29 +18,26 @@
 from crowdeck.relay import waiting
 from crowdeck.routing import hops
 
-# Without a path a new request waits for streams to end and leave room.
-# Callers give up what shows nothing for two seconds; with what is left of
-# them after this, a sound engine begins even while it is crowded.
+# How long a new request waits for capacity. Callers give up after two seconds
+# without an event, and a busy engine needs some of that for the first one.
 QUEUE_WAIT_SECONDS = 1.2
-# Where a layer is held by no engine that is listed, waiting does not help
-# within that time: loading takes longer. A watch may lag by so much after
-# the layer was first missed.
+# How long a request waits for layers that no listed engine holds. Loading
+# them takes longer; this covers a listing that arrives late.
 UNHELD_WAIT_SECONDS = 0.1
-# A stream that has begun waits longer: its caller gives up only after a
-# silence of two seconds or more.
+# How long a stream waits whose answer has started. Its caller gives up after
+# two seconds of silence or more.
 STARTED_WAIT_SECONDS = 1.6
 POLL_SECONDS = 0.02
-# In a line each look is in vain but one, and a look in vain at a full fleet
-# of 38 engines takes 30 ms of a small entry's time: every 20 ms it left no
-# time for the streams under way.
+# Longer than ``POLL_SECONDS``: planning on a full fleet is costly and would
+# leave a small entry no time to serve.
 QUEUE_POLL_SECONDS = 0.08
-ALL_UNAVAILABLE = "all engines of some layers are at their limits or want rest"
+ALL_UNAVAILABLE = "all engines of some layers are rate limited or backing off"
 
 
 class PathSearch:
-    """Looks for paths for one stream, whatever became of earlier ones.
+    """Finds the paths for the attempts of one stream.
 
-    :param deadline: the loop's time after which no path is of use.
+    :param deadline: loop time after which a path is of no use.
     """
 
     def __init__(
@@ -58,14 +55,14 @@
         self._held_back_at_start = ""
 
     def exclude(self, name: str) -> None:
-        """Use an engine no more, unless there is no path without it."""
+        """Avoid an engine, unless there is no path without it."""
         self._excluded.add(name)
 
     async def find(self, *, has_started: bool) -> chain.ChainPath | None:
-        """Return a path, or ``None`` where none can be had in time.
+        """Return a path, or ``None`` if there is none in time.
 
-        :param has_begun: whether the caller has a part of the answer; such
-            streams pass by the line, and wait longer.
+        :param has_started: whether the caller has a part of the answer. Such
+            a stream skips the queue and waits longer.
         """
         wait_queue = self._context.wait_queue(self._service)
         path = None
@@ -81,10 +78,10 @@
         return path
 
     async def _wait_as_started(self) -> chain.ChainPath | None:
-        """Return a path for a stream that has begun.
+        """Return a path for a stream whose answer has started.
 
-        Layers that are being loaded are waited for as room is. What cannot
-        be held is not.
+        Waits for capacity and for layers that are being loaded, but not for
+        layers that the remaining engines cannot hold.
         """
         until = anyio.current_time() + STARTED_WAIT_SECONDS
         gap = self._gap()
@@ -97,7 +94,7 @@
     ) -> chain.ChainPath | None:
         """Return a path once it is this request's turn and there is one.
 
-        Where the turn cannot be expected in time, nothing is waited for.
+        Does not wait if the turn is not expected in time.
         """
         now = anyio.current_time()
         until = self._arrived + QUEUE_WAIT_SECONDS
@@ -119,7 +116,7 @@
     async def _poll(
         self, until: float, step: float = POLL_SECONDS
     ) -> chain.ChainPath | None:
-        """Look for a path again and again."""
+        """Look for a path at intervals until the time is over."""
         until = min(until, self._deadline)
         while (path := self._plan()) is None:
             if anyio.current_time() >= until:
@@ -128,11 +125,11 @@
         return path
 
     def seconds_until_accepted(self) -> float:
-        """Return in how long engines take a request for a stream.
+        """Return the seconds until backpressure allows a path.
 
-        By what they ask for themselves: 0 where they do now. While all first
-        engines name limits or want rest, those in the line come first; and
-        all layers have to be held by some that want none.
+        0 if it does now. If all first engines are rate limited or backing
+        off, the requests in the queue are served first. All layers must be
+        held by engines that are not backing off.
         """
         firsts = [
             one
@@ -146,10 +143,10 @@
         return max(until_first, self._seconds_until_backoffs_end())
 
     def _seconds_until_backoffs_end(self) -> float:
-        """Return in how long engines that want rest are there for a path.
+        """Return the seconds until backoffs no longer prevent a path.
 
-        0 where there is one without them, or layers are missing all the
-        same.
+        0 if there is a path without the engines that are backing off, or if
+        layers are missing even with them.
         """
         registry = self._context.registry
         if not registry.backing_off():
@@ -176,16 +173,19 @@
         )
 
     def _must_queue(self, wait_queue: waiting.WaitQueue) -> bool:
-        """Whether others wait, for what will come."""
+        """Whether others wait for capacity, and not for missing layers."""
         return bool(len(wait_queue)) and self._gap() is None
 
     def held_back(self) -> str:
-        """Return which engines are in need, or were when a wait began."""
+        """Return addresses that backpressure excludes or excluded.
+
+        Those at present, or else those when the wait began.
+        """
         now = self._context.backpressure.held_back(self._service)
         return now or self._held_back_at_start
 
     def refusal(self) -> errors.CrowdeckError:
-        """Return the refusal of a stream that found no path."""
+        """Return the error for a stream that found no path."""
         rng = self._context.rng
         delay = self._context.retry_advisor.estimate_delay()
         gap = self._gap()
@@ -199,10 +199,10 @@
         if seconds:
             counters.COUNTERS.add("relay.limited")
             return _no_path(ALL_UNAVAILABLE, seconds + delay)
-        return _no_path("no path through the model has room", delay)
+        return _no_path("no path through the model has capacity", delay)
 
     def _gap(self) -> gaps.LayerGap | None:
-        """Return the layers that no engine holds which stays, if any."""
+        """Return the gap left when leaving engines are gone, if any."""
         return self._context.gaps.find_gap(self._service, self._stream.profile)
 
     def _note_no_path(self) -> None:
@@ -252,17 +252,17 @@
             if last:
                 path = self._plan_over(usable + last, wanted)
         if path is None and self._excluded:
-            # What refused a moment ago may serve by now.
+            # Engines that refused earlier may accept by the next call.
             self._excluded.clear()
         if path is not None:
-            # At once: whoever chooses next has to know.
+            # Before any other task can choose the same engine.
             self._context.limits.take(path.head)
         return path
 
     def _plan_over(
         self, usable: list[chain.Upstream], wanted: hops.PathRequest
     ) -> chain.ChainPath | None:
-        """Return the best path over this entry's engines, or over all."""
+        """Return the best path in this entry's subset, else over all."""
         chosen = self._context.subset.pick(usable)
         path = self._context.planner.plan(chosen, wanted)
         if path is None and len(chosen) < len(usable):
@@ -274,7 +274,10 @@
     reason = f"no engine holds layers {gap}"
     if not gap.can_be_held:
         count = gap.profile.layer_count
-        reason += f", and those left can hold {gap.layer_capacity} of {count}"
+        reason += (
+            f", and the remaining engines can hold {gap.layer_capacity} "
+            f"of {count}"
+        )
     return reason
 
 
--- a/src/crowdeck/relay/retry_advice.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -3,32 +3,30 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""When callers that were refused for want of room should come back."""
+"""When callers should retry that were refused for lack of capacity."""
 
 import collections
 import random
 
 import anyio
 
-# Over this time refusals and ends are counted: about as long as a stream
-# takes.
+# Window in which refusals and ended streams are counted, about the duration of
+# a stream.
 WINDOW_SECONDS = 2.0
-# A lone refusal: room comes with the next stream that ends.
+# Delay for a single refusal.
 MIN_DELAY_SECONDS = 0.3
-# Callers follow the advice up to a third of the time they have left, which
-# for streams of 20 s is over six seconds.
+# Callers ignore a delay that is more than a third of their remaining time.
 MAX_DELAY_SECONDS = 4.0
-# What one entry cannot serve for a reason of its own another may serve now.
-# Callers that come back so soon can still be answered in time; the entry
-# stopped welcoming connections two seconds before, so they reach another.
+# Delay for a refusal that concerns this entry alone. Load balancers
+# already send new connections elsewhere, so a retry reaches another entry.
 OTHER_ENTRY_DELAY_SECONDS = 0.25
 
 
 class RetryAdvisor:
-    """Spreads returns over the time in which room comes for them.
+    """Spreads retries over the time in which capacity becomes free.
 
-    Told the same short time, all that were refused in a burst come back
-    into it together, and are refused again.
+    With one short delay for all, requests refused in a burst would all retry
+    together and be refused again.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -37,14 +35,14 @@
         self._ended: collections.deque[float] = collections.deque()
 
     def note_end(self) -> None:
-        """Note that a stream ended, and what it held is free."""
+        """Note that a stream ended and freed its capacity."""
         self._ended.append(anyio.current_time())
         self._forget(self._ended)
 
     def seconds_until_capacity(self, count: int) -> float:
-        """Return in how long room comes for ``count`` more, in seconds.
+        """Return the seconds until there is capacity for ``count`` more.
 
-        0 where no stream was seen to end lately: nothing is known then.
+        0 if no stream ended lately, since nothing is known then.
         """
         self._forget(self._ended)
         if not self._ended:
@@ -52,9 +50,10 @@
         return WINDOW_SECONDS * count / len(self._ended)
 
     def estimate_delay(self) -> float:
-        """Return when one that is refused now should come back, in seconds.
+        """Return the seconds after which a request refused now should retry.
 
-        As many as were refused lately need as many ends to have room.
+        Capacity for all recent refusals comes with as many ended streams;
+        the delay is drawn at random from that time.
         """
         self._refused.append(anyio.current_time())
         self._forget(self._refused)
--- a/src/crowdeck/relay/waiting.py
+++ b/src/crowdeck/relay/waiting.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The line of requests that no path has room for yet."""
+"""Queue of requests that wait for capacity."""
 
 import collections
 import contextlib
@@ -13,38 +13,36 @@
 
 from crowdeck.observe import counters
 
-# Beyond so many nobody joins: about what the engines of one availability
-# zone serve at once, so the last of them would wait for all their ends.
+# Maximum length of the queue, about the number of requests that the engines of
+# one availability zone serve at once.
 MAX_WAITING = 100
 
 
 class WaitQueue:
-    """Requests for one service, first come first served.
+    """Queue of requests for one service, first come first served.
 
-    Only the first looks for a path: each look costs about a millisecond,
-    and a hundred that all look every 20 ms leave an entry no time to
-    serve. It also keeps a late-comer from taking the room that others
-    have waited for.
+    Only the first in the queue looks for a path, since planning is costly.
+    Later requests also cannot take the capacity that others wait for.
     """
 
     def __init__(self) -> None:
         self._waiters: collections.deque[anyio.Event] = collections.deque()
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return how many requests wait."""
         return len(self._waiters)
 
     @property
     def is_full(self) -> bool:
-        """Whether nobody may join."""
+        """Whether no more requests may join."""
         return len(self._waiters) >= MAX_WAITING
 
     @contextlib.asynccontextmanager
     async def turn(self, until: float) -> typing.AsyncIterator[bool]:
-        """Wait to be the first; the next one's turn comes on leaving.
+        """Join the queue and wait to be the first; leave it on exit.
 
-        :param until: the loop's time at which the wait is given up.
-        :returns: whether the turn has come.
+        :param until: loop time at which to stop waiting.
+        :returns: whether this request is the first.
         """
         turn_event = anyio.Event()
         self._waiters.append(turn_event)
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -5,11 +5,8 @@
 
 """Layers that no engine holds.
 
-What callers saw: each stream asked for after the last engine of some
-layers had gone waited for 0.1 s, one that had begun for 1.6 s, and all were
-told to come back within 0.3 to 4 s, whether or not anything that was left
-could ever hold the model. The entry asked at every request anew whether a
-layer was missing, and knew neither since when nor what was left.
+Callers must be refused at once and told a realistic time to retry, and
+operators must see which layers are missing and what would close the gap.
 """
 
 import pathlib
@@ -42,12 +39,12 @@
 PROFILE = fleet_system.PROFILE
 System = fleet_system.FleetSystem
 Work = typing.Callable[[System], typing.Awaitable[None]]
-# Nothing is waited for: some turns of the loop.
-AT_ONCE = 0.01
+# Time for a few turns of the event loop, but no wait.
+AT_ONCE_SECONDS = 0.01
 
 
-def play(work: Work, card: str = "small", count: int = 4) -> None:
-    """Play ``work`` on one copy of the model in one zone."""
+def run_scenario(work: Work, card: str = "small", count: int = 4) -> None:
+    """Run ``work`` on one copy of the model in one zone."""
 
     async def body() -> None:
         system = System(name="entry")
@@ -71,14 +68,14 @@
     return lambda: system.config.services
 
 
-def lose(system: System, *names: str) -> None:
-    """End engines, and remove their entries."""
+def remove_engines(system: System, *names: str) -> None:
+    """End engines and remove their entries."""
     for name in names:
         system.fleet.at(system.listed[name].address).is_dead = True
         system.registry.on_changed((), (name,))
 
 
-def told_lines(kind: str, lines: list[dict[str, typing.Any]]) -> list[str]:
+def lines_of(kind: str, lines: list[dict[str, typing.Any]]) -> list[str]:
     return [
         line["message_type"]
         for line in lines
@@ -91,14 +88,14 @@
     """Every line of the log."""
     found: list[dict[str, typing.Any]] = []
     eliot.add_destinations(found.append)
-    # What was logged while nobody listened comes first.
+    # Eliot delivers earlier messages to the first destination.
     found.clear()
     yield found
     eliot.remove_destination(found.append)
 
 
 async def refused(system: System) -> errors.CrowdeckError:
-    """Ask for a stream that is refused, and return why."""
+    """Ask for a stream that is refused, and return the error."""
     caller = await system.ask(system.request(STREAM))
     assert caller.error is not None
     assert caller.error.code is errors.Code.NO_PATH
@@ -107,26 +104,26 @@
 
 
 class TestCallers:
-    """What callers are told, and when."""
+    """Errors and retry times that callers get."""
 
-    # Small cards hold 11 layers at the most, large ones 39.
+    # Small cards hold at most 11 layers, large ones 39.
     @pytest.mark.parametrize(("card", "count"), [("small", 8), ("large", 4)])
-    def test_a_new_stream_is_refused_at_once(
+    def test_new_stream_is_refused_at_once(
         self, card: str, count: int
     ) -> None:
         async def work(system: System) -> None:
-            lose(system, "e-1")
+            remove_engines(system, "e-1")
             await anyio.sleep(0.6)
             began = anyio.current_time()
             await refused(system)
-            assert anyio.current_time() - began < AT_ONCE
+            assert anyio.current_time() - began < AT_ONCE_SECONDS
 
-        play(work, card, count)
+        run_scenario(work, card, count)
 
-    def test_a_watch_that_lags_is_waited_for(self) -> None:
+    def test_late_listing_is_waited_for(self) -> None:
         async def work(system: System) -> None:
             one = system.listed["e-1"]
-            lose(system, "e-1")
+            remove_engines(system, "e-1")
             async with anyio.create_task_group() as tasks:
                 callers: list[fleet_system.Caller] = []
 
@@ -138,9 +135,11 @@
                 system.add(attrs.evolve(one, name="e-9"))
             assert callers[0].error is None
 
-        play(work, "large")
+        run_scenario(work, "large")
 
-    def test_a_begun_stream_waits_not_for_what_cannot_be_held(self) -> None:
+    def test_started_stream_does_not_wait_for_layers_that_cannot_be_held(
+        self,
+    ) -> None:
         async def work(system: System) -> None:
             system.fleet.events = 300
             caller = fleet_system.Caller()
@@ -154,51 +153,53 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.5)
-                lose(system, "e-0")
+                remove_engines(system, "e-0")
                 system.fleet.at(
                     system.listed["e-0"].address
                 ).break_stream_after = 30
                 await anyio.sleep(0.8)
                 broken_at = anyio.current_time()
             assert caller.has_started
-            assert ended[0] - broken_at < AT_ONCE
+            assert ended[0] - broken_at < AT_ONCE_SECONDS
 
-        play(work, "small", 8)
+        run_scenario(work, "small", 8)
 
-    def test_the_time_told_is_that_of_the_load(self) -> None:
+    def test_retry_time_is_that_of_the_load(self) -> None:
         async def work(system: System) -> None:
             lost_at = anyio.current_time()
-            lose(system, "e-1")
+            remove_engines(system, "e-1")
             load = PROFILE.load_seconds * 20 / PROFILE.layer_count
             for _ in range(4):
                 await anyio.sleep(1.0)
                 error = await refused(system)
                 assert error.retry_after is not None
                 comes_at = anyio.current_time() + error.retry_after - lost_at
-                least = load + gaps.ORDER_DELAY_SECONDS
-                assert least - 0.1 <= comes_at
-                # Noticed half a second late, and spread.
-                most = least + gaps.POLL_SECONDS + retry_advice.WINDOW_SECONDS
+                earliest = load + gaps.ORDER_DELAY_SECONDS
+                assert earliest - 0.1 <= comes_at
+                # Detected up to one poll late, and spread at random.
+                most = (
+                    earliest + gaps.POLL_SECONDS + retry_advice.WINDOW_SECONDS
+                )
                 assert comes_at <= most + 0.1
                 assert "20-40" in error.message
 
-        play(work, "large")
+        run_scenario(work, "large")
 
-    def test_no_time_is_made_up(self) -> None:
+    def test_retry_time_is_short_if_the_layers_cannot_be_held(self) -> None:
         async def work(system: System) -> None:
-            lose(system, "e-1")
+            remove_engines(system, "e-1")
             await anyio.sleep(0.6)
             error = await refused(system)
             assert error.retry_after is not None
             assert error.retry_after <= retry_advice.MAX_DELAY_SECONDS
             assert "10-20" in error.message
-            assert "those left can hold" in error.message
+            assert "remaining engines can hold" in error.message
 
-        play(work, "small", 8)
+        run_scenario(work, "small", 8)
 
-    def test_once_the_time_is_over_none_is_told(self) -> None:
+    def test_expected_time_is_dropped_once_it_is_over(self) -> None:
         async def work(system: System) -> None:
-            lose(system, "e-1")
+            remove_engines(system, "e-1")
             await anyio.sleep(PROFILE.load_seconds)
             (gap,) = system.context.gaps.known
             assert gap.can_be_held
@@ -207,32 +208,34 @@
             assert error.retry_after is not None
             assert error.retry_after <= retry_advice.MAX_DELAY_SECONDS
 
-        play(work, "large")
+        run_scenario(work, "large")
 
-    def test_the_time_is_that_of_who_comes_to_load(self) -> None:
+    def test_expected_time_follows_a_new_engine(self) -> None:
         async def work(system: System) -> None:
             one = system.listed["e-1"]
-            lose(system, "e-1")
-            # Longer than any load: nothing is left that could hold them.
+            remove_engines(system, "e-1")
+            # Longer than any load; the remaining engines cannot hold them.
             await anyio.sleep(PROFILE.load_seconds)
-            assert "those left can hold" in (await refused(system)).message
+            assert (
+                "remaining engines can hold" in (await refused(system)).message
+            )
             came_at = anyio.current_time()
             system.add(attrs.evolve(one, name="e-9", layers=None))
             await anyio.sleep(0.6)
             error = await refused(system)
             assert error.retry_after is not None
             load = PROFILE.load_seconds * 10 / PROFILE.layer_count
-            least = came_at + load + gaps.ORDER_DELAY_SECONDS
+            earliest = came_at + load + gaps.ORDER_DELAY_SECONDS
             comes_at = anyio.current_time() + error.retry_after
-            assert least - 0.1 <= comes_at
-            assert comes_at <= least + 0.6 + retry_advice.WINDOW_SECONDS
+            assert earliest - 0.1 <= comes_at
+            assert comes_at <= earliest + 0.6 + retry_advice.WINDOW_SECONDS
 
-        play(work, "small", 8)
+        run_scenario(work, "small", 8)
 
-    def test_a_load_that_is_nearly_done_is_waited_for(self) -> None:
+    def test_load_that_is_nearly_done_is_waited_for(self) -> None:
         async def work(system: System) -> None:
             one = system.listed["e-1"]
-            lose(system, "e-1")
+            remove_engines(system, "e-1")
             await anyio.sleep(0.6)
             (gap,) = system.context.gaps.known
             assert gap.seconds_left is not None
@@ -248,9 +251,9 @@
                 system.add(attrs.evolve(one, name="e-9"))
             assert callers[0].error is None
 
-        play(work, "large")
+        run_scenario(work, "large")
 
-    def test_a_model_that_was_never_whole_has_no_time(self) -> None:
+    def test_model_that_was_never_complete_has_no_expected_time(self) -> None:
         async def work(system: System) -> None:
             fresh = System(system.fleet, "other")
             fresh.install(fresh.config)
@@ -260,9 +263,9 @@
             assert error.retry_after is not None
             assert error.retry_after <= retry_advice.MAX_DELAY_SECONDS
 
-        play(work, "large")
+        run_scenario(work, "large")
 
-    def test_one_that_leaves_holds_nothing_but_its_last_work(self) -> None:
+    def test_leaving_engine_is_used_only_until_it_leaves(self) -> None:
         async def work(system: System) -> None:
             one = system.listed["e-1"]
             system.list_instance(attrs.evolve(one, is_leaving=True))
@@ -271,34 +274,32 @@
             await anyio.sleep(1.5)
             began = anyio.current_time()
             await refused(system)
-            assert anyio.current_time() - began < AT_ONCE
+            assert anyio.current_time() - began < AT_ONCE_SECONDS
 
-        play(work, "large")
+        run_scenario(work, "large")
 
-    def test_one_that_ended_holds_nothing_though_it_is_listed(self) -> None:
+    def test_ended_engine_counts_as_gone_while_listed(self) -> None:
         async def work(system: System) -> None:
             system.registry.avoid("e-1", "refused", is_gone=True)
             await anyio.sleep(0.6)
             assert [str(one) for one in system.context.gaps.known] == ["20-40"]
             began = anyio.current_time()
             await refused(system)
-            assert anyio.current_time() - began < AT_ONCE
+            assert anyio.current_time() - began < AT_ONCE_SECONDS
 
-        play(work, "large")
+        run_scenario(work, "large")
 
 
 class TestGaps:
-    """Which layers are missing, and what would be needed."""
+    """Missing layers, and what would close the gap."""
 
     @pytest.mark.parametrize("card", [*PROFILE.cards, "unknown"])
-    def test_an_engine_holds_what_the_placement_gives_it(
-        self, card: str
-    ) -> None:
+    def test_capacity_agrees_with_the_placement(self, card: str) -> None:
         one = fleet_system.upstream("one", card=card)
         expected = plan.most_layers(one, PROFILE)
         assert gaps.max_layers(card, PROFILE) == expected
 
-    def test_is_what_counting_each_layer_finds(self) -> None:
+    def test_agrees_with_a_count_of_each_layer(self) -> None:
         rng = random.Random(7)
         for _ in range(300):
             engines = []
@@ -314,7 +315,7 @@
                 layer for one in found for layer in range(one.first, one.end)
             ] == [layer for layer in range(80) if not held[layer]]
 
-    def test_many_requests_at_a_moment_look_once(
+    def test_many_requests_share_one_check(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         looks: list[float] = []
@@ -325,18 +326,18 @@
             return find(engines, layers)
 
         async def work(system: System) -> None:
-            lose(system, "e-1")
+            remove_engines(system, "e-1")
             await anyio.sleep(0.73)
             monkeypatch.setattr(gaps, "missing_layers", count)
             for _ in range(100):
                 await refused(system)
             assert len(looks) == 1
 
-        play(work, "large")
+        run_scenario(work, "large")
 
-    def test_tells_what_would_be_needed(self) -> None:
+    def test_reports_what_would_close_the_gap(self) -> None:
         async def work(system: System) -> None:
-            lose(system, "e-1", "e-2")
+            remove_engines(system, "e-1", "e-2")
             await anyio.sleep(0.6)
             (gap,) = system.context.gaps.known
             most = gaps.max_layers("small", PROFILE)
@@ -347,12 +348,12 @@
                 f"{-(-lacking // most)} small"
             )
 
-        play(work, "small", 8)
+        run_scenario(work, "small", 8)
 
-    def test_ends_when_somebody_holds_them(self) -> None:
+    def test_ends_when_the_layers_are_held(self) -> None:
         async def work(system: System) -> None:
             one = system.listed["e-1"]
-            lose(system, "e-1")
+            remove_engines(system, "e-1")
             await anyio.sleep(2.0)
             assert system.context.gaps.known
             system.add(attrs.evolve(one, name="e-9"))
@@ -361,20 +362,20 @@
             caller = await system.ask(system.request(STREAM))
             assert caller.error is None
 
-        play(work, "large")
+        run_scenario(work, "large")
 
 
 class TestOverSockets:
-    """A whole entry, its store and its engines."""
+    """A complete entry with its store and its engines."""
 
-    def test_callers_and_operators_are_told(self) -> None:
+    def test_is_reported_to_callers_and_operators(self) -> None:
         async def work(running: test_fleet_process.Running) -> None:
             engines = [
                 one
                 for one in running.fleet.upstreams
                 if one.listed.service == fleet_system.MODEL
             ]
-            # One of four holds no more than 33 of 80 layers.
+            # A single engine cannot hold all layers.
             for target in engines[1:]:
                 target.is_dead = True
                 running.store.remove(
@@ -388,7 +389,7 @@
                 told = dict(answer.headers)
                 assert float(told[names.RETRY_AFTER]) > 0.0
                 assert b"no engine holds layers" in answer.content
-            # Each waited for 0.1 s before.
+            # Without five waits of 0.1 s.
             assert anyio.current_time() - began < 0.4
             found = await test_fleet_process.status_of(running, "/metrics")
             gauge = f"crowdeck_layers_unheld_{fleet_system.MODEL} "
@@ -413,14 +414,14 @@
 
 
 class TestOperators:
-    """The log, the metric and the account of losses."""
+    """The log, the gauge and the account of losses."""
 
-    def test_one_line_tells_it_and_one_its_end(
+    def test_begin_and_end_are_logged_once(
         self, lines: list[dict[str, typing.Any]]
     ) -> None:
         async def work(system: System) -> None:
             one = system.listed["e-1"]
-            lose(system, "e-1")
+            remove_engines(system, "e-1")
             await anyio.sleep(10.0)
             gauge = f"layers.unheld.{fleet_system.MODEL}"
             assert counters.COUNTERS.gauge(gauge) == 10
@@ -428,9 +429,9 @@
             await anyio.sleep(1.0)
             assert counters.COUNTERS.gauge(gauge) == 0
 
-        play(work, "small", 8)
-        assert len(told_lines("layers_unheld", lines)) == 1
-        assert len(told_lines("layers_held_again", lines)) == 1
+        run_scenario(work, "small", 8)
+        assert len(lines_of("layers_unheld", lines)) == 1
+        assert len(lines_of("layers_held_again", lines)) == 1
         (line,) = [
             it
             for it in lines
@@ -443,21 +444,23 @@
         assert "more layers" in line["needed"]
         assert line["ready_in"] is None
 
-    def test_a_gap_of_a_moment_is_not_told(
+    def test_short_gap_is_not_logged(
         self, lines: list[dict[str, typing.Any]]
     ) -> None:
         async def work(system: System) -> None:
             one = system.listed["e-1"]
-            lose(system, "e-1")
+            remove_engines(system, "e-1")
             await anyio.sleep(0.6)
             system.add(attrs.evolve(one, name="e-9"))
             await anyio.sleep(3.0)
 
-        play(work, "large")
-        assert not told_lines("layers_unheld", lines)
-        assert not told_lines("layers_held_again", lines)
+        run_scenario(work, "large")
+        assert not lines_of("layers_unheld", lines)
+        assert not lines_of("layers_held_again", lines)
 
-    def test_losses_have_it_as_a_cause(self, tmp_path: pathlib.Path) -> None:
+    def test_is_a_cause_in_the_account_of_losses(
+        self, tmp_path: pathlib.Path
+    ) -> None:
         log = [
             test_losses.line(
                 1.0, "no_path", request="r1", missing_layers=3, unheld="1-4"
