--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -62,7 +62,7 @@
     card: str = "small",
     service: str = MODEL,
 ) -> chain.Upstream:
-    """Return an upstream instance whose address tells its name."""
+    """Return an upstream instance whose address follows from its name."""
     number = sum(ord(one) * 31**at for at, one in enumerate(name)) % 65_000
     return chain.Upstream(
         name=name,
@@ -118,7 +118,7 @@
 
 
 class Caller:
-    """A caller that keeps what it is sent."""
+    """A caller that records its answer."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -137,7 +137,7 @@
         return max((after - before for before, after in pairs), default=0.0)
 
     async def start(self, status: int, headers: http.RawHeaders) -> None:
-        assert not self.status, "an answer has one head"
+        assert not self.status, "an answer has started twice"
         self.status = status
 
     async def write(self, piece: bytes) -> None:
@@ -156,7 +156,7 @@
 
 
 class FleetSystem:
-    """One entry's relay, its upstreams, and the clock they share."""
+    """One entry's relay, and the fleet of upstreams behind it."""
 
     def __init__(
         self,
@@ -181,7 +181,7 @@
             terms=contexts.RetryBudgetSettings(0.2, 100.0, 10.0),
             began=began,
             name=name,
-            # Entries that draw alike would do the same at one moment.
+            # Entries with the same seed would act in lockstep.
             rng=random.Random(name or 1),
             quarantine=trackers.QuarantineTracker(anyio.current_time),
         )
@@ -192,25 +192,25 @@
         self.relay = relays.Relay(
             self.context, self.holder, self.monitor, lambda: self.age, 3.5
         )
-        # Ids of an entry that was started again are others than before.
+        # A restarted entry must not reuse the ids of its former run.
         self._prefix = f"{name}r" if began < 0.0 else f"{name}@{began:.3f}r"
         self._ids = 0
 
     def install(self, config: routes.FleetConfig) -> None:
-        """Put a config in force, as the store would tell it."""
+        """Deliver a config as the store would."""
         self.config = config
         self.holder.on_listed(
             (stores.StoredObject("config", "main", config.version, b"{}"),)
         )
 
     def add(self, listed: chain.Upstream) -> chain_fleet.StandinUpstream:
-        """Add an upstream instance, and list it."""
+        """Add an upstream instance and list it."""
         target = self.fleet.add(listed)
         self.list_instance(listed)
         return target
 
     def list_instance(self, listed: chain.Upstream) -> None:
-        """List an instance as it is now."""
+        """Deliver an instance's entry as the store would."""
         entry = listed.incarnation.id
         self.listed[entry] = listed
         self.registry.on_changed(
@@ -218,7 +218,7 @@
         )
 
     def add_model(self, copies: int = 2, parts: int = 4) -> None:
-        """Add engines that hold the model, ``copies`` times in each zone."""
+        """Add engines that hold ``copies`` of the model in each zone."""
         for zone in ZONES:
             for copy in range(copies):
                 ranges = chain_fleet.cut(PROFILE.layer_count, parts)
@@ -235,7 +235,7 @@
     def request(
         self, repeat: routes.RepeatPolicy, **changes: typing.Any
     ) -> requests.CallerRequest:
-        """Return a new request on one of the routes."""
+        """Return a new request for one of the routes."""
         self._ids += 1
         request = requests.CallerRequest(
             id=f"{self._prefix}{self._ids}",
@@ -253,7 +253,7 @@
         return attrs.evolve(request, **changes)
 
     async def ask(self, request: requests.CallerRequest) -> Caller:
-        """Send a request and wait for what comes of it."""
+        """Send a request and wait for its answer or error."""
         caller = Caller()
         try:
             await self.relay.serve(request, caller)
@@ -263,7 +263,7 @@
 
 
 def spend_retry(budget: budgets.SharedRetryBudget) -> bool:
-    """Have a request sent again that arrives at once, if it may be."""
+    """Spend one retry of a budget; returns whether it allowed that."""
     with contextlib.closing(budget.track_sends()) as sends:
         if not sends.reserve():
             return False
@@ -273,7 +273,7 @@
 
 
 def whole_answer(request_id: str, events: int) -> bytes:
-    """Return the bytes of a stream's whole answer."""
+    """Return the bytes of a stream's complete answer."""
     return b"".join(
         chain_fleet.event(request_id, number) for number in range(events)
     )
@@ -283,7 +283,7 @@
     system: FleetSystem,
     work: typing.Callable[[FleetSystem], typing.Awaitable[None]],
 ) -> None:
-    """Run a test's work beside the watch over streams."""
+    """Run a test's work while the stall monitor runs."""
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(system.monitor.run)
         await work(system)
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What instances ask for, as operators see it."""
+"""Backpressure of instances, as operators see it."""
 
 import collections
 import typing
@@ -46,22 +46,22 @@
     """Every line of the log."""
     found: Lines = []
     eliot.add_destinations(found.append)
-    # What was logged while nobody listened comes first.
+    # Eliot delivers earlier messages to the first destination.
     found.clear()
     yield found
     eliot.remove_destination(found.append)
 
 
-def of(kind: str, lines: Lines) -> Lines:
+def lines_of(kind: str, lines: Lines) -> Lines:
     return [it for it in lines if it["message_type"] == f"crowdeck:{kind}"]
 
 
-def as_texts(lines: Lines) -> list[str]:
-    """Return lines as they stand in a log."""
+def serialize(lines: Lines) -> list[str]:
+    """Return log lines in their serialized form."""
     return [orjson.dumps(one, default=str).decode() for one in lines]
 
 
-def play(work: Work, plain: int = 2) -> None:
+def run_scenario(work: Work, plain: int = 2) -> None:
     async def body() -> None:
         system = System(name="entry")
         system.install(system.config)
@@ -92,10 +92,10 @@
             await anyio.sleep(step)
 
 
-class TestNeeds:
-    """What is known of an instance, and since when."""
+class TestSignals:
+    """Signals in force, and since when."""
 
-    def test_a_limit_with_what_was_used_of_it(self) -> None:
+    def test_rate_limit_and_its_usage(self) -> None:
         async def work(system: System) -> None:
             for number in range(2):
                 system.fleet.at(first(system, number).address).limit = 6.0
@@ -114,9 +114,9 @@
             assert one.used == pytest.approx(sent / 5.0, rel=0.1)
             assert anyio.current_time() - one.since == pytest.approx(20, abs=1)
 
-        play(work)
+        run_scenario(work)
 
-    def test_a_rest_and_its_end(self) -> None:
+    def test_backoff_and_its_end(self) -> None:
         async def work(system: System) -> None:
             system.registry.back_off(first(system).name, 3.0)
             await anyio.sleep(1.0)
@@ -124,16 +124,16 @@
             assert one.kind is backpressure_monitor.SignalKind.BACKOFF
             assert one.since == 0.0
             assert one.seconds_left == pytest.approx(2.0)
-            # One that goes on is no new one.
+            # Extending a backoff does not start a new one.
             system.registry.back_off(first(system).name, 3.0)
             (one,) = system.context.backpressure.now()
             assert one.since == 0.0
             await anyio.sleep(3.1)
             assert not system.context.backpressure.now()
 
-        play(work)
+        run_scenario(work)
 
-    def test_one_that_leaves_by_its_word(self) -> None:
+    def test_announced_leaving(self) -> None:
         async def work(system: System) -> None:
             system.registry.note_leaving(first(system).name)
             await anyio.sleep(1.0)
@@ -142,20 +142,20 @@
             system.registry.on_changed((), (first(system).incarnation.id,))
             assert not system.context.backpressure.now()
 
-        play(work)
+        run_scenario(work)
 
 
 class TestLog:
-    """Lines at the begin and the end, bounded."""
+    """Log lines and gauges when signals begin and end."""
 
-    def test_each_begin_and_end_has_a_line(self, lines: Lines) -> None:
+    def test_begin_and_end_are_logged(self, lines: Lines) -> None:
         async def work(system: System) -> None:
             system.registry.back_off(first(system).name, 3.0)
             await anyio.sleep(5.0)
 
-        play(work)
-        (begun,) = of("need_begun", lines)
-        (ended,) = of("need_ended", lines)
+        run_scenario(work)
+        (begun,) = lines_of("need_begun", lines)
+        (ended,) = lines_of("need_ended", lines)
         for line in (begun, ended):
             assert line["need"] == "rest"
             assert line["service"] == PLAIN
@@ -167,16 +167,16 @@
             <= 3.0 + 2 * backpressure_monitor.POLL_SECONDS
         )
 
-    def test_hundreds_at_once_have_few_lines(self, lines: Lines) -> None:
+    def test_number_of_lines_is_bounded(self, lines: Lines) -> None:
         async def work(system: System) -> None:
             for number in range(300):
                 system.registry.back_off(first(system, number).name, 3.0)
             await anyio.sleep(5.0)
 
-        play(work, plain=300)
+        run_scenario(work, plain=300)
         for what in ("need_begun", "need_ended"):
-            assert len(of(what, lines)) == backpressure_monitor.MAX_LINES
-            (others,) = of(f"{what}_by_others", lines)
+            assert len(lines_of(what, lines)) == backpressure_monitor.MAX_LINES
+            (others,) = lines_of(f"{what}_by_others", lines)
             assert others["instances"] == {
                 f"{PLAIN} plateau rest": 300 - backpressure_monitor.MAX_LINES
             }
@@ -195,46 +195,50 @@
             await anyio.sleep(2.0)
             assert gauge(f"needs.rest.{PLAIN}.plateau") == 0
 
-        play(work)
+        run_scenario(work)
 
 
 class TestRequests:
-    """Requests that went elsewhere, waited or were refused for it."""
+    """Requests that backpressure diverted, delayed or refused."""
 
-    def test_one_that_went_elsewhere_names_it(self, lines: Lines) -> None:
+    def test_served_elsewhere(self, lines: Lines) -> None:
         async def work(system: System) -> None:
             system.registry.back_off(first(system).name, 3.0)
             await system.ask(system.request(ONCE))
 
-        play(work)
-        (line,) = of("call_answered", lines)
-        found = explain.explain(line["request"], as_texts(lines))
+        run_scenario(work)
+        (line,) = lines_of("call_answered", lines)
+        found = explain.explain(line["request"], serialize(lines))
         address = str(fleet_system.upstream("records-0").address)
         assert found.held_back == (address,)
         assert not found.has_failed
 
-    def test_on_a_calm_day_nothing_is_named(self, lines: Lines) -> None:
+    def test_without_backpressure_no_instance_is_named(
+        self, lines: Lines
+    ) -> None:
         async def work(system: System) -> None:
             await system.ask(system.request(ONCE))
             await system.ask(system.request(STREAM))
 
-        play(work)
+        run_scenario(work)
         for kind in ("call_answered", "path_chosen"):
-            (line,) = of(kind, lines)
+            (line,) = lines_of(kind, lines)
             assert line["held_back"] == ""
 
-    def test_a_limit_with_room_holds_nothing_back(self, lines: Lines) -> None:
+    def test_unused_rate_limit_excludes_no_instance(
+        self, lines: Lines
+    ) -> None:
         async def work(system: System) -> None:
             for number in range(2):
                 system.fleet.at(first(system, number).address).limit = 1000.0
             await call(system, 3.0, 0.5)
 
-        play(work)
+        run_scenario(work)
         assert not any(
-            line["held_back"] for line in of("call_answered", lines)
+            line["held_back"] for line in lines_of("call_answered", lines)
         )
 
-    def test_rest_of_all_that_hold_some_layers_is_the_cause(
+    def test_backoff_of_all_engines_of_some_layers_is_the_cause(
         self, lines: Lines
     ) -> None:
         async def work(system: System) -> None:
@@ -243,7 +247,7 @@
                     system.registry.back_off(one.name, 3.0)
             began = anyio.current_time()
             caller = await system.ask(system.request(STREAM, id="r1"))
-            # At once, and not before it can be served.
+            # Refused at once, to retry when it can be served.
             assert anyio.current_time() - began < 0.01
             assert caller.error is not None
             assert caller.error.retry_after is not None
@@ -252,18 +256,20 @@
             again = await system.ask(system.request(STREAM))
             assert again.error is None
 
-        play(work)
+        run_scenario(work)
         refusal = test_losses.refused(9e9, "r1", "NO_PATH", "no path")
-        texts = [*as_texts(lines), refusal]
+        texts = [*serialize(lines), refusal]
         found = explain.explain("r1", texts)
         assert "wanted rest" in found.cause
         assert losses.account(texts, test_losses.AIMS, 2.0).causes == {
             "refused: NO_PATH, instances at their limits or in rest": 1,
-            # The one that came back.
+            # The retry.
             "in time": 1,
         }
 
-    def test_a_rest_is_no_cause_where_others_are_missing_too(self) -> None:
+    def test_backoff_is_not_the_cause_if_other_layers_are_missing(
+        self,
+    ) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
                 if one.layers is not None and one.layers.first == 20:
@@ -275,9 +281,9 @@
             assert caller.error.retry_after is not None
             assert caller.error.retry_after <= retry_advice.MAX_DELAY_SECONDS
 
-        play(work)
+        run_scenario(work)
 
-    def test_calls_that_no_instance_took_are_told_apart(self) -> None:
+    def test_causes_of_refused_calls_are_distinguished(self) -> None:
         line = test_losses.line
         log = [
             line(1.0, "no_instance", request="r1", listed=0),
@@ -298,7 +304,7 @@
         )
 
     @pytest.mark.parametrize("repeat", [ONCE, STREAM])
-    def test_one_that_was_refused_names_it(
+    def test_refusal_names_the_instances(
         self, lines: Lines, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
@@ -306,9 +312,9 @@
                 system.registry.back_off(one.name, 3.0)
             await system.ask(system.request(repeat, id="r1"))
 
-        play(work)
+        run_scenario(work)
         refusal = test_losses.refused(9e9, "r1", "NO_PATH", "in need")
-        texts = [*as_texts(lines), refusal]
+        texts = [*serialize(lines), refusal]
         found = explain.explain("r1", texts)
         assert found.held_back
         assert found.held_back[0] in found.cause
@@ -318,21 +324,19 @@
             "refused: NO_PATH, instances at their limits or in rest": 1
         }
 
-    def test_a_late_stream_that_waited_for_it_has_it_as_its_cause(
-        self, lines: Lines
-    ) -> None:
+    def test_late_stream_that_waited(self, lines: Lines) -> None:
         async def work(system: System) -> None:
             for one in system.listed.values():
                 system.registry.back_off(one.name, 0.8)
             await system.ask(system.request(STREAM))
 
-        play(work)
-        causes = losses.account(as_texts(lines), test_losses.AIMS, 2.0).causes
+        run_scenario(work)
+        causes = losses.account(serialize(lines), test_losses.AIMS, 2.0).causes
         assert causes == {
             "late: its first event; it waited for instances in need": 1
         }
 
-    def test_causes_add_up(self, lines: Lines) -> None:
+    def test_causes_sum_to_the_requests(self, lines: Lines) -> None:
         async def work(system: System) -> None:
             for number in range(2):
                 system.fleet.at(first(system, number).address).limit = 4.0
@@ -344,7 +348,7 @@
                 callers[caller.error is None] += 1
                 if caller.error is not None:
                     code, why = caller.error.code, caller.error.message
-                    told.append(
+                    refusals.append(
                         test_losses.refused(9e9, request.id, str(code), why)
                     )
 
@@ -354,21 +358,23 @@
                     await anyio.sleep(0.04)
             assert callers.total() == 300
 
-        told: list[str] = []
-        play(work)
-        found = losses.account([*as_texts(lines), *told], test_losses.AIMS, 2)
+        refusals: list[str] = []
+        run_scenario(work)
+        found = losses.account(
+            [*serialize(lines), *refusals], test_losses.AIMS, 2
+        )
         assert found.requests == 300
         assert sum(found.causes.values()) == 300
         assert found.causes == {
-            "in time": 300 - len(told),
+            "in time": 300 - len(refusals),
             "refused: NO_PATH, instances at their limits or in rest": len(
-                told
+                refusals
             ),
         }
 
 
-class _Operator:
-    """Entries that tell their status, without links to others."""
+class _FakeOperator:
+    """Operator that returns given rows of entries."""
 
     def __init__(self, rows: list[entry_status.Row]) -> None:
         self._rows = rows
@@ -383,15 +389,15 @@
 
 
 def status_of(rows: list[entry_status.Row]) -> commands.Result:
-    operator = typing.cast(operators.Operator, _Operator(rows))
+    operator = typing.cast(operators.Operator, _FakeOperator(rows))
     return anyio.run(commands.show_status, operator)
 
 
 class TestStatus:
-    """What ``crowdeck status`` shows."""
+    """Output of ``crowdeck status``."""
 
     def row(
-        self, name: str, backpressure_monitor: list[entry_status.Row]
+        self, name: str, signals: list[entry_status.Row]
     ) -> dict[str, object]:
         return {
             "instance": name,
@@ -399,7 +405,7 @@
             "state": "up",
             "running": 3,
             "generation": 7,
-            "needs": backpressure_monitor,
+            "needs": signals,
             "unheld": [
                 {
                     "service": "m",
@@ -426,7 +432,7 @@
             "used": used,
         }
 
-    def test_sums_over_entries_by_service_and_zone(self) -> None:
+    def test_sums_by_service_and_zone(self) -> None:
         rows = [
             self.row("e1", [self.need("a", 9.0, 1.0), self.need("b", 1, 0.5)]),
             self.row("e2", [self.need("a", 5.0, 2.0)]),
@@ -449,17 +455,17 @@
             assert text in found.text
         assert len(found.data) == 2
 
-    def test_hundreds_are_shown_in_part(self) -> None:
+    def test_number_of_rows_is_bounded(self) -> None:
         many = [self.need(f"a{number}", 1.0, 0.1) for number in range(300)]
         text = status_of([self.row("e1", many)]).text
         assert len(text.splitlines()) < entry_status.MAX_SHOWN + 20
         assert f"and {300 - entry_status.MAX_SHOWN} more" in text
 
-    def test_one_that_does_not_answer_is_lost(self) -> None:
+    def test_entry_that_does_not_answer_is_lost(self) -> None:
         row = {"instance": "e", "role": "entry", "state": "lost"}
         assert status_of([row]).exit_code == commands.EXIT_UNREACHABLE
 
-    def test_is_told_over_the_entries_own_sockets(self) -> None:
+    def test_is_served_by_the_entry(self) -> None:
         async def work(running: test_fleet_process.Running) -> None:
             target = next(
                 one
@@ -485,7 +491,7 @@
 
         anyio.run(test_fleet_process.run_entry, work)
 
-    def test_the_command_shows_it(
+    def test_is_shown_by_the_command(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         async def work(running: test_fleet_process.Running) -> None:
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Calls of plain services through the relay."""
+"""Calls to plain services through the relay."""
 
 import typing
 
@@ -22,11 +22,11 @@
 IDEMPOTENT = routes.RepeatPolicy.IDEMPOTENT
 
 
-def play(
+def run_scenario(
     work: typing.Callable[[fleet_system.FleetSystem], typing.Awaitable[None]],
     instances: int = 3,
 ) -> None:
-    """Play ``work`` on a system with some instances of a plain service."""
+    """Run ``work`` on a system with instances of a plain service."""
 
     async def body() -> None:
         system = fleet_system.FleetSystem()
@@ -42,19 +42,19 @@
     virtual.run(body)
 
 
-def each(system: fleet_system.FleetSystem, **state: typing.Any) -> None:
+def set_state(system: fleet_system.FleetSystem, **state: typing.Any) -> None:
     for one in system.listed.values():
         target = system.fleet.at(one.address)
         for name, value in state.items():
             setattr(target, name, value)
 
 
-class TestCallThatRunsOnce:
-    """A call that may not be repeated."""
+class TestNonRepeatableCall:
+    """A call that must run at most once."""
 
-    def test_lost_answer_is_not_tried_again(self) -> None:
+    def test_lost_answer_is_not_retried(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, lost_answers=1)
+            set_state(system, lost_answers=1)
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert len(system.fleet.runs_of(request.id)) == 1
@@ -62,11 +62,11 @@
             assert caller.error.verdict is verdicts.Verdict.MAY_HAVE_RUN
             assert requests.status_of(caller.error) == 502
 
-        play(work)
+        run_scenario(work)
 
-    def test_silent_instance_ends_at_the_routes_time(self) -> None:
+    def test_silent_instance_ends_at_the_routes_timeout(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, seconds=60.0)
+            set_state(system, seconds=60.0)
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert anyio.current_time() <= 1.5
@@ -74,9 +74,9 @@
             assert requests.status_of(caller.error) == 504
             assert len(system.fleet.runs_of(request.id)) == 1
 
-        play(work)
+        run_scenario(work)
 
-    def test_refused_connection_goes_to_another(self) -> None:
+    def test_refused_connection_is_retried_elsewhere(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             first = next(iter(system.listed.values()))
             system.fleet.at(first.address).is_dead = True
@@ -86,44 +86,44 @@
                 assert caller.status == 200
                 assert len(system.fleet.runs_of(request.id)) == 1
 
-        play(work)
+        run_scenario(work)
 
-    def test_forged_answer_is_no_answer(self) -> None:
+    def test_forged_answer_is_rejected(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, misattributed_answers=1)
+            set_state(system, misattributed_answers=1)
             caller = await system.ask(system.request(ONCE))
             assert caller.body == b""
             assert caller.error is not None
             assert requests.status_of(caller.error) == 502
 
-        play(work)
+        run_scenario(work)
 
-    def test_failure_is_passed_on_as_it_is(self) -> None:
+    def test_upstream_error_is_forwarded(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, failed_calls=1)
+            set_state(system, failed_calls=1)
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert caller.status == 500
             assert len(system.fleet.runs_of(request.id)) == 1
 
-        play(work)
+        run_scenario(work)
 
-    def test_all_refused_is_a_true_refusal(self) -> None:
+    def test_refused_by_all_instances(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, rejected_requests=5)
+            set_state(system, rejected_requests=5)
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert caller.error is not None
             assert requests.status_of(caller.error) == 503
             assert system.fleet.runs_of(request.id) == []
 
-        play(work)
+        run_scenario(work)
 
 
 class TestRepeatableCall:
     """A call that may run more than once."""
 
-    def test_lost_answer_is_tried_at_another(self) -> None:
+    def test_lost_answer_is_retried_elsewhere(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             first = next(iter(system.listed.values()))
             system.fleet.at(first.address).lost_answers = 1
@@ -131,9 +131,9 @@
                 caller = await system.ask(system.request(IDEMPOTENT))
                 assert caller.status == 200
 
-        play(work)
+        run_scenario(work)
 
-    def test_failure_is_tried_at_another(self) -> None:
+    def test_upstream_error_is_retried_elsewhere(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             first = next(iter(system.listed.values()))
             system.fleet.at(first.address).failed_calls = 1
@@ -141,17 +141,17 @@
                 caller = await system.ask(system.request(IDEMPOTENT))
                 assert caller.status == 200
 
-        play(work)
+        run_scenario(work)
 
-    def test_failure_stands_where_the_second_try_is_lost(self) -> None:
+    def test_upstream_error_is_kept_if_the_retry_is_lost(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, failed_calls=1, lost_answers=0)
+            set_state(system, failed_calls=1, lost_answers=0)
             request = system.request(IDEMPOTENT)
 
             async def lose_the_second() -> None:
                 while not system.fleet.runs:
                     await anyio.sleep(0.001)
-                each(system, lost_answers=1)
+                set_state(system, lost_answers=1)
                 first = system.fleet.runs[0].upstream
                 system.fleet.at(system.listed[first].address).lost_answers = 0
 
@@ -161,17 +161,17 @@
             assert len(system.fleet.runs_of(request.id)) == 2
             assert caller.status == 500
 
-        play(work)
+        run_scenario(work)
 
     def test_runs_at_no_more_instances_than_allowed(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            each(system, lost_answers=9)
+            set_state(system, lost_answers=9)
             request = system.request(IDEMPOTENT)
             caller = await system.ask(request)
             assert caller.error is not None
             assert len(system.fleet.runs_of(request.id)) == 2
 
-        play(work)
+        run_scenario(work)
 
     def test_silent_instance_leaves_time_for_another(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
@@ -182,23 +182,23 @@
                 caller = await system.ask(request)
                 assert caller.status == 200
 
-        play(work)
+        run_scenario(work)
 
-    def test_spent_budget_ends_repeats(self) -> None:
+    def test_spent_budget_prevents_retries(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             budget = system.context.budget(fleet_system.PLAIN)
             while fleet_system.spend_retry(budget):
                 pass
-            each(system, lost_answers=9)
+            set_state(system, lost_answers=9)
             request = system.request(IDEMPOTENT)
             await system.ask(request)
             assert len(system.fleet.runs_of(request.id)) == 1
 
-        play(work)
+        run_scenario(work)
 
 
 class TestAdmission:
-    """What is refused before any upstream is asked."""
+    """Requests that are refused before any upstream is asked."""
 
     @pytest.mark.parametrize(
         ("change", "status"),
@@ -212,13 +212,13 @@
             caller = await system.ask(request)
             assert caller.error is not None
             assert requests.status_of(caller.error) == status
-            # With a config that may be old, neither is known for sure.
+            # A newer config might know the key or the route.
             system.age = 4.0
             caller = await system.ask(request)
             assert caller.error is not None
             assert requests.status_of(caller.error) == 503
 
-        play(work)
+        run_scenario(work)
 
     def test_key_is_not_trusted_with_an_old_config(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
@@ -231,11 +231,10 @@
             assert system.fleet.runs == []
             assert not system.relay.is_ready
 
-        play(work)
+        run_scenario(work)
 
-    def test_callers_are_sent_away_before_they_are_refused(self) -> None:
-        # Whoever passes connections on takes up to two seconds to stop; an
-        # entry that the store turned away refused all that came meanwhile.
+    def test_is_not_ready_before_requests_are_refused(self) -> None:
+        # Load balancers take up to two seconds to react.
         async def work(system: fleet_system.FleetSystem) -> None:
             assert system.relay.is_ready
             assert not system.relay.closes_connections
@@ -245,9 +244,9 @@
             caller = await system.ask(system.request(ONCE))
             assert caller.status == 200
 
-        play(work)
+        run_scenario(work)
 
-    def test_refused_for_the_entrys_own_reason_comes_back_in_time(
+    def test_refusal_by_one_entry_has_a_short_retry_delay(
         self,
     ) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
@@ -258,9 +257,9 @@
             objective = fleet_system.make_route(ONCE).objective
             assert caller.error.retry_after <= objective / 2
 
-        play(work)
+        run_scenario(work)
 
-    def test_anonymous_route_goes_on_with_an_old_config(self) -> None:
+    def test_anonymous_route_is_served_with_an_old_config(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             route = fleet_system.make_route(ONCE, is_anonymous=True)
             system.install(fleet_system.make_config(2, (route,)))
@@ -268,9 +267,9 @@
             caller = await system.ask(system.request(ONCE, key=""))
             assert caller.status == 200
 
-        play(work)
+        run_scenario(work)
 
-    def test_no_config_yet_is_a_true_refusal(self) -> None:
+    def test_refused_before_the_first_config(self) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
             caller = await system.ask(system.request(ONCE))
@@ -280,7 +279,7 @@
 
         virtual.run(body)
 
-    def test_older_config_never_comes_back(self) -> None:
+    def test_older_config_is_ignored(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             system.install(fleet_system.make_config(9))
             system.install(fleet_system.make_config(8, ()))
@@ -289,14 +288,14 @@
             table = system.holder.table
             assert table is not None and table.version == 9
 
-        play(work)
+        run_scenario(work)
 
 
 class TestStatusOfErrors:
-    """The status tells the truth about whether a request has run."""
+    """The HTTP status says whether a request may have run."""
 
     @pytest.mark.parametrize("code", list(errors.Code))
-    def test_promises_are_kept(self, code: errors.Code) -> None:
+    def test_matches_the_verdict(self, code: errors.Code) -> None:
         for verdict in verdicts.Verdict:
             error = errors.CrowdeckError(code, "", verdict=verdict)
             status = requests.status_of(error)
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Streams through the relay, while engines fail."""
+"""Streams through the relay while engines fail."""
 
 import asyncio
 import typing
@@ -27,11 +27,11 @@
 STREAM = routes.RepeatPolicy.STREAM
 
 
-def play(
+def run_scenario(
     work: typing.Callable[[fleet_system.FleetSystem], typing.Awaitable[None]],
     copies: int = 2,
 ) -> None:
-    """Play ``work`` on a system with a whole model."""
+    """Run ``work`` on a system whose engines hold the whole model."""
 
     async def body() -> None:
         system = fleet_system.FleetSystem()
@@ -50,13 +50,13 @@
     assert caller.body == fleet_system.whole_answer(request.id, events)
 
 
-async def during(
+async def ask_with_fault(
     system: fleet_system.FleetSystem,
     request: requests.CallerRequest,
     after: float,
-    strike: typing.Callable[[], None],
+    inject_fault: typing.Callable[[], None],
 ) -> fleet_system.Caller:
-    """Send a request and strike while it is answered."""
+    """Send a request and inject a fault while it is answered."""
     callers: list[fleet_system.Caller] = []
 
     async def ask() -> None:
@@ -65,7 +65,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(ask)
         await anyio.sleep(after)
-        strike()
+        inject_fault()
     return callers[0]
 
 
@@ -78,15 +78,15 @@
     ]
 
 
-def each_hangs(system: fleet_system.FleetSystem, count: int) -> None:
+def set_hangs(system: fleet_system.FleetSystem, count: int) -> None:
     for one in system.listed.values():
         system.fleet.at(one.address).hanging_streams = count
 
 
-class TestCalmStream:
-    """A stream when nothing fails."""
+class TestHealthyStream:
+    """A stream while no engine fails."""
 
-    def test_is_passed_on_whole(self) -> None:
+    def test_is_forwarded_completely(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
             caller = await system.ask(request)
@@ -94,9 +94,9 @@
             assert len(system.fleet.runs_of(request.id)) == 1
             assert system.fleet.runs[0].team == "kiosks"
 
-        play(work)
+        run_scenario(work)
 
-    def test_leaves_no_usage_behind(self) -> None:
+    def test_releases_its_usage(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             await system.ask(system.request(STREAM))
             for one in system.listed.values():
@@ -106,7 +106,7 @@
                     == 0
                 )
 
-        play(work)
+        run_scenario(work)
 
     def test_stays_in_the_zone_of_the_entry(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
@@ -118,39 +118,39 @@
             }
             assert zones == {fleet_system.ZONES[0]}
 
-        play(work)
+        run_scenario(work)
 
-    def test_callers_own_last_event_is_kept(self) -> None:
+    def test_starts_after_the_callers_last_event(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = attrs.evolve(system.request(STREAM), last_event=4)
             caller = await system.ask(request)
             assert caller.is_whole
             assert caller.body.startswith(b"id: 5\n")
 
-        play(work)
+        run_scenario(work)
 
 
 class TestFailedStage:
-    """An engine that is not the first fails in the middle of a stream."""
+    """An engine other than the first fails during a stream."""
 
     @pytest.mark.parametrize("how", ["is_dead", "is_unresponsive"])
-    def test_stream_is_led_around_it(self, how: str) -> None:
+    def test_stream_is_rerouted(self, how: str) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
 
-            def strike() -> None:
+            def inject_fault() -> None:
                 setattr(path_of(system, request)[2], how, True)
 
-            caller = await during(system, request, 0.15, strike)
+            caller = await ask_with_fault(system, request, 0.15, inject_fault)
             assert_whole(caller, request, system.fleet.events)
             assert system.fleet.repaths == [request.id]
-            # It ran once: only the part that failed was replaced.
+            # Only the failed part of the path was replaced.
             assert len(system.fleet.runs_of(request.id)) == 1
             assert caller.longest_pause < 0.2
 
-        play(work)
+        run_scenario(work)
 
-    def test_other_streams_through_it_are_led_around_too(self) -> None:
+    def test_other_streams_through_it_are_rerouted(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             first = system.request(STREAM)
             second = system.request(STREAM)
@@ -173,36 +173,36 @@
             assert sorted(system.fleet.repaths) == sorted(passes)
             assert all(caller.is_whole for caller in callers)
 
-        play(work)
+        run_scenario(work)
 
     def test_new_streams_avoid_it(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
 
-            def strike() -> None:
+            def inject_fault() -> None:
                 path_of(system, request)[1].is_unresponsive = True
 
-            await during(system, request, 0.15, strike)
+            await ask_with_fault(system, request, 0.15, inject_fault)
             after = system.request(STREAM)
             caller = await system.ask(after)
             assert_whole(caller, after, system.fleet.events)
             assert caller.longest_pause < 0.1
 
-        play(work)
+        run_scenario(work)
 
-    def test_without_another_its_zone_is_left(self) -> None:
+    def test_without_a_replacement_another_zone_is_used(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
 
-            def strike() -> None:
+            def inject_fault() -> None:
                 path_of(system, request)[1].is_dead = True
 
-            caller = await during(system, request, 0.15, strike)
+            caller = await ask_with_fault(system, request, 0.15, inject_fault)
             assert_whole(caller, request, system.fleet.events)
 
-        play(work, copies=1)
+        run_scenario(work, copies=1)
 
-    def test_each_stream_is_led_around_once(self) -> None:
+    def test_each_stream_is_rerouted_once(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             asked = [system.request(STREAM) for _ in range(12)]
             callers: list[fleet_system.Caller] = []
@@ -218,16 +218,16 @@
             assert all(caller.is_whole for caller in callers)
             assert len(system.fleet.repaths) == len(set(system.fleet.repaths))
 
-        play(work)
+        run_scenario(work)
 
 
-class TestLostTogether:
-    """Engines of one zone that are lost at one moment."""
+class TestCorrelatedFailures:
+    """Several engines of one zone fail at the same time."""
 
-    def strike(
+    def inject_fault(
         self, system: fleet_system.FleetSystem, request: requests.CallerRequest
     ) -> None:
-        """Lose two parts of a stream's path, and a copy of each."""
+        """Lose two engines of a stream's path, and a copy of each."""
         parts = path_of(system, request)[1:3]
         for part in parts:
             held = part.listed.layers
@@ -241,41 +241,42 @@
             part.is_unresponsive = True
             others[0].is_unresponsive = True
 
-    def test_the_pause_stays_in_time(self) -> None:
-        # Each lost part was found by a refusal, one after the other: the
-        # stream paused for 0.325 s, and now for 0.100.
+    def test_longest_pause_is_bounded(self) -> None:
+        # Lost engines of a new path must not be found one after the other.
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
-            caller = await during(
-                system, request, 0.15, lambda: self.strike(system, request)
+            caller = await ask_with_fault(
+                system,
+                request,
+                0.15,
+                lambda: self.inject_fault(system, request),
             )
             assert_whole(caller, request, system.fleet.events)
             assert caller.longest_pause <= 0.12
             assert len(system.fleet.runs_of(request.id)) == 1
 
-        play(work, copies=4)
+        run_scenario(work, copies=4)
 
-    def test_a_stream_whose_engine_allows_no_other_path_begins_anew(
+    def test_stream_whose_engine_refuses_other_paths_is_restarted(
         self,
     ) -> None:
-        # It was led around again and again, each time refused, and its
-        # caller waited until the engine cut it, two seconds later.
+        # Asking for other paths again and again would stall the stream.
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
 
-            def strike() -> None:
+            def inject_fault() -> None:
                 path = path_of(system, request)
                 path[0].refuses_repaths = True
                 path[2].is_unresponsive = True
 
-            caller = await during(system, request, 0.15, strike)
+            caller = await ask_with_fault(system, request, 0.15, inject_fault)
             assert_whole(caller, request, system.fleet.events)
             assert caller.longest_pause < 0.3
             assert len(system.fleet.runs_of(request.id)) == 2
 
-        play(work, copies=2)
+        run_scenario(work, copies=2)
 
-    def test_all_streams_are_led_around_at_once(self) -> None:
+    def test_all_streams_are_rerouted_in_parallel(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             asked = [system.request(STREAM) for _ in range(8)]
             callers: list[fleet_system.Caller] = []
@@ -287,17 +288,17 @@
                 for request in asked:
                     tasks.start_soon(ask, request)
                 await anyio.sleep(0.15)
-                self.strike(system, asked[0])
+                self.inject_fault(system, asked[0])
             assert all(caller.is_whole for caller in callers)
             assert max(one.longest_pause for one in callers) <= 0.2
 
-        play(work, copies=4)
+        run_scenario(work, copies=4)
 
 
-class TestFullLink:
-    """The entry's own link is full for a moment: nothing comes through."""
+class TestNetworkOutage:
+    """The entry itself is cut off from all engines for a moment."""
 
-    def test_is_no_engines_silence(self) -> None:
+    def test_does_not_count_as_silent_engines(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
             callers: list[fleet_system.Caller] = []
@@ -315,13 +316,13 @@
             assert system.registry.avoided() == ()
             assert len(system.fleet.runs_of(request.id)) == 1
 
-        play(work)
+        run_scenario(work)
 
 
 class TestHungRequest:
-    """An engine takes a request and never works on it."""
+    """An engine accepts a request and never works on it."""
 
-    def test_goes_elsewhere_while_others_move_on(self) -> None:
+    def test_is_moved_while_other_streams_make_progress(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 60
             first = system.request(STREAM)
@@ -334,25 +335,23 @@
                 for _ in range(8):
                     tasks.start_soon(ask, system.request(STREAM))
                 await anyio.sleep(0.2)
-                each_hangs(system, 1)
+                set_hangs(system, 1)
                 began = anyio.current_time()
                 tasks.start_soon(ask, first)
                 await anyio.sleep(0.1)
-                # Only the engine that took it first leaves it alone.
-                each_hangs(system, 0)
+                # Only the engine that took it first does not work on it.
+                set_hangs(system, 0)
             caller = callers[-1]
             assert_whole(caller, first, 60)
             assert caller.times[0] - began < 0.7
             assert len(system.fleet.runs_of(first.id)) == 2
 
-        play(work)
+        run_scenario(work)
 
-    def test_engine_that_holds_everything_is_left_alone_by_others(
+    def test_engine_that_starts_no_streams_is_avoided(
         self,
     ) -> None:
-        # It answers its reports, and none of its streams moves: a fifth of
-        # a day's streams were lost to one such engine, for want of one
-        # that did.
+        # The engine still sends reports, but none of its streams progresses.
         async def work(system: fleet_system.FleetSystem) -> None:
             foreign = [
                 one
@@ -361,7 +360,7 @@
             ]
             for one in system.fleet.upstreams:
                 one.hanging_streams = 0 if one in foreign else 100
-            # Streams in the other zone show that they begin at once there.
+            # A stream in the other zone shows that it starts at once there.
             zone = system.context.zone
             system.context.zone = fleet_system.ZONES[1]
             await system.ask(system.request(STREAM))
@@ -370,7 +369,7 @@
             caller = await system.ask(request)
             assert_whole(caller, request, system.fleet.events)
             assert caller.times[0] - request.arrived < 0.6
-            # Of those that come next, one finds out whether it is well.
+            # Of the next streams, at most one tries the stuck engine.
             waits = []
             for _ in range(5):
                 later = system.request(STREAM)
@@ -379,9 +378,9 @@
                 waits.append(caller.times[0] - later.arrived)
             assert sum(wait > 0.2 for wait in waits) <= 1
 
-        play(work, copies=1)
+        run_scenario(work, copies=1)
 
-    def test_engines_that_an_event_just_passed_are_not_asked(self) -> None:
+    def test_engines_with_recent_events_are_not_probed(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 60
             report = system.fleet.report
@@ -395,34 +394,34 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(system.ask, system.request(STREAM))
                 await anyio.sleep(0.1)
-                each_hangs(system, 1)
+                set_hangs(system, 1)
                 tasks.start_soon(system.ask, system.request(STREAM))
                 await anyio.sleep(0.28)
                 tasks.cancel_scope.cancel()
             assert asked == {"plateau-0-0"}
 
-        play(work, copies=1)
+        run_scenario(work, copies=1)
 
-    def test_engine_that_begins_others_is_not_left(self) -> None:
-        # A long prompt waits; the engine works on what came after it.
+    def test_engine_that_starts_other_streams_is_kept(self) -> None:
+        # The engine works on a later request first.
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 2
             zone = system.context.zone
             system.context.zone = fleet_system.ZONES[1]
             await system.ask(system.request(STREAM))
             system.context.zone = zone
-            each_hangs(system, 1)
+            set_hangs(system, 1)
             waits = system.request(STREAM)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(system.ask, waits)
                 await anyio.sleep(0.02)
-                each_hangs(system, 0)
+                set_hangs(system, 0)
                 await system.ask(system.request(STREAM))
                 await anyio.sleep(0.7)
                 tasks.cancel_scope.cancel()
             assert len(system.fleet.runs_of(waits.id)) == 1
 
-        play(work, copies=1)
+        run_scenario(work, copies=1)
 
     def test_barred_engine_is_tried_by_one_stream_at_a_time(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
@@ -436,9 +435,9 @@
             known.first_event("h", 1)
             assert not known.is_barred("h")
 
-        play(work)
+        run_scenario(work)
 
-    def test_nothing_is_kept_for_each_engine_that_ever_was(self) -> None:
+    def test_number_of_records_is_bounded(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             records = heads.HeadRecords()
             for number in range(10 * heads.MAX_RECORDS):
@@ -448,7 +447,7 @@
                 records.end(f"e{number}", number)
             assert len(records) <= heads.MAX_RECORDS + 1
 
-        play(work)
+        run_scenario(work)
 
     def test_engine_that_fails_its_streams_is_barred(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
@@ -456,17 +455,16 @@
             assert not known.fail("h")
             known.begin("h", 1)
             known.first_event("h", 1)
-            # One failure now and then bars nobody; several do.
+            # A single failure does not bar an engine.
             assert not known.is_barred("h")
             barred = [known.fail("h") for _ in range(3)]
             assert any(barred)
             assert known.is_barred("h")
 
-        play(work)
+        run_scenario(work)
 
-    def test_slow_zone_is_left_for_a_quick_one(self) -> None:
-        # All entries kept to their own zone while its streams took two
-        # seconds to begin and those of others 50 ms.
+    def test_quick_zone_is_preferred_to_a_slow_one(self) -> None:
+        # Streams must not stay in their own zone whatever the latency.
         async def work(system: fleet_system.FleetSystem) -> None:
             known = system.context.heads
             own = [
@@ -482,9 +480,9 @@
             ran_on = system.fleet.runs_of(request.id)[0].upstream
             assert ran_on not in own
 
-        play(work)
+        run_scenario(work)
 
-    def test_slow_one_is_left_alone_where_nothing_moves(self) -> None:
+    def test_slow_stream_is_kept_if_all_are_slow(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.event_seconds = 0.9
             system.fleet.events = 2
@@ -493,19 +491,19 @@
             assert_whole(caller, request, 2)
             assert len(system.fleet.runs_of(request.id)) == 1
 
-        play(work)
+        run_scenario(work)
 
 
-class TestBusyEntry:
-    """An entry whose own loop is late must not blame the engines."""
+class TestLaggingEntry:
+    """An entry whose event loop lags does not blame the engines."""
 
-    def test_its_lateness_is_no_engines_silence(self) -> None:
+    def test_own_lag_does_not_count_as_silent_engines(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
 
-            async def hog() -> None:
-                # Time passes while nothing of this process can run, just
-                # when an engine has been asked and its answer is due.
+            async def block_loop() -> None:
+                # The process is blocked while an engine's answer to a probe
+                # is due.
                 loop = asyncio.get_running_loop()
                 assert isinstance(loop, virtual.VirtualLoop)
                 while not system.monitor.is_probing:
@@ -520,18 +518,18 @@
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
-                tasks.start_soon(hog)
+                tasks.start_soon(block_loop)
             assert_whole(callers[0], request, system.fleet.events)
             assert len(system.fleet.runs_of(request.id)) == 1
             assert system.registry.avoided() == ()
 
-        play(work)
+        run_scenario(work)
 
 
 class TestOverloadedEntry:
-    """An entry that all callers come to does not keep up."""
+    """An entry whose event loop lags too much for its load."""
 
-    async def be_late(self, seconds: float) -> None:
+    async def lag(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, virtual.VirtualLoop)
         await anyio.sleep(0.05)
@@ -540,7 +538,7 @@
 
     def test_new_requests_are_refused_as_not_run(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            await self.be_late(0.3)
+            await self.lag(0.3)
             request = system.request(STREAM)
             caller = await system.ask(request)
             assert caller.error is not None
@@ -552,9 +550,9 @@
             later = system.request(STREAM)
             assert_whole(await system.ask(later), later, system.fleet.events)
 
-        play(work)
+        run_scenario(work)
 
-    def test_what_is_under_way_goes_on(self) -> None:
+    def test_streams_in_progress_continue(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
             callers: list[fleet_system.Caller] = []
@@ -564,12 +562,12 @@
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
-                await self.be_late(0.3)
+                await self.lag(0.3)
             assert_whole(callers[0], request, system.fleet.events)
 
-        play(work)
+        run_scenario(work)
 
-    def test_another_attempt_waits_while_it_lasts(self) -> None:
+    def test_further_attempts_wait_for_the_lag_to_pass(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for name in ("plateau-0-0", "plateau-1-0"):
                 system.fleet.at(
@@ -590,42 +588,40 @@
                 late_at = anyio.current_time()
             assert callers[0].times[0] - late_at >= 0.25
 
-        play(work)
+        run_scenario(work)
 
-    def test_connections_get_more_time(self) -> None:
-        # 219 sound connections were taken for lost in three seconds, and
-        # each time another was made.
+    def test_connect_timeout_is_extended(self) -> None:
+        # Otherwise healthy connections time out and are made again.
         async def work(system: fleet_system.FleetSystem) -> None:
             await anyio.sleep(0.1)
             usual = system.context.connect_seconds
-            await self.be_late(0.4)
+            await self.lag(0.4)
             assert system.context.connect_seconds >= usual + 0.75
 
-        play(work)
+        run_scenario(work)
 
 
-class TestFailedHead:
+class TestFailedFirstEngine:
     """A stream's first engine fails."""
 
     @pytest.mark.parametrize("how", ["is_dead", "is_unresponsive"])
-    def test_stream_goes_on_at_another(self, how: str) -> None:
+    def test_stream_is_resumed_at_another(self, how: str) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
 
-            def strike() -> None:
+            def inject_fault() -> None:
                 setattr(path_of(system, request)[0], how, True)
 
-            caller = await during(system, request, 0.15, strike)
+            caller = await ask_with_fault(system, request, 0.15, inject_fault)
             assert_whole(caller, request, system.fleet.events)
             runs = system.fleet.runs_of(request.id)
             assert len(runs) == 2
             assert runs[1].after > 0
 
-        play(work)
+        run_scenario(work)
 
-    def test_stream_that_has_begun_waits_for_the_budget(self) -> None:
-        # Its engine broke it off while the budget was spent, and it was
-        # cut at once: its caller got neither the rest nor a refusal.
+    def test_started_stream_waits_for_the_retry_budget(self) -> None:
+        # Ending the stream would lose an answer that has started.
         async def work(system: fleet_system.FleetSystem) -> None:
             budget = system.context.budget(fleet_system.MODEL)
             while fleet_system.spend_retry(budget):
@@ -633,51 +629,51 @@
             await anyio.sleep(9.2)
             request = system.request(STREAM)
 
-            def strike() -> None:
+            def inject_fault() -> None:
                 path_of(system, request)[0].is_dead = True
 
-            caller = await during(system, request, 0.15, strike)
+            caller = await ask_with_fault(system, request, 0.15, inject_fault)
             assert_whole(caller, request, system.fleet.events)
             assert caller.longest_pause > 0.5
 
-        play(work)
+        run_scenario(work)
 
-    def test_stream_that_has_begun_bears_more_refusals(self) -> None:
+    def test_started_stream_tolerates_more_refusals(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
 
-            def strike() -> None:
+            def inject_fault() -> None:
                 head = path_of(system, request)[0]
                 head.is_dead = True
                 for one in system.listed.values():
                     if one.name.endswith("-0") and one != head.listed:
                         system.fleet.at(one.address).rejected_requests = 2
 
-            caller = await during(system, request, 0.15, strike)
+            caller = await ask_with_fault(system, request, 0.15, inject_fault)
             assert_whole(caller, request, system.fleet.events)
             rejected = sum(system.fleet.rejected.values())
             assert rejected > streams.MAX_REFUSALS
 
-        play(work)
+        run_scenario(work)
 
-    def test_stream_that_must_not_go_on_is_cut(self) -> None:
+    def test_stream_that_is_not_resumable_ends(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             route = fleet_system.make_route(STREAM, is_resumable=False)
             system.install(fleet_system.make_config(2, (route,)))
             request = system.request(STREAM)
 
-            def strike() -> None:
+            def inject_fault() -> None:
                 path_of(system, request)[0].is_dead = True
 
-            caller = await during(system, request, 0.15, strike)
+            caller = await ask_with_fault(system, request, 0.15, inject_fault)
             assert not caller.is_whole
             assert caller.error is not None
             assert caller.error.verdict is verdicts.Verdict.MAY_HAVE_RUN
             assert len(system.fleet.runs_of(request.id)) == 1
 
-        play(work)
+        run_scenario(work)
 
-    def test_stream_broken_in_an_event_has_no_torn_one(self) -> None:
+    def test_stream_broken_in_an_event_has_only_complete_events(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for target in list(system.listed.values()):
                 system.fleet.at(target.address).break_stream_after = 5
@@ -689,9 +685,9 @@
             ends = caller.body.split(b"\n\n")
             assert ends[-1] == b""
 
-        play(work)
+        run_scenario(work)
 
-    def test_second_failure_is_led_around_when_no_run_is_left(self) -> None:
+    def test_second_failure_is_rerouted_when_no_run_is_left(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for part, layers in enumerate(chain_fleet.cut(80, 4)):
                 system.add(
@@ -712,21 +708,21 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 for _ in range(2):
-                    # Its first engine is sound each time: only a later
-                    # part of the path fails, and the zone has no other.
+                    # The first engine stays healthy: a later engine of the
+                    # path fails, and the zone has no replacement.
                     await anyio.sleep(0.3)
                     path_of(system, request)[2].is_unresponsive = True
-            # The first time it goes on in another zone, the second time it
-            # may not: a detour through the third is all that is left.
+            # The first failure restarts it in another zone. The second may
+            # not, so its path is changed to pass through the third zone.
             assert_whole(callers[0], request, 60)
             heads = {run.upstream for run in system.fleet.runs_of(request.id)}
             assert len(heads) == 2
             assert system.fleet.repaths == [request.id]
 
-        play(work, copies=1)
+        run_scenario(work, copies=1)
 
-    def test_stream_with_nothing_to_gain_is_not_given_up(self) -> None:
-        # Its first engine is silent, and it may run nowhere else.
+    def test_stream_that_cannot_be_resumed_is_not_abandoned(self) -> None:
+        # The first engine is silent, and the stream may run nowhere else.
         async def work(system: fleet_system.FleetSystem) -> None:
             route = fleet_system.make_route(STREAM, is_resumable=False)
             system.install(fleet_system.make_config(2, (route,)))
@@ -745,12 +741,11 @@
                 tasks.cancel_scope.cancel()
             assert ended == []
 
-        play(work)
+        run_scenario(work)
 
-    def test_silent_for_a_moment_counts_as_one_that_ran_it(self) -> None:
-        # A link that lost packets made sound engines silent one after the
-        # other, and requests ran at three of the two allowed (BUDGET
-        # broken, tlg-dakar mix, seed 127132938107).
+    def test_briefly_silent_engine_counts_as_a_run(self) -> None:
+        # Healthy engines may be silent because of packet loss. The request
+        # must still not run at more engines than allowed.
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 60
             request = system.request(STREAM, timeout_seconds=6.0)
@@ -771,12 +766,11 @@
                 tasks.cancel_scope.cancel()
             assert len(system.fleet.runs_of(request.id)) == 2
 
-        play(work, copies=2)
+        run_scenario(work, copies=2)
 
-    def test_silent_twice_counts_as_one_that_ran_it(self) -> None:
-        # An entry slowed to a fifth took sound engines for silent again
-        # and again, and requests ran at three of the two allowed (BUDGET
-        # broken, turnos-lima scale-2, seed 37817520442).
+    def test_permanently_silent_engine_counts_as_a_run(self) -> None:
+        # Both engines stay silent without having ended. The request must
+        # still not run at more engines than allowed.
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 150
             request = system.request(STREAM, timeout_seconds=8.0)
@@ -794,11 +788,10 @@
                 tasks.cancel_scope.cancel()
             assert len(system.fleet.runs_of(request.id)) == 2
 
-        play(work, copies=3)
+        run_scenario(work, copies=3)
 
-    def test_one_that_resets_counts_as_one_that_ran_it(self) -> None:
-        # An engine with a long queue resets connections. That was taken
-        # for its end, and the request ran at a third one.
+    def test_engine_that_resets_connections_counts_as_a_run(self) -> None:
+        # A reset does not show that the engine ended.
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
                 system.fleet.at(one.address).break_stream_after = 3
@@ -817,9 +810,9 @@
                 tasks.cancel_scope.cancel()
             assert len(system.fleet.runs_of(request.id)) == 2
 
-        play(work, copies=3)
+        run_scenario(work, copies=3)
 
-    def test_engine_that_ended_does_not_count(self) -> None:
+    def test_engine_that_ended_does_not_count_as_a_run(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 60
             request = system.request(STREAM)
@@ -836,9 +829,9 @@
             assert_whole(caller[0], request, 60)
             assert len(system.fleet.runs_of(request.id)) == 3
 
-        play(work, copies=2)
+        run_scenario(work, copies=2)
 
-    def test_full_engine_counts_as_one_that_ran_it(self) -> None:
+    def test_full_engine_counts_as_a_run(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
                 system.fleet.at(one.address).break_stream_after = 3
@@ -857,9 +850,9 @@
             heads = {run.upstream for run in system.fleet.runs_of(request.id)}
             assert len(heads) == 2
 
-        play(work)
+        run_scenario(work)
 
-    def test_unreached_head_costs_no_budget(self) -> None:
+    def test_unreachable_first_engine_costs_no_budget(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for name, one in system.listed.items():
                 if name == "plateau-0-0":
@@ -871,9 +864,9 @@
             assert_whole(caller, request, system.fleet.events)
             assert budget.remaining >= before
 
-        play(work)
+        run_scenario(work)
 
-    def test_one_lost_answer_is_no_proof_against_an_engine(self) -> None:
+    def test_engine_stays_usable_after_one_lost_answer(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             head = system.listed["plateau-0-0"]
             system.fleet.at(head.address).lost_answers = 1
@@ -881,13 +874,13 @@
             assert caller.is_whole
             assert system.registry.is_usable(head.name)
 
-        play(work)
+        run_scenario(work)
 
 
 class TestRefusal:
-    """Requests that no engine can take."""
+    """Requests that engines refuse or cannot take."""
 
-    def test_refused_head_is_followed_by_another(self) -> None:
+    def test_another_first_engine_is_tried(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
                 if one.name == "plateau-0-0":
@@ -896,13 +889,13 @@
             caller = await system.ask(request)
             assert_whole(caller, request, system.fleet.events)
 
-        play(work)
+        run_scenario(work)
 
-    def test_refusal_is_laid_on_whom_the_path_has_at_the_address(
+    def test_is_blamed_on_the_paths_engine_at_the_address(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Its entry went, or another took its address, before the refusal
-        # came: the first engine of the path is not to blame for that.
+        # The engine's entry may be gone, or its address reused, before the
+        # refusal arrives. The first engine must not be blamed instead.
         async def work(system: fleet_system.FleetSystem) -> None:
             stale = system.fleet.at(system.listed["plateau-0-2"].address)
             stale.listed = attrs.evolve(stale.listed, layers=None)
@@ -916,21 +909,21 @@
             assert system.registry.is_usable("plateau-0-0")
             assert system.registry.is_usable("plateau-1-0")
 
-        play(work)
+        run_scenario(work)
 
-    def test_what_refused_is_left_alone_by_the_next(self) -> None:
+    def test_engine_that_refused_is_avoided_by_the_next(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             stale = system.fleet.at(system.listed["plateau-0-2"].address)
-            # It gave its layers up; its entry does not say so yet.
+            # It dropped its layers, and its entry is not up to date.
             stale.listed = attrs.evolve(stale.listed, layers=None)
             for _ in range(3):
                 caller = await system.ask(system.request(STREAM))
                 assert caller.is_whole
             assert sum(system.fleet.rejected.values()) <= 1
 
-        play(work)
+        run_scenario(work)
 
-    def test_without_any_path_it_has_not_run(self) -> None:
+    def test_without_a_path_the_request_has_not_run(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in list(system.listed.values()):
                 system.list_instance(attrs.evolve(one, is_leaving=True))
@@ -943,12 +936,12 @@
             assert caller.error.verdict is verdicts.Verdict.NOT_RUN
             assert caller.error.retry_after
             assert requests.status_of(caller.error) == 503
-            # At once, so that the caller can come back in time.
+            # Soon enough for the caller to retry in time.
             assert anyio.current_time() - began < 0.125 + 0.05
 
-        play(work)
+        run_scenario(work)
 
-    def test_leaving_engine_serves_only_where_no_other_can(self) -> None:
+    def test_leaving_engine_is_a_last_resort(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in list(system.listed.values()):
                 if one.name in ("plateau-0-2", "plateau-1-2"):
@@ -966,9 +959,9 @@
             ]
             assert zones == [{"almadies"}, {"plateau"}]
 
-        play(work)
+        run_scenario(work)
 
-    def test_foreign_answer_is_not_passed_on(self) -> None:
+    def test_answer_to_another_request_is_not_forwarded(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             for one in system.listed.values():
                 system.fleet.at(one.address).misattributed_answers = 1
@@ -979,4 +972,4 @@
             else:
                 assert caller.error is not None
 
-        play(work)
+        run_scenario(work)
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""When refused callers are told to come back, and what requests hold."""
+"""Retry delays of refused callers, and token counts of requests."""
 
 import random
 
@@ -14,10 +14,10 @@
 from tests import virtual
 
 
-class TestReturnTimes:
-    """Returns spread over the time in which room comes."""
+class TestRetryAdvisor:
+    """Retries are spread over the time in which capacity becomes free."""
 
-    def test_a_lone_refusal_comes_back_soon(self) -> None:
+    def test_single_refusal_has_the_minimum_delay(self) -> None:
         async def body() -> None:
             times = retry_advice.RetryAdvisor(random.Random(1))
             assert times.estimate_delay() == retry_advice.MIN_DELAY_SECONDS
@@ -25,8 +25,7 @@
         virtual.run(body)
 
     def test_many_refusals_are_spread(self) -> None:
-        # A burst's 600 refusals were all told 0.3 s, came back into it
-        # together, and 200 of them were refused for good.
+        # With one delay for all, a burst of refusals retries as a burst.
         async def body() -> None:
             times = retry_advice.RetryAdvisor(random.Random(1))
             for _ in range(20):
@@ -38,7 +37,7 @@
 
         virtual.run(body)
 
-    def test_what_lies_back_is_forgotten(self) -> None:
+    def test_old_refusals_are_forgotten(self) -> None:
         async def body() -> None:
             times = retry_advice.RetryAdvisor(random.Random(1))
             for _ in range(40):
@@ -49,17 +48,17 @@
         virtual.run(body)
 
 
-class TestPromptSize:
-    """What a request is taken to hold while it runs."""
+class TestTokenCounts:
+    """Mean number of tokens that a request holds while it runs."""
 
-    def test_holds_half_of_its_answer_on_average(self) -> None:
+    def test_half_of_the_answer_is_counted(self) -> None:
         size = requests.TokenCounts(700, 400)
         assert size.mean_tokens(200.0) == 800.0
 
-    def test_a_guess_counts_as_much_as_the_usual(self) -> None:
+    def test_hint_counts_as_much_as_the_usual_answer(self) -> None:
         size = requests.TokenCounts(700, 400, 100)
         assert size.mean_tokens(200.0) == 775.0
 
-    def test_never_holds_more_than_it_may(self) -> None:
+    def test_answer_is_limited(self) -> None:
         size = requests.TokenCounts(700, 10, 100)
         assert size.mean_tokens(200.0) == 705.0
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Requests that wait for room, and what a starting entry asks engines."""
+"""Requests that wait for capacity, and the survey at an entry's start."""
 
 import typing
 
@@ -23,7 +23,7 @@
 PROFILE = fleet_system.PROFILE
 
 
-def play(
+def run_scenario(
     work: typing.Callable[[fleet_system.FleetSystem], typing.Awaitable[None]],
 ) -> None:
     async def body() -> None:
@@ -35,8 +35,8 @@
     virtual.run(body)
 
 
-def cells_of(one: chain.Upstream) -> float:
-    """Return the tokens times layers that an engine has room for."""
+def kv_capacity(one: chain.Upstream) -> float:
+    """Return the KV cache capacity of an engine, in tokens times layers."""
     assert one.layers is not None
     count = one.layers.end - one.layers.first
     return PROFILE.token_capacity(one.card, count) * count
@@ -44,11 +44,11 @@
 
 def fill(system: fleet_system.FleetSystem, share: float) -> None:
     for one in system.listed.values():
-        system.usage.note_existing_load(one, share * cells_of(one))
+        system.usage.note_existing_load(one, share * kv_capacity(one))
 
 
-class TestLine:
-    """Turns of those that wait."""
+class TestWaitQueue:
+    """Order and timeouts of waiting requests."""
 
     def test_first_come_first_served(self) -> None:
         async def body() -> None:
@@ -70,7 +70,7 @@
 
         virtual.run(body)
 
-    def test_one_that_gives_up_leaves_its_place(self) -> None:
+    def test_timeout_removes_it_from_the_queue(self) -> None:
         async def body() -> None:
             wait_queue = waiting.WaitQueue()
             outcomes: list[tuple[str, bool]] = []
@@ -96,10 +96,10 @@
         virtual.run(body)
 
 
-class TestWaitingForRoom:
-    """New streams while the engines are full."""
+class TestWaitingForCapacity:
+    """New streams while all engines are full."""
 
-    def test_waits_until_there_is_room(self) -> None:
+    def test_waits_until_there_is_capacity(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             fill(system, 1.3)
             caller = await system.ask(system.request(STREAM))
@@ -108,9 +108,9 @@
             assert 0.4 < caller.times[0] < paths.QUEUE_WAIT_SECONDS
             assert not system.fleet.rejected
 
-        play(work)
+        run_scenario(work)
 
-    def test_is_refused_at_once_where_room_comes_too_late(self) -> None:
+    def test_is_refused_at_once_if_capacity_comes_too_late(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             fill(system, 3.0)
             system.context.retry_advisor.note_end()
@@ -122,9 +122,9 @@
             assert caller.error.retry_after
             assert anyio.current_time() - began < 0.01
 
-        play(work)
+        run_scenario(work)
 
-    def test_wait_ends_before_the_caller_gives_up(self) -> None:
+    def test_wait_is_bounded(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             fill(system, 5.0)
             began = anyio.current_time()
@@ -133,9 +133,9 @@
             waited = anyio.current_time() - began
             assert waited < paths.QUEUE_WAIT_SECONDS + paths.QUEUE_POLL_SECONDS
 
-        play(work)
+        run_scenario(work)
 
-    def test_late_comer_does_not_pass_by_the_line(self) -> None:
+    def test_later_request_does_not_skip_the_queue(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             fill(system, 1.3)
             callers: list[fleet_system.Caller] = []
@@ -154,11 +154,11 @@
             assert all(one.is_whole for one in callers)
             assert callers[0].times[0] <= callers[1].times[0]
 
-        play(work)
+        run_scenario(work)
 
 
-class _Reports:
-    """Engines that tell how full they are; one says nothing."""
+class _ReportClient:
+    """Client of engines that report their load; one does not answer."""
 
     def __init__(self, silent: str) -> None:
         self.asked: list[str] = []
@@ -174,15 +174,15 @@
             layers=upstream.layers,
             running=1,
             waiting=0,
-            cache_used=0.5 * cells_of(upstream),
-            cache_total=cells_of(upstream),
+            cache_used=0.5 * kv_capacity(upstream),
+            cache_total=kv_capacity(upstream),
             slowdown=1.0,
             stalls=(),
         )
 
 
-class _Nothing:
-    """A subset of the engines that holds no layer."""
+class _EmptySubset:
+    """A subset without engines."""
 
     def pick(
         self, engines: typing.Sequence[chain.Upstream]
@@ -191,29 +191,29 @@
 
 
 class TestSubset:
-    """An entry whose part of a large fleet has no path."""
+    """An entry whose subset of a large fleet has no path."""
 
-    def test_looks_at_all_engines_then(self) -> None:
+    def test_all_engines_are_used_then(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            system.context.subset = _Nothing()  # type: ignore[assignment]
+            system.context.subset = _EmptySubset()  # type: ignore[assignment]
             caller = await system.ask(
                 system.request(routes.RepeatPolicy.STREAM)
             )
             assert caller.error is None
             assert caller.is_whole
 
-        play(work)
+        run_scenario(work)
 
 
 class TestSurvey:
-    """An entry that starts beside engines at work."""
+    """An entry that starts while engines are loaded."""
 
-    def test_learns_what_engines_hold_for_others(self) -> None:
+    def test_learns_the_load_of_engines(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             names = sorted(system.listed)
             empty = attrs.evolve(system.listed[names[0]], layers=None)
             system.list_instance(empty)
-            client = _Reports(silent=names[1])
+            client = _ReportClient(silent=names[1])
             system.context.client = client  # type: ignore[assignment]
             await surveys.Survey(system.context).run(system.holder.services)
             assert sorted(client.asked) == names[1:]
@@ -227,17 +227,16 @@
             one = system.listed[names[2]]
             assert system.usage.cache_utilization(one, PROFILE) == 0.0
 
-        play(work)
+        run_scenario(work)
 
-    def test_asks_a_large_fleet_no_more_than_it_can_bear(self) -> None:
-        # Each of 68 entries asked 130 engines after a fault of all, and
-        # the small ones served nobody for half a second.
+    def test_number_of_questions_is_bounded(self) -> None:
+        # A survey of a large fleet would delay the start of a small entry.
         async def work(system: fleet_system.FleetSystem) -> None:
             for number in range(60):
                 zone = fleet_system.ZONES[number % 2]
                 name = f"more-{number}"
                 system.list_instance(fleet_system.upstream(name, zone, (0, 9)))
-            client = _Reports(silent="")
+            client = _ReportClient(silent="")
             system.context.client = client  # type: ignore[assignment]
             await surveys.Survey(system.context).run(system.holder.services)
             assert len(client.asked) == surveys.MAX_QUESTIONS
@@ -248,4 +247,4 @@
             ]
             assert set(own) <= set(client.asked)
 
-        play(work)
+        run_scenario(work)
