--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -220,7 +220,7 @@
             client=upstreams,
             usage=usage,
             planner=hops.HopPlanner(usage),
-            terms=contexts.RetryBudgetSettings(
+            budget_settings=contexts.RetryBudgetSettings(
                 float(fleet["retry_ratio"]),
                 float(fleet["retry_slack"]),
                 float(fleet["retry_window_seconds"]),
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -67,7 +67,7 @@
     client: interfaces.Upstreams
     usage: usages.InFlight
     planner: hops.HopPlanner
-    terms: RetryBudgetSettings
+    budget_settings: RetryBudgetSettings
     began: float = float("-inf")
     name: str = ""
     membership: budgets.Membership = budgets.FixedMembership()
@@ -116,11 +116,11 @@
         """Return this entry's share of a service's retry budget."""
         found = self._budgets.get(service)
         if found is None:
-            terms = self.terms
+            budget_settings = self.budget_settings
             found = budgets.SharedRetryBudget(
-                terms.ratio,
-                terms.slack,
-                terms.window,
+                budget_settings.ratio,
+                budget_settings.slack,
+                budget_settings.window,
                 self.began,
                 self.membership,
             )
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -178,7 +178,7 @@
             client=self.client,
             usage=self.usage,
             planner=hops.HopPlanner(self.usage),
-            terms=contexts.RetryBudgetSettings(0.2, 100.0, 10.0),
+            budget_settings=contexts.RetryBudgetSettings(0.2, 100.0, 10.0),
             began=began,
             name=name,
             # Entries with the same seed would act in lockstep.
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -242,7 +242,7 @@
             others[0].is_unresponsive = True
 
     def test_longest_pause_is_bounded(self) -> None:
-        # Lost engines of a new path must not be found one after the other.
+        # Lost engines must be found at once, not by one refusal after another.
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
             caller = await ask_with_fault(
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -19,31 +19,31 @@
 
     def test_single_refusal_has_the_minimum_delay(self) -> None:
         async def body() -> None:
-            times = retry_advice.RetryAdvisor(random.Random(1))
-            assert times.estimate_delay() == retry_advice.MIN_DELAY_SECONDS
+            advisor = retry_advice.RetryAdvisor(random.Random(1))
+            assert advisor.estimate_delay() == retry_advice.MIN_DELAY_SECONDS
 
         virtual.run(body)
 
     def test_many_refusals_are_spread(self) -> None:
         # With one delay for all, a burst of refusals retries as a burst.
         async def body() -> None:
-            times = retry_advice.RetryAdvisor(random.Random(1))
+            advisor = retry_advice.RetryAdvisor(random.Random(1))
             for _ in range(20):
-                times.note_end()
-            told = [times.estimate_delay() for _ in range(40)]
-            assert max(told) > 2.0
-            assert min(told) < 0.5
-            assert max(told) <= retry_advice.MAX_DELAY_SECONDS
+                advisor.note_end()
+            delays = [advisor.estimate_delay() for _ in range(40)]
+            assert max(delays) > 2.0
+            assert min(delays) < 0.5
+            assert max(delays) <= retry_advice.MAX_DELAY_SECONDS
 
         virtual.run(body)
 
     def test_old_refusals_are_forgotten(self) -> None:
         async def body() -> None:
-            times = retry_advice.RetryAdvisor(random.Random(1))
+            advisor = retry_advice.RetryAdvisor(random.Random(1))
             for _ in range(40):
-                times.estimate_delay()
+                advisor.estimate_delay()
             await anyio.sleep(retry_advice.WINDOW_SECONDS + 0.1)
-            assert times.estimate_delay() == retry_advice.MIN_DELAY_SECONDS
+            assert advisor.estimate_delay() == retry_advice.MIN_DELAY_SECONDS
 
         virtual.run(body)
 
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -386,8 +386,8 @@
             for number in range(5):
                 answer = await running.send("/a/x", f"r{number}")
                 assert answer.status == 503
-                told = dict(answer.headers)
-                assert float(told[names.RETRY_AFTER]) > 0.0
+                response_headers = dict(answer.headers)
+                assert float(response_headers[names.RETRY_AFTER]) > 0.0
                 assert b"no engine holds layers" in answer.content
             # Without five waits of 0.1 s.
             assert anyio.current_time() - began < 0.4
