--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One attempt at a stream: a request on one path, and its events."""
+"""One attempt to serve a stream: a request sent along one path."""
 
 import typing
 
@@ -21,7 +21,8 @@
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
 
-# An engine that does not hold its part of a path, or is another one.
+# Sent by an engine that does not hold the layers asked of it, or that is not
+# the engine the request was meant for.
 STALE_STATUS = 421
 BODY_LIMIT = http.RESPONSE_LIMIT
 
@@ -29,39 +30,39 @@
 
 
 class StreamMonitor(typing.Protocol):
-    """Looks after streams in progress."""
+    """Monitors streams in progress for stalls."""
 
     def add(self, stream: live.LiveStream) -> None:
-        """Look after a stream from now on."""
+        """Start monitoring a stream."""
         ...
 
     def drop(self, stream: live.LiveStream) -> None:
-        """Look after it no longer."""
+        """Stop monitoring a stream."""
         ...
 
     def verify(self, upstream: chain.Upstream) -> None:
-        """Ask an engine whether it lives; if not, act on it."""
+        """Probe an engine soon, and reroute its streams if it is lost."""
         ...
 
     async def has_ended(self, upstream: chain.Upstream) -> bool:
-        """Ask an instance whose connection broke; true if it is gone."""
+        """Return whether an instance whose connection broke has ended."""
         ...
 
     def check_now(self, upstream: chain.Upstream) -> None:
-        """Look at once into all streams that pass an engine."""
+        """Check all streams that pass an engine as soon as possible."""
         ...
 
 
 class Attempt:
-    """Sends a request along one path and passes on what comes.
+    """Sends a request along one path and forwards the events.
 
-    :param deadline: the loop's time at which the answer has to be whole.
+    :param deadline: loop time by which the answer must be complete.
     """
 
     def __init__(
         self,
         context: contexts.RelayContext,
-        watch: StreamMonitor,
+        monitor: StreamMonitor,
         stream: live.LiveStream,
         admitted: tables.Admitted,
         sink: requests.Sink,
@@ -69,7 +70,7 @@
         deadline: float,
     ) -> None:
         self._context = context
-        self._watch = watch
+        self._monitor = monitor
         self._stream = stream
         self._admitted = admitted
         self._route = admitted.route
@@ -81,8 +82,8 @@
     async def run(self) -> None:
         """Make the attempt.
 
-        :raises CrowdeckError: with the verdict, when the answer has not
-            come to its end.
+        :raises CrowdeckError: when the answer is not complete; its verdict
+            says whether the request may have run.
         """
         left = self._deadline - anyio.current_time()
         dispatch = interfaces.Dispatch(
@@ -99,52 +100,52 @@
                 dispatch,
                 http.Timeouts(self._context.connect_seconds, left),
             ) as answer:
-                await self._pass_on(answer)
+                await self._forward(answer)
                 return
         raise errors.CrowdeckError(
             errors.Code.DEADLINE,
-            "the request's time is over",
+            "the request's deadline has passed",
             verdict=_MAY_HAVE_RUN,
             culprit=self._path.head.name,
         )
 
-    async def _pass_on(self, answer: interfaces.Answer) -> None:
+    async def _forward(self, answer: interfaces.Answer) -> None:
         self._stream.sends.arrive()
         if answer.load is not None:
             self._context.usage.note_load(self._path.head, answer.load.running)
         if answer.has_not_run:
             raise self._refusal(answer)
         if not answer.belongs_to(self._request):
-            raise self._wrong("it bears another request's id")
+            raise self._wrong_answer("it has the id of another request")
         if answer.status >= 300:
-            await self._pass_failure(answer)
+            await self._forward_error(answer)
             return
         if not answer.is_signed:
-            raise self._wrong("it bears no signature")
+            raise self._wrong_answer("it has no signature")
         splitter = events.EventSplitter(answer.event_id)
         async for chunk in answer.chunks():
             for event in splitter.feed(chunk):
-                await self._pass_event(answer, event)
-        if not splitter.is_between:
-            raise self._wrong("it ends in the middle of an event")
+                await self._forward_event(answer, event)
+        if not splitter.is_complete:
+            raise self._wrong_answer("it ends in the middle of an event")
         if not self._sink.has_started:
-            raise self._wrong("it holds no event")
+            raise self._wrong_answer("it has no events")
         self._context.registry.note_healthy(self._path.head.name)
         await self._sink.finish()
 
-    async def _pass_event(
+    async def _forward_event(
         self,
         answer: interfaces.Answer,
         event: events.Event,
     ) -> None:
         stream = self._stream
         self._context.heads.first_event(self._path.head.name, stream)
-        stream.moved()
+        stream.note_event()
         if event.id is not None:
             if event.id <= stream.last_event:
                 return
             if stream.last_event >= 0 and event.id != stream.last_event + 1:
-                raise self._wrong(
+                raise self._wrong_answer(
                     f"event {event.id} follows {stream.last_event}"
                 )
         if not self._sink.has_started:
@@ -157,9 +158,9 @@
     def _refusal(self, answer: interfaces.Answer) -> errors.CrowdeckError:
         culprit = self._culprit(answer)
         if culprit.name != self._path.head.name:
-            self._watch.check_now(culprit)
-            # Full, or gone: one that answers is merely full.
-            self._watch.verify(culprit)
+            self._monitor.check_now(culprit)
+            # It may be full or gone; the probe tells which.
+            self._monitor.verify(culprit)
         is_stale = answer.status == STALE_STATUS
         self._context.registry.pause(
             culprit.name,
@@ -173,9 +174,10 @@
         )
 
     def _culprit(self, answer: interfaces.Answer) -> chain.Upstream:
-        """Return the engine that a refusal is due to.
+        """Return the engine that caused a refusal.
 
-        It names an address; who was meant is whom the path has there.
+        The answer names an address. The path's engine at that address comes
+        first, since the listing may have changed since the path was chosen.
         """
         for hop in self._path.hops:
             if str(hop.upstream.address) == answer.culprit:
@@ -185,22 +187,22 @@
             or self._path.head
         )
 
-    async def _pass_failure(self, answer: interfaces.Answer) -> None:
+    async def _forward_error(self, answer: interfaces.Answer) -> None:
         body = await answer.read(BODY_LIMIT)
         if (
             self._sink.has_started
             or answer.status in requests.NOT_RUN_STATUSES
         ):
-            raise self._wrong(f"status {answer.status}")
+            raise self._wrong_answer(f"status {answer.status}")
         if self._route.is_resumable and answer.status >= 500:
-            raise self._wrong(f"status {answer.status}")
+            raise self._wrong_answer(f"status {answer.status}")
         await self._sink.reply(answer.status, answer.caller_headers, body)
 
-    def _wrong(self, why: str) -> errors.CrowdeckError:
+    def _wrong_answer(self, reason: str) -> errors.CrowdeckError:
         head = self._path.head.name
         return errors.CrowdeckError(
             errors.Code.WRONG_ANSWER,
-            f"a stream of {head} cannot be passed on: {why}",
+            f"cannot forward a stream from {head}: {reason}",
             verdict=_MAY_HAVE_RUN,
             culprit=head,
         )
--- a/src/crowdeck/relay/events.py
+++ b/src/crowdeck/relay/events.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Splitting a stream into its events."""
+"""Splits a stream of bytes into server-sent events."""
 
 import typing
 
@@ -12,67 +12,66 @@
 from crowdeck import errors
 from crowdeck import verdict as verdicts
 
-# An event of 2 tokens takes some hundred bytes; one that is larger than
-# this is no event.
+# Far above the size of any event: a longer one means a broken stream.
 EVENT_LIMIT = 1024 * 1024
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 
-IdOf = typing.Callable[[bytes], int | None]
+EventIdReader = typing.Callable[[bytes], int | None]
 
 
 @attrs.frozen
 class Event:
-    """One event as its bytes, and its id if it bears one."""
+    """The bytes of one event, and its id if it has one."""
 
     content: bytes
     id: int | None
 
 
 class EventSplitter:
-    """Takes a stream's bytes and gives its whole events.
+    """Splits a stream's bytes into complete events.
 
-    Only whole events are handed on: an upstream may break off in the
-    middle of one, and what goes on elsewhere begins with a whole one.
+    Incomplete events are held back: the stream may break in the middle of
+    one and resume at another engine with a complete event.
     """
 
-    def __init__(self, id_of: IdOf) -> None:
-        self._id_of = id_of
-        self._rest = b""
+    def __init__(self, read_id: EventIdReader) -> None:
+        self._read_id = read_id
+        self._buffer = b""
 
     @property
-    def is_between(self) -> bool:
-        """Whether everything so far was whole events."""
-        return not self._rest
+    def is_complete(self) -> bool:
+        """Whether the bytes so far end with a complete event."""
+        return not self._buffer
 
     def feed(self, chunk: bytes) -> list[Event]:
         """Return the events that ``chunk`` completes.
 
-        :raises CrowdeckError: ``WRONG_ANSWER`` for an endless event.
+        :raises CrowdeckError: ``WRONG_ANSWER`` if an event is too long.
         """
-        data = self._rest + chunk
+        data = self._buffer + chunk
         events = []
-        begin = 0
+        start = 0
         while True:
-            end = _end_of_event(data, begin)
+            end = _end_of_event(data, start)
             if end < 0:
                 break
-            content = data[begin:end]
-            events.append(Event(content, self._id_of(content)))
-            begin = end
-        self._rest = data[begin:]
-        if len(self._rest) > EVENT_LIMIT:
+            content = data[start:end]
+            events.append(Event(content, self._read_id(content)))
+            start = end
+        self._buffer = data[start:]
+        if len(self._buffer) > EVENT_LIMIT:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_ANSWER,
-                f"an event is over {EVENT_LIMIT} bytes",
+                f"an event is longer than {EVENT_LIMIT} bytes",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
         return events
 
 
-def _end_of_event(data: bytes, begin: int) -> int:
+def _end_of_event(data: bytes, start: int) -> int:
     ends = []
-    for mark in _ENDS:
-        found = data.find(mark, begin)
+    for separator in _EVENT_ENDS:
+        found = data.find(separator, start)
         if found >= 0:
-            ends.append(found + len(mark))
+            ends.append(found + len(separator))
     return min(ends, default=-1)
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Layers that no engine holds: since when, and what would be needed."""
+"""Tracks model layers that no engine holds."""
 
 import math
 import typing
@@ -18,34 +18,33 @@
 from crowdeck import pipeline
 from crowdeck import route as routes
 
-# Requests that an engine has memory for beside its layers, at the least: as
-# the placement, which an entry does not load, lays layers out.
-ROOM_REQUESTS = 4.0
-# Where what is left can hold the model it is whole again after the longest
-# load, and so much for noticing the loss, ordering and telling.
+# Requests that an engine must have memory for besides its layers. The same as
+# in the placement, which an entry does not import.
+MIN_CONCURRENT_REQUESTS = 4.0
+# Time beyond the longest load until the layers are held again: detecting the
+# loss, ordering the loads and reporting them.
 ORDER_DELAY_SECONDS = 3.0
-LOOK_SECONDS = 0.5
-# Hundreds of requests a second find no path while layers are missing, and a
-# look at 1,000 engines takes a millisecond. No path is looked for more often.
-FRESH_SECONDS = 0.02
-# A gap of less is one that a replacement closes; the log is spared it.
-LOGGED_SECONDS = 1.0
+POLL_SECONDS = 0.5
+# How long a result is reused: while layers are missing every request asks.
+REUSE_SECONDS = 0.02
+# Shorter gaps, which a replacement closes, are not logged.
+MIN_LOGGED_SECONDS = 1.0
 
 Services = typing.Callable[[], tuple[routes.Service, ...]]
 
 
 @attrs.frozen
-class Gap:
+class LayerGap:
     """Layers of one service that no engine holds.
 
-    :ivar layers: the runs of them, first to last.
-    :ivar since: the loop's time at which a gap was first seen.
-    :ivar engines: names of the engines that are left.
-    :ivar engines_since: when others than before were left for the last time.
-        What they are to load follows from which there are.
-    :ivar holdable: how many layers these can hold together.
-    :ivar load_seconds: how long the longest load takes that closes it.
-    :ivar was_whole: whether all layers were held before.
+    :ivar layers: the missing ranges, in order.
+    :ivar since: loop time at which the gap was first seen.
+    :ivar engines: names of the remaining engines.
+    :ivar engines_since: loop time at which ``engines`` last changed, and
+        with it the loads that close the gap.
+    :ivar layer_capacity: how many layers these engines can hold together.
+    :ivar load_seconds: duration of the longest load that closes the gap.
+    :ivar was_complete: whether all layers were held before.
     """
 
     service: str
@@ -53,100 +52,102 @@
     since: float
     engines: frozenset[str]
     engines_since: float
-    holdable: int
+    layer_capacity: int
     profile: chain.EngineProfile
     load_seconds: float
-    was_whole: bool
+    was_complete: bool
 
     def __str__(self) -> str:
         return ",".join(f"{one.first}-{one.end}" for one in self.layers)
 
     @property
     def can_be_held(self) -> bool:
-        """Whether the engines that are left can hold the whole model."""
-        return self.holdable >= self.profile.layer_count
+        """Whether the remaining engines can hold the whole model."""
+        return self.layer_capacity >= self.profile.layer_count
 
     @property
     def seconds_left(self) -> float | None:
-        """In how long the model is whole again, where that is known.
+        """Expected seconds until all layers are held, if known.
 
-        It is not for a model that was never whole: its first loads may
-        take any part of the usual time.
+        Unknown for a model that was never complete, since its first loads
+        may have begun at any time.
         """
-        if not self.can_be_held or not self.was_whole:
+        if not self.can_be_held or not self.was_complete:
             return None
         ready_at = self.engines_since + self.load_seconds + ORDER_DELAY_SECONDS
         left = ready_at - anyio.current_time()
         return left if left > 0.0 else None
 
     def as_fields(self) -> dict[str, typing.Any]:
-        """Return it for a log line or a status."""
+        """Return the fields of a log line or a status."""
         left = self.seconds_left
         return {
             "service": self.service,
             "layers": str(self),
             "seconds": round(anyio.current_time() - self.since, 3),
             "engines": len(self.engines),
-            "can_hold": self.holdable,
+            "can_hold": self.layer_capacity,
             "of": self.profile.layer_count,
             "needed": self.needed,
             "ready_in": None if left is None else round(left, 3),
         }
 
     def closes_by(self, moment: float) -> bool:
-        """Whether the model is known to be whole by a loop's time."""
+        """Whether the gap is expected to be closed by a loop time."""
         left = self.seconds_left
         return left is not None and anyio.current_time() + left <= moment
 
     @property
     def needed(self) -> str:
-        """What would close the gap, for an operator."""
+        """What would close the gap, as a text for operators."""
         if self.can_be_held:
             return f"a load of about {self.load_seconds:.1f} s"
-        lacking = self.profile.layer_count - self.holdable
+        lacking = self.profile.layer_count - self.layer_capacity
         kinds = [
-            f"{math.ceil(lacking / most)} {name}"
+            f"{math.ceil(lacking / capacity)} {name}"
             for name in sorted(self.profile.cards)
-            if (most := most_layers(name, self.profile))
+            if (capacity := max_layers(name, self.profile))
         ]
         engines = " or ".join(kinds) or "no known kind"
         return f"engines for {lacking} more layers: {engines}"
 
 
-def most_layers(card: str, profile: chain.EngineProfile) -> int:
-    """Return how many layers an engine can hold and still serve."""
+def max_layers(card: str, profile: chain.EngineProfile) -> int:
+    """Return how many layers a card can hold and still serve."""
     known = profile.cards.get(card)
     if known is None:
         return profile.layer_count
     request = max(
         1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
     )
-    room = ROOM_REQUESTS * request * profile.token_layer_mb
-    most = int(known.memory_mb / (profile.layer_mb + room))
-    return min(profile.layer_count, most)
+    kv_cache_mb = MIN_CONCURRENT_REQUESTS * request * profile.token_layer_mb
+    count = int(known.memory_mb / (profile.layer_mb + kv_cache_mb))
+    return min(profile.layer_count, count)
 
 
-class LayerGaps:
-    """Finds the layers that no engine holds, and tells operators."""
+class LayerGapTracker:
+    """Finds layers that no engine holds, and logs them."""
 
     def __init__(self, registry: registries.UpstreamRegistry) -> None:
         self._registry = registry
-        self._gaps: dict[str, Gap] = {}
-        self._looked_at: dict[str, float] = {}
-        self._whole: set[str] = set()
-        self._logged: dict[str, Gap] = {}
+        self._gaps: dict[str, LayerGap] = {}
+        self._checked_at: dict[str, float] = {}
+        self._seen_complete: set[str] = set()
+        self._logged: dict[str, LayerGap] = {}
 
     @property
-    def known(self) -> tuple[Gap, ...]:
-        """The gaps as they were last seen."""
+    def known(self) -> tuple[LayerGap, ...]:
+        """The gaps found by the last check of each service."""
         return tuple(self._gaps.values())
 
-    def look(self, service: str, profile: chain.EngineProfile) -> Gap | None:
-        """Return the gap in a service's model, if there is one now."""
+    def find_gap(
+        self, service: str, profile: chain.EngineProfile
+    ) -> LayerGap | None:
+        """Return the gap in a service's model, or ``None``."""
         now = anyio.current_time()
-        if now - self._looked_at.get(service, -math.inf) < FRESH_SECONDS:
+        if now - self._checked_at.get(service, -math.inf) < REUSE_SECONDS:
             return self._gaps.get(service)
-        self._looked_at[service] = now
+        self._checked_at[service] = now
         staying = chain.engines_within(
             (
                 one
@@ -159,37 +160,37 @@
         missing = missing_layers(staying, profile.layer_count)
         if not missing:
             self._gaps.pop(service, None)
-            self._whole.add(service)
+            self._seen_complete.add(service)
             return None
         known = self._gaps.get(service)
         names = frozenset(one.name for one in staying)
         is_same = known is not None and known.engines == names
-        most = [most_layers(one.card, profile) for one in staying]
+        capacities = [max_layers(one.card, profile) for one in staying]
         longest = max(one.end - one.first for one in missing)
-        share = min(longest, max(most, default=0)) / profile.layer_count
-        gap = self._gaps[service] = Gap(
+        share = min(longest, max(capacities, default=0)) / profile.layer_count
+        gap = self._gaps[service] = LayerGap(
             service,
             missing,
             known.since if known else now,
             names,
             known.engines_since if known and is_same else now,
-            sum(most),
+            sum(capacities),
             profile,
             profile.load_seconds * share,
-            service in self._whole,
+            service in self._seen_complete,
         )
         return gap
 
     async def run(self, services: Services) -> None:
-        """Look at all models again and again, until cancelled."""
+        """Check all models at intervals, until cancelled."""
         while True:
             for service in services():
                 if service.profile is not None:
-                    self._tell(service.name, service.profile)
-            await anyio.sleep(LOOK_SECONDS)
+                    self._report(service.name, service.profile)
+            await anyio.sleep(POLL_SECONDS)
 
-    def _tell(self, service: str, profile: chain.EngineProfile) -> None:
-        gap = self.look(service, profile)
+    def _report(self, service: str, profile: chain.EngineProfile) -> None:
+        gap = self.find_gap(service, profile)
         count = sum(one.end - one.first for one in gap.layers) if gap else 0
         counters.COUNTERS.set_gauge(f"layers.unheld.{service}", count)
         before = self._logged.get(service)
@@ -205,14 +206,14 @@
                 )
             return
         seconds = now - gap.since
-        if seconds < LOGGED_SECONDS or _is_alike(gap, before):
+        if seconds < MIN_LOGGED_SECONDS or _is_already_logged(gap, before):
             return
         self._logged[service] = gap
         logs.change("layers_unheld", **gap.as_fields())
 
 
-def _is_alike(gap: Gap, before: Gap | None) -> bool:
-    """Whether a line of the log tells of a gap what another told."""
+def _is_already_logged(gap: LayerGap, before: LayerGap | None) -> bool:
+    """Whether a gap was already logged with the same content."""
     if before is None:
         return False
     return (
@@ -223,7 +224,7 @@
 def missing_layers(
     engines: typing.Iterable[chain.Upstream], layer_count: int
 ) -> tuple[pipeline.LayerRange, ...]:
-    """Return the runs of layers that none of some engines holds."""
+    """Return the ranges of layers that none of the engines holds."""
     held = {
         (one.layers.first, one.layers.end)
         for one in engines
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Finding a path for one stream, now or after a wait for room."""
+"""Finds a path for one stream, waiting for capacity if needed."""
 
 import anyio
 
@@ -18,29 +18,26 @@
 from crowdeck.relay import waiting
 from crowdeck.routing import hops
 
-# Without a path a new request waits for streams to end and leave room.
-# Callers give up what shows nothing for two seconds; with what is left of
-# them after this, a sound engine begins even while it is crowded.
+# How long a new request waits for capacity. Callers give up after two seconds
+# without an event, and a busy engine needs some of that for the first one.
 QUEUE_WAIT_SECONDS = 1.2
-# Where a layer is held by no engine that is listed, waiting does not help
-# within that time: loading takes longer. A watch may lag by so much after
-# the layer was first missed.
-MISSING_WAIT_SECONDS = 0.1
-# A stream that has begun waits longer: its caller gives up only after a
-# silence of two seconds or more.
-BEGUN_WAIT_SECONDS = 1.6
-WAIT_STEP = 0.02
-# In a line each look is in vain but one, and a look in vain at a full fleet
-# of 38 engines takes 30 ms of a small entry's time: every 20 ms it left no
-# time for the streams under way.
+# How long a request waits for layers that no listed engine holds. Loading
+# them takes longer; this covers a listing that arrives late.
+UNHELD_WAIT_SECONDS = 0.1
+# How long a stream waits whose answer has started. Its caller gives up after
+# two seconds of silence or more.
+STARTED_WAIT_SECONDS = 1.6
+POLL_SECONDS = 0.02
+# Longer than ``POLL_SECONDS``: planning on a full fleet is costly and would
+# leave a small entry no time to serve.
 QUEUE_POLL_SECONDS = 0.08
-ALL_IN_NEED = "all engines of some layers are at their limits or want rest"
+ALL_UNAVAILABLE = "all engines of some layers are rate limited or backing off"
 
 
 class PathSearch:
-    """Looks for paths for one stream, whatever became of earlier ones.
+    """Finds the paths for the attempts of one stream.
 
-    :param deadline: the loop's time after which no path is of use.
+    :param deadline: loop time after which a path is of no use.
     """
 
     def __init__(
@@ -55,60 +52,60 @@
         self._arrived = stream.request.arrived
         self._deadline = deadline
         self._excluded: set[str] = set()
-        self._waited_for = ""
+        self._held_back_at_start = ""
 
     def exclude(self, name: str) -> None:
-        """Use an engine no more, unless there is no path without it."""
+        """Avoid an engine, unless there is no path without it."""
         self._excluded.add(name)
 
-    async def find(self, *, has_begun: bool) -> chain.ChainPath | None:
-        """Return a path, or ``None`` where none can be had in time.
+    async def find(self, *, has_started: bool) -> chain.ChainPath | None:
+        """Return a path, or ``None`` if there is none in time.
 
-        :param has_begun: whether the caller has a part of the answer; such
-            streams pass by the line, and wait longer.
+        :param has_started: whether the caller has a part of the answer. Such
+            a stream skips the queue and waits longer.
         """
         wait_queue = self._context.wait_queue(self._service)
         path = None
-        if has_begun:
-            path = await self._await_begun()
-        elif self._has_turns(wait_queue) or (path := self._plan()) is None:
-            self._waited_for = self._context.backpressure.held_back(
+        if has_started:
+            path = await self._wait_as_started()
+        elif self._must_queue(wait_queue) or (path := self._plan()) is None:
+            self._held_back_at_start = self._context.backpressure.held_back(
                 self._service
             )
-            path = await self._wait_in(wait_queue)
+            path = await self._wait_in_queue(wait_queue)
         if path is None:
             self._note_no_path()
         return path
 
-    async def _await_begun(self) -> chain.ChainPath | None:
-        """Return a path for a stream that has begun.
+    async def _wait_as_started(self) -> chain.ChainPath | None:
+        """Return a path for a stream whose answer has started.
 
-        Layers that are being loaded are waited for as room is. What cannot
-        be held is not.
+        Waits for capacity and for layers that are being loaded, but not for
+        layers that the remaining engines cannot hold.
         """
-        until = anyio.current_time() + BEGUN_WAIT_SECONDS
+        until = anyio.current_time() + STARTED_WAIT_SECONDS
         gap = self._gap()
         if gap is not None and not gap.can_be_held:
-            until = gap.since + MISSING_WAIT_SECONDS
+            until = gap.since + UNHELD_WAIT_SECONDS
         return await self._poll(until)
 
-    async def _wait_in(
+    async def _wait_in_queue(
         self, wait_queue: waiting.WaitQueue
     ) -> chain.ChainPath | None:
         """Return a path once it is this request's turn and there is one.
 
-        Where the turn cannot be expected in time, nothing is waited for.
+        Does not wait if the turn is not expected in time.
         """
         now = anyio.current_time()
         until = self._arrived + QUEUE_WAIT_SECONDS
         gap = self._gap()
         if gap is not None and not gap.closes_by(until):
-            until = gap.since + MISSING_WAIT_SECONDS
+            until = gap.since + UNHELD_WAIT_SECONDS
         until = min(until, self._deadline)
-        expected = self._context.retry_advisor.seconds_until_room(
+        expected = self._context.retry_advisor.seconds_until_capacity(
             len(wait_queue) + 1
         )
-        expected = max(expected, self.seconds_until_taken())
+        expected = max(expected, self.seconds_until_accepted())
         if wait_queue.is_full or now + expected > until:
             return None
         async with wait_queue.turn(until) as is_first:
@@ -117,9 +114,9 @@
             return await self._poll(until, QUEUE_POLL_SECONDS)
 
     async def _poll(
-        self, until: float, step: float = WAIT_STEP
+        self, until: float, step: float = POLL_SECONDS
     ) -> chain.ChainPath | None:
-        """Look for a path again and again."""
+        """Look for a path at intervals until the time is over."""
         until = min(until, self._deadline)
         while (path := self._plan()) is None:
             if anyio.current_time() >= until:
@@ -127,12 +124,12 @@
             await anyio.sleep(step)
         return path
 
-    def seconds_until_taken(self) -> float:
-        """Return in how long engines take a request for a stream.
+    def seconds_until_accepted(self) -> float:
+        """Return the seconds until backpressure allows a path.
 
-        By what they ask for themselves: 0 where they do now. While all first
-        engines name limits or want rest, those in the line come first; and
-        all layers have to be held by some that want none.
+        0 if it does now. If all first engines are rate limited or backing
+        off, the requests in the queue are served first. All layers must be
+        held by engines that are not backing off.
         """
         firsts = [
             one
@@ -143,13 +140,13 @@
         ]
         ahead = len(self._context.wait_queue(self._service))
         until_first = self._context.seconds_until_any(firsts, ahead)
-        return max(until_first, self._seconds_until_rested())
+        return max(until_first, self._seconds_until_backoffs_end())
 
-    def _seconds_until_rested(self) -> float:
-        """Return in how long engines that want rest are there for a path.
+    def _seconds_until_backoffs_end(self) -> float:
+        """Return the seconds until backoffs no longer prevent a path.
 
-        0 where there is one without them, or layers are missing all the
-        same.
+        0 if there is a path without the engines that are backing off, or if
+        layers are missing even with them.
         """
         registry = self._context.registry
         if not registry.backing_off():
@@ -175,35 +172,38 @@
             for layer in range(run.first, run.end)
         )
 
-    def _has_turns(self, wait_queue: waiting.WaitQueue) -> bool:
-        """Whether others wait, for what will come."""
+    def _must_queue(self, wait_queue: waiting.WaitQueue) -> bool:
+        """Whether others wait for capacity, and not for missing layers."""
         return bool(len(wait_queue)) and self._gap() is None
 
     def held_back(self) -> str:
-        """Return which engines are in need, or were when a wait began."""
+        """Return addresses that backpressure excludes or excluded.
+
+        Those at present, or else those when the wait began.
+        """
         now = self._context.backpressure.held_back(self._service)
-        return now or self._waited_for
+        return now or self._held_back_at_start
 
     def refusal(self) -> errors.CrowdeckError:
-        """Return the refusal of a stream that found no path."""
+        """Return the error for a stream that found no path."""
         rng = self._context.rng
-        advice = self._context.retry_advisor.estimate_delay()
+        delay = self._context.retry_advisor.estimate_delay()
         gap = self._gap()
         if gap is not None:
             counters.COUNTERS.add("relay.unheld")
             left = gap.seconds_left
             if left is not None:
-                advice = left + rng.uniform(0.0, retry_advice.WINDOW_SECONDS)
-            return _no_path(_lack_of(gap), advice)
-        seconds = self.seconds_until_taken()
+                delay = left + rng.uniform(0.0, retry_advice.WINDOW_SECONDS)
+            return _no_path(_describe_gap(gap), delay)
+        seconds = self.seconds_until_accepted()
         if seconds:
             counters.COUNTERS.add("relay.limited")
-            return _no_path(ALL_IN_NEED, seconds + advice)
-        return _no_path("no path through the model has room", advice)
+            return _no_path(ALL_UNAVAILABLE, seconds + delay)
+        return _no_path("no path through the model has capacity", delay)
 
-    def _gap(self) -> gaps.Gap | None:
-        """Return the layers that no engine holds which stays, if any."""
-        return self._context.gaps.look(self._service, self._stream.profile)
+    def _gap(self) -> gaps.LayerGap | None:
+        """Return the gap left when leaving engines are gone, if any."""
+        return self._context.gaps.find_gap(self._service, self._stream.profile)
 
     def _note_no_path(self) -> None:
         registry = self._context.registry
@@ -212,7 +212,7 @@
         held = chain.coverage(usable, count)
         missing = [layer for layer, copies in enumerate(held) if not copies]
         gap = self._gap()
-        ready_in = self.seconds_until_taken()
+        ready_in = self.seconds_until_accepted()
         logs.decision(
             "no_path",
             self._stream.request.id,
@@ -242,7 +242,7 @@
             for one in registry.usable(self._service)
             if one.name not in self._excluded
         ]
-        path = self._best_path(usable, wanted)
+        path = self._plan_over(usable, wanted)
         if path is None or path.crossings:
             last = [
                 one
@@ -250,19 +250,19 @@
                 if one.name not in self._excluded
             ]
             if last:
-                path = self._best_path(usable + last, wanted)
+                path = self._plan_over(usable + last, wanted)
         if path is None and self._excluded:
-            # What refused a moment ago may serve by now.
+            # Engines that refused earlier may accept by the next call.
             self._excluded.clear()
         if path is not None:
-            # At once: whoever chooses next has to know.
+            # Before any other task can choose the same engine.
             self._context.limits.take(path.head)
         return path
 
-    def _best_path(
+    def _plan_over(
         self, usable: list[chain.Upstream], wanted: hops.PathRequest
     ) -> chain.ChainPath | None:
-        """Return the best path over this entry's engines, or over all."""
+        """Return the best path in this entry's subset, else over all."""
         chosen = self._context.subset.pick(usable)
         path = self._context.planner.plan(chosen, wanted)
         if path is None and len(chosen) < len(usable):
@@ -270,11 +270,14 @@
         return path
 
 
-def _lack_of(gap: gaps.Gap) -> str:
+def _describe_gap(gap: gaps.LayerGap) -> str:
     reason = f"no engine holds layers {gap}"
     if not gap.can_be_held:
         count = gap.profile.layer_count
-        reason += f", and those left can hold {gap.holdable} of {count}"
+        reason += (
+            f", and the remaining engines can hold {gap.layer_capacity} "
+            f"of {count}"
+        )
     return reason
 
 
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Streams of model engines, carried on when an engine fails."""
+"""Relays streams of model engines, and resumes them after failures."""
 
 import anyio
 
@@ -20,31 +20,29 @@
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
 
-# Attempts that an engine refused without running them: each shows some
-# engine that holds other layers or is full, so a few are worth making.
+# Attempts that may be refused by an engine without having run.
 MAX_REFUSALS = 4
-# An answer that has begun is lost to its caller when it is cut, so more
-# are worth it; each waits for a path with room and for the budget. Three
-# times as many, by judgement and not by measurement.
-REFUSED_TRIES_BEGUN = 12
-ANSWER_MARGIN = 0.05
-LEAST_SECONDS = 0.1
+# The same for an answer that has started, which its caller would lose. Each
+# further attempt waits for a path and for the retry budget.
+MAX_REFUSALS_STARTED = 12
+ANSWER_MARGIN_SECONDS = 0.05
+MIN_ATTEMPT_SECONDS = 0.1
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
-# What the first engine of a path is to blame for.
+# Errors that the first engine of a path is to blame for.
 _FAILURES = frozenset({errors.Code.UPSTREAM_LOST, errors.Code.WRONG_ANSWER})
-# How an attempt may fail whose engine ended under it.
+# Errors of an attempt whose engine may have ended.
 _LOSSES = _FAILURES | {errors.Code.STALLED}
 
 
 class StreamRelay:
-    """Passes streams on, over paths of engines that it chooses."""
+    """Relays streams over paths of engines."""
 
     def __init__(
-        self, context: contexts.RelayContext, watch: attempts.StreamMonitor
+        self, context: contexts.RelayContext, monitor: attempts.StreamMonitor
     ) -> None:
         self._context = context
-        self._watch = watch
+        self._monitor = monitor
 
     async def serve(
         self,
@@ -55,7 +53,8 @@
     ) -> None:
         """Answer one request for a stream.
 
-        :raises CrowdeckError: with the verdict, when it cannot be ended.
+        :raises CrowdeckError: when the stream cannot be completed; its
+            verdict says whether the request may have run.
         """
         assert service.profile is not None
         budget = self._context.budget(service.name)
@@ -66,7 +65,7 @@
             request=request,
             service=service,
             profile=service.profile,
-            gap=admitted.route.gap or admitted.route.objective,
+            max_pause=admitted.route.gap or admitted.route.objective,
             objective=admitted.route.objective,
             tokens=size.mean_tokens(service.profile.mean_answer_tokens),
             usage=self._context.usage,
@@ -74,36 +73,36 @@
             last_event=request.last_event,
             team=admitted.team,
         )
-        self._watch.add(stream)
+        self._monitor.add(stream)
         try:
-            await self._drive(stream, admitted, sink).run()
+            await self._create_run(stream, admitted, sink).run()
         finally:
             sends.close()
             stream.end()
-            self._watch.drop(stream)
+            self._monitor.drop(stream)
 
-    def _drive(
+    def _create_run(
         self,
         stream: live.LiveStream,
         admitted: tables.Admitted,
         sink: requests.Sink,
-    ) -> "_Drive":
-        return _Drive(self._context, self._watch, stream, admitted, sink)
+    ) -> "_StreamRun":
+        return _StreamRun(self._context, self._monitor, stream, admitted, sink)
 
 
-class _Drive:
-    """Drives one stream to its end, attempt by attempt."""
+class _StreamRun:
+    """Makes attempts at one stream until it is complete."""
 
     def __init__(
         self,
         context: contexts.RelayContext,
-        watch: attempts.StreamMonitor,
+        monitor: attempts.StreamMonitor,
         stream: live.LiveStream,
         admitted: tables.Admitted,
         sink: requests.Sink,
     ) -> None:
         self._context = context
-        self._watch = watch
+        self._monitor = monitor
         self._stream = stream
         self._admitted = admitted
         self._route = admitted.route
@@ -111,46 +110,45 @@
         self._sink = sink
         timeout_seconds = self._request.timeout_seconds or self._route.timeout
         limit = min(timeout_seconds, self._route.timeout)
-        self._deadline = self._request.arrived + limit - ANSWER_MARGIN
+        self._deadline = self._request.arrived + limit - ANSWER_MARGIN_SECONDS
         self._ran_on: set[str] = set()
         self._refusals = 0
         self._paths = paths.PathSearch(
-            context, stream, self._deadline - LEAST_SECONDS
+            context, stream, self._deadline - MIN_ATTEMPT_SECONDS
         )
 
     async def run(self) -> None:
         while True:
-            await self._refuse_culprit()
+            await self._refuse_if_quarantined()
             path = await self._await_path()
             error = await self._attempt(path)
             if error is None:
                 return
-            await self._note(path, error)
-            await self._refuse_culprit()
-            if not await self._may_go_on(path, error):
-                raise self._failure(error)
+            await self._record_failure(path, error)
+            await self._refuse_if_quarantined()
+            if not await self._may_retry(path, error):
+                raise self._final_error(error)
             if self._context.lag_meter.is_overloaded:
-                # Another attempt at once would make us later still.
-                await anyio.sleep(self._context.lag_meter.recent())
+                # Another attempt at once would add to the lag.
+                await anyio.sleep(self._context.lag_meter.recent_lag())
 
     async def _await_path(self) -> chain.ChainPath:
-        """Return a path, waiting a little where there is none yet."""
+        """Return a path, waiting briefly if there is none yet."""
         path = None
         with anyio.CancelScope() as scope:
             self._stream.wait(scope)
-            path = await self._paths.find(has_begun=self._sink.has_started)
-        await self._refuse_culprit()
+            path = await self._paths.find(has_started=self._sink.has_started)
+        await self._refuse_if_quarantined()
         if path is not None:
             return path
-        raise self._failure(self._paths.refusal())
+        raise self._final_error(self._paths.refusal())
 
-    async def _refuse_culprit(self) -> None:
-        """Send a request on no more under which engines ended.
+    async def _refuse_if_quarantined(self) -> None:
+        """Refuse a request that is known to crash engines.
 
-        Checked before each attempt and not only on arrival: the third end
-        may be this request's own, or be told of while it waits. One whose
-        own runs ended so a moment ago is not refused before other entries
-        can have told that they know another cause.
+        Checked before each attempt, since the request may be quarantined
+        while it runs or waits. A request that has run is refused only after
+        other entries had time to report another cause.
 
         :raises CrowdeckError: ``QUARANTINED``.
         """
@@ -170,7 +168,7 @@
     async def _attempt(
         self, path: chain.ChainPath
     ) -> errors.CrowdeckError | None:
-        """Try one path; returns why the stream is not ended, if so."""
+        """Try one path; returns the error if the stream is not complete."""
         logs.decision(
             "path_chosen",
             self._request.id,
@@ -187,13 +185,13 @@
                 self._stream.begin(path, scope)
                 self._context.heads.begin(path.head.name, self._stream)
                 self._stream.sends.send()
-                self._stream.resumes = lambda: (
+                self._stream.can_resume = lambda: (
                     self._route.is_resumable
                     and self._runs_left(path.head.name) > 0
                 )
                 await attempts.Attempt(
                     self._context,
-                    self._watch,
+                    self._monitor,
                     self._stream,
                     self._admitted,
                     self._sink,
@@ -216,13 +214,13 @@
         self._stream.sends.give_up()
         return errors.CrowdeckError(
             errors.Code.STALLED,
-            self._stream.abandoned or "abandoned",
+            self._stream.abandon_reason or "abandoned",
             verdict=_MAY_HAVE_RUN,
             culprit=path.head.name,
         )
 
     def _note_send(self, error: errors.CrowdeckError) -> None:
-        """Tell the budget what an attempt's end says of its arrival."""
+        """Tell the retry budget whether a failed attempt had arrived."""
         sends = self._stream.sends
         if error.code is not errors.Code.UPSTREAM_LOST:
             sends.give_up()
@@ -251,10 +249,10 @@
             attempts=len(self._ran_on) + 1,
         )
 
-    async def _note(
+    async def _record_failure(
         self, path: chain.ChainPath, error: errors.CrowdeckError
     ) -> None:
-        await self._note_loss(path.head, error)
+        await self._record_loss(path.head, error)
         if error.code in _FAILURES and error.verdict is _MAY_HAVE_RUN:
             self._note_failed(path.head)
         if error.verdict is _MAY_HAVE_RUN:
@@ -271,17 +269,17 @@
             verdict=str(error.verdict),
             after=self._stream.last_event,
             content=str(self._stream.fingerprint),
-            has_begun=not self._stream.begins,
+            has_begun=not self._stream.is_starting,
         )
 
-    async def _note_loss(
+    async def _record_loss(
         self, head: chain.Upstream, error: errors.CrowdeckError
     ) -> None:
-        """Find out whether an engine ended while it had the request."""
+        """Record a lost attempt, and whether its engine has ended."""
         if error.verdict is not _MAY_HAVE_RUN:
             if error.code is errors.Code.UPSTREAM_LOST:
-                # No connection is no proof that the engine ended.
-                self._watch.verify(head)
+                # A failed connection does not prove that the engine ended.
+                self._monitor.verify(head)
             return
         if error.code not in _LOSSES:
             return
@@ -293,7 +291,7 @@
         )
         if error.code is errors.Code.STALLED:
             return
-        if await self._watch.has_ended(head):
+        if await self._monitor.has_ended(head):
             self._context.note_end(head)
 
     def _note_failed(self, head: chain.Upstream) -> None:
@@ -306,11 +304,11 @@
                 reason="its streams failed",
             )
 
-    async def _may_go_on(
+    async def _may_retry(
         self, path: chain.ChainPath, error: errors.CrowdeckError
     ) -> bool:
-        """Whether another attempt is made."""
-        if self._deadline - anyio.current_time() < LEAST_SECONDS:
+        """Whether to make another attempt."""
+        if self._deadline - anyio.current_time() < MIN_ATTEMPT_SECONDS:
             return False
         if error.code is errors.Code.DEADLINE:
             return False
@@ -319,61 +317,62 @@
                 return False
         elif error.code is errors.Code.UPSTREAM_LOST:
             self._paths.exclude(path.head.name)
-            # No connection was had: nothing arrived anywhere, so what was
-            # reserved for this attempt serves the next.
+            # Nothing was sent, so the retry that was reserved for this
+            # attempt is used by the next.
             return True
         else:
             self._refusals += 1
-            if self._refusals > self._refusals_most:
+            if self._refusals > self._max_refusals:
                 return False
-        return await self._reserve()
+        return await self._reserve_retry()
 
     @property
-    def _refusals_most(self) -> int:
+    def _max_refusals(self) -> int:
         if self._sink.has_started:
-            return REFUSED_TRIES_BEGUN
+            return MAX_REFUSALS_STARTED
         return MAX_REFUSALS
 
-    async def _reserve(self) -> bool:
-        """Reserve one repeat of the budget; false where none can be had.
+    async def _reserve_retry(self) -> bool:
+        """Reserve a retry in the budget; returns whether that succeeded.
 
-        An answer that has begun waits for one: what is cut is lost to its
-        caller, and the budget comes back as its window moves on.
+        A stream whose answer has started waits for one, since its caller
+        would lose the answer, and the budget recovers as its window moves.
         """
         service = self._stream.service.name
         until = anyio.current_time()
         if self._sink.has_started:
-            until = min(until + paths.BEGUN_WAIT_SECONDS, self._deadline)
+            until = min(until + paths.STARTED_WAIT_SECONDS, self._deadline)
         while not self._stream.sends.reserve():
             if anyio.current_time() >= until:
-                self._context.note_unrepeated(service, self._request.id)
+                self._context.log_retry_refused(service, self._request.id)
                 return False
-            await anyio.sleep(paths.WAIT_STEP)
+            await anyio.sleep(paths.POLL_SECONDS)
         counters.COUNTERS.add("relay.stream.repeated")
-        self._context.note_repeat(service, self._request.id)
+        self._context.log_retry(service, self._request.id)
         return True
 
     def _may_resume(self) -> bool:
         if not self._route.is_resumable:
             return False
         if self._stream.has_events and self._stream.last_event < 0:
-            # Its events bear no ids: none can be asked for again.
+            # Its events have no ids, so it cannot be resumed after one.
             return False
         return self._runs_left() > 0
 
     def _runs_left(self, running_on: str = "") -> int:
         """Return at how many more engines the request may run.
 
-        Engines that ended do not count: they were not left by choice.
-        One that merely leaves, is full, passes a path that broke or was
-        silent for a moment does.
+        Engines that ended do not count. Engines that are leaving, are full,
+        were silent or had a broken path do.
         """
         names = self._ran_on | {running_on} if running_on else self._ran_on
         registry = self._context.registry
-        sound = sum(1 for name in names if not registry.has_ended(name))
-        return self._route.max_attempts - sound
+        counted = sum(1 for name in names if not registry.has_ended(name))
+        return self._route.max_attempts - counted
 
-    def _failure(self, error: errors.CrowdeckError) -> errors.CrowdeckError:
+    def _final_error(
+        self, error: errors.CrowdeckError
+    ) -> errors.CrowdeckError:
         verdict = _MAY_HAVE_RUN if self._ran_on else error.verdict
         return errors.CrowdeckError(
             error.code,
