--- a/bench/placement.py
+++ b/bench/placement.py
@@ -191,7 +191,7 @@
     found: Engines = []
     for zone in dict.fromkeys(one.availability_zone for one in engines):
         inside = [one for one in engines if one.availability_zone == zone]
-        layout = arranger.arrange(inside)
+        layout = arranger.find_layout(inside)
         found += [
             attrs.evolve(one, layers=layout.get(one.name)) for one in inside
         ]
--- a/src/crowdeck/placement/__init__.py
+++ b/src/crowdeck/placement/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which engine holds which layers, and the orders that bring it about."""
+"""Assigns model layers to engines and orders them to load the layers."""
--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -3,12 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a placement of layers is worth, at the losses that it has to bear.
+"""Scores placements of layers by capacity and redundancy.
 
-A request needs memory at every layer, so a group of engines serves what
-its narrowest layer has room for. More copies of a layer survive losses;
-each takes the memory of its weights from requests. Both are weighed in
-one figure, layer by layer.
+A request needs KV cache memory at every layer, so the layer with the least
+capacity limits a group of engines. More copies of a layer make it survive the
+loss of engines, but their weights take memory from requests. The score of each
+layer combines both.
 """
 
 import math
@@ -18,165 +18,179 @@
 from crowdeck import chain
 from crowdeck import pipeline
 
-# Requests for which a layer should have memory, as a share of one first
-# engine's slots: with half of them in use an engine is as busy as its
-# owners sized it for.
+# Requests for which each layer should have memory, as a share of the slots of
+# one engine. Engines are sized for this share of their slots in use.
 NEED_SHARE = 0.5
-# Chance that an engine is missing at a moment: lost, being replaced or
-# loading again. See docs/decisions/0013 for how it was measured.
-LOSS_CHANCE = 0.1
-# What a layer that loses its only engine is worth beside one with ample
-# room: its requests may yet pass through another zone until an engine has
-# loaded it. It sets how much worse no room is than little.
-MISSING_WORTH = 0.02
-# A layer that no engine is to hold at all comes before everything else:
-# without it the others are worth nothing.
-UNHELD_WORTH = -1000.0
-# Rooms are looked up in steps of this share of the need, up to this many
-# times the need; beyond that more room gains nothing.
-_STEPS = 32
-_MOST_NEEDS = 12
-# Worths that are remembered, a few MB.
-_WORTHS_MOST = 20_000
-
-
-def _worth(rooms: float) -> float:
-    """Return what room for so many times the need is worth.
-
-    The share of requests that find room, as a logarithm: a request has to
-    find room at each of the layers, and shares multiply.
+# Probability that an engine is unavailable: lost, being replaced or loading.
+LOSS_PROBABILITY = 0.1
+# Share of requests taken for served where a layer has no capacity, as another
+# availability zone may serve them. Bounds the penalty for having none.
+MIN_SERVED_SHARE = 0.02
+# Outweighs every other term: a model with an unheld layer serves nothing.
+UNHELD_LAYER_SCORE = -1000.0
+# Resolution and range of the score table. The capacity of a layer is given in
+# multiples of the need; beyond the range more capacity gains nothing.
+_STEPS_PER_NEED = 32
+_MAX_NEEDS = 12
+# Bound on cached layer scores; they take a few MB.
+_MAX_CACHED_SCORES = 20_000
+
+
+def _score(capacity_in_needs: float) -> float:
+    """Return the score of capacity for so many times the need.
+
+    This is the logarithm of the share of requests that find capacity. A
+    request needs it at every layer, so the shares multiply.
     """
-    return math.log(MISSING_WORTH + 1.0 - math.exp(-rooms))
+    return math.log(MIN_SERVED_SHARE + 1.0 - math.exp(-capacity_in_needs))
 
 
-_WORTHS = tuple(
-    _worth(step / _STEPS) for step in range(_STEPS * _MOST_NEEDS + 1)
+_SCORES = tuple(
+    _score(step / _STEPS_PER_NEED)
+    for step in range(_STEPS_PER_NEED * _MAX_NEEDS + 1)
 )
 
 
-def _looked_up(rooms: float) -> float:
-    return _WORTHS[min(int(rooms * _STEPS + 0.5), len(_WORTHS) - 1)]
+def _lookup_score(capacity_in_needs: float) -> float:
+    return _SCORES[
+        min(int(capacity_in_needs * _STEPS_PER_NEED + 0.5), len(_SCORES) - 1)
+    ]
 
 
 def request_tokens(profile: chain.EngineProfile) -> float:
-    """Return what a request holds on average while it runs, in tokens."""
+    """Return the mean number of tokens that a running request holds."""
     return max(
         1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
     )
 
 
 def needed_tokens(profile: chain.EngineProfile) -> float:
-    """Return the tokens that each layer should have room for."""
+    """Return for how many tokens each layer should have capacity."""
     return max(1.0, NEED_SHARE * profile.slots * request_tokens(profile))
 
 
 @attrs.frozen
 class Window:
-    """A range of layers for one engine, and what it adds to the worth."""
+    """A range of layers for one engine, and its gain in the score."""
 
     layers: pipeline.LayerRange
     gain: float
 
 
 class LayerCapacity:
-    """The room at each layer of a group of engines that serve together.
+    """The token capacity at each layer of engines that serve together.
 
-    :param need: tokens that each layer should have room for.
+    :param need: tokens for which each layer should have capacity.
     """
 
     def __init__(self, profile: chain.EngineProfile, need: float) -> None:
         self._profile = profile
         self._need = need
-        self._held: list[tuple[float, ...]] = [()] * profile.layer_count
-        # The same holders come back again and again in a search.
-        self._worths: dict[tuple[float, ...], float] = {}
+        self._capacities_by_layer: list[tuple[float, ...]] = [
+            ()
+        ] * profile.layer_count
+        # A search evaluates the same sets of holders many times.
+        self._score_cache: dict[tuple[float, ...], float] = {}
 
     @property
     def score(self) -> float:
-        """What the placement is worth, greater where it is better."""
-        return sum(self._layer_worth(held) for held in self._held)
+        """The score of the placement; greater is better."""
+        return sum(
+            self._layer_score(capacities)
+            for capacities in self._capacities_by_layer
+        )
 
     @property
     def has_gap(self) -> bool:
-        """Whether no engine holds some layer."""
-        return not all(self._held)
+        """Whether there is a layer that no engine holds."""
+        return not all(self._capacities_by_layer)
 
     def add(self, engine: chain.Upstream, layers: pipeline.LayerRange) -> None:
-        """Count an engine that holds layers."""
-        token_capacity = self._room(engine, layers.end - layers.first)
+        """Add the capacity of an engine that holds ``layers``."""
+        token_capacity = self._capacity(engine, layers.end - layers.first)
         for layer in range(layers.first, layers.end):
-            self._held[layer] = (*self._held[layer], token_capacity)
+            self._capacities_by_layer[layer] = (
+                *self._capacities_by_layer[layer],
+                token_capacity,
+            )
 
     def drop(
         self, engine: chain.Upstream, layers: pipeline.LayerRange
     ) -> None:
-        """Take back what :meth:`add` counted."""
-        token_capacity = self._room(engine, layers.end - layers.first)
+        """Remove the capacity that :meth:`add` added."""
+        token_capacity = self._capacity(engine, layers.end - layers.first)
         for layer in range(layers.first, layers.end):
-            held = list(self._held[layer])
-            held.remove(token_capacity)
-            self._held[layer] = tuple(held)
+            capacities = list(self._capacities_by_layer[layer])
+            capacities.remove(token_capacity)
+            self._capacities_by_layer[layer] = tuple(capacities)
 
     def best_window(
         self, engine: chain.Upstream, most_layers: int
     ) -> Window | None:
-        """Return the layers that an engine without any had best take."""
-        found: Window | None = None
-        for count in range(1, min(most_layers, len(self._held)) + 1):
-            gains = self._gains(self._room(engine, count))
+        """Return the range for an engine that improves the score most."""
+        best: Window | None = None
+        for count in range(
+            1, min(most_layers, len(self._capacities_by_layer)) + 1
+        ):
+            gains = self._gains(self._capacity(engine, count))
             first, gain = _best_run(gains, count)
-            if found is None or gain > found.gain + 1e-9:
+            if best is None or gain > best.gain + 1e-9:
                 layers = pipeline.LayerRange(first, first + count)
-                found = Window(layers, gain)
-        return found
+                best = Window(layers, gain)
+        return best
 
-    def _room(self, engine: chain.Upstream, count: int) -> float:
-        """Return an engine's room beside so many layers, in needs."""
+    def _capacity(self, engine: chain.Upstream, count: int) -> float:
+        """Return an engine's capacity with so many layers, in needs."""
         token_capacity = (
             self._profile.token_capacity(engine.card, count) / self._need
         )
-        return min(max(0.0, token_capacity), float(_MOST_NEEDS))
+        return min(max(0.0, token_capacity), float(_MAX_NEEDS))
 
     def _gains(self, token_capacity: float) -> list[float]:
-        """Return what an engine with such room would add at each layer."""
-        known: dict[tuple[float, ...], float] = {}
+        """Return the gain at each layer of an engine with such capacity."""
+        known_gains: dict[tuple[float, ...], float] = {}
         gains = []
-        for held in self._held:
-            gain = known.get(held)
+        for capacities in self._capacities_by_layer:
+            gain = known_gains.get(capacities)
             if gain is None:
-                gain = self._layer_worth((*held, token_capacity))
-                gain -= self._layer_worth(held)
-                known[held] = gain
+                gain = self._layer_score((*capacities, token_capacity))
+                gain -= self._layer_score(capacities)
+                known_gains[capacities] = gain
             gains.append(gain)
         return gains
 
-    def _layer_worth(self, held: tuple[float, ...]) -> float:
-        score = self._worths.get(held)
+    def _layer_score(self, capacities: tuple[float, ...]) -> float:
+        score = self._score_cache.get(capacities)
         if score is None:
-            if len(self._worths) >= _WORTHS_MOST:
-                self._worths.clear()
-            score = self._worths[held] = _held_worth(held)
+            if len(self._score_cache) >= _MAX_CACHED_SCORES:
+                self._score_cache.clear()
+            score = self._score_cache[capacities] = _holders_score(capacities)
         return score
 
 
-def _held_worth(held: tuple[float, ...]) -> float:
-    """Return what a layer is worth that has such rooms, in needs."""
-    if not held:
-        return UNHELD_WORTH
-    total = sum(held)
-    losses = LOSS_CHANCE * len(held)
-    score = max(0.0, 1.0 - losses) * _looked_up(total)
-    for token_capacity in held:
-        score += LOSS_CHANCE * _looked_up(total - token_capacity)
+def _holders_score(capacities: tuple[float, ...]) -> float:
+    """Return the score of a layer whose holders have such capacities.
+
+    This is the expected score when at most one holder is unavailable.
+
+    :param capacities: capacity of each holder, in needs.
+    """
+    if not capacities:
+        return UNHELD_LAYER_SCORE
+    total = sum(capacities)
+    losses = LOSS_PROBABILITY * len(capacities)
+    score = max(0.0, 1.0 - losses) * _lookup_score(total)
+    for token_capacity in capacities:
+        score += LOSS_PROBABILITY * _lookup_score(total - token_capacity)
     return score
 
 
 def _best_run(gains: list[float], count: int) -> tuple[int, float]:
-    """Return where ``count`` neighbours sum up to most, and the sum."""
+    """Return the start and sum of the best ``count`` adjacent gains."""
     total = sum(gains[:count])
-    first, most = 0, total
+    first, best_sum = 0, total
     for start in range(1, len(gains) - count + 1):
         total += gains[start + count - 1] - gains[start - 1]
-        if total > most + 1e-9:
-            first, most = start, total
-    return first, most
+        if total > best_sum + 1e-9:
+            first, best_sum = start, total
+    return first, best_sum
--- a/src/crowdeck/placement/exposure.py
+++ b/src/crowdeck/placement/exposure.py
@@ -3,11 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""How exposed streams are to losses, predicted for a layout.
+"""Predicts how exposed streams are to the loss of engines in a layout.
 
-A stream is cut or pauses when an engine of its path is lost, so it is
-exposed by the time that it takes and by the engines it passes. Layouts that
-hold as much may differ in both by half.
+The loss of an engine interrupts every stream whose path passes it. So the
+exposure of a stream grows with its duration and with the engines on its path.
 """
 
 import typing
@@ -22,43 +21,49 @@
     profile: chain.EngineProfile,
     need: float,
 ) -> float:
-    """Return the ms a token, times engines on its path, of streams.
+    """Return the mean of milliseconds per token times engines on the path.
 
-    Paths are taken as the choice of path takes them, the quickest first,
-    until they hold ``need`` tokens; infinite where they cannot. Engines are
-    taken for one availability zone.
+    Paths are filled in the order in which routing prefers them, fastest first,
+    until they hold ``need`` tokens. The result is infinite if they cannot.
+    Crossings between availability zones cost nothing here.
     """
-    rooms = {
-        one.name: min(_room(one, profile), need)
+    free_tokens = {
+        one.name: min(_token_capacity(one, profile), need)
         for one in engines
         if one.layers is not None
     }
     held = {one.name: one for one in engines if one.layers is not None}
-    least = capacity.request_tokens(profile)
+    min_tokens = capacity.request_tokens(profile)
     left, total = need, 0.0
     while left > 0.0:
-        usable = [one for one in held.values() if rooms[one.name] >= least]
-        path = _quickest(usable, profile)
+        usable = [
+            one for one in held.values() if free_tokens[one.name] >= min_tokens
+        ]
+        path = _fastest_path(usable, profile)
         if path is None:
             return float("inf")
-        carried = min(left, *(rooms[hop.upstream.name] for hop in path.hops))
+        carried = min(
+            left, *(free_tokens[hop.upstream.name] for hop in path.hops)
+        )
         total += carried * len(path.hops) * _token_ms(path, profile)
         left -= carried
         for hop in path.hops:
-            rooms[hop.upstream.name] -= carried
+            free_tokens[hop.upstream.name] -= carried
     return total / need
 
 
-def _room(engine: chain.Upstream, profile: chain.EngineProfile) -> float:
+def _token_capacity(
+    engine: chain.Upstream, profile: chain.EngineProfile
+) -> float:
     assert engine.layers is not None
     count = engine.layers.end - engine.layers.first
     return profile.token_capacity(engine.card, count)
 
 
-def _quickest(
+def _fastest_path(
     engines: list[chain.Upstream], profile: chain.EngineProfile
 ) -> chain.ChainPath | None:
-    """Return the path on which a token takes least, nothing under way."""
+    """Return the path with the least time per token on idle engines."""
     holders = []
     for one in engines:
         assert one.layers is not None
--- a/src/crowdeck/placement/initial_layout.py
+++ b/src/crowdeck/placement/initial_layout.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which layers engines take that begin together, all of them empty."""
+"""Finds a layout for engines that start together without layers."""
 
 import typing
 
@@ -11,72 +11,83 @@
 from crowdeck import pipeline
 from crowdeck.placement import capacity
 
-# Rooms, in needs, at which a first layout cuts the cards: from many thin
-# copies to one with most of the memory left. Each is then improved, and
-# the best is taken: on four fleets of mixed cards no single one was best.
-START_ROOMS = (0.0, 0.5, 1.0, 2.0, 4.0)
-# Times that every engine is moved to where it is worth most; the third
-# time changed nothing on three fleets of four.
-SWEEPS = 4
-# Larger groups are swept once, from one start: the search takes as long as
-# the square of their number. 13 engines take 0.2 s of processor time, 107
-# would take 4.8 s, in which the process does nothing else.
+# Token capacity that a starting layout leaves on each engine, in multiples of
+# the needed tokens. Low factors give many copies of each layer, high ones few
+# copies with more free memory. Each start is improved; the best one is taken.
+START_CAPACITY_FACTORS = (0.0, 0.5, 1.0, 2.0, 4.0)
+# Passes over all engines that improve a starting layout.
+MAX_SWEEPS = 4
+# Larger groups get one start and one pass: the search time grows with the
+# square of the number of engines, and the search blocks the event loop.
 MAX_SEARCHED_ENGINES = 24
-# The search also takes as long as the layers that each may hold: 19 engines
-# of 41 took 1.0 s beside other work, 13 of a zone with 4 kinds of cards,
-# 185 to 400 layers in all, 0.1 to 0.25 s.
-SEARCHED_LAYERS_MOST = 500
-LARGE_START_ROOMS = (1.0,)
-LARGE_SWEEPS = 1
+# Bound on the layers that all engines may hold in total, for the same reason.
+MAX_SEARCHED_LAYERS = 500
+LARGE_START_CAPACITY_FACTORS = (1.0,)
+LARGE_MAX_SWEEPS = 1
 
 Layout = dict[str, pipeline.LayerRange]
-Limit = typing.Callable[[chain.Upstream, float], int]
+LayerLimit = typing.Callable[[chain.Upstream, float], int]
 
 
 class InitialLayoutSearch:
-    """Finds layers for engines that serve one model together.
+    """Assigns layers to engines that serve one model together.
 
-    :param limit: how many layers leave an engine so many tokens of room.
-    :param least: tokens of room that an engine keeps in any case.
+    :param layer_limit: returns how many layers an engine can hold and still
+        have capacity for so many tokens.
+    :param min_capacity: capacity in tokens that every engine keeps.
     """
 
     def __init__(
-        self, profile: chain.EngineProfile, limit: Limit, least: float
+        self,
+        profile: chain.EngineProfile,
+        layer_limit: LayerLimit,
+        min_capacity: float,
     ) -> None:
         self._profile = profile
-        self._limit = limit
-        self._least = least
+        self._layer_limit = layer_limit
+        self._min_capacity = min_capacity
         self._need = capacity.needed_tokens(profile)
 
-    def arrange(self, engines: typing.Sequence[chain.Upstream]) -> Layout:
+    def find_layout(self, engines: typing.Sequence[chain.Upstream]) -> Layout:
         """Return the layers of each engine that gets some."""
-        # Large cards first: they take the long runs, small ones fill gaps.
+        # Large cards take long ranges first; small ones fill the gaps.
         ordered = sorted(
             engines,
-            key=lambda one: (-self._limit(one, self._least), one.name),
+            key=lambda one: (
+                -self._layer_limit(one, self._min_capacity),
+                one.name,
+            ),
         )
         is_large = len(ordered) > MAX_SEARCHED_ENGINES or (
-            sum(self._limit(one, self._least) for one in ordered)
-            > SEARCHED_LAYERS_MOST
+            sum(self._layer_limit(one, self._min_capacity) for one in ordered)
+            > MAX_SEARCHED_LAYERS
+        )
+        starts = (
+            LARGE_START_CAPACITY_FACTORS
+            if is_large
+            else START_CAPACITY_FACTORS
         )
-        starts = LARGE_START_ROOMS if is_large else START_ROOMS
-        sweeps = LARGE_SWEEPS if is_large else SWEEPS
+        sweeps = LARGE_MAX_SWEEPS if is_large else MAX_SWEEPS
         best: Layout = {}
-        most = float("-inf")
+        best_score = float("-inf")
         for start in starts:
-            layout = self._lay_out(ordered, start * self._need)
+            layout = self._start_layout(ordered, start * self._need)
             score = self._improve(ordered, layout, sweeps)
-            if score > most + 1e-9:
-                best, most = layout, score
+            if score > best_score + 1e-9:
+                best, best_score = layout, score
         return best
 
-    def _lay_out(self, engines: list[chain.Upstream], room: float) -> Layout:
-        """Lay engines end to end, again from the start at the end."""
+    def _start_layout(
+        self, engines: list[chain.Upstream], token_capacity: float
+    ) -> Layout:
+        """Assign consecutive ranges, starting over after the last layer."""
         count = self._profile.layer_count
         layout: Layout = {}
         first = 0
         for engine in engines:
-            size = self._limit(engine, max(room, self._least))
+            size = self._layer_limit(
+                engine, max(token_capacity, self._min_capacity)
+            )
             if not size:
                 continue
             end = min(count, first + size)
@@ -87,33 +98,36 @@
     def _improve(
         self, engines: list[chain.Upstream], layout: Layout, sweeps: int
     ) -> float:
-        """Move one engine after the other to where it is worth most."""
-        rooms = capacity.LayerCapacity(self._profile, self._need)
+        """Move each engine in turn to the range that improves the score most.
+
+        Returns the score of the improved layout.
+        """
+        layer_capacity = capacity.LayerCapacity(self._profile, self._need)
         for engine in engines:
             if engine.name in layout:
-                rooms.add(engine, layout[engine.name])
+                layer_capacity.add(engine, layout[engine.name])
         for _ in range(sweeps):
-            if not self._sweep(rooms, engines, layout):
+            if not self._sweep(layer_capacity, engines, layout):
                 break
-        return rooms.score
+        return layer_capacity.score
 
     def _sweep(
         self,
-        rooms: capacity.LayerCapacity,
+        layer_capacity: capacity.LayerCapacity,
         engines: list[chain.Upstream],
         layout: Layout,
     ) -> bool:
-        """Move each engine once; returns whether any moved."""
+        """Move each engine once and return whether any of them moved."""
         has_moved = False
         for engine in engines:
             held = layout.get(engine.name)
             if held is not None:
-                rooms.drop(engine, held)
-            most = self._limit(engine, self._least)
-            window = rooms.best_window(engine, most)
+                layer_capacity.drop(engine, held)
+            max_layers = self._layer_limit(engine, self._min_capacity)
+            window = layer_capacity.best_window(engine, max_layers)
             if window is None:
                 continue
-            rooms.add(engine, window.layers)
+            layer_capacity.add(engine, window.layers)
             layout[engine.name] = window.layers
             has_moved = has_moved or window.layers != held
         return has_moved
--- a/src/crowdeck/placement/relayout.py
+++ b/src/crowdeck/placement/relayout.py
@@ -3,11 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which layers engines take that hold some, but not all, of a model.
+"""Finds a layout that restores a model with little loading.
 
-Engines stay in the order of what they hold, so that each keeps most of it:
-the neighbours of a gap grow, and theirs take from them what they give up.
-A few, those that can be spared above all, may go anywhere ("rovers").
+Most engines stay in the order of the layers that they hold, so that each keeps
+most of them: the neighbours of a gap grow into it, and their own neighbours
+take over what they give up. A few unconstrained engines, preferably redundant
+ones, may take any range.
 """
 
 import typing
@@ -16,51 +17,52 @@
 
 from crowdeck import pipeline
 
-# What is loaded beyond the least, for engines to have memory left for
-# requests, and for the largest load, after which callers are served, to be
-# small. No more than 1.3 times the least possible is asked for; the search is
-# exact for few engines, for more it has found up to 1.15 times that.
+# Factors on the least loading found, spent on free memory for requests and on
+# a smaller largest load, which decides when the model is served again. Layouts
+# should load at most 1.3 times the optimum. The second factor is smaller
+# because the search is not exact for more engines.
 EXACT_SLACK = 1.25
 LOAD_SLACK = 1.13
-# Layers loaded, as a share of all, beyond which no layout is looked for.
-COST_SHARE_MOST = 4
-# Rovers: the search takes twice as long with each.
-ROVERS_MOST = 4
-# So few engines may all go anywhere, which finds the least loading.
-EXACT_MOST = 4
-# Ranges of engines that a search tries, at 1 to 2 us of a full core each.
-# Beyond these it takes what it has, or looks with fewer rovers.
-TRIES_MOST = 250_000
-# Ranges that are tried between two turns of everything else.
-TURN_TRIES = 10_000
+# No layout is searched that loads more than this many times the layer count.
+MAX_COST_FACTOR = 4
+# Unconstrained engines; each one doubles the search time.
+MAX_UNCONSTRAINED = 4
+# Up to this many engines are all unconstrained, which makes the search exact.
+MAX_EXACT_ENGINES = 4
+# Ranges that one search tries, about 1 to 2 microseconds each. Beyond these
+# the best layout so far is used, or the search starts again with fewer
+# unconstrained engines.
+MAX_TRIES = 250_000
+# Ranges that are tried before other tasks may run.
+YIELD_TRIES = 10_000
 
 Layout = dict[str, pipeline.LayerRange]
 T = typing.TypeVar("T")
-# Does its work in parts, between which others have their turn.
+# A computation that yields regularly so that other tasks may run.
 Parts = typing.Generator[None, None, T]
 
 
 @attrs.frozen
 class Member:
-    """An engine that is laid out anew.
+    """An engine that takes part in a layout.
 
-    :ivar held: layers that it need not load.
-    :ivar most: how many layers it can hold, no fewer than it does.
+    :ivar held: layers that it holds and need not load.
+    :ivar max_layers: how many layers it can hold, at least as many as it does.
     :ivar is_fixed: whether it cannot be ordered now.
     """
 
     name: str
     held: pipeline.LayerRange | None
-    most: int
+    max_layers: int
     is_fixed: bool = False
 
 
 @attrs.frozen
 class _State:
-    """The layers up to some one are held by the engines looked at so far.
+    """A partial layout that covers the first layers of the model.
 
-    :ivar cost: layers loaded, and the most that one engine loads.
-    :ivar before: from which state, by whom holding what.
+    :ivar cost: layers loaded in total, and by the engine that loads most.
+    :ivar before: the state that the engine ``name`` with ``layers`` extended.
     """
 
     cost: tuple[int, int]
@@ -69,45 +71,46 @@
     layers: pipeline.LayerRange | None = None
 
 
-# States by how many layers are held, and which rovers have gone, a bit each.
-_Front = dict[tuple[int, int], _State]
+# States by the number of covered layers and a bit set of the unconstrained
+# engines that are placed.
+_Frontier = dict[tuple[int, int], _State]
 
 
-class _OutOfTries(Exception):
-    """A search took as long as it may."""
+class _BudgetExceeded(Exception):
+    """A search tried as many ranges as it may."""
 
 
 @attrs.define
-class _Tries:
+class _SearchBudget:
     left: int
-    until_turn: int = TURN_TRIES
+    until_yield: int = YIELD_TRIES
 
     def use(self) -> None:
-        """Count one.
+        """Count a range that is tried.
 
-        :raises _OutOfTries: when there are none left.
+        :raises _BudgetExceeded: if the budget is used up.
         """
         self.left -= 1
-        self.until_turn -= 1
+        self.until_yield -= 1
         if self.left < 0:
-            raise _OutOfTries
+            raise _BudgetExceeded
 
     @property
-    def is_turn(self) -> bool:
-        """Whether others are to have their turn now."""
-        if self.until_turn > 0:
+    def should_yield(self) -> bool:
+        """Whether to let other tasks run now."""
+        if self.until_yield > 0:
             return False
-        self.until_turn = TURN_TRIES
+        self.until_yield = YIELD_TRIES
         return True
 
 
 def cover(
     members: typing.Sequence[Member],
     layer_count: int,
-    roomier: typing.Sequence[typing.Mapping[str, int]] = (),
+    layer_limits: typing.Sequence[typing.Mapping[str, int]] = (),
 ) -> Layout:
-    """Return what :func:`cover_in_parts` does, at once."""
-    parts = cover_in_parts(members, layer_count, roomier)
+    """Return the result of :func:`cover_in_parts` without yielding."""
+    parts = cover_in_parts(members, layer_count, layer_limits)
     while True:
         try:
             next(parts)
@@ -118,72 +121,83 @@
 def cover_in_parts(
     members: typing.Sequence[Member],
     layer_count: int,
-    roomier: typing.Sequence[typing.Mapping[str, int]] = (),
+    layer_limits: typing.Sequence[typing.Mapping[str, int]] = (),
 ) -> Parts[Layout]:
-    """Find ranges that hold the model, with little loading.
+    """Find ranges that cover the model with little loading.
 
-    Only engines that are to change are returned; none where the engines
-    cannot hold the model. An engine keeps, beside what is asked of it, what
-    it holds next to that and has memory for.
+    Only engines that have to change are returned, and none if the engines
+    cannot cover the model. An engine also keeps adjacent layers that it holds
+    and has memory for.
 
-    :param roomier: how many layers each engine had better hold at most, by
-        its name; the first of these that takes little more is kept to.
+    :param layer_limits: layer limits by engine name that leave more memory for
+        requests, in order of preference. The first one that needs little more
+        loading is used.
     """
-    if sum(one.most for one in members) < layer_count:
+    if sum(one.max_layers for one in members) < layer_count:
         return {}
     found = yield from _first_search(members, layer_count)
     if found is None:
         return _in_order(members, layer_count)
-    found = yield from _with_more_rovers(members, found, layer_count)
+    found = yield from _with_more_unconstrained(members, found, layer_count)
     if not found.is_found:
         return {}
-    is_exact = len(members) <= EXACT_MOST
+    is_exact = len(members) <= MAX_EXACT_ENGINES
     slack = EXACT_SLACK if is_exact else LOAD_SLACK
-    cost_most = int(slack * found.rank[0])
-    for mosts in roomier:
-        roomy = found.roomier(mosts)
+    max_cost = int(slack * found.rank[0])
+    for limits in layer_limits:
+        limited = found.with_limits(limits)
         try:
-            yield from roomy.run(cost_most)
-        except _OutOfTries:
+            yield from limited.run(max_cost)
+        except _BudgetExceeded:
             continue
-        if roomy.is_found:
-            return (yield from roomy.layout(cost_most))
-    return (yield from found.layout(cost_most))
+        if limited.is_found:
+            return (yield from limited.layout(max_cost))
+    return (yield from found.layout(max_cost))
 
 
 def _first_search(
     members: typing.Sequence[Member], layer_count: int
 ) -> Parts["_Search | None"]:
-    """Search with those that can be spared; with fewer if it takes long."""
-    rovers = _rovers(members, layer_count)
+    """Search with redundant engines unconstrained.
+
+    Starts again with fewer of them if the budget is used up. Returns ``None``
+    if it does not suffice without any either.
+    """
+    unconstrained = _unconstrained(members, layer_count)
     while True:
-        search = _Search(members, rovers, layer_count, _Tries(TRIES_MOST))
+        search = _Search(
+            members, unconstrained, layer_count, _SearchBudget(MAX_TRIES)
+        )
         try:
             yield from search.run()
-        except _OutOfTries:
-            if not rovers:
+        except _BudgetExceeded:
+            if not unconstrained:
                 return None
-            rovers = rovers[: len(rovers) // 2]
+            unconstrained = unconstrained[: len(unconstrained) // 2]
             continue
         return search
 
 
-def _with_more_rovers(
+def _with_more_unconstrained(
     members: typing.Sequence[Member], best: "_Search", layer_count: int
 ) -> Parts["_Search"]:
-    """Let engines that hold layers alone go anywhere where that is less."""
-    tries = best.tries
-    # What nobody holds has to be loaded in any case.
+    """Make other engines unconstrained too where that reduces loading."""
+    budget = best.budget
+    # Unheld layers have to be loaded in any layout.
     missing = _counts(members, layer_count).count(0)
-    while len(best.rovers) < ROVERS_MOST and best.rank[0] > missing:
+    while (
+        len(best.unconstrained) < MAX_UNCONSTRAINED and best.rank[0] > missing
+    ):
         found = best
         for one in members:
-            if one.held is None or one.is_fixed or one in best.rovers:
+            if one.held is None or one.is_fixed or one in best.unconstrained:
                 continue
-            tried = _Search(members, [*best.rovers, one], layer_count, tries)
+            tried = _Search(
+                members, [*best.unconstrained, one], layer_count, budget
+            )
             try:
                 yield from tried.run()
-            except _OutOfTries:
+            except _BudgetExceeded:
                 return found
             if tried.rank < found.rank:
                 found = tried
@@ -193,17 +207,21 @@
     return best
 
 
-def _rovers(
+def _unconstrained(
     members: typing.Sequence[Member], layer_count: int
 ) -> list[Member]:
-    """Return engines whose going takes no layer away, the largest first."""
-    able = [one for one in members if not one.is_fixed and one.most]
-    if len(members) <= EXACT_MOST:
+    """Return engines that can move without uncovering a layer.
+
+    Engines with the most memory come first. In a small group these are all
+    that can be ordered.
+    """
+    able = [one for one in members if not one.is_fixed and one.max_layers]
+    if len(members) <= MAX_EXACT_ENGINES:
         return able
     counts = _counts(members, layer_count)
     found: list[Member] = []
-    for one in sorted(able, key=lambda one: (-one.most, one.name)):
-        if len(found) == ROVERS_MOST:
+    for one in sorted(able, key=lambda one: (-one.max_layers, one.name)):
+        if len(found) == MAX_UNCONSTRAINED:
             break
         held = _layers(one)
         if all(counts[layer] > 1 for layer in held):
@@ -214,13 +232,13 @@
 
 
 def _in_order(members: typing.Sequence[Member], layer_count: int) -> Layout:
-    """Lay engines end to end, in the order of what they hold.
+    """Assign consecutive ranges in the order of the layers held.
 
-    Where nothing better is found in time; it takes no search.
+    This is the fallback when the search exceeds its budget.
     """
     layout: Layout = {}
     first = 0
-    for one in sorted(members, key=_place):
+    for one in sorted(members, key=_sort_key):
         if first == layer_count:
             break
         if one.is_fixed:
@@ -228,8 +246,8 @@
             if held is not None and held.first <= first:
                 first = max(first, held.end)
             continue
-        if one.most:
-            end = min(layer_count, first + one.most)
+        if one.max_layers:
+            end = min(layer_count, first + one.max_layers)
             layers = pipeline.LayerRange(first, end)
             if layers != one.held:
                 layout[one.name] = layers
@@ -238,81 +256,88 @@
 
 
 class _Search:
-    """Finds the least loading with some engines free to go anywhere.
+    """Finds the layout with the least loading by dynamic programming.
 
-    :ivar rovers: these engines; they hold what they have until they go.
-    :ivar tries: how many ranges it may try yet.
+    :ivar unconstrained: engines that may take any range.
+    :ivar budget: how many more ranges it may try.
     """
 
     def __init__(
         self,
         members: typing.Sequence[Member],
-        rovers: list[Member],
+        unconstrained: list[Member],
         layer_count: int,
-        tries: _Tries,
+        budget: _SearchBudget,
     ) -> None:
-        self.rovers = sorted(rovers, key=lambda one: (-one.most, one.name))
-        self.tries = tries
+        self.unconstrained = sorted(
+            unconstrained, key=lambda one: (-one.max_layers, one.name)
+        )
+        self.budget = budget
         self._layer_count = layer_count
         self._members = {one.name: one for one in members}
-        names = {one.name for one in rovers}
+        names = {one.name for one in unconstrained}
         rest = [one for one in members if one.name not in names]
-        self._chain = sorted((one for one in rest if one.held), key=_place)
+        self._ordered_members = sorted(
+            (one for one in rest if one.held), key=_sort_key
+        )
         counts = _counts(rest, layer_count)
-        self._is_each_spare = all(
-            counts[layer] for one in rovers for layer in _layers(one)
+        self._is_each_redundant = all(
+            counts[layer] for one in unconstrained for layer in _layers(one)
         )
-        self._cost_most = 2 * max(1, counts.count(0))
+        self._max_cost = 2 * max(1, counts.count(0))
         self._found: _State | None = None
 
     @property
     def is_found(self) -> bool:
-        """Whether the model can be held."""
+        """Whether a layout that covers the model was found."""
         return self._found is not None
 
     @property
     def rank(self) -> tuple[float, int]:
-        """What is least for the search that is best."""
+        """The cost of the layout found, for comparison; less is better."""
         return self._found.cost if self._found else (float("inf"), 0)
 
-    def roomier(self, mosts: typing.Mapping[str, int]) -> "_Search":
-        """Return a search in which engines hold no more than they do or so.
+    def with_limits(self, limits: typing.Mapping[str, int]) -> "_Search":
+        """Return a search with other limits on the layers of each engine.
 
-        :param mosts: how many layers, by name.
+        :param limits: layer limits by engine name; an engine may keep what it
+            holds even if that is more.
         """
         members = [
             attrs.evolve(
                 one,
-                most=min(one.most, max(mosts[one.name], len(_layers(one)))),
+                max_layers=min(
+                    one.max_layers, max(limits[one.name], len(_layers(one)))
+                ),
             )
             for one in self._members.values()
         ]
-        names = {one.name for one in self.rovers}
-        rovers = [one for one in members if one.name in names]
-        tries = _Tries(TRIES_MOST)
-        return _Search(members, rovers, self._layer_count, tries)
+        names = {one.name for one in self.unconstrained}
+        unconstrained = [one for one in members if one.name in names]
+        budget = _SearchBudget(MAX_TRIES)
+        return _Search(members, unconstrained, self._layer_count, budget)
 
-    def run(self, cost_most: int | None = None) -> Parts[None]:
-        """Look for the least loading.
+    def run(self, max_cost: int | None = None) -> Parts[None]:
+        """Find the layout with the least loading.
 
-        :raises _OutOfTries: when it takes too long.
+        :raises _BudgetExceeded: if the budget is used up.
         """
-        self._found = yield from self._run(self._layer_count, cost_most)
+        self._found = yield from self._run(self._layer_count, max_cost)
 
-    def layout(self, cost_most: int) -> Parts[Layout]:
-        """Return the layout with the smallest largest load.
+    def layout(self, max_cost: int) -> Parts[Layout]:
+        """Return the layout with the smallest load on a single engine.
 
-        :param cost_most: how many layers may be loaded for it.
+        :param max_cost: how many layers all engines may load in total.
         """
         assert self._found is not None
         best = self._found
         low, high = 1, best.cost[1]
-        self.tries.left = TRIES_MOST
+        self.budget.left = MAX_TRIES
         while low < high:
             middle = (low + high) // 2
             try:
-                found = yield from self._run(middle, cost_most)
-            except _OutOfTries:
+                found = yield from self._run(middle, max_cost)
+            except _BudgetExceeded:
                 break
             if found is not None:
                 best, high = found, found.cost[1]
@@ -321,124 +346,129 @@
         return self._widened(best)
 
     def _run(
-        self, load_most: int, cost_most: int | None = None
+        self, max_load: int, max_cost: int | None = None
     ) -> Parts[_State | None]:
-        """Return the end of the cheapest way to hold all layers.
+        """Return the final state of the cheapest layout, if there is one.
 
-        What loads more than a limit is left out: most ways that there are
-        load most of the model, and the limit is soon met.
+        The limit on loading starts low and doubles, because a low limit prunes
+        most of the layouts.
         """
-        if cost_most is not None:
-            self._cost_most = cost_most
-            return (yield from self._run_within(load_most))
+        if max_cost is not None:
+            self._max_cost = max_cost
+            return (yield from self._run_within(max_load))
         while True:
-            found = yield from self._run_within(load_most)
-            if found or self._cost_most >= COST_SHARE_MOST * self._layer_count:
+            found = yield from self._run_within(max_load)
+            if found or self._max_cost >= MAX_COST_FACTOR * self._layer_count:
                 return found
-            self._cost_most *= 2
-
-    def _run_within(self, load_most: int) -> Parts[_State | None]:
-        front: _Front = {(0, 0): _State((0, 0))}
-        yield from self._add_rovers(front, load_most)
-        for member in self._chain:
-            self._drop_late(front, member)
-            reached = dict(front)
-            for key, state in front.items():
-                for layers, load in self._ranges(member, key[0], load_most):
-                    to = layers.end, key[1]
-                    self._offer(reached, to, state, load, member, layers)
-                if self.tries.is_turn:
+            self._max_cost *= 2
+
+    def _run_within(self, max_load: int) -> Parts[_State | None]:
+        frontier: _Frontier = {(0, 0): _State((0, 0))}
+        yield from self._add_unconstrained(frontier, max_load)
+        for member in self._ordered_members:
+            self._drop_unreachable(frontier, member)
+            reached = dict(frontier)
+            for key, state in frontier.items():
+                for layers, load in self._ranges(member, key[0], max_load):
+                    next_key = layers.end, key[1]
+                    self._offer(reached, next_key, state, load, member, layers)
+                if self.budget.should_yield:
                     yield
-            front = _thinned(reached)
-            yield from self._add_rovers(front, load_most)
-        whole = [
+            frontier = _pruned(reached)
+            yield from self._add_unconstrained(frontier, max_load)
+        complete = [
             state
-            for (held, _), state in front.items()
+            for (held, _), state in frontier.items()
             if held == self._layer_count
         ]
-        return min(whole, key=lambda one: one.cost, default=None)
+        return min(complete, key=lambda one: one.cost, default=None)
 
-    def _drop_late(self, front: _Front, member: Member) -> None:
-        """Drop states after which too much would have to be loaded.
+    def _drop_unreachable(self, frontier: _Frontier, member: Member) -> None:
+        """Drop states from which every layout would load too much.
 
-        All engines yet to come hold layers after a member's. Rovers may
-        hold what is before, where they hold it alone.
+        This and all later engines hold no layer before the first one of
+        ``member``. That does not bound the loading if an unconstrained engine
+        is the only holder of a layer.
         """
         assert member.held is not None
-        if not self._is_each_spare:
+        if not self._is_each_redundant:
             return
-        for key, state in list(front.items()):
-            late = member.held.first - key[0]
-            if state.cost[0] + late > self._cost_most:
-                del front[key]
+        for key, state in list(frontier.items()):
+            gap = member.held.first - key[0]
+            if state.cost[0] + gap > self._max_cost:
+                del frontier[key]
 
     def _ranges(
-        self, member: Member, first: int, load_most: int
+        self, member: Member, first: int, max_load: int
     ) -> typing.Iterator[tuple[pipeline.LayerRange, int]]:
-        """Yield ranges from a layer on, with the layers to be loaded."""
+        """Yield ranges that start at a layer, with the layers to load."""
         held = member.held
         assert held is not None
         if member.is_fixed:
             if held.first <= first < held.end:
                 yield pipeline.LayerRange(first, held.end), 0
             return
-        most_end = min(self._layer_count, first + member.most)
+        most_end = min(self._layer_count, first + member.max_layers)
         for end in range(first + 1, most_end + 1):
             if held.first < end < min(held.end, most_end):
-                # What is held costs nothing: rather all of it.
+                # Held layers need no loading, so take all of them.
                 continue
             layers = pipeline.LayerRange(first, end)
             load = end - first - _overlap(held, layers)
-            if load > load_most:
+            if load > max_load:
                 return
             yield layers, load
 
-    def _add_rovers(self, front: _Front, load_most: int) -> Parts[None]:
-        """Let rovers go wherever the layers held end, one after another."""
-        new = sorted(front)
-        for _ in self.rovers:
-            before = set(front)
+    def _add_unconstrained(
+        self, frontier: _Frontier, max_load: int
+    ) -> Parts[None]:
+        """Extend states by unconstrained engines, one after another."""
+        new = sorted(frontier)
+        for _ in self.unconstrained:
+            before = set(frontier)
             for key in new:
-                self._add_rover(front, key, load_most)
-                if self.tries.is_turn:
+                self._add_engine(frontier, key, max_load)
+                if self.budget.should_yield:
                     yield
-            new = sorted(set(front) - before)
+            new = sorted(set(frontier) - before)
 
-    def _add_rover(
-        self, front: _Front, key: tuple[int, int], load_most: int
+    def _add_engine(
+        self, frontier: _Frontier, key: tuple[int, int], max_load: int
     ) -> None:
-        first, gone = key
-        for number, rover in enumerate(self.rovers):
-            if gone >> number & 1:
+        first, placed = key
+        for number, member in enumerate(self.unconstrained):
+            if placed >> number & 1:
                 continue
-            end_most = min(self._layer_count, first + rover.most)
+            end_most = min(self._layer_count, first + member.max_layers)
             for end in range(first + 1, end_most + 1):
                 layers = pipeline.LayerRange(first, end)
-                load = end - first - _overlap(rover.held, layers)
-                if load > load_most:
+                load = end - first - _overlap(member.held, layers)
+                if load > max_load:
                     break
-                to = end, gone | 1 << number
-                self._offer(front, to, front[key], load, rover, layers)
+                next_key = end, placed | 1 << number
+                self._offer(
+                    frontier, next_key, frontier[key], load, member, layers
+                )
 
     def _offer(
         self,
-        front: _Front,
+        frontier: _Frontier,
         key: tuple[int, int],
         state: _State,
         load: int,
         member: Member,
         layers: pipeline.LayerRange,
     ) -> None:
-        self.tries.use()
+        self.budget.use()
         cost = state.cost[0] + load, max(state.cost[1], load)
-        if cost[0] > self._cost_most:
+        if cost[0] > self._max_cost:
             return
-        known = front.get(key)
+        known = frontier.get(key)
         if known is None or cost < known.cost:
-            front[key] = _State(cost, state, member.name, layers)
+            frontier[key] = _State(cost, state, member.name, layers)
 
     def _widened(self, found: _State) -> Layout:
-        """Return who changes, each with what it may keep beside."""
+        """Return the engines that change, with held layers they can keep."""
         layout: Layout = {}
         state: _State | None = found
         while state is not None:
@@ -451,8 +481,8 @@
         return layout
 
 
-def _place(member: Member) -> tuple[int, int, str]:
-    """Return by what engines are in order; empty ones come last."""
+def _sort_key(member: Member) -> tuple[int, int, str]:
+    """Return the sort key by layers held; empty engines come last."""
     held = member.held
     if held is None:
         return 1_000_000, 0, member.name
@@ -465,7 +495,7 @@
 
 
 def _counts(members: typing.Iterable[Member], layer_count: int) -> list[int]:
-    """Return by how many each layer is held."""
+    """Return how many engines hold each layer."""
     counts = [0] * layer_count
     for one in members:
         for layer in _layers(one):
@@ -476,36 +506,37 @@
 def _overlap(
     held: pipeline.LayerRange | None, layers: pipeline.LayerRange
 ) -> int:
-    """Return how many of some layers are held."""
+    """Return how many of ``layers`` are held."""
     if held is None:
         return 0
     common = min(held.end, layers.end) - max(held.first, layers.first)
     return max(0, common)
 
 
-def _thinned(front: _Front) -> _Front:
-    """Return a front without states that another is better than.
+def _pruned(frontier: _Frontier) -> _Frontier:
+    """Return the frontier without dominated states.
 
-    To hold more for no more is never worse.
+    A state is dominated by one that covers at least as many layers with the
+    same unconstrained engines at no higher cost.
     """
-    thin: _Front = {}
+    pruned: _Frontier = {}
     least: dict[int, tuple[int, int]] = {}
-    for key in sorted(front, reverse=True):
-        cost = front[key].cost
+    for key in sorted(frontier, reverse=True):
+        cost = frontier[key].cost
         if key[1] not in least or cost < least[key[1]]:
             least[key[1]] = cost
-            thin[key] = front[key]
-    return thin
+            pruned[key] = frontier[key]
+    return pruned
 
 
 def _widened(
     member: Member, layers: pipeline.LayerRange
 ) -> pipeline.LayerRange:
-    """Return the layers with as much of what is held as fits beside."""
+    """Return ``layers`` extended by adjacent held layers that fit."""
     held = member.held
     if held is None or held.first > layers.end or held.end < layers.first:
         return layers
-    room = max(0, member.most - (layers.end - layers.first))
+    room = max(0, member.max_layers - (layers.end - layers.first))
     before = min(room, max(0, layers.first - held.first))
     after = min(room - before, max(0, held.end - layers.end))
     return pipeline.LayerRange(layers.first - before, layers.end + after)
