--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which layers each engine of a group of mixed cards should hold."""
+"""Plans which layers each engine should hold."""
 
 import typing
 
@@ -16,28 +16,27 @@
 from crowdeck.placement import initial_layout
 from crowdeck.placement import tiers
 
-# Requests at once that an engine has memory for in any case. Fewer would
-# have it refuse or preempt with every second request.
+# Concurrent requests for which an engine keeps memory. With less it would
+# often refuse or preempt requests.
 MIN_CONCURRENT_REQUESTS = 4.0
-# Engines of a zone that begin together are laid out in groups of about the
-# second number once they are more than the first. The search takes as long
-# as the square of a group: 600 engines at once took 3.8 s of a full core in
-# each of five zones, longer than the lease under which they are ordered
-# lasts, and no engine of a fleet of 2,997 ever got a layer. 40 take 0.05 s.
+# If more engines than the maximum start together, they are split into groups
+# of about the second size. The time of the layout search grows with the square
+# of the group, and for a large fleet would exceed the lease under which orders
+# are sent.
 MAX_GROUP_SIZE = 60
 GROUP_SIZE = 40
-# Places are found for so many newcomers at a time. For more, one by one, the
-# lease would lapse before any of them is ordered.
+# Empty engines that are planned in one batch. Larger batches could outlast the
+# lease before any engine is ordered.
 FILL_BATCH_SIZE = 10
 
 
 @attrs.frozen
 class Move:
-    """An engine that is to hold other layers than it does.
+    """A change of the layers that one engine holds.
 
-    :ivar is_urgent: whether to stop what passes the layers that it gives
-        up, instead of waiting for its end. It has to begin again
-        elsewhere; waiting takes as long as the longest stream, seconds.
+    :ivar is_urgent: whether to interrupt the streams that use the layers it
+        gives up, so that they restart elsewhere. Otherwise the engine first
+        waits for their end, which takes as long as the longest stream.
     """
 
     upstream: chain.Upstream
@@ -45,63 +44,71 @@
     is_urgent: bool = False
 
 
-# Engines close to one another that hold the whole model together.
+# Engines of one or a few availability zones that hold the whole model
+# together.
 _Cell = list[chain.Upstream]
 
 
 def fitting_layer_count(
-    engine: chain.Upstream, profile: chain.EngineProfile, room: float
+    engine: chain.Upstream, profile: chain.EngineProfile, token_capacity: float
 ) -> int:
-    """Return how many layers leave an engine ``room`` tokens of memory."""
+    """Return how many layers fit besides the cache of so many tokens."""
     card = profile.cards.get(engine.card)
     if card is None:
         return profile.layer_count
-    per_layer = profile.layer_mb + room * profile.token_layer_mb
+    per_layer = profile.layer_mb + token_capacity * profile.token_layer_mb
     return min(profile.layer_count, int(card.memory_mb / per_layer))
 
 
 def next_moves(
     engines: typing.Sequence[chain.Upstream],
     profile: chain.EngineProfile,
-    idle: typing.Callable[[chain.Upstream], bool],
-    relied: typing.Sequence[chain.Upstream] | None = None,
+    is_idle: typing.Callable[[chain.Upstream], bool],
+    guaranteed: typing.Sequence[chain.Upstream] | None = None,
 ) -> list[Move]:
-    """Return the moves that bring a group of engines nearer to the plan.
-
-    Each cell of engines, an availability zone where its cards suffice,
-    holds the whole model, so that a request need not cross between
-    zones. Engines without layers take the layers that the fewest others
-    hold. When all have some and a layer is held by none, an engine whose
-    layers others hold too changes over. An engine is never told to give
-    up layers that only it holds.
-
-    :param engines: those that live and stay, in any order.
-    :param idle: whether an engine can be ordered now; what the others
-        hold, or are about to, is as listed.
-    :param relied: the same engines with the layers that they hold for
-        certain, come what may of the orders under way; an engine gives up
-        only what others hold in this sense. By default as ``engines``.
+    """Return moves that bring a fleet of engines closer to the plan.
+
+    Each cell holds the whole model, so that requests need not cross between
+    availability zones. A cell is one zone if its cards suffice. Engines
+    without layers get the range that improves the cell's score most. If no
+    engine holds a layer, and no empty engine takes it, an engine whose layers
+    are redundant moves there. An engine is never told to give up layers that
+    only it holds.
+
+    :param engines: engines that are alive and not leaving, in any order, with
+        the layers that they hold or were ordered to hold.
+    :param is_idle: whether an engine can be ordered now.
+    :param guaranteed: the same engines with the layers that they hold whatever
+        becomes of outstanding orders. An engine gives up only layers that
+        others are guaranteed to hold. By default the same as ``engines``.
     """
-    batches = iter_moves(engines, profile, idle, relied)
+    batches = iter_moves(engines, profile, is_idle, guaranteed)
     return [move for batch in batches for move in batch]
 
 
 def iter_moves(
     engines: typing.Sequence[chain.Upstream],
     profile: chain.EngineProfile,
-    idle: typing.Callable[[chain.Upstream], bool],
-    relied: typing.Sequence[chain.Upstream] | None = None,
+    is_idle: typing.Callable[[chain.Upstream], bool],
+    guaranteed: typing.Sequence[chain.Upstream] | None = None,
 ) -> typing.Iterator[list[Move]]:
-    """Yield what :func:`next_moves` returns, a part at a time.
+    """Yield what :func:`next_moves` returns in batches.
 
-    Laying out a part takes up to a tenth of a second of a full core; whoever
-    has other things to do does them in between.
+    Planning a batch may block for a tenth of a second. Callers should let
+    other tasks run between batches.
     """
-    sure = {one.name: one for one in (engines if relied is None else relied)}
+    guaranteed_by_name = {
+        one.name: one
+        for one in (engines if guaranteed is None else guaranteed)
+    }
     counts = chain.coverage(engines, profile.layer_count)
     for cell in _cells(engines, profile):
-        certain = [sure[one.name] for one in cell if one.name in sure]
-        for moves in _cell_moves(cell, profile, idle, certain):
+        guaranteed_cell = [
+            guaranteed_by_name[one.name]
+            for one in cell
+            if one.name in guaranteed_by_name
+        ]
+        for moves in _cell_moves(cell, profile, is_idle, guaranteed_cell):
             yield [
                 attrs.evolve(move, is_urgent=_is_missing(move.layers, counts))
                 for move in moves
@@ -109,16 +116,16 @@
 
 
 def _is_missing(layers: pipeline.LayerRange, counts: list[int]) -> bool:
-    """Whether some of the layers are held by no engine of any zone.
+    """Whether no engine of any availability zone holds one of the layers.
 
-    Nothing at all is served then. Where only a zone lacks them, its
-    requests go to others meanwhile, and stopping streams costs more.
+    Nothing is served then. If only one zone lacks a layer, its requests go to
+    other zones, and interrupting streams would cost more.
     """
     return 0 in counts[layers.first : layers.end]
 
 
 class CoverageGaps:
-    """Which layers no engine of a cell holds, found once for all moves."""
+    """Unheld layers of each cell, computed once for many moves."""
 
     def __init__(
         self,
@@ -133,7 +140,7 @@
             )
 
     def is_filled_by(self, move: Move) -> bool:
-        """Whether a move brings layers that no engine of its cell holds."""
+        """Whether a move adds a layer that no engine of its cell holds."""
         counts = self._counts.get(move.upstream.name)
         if counts is None:
             return True
@@ -146,28 +153,28 @@
     by_zone: dict[str, list[chain.Upstream]] = {}
     for engine in sorted(engines, key=lambda one: one.name):
         by_zone.setdefault(engine.availability_zone, []).append(engine)
-    whole: list[_Cell] = []
-    rest: _Cell = []
+    complete: list[_Cell] = []
+    remainder: _Cell = []
     for zone in sorted(by_zone):
         if _holds_model(by_zone[zone], profile):
-            whole.append(by_zone[zone])
+            complete.append(by_zone[zone])
         else:
-            rest += by_zone[zone]
-    if rest and whole and not _holds_model(rest, profile):
-        # Too few for a copy of their own: they strengthen another's.
-        whole[0] += rest
-    elif rest:
-        whole.append(rest)
-    return whole
+            remainder += by_zone[zone]
+    if remainder and complete and not _holds_model(remainder, profile):
+        # They cannot hold the model, so they join another cell.
+        complete[0] += remainder
+    elif remainder:
+        complete.append(remainder)
+    return complete
 
 
-def _least_room(profile: chain.EngineProfile) -> float:
+def _min_token_capacity(profile: chain.EngineProfile) -> float:
     return MIN_CONCURRENT_REQUESTS * capacity.request_tokens(profile)
 
 
 def most_layers(engine: chain.Upstream, profile: chain.EngineProfile) -> int:
-    """Return how many layers an engine can hold and still serve."""
-    return fitting_layer_count(engine, profile, _least_room(profile))
+    """Return how many layers an engine can hold and still serve requests."""
+    return fitting_layer_count(engine, profile, _min_token_capacity(profile))
 
 
 def _holds_model(engines: _Cell, profile: chain.EngineProfile) -> bool:
@@ -178,96 +185,101 @@
 def _cell_moves(
     cell: _Cell,
     profile: chain.EngineProfile,
-    idle: typing.Callable[[chain.Upstream], bool],
-    certain: list[chain.Upstream],
+    is_idle: typing.Callable[[chain.Upstream], bool],
+    guaranteed_cell: list[chain.Upstream],
 ) -> typing.Iterator[list[Move]]:
-    free = [one for one in cell if one.layers is None and idle(one)]
+    empty = [one for one in cell if one.layers is None and is_idle(one)]
     if all(one.layers is None for one in cell):
-        yield from _begin(free, profile)
+        yield from _initial_moves(empty, profile)
         return
-    if len(free) >= 2 * GROUP_SIZE and _holds_model(free, profile):
-        # Each group of them holds the model by itself. One by one, beside
-        # all that is held, each takes longer than the one before.
-        yield from _begin(free, profile)
+    if len(empty) >= 2 * GROUP_SIZE and _holds_model(empty, profile):
+        # Groups that hold the model by themselves are planned faster than
+        # single engines next to all those that hold layers.
+        yield from _initial_moves(empty, profile)
         return
     counts = chain.coverage(cell, profile.layer_count)
-    for moves in _fill(cell, free, profile):
+    for moves in _fill_moves(cell, empty, profile):
         for move in moves:
-            _count(move.layers, counts, 1)
+            _change_counts(move.layers, counts, 1)
         yield moves
-    sure = chain.coverage(certain, profile.layer_count)
-    yield _change_over(cell, profile, counts, sure, idle)
+    guaranteed_counts = chain.coverage(guaranteed_cell, profile.layer_count)
+    yield _gap_moves(cell, profile, counts, guaranteed_counts, is_idle)
 
 
-def _begin(
+def _initial_moves(
     engines: _Cell, profile: chain.EngineProfile
 ) -> typing.Iterator[list[Move]]:
-    """Yield the moves of a cell whose engines all begin empty.
+    """Yield the moves of engines that all start empty.
 
-    In tiers, or all together: whichever exposes streams less to losses. A
-    large cell is judged by one of the groups that it would be split into.
+    They are laid out in tiers or all together, whichever exposes streams less
+    to the loss of engines. For a large cell this is decided by one of its
+    groups.
     """
     sample = _groups(engines, profile)[0]
-    # Each layout takes a while; others have their turn in between.
-    tiered = [move for moves in _in_tiers(sample, profile) for move in moves]
+    # The empty batch lets other tasks run between the two layouts.
+    tiered = [
+        move for moves in _tiered_moves(sample, profile) for move in moves
+    ]
     yield []
-    together = _first_moves(sample, profile)
+    together = _group_moves(sample, profile)
     is_tiered = _exposure(tiered, profile) < _exposure(together, profile)
     if len(sample) == len(engines):
         yield tiered if is_tiered else together
     elif is_tiered:
-        yield from _in_tiers(engines, profile)
+        yield from _tiered_moves(engines, profile)
     else:
-        yield from _lay_out(engines, profile)
+        yield from _grouped_moves(engines, profile)
 
 
-def _in_tiers(
+def _tiered_moves(
     engines: _Cell, profile: chain.EngineProfile
 ) -> typing.Iterator[list[Move]]:
     split = _tiers(engines, profile)
     placed: _Cell = []
-    for tier in split.whole:
-        for moves in _lay_out(tier, profile):
-            placed += _carried_out(moves)
+    for tier in split.complete:
+        for moves in _grouped_moves(tier, profile):
+            placed += _after_moves(moves)
             yield moves
     if not placed:
-        yield from _lay_out(split.rest, profile)
-    elif split.rest:
-        yield from _fill(placed + split.rest, split.rest, profile)
+        yield from _grouped_moves(split.remainder, profile)
+    elif split.remainder:
+        yield from _fill_moves(
+            placed + split.remainder, split.remainder, profile
+        )
 
 
-def _lay_out(
+def _grouped_moves(
     engines: _Cell, profile: chain.EngineProfile
 ) -> typing.Iterator[list[Move]]:
     for group in _groups(engines, profile):
-        yield _first_moves(group, profile)
+        yield _group_moves(group, profile)
 
 
 def _exposure(moves: list[Move], profile: chain.EngineProfile) -> float:
     need = capacity.needed_tokens(profile)
-    return exposure.predict(_carried_out(moves), profile, need)
+    return exposure.predict(_after_moves(moves), profile, need)
 
 
-def _carried_out(moves: list[Move]) -> _Cell:
+def _after_moves(moves: list[Move]) -> _Cell:
     return [attrs.evolve(one.upstream, layers=one.layers) for one in moves]
 
 
 def _tiers(engines: _Cell, profile: chain.EngineProfile) -> tiers.Tiers:
-    least = _least_room(profile)
+    min_capacity = _min_token_capacity(profile)
     return tiers.Tiers(
         engines,
         profile,
-        lambda engine, room: fitting_layer_count(
-            engine, profile, max(room, least)
+        lambda engine, token_capacity: fitting_layer_count(
+            engine, profile, max(token_capacity, min_capacity)
         ),
     )
 
 
 def _groups(engines: _Cell, profile: chain.EngineProfile) -> list[_Cell]:
-    """Split engines that begin together into groups that hold the model.
+    """Split engines that start together into groups that hold the model.
 
-    Each group gets an even part of each kind of card. Where the parts would
-    be too few to hold the model there are fewer and larger ones.
+    Cards are spread evenly over the groups. If groups of this size cannot hold
+    the model, there are fewer and larger ones.
     """
     if len(engines) <= MAX_GROUP_SIZE:
         return [engines]
@@ -281,32 +293,34 @@
     return [engines]
 
 
-def _first_moves(engines: _Cell, profile: chain.EngineProfile) -> list[Move]:
-    """Return the moves of engines that begin together."""
-    arranger = initial_layout.InitialLayoutSearch(
+def _group_moves(engines: _Cell, profile: chain.EngineProfile) -> list[Move]:
+    """Return the moves of one group of engines that start empty."""
+    search = initial_layout.InitialLayoutSearch(
         profile,
-        lambda engine, room: fitting_layer_count(engine, profile, room),
-        _least_room(profile),
+        lambda engine, token_capacity: fitting_layer_count(
+            engine, profile, token_capacity
+        ),
+        _min_token_capacity(profile),
     )
-    layout = arranger.arrange(engines)
+    layout = search.find_layout(engines)
     return [
         Move(one, layout[one.name]) for one in engines if one.name in layout
     ]
 
 
-def _fill(
-    cell: _Cell, free: _Cell, profile: chain.EngineProfile
+def _fill_moves(
+    cell: _Cell, empty: _Cell, profile: chain.EngineProfile
 ) -> typing.Iterator[list[Move]]:
-    """Yield moves of empty engines to where each is worth most."""
-    filling = _Filling(cell, profile)
+    """Yield moves that place each empty engine where it gains most."""
+    planner = _FillPlanner(cell, profile)
     moves: list[Move] = []
-    # Large cards first: they take the long runs, small ones fill gaps.
+    # Large cards take long ranges first; small ones fill the gaps.
     for engine in sorted(
-        free, key=lambda one: (-most_layers(one, profile), one.name)
+        empty, key=lambda one: (-most_layers(one, profile), one.name)
     ):
-        layers = filling.place(engine)
+        layers = planner.place(engine)
         if layers is not None:
-            filling.add(engine, layers)
+            planner.add(engine, layers)
             moves.append(Move(engine, layers))
         if len(moves) == FILL_BATCH_SIZE:
             yield moves
@@ -314,44 +328,45 @@
     yield moves
 
 
-class _Filling:
-    """Finds places for engines beside others that hold layers already."""
+class _FillPlanner:
+    """Finds layers for empty engines next to others that hold layers."""
 
     def __init__(self, cell: _Cell, profile: chain.EngineProfile) -> None:
         self._profile = profile
         self._need = capacity.needed_tokens(profile)
         self._held = [one for one in cell if one.layers is not None]
         self._is_small = len(cell) <= MAX_GROUP_SIZE
-        self._rooms = self._rooms_of(cell)
+        self._capacity = self._capacity_of(cell)
         self._tiers = [
-            (frozenset(one.name for one in tier), self._rooms_of(tier))
-            for tier in _tiers(cell, profile).whole
+            (frozenset(one.name for one in tier), self._capacity_of(tier))
+            for tier in _tiers(cell, profile).complete
         ]
 
     def place(self, engine: chain.Upstream) -> pipeline.LayerRange | None:
-        """Return the layers that an empty engine had better take.
+        """Return the layers for an empty engine.
 
-        What the whole cell lacks comes first. Otherwise, of the places with
-        least room in its tier and of all, the one that exposes streams
-        less; a large cell, where that takes long, keeps to tiers.
+        Layers that no engine of the cell holds come first. Otherwise this is
+        the best range within the engine's tier or within the cell, whichever
+        exposes streams less. In a large cell, where the comparison is slow,
+        the range within the tier is taken.
         """
-        most = most_layers(engine, self._profile)
-        anywhere = self._rooms.best_window(engine, most)
+        max_layers = most_layers(engine, self._profile)
+        anywhere = self._capacity.best_window(engine, max_layers)
         tier = self._tier(engine)
-        if anywhere is None or tier is None or self._rooms.has_gap:
+        if anywhere is None or tier is None or self._capacity.has_gap:
             return anywhere.layers if anywhere else None
-        beside = tier.best_window(engine, most)
-        if beside is None or not self._is_small:
-            return (beside or anywhere).layers
+        in_tier = tier.best_window(engine, max_layers)
+        if in_tier is None or not self._is_small:
+            return (in_tier or anywhere).layers
         return min(
-            (anywhere.layers, beside.layers),
+            (anywhere.layers, in_tier.layers),
             key=lambda layers: self._exposure(engine, layers),
         )
 
     def add(self, engine: chain.Upstream, layers: pipeline.LayerRange) -> None:
-        """Count an engine that is given layers."""
+        """Add an engine that is planned to hold ``layers``."""
         self._held.append(attrs.evolve(engine, layers=layers))
-        self._rooms.add(engine, layers)
+        self._capacity.add(engine, layers)
         tier = self._tier(engine)
         if tier is not None:
             tier.add(engine, layers)
@@ -363,52 +378,54 @@
         return exposure.predict(held, self._profile, self._need)
 
     def _tier(self, engine: chain.Upstream) -> capacity.LayerCapacity | None:
-        for names, rooms in self._tiers:
+        for names, layer_capacity in self._tiers:
             if engine.name in names:
-                return rooms
+                return layer_capacity
         return None
 
-    def _rooms_of(self, engines: _Cell) -> capacity.LayerCapacity:
-        rooms = capacity.LayerCapacity(self._profile, self._need)
+    def _capacity_of(self, engines: _Cell) -> capacity.LayerCapacity:
+        layer_capacity = capacity.LayerCapacity(self._profile, self._need)
         for engine in engines:
             if engine.layers is not None:
-                rooms.add(engine, engine.layers)
-        return rooms
+                layer_capacity.add(engine, engine.layers)
+        return layer_capacity
 
 
-def _change_over(
+def _gap_moves(
     cell: _Cell,
     profile: chain.EngineProfile,
     counts: list[int],
-    sure: list[int],
-    idle: typing.Callable[[chain.Upstream], bool],
+    guaranteed_counts: list[int],
+    is_idle: typing.Callable[[chain.Upstream], bool],
 ) -> list[Move]:
-    """Return moves of engines that can be spared into gaps.
+    """Return moves of redundant engines to layers that no engine holds.
 
-    Each takes no more than its gap: what an engine loads it cannot serve
-    meanwhile, so the smallest engines, which load least, go first.
+    Engines with the least memory move first and take no more than the gap,
+    because an engine cannot serve layers while it loads them.
     """
     moves: list[Move] = []
-    held = [one for one in cell if one.layers and idle(one)]
+    held = [one for one in cell if one.layers and is_idle(one)]
     held.sort(key=lambda one: (most_layers(one, profile), one.name))
     for engine in held:
         if 0 not in counts:
             break
-        size = most_layers(engine, profile)
-        if not size or not _is_spare(engine, sure):
+        max_layers = most_layers(engine, profile)
+        if not max_layers or not _is_redundant(engine, guaranteed_counts):
             continue
         first = counts.index(0)
         end = first + 1
-        while end < len(counts) and end - first < size and not counts[end]:
+        while (
+            end < len(counts) and end - first < max_layers and not counts[end]
+        ):
             end += 1
         moves.append(Move(engine, pipeline.LayerRange(first, end)))
-        _count(engine.layers, counts, -1)
-        _count(engine.layers, sure, -1)
-        _count(moves[-1].layers, counts, 1)
+        _change_counts(engine.layers, counts, -1)
+        _change_counts(engine.layers, guaranteed_counts, -1)
+        _change_counts(moves[-1].layers, counts, 1)
     return moves
 
 
-def _count(
+def _change_counts(
     layers: pipeline.LayerRange | None, counts: list[int], change: int
 ) -> None:
     assert layers is not None
@@ -416,7 +433,7 @@
         counts[layer] += change
 
 
-def _is_spare(engine: chain.Upstream, counts: list[int]) -> bool:
+def _is_redundant(engine: chain.Upstream, counts: list[int]) -> bool:
     assert engine.layers is not None
     held = range(engine.layers.first, engine.layers.end)
     return all(counts[layer] > 1 for layer in held)
--- a/src/crowdeck/placement/rearrangement.py
+++ b/src/crowdeck/placement/rearrangement.py
@@ -3,12 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Orders that make a model whole again which nobody to spare can complete.
+"""Restores coverage when no redundant engine can take an unheld layer.
 
-Nothing whole is served while a layer is held by no engine, so engines may
-be told here to give up what only they hold. Each is told only after others
-have taken the orders to hold that: a giver that ends midway leaves no layer
-which is neither held nor ordered.
+No request is served while a layer is unheld. So engines may be ordered here to
+give up layers that only they hold, but only after others have accepted orders
+to hold those. If the controller stops midway, every layer that was held before
+is still held or ordered.
 """
 
 import typing
@@ -21,17 +21,17 @@
 from crowdeck.placement import plan
 from crowdeck.placement import relayout
 
-# Memory left for requests, as shares of the need, the first that can be had
-# with little more loading. A model that is whole again with room for four
-# requests beside the layers turned 12 of 30 away.
-ROOM_SHARES = (1.0, 0.75, 0.5, 0.35, 0.2)
+# Token capacity to keep on each engine, as shares of the need. The first one
+# that needs little more loading is used. Without this a restored model could
+# turn most requests away for lack of memory.
+CAPACITY_SHARES = (1.0, 0.75, 0.5, 0.35, 0.2)
 
 
 @attrs.frozen
 class Step:
     """One engine's part of a rearrangement.
 
-    :ivar after: names of the engines that have to take their orders before.
+    :ivar after: names of the engines that have to accept their orders first.
     """
 
     move: plan.Move
@@ -46,61 +46,67 @@
     return [layer for layer, count in enumerate(counts) if not count]
 
 
-def steps_in_parts(
+def find_steps(
     engines: typing.Sequence[chain.Upstream],
     profile: chain.EngineProfile,
-    idle: typing.Callable[[chain.Upstream], bool],
-    relied: typing.Sequence[chain.Upstream],
-    cuts_streams: bool,
+    can_be_ordered: typing.Callable[[chain.Upstream], bool],
+    guaranteed: typing.Sequence[chain.Upstream],
+    interrupts_streams: bool,
 ) -> relayout.Parts[list[Step]]:
     """Find the steps after which the engines hold the whole model.
 
-    None where they cannot. What waits for an order in doubt is left out.
+    There are none if the engines cannot hold it. Steps that depend on an order
+    in doubt are left out.
 
-    :param engines: those that live and stay, with what they are to hold.
-    :param idle: whether an engine can be ordered now.
-    :param relied: the same engines with what they hold in any case.
-    :param cuts_streams: whether to stop what passes the layers given up.
+    :param engines: engines that are alive and not leaving, with the layers
+        that they hold or were ordered to hold.
+    :param can_be_ordered: whether an engine can be ordered now.
+    :param guaranteed: the same engines with the layers that they hold whatever
+        becomes of outstanding orders.
+    :param interrupts_streams: whether to interrupt the streams that use layers
+        which are given up.
     """
-    members = [_member(one, profile, idle(one)) for one in engines]
+    members = [_member(one, profile, can_be_ordered(one)) for one in engines]
     layout = yield from relayout.cover_in_parts(
-        members, profile.layer_count, _roomier(engines, profile)
+        members, profile.layer_count, _layer_limits(engines, profile)
     )
     moves = [
         plan.Move(
-            one, layout[one.name], cuts_streams and _gives_up(one, layout)
+            one,
+            layout[one.name],
+            interrupts_streams and _gives_up(one, layout),
         )
         for one in engines
         if one.name in layout
     ]
-    sure = {one.name: one.layers for one in relied}
-    return _ordered(moves, _Takers(engines, layout, sure))
+    guaranteed_layers = {one.name: one.layers for one in guaranteed}
+    return _order_steps(moves, _Handover(engines, layout, guaranteed_layers))
 
 
 def _member(
     engine: chain.Upstream, profile: chain.EngineProfile, is_idle: bool
 ) -> relayout.Member:
     held = engine.layers
-    most = plan.most_layers(engine, profile) if is_idle else 0
+    max_layers = plan.most_layers(engine, profile) if is_idle else 0
     if held is not None:
-        most = max(most, held.end - held.first)
-    return relayout.Member(engine.name, held, most, not is_idle)
+        max_layers = max(max_layers, held.end - held.first)
+    return relayout.Member(engine.name, held, max_layers, not is_idle)
 
 
-def _roomier(
+def _layer_limits(
     engines: typing.Sequence[chain.Upstream], profile: chain.EngineProfile
 ) -> list[dict[str, int]]:
-    """Return how much engines had better hold, the most room first."""
+    """Return layer limits by engine name, most free memory first."""
     need = capacity.needed_tokens(profile)
     found = []
-    for share in ROOM_SHARES:
-        room = share * need
-        mosts = {
-            one.name: plan.fitting_layer_count(one, profile, room)
+    for share in CAPACITY_SHARES:
+        token_capacity = share * need
+        limits = {
+            one.name: plan.fitting_layer_count(one, profile, token_capacity)
             for one in engines
         }
-        if sum(mosts.values()) >= profile.layer_count:
-            found.append(mosts)
+        if sum(limits.values()) >= profile.layer_count:
+            found.append(limits)
     return found
 
 
@@ -111,74 +117,78 @@
 def _given_up(
     held: pipeline.LayerRange | None, layers: pipeline.LayerRange
 ) -> set[int]:
-    return _set(held) - _set(layers)
+    return _layer_set(held) - _layer_set(layers)
 
 
-def _set(layers: pipeline.LayerRange | None) -> set[int]:
+def _layer_set(layers: pipeline.LayerRange | None) -> set[int]:
     return set(range(layers.first, layers.end)) if layers else set()
 
 
-class _Takers:
-    """Who holds a layer once the layout is carried out."""
+class _Handover:
+    """Which engines keep or take each layer of a layout."""
 
     def __init__(
         self,
         engines: typing.Sequence[chain.Upstream],
         layout: relayout.Layout,
-        sure: typing.Mapping[str, pipeline.LayerRange | None],
+        guaranteed_layers: typing.Mapping[str, pipeline.LayerRange | None],
     ) -> None:
-        # Whoever keeps a layer for certain, and whoever is to take it.
-        self._keepers: set[int] = set()
-        self._takers: dict[int, list[str]] = {}
+        # Layers that an engine is guaranteed to keep, and the names of the
+        # engines that take each of the others.
+        self._kept_layers: set[int] = set()
+        self._takers_by_layer: dict[int, list[str]] = {}
         for one in engines:
             after = layout.get(one.name)
-            kept = _set(sure.get(one.name))
+            kept = _layer_set(guaranteed_layers.get(one.name))
             if after is not None:
-                kept &= _set(after)
-                for layer in _set(after) - kept:
-                    self._takers.setdefault(layer, []).append(one.name)
-            self._keepers |= kept
-
-    def needed(self, move: plan.Move) -> frozenset[str] | None:
-        """Return who has to take orders before an engine gives layers up.
-
-        ``None`` where only an order in doubt would leave a holder.
+                kept &= _layer_set(after)
+                for layer in _layer_set(after) - kept:
+                    self._takers_by_layer.setdefault(layer, []).append(
+                        one.name
+                    )
+            self._kept_layers |= kept
+
+    def required_takers(self, move: plan.Move) -> frozenset[str] | None:
+        """Return the engines that must accept orders before ``move``.
+
+        Returns ``None`` if no other engine is guaranteed to keep a layer that
+        is given up, and none takes it.
         """
         names = set()
         for layer in _given_up(move.upstream.layers, move.layers):
-            if layer in self._keepers:
+            if layer in self._kept_layers:
                 continue
-            takers = self._takers.get(layer)
+            takers = self._takers_by_layer.get(layer)
             if not takers:
                 return None
             names.add(min(takers))
         return frozenset(names)
 
 
-def _ordered(moves: list[plan.Move], takers: _Takers) -> list[Step]:
-    """Return the steps that can be taken, takers before givers.
+def _order_steps(moves: list[plan.Move], handover: _Handover) -> list[Step]:
+    """Return the possible steps, takers of a layer before its givers.
 
-    Where some wait for one another, as in an exchange, the rest goes
-    without waiting: nothing whole is served meanwhile anyway.
+    Steps that wait for one another, as in an exchange of layers, come last and
+    do not wait for each other. The model is not served in the meantime anyway.
     """
     left = [
-        Step(move, needed)
+        Step(move, required_takers)
         for move in moves
-        if (needed := takers.needed(move)) is not None
+        if (required_takers := handover.required_takers(move)) is not None
     ]
     found: list[Step] = []
-    known: set[str] = set()
-    given = {step.move.upstream.name for step in left}
-    # Who waits for one that is left out is left out, too.
-    while any(not step.after <= given for step in left):
-        left = [step for step in left if step.after <= given]
-        given = {step.move.upstream.name for step in left}
+    scheduled: set[str] = set()
+    names = {step.move.upstream.name for step in left}
+    # A step that waits for one that was left out is left out too.
+    while any(not step.after <= names for step in left):
+        left = [step for step in left if step.after <= names]
+        names = {step.move.upstream.name for step in left}
     while left:
-        ready = [step for step in left if step.after <= known]
+        ready = [step for step in left if step.after <= scheduled]
         if not ready:
-            found += [Step(step.move, step.after & known) for step in left]
+            found += [Step(step.move, step.after & scheduled) for step in left]
             break
         found += ready
-        known |= {step.move.upstream.name for step in ready}
+        scheduled |= {step.move.upstream.name for step in ready}
         left = [step for step in left if step not in ready]
     return found
