--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The duty of ordering engines to hold layers, done by one entry."""
+"""Orders engines to hold the planned layers, from one entry at a time."""
 
 import enum
 import typing
@@ -25,54 +25,54 @@
 from crowdeck import route as routes
 from crowdeck.state import leases
 
-# How often the plan is looked at while nothing is told to have changed:
-# an engine that is avoided or an order that was lost shows only in time.
-LOOK_SECONDS = 0.5
-# An engine tells its new layers with its next heartbeat; until about
-# then its order is taken for under way.
-SETTLE_SECONDS = 2.5
-# A fleet that starts lists its engines one after the other. A plan made
-# for the first few would be wrong for all, so the first one waits until
-# no engine was added for a while; engines start within about a second of
-# one another and are listed within two heartbeats.
+# The plan is checked this often without any notification, because a lost
+# engine or order is only detected after some time.
+RECONCILE_INTERVAL_SECONDS = 0.5
+# An engine reports its new layers with its next heartbeat. Until then its
+# order counts as outstanding.
+ORDER_SETTLE_SECONDS = 2.5
+# The first plan of a service waits until no engine was added for the quiet
+# time, or for the maximum in total. A starting fleet lists its engines one by
+# one, and a plan for the first few would not suit all of them.
 LIST_QUIET_SECONDS = 1.2
-LIST_MOST_SECONDS = 5.0
-# An engine that comes while every layer is held waits this long for its
-# layers: in a planned replacement the old one leaves soon after, and the
-# new one had better load what that held than be moved again.
+LIST_MAX_SECONDS = 5.0
+# A new engine waits this long for layers while all layers are held. In a
+# planned replacement the old engine leaves soon after, and the new one can
+# load its layers directly.
 EMPTY_ENGINE_DELAY_SECONDS = 2.0
-# An order whose answer was lost may be done up to twelve seconds late.
-# Asking the engine what it holds settles it sooner, not before this.
-UNKNOWN_SECONDS = 0.6
-# Until then, or until the engine has taken a newer order, what it holds is
-# in doubt, and no other engine gives up a layer because of it.
+# An engine whose order is not confirmed is asked again after this time, at the
+# earliest. The order may still arrive much later.
+RECHECK_SECONDS = 0.6
+# An unanswered order is in doubt for this long, or until the engine has
+# accepted a newer one. Until then no other engine gives up a layer that this
+# one holds.
 LATE_ORDER_SECONDS = 12.5
-# Orders under way at once. Each takes some ms of a small entry's time, so that
-# of a thousand at once none would be answered before it is given up.
-ORDERS_AT_ONCE = 32
-# Between two parts of a plan: a call of the store and back.
-TURN_SECONDS = 0.005
+# More orders at once could time out because this process is too busy to handle
+# their answers.
+MAX_CONCURRENT_ORDERS = 32
+# Pause between two parts of a plan, enough for a call of the store.
+YIELD_SECONDS = 0.005
 
 
 class OrderClient(typing.Protocol):
-    """Reaches engines with orders."""
+    """Sends placement orders to engines."""
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
-        """Return what an engine says of itself."""
+        """Return an engine's report."""
         ...
 
     async def place(
         self, move: plan.Move, expected_orders: int, fencing_token: int
     ) -> bool:
-        """Give an order; false when the engine refused it.
+        """Send an order and return whether the engine accepted it.
 
-        :raises CrowdeckError: when it may have been taken, or may yet be.
+        :raises CrowdeckError: if the outcome is unknown.
         """
         ...
 
 
 class _Outcome(enum.Enum):
-    """What became of an order."""
+    """How far an order came."""
 
     NOT_SENT = "not sent"
     SENT = "sent"
@@ -81,10 +81,10 @@
 
 @attrs.define(eq=False)
 class _Pending:
-    """An engine that was ordered, or is busy with an earlier order.
+    """An engine with an outstanding order.
 
-    :ivar expected: the engine with the layers that it is going to hold.
-    :ivar until: the loop's time after which it is looked at again.
+    :ivar expected: the engine with the layers that it will hold.
+    :ivar until: event loop time at which it may be ordered again.
     """
 
     expected: chain.Upstream
@@ -92,11 +92,11 @@
 
 
 @attrs.frozen
-class _Doubt:
-    """An order that may still be carried out.
+class _InDoubtOrder:
+    """An order that an engine may still accept.
 
-    :ivar expected: the count of orders with which it fits.
-    :ivar until: the loop's time after which it no longer comes.
+    :ivar expected: the count of accepted orders that the order requires.
+    :ivar until: event loop time after which it cannot arrive any more.
     """
 
     expected: int
@@ -105,7 +105,7 @@
 
 @attrs.define
 class _Arrivals:
-    """When engines of a service were first seen, and last added to."""
+    """When the engines of a service were first listed and last added to."""
 
     names: frozenset[str]
     first_at: float
@@ -113,7 +113,7 @@
 
 
 class PlacementController:
-    """Keeps the layers of every model in place while the lease is held."""
+    """Reconciles the layers of all engines while it holds the lease."""
 
     def __init__(
         self,
@@ -127,107 +127,111 @@
         self._orders = orders
         self._services = services
         self._pending: dict[str, _Pending] = {}
-        self._doubts: dict[str, _Doubt] = {}
+        self._in_doubt: dict[str, _InDoubtOrder] = {}
         self._term = 0
-        self._losses = failure_detector.FailureDetector(
+        self._failure_detector = failure_detector.FailureDetector(
             registry, orders, services
         )
         self._arrivals: dict[str, _Arrivals] = {}
         self._empty_since: dict[str, dict[str, float]] = {}
-        self._patience: dict[str, rearrangement_delay.RearrangementDelay] = {}
+        self._delays: dict[str, rearrangement_delay.RearrangementDelay] = {}
         self._changed = anyio.Event()
-        registry.subscribe(self._wake)
+        registry.subscribe(self._notify)
 
     async def run(self) -> None:
-        """Look at the plan whenever something changed, until cancelled."""
+        """Reconcile on every change and regularly, until cancelled."""
         while True:
             self._changed = anyio.Event()
             if self._lease.is_held:
-                await self._look()
-            with anyio.move_on_after(self._pause()):
+                await self._reconcile()
+            with anyio.move_on_after(self._seconds_to_next()):
                 await self._changed.wait()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
 
-    def _pause(self) -> float:
-        """Return the seconds until the next look."""
+    def _seconds_to_next(self) -> float:
+        """Return the seconds until the next reconciliation."""
         now = anyio.current_time()
-        due = (one.due - now for one in self._patience.values())
-        return min([LOOK_SECONDS, *(left for left in due if left > 0.0)])
+        due = (one.due - now for one in self._delays.values())
+        return min(
+            [RECONCILE_INTERVAL_SECONDS, *(left for left in due if left > 0.0)]
+        )
 
-    async def _look(self) -> None:
-        self._take_over()
+    async def _reconcile(self) -> None:
+        self._adopt_in_doubt()
         self._forget_pending()
-        await self._losses.look()
+        await self._failure_detector.check()
         for service in self._services():
             if service.profile is None:
                 continue
             engines = chain.engines_within(
-                self._engines(service), service.profile.layer_count
+                self._live_engines(service), service.profile.layer_count
             )
-            if not self._has_gathered(service.name, engines):
+            if not self._is_listing_settled(service.name, engines):
                 continue
-            await self._order_all(service, service.profile, engines)
-            await self._complete(service, service.profile)
+            await self._order_planned(service, service.profile, engines)
+            await self._rearrange(service, service.profile)
 
-    async def _order_all(
+    async def _order_planned(
         self,
         service: routes.Service,
         profile: chain.EngineProfile,
         engines: list[chain.Upstream],
     ) -> None:
-        """Give the orders that the plan asks for, a part at a time.
+        """Send the orders of the plan in batches.
 
-        Between two parts everything else has its turn: the lease, above
-        all, has to be renewed while the layers of a large fleet are found.
+        Other tasks run between batches. In particular the lease has to be
+        renewed while a large fleet is planned.
         """
-        relied = [self._relied_on(one) for one in engines]
-        batches = plan.iter_moves(engines, profile, self._is_idle, relied)
+        guaranteed = [self._guaranteed(one) for one in engines]
+        batches = plan.iter_moves(engines, profile, self._is_idle, guaranteed)
         gaps = plan.CoverageGaps(engines, profile)
-        limiter = anyio.CapacityLimiter(ORDERS_AT_ONCE)
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_ORDERS)
         async with anyio.create_task_group() as tasks:
             for batch in batches:
-                moves = self._hold_newcomers(service, engines, batch, gaps)
+                moves = self._delay_empty_engines(
+                    service, engines, batch, gaps
+                )
                 for move in moves:
-                    self._expect(move, UNKNOWN_SECONDS)
-                    tasks.start_soon(self._order_within, move, limiter)
-                # Also for those held back: finding them took as long.
-                await anyio.sleep(TURN_SECONDS if batch else 0.0)
+                    self._expect(move, RECHECK_SECONDS)
+                    tasks.start_soon(self._order_limited, move, limiter)
+                # Planning a batch took time even if all its moves are delayed.
+                await anyio.sleep(YIELD_SECONDS if batch else 0.0)
                 if not self._lease.is_held:
                     return
 
-    async def _complete(
+    async def _rearrange(
         self, service: routes.Service, profile: chain.EngineProfile
     ) -> None:
-        """Rearrange engines where a layer is held by none, and will be.
+        """Rearrange engines if the plan leaves layers unheld.
 
-        All that the plan asks for has been ordered before.
+        Its orders have been sent before and count as carried out here.
         """
         engines = chain.engines_within(
-            self._engines(service), profile.layer_count
+            self._live_engines(service), profile.layer_count
         )
         missing = rearrangement.missing_layers(engines, profile)
-        known = self._patience.setdefault(
+        delay = self._delays.setdefault(
             service.name, rearrangement_delay.RearrangementDelay()
         )
         now = anyio.current_time()
         if not missing or len(missing) == profile.layer_count:
-            known.forget()
+            delay.reset()
             return
         is_told = self._are_leaving(service.name, missing)
         if (
-            not known.is_expired(now, is_told, missing)
+            not delay.is_expired(now, is_told, missing)
             or not self._lease.is_held
         ):
             return
-        relied = [self._relied_on(one) for one in engines]
-        parts = rearrangement.steps_in_parts(
-            engines, profile, self._can_be_ordered, relied, not is_told
+        guaranteed = [self._guaranteed(one) for one in engines]
+        parts = rearrangement.find_steps(
+            engines, profile, self._can_be_ordered, guaranteed, not is_told
         )
-        steps = await _in_parts(parts)
-        if steps and await self._take(steps):
-            known.note_round(anyio.current_time())
+        steps = await _run_in_parts(parts)
+        if steps and await self._order_rearrangement(steps):
+            delay.note_round(anyio.current_time())
             logs.change(
                 "layers_rearranged",
                 service=service.name,
@@ -238,7 +242,7 @@
             )
 
     def _are_leaving(self, service: str, missing: list[int]) -> bool:
-        """Whether those that hold some layers say that they leave."""
+        """Whether leaving engines hold all of the missing layers."""
         left = set(missing)
         for one in self._registry.listed(service):
             if one.is_leaving and one.layers is not None:
@@ -249,41 +253,48 @@
         resting = self._registry.backoff_seconds_left(upstream.name)
         return self._is_idle(upstream) and not resting
 
-    async def _take(self, steps: list[rearrangement.Step]) -> bool:
-        """Give the orders of a rearrangement, each once others are taken.
+    async def _order_rearrangement(
+        self, steps: list[rearrangement.Step]
+    ) -> bool:
+        """Send the orders of a rearrangement and return whether any was sent.
 
-        Returns whether any was sent.
+        Each order waits until the engines of its step's ``after`` accepted
+        theirs.
         """
-        limiter = anyio.CapacityLimiter(ORDERS_AT_ONCE)
-        is_expired = {step.move.upstream.name: anyio.Event() for step in steps}
-        taken: set[str] = set()
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_ORDERS)
+        is_done = {step.move.upstream.name: anyio.Event() for step in steps}
+        accepted: set[str] = set()
         sent: set[str] = set()
 
-        async def give(step: rearrangement.Step) -> None:
+        async def send(step: rearrangement.Step) -> None:
             name = step.move.upstream.name
             try:
                 for other in step.after:
-                    await is_expired[other].wait()
-                if not step.after <= taken:
-                    # The next look plans again, from what they hold then.
+                    await is_done[other].wait()
+                if not step.after <= accepted:
+                    # The next reconciliation plans again.
                     return
-                outcome = await self._order_within(step.move, limiter)
+                outcome = await self._order_limited(step.move, limiter)
                 if outcome is not _Outcome.NOT_SENT:
                     sent.add(name)
                 if outcome is _Outcome.TAKEN:
-                    taken.add(name)
+                    accepted.add(name)
             finally:
-                is_expired[name].set()
+                is_done[name].set()
 
         async with anyio.create_task_group() as tasks:
             for step in steps:
-                tasks.start_soon(give, step)
+                tasks.start_soon(send, step)
         return bool(sent)
 
-    def _has_gathered(
+    def _is_listing_settled(
         self, service: str, engines: list[chain.Upstream]
     ) -> bool:
-        """Whether a service's first plan can be made."""
+        """Whether the engines of a service can be planned.
+
+        This holds once an engine has layers, or once no engine was added for
+        a while.
+        """
         now = anyio.current_time()
         listed = frozenset(one.name for one in engines)
         seen = self._arrivals.get(service)
@@ -295,17 +306,20 @@
             return True
         return (
             now - seen.last_at >= LIST_QUIET_SECONDS
-            or now - seen.first_at >= LIST_MOST_SECONDS
+            or now - seen.first_at >= LIST_MAX_SECONDS
         )
 
-    def _hold_newcomers(
+    def _delay_empty_engines(
         self,
         service: routes.Service,
         engines: list[chain.Upstream],
         moves: list[plan.Move],
         gaps: plan.CoverageGaps,
     ) -> list[plan.Move]:
-        """Leave out moves of engines that had better wait a little."""
+        """Leave out moves of empty engines that should wait.
+
+        Engines that fill a gap do not wait, nor do any if all are empty.
+        """
         now = anyio.current_time()
         empty = {one.name for one in engines if one.layers is None}
         known = self._empty_since.get(service.name, {})
@@ -321,41 +335,43 @@
             or gaps.is_filled_by(move)
         ]
 
-    def _engines(self, service: routes.Service) -> list[chain.Upstream]:
-        """Return the engines that live, with what they are going to hold."""
+    def _live_engines(self, service: routes.Service) -> list[chain.Upstream]:
+        """Return the live engines with the layers that they will hold."""
         found = []
         for one in self._registry.listed(service.name):
-            if one.is_leaving or self._losses.is_lost(one.name):
+            if one.is_leaving or self._failure_detector.is_lost(one.name):
                 continue
             pending = self._pending.get(one.name)
             found.append(pending.expected if pending else one)
         return found
 
-    def _relied_on(self, expected: chain.Upstream) -> chain.Upstream:
-        """Return an engine with the layers that it keeps in any case."""
+    def _guaranteed(self, expected: chain.Upstream) -> chain.Upstream:
+        """Return an engine with the layers that it is guaranteed to keep."""
         name = expected.name
-        if name in self._doubts:
+        if name in self._in_doubt:
             return attrs.evolve(expected, layers=None)
         listed = self._registry.find(name)
         held = listed.layers if listed is not None else None
-        return attrs.evolve(expected, layers=_common(held, expected.layers))
+        return attrs.evolve(
+            expected, layers=_intersection(held, expected.layers)
+        )
 
-    def _take_over(self) -> None:
-        """Take the doubts of the giver before this one, once for a term."""
+    def _adopt_in_doubt(self) -> None:
+        """Take over the previous holder's orders in doubt, once per term."""
         if self._lease.term == self._term:
             return
         self._term = self._lease.term
         until = anyio.current_time() + LATE_ORDER_SECONDS
         for note in self._lease.memo:
             name, _, count = note.rpartition("@")
-            if name and name not in self._doubts:
-                self._doubts[name] = _Doubt(int(count), until)
+            if name and name not in self._in_doubt:
+                self._in_doubt[name] = _InDoubtOrder(int(count), until)
 
-    def _tell_doubts(self) -> None:
+    def _note_in_doubt(self) -> None:
         self._lease.set_memo(
             tuple(
-                f"{name}@{doubt.expected}"
-                for name, doubt in sorted(self._doubts.items())
+                f"{name}@{order.expected}"
+                for name, order in sorted(self._in_doubt.items())
             )
         )
 
@@ -371,13 +387,13 @@
             )
             if is_done or pending.until <= now:
                 del self._pending[name]
-        over = [n for n, one in self._doubts.items() if one.until <= now]
+        over = [n for n, one in self._in_doubt.items() if one.until <= now]
         for name in over:
-            del self._doubts[name]
+            del self._in_doubt[name]
         if over:
-            self._tell_doubts()
+            self._note_in_doubt()
 
-    async def _order_within(
+    async def _order_limited(
         self, move: plan.Move, limiter: anyio.CapacityLimiter
     ) -> "_Outcome":
         async with limiter:
@@ -388,32 +404,34 @@
     async def _order(self, move: plan.Move) -> "_Outcome":
         name = move.upstream.name
         if self._registry.backoff_seconds_left(name):
-            # Planned again at the next look.
+            # Planned again by the next reconciliation.
             return _Outcome.NOT_SENT
-        self._expect(move, UNKNOWN_SECONDS)
+        self._expect(move, RECHECK_SECONDS)
         try:
             report = await self._orders.report(move.upstream)
         except errors.CrowdeckError as error:
             self._registry.avoid(name, f"no report: {error.message}")
             return _Outcome.NOT_SENT
         if report.is_busy or report.layers != move.upstream.layers:
-            # It carries out an order already, or its entry lags behind:
-            # plan again from what it says itself.
-            self._keep(move.upstream, report)
+            # It is carrying out another order, or its entry is outdated. Plan
+            # again from its report.
+            self._expect_reported(move.upstream, report)
             return _Outcome.NOT_SENT
         if not self._lease.is_held:
             return _Outcome.NOT_SENT
-        self._settle_doubt(name, report.orders_taken)
+        self._resolve_in_doubt(name, report.orders_taken)
         is_taken = False
         try:
             is_taken = await self._orders.place(
                 move, report.orders_taken, self._lease.term
             )
         except errors.CrowdeckError as error:
-            self._doubt(name, report.orders_taken, error.message)
+            self._mark_in_doubt(name, report.orders_taken, error.message)
         if is_taken:
-            self._settle_doubt(name, report.orders_taken + 1)
-        self._expect(move, SETTLE_SECONDS if is_taken else UNKNOWN_SECONDS)
+            self._resolve_in_doubt(name, report.orders_taken + 1)
+        self._expect(
+            move, ORDER_SETTLE_SECONDS if is_taken else RECHECK_SECONDS
+        )
         counters.COUNTERS.add("placement.ordered")
         logs.change(
             "placement_ordered",
@@ -427,10 +445,10 @@
         )
         return _Outcome.TAKEN if is_taken else _Outcome.SENT
 
-    def _doubt(self, name: str, expected: int, reason: str) -> None:
+    def _mark_in_doubt(self, name: str, expected: int, reason: str) -> None:
         until = anyio.current_time() + LATE_ORDER_SECONDS
-        self._doubts[name] = _Doubt(expected, until)
-        self._tell_doubts()
+        self._in_doubt[name] = _InDoubtOrder(expected, until)
+        self._note_in_doubt()
         logs.change(
             "order_in_doubt",
             upstream=name,
@@ -439,12 +457,12 @@
             reason=reason,
         )
 
-    def _settle_doubt(self, name: str, orders_taken: int) -> None:
-        """End a doubt when an engine has taken a newer order."""
-        doubt = self._doubts.get(name)
-        if doubt is not None and orders_taken > doubt.expected:
-            del self._doubts[name]
-            self._tell_doubts()
+    def _resolve_in_doubt(self, name: str, orders_taken: int) -> None:
+        """Forget an order in doubt once the engine accepted a newer one."""
+        order = self._in_doubt.get(name)
+        if order is not None and orders_taken > order.expected:
+            del self._in_doubt[name]
+            self._note_in_doubt()
 
     def _expect(self, move: plan.Move, seconds: float) -> None:
         self._pending[move.upstream.name] = _Pending(
@@ -452,28 +470,28 @@
             anyio.current_time() + seconds,
         )
 
-    def _keep(
+    def _expect_reported(
         self, upstream: chain.Upstream, report: chain.EngineReport
     ) -> None:
         self._pending[upstream.name] = _Pending(
             attrs.evolve(upstream, layers=report.layers or upstream.layers),
-            anyio.current_time() + UNKNOWN_SECONDS,
+            anyio.current_time() + RECHECK_SECONDS,
         )
 
 
-async def _in_parts(
+async def _run_in_parts(
     parts: relayout.Parts[list[rearrangement.Step]],
 ) -> list[rearrangement.Step]:
-    """Do some work, with everything else having its turn in between."""
+    """Run a computation and let other tasks run between its parts."""
     while True:
         try:
             next(parts)
         except StopIteration as done:
             return typing.cast(list[rearrangement.Step], done.value)
-        await anyio.sleep(TURN_SECONDS)
+        await anyio.sleep(YIELD_SECONDS)
 
 
-def _common(
+def _intersection(
     one: pipeline.LayerRange | None, other: pipeline.LayerRange | None
 ) -> pipeline.LayerRange | None:
     """Return the layers that are in both ranges."""
--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which engines are lost, found out by asking them."""
+"""Detects lost engines by probing them."""
 
 import collections
 import typing
@@ -17,72 +17,72 @@
 from crowdeck.observe import logs
 from crowdeck import route as routes
 
-# An engine that failed a request is gone for the plan only after so many
-# questions, one at each look, went unanswered too: moving layers costs
-# loads, and takes engines out of paths that were well.
+# An engine that failed a request counts as lost after this many failed probes,
+# one in each check. Moving its layers makes other engines load, which takes
+# them out of paths that work.
 FAILURE_THRESHOLD_PROBES = 2
-# An engine that is lost is seldom the only one: a rack, a switch. All are
-# asked then, so often, instead of each being found by the requests that it
-# fails: thirteen of 39 that died together were known three seconds later,
-# when their entries went.
+# Checks that probe all engines after one was lost. Engines often fail
+# together, for example with a rack or a switch, and probes find the others
+# before their requests fail.
 SWEEPS = 2
-# Questions under way at once: a thousand at once would all go unanswered, for
-# want of our own time.
-QUESTIONS_AT_ONCE = 32
-# Where more than this share of the fleet says nothing the fault is taken
-# for ours: the entries tell, in time, who is gone.
-SWEEP_MOST_SHARE = 0.5
+# More probes at once could time out because this process is too busy to handle
+# their answers.
+MAX_CONCURRENT_PROBES = 32
+# If more than this share of the probed engines is silent, the network of this
+# process is taken for the cause and the sweep is ignored. Engines that are
+# lost then disappear with their entries in the store.
+MAX_SILENT_SHARE = 0.5
 
 
-class Reporter(typing.Protocol):
-    """Reaches engines with questions."""
+class ReportClient(typing.Protocol):
+    """Fetches reports from engines."""
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
-        """Return what an engine says of itself.
+        """Return an engine's report.
 
-        :raises CrowdeckError: when it cannot be had.
+        :raises CrowdeckError: if there is none.
         """
         ...
 
 
 class FailureDetector:
-    """Asks engines that failed whether they live; all, once one does not."""
+    """Probes engines that failed a request, and all once one is lost."""
 
     def __init__(
         self,
         registry: registries.UpstreamRegistry,
-        engines: Reporter,
+        client: ReportClient,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
         self._registry = registry
-        self._engines = engines
+        self._client = client
         self._services = services
-        self._unanswered: collections.Counter[str] = collections.Counter()
+        self._failed_probes: collections.Counter[str] = collections.Counter()
         self._sweeps_left = 0
 
-    async def look(self) -> None:
-        """Ask whom there is reason to ask."""
-        await self._question_avoided()
+    async def check(self) -> None:
+        """Probe the engines that may be lost."""
+        await self._probe_avoided()
         await self._sweep()
 
     def is_lost(self, name: str) -> bool:
-        """Whether an engine left enough questions unanswered."""
-        return self._unanswered[name] >= FAILURE_THRESHOLD_PROBES
+        """Whether an engine failed enough probes to count as lost."""
+        return self._failed_probes[name] >= FAILURE_THRESHOLD_PROBES
 
-    async def _question_avoided(self) -> None:
-        """Ask the engines that failed a request whether they live."""
+    async def _probe_avoided(self) -> None:
+        """Probe the engines that failed a request."""
         avoided = self._registry.avoided()
-        for name in set(self._unanswered) - {one.name for one in avoided}:
-            del self._unanswered[name]
+        for name in set(self._failed_probes) - {one.name for one in avoided}:
+            del self._failed_probes[name]
         asked = [
             one
             for one in avoided
             if one.card and not self._registry.backoff_seconds_left(one.name)
         ]
-        await _each(self._question, asked)
+        await _probe_each(self._probe, asked)
 
     async def _sweep(self) -> None:
-        """Ask all engines, after one was lost."""
+        """Probe all engines after one was lost."""
         if not self._sweeps_left:
             return
         self._sweeps_left -= 1
@@ -97,9 +97,9 @@
         ]
         silent: list[chain.Upstream] = []
 
-        async def ask(upstream: chain.Upstream) -> None:
+        async def probe(upstream: chain.Upstream) -> None:
             try:
-                await self._engines.report(upstream)
+                await self._client.report(upstream)
             except errors.CrowdeckError as error:
                 counters.COUNTERS.add("placement.sweep.silent")
                 logs.change(
@@ -110,21 +110,21 @@
                 )
                 silent.append(upstream)
 
-        await _each(ask, asked)
-        if len(silent) > SWEEP_MOST_SHARE * len(asked):
+        await _probe_each(probe, asked)
+        if len(silent) > MAX_SILENT_SHARE * len(asked):
             logs.change("sweep_ignored", asked=len(asked), silent=len(silent))
             return
         for one in silent:
-            # They are asked once more before anything is moved.
-            self._unanswered[one.name] += 1
-            self._registry.avoid(one.name, "no report when all were asked")
+            # Another probe has to fail before layers are moved.
+            self._failed_probes[one.name] += 1
+            self._registry.avoid(one.name, "no report during a sweep")
 
-    async def _question(self, upstream: chain.Upstream) -> None:
+    async def _probe(self, upstream: chain.Upstream) -> None:
         try:
-            await self._engines.report(upstream)
+            await self._client.report(upstream)
         except errors.CrowdeckError as error:
-            self._unanswered[upstream.name] += 1
-            if self._unanswered[upstream.name] == FAILURE_THRESHOLD_PROBES:
+            self._failed_probes[upstream.name] += 1
+            if self._failed_probes[upstream.name] == FAILURE_THRESHOLD_PROBES:
                 logs.change(
                     "engine_lost",
                     upstream=upstream.name,
@@ -136,17 +136,17 @@
         self._registry.note_healthy(upstream.name)
 
 
-async def _each(
-    ask: typing.Callable[[chain.Upstream], typing.Awaitable[None]],
+async def _probe_each(
+    probe: typing.Callable[[chain.Upstream], typing.Awaitable[None]],
     engines: typing.Iterable[chain.Upstream],
 ) -> None:
-    """Ask all of some engines, a few at a time."""
-    limiter = anyio.CapacityLimiter(QUESTIONS_AT_ONCE)
+    """Run a probe for each engine, a bounded number at a time."""
+    limiter = anyio.CapacityLimiter(MAX_CONCURRENT_PROBES)
 
-    async def ask_within(upstream: chain.Upstream) -> None:
+    async def probe_limited(upstream: chain.Upstream) -> None:
         async with limiter:
-            await ask(upstream)
+            await probe(upstream)
 
     async with anyio.create_task_group() as tasks:
         for one in engines:
-            tasks.start_soon(ask_within, one)
+            tasks.start_soon(probe_limited, one)
--- a/src/crowdeck/placement/rearrangement_delay.py
+++ b/src/crowdeck/placement/rearrangement_delay.py
@@ -3,32 +3,30 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""How long layers that no engine holds are waited for."""
+"""Delays rearrangements while a lost engine may still come back."""
 
 import typing
 
 import attrs
 
-# An engine that ended may come back with its layers, or empty: then it loads
-# what is missing, and nobody else changes. Restarts take about two seconds,
-# and the new entry shows within a heartbeat.
+# An engine that ended may restart and load the missing layers itself, so that
+# no other engine has to change. Covers a restart and one heartbeat.
 RESTART_GRACE_SECONDS = 2.3
-# Engines that come and go by turns would have the others rearranged each
-# time. Beyond so many rounds of orders an hour each waits twice as long as
-# the one before: 10 rounds, 8 until the longest wait, 11 in what is left of
-# the hour, so fewer than 30 an hour.
-FREE_ROUNDS = 10
-MOST_SECONDS = 300.0
+# Engines that come and go in turn would cause a rearrangement each time. After
+# this many rounds in the window each delay is twice the one before, up to the
+# maximum. That keeps the rounds of an hour below the bound.
+UNDELAYED_ROUNDS = 10
+MAX_DELAY_SECONDS = 300.0
 WINDOW_SECONDS = 3600.0
 MAX_ROUNDS_PER_HOUR = 30
 
 
 @attrs.define
 class RearrangementDelay:
-    """When the engines of one service are rearranged.
+    """Decides when the engines of one service may be rearranged.
 
-    :ivar due: the loop's time at which layers have been missed for long
-        enough, or the past.
+    :ivar due: event loop time at which the delay ends, or minus infinity
+        while no layer is missing.
     """
 
     due: float = float("-inf")
@@ -39,11 +37,12 @@
     def is_expired(
         self, now: float, is_told: bool, missing: typing.Iterable[int]
     ) -> bool:
-        """Whether layers that are missing now were waited for.
+        """Whether the delay for the layers that are missing now is over.
 
-        :param missing: these layers; one that went later is waited for, too.
-        :param is_told: whether those that hold them say that they leave;
-            they come back empty if at all, and later than others load.
+        :param missing: the layers that no engine holds. The delay starts again
+            when another layer goes missing.
+        :param is_told: whether their holders announced that they leave. There
+            is no restart to wait for then.
         """
         found = frozenset(missing)
         if not found <= self._missing:
@@ -52,20 +51,20 @@
         self._rounds = [at for at in self._rounds if now - at < WINDOW_SECONDS]
         wait = 0.0 if is_told else RESTART_GRACE_SECONDS
         began = self._since
-        beyond = len(self._rounds) - FREE_ROUNDS
+        beyond = len(self._rounds) - UNDELAYED_ROUNDS
         if beyond >= 0:
             wait = min(
-                MOST_SECONDS, RESTART_GRACE_SECONDS * 2.0 ** (beyond + 1)
+                MAX_DELAY_SECONDS, RESTART_GRACE_SECONDS * 2.0 ** (beyond + 1)
             )
             began = max(began, self._rounds[-1])
         self.due = began + wait
         return now >= self.due
 
-    def forget(self) -> None:
-        """Note that nothing is missing."""
+    def reset(self) -> None:
+        """Note that no layer is missing."""
         self._missing = frozenset()
         self.due = float("-inf")
 
     def note_round(self, now: float) -> None:
-        """Note that engines were ordered to take other layers."""
+        """Note that a rearrangement was ordered."""
         self._rounds.append(now)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -291,7 +291,7 @@
             system.registry.avoid(lost.name, "silent")
             system.registry.back_off(resting.name, REST_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
-                await watch.look()
+                await watch.check()
             names = {one.upstream for one in asked.arrivals}
             assert len(names) > 2
             assert resting.name not in names
@@ -321,7 +321,7 @@
             system.registry.avoid(one.name, "silent")
             system.registry.back_off(one.name, REST_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
-                await watch.look()
+                await watch.check()
             assert not asked.arrivals
             assert not watch.is_lost(one.name)
 
@@ -335,7 +335,7 @@
             ordered = system.fleet.upstreams[0]
             system.registry.back_off(ordered.listed.name, 8.0)
             duty = controllers.PlacementController(
-                typing.cast(leases.Lease, test_placement._Ledger()),
+                typing.cast(leases.Lease, test_placement._Lease()),
                 system.registry,
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
