--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What placements are worth, and the layout of engines that begin empty."""
+"""Tests of placement scores and of layouts for engines that start empty."""
 
 import attrs
 import pytest
@@ -15,8 +15,7 @@
 from crowdeck.placement import plan
 from tests import fleet_system
 
-# An availability zone of mixed cards that hold 1.7 copies of the model
-# with a little room, and one with ample room.
+# A model and an availability zone of mixed cards that hold 1.7 copies of it.
 MIXED = attrs.evolve(
     fleet_system.PROFILE,
     token_bytes=590_000.0,
@@ -33,10 +32,10 @@
     return fleet_system.upstream(f"e{number}", "plateau", None, card)
 
 
-def rooms_of(
+def capacity_by_layer(
     fleet: list[chain.Upstream], layout: initial_layout.Layout
 ) -> list[float]:
-    """Return the tokens of room at each layer."""
+    """Return the token capacity at each layer."""
     rooms = [0.0] * MIXED.layer_count
     for one in fleet:
         layers = layout[one.name]
@@ -48,37 +47,36 @@
     return rooms
 
 
-class TestArrangement:
-    """Engines that begin together share the layers for service."""
+class TestInitialLayout:
+    """Layouts of engines that start together without layers."""
 
     def layout(self, fleet: list[chain.Upstream]) -> initial_layout.Layout:
-        arranger = initial_layout.InitialLayoutSearch(
+        search = initial_layout.InitialLayoutSearch(
             MIXED,
             lambda one, token_capacity: plan.fitting_layer_count(
                 one, MIXED, token_capacity
             ),
             plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(MIXED),
         )
-        return arranger.arrange(fleet)
+        return search.find_layout(fleet)
 
-    def test_no_layer_is_left_narrow(self) -> None:
-        # A fixed room per engine held half of the layers twice and the
-        # others once; paths had the room of one engine, 41,000 tokens, of
-        # the 126,000 that each layer gets here on average.
+    def test_no_layer_limits_the_capacity(self) -> None:
+        # If every engine keeps the same capacity, some layers have two copies
+        # and the others limit every path to the capacity of one engine.
         fleet = [an_engine(at, card) for at, card in enumerate(CARDS)]
-        rooms = rooms_of(fleet, self.layout(fleet))
+        rooms = capacity_by_layer(fleet, self.layout(fleet))
         assert min(rooms) >= 2.0 * capacity.needed_tokens(MIXED)
 
-    def test_what_is_left_of_memory_goes_into_copies(self) -> None:
+    def test_spare_memory_holds_more_copies(self) -> None:
         fleet = [an_engine(at, card) for at, card in enumerate(CARDS)]
         layout = self.layout(fleet)
         held = sum(one.end - one.first for one in layout.values())
         assert held >= 1.4 * MIXED.layer_count
 
-    def test_every_layer_comes_before_any_room(self) -> None:
-        # Cards that hold the model once, with no more than the least room.
+    def test_coverage_comes_before_capacity(self) -> None:
+        # Cards that hold the model once, with the minimum capacity.
         fleet = [an_engine(at, "narrow") for at in range(10)]
-        assert min(rooms_of(fleet, self.layout(fleet))) > 0.0
+        assert min(capacity_by_layer(fleet, self.layout(fleet))) > 0.0
 
     @pytest.mark.parametrize(
         ("count", "cards"), [(60, CARDS), (18, ("wide",))]
@@ -89,28 +87,29 @@
         count: int,
         cards: tuple[str, ...],
     ) -> None:
-        # All engines of a large zone empty at once: the search held the
-        # only thread for 17 s, and for 1.0 s where 19 engines could hold
-        # half of the model each.
-        looks = 0
+        # The search blocks the event loop, so its time must not grow with the
+        # square of the engines, nor with the layers that each can hold.
+        searches = 0
         best_window = capacity.LayerCapacity.best_window
 
-        def counted(
+        def count_searches(
             rooms: capacity.LayerCapacity, engine: chain.Upstream, most: int
         ) -> capacity.Window | None:
-            nonlocal looks
-            looks += 1
+            nonlocal searches
+            searches += 1
             return best_window(rooms, engine, most)
 
-        monkeypatch.setattr(capacity.LayerCapacity, "best_window", counted)
+        monkeypatch.setattr(
+            capacity.LayerCapacity, "best_window", count_searches
+        )
         fleet = [an_engine(at, cards[at % len(cards)]) for at in range(count)]
-        rooms = rooms_of(fleet, self.layout(fleet))
-        assert looks <= len(fleet)
+        rooms = capacity_by_layer(fleet, self.layout(fleet))
+        assert searches <= len(fleet)
         assert min(rooms) >= 4.0 * capacity.needed_tokens(MIXED)
 
 
-class TestRooms:
-    """What one more engine had better hold."""
+class TestLayerCapacity:
+    """The range that is chosen for one more engine."""
 
     def test_a_missing_layer_comes_first(self) -> None:
         rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
@@ -121,7 +120,7 @@
         assert window.layers.first <= 30
         assert window.layers.end >= 36
 
-    def test_the_narrowest_layers_come_next(self) -> None:
+    def test_layers_with_least_capacity_come_next(self) -> None:
         rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
         rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
         rooms.add(an_engine(1, "wide"), pipeline.LayerRange(40, 80))
@@ -132,7 +131,7 @@
         assert window.layers.first >= 10
         assert window.layers.end <= 70
 
-    def test_counts_come_back_to_nothing(self) -> None:
+    def test_drop_reverts_add(self) -> None:
         rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
         before = rooms.score
         rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -3,19 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A large fleet of which some engines are listed after the first plan.
-
-What callers saw: of a fleet of 1,001 engines 40 to 135 ever held layers, and
-up to nine requests of ten were refused. The order of events: the first plan
-was made for the engines listed by then. All others came as newcomers beside
-them, and whoever held the lease looked at the plan again.
-
-The cause: a place for each newcomer was found one by one beside all that was
-held, in one piece: 961 beside 40 took 62 s of a full core, the longest piece
-28 s, and 0.9 ms more for each of them to see whether it might wait. The lease
-is held for 3.8 s. So it lapsed before anything was ordered, and the next
-holder fared the same. Which of them were listed by the first plan differs
-from play to play, and so did what was served.
+"""Tests of a large fleet whose engines are listed after the first plan.
+
+Planning many empty engines at once must not outlast the lease, or no engine is
+ever ordered.
 """
 
 import asyncio
@@ -37,20 +28,21 @@
 from tests import test_placement
 from tests import virtual
 
-# Large enough for several parts in each zone.
+# Large enough for several batches in each availability zone.
 COUNT = 300
 HELD = 20
 ZONES = ("a", "b", "c")
 PROFILE = fleet_system.PROFILE
-# What a call takes of a small entry's time, and after how long it is given up.
-STEP_SECONDS = 0.0008
-EXCHANGE_STEPS = 4
-GIVEN_UP_SECONDS = 0.5
-ORDERED_SECONDS = 10.0
+# CPU time of each step of a call on a slow entry, steps of a call, and
+# timeout.
+CALL_STEP_SECONDS = 0.0008
+CALL_STEPS = 4
+CALL_TIMEOUT_SECONDS = 0.5
+MAX_ORDER_SECONDS = 10.0
 
 
 def a_fleet() -> list[chain.Upstream]:
-    """Return engines of which the first few hold a copy of the model."""
+    """Return a fleet whose first engines hold one copy of the model."""
     found = [
         fleet_system.upstream(f"e{number}", ZONES[number % 3], None, "large")
         for number in range(COUNT)
@@ -62,15 +54,15 @@
     return found
 
 
-class TestPlan:
-    """What a plan for newcomers takes at a time."""
+class TestBatches:
+    """Batches of a plan for many empty engines."""
 
-    def test_is_made_in_small_parts(self) -> None:
+    def test_batches_are_bounded(self) -> None:
         batches = list(plan.iter_moves(a_fleet(), PROFILE, lambda _: True))
         assert sum(map(len, batches)) == COUNT - HELD
         assert max(map(len, batches)) <= plan.MAX_GROUP_SIZE
 
-    def test_a_crowd_is_laid_out_in_groups_that_hold_the_model(self) -> None:
+    def test_each_batch_of_many_engines_holds_the_model(self) -> None:
         for batch in plan.iter_moves(a_fleet(), PROFILE, lambda _: True):
             if batch:
                 placed = [
@@ -79,14 +71,14 @@
                 ]
                 assert 0 not in chain.coverage(placed, PROFILE.layer_count)
 
-    def test_of_a_few_is_made_in_small_parts(self) -> None:
+    def test_batches_of_few_engines_are_bounded(self) -> None:
         fleet = [one for one in a_fleet() if one.layers is not None]
         fleet += a_fleet()[-9 * plan.FILL_BATCH_SIZE :]
         batches = list(plan.iter_moves(fleet, PROFILE, lambda _: True))
         assert sum(map(len, batches)) == 9 * plan.FILL_BATCH_SIZE
         assert max(map(len, batches)) <= plan.FILL_BATCH_SIZE
 
-    def test_is_the_same_as_in_one_piece(self) -> None:
+    def test_all_moves_together_complete_the_plan(self) -> None:
         fleet = a_fleet()
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
         named = {one.upstream.name: one.layers for one in moves}
@@ -97,7 +89,7 @@
         ]
         assert not plan.next_moves(held, PROFILE, lambda _: True)
 
-    def test_gaps_are_found_once_for_all_moves(
+    def test_coverage_is_counted_once_for_all_moves(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         fleet = a_fleet()
@@ -106,18 +98,20 @@
         gaps = plan.CoverageGaps(fleet, PROFILE)
         filling = [move for move in moves if gaps.is_filled_by(move)]
         assert len(counted) <= len(ZONES)
-        # Each zone lacks most of the layers that the others hold.
+        # Each zone lacks most of the layers that other zones hold.
         assert filling
 
 
-class TestDuty:
+class TestController:
     """Engines that are listed after the first plan was made."""
 
-    def test_all_get_layers(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_all_engines_get_layers(
+        self, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
-            duty = controllers.PlacementController(
-                typing.cast(leases.Lease, test_placement._Ledger()),
+            controller = controllers.PlacementController(
+                typing.cast(leases.Lease, test_placement._Lease()),
                 system.registry,
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
@@ -126,14 +120,14 @@
             async with anyio.create_task_group() as tasks:
                 for one in fleet[:HELD]:
                     system.add(one)
-                tasks.start_soon(duty.run)
+                tasks.start_soon(controller.run)
                 await anyio.sleep(controllers.LIST_QUIET_SECONDS + 1.0)
                 test_placement.tell_all(system)
                 counted = _count_coverage(monkeypatch)
                 for one in fleet[HELD:]:
                     system.add(one)
                 await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS / 2)
-                # Of all looks until then, and not of each newcomer.
+                # Coverage is not counted once per empty engine.
                 assert len(counted) < COUNT
                 await anyio.sleep(6.0)
                 for one in system.listed.values():
@@ -143,8 +137,8 @@
         virtual.run(body)
 
 
-class CostlyOrders:
-    """Calls of engines, each of which takes some of a small entry's time."""
+class SlowOrderClient:
+    """Calls engines and spends CPU time on each call."""
 
     def __init__(self, fleet: chain_fleet.ChainFleet) -> None:
         self._fleet = fleet
@@ -162,32 +156,28 @@
     async def _exchange(self) -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, virtual.VirtualLoop)
-        with anyio.move_on_after(GIVEN_UP_SECONDS):
-            for _ in range(EXCHANGE_STEPS):
-                loop.pass_time(STEP_SECONDS)
+        with anyio.move_on_after(CALL_TIMEOUT_SECONDS):
+            for _ in range(CALL_STEPS):
+                loop.pass_time(CALL_STEP_SECONDS)
                 await anyio.sleep(0.0002)
             return
         raise errors.CrowdeckError(errors.Code.UPSTREAM_LOST, "no answer")
 
 
-class TestThousand:
-    """A new fleet of a thousand engines, and a giver of 0.4 of a core.
+class TestThousandEngines:
+    """A new fleet of a thousand engines and a controller on a slow entry.
 
-    What callers saw: 40 engines held layers, and nine requests of ten were
-    refused. The order of events: the first part of the plan, 40 orders, was
-    carried out; all others were sent within a second, each with a question
-    first, and the giver had 988 connections open at once. None was answered
-    before it was given up, so all these engines were taken for failed, and
-    asked all at once again whether they live, twice a second.
+    Without a bound on concurrent calls all orders and probes time out, and all
+    engines are taken for lost.
     """
 
-    def test_every_layer_is_ordered_in_time(self) -> None:
+    def test_every_engine_is_ordered_in_time(self) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
-            duty = controllers.PlacementController(
-                typing.cast(leases.Lease, test_placement._Ledger()),
+            controller = controllers.PlacementController(
+                typing.cast(leases.Lease, test_placement._Lease()),
                 system.registry,
-                CostlyOrders(system.fleet),
+                SlowOrderClient(system.fleet),
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
             )
             async with anyio.create_task_group() as tasks:
@@ -197,12 +187,12 @@
                         fleet_system.upstream(name, zone, None, "large")
                     )
                 began = anyio.current_time()
-                tasks.start_soon(duty.run)
+                tasks.start_soon(controller.run)
                 while not all(
                     one.orders_taken for one in system.fleet.upstreams
                 ):
                     await anyio.sleep(0.1)
-                    assert anyio.current_time() < began + ORDERED_SECONDS
+                    assert anyio.current_time() < began + MAX_ORDER_SECONDS
                 tasks.cancel_scope.cancel()
             assert not system.registry.avoided()
 
@@ -210,7 +200,7 @@
 
 
 def _count_coverage(monkeypatch: pytest.MonkeyPatch) -> list[int]:
-    """Have each look through a group of engines counted."""
+    """Record the number of engines of each call of ``chain.coverage``."""
     counted: list[int] = []
     coverage = chain.coverage
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Which engine is to hold which layers, and the duty of ordering it."""
+"""Tests of placement plans, the placement controller and its lease."""
 
 import asyncio
 import itertools
@@ -61,13 +61,13 @@
 
 
 def settle(fleet: list[chain.Upstream]) -> list[chain.Upstream]:
-    """Carry moves out until there are none."""
+    """Carry out moves until there are none left."""
     for _ in range(200):
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
         if not moves:
             return fleet
         fleet = carry_out(fleet, moves)
-    raise AssertionError("the plan never settles")
+    raise AssertionError("the plan does not settle")
 
 
 def capacity(fleet: list[chain.Upstream]) -> int:
@@ -80,11 +80,11 @@
 
 
 class TestPlan:
-    """Properties of every plan."""
+    """Properties of plans."""
 
     @hypothesis.given(CARDS)
     @hypothesis.settings(max_examples=150, deadline=None)
-    def test_settles_with_every_layer_held_where_cards_suffice(
+    def test_settles_with_every_layer_held_if_cards_suffice(
         self, cards: list[tuple[str, str]]
     ) -> None:
         fleet = settle(engines(cards))
@@ -107,7 +107,7 @@
         CARDS, strategies.lists(strategies.integers(0, 39), max_size=6)
     )
     @hypothesis.settings(max_examples=150, deadline=None)
-    def test_no_move_takes_the_last_copy(
+    def test_no_move_gives_up_the_last_copy(
         self, cards: list[tuple[str, str]], lost: list[int]
     ) -> None:
         fleet = settle(engines(cards))
@@ -117,7 +117,7 @@
             moves = plan.next_moves(fleet, PROFILE, lambda _: True)
             if not moves:
                 break
-            # What is given up counts at once, what is taken up later.
+            # Layers are given up before others are loaded.
             given = {
                 move.upstream.name
                 for move in moves
@@ -129,7 +129,7 @@
                 assert held == 0 or left > 0
             fleet = carry_out(fleet, moves)
 
-    def test_each_zone_that_can_holds_the_whole_model(self) -> None:
+    def test_each_capable_zone_holds_the_whole_model(self) -> None:
         cards = [("large", zone) for zone in ("plateau", "almadies")] * 4
         fleet = settle(engines(cards))
         for zone in ("plateau", "almadies"):
@@ -146,7 +146,7 @@
             "e4",
         }
 
-    def test_gap_is_filled_with_the_least_loading(self) -> None:
+    def test_gap_is_filled_with_least_loading(self) -> None:
         wide = ("plateau", (0, 24), "large")
         fleet = [
             fleet_system.upstream("a", "plateau", (0, 24), "large"),
@@ -160,9 +160,9 @@
             ("e", pipeline.LayerRange(56, 60))
         ]
 
-    def test_only_what_no_zone_holds_is_urgent(self) -> None:
-        # Waiting for the streams that passed took 3.4 s to bring back
-        # three layers, for want of which nothing at all was served.
+    def test_only_moves_to_layers_that_no_zone_holds_are_urgent(self) -> None:
+        # No request is served without such layers, so the move must not wait
+        # for running streams to end.
         zone = [
             fleet_system.upstream("a", "plateau", (0, 24), "large"),
             fleet_system.upstream("b", "plateau", (0, 24), "large"),
@@ -182,9 +182,9 @@
             move.is_urgent for move in moves if move.upstream.name == "e"
         ] == [False]
 
-    def test_what_is_in_doubt_spares_nobody(self) -> None:
-        # An order to b got no answer: it may yet give its layers up, and
-        # a was moved away because of them (found by spec/orders.py).
+    def test_layers_in_doubt_do_not_make_others_redundant(self) -> None:
+        # An order to b was not answered, so b may still give up its layers.
+        # Found by spec/orders.py.
         fleet = [
             fleet_system.upstream("a", "plateau", (0, 24), "large"),
             fleet_system.upstream("b", "plateau", (0, 24), "large"),
@@ -193,16 +193,16 @@
         ]
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
         assert [move.upstream.name for move in moves] == ["a"]
-        relied = [
+        guaranteed = [
             attrs.evolve(one, layers=None) if one.name == "b" else one
             for one in fleet
         ]
         moves = plan.next_moves(
-            fleet, PROFILE, lambda one: one.name != "b", relied
+            fleet, PROFILE, lambda one: one.name != "b", guaranteed
         )
         assert moves == []
 
-    def test_gap_is_filled_by_one_that_can_be_spared(self) -> None:
+    def test_gap_is_filled_by_a_redundant_engine(self) -> None:
         fleet = settle(engines([("small", "plateau")] * 16))
         counts = chain.coverage(fleet, PROFILE.layer_count)
         single = next(
@@ -236,18 +236,19 @@
 
 
 class TestExactPlan:
-    """The plan beside the best there is, on models of six layers."""
+    """Plans compared with optimal placements, on a model of six layers."""
 
-    def test_holds_four_fifths_of_the_best(self) -> None:
+    def test_capacity_is_four_fifths_of_the_optimum(self) -> None:
         for cards in itertools.combinations_with_replacement(MOST_LAYERS, 3):
             best = max(
-                concurrent_requests(fleet) for fleet in every_placement(cards)
+                concurrent_requests(fleet) for fleet in all_placements(cards)
             )
             if best < plan.MIN_CONCURRENT_REQUESTS:
-                # Too little memory to serve with: nothing is planned for.
+                # Nothing is planned with too little memory to serve.
                 continue
             fleet = [
-                roomy(number, card, None) for number, card in enumerate(cards)
+                make_engine(number, card, None)
+                for number, card in enumerate(cards)
             ]
             for _ in range(10):
                 moves = plan.next_moves(fleet, SMALL, lambda _: True)
@@ -255,23 +256,23 @@
             assert concurrent_requests(fleet) >= 0.8 * best
 
 
-def roomy(
+def make_engine(
     number: int, card: str, held: tuple[int, int] | None
 ) -> chain.Upstream:
-    """Return an engine whose slots bind nothing."""
+    """Return an engine whose slots are no limit."""
     one = fleet_system.upstream(f"e{number}", "plateau", held, card)
     return attrs.evolve(one, slots=1000)
 
 
 def concurrent_requests(fleet: list[chain.Upstream]) -> float:
-    """Return the requests that a placement has memory for."""
+    """Return how many concurrent requests a placement has memory for."""
     return bound.bound(fleet, SMALL).concurrent_requests
 
 
-def every_placement(
+def all_placements(
     cards: tuple[str, ...],
 ) -> typing.Iterator[list[chain.Upstream]]:
-    """Yield engines with each choice of layers that their cards hold."""
+    """Yield engines with each possible choice of layers."""
     count = SMALL.layer_count
     choices = [
         [
@@ -285,7 +286,7 @@
     ]
     for layers in itertools.product(*choices):
         yield [
-            roomy(number, card, held)
+            make_engine(number, card, held)
             for number, (card, held) in enumerate(
                 zip(cards, layers, strict=True)
             )
@@ -295,23 +296,22 @@
 class TestLargeFleet:
     """A fleet of hundreds of engines in each availability zone."""
 
-    def test_is_laid_out_in_parts_that_hold_the_model(
+    def test_groups_are_bounded_and_hold_the_model(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # One part of 600 took 3.8 s of a full core, in which its giver of
-        # orders lost the lease; nobody ever ordered anything.
+        # Planning one large group would outlast the controller's lease.
         sizes: list[int] = []
-        arrange = initial_layout.InitialLayoutSearch.arrange
+        find_layout = initial_layout.InitialLayoutSearch.find_layout
 
-        def note(
-            arranger: initial_layout.InitialLayoutSearch,
+        def record_size(
+            search: initial_layout.InitialLayoutSearch,
             engines: typing.Sequence[chain.Upstream],
         ) -> initial_layout.Layout:
             sizes.append(len(engines))
-            return arrange(arranger, engines)
+            return find_layout(search, engines)
 
         monkeypatch.setattr(
-            initial_layout.InitialLayoutSearch, "arrange", note
+            initial_layout.InitialLayoutSearch, "find_layout", record_size
         )
         fleet = [attrs.evolve(one, layers=None) for one in paths.a_fleet(600)]
         moves = plan.next_moves(fleet, paths.PROFILE, lambda _: True)
@@ -326,33 +326,33 @@
                 if one.upstream.availability_zone == zone
             ]
             counts = chain.coverage(held, paths.LAYERS)
-            # Two copies a part. How often a layout was arranged does not
-            # tell the parts: one of each zone is arranged two ways first.
+            # Each group holds two copies. The number of searches is not the
+            # number of groups, as one group of each zone is searched twice.
             parts = len(fleet) // len(paths.ZONES) // plan.GROUP_SIZE
             assert parts == 3
             assert min(counts) >= 2 * parts
 
-    def test_the_lease_is_renewed_while_layers_are_found(
+    def test_the_lease_is_renewed_during_planning(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        arrange = initial_layout.InitialLayoutSearch.arrange
+        find_layout = initial_layout.InitialLayoutSearch.find_layout
 
         def take_time(
-            arranger: initial_layout.InitialLayoutSearch,
+            search: initial_layout.InitialLayoutSearch,
             engines: typing.Sequence[chain.Upstream],
         ) -> initial_layout.Layout:
             loop = asyncio.get_running_loop()
             assert isinstance(loop, virtual.VirtualLoop)
-            # As on an entry with 0.4 of a core.
+            # CPU time of a search on a slow entry.
             loop.pass_time(0.13 * (len(engines) / 40.0) ** 2)
-            return arrange(arranger, engines)
+            return find_layout(search, engines)
 
         monkeypatch.setattr(
-            initial_layout.InitialLayoutSearch, "arrange", take_time
+            initial_layout.InitialLayoutSearch, "find_layout", take_time
         )
 
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
             longest = 0.0
             seen = anyio.current_time()
@@ -363,10 +363,10 @@
             assert longest < 0.5
             assert all(one.orders_taken for one in system.fleet.upstreams)
 
-        play_duty(work, count=120)
+        run_with_controller(work, count=120)
 
 
-class _Ledger:
+class _Lease:
     """A lease that a test grants."""
 
     def __init__(self) -> None:
@@ -378,22 +378,22 @@
         self.memo = memo
 
 
-def play_duty(
+def run_with_controller(
     work: typing.Callable[
-        [fleet_system.FleetSystem, _Ledger], typing.Awaitable[None]
+        [fleet_system.FleetSystem, _Lease], typing.Awaitable[None]
     ],
     count: int = 5,
 ) -> None:
     async def body() -> None:
         system = fleet_system.FleetSystem()
-        ledger = _Ledger()
+        lease = _Lease()
         listed = (
             routes.Service(fleet_system.MODEL, 100, PROFILE),
-            # A second model, whose looks must not disturb the first's.
+            # The plan of a second model must not disturb the first one.
             routes.Service("other", 100, PROFILE),
         )
-        duty = controllers.PlacementController(
-            typing.cast(leases.Lease, ledger),
+        controller = controllers.PlacementController(
+            typing.cast(leases.Lease, lease),
             system.registry,
             system.fleet,
             lambda: listed,
@@ -403,27 +403,27 @@
                 fleet_system.upstream(f"e{number}", "plateau", None, "large")
             )
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(duty.run)
-            await work(system, ledger)
+            tasks.start_soon(controller.run)
+            await work(system, lease)
             tasks.cancel_scope.cancel()
 
     virtual.run(body)
 
 
 def tell_all(system: fleet_system.FleetSystem) -> None:
-    """Have every engine tell what it holds, as heartbeats do."""
+    """List every engine with the layers it holds, as heartbeats do."""
     for one in list(system.listed.values()):
         target = system.fleet.at(one.address)
         if target.answers:
             system.list_instance(target.listed)
 
 
-class TestDuty:
-    """Orders, and what becomes of them."""
+class TestController:
+    """Orders of the controller and their outcomes."""
 
-    def test_first_plan_waits_for_the_fleet_to_be_listed(self) -> None:
+    def test_first_plan_waits_until_the_fleet_is_listed(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
             await anyio.sleep(0.6)
             system.add(fleet_system.upstream("late", "plateau", None, "large"))
@@ -438,24 +438,24 @@
                 for one in system.listed.values()
             )
 
-        play_duty(work)
+        run_with_controller(work)
 
     def test_without_the_lease_nothing_is_ordered(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
-            ledger.is_held = False
+            lease.is_held = False
             await anyio.sleep(5.0)
             assert all(
                 system.fleet.at(one.address).orders_taken == 0
                 for one in system.listed.values()
             )
 
-        play_duty(work)
+        run_with_controller(work)
 
     def test_restarted_engine_gets_layers_again(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -469,11 +469,11 @@
             assert target.orders_taken == 1
             assert target.listed.layers is not None
 
-        play_duty(work)
+        run_with_controller(work)
 
-    def test_newcomer_does_not_wait_for_ever(self) -> None:
+    def test_new_engine_gets_layers_after_the_delay(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -484,11 +484,11 @@
             await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 1.0)
             assert new.orders_taken == 1
 
-        play_duty(work)
+        run_with_controller(work)
 
-    def test_newcomer_waits_for_the_one_that_it_replaces(self) -> None:
+    def test_new_engine_takes_the_layers_of_one_that_leaves(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -513,11 +513,11 @@
             assert old.layers is not None
             assert new.listed.layers.end >= old.layers.end
 
-        play_duty(work)
+        run_with_controller(work)
 
-    def test_late_order_no_longer_fits(self) -> None:
+    def test_late_order_is_refused(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -528,11 +528,11 @@
             assert not is_taken
             assert target.listed.layers != late.layers
 
-        play_duty(work)
+        run_with_controller(work)
 
-    def test_lost_engine_is_replaced_by_one_to_spare(self) -> None:
+    def test_redundant_engine_replaces_a_lost_one(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -544,13 +544,13 @@
             live = [one for one in system.listed.values() if one.name != "e0"]
             assert min(chain.coverage(live, PROFILE.layer_count)) >= 1
 
-        play_duty(work, count=8)
+        run_with_controller(work, count=8)
 
-    def test_order_without_answer_is_in_doubt_until_a_newer_one(
+    def test_unanswered_order_is_in_doubt_until_a_newer_one(
         self,
     ) -> None:
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
             place = system.fleet.place
             lost = 1
@@ -568,37 +568,37 @@
 
             system.fleet.place = lose_first  # type: ignore[method-assign]
             with anyio.fail_after(3.0):
-                while not ledger.memo:
+                while not lease.memo:
                     await anyio.sleep(0.01)
-            assert ledger.memo == ("e0@0",)
+            assert lease.memo == ("e0@0",)
             tell_all(system)
             await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 2.0)
-            # Ordered again, with the same count: the late one fits no more.
+            # A newer order with the same count makes the late one invalid.
             assert system.fleet.at(system.listed["e0"].address).orders_taken
-            assert ledger.memo == ()
+            assert lease.memo == ()
 
-        play_duty(work)
+        run_with_controller(work)
 
-    def test_layers_on_their_way_are_not_relied_on(self) -> None:
+    def test_layers_that_are_loading_are_not_guaranteed(self) -> None:
         system = fleet_system.FleetSystem()
         listed = fleet_system.upstream("b", "plateau", (0, 24), "large")
         system.add(listed)
-        duty = controllers.PlacementController(
-            typing.cast(leases.Lease, _Ledger()),
+        controller = controllers.PlacementController(
+            typing.cast(leases.Lease, _Lease()),
             system.registry,
             system.fleet,
             lambda: (),
         )
         expected = attrs.evolve(listed, layers=pipeline.LayerRange(12, 36))
-        relied = duty._relied_on(expected)
-        assert relied.layers == pipeline.LayerRange(12, 24)
+        guaranteed = controller._guaranteed(expected)
+        assert guaranteed.layers == pipeline.LayerRange(12, 24)
 
-    def test_next_giver_relies_on_nothing_in_doubt(self) -> None:
+    def test_next_controller_does_not_rely_on_orders_in_doubt(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
-            ledger.memo = ("b@0",)
-            # As many as fit each: nobody can grow into the gap.
+            lease.memo = ("b@0",)
+            # Their memory is full, so none of them can grow into the gap.
             wide = ("plateau", (0, 39), "large")
             for one in (
                 fleet_system.upstream("a", *wide),
@@ -606,7 +606,7 @@
                 fleet_system.upstream("c", "plateau", (39, 78), "large"),
             ):
                 system.add(one)
-            # Nor can it go itself, which it could: a is sure.
+            # Otherwise b itself could move, as the layers of a are certain.
             system.registry.back_off("b", 60.0)
             moved = system.fleet.at(system.listed["a"].address)
             await anyio.sleep(controllers.LATE_ORDER_SECONDS - 1.0)
@@ -614,13 +614,13 @@
             await anyio.sleep(2.0)
             assert moved.orders_taken == 1
 
-        play_duty(work, count=0)
+        run_with_controller(work, count=0)
 
-    def test_neighbours_grow_while_another_is_in_doubt(self) -> None:
+    def test_neighbours_grow_while_another_order_is_in_doubt(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
-            ledger.memo = ("b@0",)
+            lease.memo = ("b@0",)
             wide = ("plateau", (0, 24), "large")
             for one in (
                 fleet_system.upstream("a", *wide),
@@ -643,13 +643,13 @@
                 == (system.listed["b"])
             )
 
-        play_duty(work, count=0)
+        run_with_controller(work, count=0)
 
-    def test_those_lost_together_are_found_together(self) -> None:
-        # Only one was hit by a request; the others' entries took three
-        # heartbeats to go, and their layers were missing until then.
+    def test_engines_lost_together_are_detected_together(self) -> None:
+        # Only one of them failed a request. The others must be probed before
+        # their entries expire.
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -660,12 +660,12 @@
             await anyio.sleep(0.7)
             assert {one.name for one in system.registry.avoided()} == lost
 
-        play_duty(work, count=8)
+        run_with_controller(work, count=8)
 
-    def test_a_fleet_that_is_silent_as_a_whole_is_not_given_up(self) -> None:
-        # Our own link is at fault, and orders would not arrive anyway.
+    def test_a_fleet_that_is_silent_as_a_whole_is_not_lost(self) -> None:
+        # The network of this process is the likely cause.
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -682,11 +682,11 @@
                 for one in system.listed.values()
             )
 
-        play_duty(work, count=8)
+        run_with_controller(work, count=8)
 
     def test_one_failed_request_moves_nothing(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, ledger: _Ledger
+            system: fleet_system.FleetSystem, lease: _Lease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -699,11 +699,11 @@
             )
             assert system.registry.is_usable("e0")
 
-        play_duty(work, count=8)
+        run_with_controller(work, count=8)
 
 
 class TestLease:
-    """One holder at a time, by each one's own clock."""
+    """The lease has at most one holder at a time."""
 
     def test_only_one_of_many_holds_it(self) -> None:
         async def body() -> None:
@@ -723,7 +723,7 @@
 
         virtual.run(body)
 
-    def test_next_holder_is_told_what_the_last_one_noted(self) -> None:
+    def test_next_holder_reads_the_memo_of_the_last_one(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             first = leases.Lease(store, "duty", "first")
@@ -734,7 +734,7 @@
                         inner.start_soon(first.run)
                         await anyio.sleep(1.0)
                         first.set_memo(("e0@3",))
-                        # Written at once, not with the next renewal.
+                        # A memo is written before the next renewal.
                         await anyio.sleep(0.1)
                         life.cancel()
                 tasks.start_soon(second.run)
@@ -767,7 +767,7 @@
 
         virtual.run(body)
 
-    def test_is_not_held_through_an_outage(self) -> None:
+    def test_is_not_held_during_a_store_outage(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             lease = leases.Lease(store, "duty", "one")
@@ -798,7 +798,7 @@
 
         virtual.run(body)
 
-    def test_given_up_it_passes_on_at_once(self) -> None:
+    def test_passes_on_at_once_when_given_up(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             first = leases.Lease(store, "duty", "first")
@@ -817,8 +817,8 @@
 
         virtual.run(body)
 
-    def test_malformed_lease_is_anothers_for_its_whole_length(self) -> None:
-        # Refused for good it left the duty undone until somebody mended it.
+    def test_malformed_lease_counts_as_held_for_its_whole_length(self) -> None:
+        # A malformed object must not block the lease for ever.
         async def body() -> None:
             store = standin_store.StandinStore()
             store.write(leases.KIND, "duty", b"[]")
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -3,18 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Layers that no engine holds and that nobody can be spared for.
-
-What callers saw: four engines of one zone held a model of 80 layers, 20
-each; any three of them could hold it whole. One went: it said in the store
-that it leaves, or in its answers only, or it ended and its entry was removed.
-From then on no stream was served, until an engine came.
-
-The cause: an engine was never told to give up layers that only it holds,
-so a gap that no empty and no spare engine fills stayed for good, though the
-engines left had memory for all layers. Nothing but the store, the duty and
-the four engines is needed to see it: with a fifth, empty engine each of these
-tests served within its load.
+"""Tests of rearrangements, which restore layers that no engine holds.
+
+Without them a lost layer stays unheld if no empty and no redundant engine can
+take it, even though the remaining engines have memory for the whole model.
 """
 
 import random
@@ -41,8 +33,8 @@
 from tests import test_placement
 from tests import virtual
 
-# Four hold 20 layers each. They could hold 33, with room for what is asked
-# here beside 27, or 28 at most.
+# Four engines hold 20 layers each. With PROFILE each could hold 33 layers, or
+# 27 with capacity for the requests of these tests; with TIGHT at most 28.
 PROFILE = attrs.evolve(
     fleet_system.PROFILE,
     cards={"card": chain.AcceleratorType("card", 60_000.0, 1.4, 1.0)},
@@ -51,10 +43,10 @@
     PROFILE, cards={"card": chain.AcceleratorType("card", 51_000.0, 1.4, 1.0)}
 )
 COUNT = 4
-# Beside the loading of the largest range that changes.
-SERVED_SECONDS = 3.0
-ASKED = 30
-ASKED_PER_SECOND = 30.0
+# Time until requests are served again, without loading.
+RECOVERY_SECONDS = 3.0
+STREAMS = 30
+STREAMS_PER_SECOND = 30.0
 HEARTBEAT_SECONDS = 0.2
 
 System = fleet_system.FleetSystem
@@ -83,10 +75,10 @@
 LOSSES = (leave_by_store, leave_by_answers, end)
 
 
-class Playing:
-    """A fleet in virtual time, with a giver of orders and heartbeats.
+class Simulation:
+    """A fleet in virtual time with a placement controller and heartbeats.
 
-    :ivar ledger: the lease of the giver.
+    :ivar lease: the lease of the controller.
     """
 
     def __init__(
@@ -107,23 +99,23 @@
             )
         )
         self.system.fleet.load_seconds = profile.load_seconds
-        self.ledger = test_placement._Ledger()
+        self.lease = test_placement._Lease()
         for one in engines:
             self.system.add(one)
 
-    def duty(
+    def controller(
         self, orders: controllers.OrderClient | None = None
     ) -> controllers.PlacementController:
-        """Return a giver of orders that knows nothing yet."""
+        """Return a new placement controller."""
         return controllers.PlacementController(
-            typing.cast(leases.Lease, self.ledger),
+            typing.cast(leases.Lease, self.lease),
             self.system.registry,
             orders or self.system.fleet,
             lambda: self.system.holder.services,
         )
 
-    async def beat(self) -> None:
-        """Have the engines tell what they hold, until cancelled."""
+    async def heartbeat(self) -> None:
+        """List the engines with the layers they hold, until cancelled."""
         while True:
             for target in self.system.fleet.upstreams:
                 name = target.listed.name
@@ -133,7 +125,7 @@
             await anyio.sleep(HEARTBEAT_SECONDS)
 
     async def share_served(self) -> float:
-        """Return which share of some streams is served now."""
+        """Send some streams and return the share that is served."""
         served = 0
 
         async def ask() -> None:
@@ -143,13 +135,13 @@
             served += caller.status == 200 and caller.is_whole
 
         async with anyio.create_task_group() as tasks:
-            for _ in range(ASKED):
+            for _ in range(STREAMS):
                 tasks.start_soon(ask)
-                await anyio.sleep(1.0 / ASKED_PER_SECOND)
-        return served / ASKED
+                await anyio.sleep(1.0 / STREAMS_PER_SECOND)
+        return served / STREAMS
 
     def held(self) -> dict[str, pipeline.LayerRange | None]:
-        """Return what each listed engine that stays holds."""
+        """Return the layers of each listed engine that is not leaving."""
         return {
             one.name: self.system.fleet.at(one.address).listed.layers
             for one in self.system.listed.values()
@@ -159,7 +151,7 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether those that stay hold every layer."""
+        """Whether the engines that are not leaving hold every layer."""
         engines = (
             self.system.fleet.at(self.system.listed[name].address).listed
             for name in self.held()
@@ -167,12 +159,12 @@
         return 0 not in chain.coverage(engines, self.profile.layer_count)
 
     def orders_taken(self) -> int:
-        """Return how many orders the engines took."""
+        """Return how many orders the engines accepted."""
         return sum(one.orders_taken for one in self.system.fleet.upstreams)
 
 
 def four() -> list[chain.Upstream]:
-    """Return engines that hold a quarter of the model each."""
+    """Return four engines that hold a quarter of the model each."""
     return [
         fleet_system.upstream(
             f"e{number}", "plateau", (20 * number, 20 * number + 20), "card"
@@ -182,7 +174,7 @@
 
 
 def large_four() -> list[chain.Upstream]:
-    """Return engines of which any two could hold nearly all, any three all."""
+    """Return four engines, any three of which could hold the model."""
     return [attrs.evolve(one, card="large") for one in four()]
 
 
@@ -190,7 +182,7 @@
     before: dict[str, pipeline.LayerRange | None],
     after: dict[str, pipeline.LayerRange | None],
 ) -> list[int]:
-    """Return how many layers each engine loaded that is left."""
+    """Return how many layers each remaining engine loaded."""
     counts = []
     for name, layers in after.items():
         old = before[name]
@@ -200,69 +192,71 @@
     return counts
 
 
-def play(
-    work: typing.Callable[[Playing], typing.Awaitable[None]],
-    playing_of: typing.Callable[[], Playing] = lambda: Playing(four()),
+def run_with_controller(
+    work: typing.Callable[[Simulation], typing.Awaitable[None]],
+    make_simulation: typing.Callable[[], Simulation] = lambda: Simulation(
+        four()
+    ),
 ) -> None:
-    """Play some work beside a giver of orders, heartbeats and the watch."""
+    """Run ``work`` with a controller, heartbeats and the store watch."""
 
     async def body() -> None:
-        playing = playing_of()
+        simulation = make_simulation()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(playing.system.monitor.run)
-            tasks.start_soon(playing.beat)
-            tasks.start_soon(playing.duty().run)
+            tasks.start_soon(simulation.system.monitor.run)
+            tasks.start_soon(simulation.heartbeat)
+            tasks.start_soon(simulation.controller().run)
             await anyio.sleep(3.0)
-            await work(playing)
+            await work(simulation)
             tasks.cancel_scope.cancel()
 
     virtual.run(body)
 
 
 class TestOneOfFour:
-    """One goes, and the other three can hold the model."""
+    """One engine goes, and the other three can hold the model."""
 
     @pytest.mark.parametrize("lost", range(COUNT))
     @pytest.mark.parametrize("lose", LOSSES)
-    def test_is_served_again(self, lose: Loss, lost: int) -> None:
-        async def work(playing: Playing) -> None:
-            assert await playing.share_served() == 1.0
-            before = playing.held()
+    def test_requests_are_served_again(self, lose: Loss, lost: int) -> None:
+        async def work(simulation: Simulation) -> None:
+            assert await simulation.share_served() == 1.0
+            before = simulation.held()
             began = anyio.current_time()
-            lose(playing.system, f"e{lost}")
-            await anyio.sleep(SERVED_SECONDS)
-            after = playing.held()
-            assert playing.is_whole
+            lose(simulation.system, f"e{lost}")
+            await anyio.sleep(RECOVERY_SECONDS)
+            after = simulation.held()
+            assert simulation.is_whole
             share = max(loaded(before, after)) / PROFILE.layer_count
-            ready = began + SERVED_SECONDS + PROFILE.load_seconds * share
+            ready = began + RECOVERY_SECONDS + PROFILE.load_seconds * share
             await anyio.sleep(ready - anyio.current_time())
-            assert await playing.share_served() >= 0.9
+            assert await simulation.share_served() >= 0.9
 
-        play(work)
+        run_with_controller(work)
 
-    def test_with_few_layers_loaded(self) -> None:
-        # 20 are missing, and the neighbours' memory is 4 short: what they
-        # load more, their own neighbours take from them. 24 is the least.
-        async def work(playing: Playing) -> None:
-            before = playing.held()
-            end(playing.system, "e1")
-            await anyio.sleep(SERVED_SECONDS)
-            assert playing.is_whole
-            assert 24 <= sum(loaded(before, playing.held())) <= 1.3 * 24
+    def test_few_layers_are_loaded(self) -> None:
+        # 20 layers are missing and the neighbours have memory for 16 of them,
+        # so 24 layers have to be loaded at least.
+        async def work(simulation: Simulation) -> None:
+            before = simulation.held()
+            end(simulation.system, "e1")
+            await anyio.sleep(RECOVERY_SECONDS)
+            assert simulation.is_whole
+            assert 24 <= sum(loaded(before, simulation.held())) <= 1.3 * 24
 
-        play(work, lambda: Playing(four(), TIGHT))
+        run_with_controller(work, lambda: Simulation(four(), TIGHT))
 
 
-class Orders:
-    """Passes orders on, some without an answer, and notes what they cost.
+class RecordingOrderClient:
+    """Forwards and records orders, and loses the first ones.
 
-    :ivar unheld: layers that an order gave up with no other to hold them.
+    :ivar unheld: layers that an order gave up without another holder.
     """
 
-    def __init__(self, playing: Playing, lost: int = 0) -> None:
-        self._system = playing.system
+    def __init__(self, simulation: Simulation, lost: int = 0) -> None:
+        self._system = simulation.system
         self.lost = lost
-        self.given: list[plan.Move] = []
+        self.sent: list[plan.Move] = []
         self.unheld: list[int] = []
         self.late: list[tuple[plan.Move, int]] = []
 
@@ -282,13 +276,13 @@
         )
 
     async def carry_out_late(self) -> None:
-        """Carry out what got no answer, where it still fits."""
+        """Deliver the lost orders late."""
         for move, expected in self.late:
             await self._system.fleet.place(move, expected, 0)
         self.late.clear()
 
     def _note(self, move: plan.Move) -> None:
-        self.given.append(move)
+        self.sent.append(move)
         target = self._system.fleet.at(move.upstream.address).listed
         others = [
             one.listed
@@ -303,120 +297,127 @@
                     self.unheld.append(layer)
 
 
-def play_orders(
+def run_with_orders(
     work: typing.Callable[
-        [Playing, Orders, anyio.abc.TaskGroup], typing.Awaitable[None]
+        [Simulation, RecordingOrderClient, anyio.abc.TaskGroup],
+        typing.Awaitable[None],
     ],
     lost: int = 0,
     engines: typing.Callable[[], list[chain.Upstream]] = four,
     profile: chain.EngineProfile = TIGHT,
 ) -> None:
-    """Play some work beside heartbeats; it starts givers itself."""
+    """Run ``work`` with heartbeats; it starts controllers itself."""
 
     async def body() -> None:
-        playing = Playing(engines(), profile)
-        orders = Orders(playing, lost)
+        simulation = Simulation(engines(), profile)
+        orders = RecordingOrderClient(simulation, lost)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(playing.beat)
-            await work(playing, orders, tasks)
+            tasks.start_soon(simulation.heartbeat)
+            await work(simulation, orders, tasks)
             tasks.cancel_scope.cancel()
 
     virtual.run(body)
 
 
 class TestOrders:
-    """What a rearrangement may ask, and in what order."""
+    """Orders of a rearrangement and their sequence."""
 
     @pytest.mark.parametrize("lost", range(COUNT))
     def test_no_layer_is_given_up_before_another_has_taken_it(
         self, lost: int
     ) -> None:
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            end(playing.system, f"e{lost}")
-            await anyio.sleep(SERVED_SECONDS)
-            assert playing.is_whole
+            end(simulation.system, f"e{lost}")
+            await anyio.sleep(RECOVERY_SECONDS)
+            assert simulation.is_whole
             assert any(
                 move.upstream.layers
                 and move.upstream.layers.first < move.layers.first
                 or move.upstream.layers
                 and move.upstream.layers.end > move.layers.end
-                for move in orders.given
+                for move in orders.sent
             )
             assert not orders.unheld
 
-        play_orders(work)
+        run_with_orders(work)
 
     @pytest.mark.parametrize("is_late", (True, False))
     @pytest.mark.parametrize("lost_orders", (1, 2, 5))
-    def test_orders_without_an_answer(
-        self, lost_orders: int, is_late: bool
-    ) -> None:
+    def test_unanswered_orders(self, lost_orders: int, is_late: bool) -> None:
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            end(playing.system, "e1")
+            end(simulation.system, "e1")
             for _ in range(2 * int(controllers.LATE_ORDER_SECONDS)):
                 await anyio.sleep(1.0)
                 if is_late:
                     await orders.carry_out_late()
-            assert playing.is_whole
+            assert simulation.is_whole
             assert not orders.unheld
 
-        play_orders(work, lost_orders)
+        run_with_orders(work, lost_orders)
 
     @pytest.mark.parametrize("after", (1, 2, 3))
-    def test_a_giver_that_is_killed_midway(self, after: int) -> None:
-        # Its successor knows nothing but what the lease tells it.
+    def test_a_controller_that_is_killed_midway(self, after: int) -> None:
+        # Its successor knows only the memo of the lease.
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
             with anyio.CancelScope() as scope:
                 async with anyio.create_task_group() as inner:
-                    inner.start_soon(playing.duty(orders).run)
+                    inner.start_soon(simulation.controller(orders).run)
                     await anyio.sleep(1.0)
-                    end(playing.system, "e1")
-                    while len(orders.given) < after:
+                    end(simulation.system, "e1")
+                    while len(orders.sent) < after:
                         await anyio.sleep(0.0001)
                     scope.cancel()
             await anyio.sleep(4.5)
-            playing.ledger.term += 1
-            tasks.start_soon(playing.duty(orders).run)
-            await anyio.sleep(SERVED_SECONDS + 1.0)
-            assert playing.is_whole
+            simulation.lease.term += 1
+            tasks.start_soon(simulation.controller(orders).run)
+            await anyio.sleep(RECOVERY_SECONDS + 1.0)
+            assert simulation.is_whole
             assert not orders.unheld
 
-        play_orders(work)
+        run_with_orders(work)
 
-    def test_an_engine_that_ends_midway(self) -> None:
-        # Then the three left with the one that comes back empty.
+    def test_an_engine_that_is_lost_midway(self) -> None:
+        # The new empty engine and those that are left can hold the model.
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            end(playing.system, "e1")
-            while not orders.given:
+            end(simulation.system, "e1")
+            while not orders.sent:
                 await anyio.sleep(0.0001)
-            end(playing.system, "e3")
+            end(simulation.system, "e3")
             await anyio.sleep(8.0)
-            playing.system.add(
+            simulation.system.add(
                 fleet_system.upstream("new", "plateau", None, "card")
             )
             await anyio.sleep(10.0)
-            assert playing.is_whole
+            assert simulation.is_whole
 
-        play_orders(work)
+        run_with_orders(work)
 
-    def test_two_zones_of_which_one_lacks_a_layer_are_left_alone(
+    def test_no_orders_if_another_zone_holds_the_model(
         self,
     ) -> None:
-        # Its requests go to the other meanwhile.
+        # The requests of the zone go to the other one.
         def engines() -> list[chain.Upstream]:
             other = [
                 attrs.evolve(
@@ -428,52 +429,56 @@
             return four() + other
 
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            end(playing.system, "e1")
+            end(simulation.system, "e1")
             await anyio.sleep(20.0)
-            assert not orders.given
+            assert not orders.sent
 
-        play_orders(work, engines=engines)
+        run_with_orders(work, engines=engines)
 
-    def test_those_that_cannot_hold_the_model_are_left_alone(self) -> None:
+    def test_no_orders_if_the_engines_cannot_hold_the_model(self) -> None:
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            end(playing.system, "e1")
-            end(playing.system, "e2")
+            end(simulation.system, "e1")
+            end(simulation.system, "e2")
             await anyio.sleep(20.0)
-            assert not orders.given
+            assert not orders.sent
 
-        play_orders(work)
+        run_with_orders(work)
 
 
 class TestSteps:
-    """What waits for what."""
+    """Dependencies between the steps of a rearrangement."""
 
-    def test_those_that_exchange_layers_do_not_wait_for_one_another(
+    def test_engines_that_exchange_layers_do_not_wait_for_each_other(
         self,
     ) -> None:
-        # Neither order would ever be given.
+        # Otherwise neither order would ever be sent.
         engines = four()[:2]
         first, second = engines
         layout = {
             first.name: pipeline.LayerRange(20, 40),
             second.name: pipeline.LayerRange(0, 20),
         }
-        sure = {one.name: one.layers for one in engines}
-        steps = rearrangement._ordered(
+        guaranteed = {one.name: one.layers for one in engines}
+        steps = rearrangement._order_steps(
             [plan.Move(one, layout[one.name]) for one in engines],
-            rearrangement._Takers(engines, layout, sure),
+            rearrangement._Handover(engines, layout, guaranteed),
         )
         assert [step.after for step in steps] == [frozenset(), frozenset()]
 
-    def test_who_waits_for_one_that_is_left_out_is_left_out(self) -> None:
-        # The last cannot give 60 to 70 up: only one in doubt holds them.
+    def test_steps_that_wait_for_a_step_left_out_are_left_out(self) -> None:
+        # e3 cannot give up layers 60 to 70, which only e4 holds, in doubt.
         engines = [
             *four(),
             fleet_system.upstream("e4", "plateau", (60, 70), "card"),
@@ -483,128 +488,141 @@
             "e2": pipeline.LayerRange(30, 50),
             "e1": pipeline.LayerRange(50, 60),
         }
-        sure = {one.name: one.layers for one in engines if one.name != "e4"}
-        steps = rearrangement._ordered(
+        guaranteed = {
+            one.name: one.layers for one in engines if one.name != "e4"
+        }
+        steps = rearrangement._order_steps(
             [
                 plan.Move(one, layout[one.name])
                 for one in engines
                 if one.name in layout
             ],
-            rearrangement._Takers(engines, layout, sure),
+            rearrangement._Handover(engines, layout, guaranteed),
         )
-        given = {step.move.upstream.name: step.after for step in steps}
-        assert "e3" not in given
-        # 20 to 30 would be nobody's.
-        assert "e1" not in given
-        assert "e2" not in given
+        after_by_name = {step.move.upstream.name: step.after for step in steps}
+        assert "e3" not in after_by_name
+        # No engine would hold layers 20 to 30.
+        assert "e1" not in after_by_name
+        assert "e2" not in after_by_name
 
 
-class TestWhen:
-    """Waiting for who went, and for how long."""
+class TestDelay:
+    """The delay of a rearrangement after the loss of an engine."""
 
     @pytest.mark.parametrize("seconds", (0.5, 2.0))
-    def test_one_that_is_back_soon_moves_nobody(self, seconds: float) -> None:
+    def test_engine_that_restarts_soon_causes_no_rearrangement(
+        self, seconds: float
+    ) -> None:
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            end(playing.system, "e1")
+            end(simulation.system, "e1")
             await anyio.sleep(seconds)
-            back = playing.system.add(
+            back = simulation.system.add(
                 fleet_system.upstream("back", "plateau", None, "card")
             )
             await anyio.sleep(20.0)
-            assert playing.is_whole
-            assert [one.upstream.name for one in orders.given] == ["back"]
+            assert simulation.is_whole
+            assert [one.upstream.name for one in orders.sent] == ["back"]
             assert back.listed.layers == pipeline.LayerRange(20, 40)
 
-        play_orders(work)
+        run_with_orders(work)
 
-    def test_each_of_two_that_are_back_soon_is_waited_for(self) -> None:
-        # The second went a second later, and got what was left of the wait
-        # for the first: layers were loaded for nothing.
+    def test_each_of_two_lost_engines_is_waited_for(self) -> None:
+        # The loss of the second engine starts the delay again.
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
             for name in ("e1", "e2"):
-                end(playing.system, name)
+                end(simulation.system, name)
                 await anyio.sleep(1.0)
             for name, layers in (("e1", (20, 40)), ("e2", (40, 60))):
-                playing.system.add(
+                simulation.system.add(
                     fleet_system.upstream(
                         f"{name}-back", "plateau", layers, "card"
                     )
                 )
                 await anyio.sleep(1.0)
             await anyio.sleep(10.0)
-            assert playing.is_whole
-            assert not orders.given
+            assert simulation.is_whole
+            assert not orders.sent
 
-        play_orders(work, profile=fleet_system.PROFILE, engines=large_four)
+        run_with_orders(work, profile=fleet_system.PROFILE, engines=large_four)
 
-    def test_one_that_says_it_leaves_is_not_waited_for(self) -> None:
+    def test_leaving_engine_is_not_waited_for(self) -> None:
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            leave_by_store(playing.system, "e1")
+            leave_by_store(simulation.system, "e1")
             await anyio.sleep(0.2)
-            assert playing.is_whole
-            # It serves yet, and so do the streams that pass it.
-            assert not any(one.is_urgent for one in orders.given)
+            assert simulation.is_whole
+            # The leaving engine still serves, so streams are not interrupted.
+            assert not any(one.is_urgent for one in orders.sent)
 
-        play_orders(work)
+        run_with_orders(work)
 
-    def test_one_that_comes_and_goes_moves_nobody_twice(self) -> None:
+    def test_engine_that_comes_and_goes_causes_one_rearrangement(self) -> None:
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            end(playing.system, "e1")
+            end(simulation.system, "e1")
             await anyio.sleep(10.0)
-            assert playing.is_whole
-            held = playing.held()
+            assert simulation.is_whole
+            held = simulation.held()
             for number in range(20):
                 name = f"back{number}"
-                playing.system.add(
+                simulation.system.add(
                     fleet_system.upstream(name, "plateau", None, "card")
                 )
                 await anyio.sleep(15.0)
-                end(playing.system, name)
+                end(simulation.system, name)
                 await anyio.sleep(15.0)
-            assert playing.held() == held
+            assert simulation.held() == held
 
-        play_orders(work)
+        run_with_orders(work)
 
-    def test_those_that_come_and_go_by_turns_are_waited_for(self) -> None:
-        # Any three hold the model; each time another one goes.
+    def test_rounds_are_bounded_if_engines_come_and_go_in_turn(self) -> None:
+        # Any three hold the model; each time another engine is lost.
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
             rounds = 0
             began = anyio.current_time()
             while anyio.current_time() < began + 3_600.0:
                 going = sorted(
-                    playing.held(),
+                    simulation.held(),
                     key=lambda name: (
-                        playing.system.fleet.at(
-                            playing.system.listed[name].address
+                        simulation.system.fleet.at(
+                            simulation.system.listed[name].address
                         ).orders_taken,
                         name,
                     ),
                 )[0]
-                before = len(orders.given)
-                end(playing.system, going)
+                before = len(orders.sent)
+                end(simulation.system, going)
                 await anyio.sleep(12.0)
-                rounds += len(orders.given) > before
-                playing.system.add(
+                rounds += len(orders.sent) > before
+                simulation.system.add(
                     fleet_system.upstream(
                         f"n{anyio.current_time():.0f}",
                         "plateau",
@@ -613,14 +631,14 @@
                     )
                 )
                 await anyio.sleep(12.0)
-                assert playing.is_whole
+                assert simulation.is_whole
             assert rounds <= rearrangement_delay.MAX_ROUNDS_PER_HOUR
 
-        play_orders(work)
+        run_with_orders(work)
 
 
 def path_of(count: int, layer_count: int, zones: int) -> list[chain.Upstream]:
-    """Return engines that hold a model once, each zone a part of it."""
+    """Return engines that hold one copy, with a part of it in each zone."""
     found = []
     for number in range(count):
         layers = (
@@ -632,8 +650,8 @@
     return found
 
 
-class TestSizes:
-    """Fleets with little room to spare, in virtual time."""
+class TestFleetSizes:
+    """Fleets of several sizes with little memory to spare."""
 
     @pytest.mark.parametrize(
         ("count", "layer_count", "spare", "lost"),
@@ -649,12 +667,12 @@
             (300, 600, 1, 5),
         ),
     )
-    def test_some_are_lost_for_good(
+    def test_several_engines_are_lost(
         self, count: int, layer_count: int, spare: int, lost: int
     ) -> None:
         most = layer_count // count + spare
         assert (count - lost) * most >= layer_count
-        # Room for four requests beside as many layers as are meant.
+        # Memory for this many layers and a little over four requests.
         per_layer = PROFILE.layer_mb + 4.01 * 858.0 * (
             PROFILE.token_bytes / layer_count / 1e6
         )
@@ -669,75 +687,84 @@
         )
 
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty().run)
+            tasks.start_soon(simulation.controller().run)
             await anyio.sleep(1.0)
-            before = playing.held()
+            before = simulation.held()
             for number in random.Random(lost).sample(range(count), lost):
-                end(playing.system, f"e{number}")
-            await anyio.sleep(SERVED_SECONDS)
-            assert playing.is_whole
-            counts = loaded(before, playing.held())
+                end(simulation.system, f"e{number}")
+            await anyio.sleep(RECOVERY_SECONDS)
+            assert simulation.is_whole
+            counts = loaded(before, simulation.held())
             assert sum(counts) >= lost * layer_count // count
 
-        play_orders(
+        run_with_orders(
             work,
             engines=lambda: path_of(count, layer_count, 1),
             profile=profile,
         )
 
     def test_a_whole_zone_is_lost(self) -> None:
-        # Twelve could hold 28 layers each; a zone has a third of the model.
+        # Each of 12 engines could hold 28 layers; a zone holds a third of the
+        # model.
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            for name in list(playing.system.listed):
-                if playing.system.listed[name].availability_zone == "zone2":
-                    end(playing.system, name)
-            await anyio.sleep(SERVED_SECONDS)
-            assert playing.is_whole
+            for name in list(simulation.system.listed):
+                if simulation.system.listed[name].availability_zone == "zone2":
+                    end(simulation.system, name)
+            await anyio.sleep(RECOVERY_SECONDS)
+            assert simulation.is_whole
             assert not orders.unheld
 
-        play_orders(work, engines=lambda: path_of(12, 80, 3))
+        run_with_orders(work, engines=lambda: path_of(12, 80, 3))
 
-    def test_those_that_rest_are_left_alone(self) -> None:
+    def test_engines_that_back_off_get_no_orders(self) -> None:
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            playing.system.registry.back_off("e0", 60.0)
-            end(playing.system, "e1")
-            await anyio.sleep(SERVED_SECONDS)
-            assert playing.is_whole
-            assert "e0" not in {one.upstream.name for one in orders.given}
+            simulation.system.registry.back_off("e0", 60.0)
+            end(simulation.system, "e1")
+            await anyio.sleep(RECOVERY_SECONDS)
+            assert simulation.is_whole
+            assert "e0" not in {one.upstream.name for one in orders.sent}
 
-        play_orders(work, profile=PROFILE)
+        run_with_orders(work, profile=PROFILE)
 
-    def test_is_ordered_as_soon_as_waiting_is_over(self) -> None:
+    def test_orders_are_sent_as_soon_as_the_delay_is_over(self) -> None:
         async def work(
-            playing: Playing, orders: Orders, tasks: anyio.abc.TaskGroup
+            simulation: Simulation,
+            orders: RecordingOrderClient,
+            tasks: anyio.abc.TaskGroup,
         ) -> None:
-            tasks.start_soon(playing.duty(orders).run)
+            tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            end(playing.system, "e1")
+            end(simulation.system, "e1")
             await anyio.sleep(rearrangement_delay.RESTART_GRACE_SECONDS - 0.02)
-            assert not orders.given
+            assert not orders.sent
             await anyio.sleep(0.07)
-            assert orders.given
+            assert orders.sent
 
-        play_orders(work)
+        run_with_orders(work)
 
 
-class TestPatience:
-    """The bound on how often engines are rearranged."""
+class TestRearrangementDelay:
+    """The bound on the number of rearrangements."""
 
     @pytest.mark.parametrize("is_told", (True, False))
-    def test_rounds_of_an_hour_are_bounded(self, is_told: bool) -> None:
-        # A layer is missing again as soon as it was ordered.
+    def test_rounds_per_hour_are_bounded(self, is_told: bool) -> None:
+        # A layer goes missing again after each rearrangement.
         known = rearrangement_delay.RearrangementDelay()
         rounds: list[float] = []
         now = 0.0
@@ -745,7 +772,7 @@
             now += 0.5
             if known.is_expired(now, is_told, (7,)):
                 known.note_round(now)
-                known.forget()
+                known.reset()
                 rounds.append(now)
         for first in rounds:
             within = [
@@ -758,10 +785,10 @@
 
 
 class TestOverSockets:
-    """The same over real sockets, with a whole entry."""
+    """A rearrangement over real sockets, with a whole entry."""
 
     @pytest.mark.parametrize("way", ("store", "answers", "end"))
-    def test_is_served_again(self, way: str) -> None:
+    def test_requests_are_served_again(self, way: str) -> None:
         async def work(running: test_fleet_process.Running) -> None:
             def held() -> list[chain.Upstream]:
                 return [
@@ -785,9 +812,9 @@
                 running.store.remove(
                     names.UPSTREAM_KIND, lost.listed.incarnation.id
                 )
-            # Whoever leaves by its answers has to give some.
+            # An engine that announces it in answers has to answer requests.
             await self._served(running, "first")
-            await anyio.sleep(SERVED_SECONDS)
+            await anyio.sleep(RECOVERY_SECONDS)
             assert await self._served(running, "second") >= 0.9
 
         anyio.run(test_fleet_process.run_entry, work)
@@ -802,7 +829,7 @@
             answers.append(answer.status)
 
         async with anyio.create_task_group() as tasks:
-            for number in range(ASKED):
+            for number in range(STREAMS):
                 tasks.start_soon(ask, number)
-                await anyio.sleep(1.0 / ASKED_PER_SECOND)
-        return answers.count(200) / ASKED
+                await anyio.sleep(1.0 / STREAMS_PER_SECOND)
+        return answers.count(200) / STREAMS
--- a/tests/test_relayout.py
+++ b/tests/test_relayout.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Layouts that make a model whole again, beside the best there are."""
+"""Tests of layouts that restore a model, compared with optimal ones."""
 
 import random
 
@@ -12,27 +12,27 @@
 from crowdeck import pipeline
 from crowdeck.placement import relayout
 
-# The layers loaded, as a multiple of the least possible.
-LOADED_MOST = 1.3
-DRAWN = 300
+# Bound on the layers loaded, as a multiple of the optimum.
+MAX_LOADING_FACTOR = 1.3
+GROUPS_PER_SEED = 300
 
 
-def least_loading(
+def optimal_loading(
     members: list[relayout.Member], layer_count: int
 ) -> int | None:
-    """Return how many layers have to be loaded, by trying every order."""
+    """Return the least number of layers to load, by exhaustive search."""
     never = layer_count * len(members) + 1
     costs = [[never] * (layer_count + 1) for _ in range(2 ** len(members))]
     costs[0][0] = 0
-    for gone, row in enumerate(costs):
+    for placed, row in enumerate(costs):
         for number, one in enumerate(members):
-            if gone >> number & 1:
+            if placed >> number & 1:
                 continue
-            then = costs[gone | 1 << number]
+            then = costs[placed | 1 << number]
             for first in range(layer_count):
-                # Whoever holds more serves as one that holds less.
+                # Covering more layers is never worse.
                 cost = min(row[first:])
-                end_most = min(layer_count, first + one.most)
+                end_most = min(layer_count, first + one.max_layers)
                 for end in range(first + 1, end_most + 1):
                     layers = pipeline.LayerRange(first, end)
                     load = end - first - relayout._overlap(one.held, layers)
@@ -41,35 +41,38 @@
     return least if least < never else None
 
 
-def drawn(rng: random.Random) -> tuple[list[relayout.Member], int]:
-    """Return engines with a gap, or with layers drawn at will."""
+def random_group(rng: random.Random) -> tuple[list[relayout.Member], int]:
+    """Return random engines, either with a gap or with arbitrary layers."""
     layer_count = rng.choice((8, 12, 16))
     found: list[relayout.Member] = []
     if rng.random() < 0.5:
         first = 0
         while first < layer_count:
-            most = rng.randint(2, max(3, layer_count // 3))
-            end = min(layer_count, first + rng.randint(max(1, most - 2), most))
+            max_layers = rng.randint(2, max(3, layer_count // 3))
+            end = min(
+                layer_count,
+                first + rng.randint(max(1, max_layers - 2), max_layers),
+            )
             layers = pipeline.LayerRange(first, end)
-            found.append(relayout.Member(f"e{len(found)}", layers, most))
+            found.append(relayout.Member(f"e{len(found)}", layers, max_layers))
             first = end
         rng.shuffle(found)
         return found[: max(2, len(found) - rng.randint(1, 2))][:6], layer_count
     for number in range(rng.randint(2, 5)):
-        most = rng.randint(2, layer_count // 2 + 2)
+        max_layers = rng.randint(2, layer_count // 2 + 2)
         held = None
         if rng.random() < 0.8:
-            size = rng.randint(1, most)
+            size = rng.randint(1, max_layers)
             first = rng.randint(0, layer_count - size)
             held = pipeline.LayerRange(first, first + size)
-        found.append(relayout.Member(f"e{number}", held, most))
+        found.append(relayout.Member(f"e{number}", held, max_layers))
     return found, layer_count
 
 
-def carried_out(
+def loaded_and_missing(
     members: list[relayout.Member], layout: relayout.Layout, layer_count: int
 ) -> tuple[int, int]:
-    """Return the layers loaded and those that nobody holds then."""
+    """Return the layers loaded and the number of layers left unheld."""
     loaded, held = 0, [0] * layer_count
     for one in members:
         layers = layout.get(one.name, one.held)
@@ -77,7 +80,7 @@
             continue
         size = layers.end - layers.first
         assert layers.end <= layer_count
-        assert size <= one.most
+        assert size <= one.max_layers
         if one.name in layout:
             assert not one.is_fixed
             loaded += size - relayout._overlap(one.held, layers)
@@ -86,24 +89,24 @@
     return loaded, held.count(0)
 
 
-class TestSmall:
-    """Groups small enough for every layout to be tried."""
+class TestSmallGroups:
+    """Groups small enough for an exhaustive search."""
 
     @pytest.mark.parametrize("seed", range(4))
-    def test_loads_little_more_than_the_least(self, seed: int) -> None:
+    def test_loads_little_more_than_the_optimum(self, seed: int) -> None:
         rng = random.Random(seed)
-        for _ in range(DRAWN):
-            members, layer_count = drawn(rng)
-            least = least_loading(members, layer_count)
+        for _ in range(GROUPS_PER_SEED):
+            members, layer_count = random_group(rng)
+            least = optimal_loading(members, layer_count)
             layout = relayout.cover(members, layer_count)
             if least is None:
                 assert not layout
                 continue
-            loaded, missing = carried_out(members, layout, layer_count)
+            loaded, missing = loaded_and_missing(members, layout, layer_count)
             assert not missing
-            assert loaded <= LOADED_MOST * least
+            assert loaded <= MAX_LOADING_FACTOR * least
 
-    def test_who_cannot_be_ordered_stays(self) -> None:
+    def test_fixed_engine_keeps_its_layers(self) -> None:
         members = [
             relayout.Member("a", pipeline.LayerRange(0, 4), 4, True),
             relayout.Member("b", pipeline.LayerRange(6, 8), 4),
@@ -111,16 +114,16 @@
         assert relayout.cover(members, 8) == {"b": pipeline.LayerRange(4, 8)}
 
 
-class TestLarge:
-    """Groups of which some are lost, with little room to spare."""
+class TestLargeGroups:
+    """Groups that lose engines and have little memory to spare."""
 
     @pytest.mark.parametrize("lost", (1, 2, 5))
     @pytest.mark.parametrize(
-        ("count", "layer_count", "most"),
+        ("count", "layer_count", "max_layers"),
         ((8, 80, 28), (40, 80, 3), (40, 800, 24), (300, 600, 3)),
     )
-    def test_is_whole_again_and_does_not_take_long(
-        self, count: int, layer_count: int, most: int, lost: int
+    def test_model_is_restored_within_a_bounded_search(
+        self, count: int, layer_count: int, max_layers: int, lost: int
     ) -> None:
         for seed in range(3):
             members = [
@@ -130,13 +133,13 @@
                         layer_count * number // count,
                         layer_count * (number + 1) // count,
                     ),
-                    most,
+                    max_layers,
                 )
                 for number in range(count)
             ]
             random.Random(seed).shuffle(members)
             del members[:lost]
-            capacity = sum(one.most for one in members)
+            capacity = sum(one.max_layers for one in members)
             parts = 0
             search = relayout.cover_in_parts(members, layer_count)
             while True:
@@ -149,21 +152,21 @@
             if capacity < layer_count:
                 assert not layout
                 continue
-            loaded, missing = carried_out(members, layout, layer_count)
+            loaded, missing = loaded_and_missing(members, layout, layer_count)
             gap = lost * layer_count // count
             assert not missing
-            # Fewer than to lay all of them out anew.
+            # Less than loading the whole model again.
             assert gap <= loaded < layer_count
-            assert parts <= 2_000_000 // relayout.TURN_TRIES
+            assert parts <= 2_000_000 // relayout.YIELD_TRIES
 
-    def test_is_whole_where_no_search_ends(
+    def test_model_is_restored_if_the_budget_is_used_up(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(relayout, "TRIES_MOST", 10)
+        monkeypatch.setattr(relayout, "MAX_TRIES", 10)
         members = [
             relayout.Member("a", pipeline.LayerRange(0, 20), 30),
             relayout.Member("b", pipeline.LayerRange(40, 60), 30),
             relayout.Member("c", pipeline.LayerRange(60, 80), 30),
         ]
         layout = relayout.cover(members, 80)
-        assert carried_out(members, layout, 80)[1] == 0
+        assert loaded_and_missing(members, layout, 80)[1] == 0
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Quick cards that hold the model among themselves, and what callers get."""
+"""Tests of tiers of cards with similar speed."""
 
 import hypothesis
 from hypothesis import strategies
@@ -35,30 +35,30 @@
 
 
 class TestLayout:
-    """Which engines hold the model together."""
+    """Which engines hold a copy of the model together."""
 
-    def test_quick_cards_hold_the_model_among_themselves(self) -> None:
+    def test_fast_cards_hold_the_model_by_themselves(self) -> None:
         fleet = in_tiers(list(MIXED.engines))
         assert min(held_by(fleet, "b", "quick")) >= 1
         assert min(held_by(fleet, "a", "quick", "middle")) >= 1
         assert min(held_by(fleet, "c", "quick", "middle")) >= 1
 
-    def test_slower_cards_hold_a_copy_of_their_own(self) -> None:
+    def test_slower_cards_hold_their_own_copy(self) -> None:
         fleet = in_tiers(list(MIXED.engines))
         assert min(held_by(fleet, "b", "middle", "slow")) >= 1
         assert min(held_by(fleet, "c", "slow")) >= 1
 
-    def test_too_few_quick_cards_change_nothing(self) -> None:
+    def test_too_few_fast_cards_form_no_tier(self) -> None:
         few = FLEETS["few_quick"]
         engines = list(few.engines)
         assert placement.in_tiers(engines, few.profile) == placement.together(
             engines, few.profile
         )
 
-    def test_one_that_comes_back_joins_its_own_tier(self) -> None:
-        # Slow cards leave much room where a quick one was lost, and none
-        # elsewhere: by room alone it would be laid beside a quick one, and
-        # every path would pass slow cards.
+    def test_restarted_engine_joins_its_own_tier(self) -> None:
+        # The slow cards hold copies only of the layers that the fast one lost.
+        # By capacity alone it would copy another fast engine's layers, and
+        # every path would include slow cards.
         slow = [(27, 36), (36, 45), (45, 54)] * 4
         fleet = [
             fleet_system.upstream("a", "plateau", (0, 27), "quick"),
@@ -74,8 +74,8 @@
         assert move.layers.first <= 27
         assert move.layers.end >= 54
 
-    def test_what_the_whole_zone_lacks_comes_first(self) -> None:
-        # Its tier lacks as many layers elsewhere, which slow cards hold.
+    def test_layers_missing_in_the_zone_come_first(self) -> None:
+        # Its tier also lacks other layers, but slow cards hold those.
         fleet = [
             fleet_system.upstream("a", "plateau", (0, 20), "middle"),
             fleet_system.upstream("c", "plateau", (40, 60), "middle"),
@@ -102,7 +102,7 @@
         )
     )
     @hypothesis.settings(max_examples=60, deadline=None)
-    def test_every_layer_is_held_wherever_cards_suffice(
+    def test_every_layer_is_held_if_cards_suffice(
         self, cards: list[str]
     ) -> None:
         fleet = [
@@ -119,11 +119,11 @@
 
 
 class TestChoice:
-    """The layout is the one that exposes streams less, found out here."""
+    """The choice between tiers and one layout for all engines."""
 
-    def test_tiers_are_left_where_they_expose_streams_more(self) -> None:
-        # Its quick cards are small: tiers of them have many hand-overs, and
-        # a loss would cut 49 in 100 more streams than together.
+    def test_tiers_are_not_used_if_they_expose_streams_more(self) -> None:
+        # The fast cards are small, so a path within their tier has many hops
+        # and the loss of an engine would interrupt more streams.
         fleet = placement.drawn(6)
         engines = list(fleet.engines)
         assert placement.in_tiers(
@@ -131,15 +131,14 @@
         ) == placement.together(engines, fleet.profile)
 
     @pytest.mark.parametrize("seed", range(1, 13))
-    def test_no_drawn_fleet_loses_by_it(self, seed: int) -> None:
-        # The worst of these is 4 to 5 in 100 above.
+    def test_random_fleets_are_not_worse_with_tiers(self, seed: int) -> None:
         fleet = placement.drawn(seed)
         before = placement.play(fleet, placement.together)
         after = placement.play(fleet, placement.in_tiers)
         assert after.cut <= 1.08 * before.cut
         assert after.refused <= before.refused + 0.01
 
-    def test_exposure_is_time_times_engines(self) -> None:
+    def test_exposure_is_token_time_times_engines(self) -> None:
         engines = [
             fleet_system.upstream("a", "plateau", (0, 30), "quick"),
             fleet_system.upstream("b", "plateau", (30, 60), "quick"),
@@ -149,26 +148,25 @@
         found = exposure.predict(engines, PROFILE, 10_000.0)
         assert found == pytest.approx(3 * (steps + 2 * 1.2))
 
-    def test_what_has_no_room_is_exposed_without_bound(self) -> None:
+    def test_exposure_is_infinite_without_capacity(self) -> None:
         engines = [fleet_system.upstream("a", "plateau", (0, 30), "quick")]
         assert exposure.predict(engines, PROFILE, 10.0) == float("inf")
 
 
 class TestLoad:
-    """What callers get of it, at the load that the fleet was made for."""
+    """Streams under the load that the fleet is sized for."""
 
     @pytest.mark.parametrize("times", [1.0, 1.7])
-    def test_streams_are_shorter_and_a_loss_cuts_fewer(
+    def test_streams_are_faster_and_a_loss_interrupts_fewer(
         self, times: float
     ) -> None:
-        # Figures: docs/design/shifted-work.md, "Placement".
         before = placement.play(MIXED, placement.together, times=times)
         after = placement.play(MIXED, placement.in_tiers, times=times)
         assert after.refused == 0
         assert after.token_ms < 0.88 * before.token_ms
         assert after.cut < 0.7 * before.cut
 
-    def test_nobody_is_refused_at_twice_the_load(self) -> None:
-        # What the quick cards have no room for goes to the slower ones.
+    def test_no_stream_is_refused_at_twice_the_load(self) -> None:
+        # Streams that do not fit on the fast cards go to the slower ones.
         after = placement.play(MIXED, placement.in_tiers, times=2.0)
         assert after.refused == 0
