--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -293,7 +293,7 @@
             system.registry.avoid(lost.name, "silent")
             system.registry.back_off(backing_off.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
-                await watch.look()
+                await watch.check()
             names = {one.upstream for one in asked.arrivals}
             assert len(names) > 2
             assert backing_off.name not in names
@@ -323,7 +323,7 @@
             system.registry.avoid(one.name, "silent")
             system.registry.back_off(one.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
-                await watch.look()
+                await watch.check()
             assert not asked.arrivals
             assert not watch.is_lost(one.name)
 
@@ -337,7 +337,7 @@
             ordered = system.fleet.upstreams[0]
             system.registry.back_off(ordered.listed.name, 8.0)
             duty = controllers.PlacementController(
-                typing.cast(leases.Lease, test_placement._Ledger()),
+                typing.cast(leases.Lease, test_placement._Lease()),
                 system.registry,
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
