--- a/src/crowdeck/availability_zone.py
+++ b/src/crowdeck/availability_zone.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Availability zones and the time that links between them take."""
+"""Links between availability zones, and their transfer times."""
 
 import attrs
 
@@ -16,14 +16,14 @@
     """The link between two availability zones.
 
     :ivar seconds: one-way delay.
-    :ivar bytes_per_second: what one transfer gets.
+    :ivar bytes_per_second: bandwidth of one transfer.
     """
 
     seconds: float
     bytes_per_second: float = 1.25e9
 
     def transfer_seconds(self, size: int) -> float:
-        """Return how long ``size`` bytes take from end to end."""
+        """Return the seconds that a transfer of ``size`` bytes takes."""
         return self.seconds + size / self.bytes_per_second
 
 
--- a/src/crowdeck/backpressure.py
+++ b/src/crowdeck/backpressure.py
@@ -3,20 +3,19 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What an upstream instance says in its answers of how much it can bear."""
+"""Load limits that an upstream instance announces in its answers."""
 
 import attrs
 
 
 @attrs.frozen
 class Backpressure:
-    """What one answer asks of those that send the instance requests.
+    """The limits that one answer announces.
 
-    :ivar limit: requests a second that it takes from all entries together,
-        ``None`` where it names no limit.
-    :ivar backoff: seconds for which it wants nothing more from the entry
-        that it answers, 0 where it asks for no such thing.
-    :ivar is_leaving: whether it says that it will end soon.
+    :ivar limit: requests a second that the instance accepts from all
+        entries together, ``None`` for no limit.
+    :ivar backoff: seconds for which the entry is to send it no request.
+    :ivar is_leaving: whether the instance will end soon.
     """
 
     limit: float | None = None
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Engines that pass a request's activations on along a path themselves.
+"""Engines that pass a request's activations along a path themselves.
 
-Such engines need no sidecar between the stages: whoever sends a request
-names the whole path, and the last engine returns each token to the first.
+They need no sidecar between stages: a request names its whole path, and the
+last engine returns each token to the first.
 """
 
 import typing
@@ -22,9 +22,9 @@
 class AcceleratorType:
     """A kind of accelerator.
 
-    :ivar memory_mb: what layers and requests share.
-    :ivar step_factor: how many times the profile's step time it takes.
-    :ivar prefill_factor: the same for reading a prompt.
+    :ivar memory_mb: memory for weights and KV cache.
+    :ivar step_factor: step time relative to the profile's.
+    :ivar prefill_factor: prefill time relative to the profile's.
     """
 
     name: str
@@ -35,22 +35,23 @@
 
 @attrs.frozen
 class EngineProfile:
-    """How the engines of one model behave, all layers together.
+    """Performance of the engines of one model, for all layers together.
 
     :ivar layer_count: layers of the model.
     :ivar layer_mb: memory of one layer's weights.
     :ivar token_bytes: memory of one token's KV cache, over all layers.
-    :ivar step_ms: one step of a batch.
+    :ivar step_ms: time of one step of a batch.
     :ivar sequence_ms: added to a step by each sequence in the batch.
     :ivar context_ms: added to a step by 1,000 tokens of context.
-    :ivar prefill_tokens_per_second: prompt tokens read in a second.
-    :ivar activation_bytes: what one token hands on from stage to stage.
-    :ivar zone_link_bytes_per_second: what all share between two zones.
-    :ivar load_seconds: loading all layers onto one engine.
-    :ivar concurrent_loads: beyond this many, loads slow one another down.
-    :ivar slots: requests at once for which an engine is the first.
-    :ivar mean_prompt_tokens: mean prompt in tokens.
-    :ivar mean_answer_tokens: mean answer in tokens.
+    :ivar prefill_tokens_per_second: prompt tokens processed in a second.
+    :ivar activation_bytes: activations of one token between stages.
+    :ivar zone_link_bytes_per_second: bandwidth that all transfers between
+        two zones share.
+    :ivar load_seconds: time to load all layers onto one engine.
+    :ivar concurrent_loads: loads that do not slow one another down.
+    :ivar slots: concurrent requests for which an engine is the first.
+    :ivar mean_prompt_tokens: mean length of a prompt.
+    :ivar mean_answer_tokens: mean length of an answer.
     """
 
     layer_count: int
@@ -77,8 +78,8 @@
     def token_capacity(self, card: str, layers: int) -> float:
         """Return how many tokens fit beside ``layers`` layers of weights.
 
-        An unknown card is taken for one without limit: its engine says
-        itself when it is full.
+        It is infinite without layers and for an unknown accelerator, whose
+        engine itself refuses requests when it is full.
         """
         known = self.cards.get(card)
         if known is None or not layers:
@@ -91,13 +92,12 @@
 class Incarnation:
     """One run of an upstream instance's process.
 
-    A process that starts again holds and knows nothing of before, and may
-    have the id of the one before it. All that is believed of an instance
-    therefore goes by :attr:`name`, and ends with the run.
+    A restarted process has lost its state and may have the id of its
+    predecessor, so what is known of an instance is kept by :attr:`name`.
 
-    :ivar id: under which the platform knows the instance.
-    :ivar started_ms: when it started, in milliseconds since 1970, told by the
-        instance itself; 0 where it does not tell.
+    :ivar id: the platform's id of the instance.
+    :ivar started_ms: when it started, in milliseconds since 1970, as the
+        instance reports it; 0 where it does not.
     """
 
     id: str
@@ -105,11 +105,11 @@
 
     @property
     def name(self) -> str:
-        """A name that no other run has."""
+        """A name unique to this run."""
         return f"{self.id}#{self.started_ms}" if self.started_ms else self.id
 
     def is_before(self, other: "Incarnation") -> bool:
-        """Whether another run of the same instance came after this one."""
+        """Whether ``other`` is a later run of the same instance."""
         return self.id == other.id and self.started_ms < other.started_ms
 
 
@@ -117,15 +117,12 @@
 class Upstream:
     """One upstream instance, as the platform lists it.
 
-    :ivar name: unique to one run of the instance, never used again; see
-        :class:`Incarnation`.
-    :ivar instance_id: under which the platform knows it, the name where
-        that is empty.
-    :ivar started_ms: when this run of it started, see
-        :class:`Incarnation`.
-    :ivar card: kind of its accelerator, empty for plain services.
+    :ivar name: name of this run, see :class:`Incarnation`.
+    :ivar instance_id: the platform's id, or empty where it is the name.
+    :ivar started_ms: start of this run, see :class:`Incarnation`.
+    :ivar card: accelerator type, empty for plain services.
     :ivar layers: the layers it holds, or ``None``.
-    :ivar is_leaving: whether it says that it will end soon.
+    :ivar is_leaving: whether it announced that it will end soon.
     """
 
     name: str
@@ -141,7 +138,7 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Which run of which instance this is."""
+        """The run of the instance."""
         return Incarnation(self.instance_id or self.name, self.started_ms)
 
 
@@ -172,7 +169,7 @@
         """How often the path goes from one availability zone to another."""
         zones = [hop.upstream.availability_zone for hop in self.hops]
         pairs = zip(zones, zones[1:], strict=False)
-        return sum(1 for one, other in pairs if one != other)
+        return sum(1 for zone, next_zone in pairs if zone != next_zone)
 
     def passes(self, name: str) -> bool:
         """Whether an upstream instance is on the path."""
@@ -184,7 +181,7 @@
 
 @attrs.frozen
 class Stall:
-    """A request that waits for an engine which does not answer."""
+    """A request that waits for an unresponsive engine."""
 
     request: str
     address: str
@@ -192,14 +189,14 @@
 
 @attrs.frozen
 class EngineReport:
-    """What an engine says of itself.
+    """Status that an engine reports.
 
-    :ivar orders_taken: counts orders since the engine started.
+    :ivar orders_taken: orders accepted since the engine started.
     :ivar is_busy: whether an order is being carried out.
-    :ivar cache_used: tokens times layers that cannot give way.
-    :ivar cache_total: tokens times layers that there is room for.
-    :ivar slowdown: over 1 while the engine is slower than its card.
-    :ivar started_ms: when the engine started, as :class:`Incarnation` has it.
+    :ivar cache_used: tokens times layers that cannot be evicted.
+    :ivar cache_total: tokens times layers that fit.
+    :ivar slowdown: above 1 while slower than the accelerator type is.
+    :ivar started_ms: when the engine started, see :class:`Incarnation`.
     """
 
     orders_taken: int
@@ -214,16 +211,17 @@
     started_ms: int = 0
 
     def is_from_later_run(self, incarnation: Incarnation) -> bool:
-        """Whether a later run than ``incarnation`` made this report.
+        """Whether a later run than ``incarnation`` sent this report.
 
-        :raises CrowdeckError: ``MALFORMED`` where an earlier one did, or
-            one that does not tell while ``incarnation`` does.
+        :raises CrowdeckError: ``MALFORMED`` for the report of an earlier
+            run, or one without a start time while that of
+            ``incarnation`` is known.
         """
         if self.started_ms < incarnation.started_ms:
             raise errors.CrowdeckError(
                 errors.Code.MALFORMED,
-                f"a report of {incarnation.id} tells that it started at "
-                f"{self.started_ms or 'no time'}, it did at "
+                f"the report of {incarnation.id} has start time "
+                f"{self.started_ms or 'none'}, but the run started at "
                 f"{incarnation.started_ms}",
             )
         return (
@@ -235,10 +233,10 @@
 def engines_within(
     engines: typing.Iterable[Upstream], layer_count: int
 ) -> list[Upstream]:
-    """Return the engines that hold no layers which the model does not have.
+    """Return the engines whose layers are within the model's.
 
-    An engine tells itself what it holds. One that names other layers is
-    not of this model, whatever its entry says.
+    An engine reports its own layers. One that reports others does not serve
+    this model, whatever its directory entry says.
     """
     return [
         one
@@ -250,7 +248,7 @@
 def coverage(
     engines: typing.Iterable[Upstream], layer_count: int
 ) -> list[int]:
-    """Return by how many engines each layer is held."""
+    """Return the number of engines that hold each layer."""
     counts = [0] * layer_count
     for engine in engines_within(engines, layer_count):
         if engine.layers is not None:
--- a/src/crowdeck/contract.py
+++ b/src/crowdeck/contract.py
@@ -10,16 +10,16 @@
 
 @attrs.frozen
 class Contract:
-    """What a service promises about its requests, and asks for them.
+    """Properties of a service's requests.
 
-    :ivar is_repeatable: whether running a request twice does no harm.
-        Where it is false, a request that may have run is never repeated.
+    :ivar is_repeatable: whether a request may run twice. If not, one that
+        may have run is never repeated.
     :ivar is_ordered: whether a session's requests run one after another
         in the order in which they were received.
-    :ivar has_companions: whether an answer names further documents in
-        ``Link`` headers with ``rel="companion"`` that must come with it.
-    :ivar checks_fences: whether the upstream itself refuses orders whose
-        fencing token is too low.
+    :ivar has_companions: whether an answer names further documents, in
+        ``Link`` headers with ``rel="companion"``, to be delivered with it.
+    :ivar checks_fences: whether the upstream itself refuses orders with an
+        outdated fencing token.
     """
 
     is_repeatable: bool = False
--- a/src/crowdeck/instance.py
+++ b/src/crowdeck/instance.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Instances: the processes of the system, and where they stand."""
+"""Instances: the processes of the system and their addresses."""
 
 import enum
 import ipaddress
@@ -16,7 +16,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a process of the system does."""
+    """The role of a process of the system."""
 
     ENTRY = "entry"
     SIDECAR = "sidecar"
@@ -25,24 +25,24 @@
 
 @attrs.frozen(order=True)
 class Address:
-    """An IP number and a port; names are never resolved."""
+    """An IP address and a port; host names are not resolved."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Return the address that ``IP:PORT`` names.
+        """Parse ``IP:PORT``.
 
-        :raises ValueError: where it names none; a name in place of the IP
-            would be looked up, and a port out of range ends whoever dials.
+        :raises ValueError: for anything else; a host name would be looked
+            up, and connecting to a port out of range raises.
         """
         host, _, port = text.rpartition(":")
         ipaddress.ip_address(host)
         if not port.isascii() or not port.isdigit():
-            raise ValueError(f"{port!r:.20} is no port")
+            raise ValueError(f"{port!r:.20} is not a port number")
         if not 0 < int(port) <= MAX_PORT:
-            raise ValueError(f"there is no port {port:.20}")
+            raise ValueError(f"port {port:.20} is out of range")
         return cls(host, int(port))
 
     def __str__(self) -> str:
@@ -53,8 +53,7 @@
 class Instance:
     """One process of the system, as the platform's instance list shows it.
 
-    :ivar name: unique name, which a replacement may take over.
-    :ivar availability_zone: name of its availability zone.
+    :ivar name: unique name; a replacement may have the same.
     :ivar address: where its peers reach it.
     :ivar is_leaving: whether the platform is about to stop it.
     """
@@ -67,10 +66,8 @@
 
 
 def new_incarnation() -> int:
-    """Return a number that tells this run of a process from all others.
+    """Return a random number that identifies this run of a process.
 
-    Instances have no disk, so a counter cannot survive a restart; 63
-    random bits make two runs of one name share a number about once in
-    nine quintillion restarts.
+    It is random because instances have no disk to keep a counter.
     """
     return secrets.randbits(INCARNATION_BITS)
--- a/src/crowdeck/pipeline.py
+++ b/src/crowdeck/pipeline.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Pipelines: the stages that a request crosses, and their layers."""
+"""Pipelines: the stages that a request passes, and their layers."""
 
 import attrs
 
@@ -26,7 +26,7 @@
 
     :ivar layers: the layers it holds.
     :ivar layer_count: how many layers the whole model has.
-    :ivar accelerator: kind of accelerator, for people to read.
+    :ivar accelerator: type of accelerator, for display.
     :ivar batch_limit: sequences that fit into one batch.
     """
 
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class StageRef:
-    """One stage of a chosen path, pinned to one run of its sidecar."""
+    """One stage of a path, bound to one run of its sidecar."""
 
     instance: str
     incarnation: int
@@ -61,10 +61,10 @@
 
 @attrs.frozen
 class Path:
-    """The stages that a request crosses, first layer to last.
+    """The stages that a request passes, first layer to last.
 
     :raises ValueError: when the stages do not cover every layer exactly
-        once, in order; no other path can be built.
+        once, in order.
     """
 
     model: str
@@ -89,16 +89,16 @@
 
     @property
     def head(self) -> StageRef:
-        """The stage that begins each position and keeps the answer."""
+        """The first stage, which also keeps the answer."""
         return self.stages[0]
 
     @property
     def tail(self) -> StageRef:
-        """The stage that turns the last layer's output into tokens."""
+        """The last stage, which outputs tokens."""
         return self.stages[-1]
 
     def index_of(self, instance: str, incarnation: int) -> int:
-        """Return the place of a stage in this path.
+        """Return the index of a stage in this path.
 
         :raises LookupError: when that run of the instance is not in it.
         """
--- a/src/crowdeck/route.py
+++ b/src/crowdeck/route.py
@@ -13,7 +13,7 @@
 
 
 class RepeatPolicy(enum.StrEnum):
-    """What a route says of running a request again."""
+    """Whether a route's requests may be repeated."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -32,12 +32,12 @@
 class Route:
     """Where requests of one host and path prefix go, and how.
 
-    :ivar max_attempts: most upstreams that one request is sent to.
-    :ivar timeout: seconds that a request is held at most.
+    :ivar max_attempts: maximum number of upstreams for one request.
+    :ivar timeout: maximum duration of a request in seconds.
     :ivar objective: seconds within which an answer is in time.
-    :ivar gap: longest pause of a stream that is in time, in seconds.
+    :ivar gap: longest pause in a stream that is in time, in seconds.
     :ivar is_anonymous: whether requests need no key.
-    :ivar is_resumable: whether a stream may go on at another upstream.
+    :ivar is_resumable: whether another upstream may continue a stream.
     """
 
     name: str
@@ -61,9 +61,9 @@
 
 @attrs.frozen
 class Service:
-    """A group of like upstream instances.
+    """A group of equivalent upstream instances.
 
-    :ivar profile: how its model engines behave, ``None`` for others.
+    :ivar profile: performance of its model engines, ``None`` for others.
     """
 
     name: str
@@ -73,7 +73,7 @@
 
 @attrs.frozen
 class TeamKeys:
-    """A team, its keys and its priority, where it has one of its own."""
+    """A team, its keys and its priority, if it has one."""
 
     name: str
     keys: frozenset[str] = attrs.field(repr=False)
@@ -82,7 +82,7 @@
 
 @attrs.frozen
 class Limits:
-    """What callers may send, and how long they may take or rest."""
+    """Limits on the size and duration of callers' requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
