--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -3,11 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One timer service per process, to which its parts subscribe.
+"""Clocks, and the timer service that runs a process's periodic tasks.
 
-Parts never keep their own polling loops: they ask here for a call at an
-interval. One task then knows every periodic duty of the process, which
-is what lets tests run them all in virtual time and operators count them.
+Components subscribe here instead of running polling loops of their own, so
+that tests can run all periodic tasks in virtual time.
 """
 
 import asyncio
@@ -21,8 +20,7 @@
 import attrs
 import eliot
 
-# Where a system has no clock that counts suspension, the steady one is all
-# there is.
+# Not every system has a clock that counts time while suspended.
 _BOOT: int = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 TimerCallback = abc.Callable[[], abc.Awaitable[None]]
@@ -30,7 +28,7 @@
 
 @attrs.define(eq=False)
 class Subscription:
-    """A periodic call; ``cancel`` ends it, and ending twice is harmless."""
+    """A periodic call; cancelling it twice is harmless."""
 
     name: str
     interval: float
@@ -40,11 +38,11 @@
 
     @property
     def is_cancelled(self) -> bool:
-        """Whether the subscription has been ended."""
+        """Whether the subscription was cancelled."""
         return self._is_cancelled
 
     def cancel(self) -> None:
-        """End the subscription; a call in progress is left to finish."""
+        """Cancel the subscription; a call in progress still finishes."""
         self._is_cancelled = True
 
 
@@ -52,15 +50,15 @@
     """A source of monotonic seconds."""
 
     def now(self) -> float:
-        """Return monotonic seconds; only differences mean anything."""
+        """Return monotonic seconds since an arbitrary moment."""
         ...
 
 
 class LoopClock:
-    """The running event loop's clock, virtual when the loop's time is.
+    """The clock of the running event loop, virtual in tests.
 
-    In the daemons it counts the time for which the machine was suspended,
-    see :class:`BootTimeEventLoop`.
+    In the daemons it includes time while the machine was suspended, see
+    :class:`BootTimeEventLoop`.
     """
 
     def now(self) -> float:
@@ -69,39 +67,37 @@
 
 
 class BootClock:
-    """Seconds since the machine started, those of its suspension included.
+    """Seconds since boot, including time while suspended.
 
-    For what is promised to others: leases, how old a copy is, until when a
-    key is trusted, deadlines. The world goes on while a machine is asleep.
+    For all that expires while the machine is suspended: leases, caches,
+    trusted keys and deadlines.
     """
 
     def now(self) -> float:
-        """Return the seconds since the machine started."""
+        """Return the seconds since boot."""
         return time.clock_gettime(_BOOT)
 
 
 class MonotonicClock:
-    """Seconds for which the machine was awake.
+    """Monotonic seconds without time while suspended.
 
-    For the pace of our own work, where nothing follows from time asleep.
+    For the pace of the process's own work.
     """
 
     def now(self) -> float:
-        """Return the seconds for which the machine was awake."""
+        """Return the monotonic seconds."""
         return time.monotonic()
 
 
 class BootTimeEventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time goes on while the machine is suspended.
+    """An event loop whose time includes time while suspended.
 
-    Python's own stands still then: a process that woke after a minute held
-    its lease, and trusted keys that had been taken away meanwhile, as if no
-    time had passed. With this, whatever fell due while it slept is due when
-    it wakes, before anything else is done.
+    Python's own event loops exclude it, so that after a resume a process
+    would still trust leases and keys that have expired meanwhile.
     """
 
     def time(self) -> float:
-        """Return the seconds since the machine started."""
+        """Return the seconds since boot."""
         return time.clock_gettime(_BOOT)
 
 
@@ -125,11 +121,11 @@
         self._wake = anyio.Event()
 
     def now(self) -> float:
-        """Return the service's seconds; time asleep counts in daemons."""
+        """Return the seconds of the service's clock."""
         return self._clock.now()
 
     def monotonic_now(self) -> float:
-        """Return steady seconds, in which time asleep does not count."""
+        """Return monotonic seconds, without time while suspended."""
         return self._monotonic_clock.now()
 
     def subscribe(
@@ -137,8 +133,7 @@
     ) -> Subscription:
         """Call ``callback`` every ``interval`` seconds from now on.
 
-        A call that outlasts its interval makes the next one be skipped,
-        so a slow duty never runs twice at once.
+        Calls that fall due while one is running are skipped.
         """
         if interval <= 0:
             raise ValueError(f"timer {name}: interval must be above zero")
@@ -179,8 +174,8 @@
         try:
             await subscription.callback()
         except Exception as error:
-            # A duty that fails must not take the other duties of the
-            # process with it; it is tried again at its next interval.
+            # A failed call must not end the other timers; it is repeated at
+            # the next interval.
             eliot.log_message(
                 message_type="crowdeck:timer_failed",
                 timer=subscription.name,
