--- a/src/crowdeck/header.py
+++ b/src/crowdeck/header.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A header of a request or an answer, whatever carries it."""
+"""A header of a request or an answer, independent of the transport."""
 
 import attrs
 
--- a/src/crowdeck/http.py
+++ b/src/crowdeck/http.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""HTTP calls by httpcore, each with a verdict on what became of it."""
+"""HTTP client over httpcore whose errors say if a request may have run."""
 
 import contextlib
 import ssl
@@ -21,7 +21,7 @@
 CONNECTION_LIMIT = 64
 KEEPALIVE_SECONDS = 2.0
 RESPONSE_LIMIT = 4 * 1024 * 1024
-# Headers of one connection, which must not be handed to the next.
+# Headers that concern one connection and must not be forwarded.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -44,7 +44,7 @@
     httpcore.UnsupportedProtocol,
     httpcore.LocalProtocolError,
 )
-_MAYBE_SENT = (
+_MAY_BE_SENT = (
     httpcore.NetworkError,
     httpcore.TimeoutException,
     httpcore.ProtocolError,
@@ -56,13 +56,13 @@
 
 @attrs.frozen
 class Timeouts:
-    """Longest waits of one call, in seconds."""
+    """Timeouts of one call in seconds."""
 
     connect: float
     read: float
 
     def as_extension(self) -> dict[str, float]:
-        """Return them as httpcore takes them."""
+        """Return the timeouts as httpcore's request extension."""
         return {
             "connect": self.connect,
             "pool": self.connect,
@@ -72,7 +72,7 @@
 
 
 class OpenResponse:
-    """A response whose head is here and whose body is still coming."""
+    """A response whose head has arrived and whose body may be incomplete."""
 
     def __init__(self, response: httpcore.Response) -> None:
         self._response = response
@@ -84,26 +84,28 @@
 
     @property
     def headers(self) -> RawHeaders:
-        """Header fields in their order, names as they were sent."""
+        """Headers in order, with names as they were sent."""
         return self._response.headers
 
     def find(self, name: bytes) -> bytes:
-        """Return a header's value by its lower-case name, or nothing."""
+        """Return a header's value by its lower-case name, or an empty one."""
         for key, value in self._response.headers:
             if key.lower() == name:
                 return value
         return b""
 
     async def chunks(self) -> typing.AsyncIterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the body as it arrives.
 
         :raises CrowdeckError: ``UPSTREAM_LOST`` when it ends early.
         """
         try:
             async for chunk in self._response.aiter_stream():
                 yield chunk
-        except _MAYBE_SENT as error:
-            raise _lost(error, verdicts.Verdict.MAY_HAVE_RUN) from None
+        except _MAY_BE_SENT as error:
+            raise _upstream_lost(
+                error, verdicts.Verdict.MAY_HAVE_RUN
+            ) from None
 
     async def read(self, limit: int) -> bytes:
         """Return the whole body.
@@ -124,14 +126,13 @@
 
 
 class HttpClient:
-    """Sends requests and tells what became of each.
-
-    :param base_url: put before every path; empty where paths are URLs.
-    :param keep_alive: whether connections are used again. A connection
-        for each request costs a handshake, and rules out that an answer
-        is lost to the other end closing it, or that bytes left over from
-        one answer are taken for the next.
-    :param connection_limit: connections open at once.
+    """Sends requests; errors carry a verdict on whether they may have run.
+
+    :param base_url: prefix of every path; empty where paths are URLs.
+    :param keep_alive: whether connections are reused. Without reuse each
+        request costs a handshake, but none is lost to a server that closes
+        an idle connection, and no stray bytes are taken for an answer.
+    :param connection_limit: maximum number of open connections.
     """
 
     def __init__(
@@ -147,12 +148,11 @@
             ssl_context=ssl_context,
             max_connections=connection_limit,
             max_keepalive_connections=None if keep_alive else 0,
-            # The library's own retries would hide whether a request may
-            # have run; every retry is decided by verdict, elsewhere.
+            # Callers decide on retries by verdict; the library's own would
+            # hide whether a request may have run.
             retries=0,
-            # Servers close idle connections after some seconds (uvicorn
-            # after 5). A request sent into that is lost with an unknown
-            # outcome, so we close them first.
+            # Shorter than servers' timeouts (5 s in uvicorn): a request
+            # on a connection that the server closes has an unknown outcome.
             keepalive_expiry=KEEPALIVE_SECONDS,
         )
 
@@ -165,7 +165,7 @@
         body: bytes,
         timeouts: Timeouts,
     ) -> typing.AsyncIterator[OpenResponse]:
-        """Send one request and yield its response once the head is here.
+        """Send one request and yield its response once the head arrives.
 
         :raises CrowdeckError: ``UPSTREAM_LOST``, with the verdict.
         """
@@ -179,13 +179,15 @@
             ) as response:
                 yield OpenResponse(response)
         except _NOT_SENT as error:
-            if _nobody_listens(error):
+            if _is_refused(error):
                 raise errors.InstanceGone(
-                    "the upstream was lost (nobody listens there)"
+                    "the upstream was lost (connection refused)"
                 ) from None
-            raise _lost(error, verdicts.Verdict.NOT_RUN) from None
-        except _MAYBE_SENT as error:
-            raise _lost(error, verdicts.Verdict.MAY_HAVE_RUN) from None
+            raise _upstream_lost(error, verdicts.Verdict.NOT_RUN) from None
+        except _MAY_BE_SENT as error:
+            raise _upstream_lost(
+                error, verdicts.Verdict.MAY_HAVE_RUN
+            ) from None
 
     async def send(
         self,
@@ -222,10 +224,10 @@
     )
 
 
-def _nobody_listens(error: BaseException) -> bool:
-    """Whether a connection was refused, and not reset or left waiting.
+def _is_refused(error: BaseException) -> bool:
+    """Whether the system refused the connection.
 
-    The libraries put an error of their own around the system's.
+    Its error is the cause of those that the libraries raise.
     """
     cause: BaseException | None = error
     while cause is not None:
@@ -235,7 +237,9 @@
     return False
 
 
-def _lost(error: Exception, verdict: verdicts.Verdict) -> errors.CrowdeckError:
+def _upstream_lost(
+    error: Exception, verdict: verdicts.Verdict
+) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.UPSTREAM_LOST,
         f"the upstream was lost ({type(error).__name__})",
--- a/src/crowdeck/upstream.py
+++ b/src/crowdeck/upstream.py
@@ -5,9 +5,9 @@
 
 """Upstreams: the engines and plain services that requests end at.
 
-Each is met through a ``Protocol``; another engine or service is a new
-adapter and no other change. ``docs/ENGINE.md`` gives the HTTP interface
-that the shipped adapter speaks.
+Each is used through a ``Protocol``, so that another kind of engine or service
+only needs an adapter. ``docs/ENGINE.md`` describes the HTTP interface of the
+adapter in ``upstream_http``.
 """
 
 import typing
@@ -24,11 +24,11 @@
 
     :ivar sequence: the sequence's name on the engine.
     :ivar context: tokens of context the engine must hold before this
-        step; an engine that holds more forgets the surplus first.
+        step; an engine that holds more truncates it first.
     :ivar prompt: text to tokenize, only in a head's first step.
     :ivar tokens: tokens to append, only at a head.
-    :ivar hidden: the previous stage's output, only past the head.
-    :ivar count: how many tokens ``hidden`` covers.
+    :ivar hidden: the previous stage's output, only after the head.
+    :ivar count: number of tokens that ``hidden`` covers.
     """
 
     sequence: str
@@ -41,13 +41,13 @@
 
 @attrs.frozen
 class EngineOutput:
-    """What one step gave.
+    """The result of one step.
 
     :ivar hidden: output for the next stage, empty at the tail.
     :ivar count: tokens of context that the step added.
-    :ivar token: the token chosen, only at the tail.
-    :ivar finish: why the model ended, empty while it goes on.
-    :ivar error: what went wrong with this sequence, empty for nothing.
+    :ivar token: the sampled token, only at the tail.
+    :ivar finish: why the answer ended, empty while it continues.
+    :ivar error: error of this sequence, or empty.
     """
 
     sequence: str
@@ -63,7 +63,7 @@
     """A model engine that holds a range of a model's layers.
 
     Every method raises ``CrowdeckError`` with a verdict: ``NOT_RUN`` when
-    the engine was never reached, ``MAY_HAVE_RUN`` when its reply is lost.
+    the engine was not reached, ``MAY_HAVE_RUN`` when its reply was lost.
     """
 
     async def describe(self) -> pipeline.Offer:
@@ -77,7 +77,7 @@
         ...
 
     async def cancel(self, sequence: str) -> None:
-        """Forget a sequence and its KV cache."""
+        """Drop a sequence and its KV cache."""
         ...
 
     async def export_kv(self, sequence: str) -> bytes:
@@ -85,7 +85,7 @@
         ...
 
     async def import_kv(self, sequence: str, kv: bytes) -> None:
-        """Take a sequence's KV cache from an earlier export."""
+        """Load a sequence's exported KV cache."""
         ...
 
 
@@ -109,7 +109,7 @@
     body: bytes
 
     def find(self, name: str) -> str:
-        """Return a header's value by its lower-case name, or nothing."""
+        """Return a header's value by its lower-case name, or an empty one."""
         for header in self.headers:
             if header.name == name:
                 return header.value
@@ -117,12 +117,12 @@
 
 
 class PlainService(typing.Protocol):
-    """A service beside the engines, called once per request."""
+    """A service without model engines, called once per request."""
 
     async def call(self, request: ServiceRequest) -> ServiceResponse:
         """Make one call.
 
-        :raises CrowdeckError: ``NOT_RUN`` when no connection was had,
-            ``MAY_HAVE_RUN`` when the answer is lost.
+        :raises CrowdeckError: with verdict ``NOT_RUN`` when no connection
+            was made, ``MAY_HAVE_RUN`` when the answer was lost.
         """
         ...
--- a/src/crowdeck/upstream_http.py
+++ b/src/crowdeck/upstream_http.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Engines and plain services of the product's own interface, over HTTP."""
+"""Adapters for engines and plain services over HTTP."""
 
 import typing
 
@@ -16,7 +16,6 @@
 from crowdeck import upstream
 from crowdeck import verdict as verdicts
 
-# A step that takes longer is a dead engine to every caller's deadline.
 STEP_TIMEOUT = 30.0
 MEDIA_TYPE = "application/msgpack"
 
@@ -42,7 +41,7 @@
     async def step(
         self, steps: tuple[upstream.EngineStep, ...]
     ) -> tuple[upstream.EngineOutput, ...]:
-        """Run one batch."""
+        """Run one batch of steps."""
         body = await self._exchange(
             "POST", "/step", _CONVERTER.unstructure(steps), STEP_TIMEOUT
         )
@@ -52,7 +51,7 @@
         return outputs
 
     async def cancel(self, sequence: str) -> None:
-        """Forget a sequence."""
+        """Drop a sequence and its KV cache."""
         await self._exchange(
             "POST", "/cancel", {"sequence": sequence}, STEP_TIMEOUT
         )
@@ -65,7 +64,7 @@
         return bytes(body["kv"])
 
     async def import_kv(self, sequence: str, kv: bytes) -> None:
-        """Take a sequence's KV cache."""
+        """Load a sequence's exported KV cache."""
         await self._exchange(
             "POST",
             "/kv/import",
@@ -94,7 +93,7 @@
         try:
             return _CONVERTER.structure(body, cls)
         except Exception as error:
-            # cattrs raises groups and plain errors by the kind of fault.
+            # cattrs raises exception groups as well as plain exceptions.
             raise _bad_answer("the engine's answer is malformed") from error
 
 
