--- a/src/crowdeck/__init__.py
+++ b/src/crowdeck/__init__.py
@@ -5,8 +5,8 @@
 
 """crowdeck: a router for model pipelines over mixed accelerators.
 
-Beside its two programs it is a library of coordination parts. What is
-exported here is its public surface; everything else may change.
+Beside its two programs it is a library for coordination. The names exported
+here are its public interface; everything else may change.
 
 >>> import crowdeck
 >>> crowdeck.Verdict.NOT_RUN.is_retry_safe
@@ -32,10 +32,9 @@
     from crowdeck.timers import TimerService
     from crowdeck.verdict import Verdict
 
-# Where each public name is defined. They are imported when first used: an
-# entry uses none of them, and importing them all took a third of its
-# start, during which it serves nobody.
-_HOMES = {
+# The module of each public name. They are imported on first use, as an entry
+# uses none of them and serves no requests while it starts.
+_MODULES_BY_NAME = {
     "Claim": "crowdeck.state.claims",
     "ClaimsLedger": "crowdeck.state.claims",
     "Code": "crowdeck.errors",
@@ -71,10 +70,10 @@
 
 
 def __getattr__(name: str) -> typing.Any:
-    home = _HOMES.get(name)
-    if home is None:
+    module = _MODULES_BY_NAME.get(name)
+    if module is None:
         raise AttributeError(f"crowdeck exports no {name!r}: see __all__")
-    return getattr(importlib.import_module(home), name)
+    return getattr(importlib.import_module(module), name)
 
 
 def __dir__() -> list[str]:
--- a/src/crowdeck/digest.py
+++ b/src/crowdeck/digest.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Digest of an answer, by which its reader knows that it is whole."""
+"""Digest of an answer, by which its reader verifies that it is whole."""
 
 from collections import abc
 
@@ -13,24 +13,24 @@
 class AnswerDigest:
     """Running digest over the tokens and texts of one answer.
 
-    It guards against loss, mixing and doubling between honest processes,
-    not against forgery; that is what mutual TLS is for.
+    It detects lost, mixed up and duplicated parts, but no forgery, which
+    mutual TLS prevents.
     """
 
     def __init__(self, request: str) -> None:
-        # The request's id goes in first, so that an answer of equal text
-        # but for another request does not pass.
+        # The request's id distinguishes answers of equal text to different
+        # requests.
         self._hash = xxhash.xxh3_64(request.encode())
         self._count = 0
 
     @property
     def count(self) -> int:
-        """How many tokens were added."""
+        """The number of tokens added."""
         return self._count
 
     @property
     def value(self) -> int:
-        """The digest of all that was added."""
+        """The digest of all tokens added."""
         return self._hash.intdigest()
 
     def add(self, token: int, text: str) -> None:
--- a/src/crowdeck/errors.py
+++ b/src/crowdeck/errors.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Every error that crowdeck reports, each with a code.
+"""The errors that crowdeck reports, each with a code.
 
-``docs/ERRORS.md`` explains each code to operators and callers; a test
-holds that page and this catalogue together.
+``docs/ERRORS.md`` explains the codes to operators and callers; a test keeps
+both in agreement.
 """
 
 import enum
@@ -84,13 +84,13 @@
 
 
 class CrowdeckError(Exception):
-    """An error with a code, a verdict and, where known, a time to retry.
+    """An error with a code, a verdict and, if known, a time to retry.
 
-    :ivar code: the catalogue's name for this error.
+    :ivar code: kind of the error.
     :ivar verdict: whether the request may have run.
-    :ivar retry_after: seconds after which asking again is sensible, or
-        ``None`` where no time can be given.
-    :ivar culprit: name of the instance that failed, empty if none did.
+    :ivar retry_after: seconds after which to retry, or ``None`` if
+        unknown.
+    :ivar culprit: name of the instance that failed, or empty.
     """
 
     def __init__(
@@ -111,15 +111,15 @@
 
     @property
     def http_status(self) -> int:
-        """Status with which an entry reports this error to its caller."""
+        """HTTP status with which an entry reports this error."""
         return HTTP_STATUS.get(self.code, DEFAULT_HTTP_STATUS)
 
 
 class LinkLost(CrowdeckError):
-    """A link closed or fell silent before a reply came.
+    """A link closed or became silent before a reply arrived.
 
-    :ivar was_sent: whether the question may have reached the peer. Only
-        when it is false does the verdict say ``NOT_RUN``.
+    :ivar was_sent: whether the question may have reached the peer; the
+        verdict is ``NOT_RUN`` only if not.
     """
 
     def __init__(self, message: str, *, was_sent: bool, culprit: str) -> None:
@@ -137,10 +137,10 @@
 
 
 class InstanceGone(CrowdeckError):
-    """Nobody listens at an upstream's address, or another instance does.
+    """An upstream's process has ended.
 
-    Its process has ended then. A reset, a refusal or silence proves no such
-    thing: an engine resets what it has no room for.
+    Nothing listens at its address, or another instance does. Resets and
+    timeouts do not prove this: an overloaded engine resets connections.
     """
 
     def __init__(self, message: str) -> None:
@@ -148,14 +148,14 @@
 
 
 class ConfigError(CrowdeckError):
-    """A configuration file is wrong; the message says where and how."""
+    """A configuration file is invalid; the message says where and why."""
 
     def __init__(self, message: str) -> None:
         super().__init__(Code.CONFIG, message)
 
 
 class SettingsError(CrowdeckError):
-    """A settings tree is wrong; the message says where and how."""
+    """A settings tree is invalid; the message says where and why."""
 
     def __init__(self, message: str) -> None:
         super().__init__(Code.SETTINGS, message)
@@ -163,7 +163,7 @@
 
 @attrs.frozen
 class ErrorReport:
-    """The body of an error answer, in the shape OpenAI clients expect."""
+    """The body of an error answer, as OpenAI clients expect it."""
 
     code: str
     message: str
@@ -173,7 +173,7 @@
 
     @classmethod
     def of(cls, error: CrowdeckError) -> "ErrorReport":
-        """Describe ``error`` for a caller, leaving out inner detail."""
+        """Describe ``error`` for a caller, without internal details."""
         return cls(
             code=str(error.code),
             message=error.message,
--- a/src/crowdeck/team.py
+++ b/src/crowdeck/team.py
@@ -17,22 +17,22 @@
 
 @attrs.frozen
 class Caller:
-    """An authenticated caller and its place in the settings."""
+    """An authenticated caller."""
 
     team: str
     session: str = ""
 
     def place(self, service: str = "") -> trees.SettingsScope:
-        """Return where this caller's values are looked up."""
+        """Return the scope of this caller's settings."""
         session = self.session if service else ""
         return trees.SettingsScope(self.team, service, session)
 
 
 def hash_key(key: str) -> str:
-    """Return the form in which a bearer key is stored.
+    """Return the digest under which a bearer key is stored.
 
-    Keys are long random strings, so a plain digest cannot be searched;
-    a slow password hash would cost each request milliseconds.
+    Keys are long random strings, so a slow password hash, which would delay
+    each request, is not needed.
     """
     return hashlib.sha256(key.encode()).hexdigest()
 
@@ -40,9 +40,10 @@
 def authenticate(
     tree: trees.Tree, authorization: str, session: str = ""
 ) -> Caller:
-    """Return who is calling.
+    """Return the caller with the given credentials.
 
-    :raises CrowdeckError: ``UNAUTHORIZED``, the same for every reason.
+    :raises CrowdeckError: ``UNAUTHORIZED``, with the same message for every
+        cause.
     """
     if authorization.lower().startswith(BEARER):
         key = authorization[len(BEARER) :].strip()
--- a/src/crowdeck/verdict.py
+++ b/src/crowdeck/verdict.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What is known about whether a request has run.
+"""Verdicts on whether a request has run.
 
-Every error that crowdeck reports carries a verdict, so that a caller
-never has to guess whether asking again could do a thing twice.
+Every error carries one, so that callers know if a retry could run a request
+twice.
 """
 
 import enum
@@ -15,8 +15,8 @@
 class Verdict(enum.StrEnum):
     """Whether a request may have had an effect.
 
-    ``NOT_RUN`` is a promise: the request did not run and never will.
-    Only a sidecar's gate may give it, or an entry that has sent nothing.
+    ``NOT_RUN`` guarantees that the request did not run and never will. Only
+    a sidecar's gate may give it, or an entry that has sent nothing.
     """
 
     NOT_RUN = "not_run"
