--- a/examples/claim_a_key.py
+++ b/examples/claim_a_key.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One run per key: two workers race, the store decides.
+"""Two workers claim the same idempotency key; one of them holds it.
 
 Run it with ``python examples/claim_a_key.py``.
 """
@@ -19,7 +19,7 @@
 
 
 async def work(name: str, ledger: crowdeck.ClaimsLedger) -> None:
-    """Claim a key and do its work only if we hold it."""
+    """Claim a key and do its work only if this worker holds it."""
     claim = crowdeck.Claim(
         key=claims.digest_key("team", "receipts", "sale-81"),
         fingerprint="",
@@ -37,7 +37,7 @@
 
 
 async def main() -> None:
-    """Let two processes' ledgers claim the same key."""
+    """Claim the same key from the ledgers of two workers."""
     shared = store.StandinStore()
     async with anyio.create_task_group() as tasks:
         for name in ("left", "right"):
--- a/examples/seal_a_call.py
+++ b/examples/seal_a_call.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A lost reply: did the call run? The gate tells, and keeps its word.
+"""Find out from the gate whether a call ran after its reply was lost.
 
 Run it with ``python examples/seal_a_call.py``.
 """
@@ -14,7 +14,7 @@
 
 
 class WallClock:
-    """Seconds for the gate's notes."""
+    """A monotonic clock for the gate."""
 
     def now(self) -> float:
         """Return monotonic seconds."""
@@ -22,7 +22,7 @@
 
 
 def main() -> None:
-    """Seal one call before it comes, and one after it has run."""
+    """Seal one call before it arrives, and one after it has run."""
     gate = crowdeck.Gate(incarnation=7, clock=WallClock())
     print("late:", gate.seal("late-call", 0, incarnation=7))
     try:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,9 +3,9 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Tests that are known to fail: KNOWN-RED.txt, a line each.
+"""Marks tests that are listed in KNOWN-RED.txt as strict xfails.
 
-They run, and must fail: one that passes again has to leave the list.
+A listed test that passes fails the run, so that it is taken off the list.
 """
 
 import pathlib
@@ -15,7 +15,7 @@
 KNOWN_RED = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
-def _known() -> dict[str, str]:
+def _known_failures() -> dict[str, str]:
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text().splitlines()
@@ -24,8 +24,8 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Mark what is known to fail."""
-    known = _known()
+    """Mark known failures."""
+    known = _known_failures()
     for item in items:
         cause = known.get(item.nodeid)
         if cause is not None:
@@ -35,6 +35,6 @@
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Print what is known to fail, with its cause."""
-    for test, cause in _known().items():
+    """Print the known failures with their causes."""
+    for test, cause in _known_failures().items():
         terminalreporter.write_line(f"known red: {test}: {cause}")
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The examples run and say what they should."""
+"""Tests of the examples and of the public interface."""
 
 import pathlib
 import runpy
@@ -18,9 +18,9 @@
 
 
 class TestExamples:
-    """Each example is a program of its own."""
+    """The examples' output, and the names that the package exports."""
 
-    def test_one_of_two_workers_holds_the_key(
+    def test_one_of_two_workers_claims_the_key(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         runpy.run_path(str(EXAMPLES / "claim_a_key.py"), run_name="__main__")
@@ -28,7 +28,7 @@
         assert len(lines) == 2
         assert sum("holds the key" in line for line in lines) == 1
 
-    def test_sealed_call_is_kept_out(
+    def test_sealed_call_is_rejected(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
         runpy.run_path(str(EXAMPLES / "seal_a_call.py"), run_name="__main__")
@@ -39,26 +39,26 @@
         ]
 
     def test_entry_before_chaining_engines_loads_no_sidecar(self) -> None:
-        # It took a third of the modules that an entry loads at its start.
+        # Modules that an entry does not need would delay its start.
         code = (
             "import sys; import crowdeck.cmd.daemon;"
             "print(*[m for m in sys.modules if m.startswith('crowdeck')])"
         )
-        told = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", code],
             check=True,
             capture_output=True,
             text=True,
         )
-        loaded = told.stdout.split()
+        loaded = result.stdout.split()
         assert "crowdeck.cmd.fleet_process" in loaded
         for name in ("sidecar", "entry", "membership.fleet", "wire.link"):
             assert f"crowdeck.{name}" not in loaded
 
-    def test_unknown_name_is_told_as_usual(self) -> None:
+    def test_unknown_name_raises_attribute_error(self) -> None:
         with pytest.raises(AttributeError, match="nothing_like_it"):
             crowdeck.nothing_like_it  # noqa: B018
 
-    def test_public_surface_is_what_it_says(self) -> None:
+    def test_exported_names_are_documented(self) -> None:
         for name in crowdeck.__all__:
             assert getattr(crowdeck, name).__doc__, name
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What a connection that fails tells of whoever should have taken it."""
+"""Tests of failed connections of the HTTP client."""
 
 import anyio
 import anyio.abc
@@ -15,7 +15,7 @@
 HOST = "127.0.0.1"
 
 
-async def ask(port: int) -> errors.CrowdeckError:
+async def request_error(port: int) -> errors.CrowdeckError:
     client = http.HttpClient(f"http://{HOST}:{port}", keep_alive=False)
     try:
         with pytest.raises(errors.CrowdeckError) as caught:
@@ -26,21 +26,21 @@
 
 
 class TestFailedConnection:
-    """Gone for certain, or merely not to be had."""
+    """Only a refused connection shows that an instance is gone."""
 
-    def test_nobody_listens(self) -> None:
+    def test_refused_connection_is_from_a_gone_instance(self) -> None:
         async def body() -> None:
             listener = await anyio.create_tcp_listener(local_host=HOST)
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
             await listener.aclose()
-            error = await ask(port)
+            error = await request_error(port)
             assert isinstance(error, errors.InstanceGone)
             assert error.code is errors.Code.UPSTREAM_LOST
             assert error.verdict.is_retry_safe
 
         anyio.run(body)
 
-    def test_one_that_closes_at_once_is_not_gone(self) -> None:
+    def test_closed_connection_is_not_from_a_gone_instance(self) -> None:
         async def close(stream: anyio.abc.SocketStream) -> None:
             await stream.aclose()
 
@@ -49,7 +49,7 @@
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(listener.serve, close)
-                error = await ask(port)
+                error = await request_error(port)
                 tasks.cancel_scope.cancel()
             await listener.aclose()
             assert error.code is errors.Code.UPSTREAM_LOST
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Virtual time for tests: waiting costs nothing and order is fixed."""
+"""An event loop with virtual time, for fast and deterministic tests."""
 
 import asyncio
 import selectors
@@ -13,7 +13,7 @@
 
 
 class _VirtualSelector(selectors.DefaultSelector):
-    """Moves the clock on instead of waiting."""
+    """Advances the clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -21,7 +21,7 @@
 
     def select(self, timeout: float | None = None) -> typing.Any:
         if timeout is None:
-            raise RuntimeError("nothing is left to happen: a deadlock")
+            raise RuntimeError("deadlock: no event is scheduled")
         self.now += max(0.0, timeout)
         return super().select(0)
 
@@ -37,7 +37,7 @@
         return self._virtual.now
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass while nothing runs, as in a process held up."""
+        """Advance the time while nothing runs, as in a suspended process."""
         self._virtual.now += seconds
 
 
