--- a/src/crowdeck/http.py
+++ b/src/crowdeck/http.py
@@ -17,7 +17,7 @@
 from crowdeck import upstream
 from crowdeck import verdict as verdicts
 
-CONNECT_TIMEOUT = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 CONNECTION_LIMIT = 64
 KEEPALIVE_SECONDS = 2.0
 RESPONSE_LIMIT = 4 * 1024 * 1024
@@ -201,7 +201,7 @@
 
         :raises CrowdeckError: ``UPSTREAM_LOST``, with the verdict.
         """
-        timeouts = Timeouts(min(CONNECT_TIMEOUT, timeout), timeout)
+        timeouts = Timeouts(min(CONNECT_TIMEOUT_SECONDS, timeout), timeout)
         async with self.open(
             method, path, headers, body, timeouts
         ) as response:
--- a/src/crowdeck/upstream_http.py
+++ b/src/crowdeck/upstream_http.py
@@ -33,7 +33,7 @@
     async def describe(self) -> pipeline.Offer:
         """Return what the engine serves."""
         body = await self._exchange(
-            "GET", "/engine", None, http.CONNECT_TIMEOUT
+            "GET", "/engine", None, http.CONNECT_TIMEOUT_SECONDS
         )
         offer: pipeline.Offer = self._structure(body, pipeline.Offer)
         return offer
