--- a/src/crowdeck/upstream_http.py
+++ b/src/crowdeck/upstream_http.py
@@ -16,7 +16,7 @@
 from crowdeck import upstream
 from crowdeck import verdict as verdicts
 
-STEP_TIMEOUT = 30.0
+STEP_TIMEOUT_SECONDS = 30.0
 MEDIA_TYPE = "application/msgpack"
 
 _CONVERTER = cattrs.Converter()
@@ -43,7 +43,10 @@
     ) -> tuple[upstream.EngineOutput, ...]:
         """Run one batch of steps."""
         body = await self._exchange(
-            "POST", "/step", _CONVERTER.unstructure(steps), STEP_TIMEOUT
+            "POST",
+            "/step",
+            _CONVERTER.unstructure(steps),
+            STEP_TIMEOUT_SECONDS,
         )
         outputs: tuple[upstream.EngineOutput, ...] = self._structure(
             body, tuple[upstream.EngineOutput, ...]
@@ -53,13 +56,13 @@
     async def cancel(self, sequence: str) -> None:
         """Drop a sequence and its KV cache."""
         await self._exchange(
-            "POST", "/cancel", {"sequence": sequence}, STEP_TIMEOUT
+            "POST", "/cancel", {"sequence": sequence}, STEP_TIMEOUT_SECONDS
         )
 
     async def export_kv(self, sequence: str) -> bytes:
         """Return a sequence's KV cache."""
         body = await self._exchange(
-            "POST", "/kv/export", {"sequence": sequence}, STEP_TIMEOUT
+            "POST", "/kv/export", {"sequence": sequence}, STEP_TIMEOUT_SECONDS
         )
         return bytes(body["kv"])
 
@@ -69,7 +72,7 @@
             "POST",
             "/kv/import",
             {"sequence": sequence, "kv": kv},
-            STEP_TIMEOUT,
+            STEP_TIMEOUT_SECONDS,
         )
 
     async def _exchange(
