--- a/src/crowdeck/http.py
+++ b/src/crowdeck/http.py
@@ -20,7 +20,7 @@
 CONNECT_TIMEOUT_SECONDS = 1.0
 CONNECTION_LIMIT = 64
 KEEPALIVE_SECONDS = 2.0
-RESPONSE_LIMIT = 4 * 1024 * 1024
+RESPONSE_LIMIT_BYTES = 4 * 1024 * 1024
 # Headers that concern one connection and must not be forwarded.
 HOP_BY_HOP_HEADERS = frozenset(
     {
@@ -205,7 +205,7 @@
         async with self.open(
             method, path, headers, body, timeouts
         ) as response:
-            content = await response.read(RESPONSE_LIMIT)
+            content = await response.read(RESPONSE_LIMIT_BYTES)
             return upstream.ServiceResponse(
                 response.status, _decode(response.headers), content
             )
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -110,7 +110,7 @@
         async with self._client.open(
             "GET", url, [], b"", timeouts
         ) as response:
-            body = await response.read(http.RESPONSE_LIMIT)
+            body = await response.read(http.RESPONSE_LIMIT_BYTES)
             status = response.status
         if status != 200:
             raise errors.CrowdeckError(
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -233,7 +233,7 @@
             http.Timeouts(CONNECT_SECONDS, EXCHANGE_SECONDS),
         ) as response:
             self._tell(upstream, response, answers_request=False)
-            content = await response.read(http.RESPONSE_LIMIT)
+            content = await response.read(http.RESPONSE_LIMIT_BYTES)
             return response.status, content, response.headers
 
     def _tell(
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -23,7 +23,7 @@
 
 # An engine that does not hold its part of a path, or is another one.
 STALE_STATUS = 421
-BODY_LIMIT = http.RESPONSE_LIMIT
+BODY_LIMIT = http.RESPONSE_LIMIT_BYTES
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -43,7 +43,7 @@
 # much of its objective. It is served in time then; what takes longer is told
 # at once when to come back.
 WAIT_SHARE = 0.5
-CALL_BYTES = http.RESPONSE_LIMIT
+CALL_BYTES = http.RESPONSE_LIMIT_BYTES
 
 
 @attrs.frozen
