--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -24,7 +24,7 @@
 # Sent by an engine that does not hold the layers asked of it, or that is not
 # the engine the request was meant for.
 STALE_STATUS = 421
-BODY_LIMIT = http.RESPONSE_LIMIT
+BODY_LIMIT = http.RESPONSE_LIMIT_BYTES
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -43,7 +43,7 @@
 # are rate limited or backing off. If the wait would be longer, the call is
 # refused at once with a retry time.
 QUEUE_WAIT_SHARE = 0.5
-MAX_ANSWER_BYTES = http.RESPONSE_LIMIT
+MAX_ANSWER_BYTES = http.RESPONSE_LIMIT_BYTES
 
 
 @attrs.frozen
--- a/src/crowdeck/upstream_http.py
+++ b/src/crowdeck/upstream_http.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Engines and plain services of the product's own interface, over HTTP."""
+"""Adapters for engines and plain services over HTTP."""
 
 import typing
 
@@ -16,8 +16,7 @@
 from crowdeck import upstream
 from crowdeck import verdict as verdicts
 
-# A step that takes longer is a dead engine to every caller's deadline.
-STEP_TIMEOUT = 30.0
+STEP_TIMEOUT_SECONDS = 30.0
 MEDIA_TYPE = "application/msgpack"
 
 _CONVERTER = cattrs.Converter()
@@ -34,7 +33,7 @@
     async def describe(self) -> pipeline.Offer:
         """Return what the engine serves."""
         body = await self._exchange(
-            "GET", "/engine", None, http.CONNECT_TIMEOUT
+            "GET", "/engine", None, http.CONNECT_TIMEOUT_SECONDS
         )
         offer: pipeline.Offer = self._structure(body, pipeline.Offer)
         return offer
@@ -42,9 +41,12 @@
     async def step(
         self, steps: tuple[upstream.EngineStep, ...]
     ) -> tuple[upstream.EngineOutput, ...]:
-        """Run one batch."""
+        """Run one batch of steps."""
         body = await self._exchange(
-            "POST", "/step", _CONVERTER.unstructure(steps), STEP_TIMEOUT
+            "POST",
+            "/step",
+            _CONVERTER.unstructure(steps),
+            STEP_TIMEOUT_SECONDS,
         )
         outputs: tuple[upstream.EngineOutput, ...] = self._structure(
             body, tuple[upstream.EngineOutput, ...]
@@ -52,25 +54,25 @@
         return outputs
 
     async def cancel(self, sequence: str) -> None:
-        """Forget a sequence."""
+        """Drop a sequence and its KV cache."""
         await self._exchange(
-            "POST", "/cancel", {"sequence": sequence}, STEP_TIMEOUT
+            "POST", "/cancel", {"sequence": sequence}, STEP_TIMEOUT_SECONDS
         )
 
     async def export_kv(self, sequence: str) -> bytes:
         """Return a sequence's KV cache."""
         body = await self._exchange(
-            "POST", "/kv/export", {"sequence": sequence}, STEP_TIMEOUT
+            "POST", "/kv/export", {"sequence": sequence}, STEP_TIMEOUT_SECONDS
         )
         return bytes(body["kv"])
 
     async def import_kv(self, sequence: str, kv: bytes) -> None:
-        """Take a sequence's KV cache."""
+        """Load a sequence's exported KV cache."""
         await self._exchange(
             "POST",
             "/kv/import",
             {"sequence": sequence, "kv": kv},
-            STEP_TIMEOUT,
+            STEP_TIMEOUT_SECONDS,
         )
 
     async def _exchange(
@@ -94,7 +96,7 @@
         try:
             return _CONVERTER.structure(body, cls)
         except Exception as error:
-            # cattrs raises groups and plain errors by the kind of fault.
+            # cattrs raises exception groups as well as plain exceptions.
             raise _bad_answer("the engine's answer is malformed") from error
 
 
