--- a/src/crowdeck/state/__init__.py
+++ b/src/crowdeck/state/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What must last: objects in the platform's store, claims, leases."""
+"""Persistent state: objects in the platform's store, claims and leases."""
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -121,7 +121,7 @@
         self._was_held = False
         self._is_released = False
         # The highest term seen; the term after a corrupted lease is higher.
-        self._known_term = 0
+        self._highest_term = 0
         self._memo: tuple[str, ...] = ()
         # The memo of the last lease that could be read.
         self._last_memo: tuple[str, ...] = ()
@@ -138,7 +138,7 @@
         """The fencing token, while the lease is held."""
         if self.is_held:
             # A restored store may show the term of an earlier holder.
-            return self._known_term
+            return self._highest_term
         return self._record.term if self._record else 0
 
     @property
@@ -231,7 +231,7 @@
             await self._take()
         elif self.is_held:
             await self._write(
-                LeaseRecord(self._holder, self._known_term, self._memo)
+                LeaseRecord(self._holder, self._highest_term, self._memo)
             )
 
     async def _take(self) -> None:
@@ -242,7 +242,7 @@
         if not self.is_held and not self._is_mine:
             self._memo = self._record.memo if self._record else ()
         is_written_back = self.is_held and self._index == 0
-        term = self._known_term if is_written_back else self._next_term()
+        term = self._highest_term if is_written_back else self._next_term()
         await self._write(LeaseRecord(self._holder, term, self._memo))
 
     @property
@@ -313,7 +313,7 @@
         """Mark the current object as replaced by the next one."""
         successor = self._object_name(self._index + 1)
         closed = LeaseRecord(
-            UNREADABLE_HOLDER, self._known_term, self._last_memo, successor
+            UNREADABLE_HOLDER, self._highest_term, self._last_memo, successor
         )
         value = orjson.dumps(attrs.asdict(closed))
         version = await self._store.put(
@@ -323,13 +323,13 @@
 
     def _next_term(self) -> int:
         stored = self._record.term if self._record else 0
-        before = (self._epoch or 0) * TERMS_PER_EPOCH
+        epoch_base = (self._epoch or 0) * TERMS_PER_EPOCH
         is_unread = self._record and self._record.holder == UNREADABLE_HOLDER
-        if stored <= before or is_unread:
+        if stored <= epoch_base or is_unread:
             # There may be terms that were overwritten unread, by another
             # writer or by a write that raced with a restore. No term exceeds
             # the version that it was written over.
-            return before + max(1, self._version, self._closed_version)
+            return epoch_base + max(1, self._version, self._closed_version)
         return stored if self._is_mine else stored + 1
 
     def _step_interval(self) -> float:
@@ -409,9 +409,9 @@
         except errors.CrowdeckError as error:
             logs.change("lease_unread", duty=self._duty, reason=error.message)
             return LeaseRecord(
-                UNREADABLE_HOLDER, self._known_term, self._last_memo
+                UNREADABLE_HOLDER, self._highest_term, self._last_memo
             )
-        self._known_term = max(self._known_term, found.term)
+        self._highest_term = max(self._highest_term, found.term)
         self._last_memo = found.memo
         return found
 
@@ -444,7 +444,7 @@
         self._has_existed = True
         self._is_written_here = True
         self._record = record
-        self._known_term = max(self._known_term, record.term)
+        self._highest_term = max(self._highest_term, record.term)
         self._record_seen_at = sent_at
         self._held_until = sent_at + LEASE_SECONDS - SAFETY_MARGIN_SECONDS
 
@@ -458,8 +458,8 @@
             self._was_held = self.is_held
             if self.is_held:
                 self._taken.set()
-            what = "lease_taken" if self.is_held else "lease_lost"
-            logs.change(what, duty=self._duty, term=self.term)
+            event = "lease_taken" if self.is_held else "lease_lost"
+            logs.change(event, duty=self._duty, term=self.term)
 
 
 def _decode(value: bytes) -> LeaseRecord:
--- a/tests/test_restored_lease.py
+++ b/tests/test_restored_lease.py
@@ -74,7 +74,7 @@
         # lease after the first restore.
         async def body() -> None:
             store = standin_store.StandinStore()
-            connection = Hooked(store)
+            connection = HookedConnection(store)
             lease = leases.Lease(connection, "duty", "run")
             async with anyio.create_task_group() as tasks:
                 empty = store.back_up()
@@ -98,7 +98,7 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             empty = store.back_up()
-            connection = Hooked(store)
+            connection = HookedConnection(store)
             lease = leases.Lease(connection, "duty", "run")
 
             def reassign_version(version: int) -> None:
@@ -166,7 +166,7 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             empty = store.back_up()
-            connection = Hooked(store)
+            connection = HookedConnection(store)
             lease = leases.Lease(connection, "duty", "run")
             given = 0
 
@@ -225,7 +225,7 @@
         assert lease.term == term
 
 
-class Hooked(zone_system.Way):
+class HookedConnection(zone_system.Way):
     """A connection to the store that calls each of its hooks once."""
 
     def __init__(self, store: standin_store.StandinStore) -> None:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -42,7 +42,9 @@
 class TestWakefulLoop:
     """The clocks of a daemon's event loop."""
 
-    def test_counts_time_asleep(self, monkeypatch: typing.Any) -> None:
+    def test_counts_the_time_of_a_suspension(
+        self, monkeypatch: typing.Any
+    ) -> None:
         suspended = 0.0
         real = time.clock_gettime
 
