--- a/src/crowdeck/entry/answers.py
+++ b/src/crowdeck/entry/answers.py
@@ -94,11 +94,11 @@
         return inbox
 
     def is_open(self, request: str) -> bool:
-        """Whether a request has an inbox here already."""
+        """Whether a request has an inbox."""
         return request in self._inboxes
 
     def close(self, request: str) -> None:
-        """Drop a request's inbox; what still comes for it is refused."""
+        """Drop a request's inbox; later records for it are refused."""
         self._inboxes.pop(request, None)
 
     def on_opened(self, peer: link.Peer) -> None:
--- a/src/crowdeck/entry/delivery.py
+++ b/src/crowdeck/entry/delivery.py
@@ -19,7 +19,7 @@
 class Delivery:
     """Passes tokens to the caller in order and verifies the end.
 
-    :ivar shown: positions below this one the caller already has.
+    :ivar caller_position: the first position that the caller does not have.
     :ivar finish: the finish reason, empty while the answer runs.
     """
 
@@ -30,7 +30,7 @@
         self._sink = sink
         self._pieces: list[messages.Piece] = []
         self._digest = digests.AnswerDigest(request.request)
-        self.shown = 0
+        self.caller_position = 0
         self.finish = ""
 
     def __len__(self) -> int:
@@ -43,7 +43,7 @@
         return tuple(self._pieces)
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the last token has arrived, perhaps without the end."""
         is_longest = len(self._pieces) >= self._request.max_tokens
         return bool(self.finish) or is_longest
@@ -72,7 +72,7 @@
         position = len(self._pieces)
         self._pieces.append(piece)
         self._digest.add(piece.token, piece.text)
-        if position >= self.shown:
+        if position >= self.caller_position:
             await self._sink.put(position, piece)
 
     def check_end(self, end: messages.AnswerEnd) -> None:
@@ -80,11 +80,11 @@
 
         :raises CrowdeckError: ``WRONG_ANSWER`` if they do not match.
         """
-        is_whole = (
+        is_complete = (
             end.count == self._digest.count
             and end.digest == self._digest.value
         )
-        if is_whole:
+        if is_complete:
             return
         counters.COUNTERS.add("entry.answer_not_whole")
         raise errors.CrowdeckError(
--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -190,7 +190,10 @@
             except _AttemptMoved as moved:
                 opening = moved.opening
             except errors.CrowdeckError as error:
-                if self._delivery.is_whole and error.code not in _NOT_RETRIED:
+                if (
+                    self._delivery.is_complete
+                    and error.code not in _NOT_RETRIED
+                ):
                     # Only the end was lost. Another attempt would generate
                     # tokens past the end.
                     self._cancel()
@@ -308,7 +311,7 @@
 
     async def _resume(self, resume: model_requests.ResumePoint) -> str:
         """Resume an answer that was begun earlier."""
-        self._delivery.shown = resume.position
+        self._delivery.caller_position = resume.position
         attached: questions.Attached | None = None
         for name in dict.fromkeys((resume.head, resume.tail)):
             attached = await self._attach(name)
@@ -346,7 +349,7 @@
             request=self._request.request,
             team=self._request.team,
             position=0,
-            window=self._delivery.shown + self._request.window,
+            window=self._delivery.caller_position + self._request.window,
         )
         try:
             reply = await view.peer.ask(question, OPEN_TIMEOUT_SECONDS)
--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -282,8 +282,8 @@
             tree, request.headers.get("authorization", ""), session
         )
         place = caller.place()
-        longest = tree.number(place, "deadline_seconds")
-        requested_seconds = _number(request, "x-deadline-seconds", longest)
+        limit = tree.number(place, "deadline_seconds")
+        requested_seconds = _number(request, "x-deadline-seconds", limit)
         span = self._tracer.begin(
             name,
             request.headers.get("traceparent", ""),
@@ -294,7 +294,7 @@
             caller=caller,
             tree=tree,
             sequence=int(_number(request, "x-session-sequence", -1)),
-            seconds_left=min(max(requested_seconds, 0.0), longest),
+            seconds_left=min(max(requested_seconds, 0.0), limit),
             key=request.headers.get("idempotency-key", ""),
             span=span,
         )
--- a/src/crowdeck/entry/openai.py
+++ b/src/crowdeck/entry/openai.py
@@ -36,15 +36,15 @@
     try:
         body = orjson.loads(raw)
     except orjson.JSONDecodeError:
-        raise _bad("the body is not JSON") from None
+        raise _bad_request("the body is not JSON") from None
     if not isinstance(body, dict):
-        raise _bad("the body is not a JSON object")
+        raise _bad_request("the body is not a JSON object")
     model = body.get("model")
     if not isinstance(model, str) or not model:
-        raise _bad("'model' has to be a model's name")
+        raise _bad_request("'model' has to be a model's name")
     prompt = _chat_prompt(body) if is_chat else _plain_prompt(body)
     if not prompt.strip():
-        raise _bad("the prompt is empty")
+        raise _bad_request("the prompt is empty")
     return CompletionBody(
         model=model,
         prompt=prompt,
@@ -59,29 +59,29 @@
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int) or value < 1:
-        raise _bad("'max_tokens' has to be a whole number above 0")
+        raise _bad_request("'max_tokens' has to be a whole number above 0")
     return value
 
 
 def _plain_prompt(body: dict[str, typing.Any]) -> str:
     prompt = body.get("prompt")
     if not isinstance(prompt, str):
-        raise _bad("'prompt' has to be text")
+        raise _bad_request("'prompt' has to be text")
     return prompt
 
 
 def _chat_prompt(body: dict[str, typing.Any]) -> str:
     turns = body.get("messages")
     if not isinstance(turns, list) or not turns:
-        raise _bad("'messages' has to be a list that is not empty")
+        raise _bad_request("'messages' has to be a list that is not empty")
     lines = []
     has_text = False
     for turn in turns:
         if not isinstance(turn, dict):
-            raise _bad("each of 'messages' has to be an object")
+            raise _bad_request("each of 'messages' has to be an object")
         role = turn.get("role")
         if not isinstance(role, str):
-            raise _bad("each of 'messages' has to have a 'role'")
+            raise _bad_request("each of 'messages' has to have a 'role'")
         content = _content(turn.get("content"))
         has_text = has_text or bool(content.strip())
         lines.append(f"{role}: {content}")
@@ -92,16 +92,18 @@
     if isinstance(content, str):
         return content
     if not isinstance(content, list):
-        raise _bad("'content' has to be text or a list of text parts")
+        raise _bad_request("'content' has to be text or a list of text parts")
     texts = []
     for part in content:
         if not isinstance(part, dict) or part.get("type") != "text":
-            raise _bad("only 'content' parts of type 'text' are supported")
+            raise _bad_request(
+                "only 'content' parts of type 'text' are supported"
+            )
         texts.append(str(part.get("text", "")))
     return "".join(texts)
 
 
-def _bad(message: str) -> errors.CrowdeckError:
+def _bad_request(message: str) -> errors.CrowdeckError:
     return errors.CrowdeckError(errors.Code.BAD_REQUEST, message)
 
 
@@ -131,7 +133,7 @@
         """
         parts = text.split(EVENT_ID_SEPARATOR)
         if len(parts) != 4 or not parts[3].isdecimal():
-            raise _bad("'Last-Event-ID' is not one that was given out")
+            raise _bad_request("'Last-Event-ID' is not one that was given out")
         return cls(parts[0], parts[1], parts[2], int(parts[3]))
 
     def as_resume(self) -> model_requests.ResumePoint:
@@ -150,7 +152,7 @@
 
     def __init__(self, request: str, model: str, is_chat: bool) -> None:
         self._is_chat = is_chat
-        self._head = {
+        self._common_fields = {
             "id": f"{'chatcmpl' if is_chat else 'cmpl'}-{request}",
             "object": (
                 "chat.completion.chunk" if is_chat else "text_completion"
@@ -203,7 +205,7 @@
             choice["delta"] = {"role": "assistant", "content": text}
         else:
             choice["delta"] = {"content": text}
-        return {**self._head, "choices": [choice]}
+        return {**self._common_fields, "choices": [choice]}
 
 
 def whole_answer(
--- a/src/crowdeck/entry/service_calls.py
+++ b/src/crowdeck/entry/service_calls.py
@@ -175,7 +175,7 @@
         finally:
             if view is not None:
                 view.own_inflight -= 1
-        return _called(reply)
+        return _require_called(reply)
 
     def _message(
         self, call: ServiceCall, target: _Target, epoch: int
@@ -218,7 +218,7 @@
             try:
                 outcome = await self._seal(call.request, target, epoch)
                 if outcome is _NOT_RUN:
-                    raise _sealed(target)
+                    raise _sealed_error(target)
                 return await self._collect(call, target)
             except errors.LinkLost:
                 await anyio.sleep(RECONNECT_INTERVAL_SECONDS)
@@ -319,12 +319,12 @@
             try:
                 reply = await self._collect_or_seal(held_call, target)
             except errors.LinkLost as lost:
-                raise _spent(lost.message) from None
+                raise _spent_error(lost.message) from None
             except errors.CrowdeckError as error:
                 if error.verdict is _NOT_RUN:
                     continue
-                raise _spent(error.message) from None
-            return _called(reply)
+                raise _spent_error(error.message) from None
+            return _require_called(reply)
         return None
 
     async def _collect_or_seal(
@@ -353,7 +353,7 @@
     )
 
 
-def _called(reply: questions.Reply) -> questions.Called:
+def _require_called(reply: questions.Reply) -> questions.Called:
     if isinstance(reply, questions.Called):
         return reply
     if isinstance(reply, questions.Refused):
@@ -365,7 +365,7 @@
     )
 
 
-def _sealed(target: _Target) -> errors.CrowdeckError:
+def _sealed_error(target: _Target) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.SEALED,
         f"the link to {target.name} was lost before the call ran",
@@ -373,7 +373,7 @@
     )
 
 
-def _spent(reason: str) -> errors.CrowdeckError:
+def _spent_error(reason: str) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.KEY_SPENT,
         f"the key's call may have run, its answer is unavailable: {reason}",
--- a/src/crowdeck/sidecar/attempt.py
+++ b/src/crowdeck/sidecar/attempt.py
@@ -38,7 +38,7 @@
     source: link.Peer | None
     deadline: float
     span: traces.OpenSpan
-    touched: float
+    touched_at: float
     forward: link.Peer | None = None
     next_position: int = 0
     context: int = 0
@@ -62,12 +62,12 @@
 
     @property
     def is_head(self) -> bool:
-        """Whether this stage begins each position."""
+        """Whether this is the first stage of the path."""
         return self.index == 0
 
     @property
     def is_tail(self) -> bool:
-        """Whether this stage turns outputs into tokens."""
+        """Whether this is the last stage of the path."""
         return self.index == len(self.opening.path.stages) - 1
 
     @property
@@ -82,7 +82,7 @@
 
     @property
     def end_layer(self) -> int:
-        """The layer after the last that this stage runs."""
+        """The layer after the last one that this stage runs."""
         return self.opening.path.stages[self.index].end_layer
 
     def check_layer(self, next_layer: int) -> None:
@@ -117,10 +117,10 @@
 class PendingImport:
     """An imported KV cache that waits for its warm opening.
 
-    :ivar time: monotonic seconds at which it was imported.
+    :ivar imported_at: monotonic seconds.
     """
 
     sequence: str
     team: str
     context: int
-    time: float
+    imported_at: float
--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -54,16 +54,16 @@
 
     @property
     def running(self) -> int:
-        """How many attempts are in progress here."""
+        """Number of attempts in progress."""
         return sum(one.is_running for one in self._attempts.values())
 
     @property
     def all(self) -> tuple[attempts.Attempt, ...]:
-        """Every attempt that is kept here, ended ones too."""
+        """All attempts, including ended ones."""
         return tuple(self._attempts.values())
 
     def find(self, request: str) -> attempts.Attempt | None:
-        """Return the latest attempt of a request, if it is kept here."""
+        """Return the latest attempt of a request, or ``None``."""
         return self._attempts.get(request)
 
     def forget(self, attempt: attempts.Attempt) -> None:
@@ -80,12 +80,12 @@
         return self._imports.get(request)
 
     def hold_import(self, question: questions.ImportKv, sequence: str) -> None:
-        """Keep an imported KV cache for the warm opening to come."""
+        """Keep an imported KV cache for the warm opening that follows."""
         self._imports[question.request] = attempts.PendingImport(
             sequence=sequence,
             team=question.team,
             context=question.context,
-            time=self._clock.now(),
+            imported_at=self._clock.now(),
         )
 
     def current(self, request: str, epoch: int) -> attempts.Attempt | None:
@@ -104,7 +104,7 @@
         if self._attempts.get(attempt.request) is not attempt:
             return
         attempt.is_failed = True
-        attempt.touched = self._clock.now()
+        attempt.touched_at = self._clock.now()
         attempt.span.end(error.code)
         counters.COUNTERS.add(f"stage.failed.{error.code.lower()}")
         self.send_source(
@@ -172,7 +172,7 @@
                     )
             if attempt.source is peer:
                 attempt.source = None
-                attempt.touched = self._clock.now()
+                attempt.touched_at = self._clock.now()
 
     async def sweep(self) -> None:
         """Fail attempts past their deadline, and drop expired ones."""
@@ -187,7 +187,7 @@
 
     def _drop_imports(self, now: float) -> None:
         for request, held in tuple(self._imports.items()):
-            if now - held.time > ORPHAN_SECONDS:
+            if now - held.imported_at > ORPHAN_SECONDS:
                 del self._imports[request]
                 self._tasks.start_soon(self.cancel_engine, held.sequence)
 
@@ -204,7 +204,7 @@
                     verdict=_MAY_HAVE_RUN,
                 ),
             )
-        is_old = now - attempt.touched > KEEP_SECONDS
+        is_old = now - attempt.touched_at > KEEP_SECONDS
         if is_old and (attempt.source is None or not attempt.is_running):
             self.send_forward(
                 attempt, messages.Cancel(attempt.request, attempt.epoch)
@@ -217,7 +217,7 @@
         is_orphan = (
             attempt.source is None or attempt.is_failed or attempt.is_moved
         )
-        is_old = now - attempt.touched > ORPHAN_SECONDS
+        is_old = now - attempt.touched_at > ORPHAN_SECONDS
         is_late = now > attempt.deadline + ORPHAN_SECONDS
         if (is_orphan and is_old) or is_late:
             self.drop(attempt, "expired")
--- a/src/crowdeck/sidecar/batcher.py
+++ b/src/crowdeck/sidecar/batcher.py
@@ -165,15 +165,15 @@
         try:
             results = await self._engine.step(steps)
             if len(results) != len(steps):
-                raise _wrong_count(len(steps), len(results))
+                raise _wrong_count_error(len(steps), len(results))
         except errors.CrowdeckError as error:
             counters.COUNTERS.add("engine.batch_failed")
             results = [error] * len(steps)
         for (step, callback), result in zip(batch, results, strict=True):
-            callback(_checked(step, result))
+            callback(_check_result(step, result))
 
 
-def _wrong_count(asked: int, got: int) -> errors.CrowdeckError:
+def _wrong_count_error(asked: int, got: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.UPSTREAM_FAILED,
         f"the engine returned {got} outputs for {asked} steps",
@@ -181,7 +181,7 @@
     )
 
 
-def _checked(step: upstream.EngineStep, result: Result) -> Result:
+def _check_result(step: upstream.EngineStep, result: Result) -> Result:
     """Return a result, or the error of one that failed or is misaddressed."""
     if isinstance(result, errors.CrowdeckError):
         return result
--- a/src/crowdeck/sidecar/calls.py
+++ b/src/crowdeck/sidecar/calls.py
@@ -39,7 +39,7 @@
 class _CallRecord:
     team: str
     epoch: int
-    time: float
+    begun_at: float
     done: anyio.Event = attrs.field(factory=anyio.Event)
     reply: questions.Called | errors.CrowdeckError | None = None
 
@@ -97,7 +97,7 @@
         """Return the answer of an earlier call, waiting while it runs."""
         record = self._records.get(question.request)
         if record is None:
-            raise _gone()
+            raise _gone_error()
         return await self._wait(record, question.team, KEEP_SECONDS)
 
     async def sweep(self) -> None:
@@ -105,7 +105,7 @@
         limit = self._clock.now() - KEEP_SECONDS
         total = sum(record.size for record in self._records.values())
         for request, record in tuple(self._records.items()):
-            is_old = record.time < limit
+            is_old = record.begun_at < limit
             if record.reply is None or not (is_old or total > MAX_KEPT_BYTES):
                 continue
             total -= record.size
@@ -145,7 +145,7 @@
         self, record: _CallRecord, team: str, timeout: float
     ) -> questions.Called:
         if record.team != team:
-            raise _gone()
+            raise _gone_error()
         with anyio.move_on_after(timeout):
             await record.done.wait()
         if record.reply is None:
@@ -222,7 +222,7 @@
     ) -> tuple[questions.Companion, ...]:
         paths = _companion_paths(response.headers)
         if len(paths) > MAX_COMPANIONS:
-            raise _missing(f"more than {MAX_COMPANIONS} companions")
+            raise _missing_error(f"more than {MAX_COMPANIONS} companions")
         found = []
         for path in paths:
             found.append(await self._fetch_companion(call, service, path))
@@ -241,9 +241,9 @@
         try:
             response = await service.call(request)
         except errors.CrowdeckError as error:
-            raise _missing(f"{path}: {error.code}") from error
+            raise _missing_error(f"{path}: {error.code}") from error
         if response.status != 200:
-            raise _missing(f"{path}: status {response.status}")
+            raise _missing_error(f"{path}: status {response.status}")
         return questions.Companion(
             path=path,
             content_type=_header(response.headers, "content-type"),
@@ -266,7 +266,7 @@
     return "application/octet-stream"
 
 
-def _gone() -> errors.CrowdeckError:
+def _gone_error() -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.ANSWER_GONE,
         "no such answer is kept here",
@@ -274,8 +274,8 @@
     )
 
 
-def _missing(what: str) -> errors.CrowdeckError:
+def _missing_error(message: str) -> errors.CrowdeckError:
     # The call itself has run; only its companions are missing.
     return errors.CrowdeckError(
-        errors.Code.COMPANION_MISSING, what, verdict=verdicts.Verdict.RAN
+        errors.Code.COMPANION_MISSING, message, verdict=verdicts.Verdict.RAN
     )
--- a/src/crowdeck/sidecar/gate.py
+++ b/src/crowdeck/sidecar/gate.py
@@ -28,7 +28,7 @@
 
 @attrs.define
 class _AttemptRecord:
-    time: float
+    touched_at: float
     admitted_epoch: int = -1
     sealed_epoch: int = -1
     is_done: bool = False
@@ -143,7 +143,7 @@
                 )
             record = self._records[request] = _AttemptRecord(self._clock.now())
         else:
-            record.time = self._clock.now()
+            record.touched_at = self._clock.now()
             self._records.move_to_end(request)
         return record
 
@@ -151,6 +151,6 @@
         limit = self._clock.now() - RECORD_TTL_SECONDS
         while self._records:
             oldest = next(iter(self._records.values()))
-            if oldest.time > limit:
+            if oldest.touched_at > limit:
                 return
             self._records.popitem(last=False)
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -61,14 +61,16 @@
         path = attempt.opening.path
         if record.position > position or record.context != attempt.context:
             self._registry.fail(
-                attempt, _wrong_token(record.position, position)
+                attempt, _wrong_token_error(record.position, position)
             )
             return
         if record.next_layer != path.layer_count:
-            self._registry.fail(attempt, _unfinished_token(record.next_layer))
+            self._registry.fail(
+                attempt, _unfinished_token_error(record.next_layer)
+            )
             return
         attempt.pieces.append(messages.Piece(record.token, record.text))
-        attempt.touched = self._clock.now()
+        attempt.touched_at = self._clock.now()
         counters.COUNTERS.add("head.tokens")
         finish = record.finish
         if not finish and len(attempt.pieces) >= attempt.opening.max_tokens:
@@ -172,7 +174,7 @@
     ) -> None:
         former = attempt.source
         attempt.source = peer
-        attempt.touched = self._clock.now()
+        attempt.touched_at = self._clock.now()
         if former is not None and former is not peer:
             former.send(
                 self._registry.failure(
@@ -192,7 +194,7 @@
             self._start_next_position(attempt)
 
 
-def _wrong_token(got: int, expected: int) -> errors.CrowdeckError:
+def _wrong_token_error(got: int, expected: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_POSITION,
         f"received token {got} instead of {expected}",
@@ -200,7 +202,7 @@
     )
 
 
-def _unfinished_token(next_layer: int) -> errors.CrowdeckError:
+def _unfinished_token_error(next_layer: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_LAYER,
         f"received a token for which layer {next_layer} has not run",
--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -111,7 +111,7 @@
                     "stage": index,
                 },
             ),
-            touched=now,
+            touched_at=now,
             next_position=len(opening.delivered),
             pieces=list(opening.delivered),
         )
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -76,7 +76,7 @@
 
     @property
     def incarnation(self) -> int:
-        """The number of this run of the process."""
+        """The incarnation of this process."""
         return self._gate.incarnation
 
     @property
@@ -256,8 +256,8 @@
     async def _report(self) -> None:
         """Report the load to one entry, in turn, if it has changed.
 
-        Only one report is sent per tick. With more entries reports get
-        older, but their cost does not grow.
+        Only one report is sent per tick: with more entries, reports get
+        older but do not cost more.
         """
         load = self._load()
         for peer in sorted(
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -139,7 +139,7 @@
         try:
             attempt.check_layer(record.next_layer)
             if record.context != attempt.context:
-                raise _wrong_context(record.context, attempt.context)
+                raise _wrong_context_error(record.context, attempt.context)
         except errors.CrowdeckError as error:
             self._registry.fail(attempt, error)
             return
@@ -243,7 +243,7 @@
         attempt.next_position += 1
         attempt.context += 1
         attempt.is_in_engine = True
-        attempt.touched = self._clock.now()
+        attempt.touched_at = self._clock.now()
         self._batcher.decode(
             step, lambda result: self._on_decoded(attempt, position, result)
         )
@@ -318,14 +318,14 @@
         attempt.forward.send(token)
 
     def on_token(self, peer: link.Peer, record: messages.Token) -> None:
-        """Take a token from the tail."""
+        """Receive a token from the tail."""
         attempt = self._registry.current(record.request, record.epoch)
         if attempt is None or not attempt.is_head or not attempt.is_running:
             counters.COUNTERS.add("stage.refused.stale_record")
             return
         self._head.take_token(attempt, record)
 
-    # Failure, cancellation and time.
+    # Failure and cancellation.
 
     def on_failure(self, peer: link.Peer, record: messages.Failure) -> None:
         """Report a later stage's failure towards the entry."""
@@ -354,7 +354,7 @@
         self._registry.drop(attempt, "cancelled")
 
 
-def _wrong_context(got: int, held: int) -> errors.CrowdeckError:
+def _wrong_context_error(got: int, held: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_POSITION,
         f"the record needs {got} tokens of context, but {held} are held",
--- a/src/crowdeck/sidecar/turns.py
+++ b/src/crowdeck/sidecar/turns.py
@@ -41,7 +41,7 @@
 
 @attrs.define(eq=False)
 class _Session:
-    touched: float
+    touched_at: float
     settled_at: float
     holder: _Waiter | None = None
     lost_at: float | None = None
@@ -52,7 +52,7 @@
 
 
 class TurnQueues:
-    """The turns of the sessions whose home is here."""
+    """Grants the turns of the sessions whose home is this sidecar."""
 
     def __init__(self, clock: timers.Clock) -> None:
         self._clock = clock
@@ -61,7 +61,7 @@
 
     @property
     def sessions(self) -> int:
-        """How many sessions are known here."""
+        """Number of sessions that are known here."""
         return len(self._sessions)
 
     def leave(self) -> None:
@@ -143,7 +143,7 @@
                 session.lost_at = None
             self._grant(session)
             is_idle = session.holder is None and not session.waiting
-            if is_idle and now - session.touched > IDLE_SECONDS:
+            if is_idle and now - session.touched_at > IDLE_SECONDS:
                 del self._sessions[name]
 
     def _session(self, question: questions.TakeTurn) -> _Session:
@@ -151,9 +151,9 @@
         session = self._sessions.get(question.session)
         if session is None:
             settled_at = now + (SETTLE_SECONDS if question.is_moved else 0.0)
-            session = _Session(touched=now, settled_at=settled_at)
+            session = _Session(touched_at=now, settled_at=settled_at)
             self._sessions[question.session] = session
-        session.touched = now
+        session.touched_at = now
         return session
 
     def _take_again(self, session: _Session, waiter: _Waiter) -> bool:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -675,7 +675,7 @@
 
 
 def _alter_records(system: systems.System, alter: typing.Any) -> None:
-    """Let ``tamper`` alter each record as it arrives."""
+    """Pass each arriving record through ``alter``."""
     for node in system.network.nodes:
         handler = node.handler
         original = handler.on_record
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -63,7 +63,7 @@
 
         virtual.run(check)
 
-    def test_lost_upstream_answer_is_not_repeated(self) -> None:
+    def test_call_whose_answer_was_lost_is_not_retried(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 system.service.failure = systems.may_have_run(
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The gate before an upstream."""
+"""The gate that admits attempts to an upstream."""
 
 import hypothesis
 from hypothesis import strategies
