--- a/src/crowdeck/sidecar/attempt.py
+++ b/src/crowdeck/sidecar/attempt.py
@@ -19,7 +19,7 @@
     """One attempt of a request, as one stage keeps it.
 
     :ivar sequence: name of its KV cache on the engine.
-    :ivar source: link on which it came: the entry's for the head, the
+    :ivar source: link on which it arrived: the entry's for the head, the
         previous stage's for the others; ``None`` once that link is gone.
     :ivar forward: link to the next stage, or from the tail to the head.
     :ivar next_position: the only position this stage will run next.
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -134,7 +134,7 @@
             rng = random.Random(seed)
             for _ in range(4):
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(_disturb, zone, rng)
+                    tasks.start_soon(_inject_faults, zone, rng)
                     await _play_restores(zone, rng)
                     tasks.cancel_scope.cancel()
                 zone.reconnect()
@@ -174,17 +174,17 @@
             assert entry.mirror.position.version >= newest
 
 
-async def _disturb(zone: zone_system.Zone, rng: random.Random) -> None:
+async def _inject_faults(zone: zone_system.Zone, rng: random.Random) -> None:
     """Cut entries off, silence them, and stop and restart them."""
     while True:
         number = rng.randrange(len(zone.entries))
-        what = rng.choice(("is_silent", "is_down", "cut", "store", "anew"))
-        if what == "anew":
+        fault = rng.choice(("is_silent", "is_down", "cut", "store", "anew"))
+        if fault == "anew":
             zone.start_anew(number)
         else:
             entry = zone[number]
-            target = {"cut": entry.way, "store": zone.store}.get(what, entry)
-            name = {"cut": "is_cut", "store": "is_down"}.get(what, what)
+            target = {"cut": entry.way, "store": zone.store}.get(fault, entry)
+            name = {"cut": "is_cut", "store": "is_down"}.get(fault, fault)
             setattr(target, name, True)
             await anyio.sleep(rng.uniform(0.1, 2.5))
             setattr(target, name, False)
@@ -251,47 +251,47 @@
 
 
 class _Fleet:
-    """Entries that store notes of themselves and of failed engines."""
+    """Entries that store records of themselves and of failed engines."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.store = standin_store.StandinStore()
         self.empty = self.store.back_up()
         self.rosters: dict[str, rosters.Roster] = {}
         self.trackers: dict[str, trackers.QuarantineTracker] = {}
-        self.lives: dict[str, anyio.CancelScope] = {}
+        self.scopes: dict[str, anyio.CancelScope] = {}
         self._tasks = tasks
 
     def start(self, name: str, capacity: float) -> None:
-        """Start an entry, in place of one of its name."""
+        """Start an entry, replacing any other of its name."""
         self.stop(name)
         address = instances.Address("10.0.0.1", 7340)
-        note = rosters.EntryRecord("plateau", address, capacity)
+        record = rosters.EntryRecord("plateau", address, capacity)
         quarantine = self.trackers[name] = trackers.QuarantineTracker(
             anyio.current_time
         )
-        roster = rosters.Roster(self.store, name, note, quarantine)
+        roster = rosters.Roster(self.store, name, record, quarantine)
         self.rosters[name] = roster
-        self._tasks.start_soon(self._live, name, roster)
+        self._tasks.start_soon(self._run_entry, name, roster)
 
-    async def _live(self, name: str, roster: rosters.Roster) -> None:
+    async def _run_entry(self, name: str, roster: rosters.Roster) -> None:
         mirror = mirrors.Mirror(self.store, rosters.KIND, roster, 0.8)
-        with anyio.CancelScope() as self.lives[name]:
+        with anyio.CancelScope() as self.scopes[name]:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 tasks.start_soon(roster.run)
 
     def stop(self, name: str) -> None:
-        """End an entry, if there is one of that name."""
-        if name in self.lives:
-            self.lives.pop(name).cancel()
+        """Stop the entry of a name, if there is one."""
+        if name in self.scopes:
+            self.scopes.pop(name).cancel()
             del self.rosters[name], self.trackers[name]
 
     async def settle(self) -> None:
-        """Wait until every entry knows all notes."""
+        """Wait until every entry knows all records."""
         await anyio.sleep(IN_FORCE_SECONDS)
 
     def find_cause(self, name: str) -> None:
-        """Have an entry see three engines fail on one request."""
+        """Have an entry see one request end three engines."""
         quarantine = self.trackers[name]
         for number in range(3):
             quarantine.note_connection_lost(
@@ -318,9 +318,9 @@
 
 
 class TestRoster:
-    """Notes of entries that the store has lost."""
+    """Records of entries that the store has lost."""
 
-    def test_lost_note_is_written_again(self) -> None:
+    def test_lost_record_is_written_again(self) -> None:
         async def work(fleet: _Fleet) -> None:
             fleet.store.restore(fleet.empty)
             await fleet.settle()
@@ -345,7 +345,7 @@
 
         play_fleet(work)
 
-    def test_older_note_revokes_nothing(self) -> None:
+    def test_older_record_revokes_nothing(self) -> None:
         # The entry that found the cause has stopped and cannot repeat it.
         async def work(fleet: _Fleet) -> None:
             backup = fleet.store.back_up()
@@ -360,7 +360,7 @@
 
         play_fleet(work)
 
-    def test_new_notes_with_lower_versions_are_applied(self) -> None:
+    def test_new_records_with_lower_versions_are_applied(self) -> None:
         async def work(fleet: _Fleet) -> None:
             for number in range(50):
                 fleet.store.write("other", f"o{number}", b"1")
@@ -375,7 +375,7 @@
 
         play_fleet(work)
 
-    def test_unchanged_notes_cost_no_write(self) -> None:
+    def test_unchanged_records_cost_no_write(self) -> None:
         async def work(fleet: _Fleet) -> None:
             puts = fleet.store.calls["put"]
             await fleet.settle()
@@ -384,7 +384,7 @@
         play_fleet(work)
 
 
-class TestBook:
+class TestUpstreamRegistry:
     """Instances whose stored entries are older than what is known."""
 
     def test_old_entry_does_not_revive_a_leaving_instance(self) -> None:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -39,7 +39,7 @@
     loop.pass_time(seconds)
 
 
-class TestWakefulLoop:
+class TestBootTimeEventLoop:
     """The clocks of a daemon's event loop."""
 
     def test_counts_the_time_of_a_suspension(
