--- a/examples/seal_a_call.py
+++ b/examples/seal_a_call.py
@@ -26,10 +26,10 @@
     gate = crowdeck.Gate(incarnation=7, clock=WallClock())
     print("late:", gate.seal("late-call", 0, incarnation=7))
     try:
-        gate.enter("late-call", 0, is_new_work=True)
+        gate.admit("late-call", 0, is_new_work=True)
     except crowdeck.CrowdeckError as error:
         print("its late arrival:", error.code)
-    gate.enter("prompt-call", 0, is_new_work=True)
+    gate.admit("prompt-call", 0, is_new_work=True)
     gate.finish("prompt-call")
     print("prompt:", gate.seal("prompt-call", 0, incarnation=7))
 
