--- a/src/crowdeck/platform/__init__.py
+++ b/src/crowdeck/platform/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The adapter to the platform: its names, formats and calls."""
+"""Adapter to the platform: its names, formats and calls."""
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The operator's config, decoded into the product's types."""
+"""Decodes the operator's config."""
 
 import typing
 
@@ -16,8 +16,8 @@
 
 Json = dict[str, typing.Any]
 
-# What reading a body of wrong types may raise.
-_WRONG = (
+# Errors of reading a body with missing fields or wrong types.
+_DECODE_ERRORS = (
     AttributeError,
     IndexError,
     KeyError,
@@ -34,9 +34,9 @@
 
 
 def decode(value: bytes) -> routes.FleetConfig:
-    """Return the config in a stored object.
+    """Return the config from a stored object's value.
 
-    :raises SettingsError: when it cannot be understood.
+    :raises SettingsError: if it is malformed.
     """
     try:
         body = orjson.loads(value)
@@ -47,7 +47,7 @@
             teams=tuple(_team(one) for one in body.get(names.TEAMS) or ()),
             limits=_limits(body.get(names.LIMITS) or {}),
         )
-    except _WRONG as error:
+    except _DECODE_ERRORS as error:
         raise errors.SettingsError(
             f"the stored config is malformed ({error!r})"
         ) from None
--- a/src/crowdeck/platform/fields.py
+++ b/src/crowdeck/platform/fields.py
@@ -3,106 +3,105 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Reading fields of what others wrote, each of the type that it must have.
+"""Reads fields of JSON objects and checks their types.
 
-Nothing is converted: a number where a text belongs was written by somebody
-who means something else by it.
+Values are not converted: a field of another type was written with another
+meaning.
 """
 
 import typing
 
 Json = dict[str, typing.Any]
 
-# Whole numbers that every reader of JSON keeps exact. Nothing that is
-# counted here comes near.
+# The largest integer that every JSON reader keeps exact.
 MAX_EXACT_INTEGER = 2**53
 _REQUIRED: typing.Any = object()
 
 
 def text(body: Json, name: str, default: str = _REQUIRED) -> str:
-    """Return a field that holds a text.
+    """Return a string field.
 
-    :raises KeyError: where it is missing and has no default.
-    :raises TypeError: where it holds anything else.
+    :raises KeyError: if it is missing and has no default.
+    :raises TypeError: if it is not a string.
     """
-    found = _find(body, name, default)
-    if type(found) is not str:
-        raise TypeError(f"{name} holds {found!r:.40}, which is no text")
-    return found
+    value = _find(body, name, default)
+    if type(value) is not str:
+        raise TypeError(f"{name} is {value!r:.40}, not a string")
+    return value
 
 
 def token(body: Json, name: str) -> str:
-    """Return a text that may stand in a header: visible ASCII alone.
+    """Return a string field that can be sent in an HTTP header.
 
-    :raises ValueError: where it is none.
+    :raises KeyError: if it is missing.
+    :raises TypeError: if it is not a string.
+    :raises ValueError: if it is empty or not printable ASCII.
     """
-    found = text(body, name)
-    if not found or not found.isascii() or not found.isprintable():
-        raise ValueError(f"{name} holds {found!r:.40}")
-    return found
+    value = text(body, name)
+    if not value or not value.isascii() or not value.isprintable():
+        raise ValueError(f"{name} is {value!r:.40}, not printable ASCII")
+    return value
 
 
-def whole(body: Json, name: str, default: int = _REQUIRED) -> int:
-    """Return a field that holds a whole number, 0 or more.
+def integer(body: Json, name: str, default: int = _REQUIRED) -> int:
+    """Return an integer field of 0 or more.
 
-    :raises KeyError: where it is missing and has no default.
-    :raises TypeError: where it holds anything else.
-    :raises ValueError: where it is below 0 or beyond all reason.
+    :raises KeyError: if it is missing and has no default.
+    :raises TypeError: if it is not an integer.
+    :raises ValueError: if it is negative or too large.
     """
-    found = _find(body, name, default)
-    if type(found) is not int:
-        raise TypeError(
-            f"{name} holds {found!r:.40}, which is no whole number"
-        )
-    if not 0 <= found <= MAX_EXACT_INTEGER:
-        raise ValueError(f"{name} holds {found}")
-    return found
+    value = _find(body, name, default)
+    if type(value) is not int:
+        raise TypeError(f"{name} is {value!r:.40}, not an integer")
+    if not 0 <= value <= MAX_EXACT_INTEGER:
+        raise ValueError(f"{name} is {value}, out of range")
+    return value
 
 
 def number(body: Json, name: str, default: float = _REQUIRED) -> float:
-    """Return a field that holds a number, 0 or more.
+    """Return a numeric field of 0 or more.
 
-    :raises KeyError: where it is missing and has no default.
-    :raises TypeError: where it holds anything else.
-    :raises ValueError: where it is below 0 or beyond all reason.
+    :raises KeyError: if it is missing and has no default.
+    :raises TypeError: if it is not a number.
+    :raises ValueError: if it is negative or too large.
     """
-    found = _find(body, name, default)
-    if type(found) not in (int, float):
-        raise TypeError(f"{name} holds {found!r:.40}, which is no number")
-    if not 0 <= found <= MAX_EXACT_INTEGER:
-        raise ValueError(f"{name} holds {found}")
-    return float(found)
+    value = _find(body, name, default)
+    if type(value) not in (int, float):
+        raise TypeError(f"{name} is {value!r:.40}, not a number")
+    if not 0 <= value <= MAX_EXACT_INTEGER:
+        raise ValueError(f"{name} is {value}, out of range")
+    return float(value)
 
 
-def flag(body: Json, name: str) -> bool:
-    """Return a field that holds true or false; false where it is missing.
+def boolean(body: Json, name: str) -> bool:
+    """Return a boolean field, ``False`` if it is missing.
 
-    :raises TypeError: where it holds anything else.
+    :raises TypeError: if it is not a boolean.
     """
-    found = _find(body, name, False)
-    if type(found) is not bool:
-        raise TypeError(f"{name} holds {found!r:.40}, not true or false")
-    return found
+    value = _find(body, name, False)
+    if type(value) is not bool:
+        raise TypeError(f"{name} is {value!r:.40}, not a boolean")
+    return value
 
 
-def entries(body: Json, name: str) -> list[Json]:
-    """Return a field that holds a list of objects; none where it is missing.
+def object_list(body: Json, name: str) -> list[Json]:
+    """Return a list field, empty if it is missing.
 
-    :raises TypeError: where it holds anything else.
+    :raises TypeError: if it is not a list.
     """
-    found = _find(body, name, [])
-    if type(found) is not list:
-        raise TypeError(f"{name} holds {found!r:.40}, which is no list")
-    return found
+    value = _find(body, name, [])
+    if type(value) is not list:
+        raise TypeError(f"{name} is {value!r:.40}, not a list")
+    return value
 
 
 def _find(body: Json, name: str, default: typing.Any) -> typing.Any:
-    """Return a field, its default where it is missing or null."""
+    """Return a field, or its default if it is missing or null."""
     if type(body) is not dict:
-        raise TypeError(f"{body!r:.40} is no object")
-    found = body.get(name)
-    if found is not None:
-        return found
+        raise TypeError(f"{body!r:.40} is not a JSON object")
+    value = body.get(name)
+    if value is not None:
+        return value
     if default is _REQUIRED:
         raise KeyError(name)
     return default
--- a/src/crowdeck/platform/names.py
+++ b/src/crowdeck/platform/names.py
@@ -3,16 +3,16 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Every name that the platform puts on the wire, spelled once.
+"""Names of headers, paths and fields on the platform's wire.
 
-Some of these words mean different things in different messages; the
-comments say what each holds. The rest of the product uses the types of
-the decoding modules beside this one.
+Some names mean different things in different messages; comments state what
+they hold. Other packages use the types of the decoding modules of this
+package.
 """
 
-# Headers, as ASGI and httpcore give them: lower case, latin-1.
+# Headers, in lower case and latin-1 as in ASGI and httpcore.
 REQUEST_ID = b"x-request-id"
-DEADLINE = b"x-request-deadline"  # milliseconds that the sender will wait
+DEADLINE = b"x-request-deadline"  # milliseconds that the sender waits
 SIGNATURE = b"x-response-signature"
 NOT_EXECUTED = b"x-not-executed"
 EXPECTED_INSTANCE = b"x-expected-instance"
@@ -26,12 +26,12 @@
 LAST_EVENT_ID = b"last-event-id"
 RETRY_AFTER = b"retry-after"
 LIMIT = b"server-limit"  # requests a second, from all entries together
-LEAVING = b"server-leaving"  # 1 in every answer of an engine that leaves
-EPOCH = b"store-era"  # how often the store came back from a copy
+LEAVING = b"server-leaving"  # 1 in the answers of an engine that leaves
+EPOCH = b"store-era"  # counts restores of the store from a backup
 AUTHORIZATION = b"authorization"
 KEY_SCHEME = "token "
 
-# Calls.
+# Paths.
 READINESS_PATH = "/api/readiness"
 REPORT_PATH = "/api/report"
 ORDER_PATH = "/api/order"
@@ -44,7 +44,7 @@
 SPECIFICATION = "specification"
 ITEMS = "items"
 MORE = "has_more"
-AFTER_NAME = "after_revision"  # a name to go on after, not a revision
+AFTER_NAME = "after_revision"  # the name of the last object, not a revision
 AT_REVISION = "timestamp"  # the store's revision, not a time
 EVENTS = "events"
 OBJECT = "object"
@@ -78,7 +78,7 @@
 WAITING = "waiting"
 CACHE_USED = "kv_cache_used"  # tokens times layers
 CACHE_TOTAL = "kv_cache_total"  # tokens times layers
-SLOWDOWN = "pace"  # in a report: over 1 while slow
+SLOWDOWN = "pace"  # in a report: above 1 while slow
 STALLED = "stalled"
 ID = "id"
 BORN = "born"  # milliseconds since 1970, in entries and reports
@@ -89,8 +89,8 @@
 REPATH = "repath"
 PATH = "path"
 METHOD = "method"
-METHOD_QUEUE = "queue"  # what passes given-up layers ends first
-METHOD_TRUNCATE = "truncate"  # it is stopped
+METHOD_QUEUE = "queue"  # first wait for streams that use the layers
+METHOD_TRUNCATE = "truncate"  # interrupt these streams
 EXPECTED_ORDERS = "expected_revision"
 FENCING_TOKEN = "fencing_token"  # noqa: S105
 
@@ -103,7 +103,7 @@
 API_KEYS = "api_keys"
 HOST = "host"
 PREFIX = "path_prefix"
-ROUTE_KIND = "route_kind"  # in a route: what may be repeated
+ROUTE_KIND = "route_kind"  # in a route: whether requests may be repeated
 KIND_IDEMPOTENT = "idempotent"
 KIND_STREAMING = "streaming"
 TIMEOUT_MS = "timeout_ms"
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The platform's store, met over HTTP: objects, watches, instances."""
+"""Client of the platform's store over HTTP: objects, watches, instances."""
 
 import typing
 import urllib.parse
@@ -19,17 +19,20 @@
 from crowdeck import upstream
 from crowdeck import verdict as verdicts
 
-# The store answers in 4 ms, or 240 ms when it is sixty times slower; a
-# call without an answer after this long has met an outage.
-REQUEST_TIMEOUT = 1.0
-# A watch that is answered at its end still has to travel, from a store
-# that may be sixty times slower than its usual 4 ms. As much again is for
-# connections that a slow link delays.
-WATCH_SLACK = 0.5
-PAGE_LIMIT = 1_000
-
-# What reading a body of wrong types may raise.
-_WRONG = (AttributeError, KeyError, OverflowError, TypeError, ValueError)
+# A call without an answer for this long is taken for an outage.
+REQUEST_TIMEOUT_SECONDS = 1.0
+# Added to the wait of a watch for a slow store and slow connections.
+WATCH_SLACK_SECONDS = 0.5
+MAX_PAGES = 1_000
+
+# Errors of reading a body with missing fields or wrong types.
+_DECODE_ERRORS = (
+    AttributeError,
+    KeyError,
+    OverflowError,
+    TypeError,
+    ValueError,
+)
 
 _NOT_RUN = verdicts.Verdict.NOT_RUN
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
@@ -55,17 +58,22 @@
     async def get(
         self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
-        """Return an object."""
+        """Return an object, or ``None`` if there is none of this name."""
         query: Query | None = {names.STALE: 1} if allow_stale else None
         response = await self._read(_path(kind, name, query))
         if response.status == 404:
             return None
-        return _stored(kind, _parsed(response))
+        return _decode_object(kind, _decode_body(response))
 
     async def put(
         self, kind: str, name: str, value: bytes, expected: int
     ) -> int:
-        """Write an object if its version is the expected one."""
+        """Write an object if its version is ``expected``.
+
+        Returns the new version.
+
+        :raises CrowdeckError: ``STORE_CONFLICT`` if it has another version.
+        """
         metadata: Json = {names.NAME: name}
         if expected == stores.CREATE:
             method, path = "POST", _path(kind)
@@ -80,77 +88,86 @@
         if response.status in (404, 409):
             raise errors.CrowdeckError(
                 errors.Code.STORE_CONFLICT,
-                f"{kind}/{name} was written by another",
+                f"{kind}/{name} has another version than expected",
             )
-        return _stored(kind, _parsed_write(response)).version
+        return _decode_object(kind, _decode_written(response)).version
 
     async def watch(
         self, kind: str, after: stores.Position, wait: float
     ) -> stores.Changes:
-        """Return what changed after a position."""
+        """Return the changes after a position, waiting for ``wait`` seconds.
+
+        :raises CrowdeckError: ``STORE_HISTORY`` if the store does not have
+            these changes.
+        """
         query: Query = {
             names.WATCH: after.version,
             names.WAIT_MS: int(wait * 1000),
         }
         response = await self._read(
-            _path(kind, query=query), wait + WATCH_SLACK
+            _path(kind, query=query), wait + WATCH_SLACK_SECONDS
         )
         epoch = self._epoch_of(response)
-        # The store refuses a version that it does not have. One that it has
-        # given out again it takes for its own.
+        # The store refuses versions that it does not have, but cannot notice
+        # a version of an earlier epoch that it has used again.
         if response.status == 410 or epoch != after.epoch:
             raise errors.CrowdeckError(
                 errors.Code.STORE_HISTORY,
-                f"the store, in epoch {epoch}, does not know what happened "
-                f"after {after.version} of epoch {after.epoch}",
+                f"the store, in epoch {epoch}, has no history after version "
+                f"{after.version} of epoch {after.epoch}",
             )
-        return _changes(kind, _parsed(response), epoch)
+        return _decode_changes(kind, _decode_body(response), epoch)
 
     async def list(self, kind: str) -> stores.Changes:
-        """Return every object of a kind, page by page."""
+        """Return every object of a kind."""
         found: list[stores.StoredObject] = []
         query: Query = {}
         version: int | None = None
         epoch: int | None = None
-        for _ in range(PAGE_LIMIT):
+        for _ in range(MAX_PAGES):
             response = await self._read(_path(kind, query=query))
-            body = _parsed(response)
+            body = _decode_body(response)
             if epoch not in (None, self._epoch_of(response)):
-                raise _down("the store was restored between two pages")
+                raise _store_down("the store was restored while it was listed")
             epoch = self._epoch_of(response)
-            found += _readable(kind, body.get(names.ITEMS))
+            found += _decode_objects(kind, body.get(names.ITEMS))
             if version is None:
-                # Objects of later pages may be newer than this, never
-                # older: a watch from here repeats some, and misses none.
-                version = _version(body)
+                # Objects of later pages may be newer. A watch from here may
+                # repeat changes but misses none.
+                version = _decode_version(body)
             if not body.get(names.MORE) or not found:
                 break
             query = {names.AFTER_NAME: found[-1].name}
         return stores.Changes(version or 0, tuple(found), epoch=epoch or 0)
 
     async def list_instances(self, known: str = "") -> stores.Listing | None:
-        """Return the listed instances, unless nothing changed."""
+        """Return the listed instances, or ``None`` if nothing changed.
+
+        :param known: the etag of the listing that the caller has.
+        """
         changes = await self.list(names.INSTANCE_KIND)
-        # Not the store's version: that rises with every other write too.
+        # The store's version also rises with writes to other objects.
         etag = str(max((one.version for one in changes.objects), default=0))
         etag = f"{changes.epoch}-{len(changes.objects)}-{etag}"
         if etag == known:
             return None
         try:
-            listed = tuple(_instance(one) for one in changes.objects)
+            listed = tuple(_decode_instance(one) for one in changes.objects)
         except (KeyError, TypeError, ValueError) as error:
-            raise _down("the instance list is malformed") from error
+            raise _store_down("the instance list is malformed") from error
         return stores.Listing(etag, listed)
 
     async def _read(
-        self, path: str, timeout: float = REQUEST_TIMEOUT
+        self, path: str, timeout: float = REQUEST_TIMEOUT_SECONDS
     ) -> upstream.ServiceResponse:
         try:
             response = await self._client.send("GET", path, [], b"", timeout)
         except errors.CrowdeckError as error:
-            raise _down(error.message) from None
+            raise _store_down(error.message) from None
         if response.status not in (200, 404, 410):
-            raise _down(f"the store answered {response.status}")
+            raise _store_down(
+                f"the store answered with status {response.status}"
+            )
         self._epoch = self._epoch_of(response)
         return response
 
@@ -159,7 +176,7 @@
     ) -> upstream.ServiceResponse:
         try:
             response = await self._client.send(
-                method, path, [_JSON_TYPE], body, REQUEST_TIMEOUT
+                method, path, [_JSON_TYPE], body, REQUEST_TIMEOUT_SECONDS
             )
         except errors.CrowdeckError as error:
             raise _write_lost(error.verdict) from None
@@ -171,14 +188,17 @@
         return response
 
     def _epoch_of(self, response: upstream.ServiceResponse) -> int:
-        """Return the epoch that an answer tells, 0 where it tells none."""
-        told = response.find(_EPOCH)
-        if not told:
+        """Return the epoch in an answer, or 0 if there is none.
+
+        If it is unreadable this is the last epoch known.
+        """
+        value = response.find(_EPOCH)
+        if not value:
             return 0
         try:
-            return int(told)
+            return int(value)
         except ValueError:
-            logs.change("epoch_unread", told=told[:40])
+            logs.change("epoch_unread", told=value[:40])
             return self._epoch or 0
 
 
@@ -191,7 +211,7 @@
     return path
 
 
-def _stored(kind: str, body: Json) -> stores.StoredObject:
+def _decode_object(kind: str, body: Json) -> stores.StoredObject:
     try:
         metadata = body[names.METADATA]
         return stores.StoredObject(
@@ -200,39 +220,39 @@
             int(metadata[names.REVISION]),
             stores.write_json(body.get(names.SPECIFICATION)),
         )
-    except _WRONG as error:
-        raise _down("an object of the store is malformed") from error
+    except _DECODE_ERRORS as error:
+        raise _store_down("an object of the store is malformed") from error
 
 
-def _readable(kind: str, items: object) -> list[stores.StoredObject]:
-    """Return the objects of a list that have a name and a version.
+def _decode_objects(kind: str, items: object) -> list[stores.StoredObject]:
+    """Return the objects of a list that can be decoded.
 
-    Other writers' objects stand in the same lists. One that cannot be told
-    from the others must not keep them from being read.
+    Objects of other writers are in the same lists. A malformed one is logged
+    and must not prevent the others from being read.
     """
     if not isinstance(items, list):
-        raise _down("the store's list is malformed")
+        raise _store_down("the store's list is malformed")
     found = []
     for one in items:
         try:
-            found.append(_stored(kind, one))
+            found.append(_decode_object(kind, one))
         except errors.CrowdeckError as error:
             logs.change("object_unread", kind=kind, reason=error.message)
     return found
 
 
-def _changes(kind: str, body: Json, epoch: int) -> stores.Changes:
-    """Return what the events come to: each object's last state."""
+def _decode_changes(kind: str, body: Json, epoch: int) -> stores.Changes:
+    """Return the last state of each object in the events of a watch."""
     events = body.get(names.EVENTS) or []
     if not isinstance(events, list):
-        raise _down("the store's events are malformed")
+        raise _store_down("the store's events are malformed")
     written: dict[str, stores.StoredObject] = {}
     removed: dict[str, None] = {}
     for event in events:
         if not isinstance(event, dict):
-            logs.change("object_unread", kind=kind, reason="it is no event")
+            logs.change("object_unread", kind=kind, reason="not an event")
             continue
-        for one in _readable(kind, [event.get(names.OBJECT)]):
+        for one in _decode_objects(kind, [event.get(names.OBJECT)]):
             written.pop(one.name, None)
             removed.pop(one.name, None)
             if event.get(names.REMOVED):
@@ -240,19 +260,19 @@
             else:
                 written[one.name] = one
     return stores.Changes(
-        _version(body), tuple(written.values()), tuple(removed), epoch
+        _decode_version(body), tuple(written.values()), tuple(removed), epoch
     )
 
 
-def _version(body: Json) -> int:
-    """Return the store's version of which an answer tells."""
+def _decode_version(body: Json) -> int:
+    """Return the store's version in an answer."""
     try:
         return int(body[names.AT_REVISION])
-    except _WRONG as error:
-        raise _down("the store's answer tells no version") from error
+    except _DECODE_ERRORS as error:
+        raise _store_down("the store's answer has no version") from error
 
 
-def _instance(stored: stores.StoredObject) -> instances.Instance:
+def _decode_instance(stored: stores.StoredObject) -> instances.Instance:
     body = orjson.loads(stored.value)
     return instances.Instance(
         name=stored.name,
@@ -263,24 +283,24 @@
     )
 
 
-def _parsed(response: upstream.ServiceResponse) -> Json:
+def _decode_body(response: upstream.ServiceResponse) -> Json:
     try:
         body = stores.read_json(response.body)
     except (ValueError, RecursionError) as error:
-        raise _down("the store's answer is malformed") from error
+        raise _store_down("the store's answer is malformed") from error
     if not isinstance(body, dict):
-        raise _down("the store's answer is malformed")
+        raise _store_down("the store's answer is malformed")
     return body
 
 
-def _parsed_write(response: upstream.ServiceResponse) -> Json:
+def _decode_written(response: upstream.ServiceResponse) -> Json:
     try:
-        return _parsed(response)
+        return _decode_body(response)
     except errors.CrowdeckError:
         raise _write_lost(_MAY_HAVE_RUN) from None
 
 
-def _down(message: str) -> errors.CrowdeckError:
+def _store_down(message: str) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.STORE_DOWN, message, retry_after=1.0
     )
@@ -288,7 +308,7 @@
 
 def _write_lost(verdict: verdicts.Verdict) -> errors.CrowdeckError:
     if verdict is _NOT_RUN:
-        return _down("the store could not be reached")
+        return _store_down("the store could not be reached")
     return errors.CrowdeckError(
         errors.Code.STORE_UNSURE,
         "the store's reply to a write was lost",
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Upstream instances' entries in the store, and engines' reports."""
+"""Decodes entries of upstream instances and reports of engines."""
 
 import orjson
 
@@ -17,22 +17,29 @@
 from crowdeck import verdict as verdicts
 
 _STATES = frozenset({names.STATE_READY, names.STATE_DRAINING})
-# Layers that a model may have at most; what counts them makes room for each.
+# Bounds the memory for counters of layers.
 MAX_LAYER_COUNT = 65_536
-# What reading a body of wrong types or sizes may raise.
-_WRONG = (AttributeError, KeyError, OverflowError, TypeError, ValueError)
+# Errors of reading a body with missing fields, wrong types or sizes.
+_DECODE_ERRORS = (
+    AttributeError,
+    KeyError,
+    OverflowError,
+    TypeError,
+    ValueError,
+)
 
 
 def decode(stored: stores.StoredObject) -> chain.Upstream:
     """Return the upstream instance that an entry describes.
 
-    :raises CrowdeckError: ``MALFORMED``, also where another writer made it
-        and its state is none that an instance can have.
+    :raises CrowdeckError: ``MALFORMED``, also for objects of other writers
+        without the state of an instance.
     """
     try:
         body = orjson.loads(stored.value)
         incarnation = chain.Incarnation(
-            fields.token({names.ID: stored.name}, names.ID), _born(body)
+            fields.token({names.ID: stored.name}, names.ID),
+            _start_time_ms(body),
         )
         return chain.Upstream(
             name=incarnation.name,
@@ -41,28 +48,28 @@
             service=fields.text(body, names.SERVICE),
             address=instances.Address.parse(fields.text(body, names.ADDRESS)),
             availability_zone=fields.text(body, names.ZONE, ""),
-            slots=fields.whole(body, names.SLOTS, 1),
+            slots=fields.integer(body, names.SLOTS, 1),
             is_leaving=_state(body) == names.STATE_DRAINING,
             card=fields.text(body, names.CARD, ""),
             layers=_layers(body),
         )
-    except _WRONG as error:
+    except _DECODE_ERRORS as error:
         raise _malformed(f"entry {stored.name!r:.80}", error) from None
 
 
 def decode_report(content: bytes) -> chain.EngineReport:
-    """Return what an engine reports.
+    """Return an engine's report.
 
     :raises CrowdeckError: ``MALFORMED``.
     """
     try:
         body = orjson.loads(content)
         return chain.EngineReport(
-            orders_taken=fields.whole(body, names.ORDERS_TAKEN),
-            is_busy=fields.flag(body, names.BUSY),
+            orders_taken=fields.integer(body, names.ORDERS_TAKEN),
+            is_busy=fields.boolean(body, names.BUSY),
             layers=_layers(body),
-            running=fields.whole(body, names.RUNNING, 0),
-            waiting=fields.whole(body, names.WAITING, 0),
+            running=fields.integer(body, names.RUNNING, 0),
+            waiting=fields.integer(body, names.WAITING, 0),
             cache_used=fields.number(body, names.CACHE_USED, 0.0),
             cache_total=fields.number(body, names.CACHE_TOTAL, 0.0),
             slowdown=fields.number(body, names.SLOWDOWN, 1.0) or 1.0,
@@ -71,37 +78,40 @@
                     fields.text(one, names.ID),
                     fields.text(one, names.ADDRESS),
                 )
-                for one in fields.entries(body, names.STALLED)
+                for one in fields.object_list(body, names.STALLED)
             ),
-            started_ms=_born(body),
+            started_ms=_start_time_ms(body),
         )
-    except _WRONG as error:
+    except _DECODE_ERRORS as error:
         raise _malformed("an engine's report", error) from None
 
 
 def _state(body: fields.Json) -> str:
-    # Every instance tells it: an entry without it is another writer's.
+    # Every instance writes its state; other writers' objects have none.
     state = fields.text(body, names.STATE)
     if state not in _STATES:
-        raise ValueError(f"no instance is {state!r:.40}")
+        raise ValueError(f"the state {state!r:.40} is unknown")
     return state
 
 
-def _born(body: fields.Json) -> int:
-    """Return when an engine says that it started, 0 where it does not."""
+def _start_time_ms(body: fields.Json) -> int:
+    """Return the start time in an entry or a report, 0 if it is missing.
+
+    :raises TypeError: if it is null.
+    """
     if names.BORN in body and body[names.BORN] is None:
-        raise TypeError("it started at no time")
-    return fields.whole(body, names.BORN, 0)
+        raise TypeError("the start time is null")
+    return fields.integer(body, names.BORN, 0)
 
 
 def _layers(body: fields.Json) -> pipeline.LayerRange | None:
-    told = body.get(names.LAYERS)
-    if not told:
+    value = body.get(names.LAYERS)
+    if not value:
         return None
-    first = fields.whole(told, names.FIRST_LAYER)
-    end = fields.whole(told, names.END_LAYER)
+    first = fields.integer(value, names.FIRST_LAYER)
+    end = fields.integer(value, names.END_LAYER)
     if end > MAX_LAYER_COUNT:
-        raise ValueError(f"no model has {end} layers")
+        raise ValueError(f"a model cannot have {end} layers")
     return pipeline.LayerRange(first, end) if end > first else None
 
 
