--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -24,8 +24,8 @@
 from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 
-# A report or an order is answered at once by a sound engine; a link
-# between availability zones adds less than a millisecond.
+# Reports and orders are answered at once; a link between availability zones
+# adds less than a millisecond.
 CONNECT_SECONDS = 0.25
 EXCHANGE_SECONDS = 0.5
 _JSON_TYPE = (b"content-type", b"application/json")
@@ -33,67 +33,67 @@
 _UNAVAILABLE = 503
 _NOT_RUN_STATUSES = frozenset({_MISDIRECTED})
 _IS_LEAVING = b"1"
-# Of a header that cannot be read the log shows so much.
-_TOLD_BYTES = 40
+# How much of an unreadable header is logged.
+_LOGGED_BYTES = 40
 
 
 class UpstreamAnswer:
-    """An upstream's answer whose body is still to come."""
+    """An upstream's answer whose body has not been read yet."""
 
     def __init__(self, response: http.OpenResponse) -> None:
         self._response = response
 
     @property
     def status(self) -> int:
-        """The upstream's status."""
+        """The HTTP status."""
         return self._response.status
 
     @property
     def caller_headers(self) -> http.RawHeaders:
-        """The headers that go to the caller."""
+        """The headers that the caller gets."""
         return callers.caller_response_headers(self._response.headers)
 
     @property
     def has_not_run(self) -> bool:
-        """Whether the upstream says that it did not run the request."""
+        """Whether the upstream states that it did not run the request."""
         return self.status in _NOT_RUN_STATUSES or bool(
             self._response.find(names.NOT_EXECUTED)
         )
 
     @property
     def is_signed(self) -> bool:
-        """Whether the answer bears the upstream's signature."""
+        """Whether the answer has a signature."""
         return bool(self._response.find(names.SIGNATURE))
 
     @property
     def culprit(self) -> str:
-        """Address of the engine that made a path fail, or nothing."""
+        """Address of the engine that made a path fail, or an empty string."""
         return self._response.find(names.CULPRIT).decode("latin-1")
 
     @property
     def load(self) -> interfaces.Load | None:
-        """The load that the upstream tells, if it does."""
+        """The load that the upstream reports, if any."""
         return _load(self._response)
 
     def belongs_to(self, request: requests.CallerRequest) -> bool:
-        """Whether this is the answer to ``request`` and to no other."""
+        """Whether this is the answer to ``request``."""
         return self._response.find(names.REQUEST_ID) == request.id.encode()
 
     def event_id(self, event: bytes) -> int | None:
-        """Return the id of one event of a stream, or ``None``."""
+        """Return the id of a server-sent event, or ``None`` if it has none."""
         return callers.event_id(event)
 
     def chunks(self) -> typing.AsyncIterator[bytes]:
-        """Yield the body as it comes."""
+        """Yield the body as it arrives."""
         return self._response.chunks()
 
     async def read(self, limit: int) -> bytes:
-        """Return the whole body."""
+        """Return the whole body, of at most ``limit`` bytes."""
         return await self._response.read(limit)
 
 
 class OrderOutcome(enum.Enum):
-    """What became of an order."""
+    """The outcome of an order."""
 
     BEGUN = "begun"
     HOLDS = "holds"
@@ -102,14 +102,14 @@
 
 
 class UpstreamClient:
-    """Speaks to upstream instances, on a new connection for each call."""
+    """Calls upstream instances."""
 
     def __init__(self, client: http.HttpClient) -> None:
         self._client = client
         self._listeners: list[interfaces.NoticeListener] = []
 
     def subscribe(self, listener: interfaces.NoticeListener) -> None:
-        """Call ``listener`` with what each answer tells of its sender."""
+        """Call ``listener`` with the notice in the head of each answer."""
         self._listeners.append(listener)
 
     @contextlib.asynccontextmanager
@@ -120,9 +120,10 @@
         dispatch: interfaces.Dispatch,
         timeouts: http.Timeouts,
     ) -> typing.AsyncIterator[UpstreamAnswer]:
-        """Send a request and yield its answer once the head is here.
+        """Send a request and yield its answer once the head has arrived.
 
-        :raises CrowdeckError: ``UPSTREAM_LOST``, with the verdict.
+        :raises CrowdeckError: ``UPSTREAM_LOST``, with a verdict on whether the
+            request ran.
         """
         async with self._client.open(
             request.method,
@@ -131,26 +132,28 @@
             request.body,
             timeouts,
         ) as response:
-            self._tell(upstream, response, answers_request=True)
+            self._notify(upstream, response, answers_request=True)
             yield UpstreamAnswer(response)
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
-        """Return what an engine says of itself.
+        """Return an engine's report.
 
-        :raises CrowdeckError: when it cannot be had.
+        :raises InstanceGone: if another instance or a later run answered.
+        :raises CrowdeckError: if there is no valid report.
         """
         status, body, _ = await self._exchange(
             "GET", upstream, names.REPORT_PATH, b""
         )
         if status == _MISDIRECTED:
-            raise errors.InstanceGone("another instance is at its address")
+            raise errors.InstanceGone("another instance uses its address")
         if status != 200:
             raise errors.CrowdeckError(
-                errors.Code.UPSTREAM_FAILED, f"a report came with {status}"
+                errors.Code.UPSTREAM_FAILED,
+                f"a report was answered with status {status}",
             )
         report = upstreams.decode_report(body)
         if report.is_from_later_run(upstream.incarnation):
-            raise errors.InstanceGone("its process has started again")
+            raise errors.InstanceGone("its process has restarted")
         return report
 
     async def place(
@@ -164,10 +167,10 @@
     ) -> OrderOutcome:
         """Order an engine to hold ``layers`` and no others.
 
-        :param stops_streams: whether it is to stop what passes layers that
-            it gives up; otherwise it first waits for the end of all.
-        :param expected_orders: the engine takes the order only if it has
-            taken just so many before; a late copy then no longer fits.
+        :param expected_orders: the engine accepts the order only if it has
+            accepted this many before, so that a late copy is refused.
+        :param stops_streams: whether to interrupt streams that use layers
+            which it gives up. Otherwise it first waits for them to end.
         """
         method = names.METHOD_QUEUE
         if stops_streams:
@@ -193,9 +196,9 @@
     async def repath(
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
     ) -> interfaces.RepathOutcome:
-        """Have a running request go on along another path.
+        """Move a running request to another path.
 
-        :param path: begins with the same first part as before.
+        :param path: the new path, which starts with the same hop.
         """
         order = {
             names.OPERATION: names.REPATH,
@@ -209,7 +212,9 @@
         if status in (200, 202):
             return interfaces.RepathOutcome(is_done=True, is_known=True)
         return interfaces.RepathOutcome(
-            is_done=False, is_known=status != 404, culprit=_address_in(body)
+            is_done=False,
+            is_known=status != 404,
+            culprit=_refused_address(body),
         )
 
     async def _order(
@@ -232,21 +237,21 @@
             body,
             http.Timeouts(CONNECT_SECONDS, EXCHANGE_SECONDS),
         ) as response:
-            self._tell(upstream, response, answers_request=False)
+            self._notify(upstream, response, answers_request=False)
             content = await response.read(http.RESPONSE_LIMIT)
             return response.status, content, response.headers
 
-    def _tell(
+    def _notify(
         self,
         upstream: chain.Upstream,
         response: http.OpenResponse,
         *,
         answers_request: bool,
     ) -> None:
-        """Tell the listeners what the head of an answer says.
+        """Pass the notice in the head of an answer to the listeners.
 
-        Another instance may have given an answer that was misdirected, so
-        it says nothing of the one that was meant.
+        A misdirected request is answered by another instance, so its answer is
+        ignored.
         """
         if response.status == _MISDIRECTED:
             return
@@ -267,21 +272,21 @@
 
 
 def _backpressure(response: http.OpenResponse) -> pressures.Backpressure:
-    """Return what the head of an answer asks for."""
+    """Return the backpressure in the head of an answer."""
     backoff = None
     if response.status == _UNAVAILABLE:
-        backoff = _rate_or_seconds(response, names.RETRY_AFTER)
+        backoff = _decimal_header(response, names.RETRY_AFTER)
     return pressures.Backpressure(
-        limit=_rate_or_seconds(response, names.LIMIT),
+        limit=_decimal_header(response, names.LIMIT),
         backoff=backoff or 0.0,
         is_leaving=response.find(names.LEAVING).strip() == _IS_LEAVING,
     )
 
 
-def _rate_or_seconds(response: http.OpenResponse, name: bytes) -> float | None:
-    """Return a header's decimal number, ``None`` where it has none.
+def _decimal_header(response: http.OpenResponse, name: bytes) -> float | None:
+    """Return the value of a decimal header, or ``None`` if it is missing.
 
-    One that cannot be read asks for nothing, and is told.
+    An unreadable value is logged and ignored.
     """
     text = response.find(name)
     if not text:
@@ -294,17 +299,16 @@
         logs.change(
             "header_unread",
             name=name.decode("latin-1"),
-            value=text[:_TOLD_BYTES].decode("latin-1"),
+            value=text[:_LOGGED_BYTES].decode("latin-1"),
         )
         return None
     return value
 
 
-def _address_in(body: bytes) -> str:
-    """Return the address that a refusal names, or nothing.
+def _refused_address(body: bytes) -> str:
+    """Return the address in the body of a refusal, or an empty string.
 
-    Without it the whole change of path is taken for impossible, which the
-    next look into the stream corrects.
+    Without an address the whole path counts as refused.
     """
     try:
         return str(orjson.loads(body).get(names.ADDRESS, ""))
--- a/src/crowdeck/platform/orders.py
+++ b/src/crowdeck/platform/orders.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Placement orders, as the placement duty gives them."""
+"""Sends the placement controller's orders to engines."""
 
 from crowdeck import chain
 from crowdeck import errors
@@ -19,15 +19,15 @@
         self._client = client
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
-        """Return what an engine says of itself."""
+        """Return an engine's report."""
         return await self._client.report(upstream)
 
     async def place(
         self, move: plan.Move, expected_orders: int, fencing_token: int
     ) -> bool:
-        """Give an order; false when the engine refused it.
+        """Send an order and return whether the engine accepted it.
 
-        :raises CrowdeckError: when it may have been taken, or may yet be.
+        :raises CrowdeckError: if the outcome is unknown.
         """
         outcome = await self._client.place(
             move.upstream,
@@ -39,7 +39,7 @@
         if outcome is engines.OrderOutcome.UNKNOWN:
             raise errors.CrowdeckError(
                 errors.Code.UPSTREAM_LOST,
-                "an order got no answer",
+                "an order was not answered",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
                 culprit=move.upstream.name,
             )
