--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""How runs of an instance are named, and told, on the wire."""
+"""Tests of how runs of an instance are identified on the wire."""
 
 import contextlib
 import typing
@@ -60,7 +60,7 @@
 
 
 class FixedHttp:
-    """Answers every request alike, and keeps its headers."""
+    """Gives every request the same answer and records its headers."""
 
     def __init__(self, body: dict[str, object]) -> None:
         self._content = orjson.dumps(body)
@@ -82,13 +82,13 @@
 
 
 class TestAdapter:
-    """What the platform's adapter makes of runs."""
+    """Runs of an instance in the adapter to the platform."""
 
-    def test_asks_for_an_instance_by_the_id_that_it_knows(self) -> None:
+    def test_reports_are_requested_by_instance_id(self) -> None:
         fixed = ask({names.ORDERS_TAKEN: 0, names.BORN: 7}, a_run(7))
         assert (names.EXPECTED_INSTANCE, b"e") in fixed.sent[0]
 
-    def test_sends_requests_to_that_id_as_well(self) -> None:
+    def test_requests_are_sent_by_instance_id(self) -> None:
         system = fleet_system.FleetSystem()
         requests: list[object] = []
 
@@ -103,12 +103,12 @@
         )
         assert (names.EXPECTED_INSTANCE, b"e") in headers
 
-    def test_a_report_of_a_later_run_is_an_end(self) -> None:
+    def test_report_of_a_later_run_means_the_instance_is_gone(self) -> None:
         with pytest.raises(errors.InstanceGone):
             ask({names.ORDERS_TAKEN: 0, names.BORN: 8}, a_run(7))
 
     @pytest.mark.parametrize("born", [{names.BORN: 6}, {}])
-    def test_a_report_of_no_run_that_could_make_it_is_refused(
+    def test_report_of_an_earlier_or_unknown_run_is_malformed(
         self, born: dict[str, object]
     ) -> None:
         with pytest.raises(errors.CrowdeckError) as caught:
@@ -117,16 +117,16 @@
 
 
 class UnreadableReports:
-    """Engines that live and whose reports cannot be read."""
+    """Engines whose reports cannot be decoded."""
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
         raise errors.CrowdeckError(errors.Code.MALFORMED, "no report")
 
 
 class TestProbe:
-    """Asking an engine whose report cannot be read."""
+    """Probes of an engine whose report cannot be decoded."""
 
-    def test_is_no_silence(self) -> None:
+    def test_malformed_report_counts_as_an_answer(self) -> None:
         async def body() -> None:
             client = typing.cast(interfaces.Upstreams, UnreadableReports())
             prober = probes.Prober(client, lambda _: True)
@@ -139,9 +139,9 @@
 
 
 class TestStart:
-    """What an entry waits for, and by which clock it lives."""
+    """The start of an entry and the clock of its event loop."""
 
-    def test_knows_the_other_entries_notes_before_it_serves(self) -> None:
+    def test_entry_waits_for_the_roster_before_it_serves(self) -> None:
         class Holder:
             services = ()
 
@@ -188,7 +188,7 @@
 
         virtual.run(body)
 
-    def test_daemons_count_time_asleep(
+    def test_daemons_use_a_clock_that_counts_suspension(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         asked: list[dict[str, object]] = []
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The adapter: what the platform writes, decoded, and what we write."""
+"""Tests of the platform's formats, in both directions."""
 
 import pathlib
 import typing
@@ -128,7 +128,7 @@
 class TestEntries:
     """Entries of upstream instances."""
 
-    def test_end_of_layers_is_read_from_its_odd_name(self) -> None:
+    def test_end_of_layers_is_read_from_target_version(self) -> None:
         found = upstreams.decode(stored(ENTRY))
         assert found.layers == pipeline.LayerRange(20, 31)
         assert found.card == "t4"
@@ -149,7 +149,7 @@
             upstreams.decode(stored(body))
         assert caught.value.code is errors.Code.MALFORMED
 
-    def test_report_tells_orders_not_heartbeats(self) -> None:
+    def test_sequence_number_of_a_report_counts_orders(self) -> None:
         report = upstreams.decode_report(
             orjson.dumps(
                 {
@@ -226,9 +226,9 @@
 
 
 class TestCallers:
-    """Callers' requests, and how they go on."""
+    """Requests of callers and headers for upstreams and callers."""
 
-    def test_is_decoded(self) -> None:
+    def test_request_is_decoded(self) -> None:
         request = caller_request()
         assert request.target == "/a/x?q=1"
         assert request.path == "/a/x"
@@ -239,10 +239,10 @@
         assert request.size == requests.TokenCounts(642, 430, 64)
         assert "k1" not in repr(request)
 
-    def test_without_an_id_it_is_none(self) -> None:
+    def test_request_without_an_id_is_none(self) -> None:
         assert callers.decode("GET", b"/", b"", [], b"", 0.0) is None
 
-    def test_goes_on_with_what_is_ours_replaced(self) -> None:
+    def test_own_headers_are_replaced_for_upstreams(self) -> None:
         request = caller_request()
         upstream = fleet_system.upstream("i-9")
         hop = chain.Hop(upstream, pipeline.LayerRange(0, 80))
@@ -264,7 +264,7 @@
         assert headers[b"x-hop-count"].endswith(b"=0-80")
         assert headers[b"content-length"] == b"4"
 
-    def test_own_last_event_stays_as_it_was_sent(self) -> None:
+    def test_unchanged_last_event_id_is_kept(self) -> None:
         request = caller_request()
         dispatch = interfaces.Dispatch("hule", 1, 1.5, last_event=12)
         headers = callers.upstream_request_headers(
@@ -272,8 +272,8 @@
         )
         assert headers.count((b"last-event-id", b"12")) == 1
 
-    def test_answer_goes_back_without_what_is_between_us(self) -> None:
-        caller_response_headers = callers.caller_response_headers(
+    def test_callers_get_no_internal_headers(self) -> None:
+        headers = callers.caller_response_headers(
             [
                 (b"X-Response-Signature", b"s"),
                 (b"X-Server-Load", b"1,2,3"),
@@ -281,7 +281,7 @@
                 (b"Content-Length", b"3"),
             ]
         )
-        assert caller_response_headers == [(b"x-response-signature", b"s")]
+        assert headers == [(b"x-response-signature", b"s")]
 
     @pytest.mark.parametrize(
         ("event", "number"),
@@ -311,7 +311,7 @@
 
 
 class TestEngineCalls:
-    """Reports and orders."""
+    """Calls to engines: reports, orders and requests."""
 
     @pytest.mark.parametrize(
         ("status", "outcome"),
@@ -333,7 +333,7 @@
 
         anyio.run(body)
 
-    def test_lost_order_may_have_been_taken(self) -> None:
+    def test_outcome_of_a_lost_order_is_unknown(self) -> None:
         async def body() -> None:
             client = client_of(b"HTTP/1.1 202 X\r\nContent-Length: 9\r\n\r\n")
             layers = pipeline.LayerRange(0, 9)
@@ -346,7 +346,7 @@
     @pytest.mark.parametrize(
         ("status", "is_gone"), [(421, True), (503, False), (500, False)]
     )
-    def test_only_another_instance_proves_that_one_is_gone(
+    def test_instance_is_gone_only_if_another_one_answers(
         self, status: int, is_gone: bool
     ) -> None:
         async def body() -> None:
@@ -357,7 +357,7 @@
 
         anyio.run(body)
 
-    def test_refused_change_of_path_names_the_cause(self) -> None:
+    def test_refused_repath_names_the_culprit(self) -> None:
         async def body() -> None:
             client = client_of(reply(409, "", b'{"address":"10.0.0.1:7"}'))
             upstream = fleet_system.upstream("i-9")
@@ -380,7 +380,7 @@
             (reply(500), False),
         ],
     )
-    def test_only_the_upstream_says_that_it_did_not_run(
+    def test_only_some_answers_state_that_a_request_did_not_run(
         self, answer: bytes, has_not_run: bool
     ) -> None:
         async def body() -> None:
@@ -404,14 +404,14 @@
         [engines.UpstreamClient, chain.Upstream], typing.Awaitable[object]
     ],
 ) -> list[interfaces.Notice]:
-    """Return what is told of an answer to whatever ``ask`` asks."""
+    """Return the notices of an answer to the call that ``ask`` makes."""
     client = client_of(answer)
     told: list[interfaces.Notice] = []
     client.subscribe(lambda _, notice: told.append(notice))
     try:
         await ask(client, fleet_system.upstream("i-9"))
     except errors.CrowdeckError:
-        # An answer that tells of a failure tells of its sender as well.
+        # An answer with an error also causes a notice.
         return told
     return told
 
@@ -446,7 +446,7 @@
 
 
 class TestBackpressure:
-    """What the head of an answer says of its sender."""
+    """Backpressure in the head of an answer."""
 
     @pytest.mark.parametrize(
         ("ask", "answers_request"),
@@ -458,7 +458,7 @@
         ],
     )
     @pytest.mark.parametrize("status", [200, 409, 500, 503])
-    def test_is_told_of_every_answer(
+    def test_every_answer_causes_a_notice(
         self, ask: typing.Any, answers_request: bool, status: int
     ) -> None:
         async def body() -> None:
@@ -470,7 +470,7 @@
 
         anyio.run(body)
 
-    def test_another_instances_answer_tells_nothing(self) -> None:
+    def test_answer_of_another_instance_causes_no_notice(self) -> None:
         async def body() -> None:
             answer = reply(421, "Server-Limit: 3.2\r\n")
             assert not await notices_of(answer, ask_request)
@@ -478,9 +478,7 @@
         anyio.run(body)
 
     @pytest.mark.parametrize("status", [200, 429, 500])
-    def test_only_an_instance_that_turns_away_asks_to_back_off(
-        self, status: int
-    ) -> None:
+    def test_only_status_503_asks_to_back_off(self, status: int) -> None:
         async def body() -> None:
             headers = "Retry-After: 3\r\n"
             (told,) = await notices_of(reply(status, headers), ask_request)
@@ -493,7 +491,7 @@
     @pytest.mark.parametrize(
         "value", ["", "x", "-1", "nan", "inf", "1e999", "Wed, 21 Oct 2026"]
     )
-    def test_what_cannot_be_read_asks_for_nothing(self, value: str) -> None:
+    def test_unreadable_values_are_ignored(self, value: str) -> None:
         async def body() -> None:
             headers = f"Server-Limit: {value}\r\nRetry-After: {value}\r\n"
             (told,) = await notices_of(reply(503, headers), ask_request)
@@ -501,7 +499,7 @@
 
         anyio.run(body)
 
-    def test_callers_are_not_told(self) -> None:
+    def test_callers_get_no_backpressure(self) -> None:
         told = [
             (b"Server-Limit", b"3"),
             (b"Server-Leaving", b"1"),
@@ -510,8 +508,8 @@
         assert callers.caller_response_headers(told) == [(b"x-other", b"2")]
 
 
-class _Calls:
-    """Answers the store's client from a list, noting what it asked."""
+class _RecordedCalls:
+    """Answers calls from a list and records them."""
 
     def __init__(self, answers: list[tuple[int, object]]) -> None:
         self._answers = answers
@@ -549,18 +547,18 @@
     }
 
 
-def play_store(
+def make_store(
     answers: list[tuple[int, object]],
-) -> tuple[platform_store.HttpStore, _Calls]:
-    calls = _Calls(answers)
+) -> tuple[platform_store.HttpStore, _RecordedCalls]:
+    calls = _RecordedCalls(answers)
     store = platform_store.HttpStore(calls)  # type: ignore[arg-type]
     return store, calls
 
 
 class TestStore:
-    """The store's client."""
+    """The client of the store."""
 
-    def test_listing_goes_on_after_the_last_name(self) -> None:
+    def test_listing_continues_after_the_last_name(self) -> None:
         first = {
             "items": [an_object("a", 1, 1)],
             "has_more": True,
@@ -571,7 +569,7 @@
             "has_more": False,
             "timestamp": 12,
         }
-        store, calls = play_store([(200, first), (200, second)])
+        store, calls = make_store([(200, first), (200, second)])
         changes = virtual.run(store.list, "k")
         # A watch from the first page's revision misses nothing.
         assert changes.version == 9
@@ -585,62 +583,62 @@
             {"tombstone": True, "object": an_object("b", 6, None)},
             {"tombstone": False, "object": an_object("b", 7, 2)},
         ]
-        store, _ = play_store([(200, {"events": events, "timestamp": 7})])
+        store, _ = make_store([(200, {"events": events, "timestamp": 7})])
         changes = virtual.run(store.watch, "k", stores.Position(3), 1.0)
         assert changes.removed == ("a",)
         assert [one.name for one in changes.objects] == ["b"]
         assert changes.version == 7
 
-    def test_lost_history_is_told(self) -> None:
-        store, _ = play_store([(410, {})])
+    def test_lost_history_is_an_error(self) -> None:
+        store, _ = make_store([(410, {})])
         with pytest.raises(errors.CrowdeckError) as caught:
             virtual.run(store.watch, "k", stores.Position(3), 1.0)
         assert caught.value.code is errors.Code.STORE_HISTORY
 
-    def test_history_of_another_epoch_is_lost_though_it_has_the_version(
+    def test_history_of_another_epoch_is_lost(
         self,
     ) -> None:
-        store, calls = play_store([(200, {"events": [], "timestamp": 7})])
+        store, calls = make_store([(200, {"events": [], "timestamp": 7})])
         calls.headers = (header.Header("store-era", "2"),)
         with pytest.raises(errors.CrowdeckError) as caught:
             virtual.run(store.watch, "k", stores.Position(3, 1), 1.0)
         assert caught.value.code is errors.Code.STORE_HISTORY
         assert store.epoch == 2
 
-    def test_listing_and_watch_tell_their_epoch(self) -> None:
+    def test_listing_and_watch_have_their_epoch(self) -> None:
         page = {"items": [], "has_more": False, "timestamp": 9}
         news = {"events": [], "timestamp": 9}
-        store, calls = play_store([(200, page), (200, news)])
+        store, calls = make_store([(200, page), (200, news)])
         calls.headers = (header.Header("store-era", "3"),)
         listing = virtual.run(store.list, "k")
         assert listing.position == stores.Position(9, 3)
         changes = virtual.run(store.watch, "k", listing.position, 1.0)
         assert changes.position == stores.Position(9, 3)
 
-    def test_pages_of_two_epochs_are_no_listing(self) -> None:
+    def test_listing_fails_if_pages_have_two_epochs(self) -> None:
         page = {
             "items": [an_object("a", 1, 1)],
             "has_more": True,
             "timestamp": 9,
         }
-        store, calls = play_store([(200, page), (200, page)])
+        store, calls = make_store([(200, page), (200, page)])
         calls.epochs = ["1", "2"]
         with pytest.raises(errors.CrowdeckError) as caught:
             virtual.run(store.list, "k")
         assert caught.value.code is errors.Code.STORE_DOWN
 
-    def test_unreadable_epoch_is_the_one_before(self) -> None:
+    def test_unreadable_epoch_keeps_the_last_one(self) -> None:
         page = {"items": [], "has_more": False, "timestamp": 9}
-        store, calls = play_store([(200, page), (200, page)])
+        store, calls = make_store([(200, page), (200, page)])
         calls.headers = (header.Header("store-era", "3"),)
         virtual.run(store.list, "k")
         calls.headers = (header.Header("store-era", "x"),)
         assert virtual.run(store.list, "k").epoch == 3
 
-    def test_refusal_without_an_epoch_tells_none(self) -> None:
-        # A proxy that answers for the store knows nothing of it.
+    def test_refusal_without_an_epoch_keeps_the_last_one(self) -> None:
+        # A proxy that answers for the store does not know the epoch.
         page = {"items": [], "has_more": False, "timestamp": 9}
-        store, calls = play_store([(200, page), (503, {})])
+        store, calls = make_store([(200, page), (503, {})])
         calls.headers = (header.Header("store-era", "3"),)
         virtual.run(store.list, "k")
         calls.headers = ()
@@ -648,9 +646,9 @@
             virtual.run(store.list, "k")
         assert store.epoch == 3
 
-    def test_objects_are_created_and_replaced_under_a_condition(self) -> None:
+    def test_writes_are_conditional(self) -> None:
         answer = an_object("a", 5, {"x": 1})
-        store, calls = play_store([(200, answer), (200, answer)])
+        store, calls = make_store([(200, answer), (200, answer)])
         virtual.run(store.put, "k", "a", b'{"x":1}', stores.CREATE)
         virtual.run(store.put, "k", "a", b'{"x":1}', 4)
         created, replaced = calls.asked
@@ -670,18 +668,18 @@
         ],
     )
     def test_failed_writes(self, status: int, code: errors.Code) -> None:
-        store, _ = play_store([(status, {})])
+        store, _ = make_store([(status, {})])
         with pytest.raises(errors.CrowdeckError) as caught:
             virtual.run(store.put, "k", "a", b"1", 4)
         assert caught.value.code is code
 
 
 class TestNames:
-    """The platform's names stand in the adapter and nowhere else."""
+    """Names of the platform are used only in the adapter."""
 
-    # Words so peculiar to the platform that one in another module can
-    # only be its name; the rest of its names are everyday words.
-    PECULIAR = tuple(
+    # Names that no other module can use in another sense. The others are
+    # common words.
+    DISTINCTIVE = tuple(
         value.decode() if isinstance(value, bytes) else value
         for name, value in vars(names).items()
         if name.isupper()
@@ -692,17 +690,17 @@
             or ("_" in str(value) and value not in ("per_seq_ms",))
         )
     )
-    # Names that also are the product's own, or another protocol's.
+    # Names that are also used by this project or another protocol.
     SHARED = frozenset({"max_attempts", "step_ms", "layer_mb", "load_time_s"})
 
-    def test_stand_nowhere_else(self) -> None:
+    def test_names_are_not_used_elsewhere(self) -> None:
         root = pathlib.Path(crowdeck.__file__).parent
         found = []
         for path in sorted(root.rglob("*.py")):
             if path.parent.name == "platform":
                 continue
             text = path.read_text().lower()
-            for name in self.PECULIAR:
+            for name in self.DISTINCTIVE:
                 if name in self.SHARED:
                     continue
                 quoted = (f'"{name}"', f'"{name}', f"'{name}'")
@@ -711,4 +709,4 @@
         assert found == []
 
     def test_there_are_names_to_look_for(self) -> None:
-        assert len(self.PECULIAR) > 30
+        assert len(self.DISTINCTIVE) > 30
