--- a/src/crowdeck/settings/config.py
+++ b/src/crowdeck/settings/config.py
@@ -28,16 +28,18 @@
 
 DAEMON_OPTIONS = options.Options(
     (
+        options.Text("role", "", "role of this process", ("entry", "sidecar")),
+        options.Text("name", "", "name in the list of instances", (), True),
         options.Text(
-            "role", "", "what this process does", ("entry", "sidecar")
+            "availability_zone", "", "its availability zone", (), True
         ),
-        options.Text("name", "", "name in the instance list", (), True),
-        options.Text("availability_zone", "", "where it stands", (), True),
-        options.Text("cluster", "crowdeck", "peers must name the same"),
-        options.Text("host", "", "IP number for peers", (), True),
+        options.Text(
+            "cluster", "crowdeck", "cluster name; must match that of peers"
+        ),
+        options.Text("host", "", "IP address for peers", (), True),
         options.Integer("port", 0, "port for peers, 0 for any", 0, 65_535),
         options.Number(
-            "stop_seconds", 30.0, "longest wait of a planned stop", 0.0, 3600.0
+            "stop_seconds", 30.0, "longest graceful shutdown", 0.0, 3600.0
         ),
     )
 )
@@ -46,45 +48,53 @@
 )
 ENTRY_OPTIONS = options.Options(
     (
-        options.Text("http_host", "", "IP number for callers", (), True),
+        options.Text("http_host", "", "IP address for callers", (), True),
         options.Integer("http_port", 0, "port for callers", 0, 65_535),
         options.Integer(
             "request_limit", 2_000, "requests in progress", 1, 1_000_000
         ),
         options.Integer(
-            "body_bytes", 1_048_576, "largest body taken", 1, 67_108_864
+            "body_bytes",
+            1_048_576,
+            "largest accepted request body",
+            1,
+            67_108_864,
         ),
         options.Text(
             "policy",
             policies.CROWDECK,
-            "how paths are chosen; the others are for comparison",
+            "routing policy; all but the default are baselines",
             policies.NAMES,
         ),
-        options.Text("tls_certificate", "", "PEM file towards callers"),
-        options.Text("tls_key", "", "PEM file towards callers"),
+        options.Text("tls_certificate", "", "PEM certificate for callers"),
+        options.Text("tls_key", "", "PEM private key for callers"),
     )
 )
 SIDECAR_OPTIONS = options.Options(
     (
         options.Text("engine_url", "", "base URL of the engine, if any"),
-        options.Text("services", "", "NAME=URL of each service, spaced"),
+        options.Text("services", "", "space-separated NAME=URL pairs"),
     )
 )
 TLS_OPTIONS = options.Options(
     (
-        options.Text("certificate", "", "PEM file of this process"),
-        options.Text("key", "", "PEM file of its key"),
-        options.Text("authority", "", "PEM file that peers are signed by"),
+        options.Text("certificate", "", "PEM file of the certificate"),
+        options.Text("key", "", "PEM file of the private key"),
+        options.Text("authority", "", "PEM file of the CA for peers"),
     )
 )
 OBSERVE_OPTIONS = options.Options(
     (
-        options.Text("statsd_host", "", "IP number; empty for no metrics"),
+        options.Text(
+            "statsd_host", "", "IP address; empty to send no metrics"
+        ),
         options.Integer("statsd_port", 8125, "UDP port", 1, 65_535),
         options.Number(
             "statsd_seconds", 1.0, "time between flushes", 0.1, 60.0
         ),
-        options.Text("otlp_endpoint", "", "URL for traces; empty for none"),
+        options.Text(
+            "otlp_endpoint", "", "URL for traces; empty to export none"
+        ),
     )
 )
 
@@ -103,7 +113,7 @@
 
 @attrs.frozen
 class TlsFiles:
-    """Paths of PEM files; all empty for plain TCP."""
+    """Paths of PEM files; all empty for unencrypted TCP."""
 
     certificate: str
     key: str
@@ -111,13 +121,13 @@
 
     @property
     def is_set(self) -> bool:
-        """Whether links are to be encrypted."""
+        """Whether links are encrypted."""
         return bool(self.certificate)
 
     def load(self) -> security.TlsContexts:
-        """Return contexts that demand a signed certificate of both ends.
+        """Return contexts for mutual TLS.
 
-        :raises ConfigError: when a file cannot be used.
+        :raises ConfigError: if a file cannot be loaded.
         """
         if not self.is_set:
             return security.TlsContexts()
@@ -130,14 +140,14 @@
                 context.verify_mode = ssl.CERT_REQUIRED
         except (OSError, ssl.SSLError) as error:
             raise errors.ConfigError(
-                f"[{TLS}]: the files cannot be used: {error}"
+                f"[{TLS}]: cannot load the PEM files: {error}"
             ) from None
         return security.TlsContexts(server=server, client=client)
 
 
 @attrs.frozen
 class Config:
-    """One process's checked configuration."""
+    """Validated configuration of one process."""
 
     role: instances.Role
     name: str
@@ -154,21 +164,21 @@
 
     @property
     def is_fleet(self) -> bool:
-        """Whether engines chain their stages: no sidecars are needed."""
+        """Whether engines chain their stages, without sidecars."""
         return bool(self.fleet["callers"])
 
     @property
     def services(self) -> dict[str, str]:
-        """URLs of the plain services beside a sidecar, by name."""
+        """URLs of the plain services behind a sidecar, by name."""
         pairs = str(self.sidecar.get("services", "")).split()
         return dict(pair.split("=", 1) for pair in pairs)
 
 
 def load(path: pathlib.Path) -> Config:
-    """Read and check a configuration file.
+    """Read and validate a configuration file.
 
-    :raises ConfigError: in one line: file, section, option, what is
-        allowed.
+    :raises ConfigError: with a one-line message that names the file, the
+        section, the option and the allowed values.
     """
     try:
         text = path.read_text()
@@ -181,9 +191,10 @@
 
 
 def parse(text: str) -> Config:
-    """Check the text of a configuration file.
+    """Parse and validate the text of a configuration file.
 
-    :raises CrowdeckError: naming section, option and what is allowed.
+    :raises CrowdeckError: with a message that names the section, the option
+        and the allowed values.
     """
     parser = configparser.ConfigParser(
         interpolation=None, default_section="\0none"
@@ -192,7 +203,7 @@
         parser.read_string(text)
     except configparser.Error as error:
         first_line = str(error).splitlines()[0]
-        raise errors.ConfigError(f"not readable INI: {first_line}") from None
+        raise errors.ConfigError(f"invalid INI syntax: {first_line}") from None
     _check_sections(parser)
     read = {
         name: section.read_all(
@@ -207,16 +218,16 @@
     for name in parser.sections():
         if name not in SECTIONS:
             raise errors.ConfigError(
-                f"[{name}]: there is no such section; there are "
+                f"[{name}]: no such section; the sections are "
                 + ", ".join(SECTIONS)
             )
     for name in (DAEMON, PLATFORM):
         if name not in parser:
-            raise errors.ConfigError(f"[{name}]: this section is missing")
+            raise errors.ConfigError(f"[{name}]: section is missing")
     role = parser.get(DAEMON, "role", fallback="")
     if role in (ENTRY, SIDECAR) and role not in parser:
         raise errors.ConfigError(
-            f"[{role}]: this section is missing, and role is {role}"
+            f"[{role}]: section is missing; role {role} requires it"
         )
 
 
@@ -255,8 +266,7 @@
     for name in ("callers", "status"):
         if section["callers"] and not section[name]:
             raise errors.ConfigError(
-                f"[{fleet_options.FLEET}] {name}: it must be given; "
-                "it takes IP:PORT"
+                f"[{fleet_options.FLEET}] {name}: required; expected IP:PORT"
             )
     for name in ("callers", "status", "peers"):
         if section[name]:
@@ -269,8 +279,8 @@
     _require_ip(fleet_options.FLEET, name, host)
     if not port.isdigit():
         raise errors.ConfigError(
-            f"[{fleet_options.FLEET}] {name}: {value!r} is not allowed; "
-            "it takes IP:PORT"
+            f"[{fleet_options.FLEET}] {name}: invalid value {value!r}; "
+            "expected IP:PORT"
         )
 
 
@@ -281,7 +291,7 @@
         if not values[name]:
             allowed = known.get(name).allowed
             raise errors.ConfigError(
-                f"[{section}] {name}: it must be given; it takes {allowed}"
+                f"[{section}] {name}: required; expected {allowed}"
             )
 
 
@@ -290,8 +300,8 @@
         ipaddress.ip_address(value)
     except ValueError:
         raise errors.ConfigError(
-            f"[{section}] {name}: {value!r} is not allowed; "
-            "it takes an IP number"
+            f"[{section}] {name}: invalid value {value!r}; "
+            "expected an IP address"
         ) from None
 
 
@@ -299,12 +309,12 @@
     services = str(section["services"]).split()
     if not section["engine_url"] and not services:
         raise errors.ConfigError(
-            f"[{SIDECAR}] engine_url: give it, or services, or both"
+            f"[{SIDECAR}] engine_url: required unless services is given"
         )
     for pair in services:
         name, separator, url = pair.partition("=")
         if not (name and separator and url.startswith("http")):
             raise errors.ConfigError(
-                f"[{SIDECAR}] services: {pair!r} is not allowed; "
-                "it takes NAME=URL pairs with spaces between"
+                f"[{SIDECAR}] services: invalid value {pair!r}; "
+                "expected space-separated NAME=URL pairs"
             )
--- a/src/crowdeck/settings/fleet_options.py
+++ b/src/crowdeck/settings/fleet_options.py
@@ -11,26 +11,26 @@
 
 FLEET_OPTIONS = options.Options(
     (
-        options.Text("callers", "", "IP:PORT where callers connect"),
-        options.Text("status", "", "IP:PORT of readiness and metrics"),
+        options.Text("callers", "", "IP:PORT for callers"),
+        options.Text("status", "", "IP:PORT for readiness and metrics"),
         options.Text(
             "peers",
             "",
-            "IP:PORT where other entries ask; without it each entry asks "
-            "the platform's store for itself",
+            "IP:PORT for other entries; without it each entry queries "
+            "the platform's store by itself",
         ),
         options.Number(
             "link_mbps",
             0.0,
-            "width of the instance's link; of an availability zone's "
-            "entries the widest answers the others",
+            "bandwidth of the instance's link; the entry with the highest in "
+            "its availability zone answers the others",
             0.0,
             1e6,
         ),
         options.Number(
             "revocation_ms",
             5_000.0,
-            "time in which a key that was taken away stops working",
+            "longest time for which a revoked key is still accepted",
             100.0,
             600_000.0,
         ),
@@ -44,23 +44,23 @@
         options.Flag(
             "first_start",
             False,
-            "whether no entry of the fleet can have run before; else a free "
-            "duty is taken only once nobody can hold it any more",
+            "whether no entry of the fleet can have run before; otherwise a "
+            "free lease is taken only once no earlier holder can remain",
         ),
         options.Number(
-            "retry_ratio", 0.2, "repeats allowed for each request", 0.0, 10.0
+            "retry_ratio", 0.2, "retries allowed per request", 0.0, 10.0
         ),
         options.Number(
             "retry_slack",
             100.0,
-            "repeats allowed on top, by all entries in a window",
+            "further retries allowed in a window, over all entries",
             0.0,
             1e6,
         ),
         options.Number(
             "retry_window_seconds",
             10.0,
-            "length of the sliding window of repeats",
+            "length of the sliding window of retries",
             0.1,
             600.0,
         ),
--- a/src/crowdeck/settings/options.py
+++ b/src/crowdeck/settings/options.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Typed, bounded and documented options, read from INI values."""
+"""Typed and bounded options, parsed from INI values."""
 
 import difflib
 import typing
@@ -23,35 +23,38 @@
 
     @property
     def name(self) -> str:
-        """Name, as written in the file."""
+        """Name in the file."""
         ...
 
     @property
     def default(self) -> Value:
-        """The value where none is given."""
+        """Value if the option is not given."""
         ...
 
     @property
     def help(self) -> str:
-        """What it does, for the documentation."""
+        """Description for the documentation."""
         ...
 
     @property
     def allowed(self) -> str:
-        """What values are allowed, in words."""
+        """Description of the allowed values, for error messages."""
         ...
 
     def read(self, text: str) -> Value:
-        """Return the value that ``text`` stands for.
+        """Parse a value.
 
-        :raises ValueError: when it is not allowed.
+        :raises ValueError: if it is not allowed.
         """
         ...
 
 
 @attrs.frozen
 class Text:
-    """Any text; ``choices`` limits it, ``is_required`` bars emptiness."""
+    """A string, limited to ``choices`` if there are any.
+
+    :ivar is_required: whether an empty string is refused.
+    """
 
     name: str
     default: str
@@ -61,13 +64,13 @@
 
     @property
     def allowed(self) -> str:
-        """What values are allowed."""
+        """Description of the allowed values."""
         if self.choices:
             return "one of " + ", ".join(self.choices)
-        return "text that is not empty" if self.is_required else "any text"
+        return "a non-empty string" if self.is_required else "any string"
 
     def read(self, text: str) -> str:
-        """Return the text."""
+        """Return ``text`` if it is allowed."""
         if self.choices and text not in self.choices:
             raise ValueError(text)
         if self.is_required and not text:
@@ -77,7 +80,7 @@
 
 @attrs.frozen
 class Integer:
-    """A whole number within bounds."""
+    """An integer within inclusive bounds."""
 
     name: str
     default: int
@@ -87,11 +90,11 @@
 
     @property
     def allowed(self) -> str:
-        """What values are allowed."""
-        return f"a whole number from {self.minimum} to {self.maximum}"
+        """Description of the allowed values."""
+        return f"an integer from {self.minimum} to {self.maximum}"
 
     def read(self, text: str) -> int:
-        """Return the number."""
+        """Parse a number within the bounds."""
         value = int(text)
         if not self.minimum <= value <= self.maximum:
             raise ValueError(text)
@@ -100,7 +103,7 @@
 
 @attrs.frozen
 class Number:
-    """A number within bounds."""
+    """A floating-point number within inclusive bounds."""
 
     name: str
     default: float
@@ -110,11 +113,11 @@
 
     @property
     def allowed(self) -> str:
-        """What values are allowed."""
+        """Description of the allowed values."""
         return f"a number from {self.minimum:g} to {self.maximum:g}"
 
     def read(self, text: str) -> float:
-        """Return the number."""
+        """Parse a number within the bounds."""
         value = float(text)
         if not self.minimum <= value <= self.maximum:
             raise ValueError(text)
@@ -123,7 +126,7 @@
 
 @attrs.frozen
 class Flag:
-    """Yes or no."""
+    """A boolean, written as yes or no."""
 
     name: str
     default: bool
@@ -131,11 +134,11 @@
 
     @property
     def allowed(self) -> str:
-        """What values are allowed."""
+        """Description of the allowed values."""
         return "yes or no"
 
     def read(self, text: str) -> bool:
-        """Return whether it is set."""
+        """Parse a boolean."""
         word = text.lower()
         if word in TRUE_WORDS:
             return True
@@ -145,7 +148,7 @@
 
 
 class Options:
-    """The options that a section may hold."""
+    """The options that a section accepts."""
 
     def __init__(self, options: tuple[Option, ...]) -> None:
         self._options = {option.name: option for option in options}
@@ -154,49 +157,53 @@
         return iter(self._options.values())
 
     def get(self, name: str) -> Option:
-        """Return an option.
+        """Return the option of that name.
 
-        :raises SettingsError: when there is none of that name.
+        :raises SettingsError: if there is none.
         """
         option = self._options.get(name)
         if option is None:
-            raise errors.SettingsError(self._unknown(name))
+            raise errors.SettingsError(self._describe_unknown(name))
         return option
 
     def read_given(
         self, section: str, pairs: dict[str, str]
     ) -> dict[str, Value]:
-        """Return the values that are given, checked.
+        """Parse the given options only.
 
-        :raises SettingsError: naming section, option and what is allowed.
+        :raises SettingsError: with a message that names the section, the
+            option and the allowed values.
         """
         values: dict[str, Value] = {}
         for name, text in pairs.items():
             if name not in self._options:
                 raise errors.SettingsError(
-                    f"[{section}] {self._unknown(name)}"
+                    f"[{section}] {self._describe_unknown(name)}"
                 )
             option = self._options[name]
             try:
                 values[name] = option.read(text.strip())
             except ValueError:
                 raise errors.SettingsError(
-                    f"[{section}] {name}: {text!r} is not allowed; "
-                    f"it takes {option.allowed}"
+                    f"[{section}] {name}: invalid value {text!r}; "
+                    f"expected {option.allowed}"
                 ) from None
         return values
 
     def read_all(
         self, section: str, pairs: dict[str, str]
     ) -> dict[str, Value]:
-        """Return every option's value, given or default."""
+        """Parse the given options and fill in the defaults.
+
+        :raises SettingsError: as ``read_given``.
+        """
         values: dict[str, Value] = {
             option.name: option.default for option in self
         }
         values.update(self.read_given(section, pairs))
         return values
 
-    def _unknown(self, name: str) -> str:
-        near = difflib.get_close_matches(name, self._options, n=1)
-        hint = f"; did you mean {near[0]}?" if near else ""
-        return f"{name}: there is no such option{hint}"
+    def _describe_unknown(self, name: str) -> str:
+        matches = difflib.get_close_matches(name, self._options, n=1)
+        hint = f"; did you mean {matches[0]}?" if matches else ""
+        return f"{name}: no such option{hint}"
--- a/src/crowdeck/settings/tree.py
+++ b/src/crowdeck/settings/tree.py
@@ -6,7 +6,7 @@
 """The operators' settings: a tree of teams, services and sessions.
 
 Each node inherits every value from its parent unless it overrides it.
-The tree is written as INI; a section's name is its place in the tree:
+The tree is written as INI; a section's name is the path of its node:
 
     [defaults]
     [service:receipts]
@@ -14,9 +14,9 @@
     [team:kiosks/service:receipts]
     [team:kiosks/service:receipts/session:desk-7]
 
-``[service:NAME]`` declares a plain service and its contract, which no
-team can override: whether a call may be repeated is a fact of the
-service, not a wish of its user.
+``[service:NAME]`` declares a plain service and its contract. Teams cannot
+override a contract, as it states properties of the service itself, such as
+whether a call may be repeated.
 """
 
 import configparser
@@ -39,43 +39,53 @@
 
 NODE_OPTIONS = options.Options(
     (
-        options.Text("keys_sha256", "", "SHA-256 of each bearer key, spaced"),
-        options.Text("models", "*", "models that may be used, spaced"),
-        options.Text("services", "", "plain services that may be called"),
+        options.Text(
+            "keys_sha256", "", "space-separated SHA-256 of bearer keys"
+        ),
+        options.Text(
+            "models", "*", "space-separated allowed models; * for any"
+        ),
+        options.Text("services", "", "space-separated allowed plain services"),
         options.Integer(
             "concurrency", 64, "requests in progress at one entry", 1, 100_000
         ),
-        options.Integer("priority", 0, "higher goes first", -100, 100),
+        options.Integer("priority", 0, "higher is served first", -100, 100),
         options.Number("weight", 1.0, "share under contention", 0.01, 1e4),
         options.Number(
-            "deadline_seconds", 120.0, "time for a whole answer", 0.1, 300.0
+            "deadline_seconds",
+            120.0,
+            "time limit for the whole answer",
+            0.1,
+            300.0,
         ),
         options.Integer("max_tokens", 4096, "longest answer", 1, 1_000_000),
         options.Number(
             "token_gap_seconds",
             0.0,
-            "refuse what would get slower tokens; 0 for never",
+            "refuse if tokens would be slower than this; 0 for never",
             0.0,
             60.0,
         ),
         options.Integer(
-            "window", 128, "tokens ahead of a slow caller", 1, 65_536
+            "window", 128, "tokens generated ahead of a slow caller", 1, 65_536
         ),
     )
 )
 SERVICE_OPTIONS = options.Options(
     (
-        options.Flag("repeatable", False, "running twice does no harm"),
-        options.Flag("ordered", False, "a session's calls keep their order"),
-        options.Flag("companions", False, "answers name documents to add"),
-        options.Flag("checks_fences", False, "refuses stale orders itself"),
+        options.Flag("repeatable", False, "calls are idempotent"),
+        options.Flag("ordered", False, "calls of a session run in order"),
+        options.Flag("companions", False, "answers name companion documents"),
+        options.Flag(
+            "checks_fences", False, "rejects stale fencing tokens itself"
+        ),
     )
 )
 
 
 @attrs.frozen
 class SettingsScope:
-    """A node's place in the tree; empty names stand above it."""
+    """Path of a node in the tree; empty names for the levels below it."""
 
     team: str = ""
     service: str = ""
@@ -83,7 +93,7 @@
 
     @property
     def section(self) -> str:
-        """Name of the section that overrides values here."""
+        """Name of the INI section for this scope."""
         if not self.team:
             return ROOT
         parts = [f"team:{self.team}"]
@@ -95,27 +105,27 @@
 
     @property
     def self_and_ancestors(self) -> tuple["SettingsScope", ...]:
-        """This place and those above it, nearest first."""
-        places = [self]
+        """This scope and its ancestors, nearest first."""
+        scopes = [self]
         if self.session:
-            places.append(SettingsScope(self.team, self.service))
+            scopes.append(SettingsScope(self.team, self.service))
         if self.service:
-            places.append(SettingsScope(self.team))
+            scopes.append(SettingsScope(self.team))
         if self.team:
-            places.append(SettingsScope())
-        return tuple(places)
+            scopes.append(SettingsScope())
+        return tuple(scopes)
 
 
 @attrs.frozen
 class EffectiveValue:
-    """One value as it is in force somewhere, and where it comes from."""
+    """The value in force at a scope and the section that it comes from."""
 
     value: options.Value
     section: str
 
 
 class Tree:
-    """One checked, unchangeable generation of the settings."""
+    """One validated, immutable generation of the settings."""
 
     def __init__(
         self,
@@ -132,7 +142,7 @@
 
     @property
     def generation(self) -> int:
-        """Number of this generation; later ones are higher."""
+        """Number of this generation; each edit increments it."""
         return self._generation
 
     @property
@@ -146,36 +156,36 @@
         return dict(self._services)
 
     def team_of(self, key_sha256: str) -> str | None:
-        """Return the team that a bearer key's hash belongs to."""
+        """Return the team of a bearer key's SHA-256, if any."""
         return self._team_by_key.get(key_sha256)
 
-    def effective(self, place: SettingsScope, name: str) -> EffectiveValue:
-        """Return a value in force at ``place``, and its origin.
+    def effective(self, scope: SettingsScope, name: str) -> EffectiveValue:
+        """Return the value in force at ``scope`` and its origin.
 
-        :raises SettingsError: for an option that does not exist.
+        :raises SettingsError: if there is no such option.
         """
         option = NODE_OPTIONS.get(name)
-        for ancestor in place.self_and_ancestors:
+        for ancestor in scope.self_and_ancestors:
             node = self._nodes.get(ancestor.section)
             if node is not None and name in node:
                 return EffectiveValue(node[name], ancestor.section)
         return EffectiveValue(option.default, "built-in")
 
-    def integer(self, place: SettingsScope, name: str) -> int:
-        """Return a whole number in force at ``place``."""
-        return int(self.effective(place, name).value)
+    def integer(self, scope: SettingsScope, name: str) -> int:
+        """Return the integer in force at ``scope``."""
+        return int(self.effective(scope, name).value)
 
-    def number(self, place: SettingsScope, name: str) -> float:
-        """Return a number in force at ``place``."""
-        return float(self.effective(place, name).value)
+    def number(self, scope: SettingsScope, name: str) -> float:
+        """Return the number in force at ``scope``."""
+        return float(self.effective(scope, name).value)
 
-    def names(self, place: SettingsScope, name: str) -> frozenset[str]:
-        """Return a spaced list of names in force at ``place``."""
-        return frozenset(str(self.effective(place, name).value).split())
+    def names(self, scope: SettingsScope, name: str) -> frozenset[str]:
+        """Return the space-separated names in force at ``scope``."""
+        return frozenset(str(self.effective(scope, name).value).split())
 
-    def allows_model(self, place: SettingsScope, model: str) -> bool:
-        """Whether a model may be used at ``place``."""
-        allowed = self.names(place, "models")
+    def allows_model(self, scope: SettingsScope, model: str) -> bool:
+        """Whether ``scope`` may use a model."""
+        allowed = self.names(scope, "models")
         return model in allowed or "*" in allowed
 
     def _index_keys(self) -> dict[str, str]:
@@ -187,16 +197,17 @@
             for key in str(node.get("keys_sha256", "")).split():
                 if index.setdefault(key, match["team"]) != match["team"]:
                     raise errors.SettingsError(
-                        f"[{section}] keys_sha256: this key belongs to "
-                        f"team {index[key]} already"
+                        f"[{section}] keys_sha256: this key already "
+                        f"belongs to team {index[key]}"
                     )
         return index
 
 
 def parse(text: str, generation: int) -> Tree:
-    """Read and check a whole tree.
+    """Parse and validate a whole tree.
 
-    :raises SettingsError: naming section, option and what is allowed.
+    :raises SettingsError: with a message that names the section, the option
+        and the allowed values.
     """
     parser = configparser.ConfigParser(
         interpolation=None, default_section="\0none", strict=True
@@ -205,21 +216,23 @@
         parser.read_string(text)
     except configparser.Error as error:
         first_line = str(error).splitlines()[0]
-        raise errors.SettingsError(f"not readable INI: {first_line}") from None
+        raise errors.SettingsError(
+            f"invalid INI syntax: {first_line}"
+        ) from None
     nodes: dict[str, dict[str, options.Value]] = {}
     services: dict[str, contracts.Contract] = {}
     for section in parser.sections():
         pairs = dict(parser.items(section))
         service = _SERVICE_SECTION.fullmatch(section)
         if service is not None:
-            services[service["service"]] = _contract(section, pairs)
+            services[service["service"]] = _parse_contract(section, pairs)
         else:
-            nodes[section] = _node(section, pairs)
+            nodes[section] = _parse_node(section, pairs)
     _check_references(nodes, services)
     return Tree(generation, text, nodes, services)
 
 
-def _contract(section: str, pairs: dict[str, str]) -> contracts.Contract:
+def _parse_contract(section: str, pairs: dict[str, str]) -> contracts.Contract:
     values = SERVICE_OPTIONS.read_all(section, pairs)
     return contracts.Contract(
         is_repeatable=bool(values["repeatable"]),
@@ -229,10 +242,12 @@
     )
 
 
-def _node(section: str, pairs: dict[str, str]) -> dict[str, options.Value]:
+def _parse_node(
+    section: str, pairs: dict[str, str]
+) -> dict[str, options.Value]:
     if section != ROOT and _TEAM_SECTION.fullmatch(section) is None:
         raise errors.SettingsError(
-            f"[{section}]: a section is [{ROOT}], [service:NAME], "
+            f"[{section}]: expected [{ROOT}], [service:NAME], "
             "[team:NAME], [team:NAME/service:NAME] or "
             "[team:NAME/service:NAME/session:NAME]"
         )
@@ -248,29 +263,29 @@
         for name in named:
             if name != "*" and name not in services:
                 raise errors.SettingsError(
-                    f"[{section}] services: there is no [service:{name}]"
+                    f"[{section}] services: no section [service:{name}]"
                     f"{suggest_name(name, services)}"
                 )
 
 
 def suggest_name(name: str, known: "dict[str, contracts.Contract]") -> str:
-    """Return a hint at the nearest known name, or nothing."""
-    near = difflib.get_close_matches(name, known, n=1)
-    return f"; did you mean {near[0]}?" if near else ""
+    """Return a hint with the closest known name, or an empty string."""
+    matches = difflib.get_close_matches(name, known, n=1)
+    return f"; did you mean {matches[0]}?" if matches else ""
 
 
 def edit(text: str, section: str, option: str, value: str | None) -> str:
-    """Return ``text`` with one option changed, its comments kept.
+    """Return ``text`` with one option changed and its comments kept.
 
-    :param value: the new value, or ``None`` to unset it at that section.
-    :raises SettingsError: when there is nothing to unset.
+    :param value: the new value, or ``None`` to remove it from the section.
+    :raises SettingsError: if the option to remove is not set there.
     """
     lines = text.splitlines()
     header = f"[{section}]"
     setting = None if value is None else f"{option} = {value}"
     if header not in [line.strip() for line in lines]:
         if setting is None:
-            raise _nothing_to_unset(section, option)
+            raise _not_set_error(section, option)
         gap = [""] if lines else []
         return "\n".join([*lines, *gap, header, setting]) + "\n"
     start = next(at for at, line in enumerate(lines) if line.strip() == header)
@@ -286,7 +301,7 @@
         at for at in range(start + 1, end) if _option_name(lines[at]) == option
     ]
     if setting is None and not found:
-        raise _nothing_to_unset(section, option)
+        raise _not_set_error(section, option)
     kept = [line for at, line in enumerate(lines) if at not in found]
     if setting is not None:
         kept.insert(found[0] if found else start + 1, setting)
@@ -297,7 +312,7 @@
     return re.split("[=:]", line, maxsplit=1)[0].strip().lower()
 
 
-def _nothing_to_unset(section: str, option: str) -> errors.SettingsError:
+def _not_set_error(section: str, option: str) -> errors.SettingsError:
     return errors.SettingsError(
-        f"[{section}] {option}: it is not set there, so it is inherited"
+        f"[{section}] {option}: not set in this section, thus inherited"
     )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The settings tree, its editor, and the daemons' configuration."""
+"""Tests of the settings tree, its editor and the daemon configuration."""
 
 import pathlib
 
@@ -38,15 +38,15 @@
 
 
 class TestTree:
-    """Inheritance and checks."""
+    """Inheritance, validation and text edits."""
 
-    def test_values_come_from_the_nearest_node(self) -> None:
+    def test_value_is_inherited_from_the_nearest_node(self) -> None:
         tree = trees.parse(TEXT, 1)
-        place = trees.SettingsScope("kiosks", "maps", "desk-7")
-        found = tree.effective(place, "concurrency")
+        scope = trees.SettingsScope("kiosks", "maps", "desk-7")
+        found = tree.effective(scope, "concurrency")
         assert (found.value, found.section) == (5, "team:kiosks/service:maps")
-        assert tree.number(place, "deadline_seconds") == 9
-        assert tree.effective(place, "window").section == "built-in"
+        assert tree.number(scope, "deadline_seconds") == 9
+        assert tree.effective(scope, "window").section == "built-in"
         other = trees.SettingsScope("others", "maps")
         assert tree.integer(other, "concurrency") == 10
 
@@ -54,23 +54,23 @@
         ("text", "hint"),
         [
             ("[team:a]\nconcurency = 1", "did you mean concurrency?"),
-            ("[team:a]\nconcurrency = many", "a whole number from 1"),
-            ("[team:a]\nconcurrency = 0", "a whole number from 1"),
-            ("[teams:a]\n", "a section is"),
+            ("[team:a]\nconcurrency = many", "an integer from 1"),
+            ("[team:a]\nconcurrency = 0", "an integer from 1"),
+            ("[teams:a]\n", "expected [defaults]"),
             ("[team:a]\nservices = map\n[service:maps]\n", "did you mean"),
             ("[team:a]\nkeys_sha256 = k\n[team:b]\nkeys_sha256 = k", "team a"),
-            ("concurrency = 1", "not readable INI"),
-            ("[defaults]\nwindow = 1\nwindow = 2", "not readable INI"),
+            ("concurrency = 1", "invalid INI syntax"),
+            ("[defaults]\nwindow = 1\nwindow = 2", "invalid INI syntax"),
         ],
     )
-    def test_wrong_text_is_refused_with_a_hint(
+    def test_invalid_text_is_rejected_with_a_hint(
         self, text: str, hint: str
     ) -> None:
         with pytest.raises(errors.SettingsError) as caught:
             trees.parse(text, 1)
         assert hint in str(caught.value)
 
-    def test_edit_keeps_comments_and_unsets(self) -> None:
+    def test_edit_keeps_comments_and_unsets_options(self) -> None:
         text = "[defaults]\n# why\nwindow = 9\n"
         changed = trees.edit(text, "defaults", "window", "7")
         assert changed == "[defaults]\n# why\nwindow = 7\n"
@@ -87,7 +87,7 @@
 
     @hypothesis.settings(derandomize=True, database=None, deadline=None)
     @hypothesis.given(strategies.text(max_size=200))
-    def test_any_text_is_read_or_refused(self, text: str) -> None:
+    def test_any_text_is_parsed_or_rejected(self, text: str) -> None:
         for read in (lambda one: trees.parse(one, 1), configs.parse):
             try:
                 read(text)
@@ -96,9 +96,9 @@
 
 
 class TestEditor:
-    """Accepted changes, racing and unsure."""
+    """Accepted, concurrent and unacknowledged changes."""
 
-    def test_racing_edits_show_each_other(self) -> None:
+    def test_conflict_shows_the_concurrent_edit(self) -> None:
         async def check() -> None:
             store = stores.StandinStore()
             editor = editors.SettingsEditor(store)
@@ -112,22 +112,22 @@
 
         virtual.run(check)
 
-    def test_lost_reply_is_found_out(self) -> None:
+    def test_change_is_found_after_a_lost_reply(self) -> None:
         async def check() -> None:
             store = stores.StandinStore()
             editor = editors.SettingsEditor(store)
             store.lost_replies = 1
-            edition = await editor.apply(editors.EMPTY, TEXT, "change-1")
-            assert (edition.generation, edition.change) == (1, "change-1")
-            again = await editor.apply(editors.EMPTY, TEXT, "change-1")
-            assert again.generation == 1
+            revision = await editor.apply(editors.EMPTY, TEXT, "change-1")
+            assert (revision.generation, revision.change) == (1, "change-1")
+            retried = await editor.apply(editors.EMPTY, TEXT, "change-1")
+            assert retried.generation == 1
             history = await editor.history()
             assert [one.generation for one in history] == [1]
             assert await editor.text_of(1) == TEXT
 
         virtual.run(check)
 
-    def test_wrong_tree_is_never_stored(self) -> None:
+    def test_invalid_tree_is_never_stored(self) -> None:
         async def check() -> None:
             store = stores.StandinStore()
             editor = editors.SettingsEditor(store)
@@ -139,7 +139,7 @@
 
 
 class TestHolder:
-    """What is in force in one process."""
+    """The settings in force in one process."""
 
     def test_older_generation_is_never_applied(self) -> None:
         async def check() -> None:
@@ -160,7 +160,7 @@
 
         virtual.run(check)
 
-    def test_changes_arrive_and_bad_ones_do_not(self) -> None:
+    def test_valid_changes_are_applied_and_invalid_ones_ignored(self) -> None:
         async def check() -> None:
             store = stores.StandinStore()
             holder = holders.SettingsHolder(store)
@@ -190,12 +190,11 @@
 
         virtual.run(check)
 
-    def test_store_that_lost_edits_takes_none_back_and_hides_none(
+    def test_restored_store_neither_reverts_nor_hides_edits(
         self,
     ) -> None:
-        # Two edits were lost with the store's return, and the next one got
-        # the first one's number. It was never in force at entries that had
-        # seen the two.
+        # A restored store reuses the generation numbers of lost edits. A new
+        # edit must apply even where the lost ones were seen.
         async def check() -> None:
             store = stores.StandinStore()
             holder = holders.SettingsHolder(store)
@@ -214,7 +213,7 @@
                 await anyio.sleep(1.0)
                 assert holder.tree.text == TEXT + "# 3\n"
                 await editor.apply(await editor.read(), TEXT + "# 4\n")
-                # Nothing cut its watch, which was sent before the return.
+                # The watch from before the restoration is still open.
                 await anyio.sleep(holders.WATCH_SECONDS)
                 assert holder.tree.text == TEXT + "# 4\n"
                 assert holder.generation == 2
@@ -222,8 +221,8 @@
 
         virtual.run(check)
 
-    def test_forgotten_history_is_read_anew(self) -> None:
-        # Its watch was refused again and again, and nothing was listed.
+    def test_settings_are_listed_again_after_history_is_lost(self) -> None:
+        # A refused watch must lead to a new listing, not to endless retries.
         async def check() -> None:
             store = stores.StandinStore()
             holder = holders.SettingsHolder(store)
@@ -246,32 +245,32 @@
 
 
 class TestConfig:
-    """One line for each wrong file."""
+    """Valid samples, and one-line errors for invalid files."""
 
     @pytest.mark.parametrize("name", ["entry", "sidecar"])
-    def test_samples_are_in_order_and_complete(self, name: str) -> None:
+    def test_samples_are_valid_and_complete(self, name: str) -> None:
         text = (ETC / f"{name}.ini").read_text()
         configs.parse(text)
         for section in (configs.DAEMON, configs.PLATFORM, name, configs.TLS):
             for option in configs.SECTIONS[section]:
                 assert f"\n{option.name} =" in text
 
-    def test_sample_settings_are_in_order(self) -> None:
+    def test_sample_settings_are_valid(self) -> None:
         trees.parse((ETC / "settings.ini").read_text(), 1)
 
     @pytest.mark.parametrize(
         ("old", "new", "hint"),
         [
             ("role = entry", "role = entri", "one of entry, sidecar"),
-            ("host = 127.0.0.1", "host = localhost", "an IP number"),
+            ("host = 127.0.0.1", "host = localhost", "an IP address"),
             ("port = 7400", "port = 70000", "from 0 to 65535"),
             ("[entry]", "[entri]", "no such section"),
             ("http_port", "http_prot", "did you mean http_port?"),
-            ("name = entry-0", "name =", "text that is not empty"),
+            ("name = entry-0", "name =", "a non-empty string"),
             ("[platform]\nurl = http://127.0.0.1:8000", "", "missing"),
         ],
     )
-    def test_wrong_file_ends_with_one_line(
+    def test_invalid_file_gives_a_one_line_error(
         self, tmp_path: pathlib.Path, old: str, new: str, hint: str
     ) -> None:
         text = (ETC / "entry.ini").read_text()
@@ -287,9 +286,9 @@
 
 
 class TestErrorsPage:
-    """``docs/ERRORS.md`` and the catalogue say the same."""
+    """``docs/ERRORS.md`` matches the error codes."""
 
-    def test_every_code_is_explained_with_its_status(self) -> None:
+    def test_every_code_is_documented_with_its_status(self) -> None:
         rows = {}
         for line in (DOCS / "ERRORS.md").read_text().splitlines():
             cells = [cell.strip() for cell in line.split("|")]
