--- a/src/crowdeck/settings/editor.py
+++ b/src/crowdeck/settings/editor.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Changes of the settings, safe against races and lost replies."""
+"""Edits of the settings, safe against races and lost replies."""
 
 import difflib
 import uuid
@@ -21,9 +21,10 @@
 
 @attrs.frozen
 class SettingsRevision:
-    """The stored tree as an editor read it.
+    """A stored generation of the settings tree.
 
-    :ivar version: the store's version, by which a racing edit shows.
+    :ivar version: the store's object version, which detects concurrent
+        edits; 0 for a revision from the history.
     :ivar change: id of the change that made this generation.
     """
 
@@ -43,7 +44,7 @@
         self._store = store
 
     async def read(self) -> SettingsRevision:
-        """Return the tree that is in force."""
+        """Return the current revision, or ``EMPTY`` if none is stored."""
         found = await self._store.get(holder.KIND, holder.NAME)
         if found is None:
             return EMPTY
@@ -55,14 +56,15 @@
     async def apply(
         self, base: SettingsRevision, text: str, change: str = ""
     ) -> SettingsRevision:
-        """Make ``text`` the next generation after ``base``.
+        """Store ``text`` as the next generation after ``base``.
 
-        Applying the same ``change`` again is harmless: a writer whose
-        reply was lost finds its own change in force and stops.
+        Idempotent by ``change``: a retry after a lost reply returns the
+        revision that the first attempt stored.
 
-        :raises SettingsError: when the text is no valid tree.
-        :raises CrowdeckError: ``STORE_CONFLICT`` when another edit came
-            between; the message shows what that edit changed.
+        :param change: id of the change; a random one if empty.
+        :raises SettingsError: if the text is not a valid tree.
+        :raises CrowdeckError: ``STORE_CONFLICT`` if another edit was stored
+            after ``base``; the message contains its diff.
         """
         change = change or uuid.uuid4().hex
         generation = base.generation + 1
@@ -73,8 +75,8 @@
                 holder.KIND, holder.NAME, value, base.version
             )
         except errors.CrowdeckError as error:
-            return await self._find_out(base, change, error)
-        await self._remember(generation, change, value)
+            return await self._resolve_failed_write(base, change, error)
+        await self._store_history(generation, change, value)
         return SettingsRevision(version, generation, change, text)
 
     async def history(self, limit: int = 20) -> list[SettingsRevision]:
@@ -84,9 +86,9 @@
         for generation in range(newest.generation, 0, -1):
             if len(found) == limit:
                 break
-            kept = await self._store.get(HISTORY_KIND, str(generation))
-            if kept is not None:
-                body = orjson.loads(kept.value)
+            stored = await self._store.get(HISTORY_KIND, str(generation))
+            if stored is not None:
+                body = orjson.loads(stored.value)
                 found.append(
                     SettingsRevision(
                         0, generation, body["change"], body["text"]
@@ -97,26 +99,29 @@
     async def text_of(self, generation: int) -> str:
         """Return the text of a past generation.
 
-        :raises SettingsError: when it is not kept.
+        :raises SettingsError: if it is not in the history.
         """
-        kept = await self._store.get(HISTORY_KIND, str(generation))
-        if kept is None:
+        stored = await self._store.get(HISTORY_KIND, str(generation))
+        if stored is None:
             raise errors.SettingsError(
-                f"generation {generation} is not kept; see "
+                f"generation {generation} is not in the history; see "
                 "'crowdeck settings history'"
             )
-        return str(orjson.loads(kept.value)["text"])
+        return str(orjson.loads(stored.value)["text"])
 
-    async def _find_out(
+    async def _resolve_failed_write(
         self, base: SettingsRevision, change: str, error: errors.CrowdeckError
     ) -> SettingsRevision:
-        """Tell our own change, a racing one and a failed one apart."""
-        unclear = (errors.Code.STORE_CONFLICT, errors.Code.STORE_UNSURE)
-        if error.code not in unclear:
+        """Return our own change if it was stored, else raise.
+
+        Distinguishes a lost reply, a concurrent edit and a failed write.
+        """
+        ambiguous = (errors.Code.STORE_CONFLICT, errors.Code.STORE_UNSURE)
+        if error.code not in ambiguous:
             raise error
         current = await self.read()
         if current.change == change:
-            await self._remember(
+            await self._store_history(
                 current.generation,
                 change,
                 holder.encode(current.generation, change, current.text),
@@ -127,11 +132,12 @@
         theirs = show_difference(base.text, current.text, "base", "theirs")
         raise errors.CrowdeckError(
             errors.Code.STORE_CONFLICT,
-            f"generation {current.generation} came between; it changed:\n"
+            f"generation {current.generation} was stored meanwhile; "
+            "its changes:\n"
             f"{theirs}",
         )
 
-    async def _remember(
+    async def _store_history(
         self, generation: int, change: str, value: bytes
     ) -> None:
         try:
@@ -139,8 +145,8 @@
                 HISTORY_KIND, str(generation), value, stores.CREATE
             )
         except errors.CrowdeckError as error:
-            # History is for people. The change itself is in force, and a
-            # repeat of it after a lost reply finds its entry written.
+            # The change itself is stored. A retry may find its history
+            # entry already written, so only an outage is reported.
             if error.code == errors.Code.STORE_DOWN:
                 raise
 
@@ -148,7 +154,7 @@
 def show_difference(
     old: str, new: str, old_name: str = "in force", new_name: str = "new"
 ) -> str:
-    """Return a unified difference of two texts."""
+    """Return a unified diff of two texts."""
     return "\n".join(
         difflib.unified_diff(
             old.splitlines(),
--- a/src/crowdeck/settings/holder.py
+++ b/src/crowdeck/settings/holder.py
@@ -17,10 +17,10 @@
 
 KIND = "settings"
 NAME = "tree"
-# One waiting watch per process, renewed this often.
+# Each process holds one long-polling watch, renewed at this interval.
 WATCH_SECONDS = 20.0
-# Changes by which a tree is known to have been in force: a store's copy is
-# some seconds old, and nobody makes so many in that time.
+# Number of change ids that are remembered. Must exceed the number of edits
+# that are lost when the store is restored from a backup.
 MAX_CHANGES = 64
 
 
@@ -45,35 +45,36 @@
 def decode(value: bytes) -> StoredTree:
     """Return the tree in a stored object.
 
-    :raises SettingsError: when it is no valid tree.
+    :raises SettingsError: if it is not a valid tree.
     """
     try:
         body = orjson.loads(value)
         generation, text = int(body["generation"]), str(body["text"])
         change = str(body["change"])
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
-        raise errors.SettingsError("the stored tree is malformed") from None
+        raise errors.SettingsError(
+            "the stored settings are malformed"
+        ) from None
     return StoredTree(trees.parse(text, generation), change)
 
 
 class SettingsHolder:
-    """Holds the newest tree seen, and never one from before it.
+    """Keeps the newest settings tree and never goes back to an older one.
 
-    A follower of the mirror of settings. Trees are told apart by the change
-    that made them: a store that came back from a copy has lost the last
-    generations, and the next edits get their numbers again. Compared by
-    number they were passed over until they had passed the lost ones.
+    Trees are identified by the change that made them, not by generation: a
+    store that was restored from a backup assigns the numbers of the lost
+    generations again.
     """
 
     def __init__(self, store: stores.ObjectStore) -> None:
         self._store = store
         self._tree: trees.Tree | None = None
-        # Changes seen, the newest last.
+        # Ids of the changes seen, newest last.
         self._changes: dict[str, None] = {}
 
     @property
     def has_tree(self) -> bool:
-        """Whether any generation is known; no work is taken before."""
+        """Whether any generation is known; readiness requires it."""
         return self._tree is not None
 
     @property
@@ -85,8 +86,8 @@
     def tree(self) -> trees.Tree:
         """The tree in force.
 
-        :raises CrowdeckError: ``STORE_DOWN`` while none was ever read:
-            a process that cannot know the settings takes no work.
+        :raises CrowdeckError: ``STORE_DOWN`` until the settings have been
+            read once; the process takes no work before.
         """
         if self._tree is None:
             raise errors.CrowdeckError(
@@ -97,33 +98,34 @@
         return self._tree
 
     def apply(self, tree: trees.Tree, change: str = "") -> bool:
-        """Put a tree in force unless it was before; say whether it was.
+        """Put a tree in force unless it was seen before.
 
-        :param change: id of the change that made it; without it a tree is
-            new only by its generation.
+        :param change: id of the change that made it; if empty, only a higher
+            generation is applied.
+        :return: whether the tree was applied.
         """
         if change in self._changes:
             return False
         if not change and tree.generation <= self.generation:
             return False
         if change:
-            self._note_seen(change)
+            self._remember_change(change)
         self._tree = tree
         counters.COUNTERS.add("settings.applied")
         counters.COUNTERS.set_gauge("settings.generation", tree.generation)
         logs.change("settings", generation=tree.generation)
         return True
 
-    def _note_seen(self, change: str) -> None:
+    def _remember_change(self, change: str) -> None:
         self._changes[change] = None
         while len(self._changes) > MAX_CHANGES:
             oldest = next(iter(self._changes))
             del self._changes[oldest]
 
     async def read(self) -> None:
-        """Read the store once.
+        """Read the store once and apply what is found.
 
-        :raises CrowdeckError: when it cannot be read.
+        :raises CrowdeckError: if the store cannot be read.
         """
         found = await self._store.get(KIND, NAME)
         if found is not None:
@@ -136,7 +138,7 @@
         await mirror.run()
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
-        """Take all trees."""
+        """Apply the listed settings."""
         self.on_changed(objects, ())
 
     def on_changed(
@@ -144,18 +146,18 @@
         objects: tuple[stores.StoredObject, ...],
         removed: tuple[str, ...],
     ) -> None:
-        """Take trees that were written; a removed one stays in force."""
-        for one in objects:
-            self._take(one)
+        """Apply written settings; removed ones stay in force."""
+        for stored in objects:
+            self._apply_stored(stored)
 
-    def _take(self, changed: stores.StoredObject) -> None:
+    def _apply_stored(self, changed: stores.StoredObject) -> None:
         if changed.name != NAME:
             return
         try:
             stored = decode(changed.value)
             self.apply(stored.tree, stored.change)
         except errors.SettingsError as error:
-            # A writer that skips the checks must not take entries down:
-            # the last good generation stays in force.
+            # Invalid settings written past the editor must not stop the
+            # process: the last valid generation stays in force.
             counters.COUNTERS.add("settings.refused")
             logs.change("settings_refused", reason=error.message)
