--- a/src/crowdeck/observe/counters.py
+++ b/src/crowdeck/observe/counters.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Counters, gauges and timers of one process, sent on by statsd.
+"""Counters, gauges and timers of one process, exported through statsd.
 
-Parts add to a plain table in memory, since they do so for every token;
-a timer sends what changed as statsd packets. ``docs/METRICS.md`` lists
-the names.
+Updates only change a table in memory, as they occur for every token; a
+periodic flush sends the changes as statsd packets. ``docs/METRICS.md``
+lists the names.
 """
 
 import bisect
@@ -18,7 +18,7 @@
 
 
 class StatsdPipe(typing.Protocol):
-    """The part of a statsd client that is used here."""
+    """The methods of a statsd client that are used here."""
 
     def incr(self, stat: str, count: int) -> None:
         """Add to a counter."""
@@ -29,17 +29,16 @@
         ...
 
     def timing(self, stat: str, delta: float) -> None:
-        """Note a duration in milliseconds."""
+        """Record a duration in milliseconds."""
         ...
 
 
-# Timings kept between two flushes; beyond these a process under load
-# sends a sample, which is what statsd timers are for.
+# Timings that are kept between two flushes. Further ones are left out of
+# the statsd timers, but counted in the histograms.
 TIMING_LIMIT = 1_000
 
 
-# Upper bounds of a histogram's buckets in seconds: each a little over
-# twice the one before, from below a hop's time to above every deadline.
+# Upper bounds of the histogram buckets, in seconds.
 BUCKETS = (
     *(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.35),
     *(0.5, 0.75, 1.0, 1.5, 2.0, 3.5, 5.0, 10.0, 20.0, 45.0),
@@ -48,7 +47,11 @@
 
 @attrs.define
 class Histogram:
-    """How many durations fell into each bucket."""
+    """A histogram of durations.
+
+    :ivar counts: number of durations per bucket; the last is unbounded.
+    :ivar total: sum of the durations, in seconds.
+    """
 
     counts: list[int] = attrs.field(factory=lambda: [0] * (len(BUCKETS) + 1))
     total: float = 0.0
@@ -60,7 +63,7 @@
 
 
 class Counters:
-    """A table of counts, gauges and recent durations."""
+    """A table of counters, gauges, histograms and recent timings."""
 
     def __init__(self) -> None:
         self._counts: collections.Counter[str] = collections.Counter()
@@ -78,17 +81,17 @@
         self._gauges[name] = value
 
     def time(self, name: str, seconds: float) -> None:
-        """Note a duration."""
+        """Record a duration."""
         self._histograms.setdefault(name, Histogram()).add(seconds)
         if len(self._timings) < TIMING_LIMIT:
             self._timings.append((name, seconds))
 
     def get(self, name: str) -> int:
-        """Return a counter's value, 0 for one never added to."""
+        """Return the value of a counter, 0 if it was never incremented."""
         return self._counts[name]
 
     def gauge(self, name: str) -> float:
-        """Return a gauge's value, 0 for one never set."""
+        """Return the value of a gauge, 0 if it was never set."""
         return self._gauges.get(name, 0.0)
 
     def as_dict(self) -> dict[str, int]:
@@ -96,18 +99,18 @@
         return dict(sorted(self._counts.items()))
 
     def as_text(self) -> str:
-        """Return everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         lines = []
         for name, value in self.as_dict().items():
-            lines.append(f"{_exposed(name)}_total {value}")
+            lines.append(f"{_prometheus_name(name)}_total {value}")
         for name, level in sorted(self._gauges.items()):
-            lines.append(f"{_exposed(name)} {level:g}")
+            lines.append(f"{_prometheus_name(name)} {level:g}")
         for name, histogram in sorted(self._histograms.items()):
-            lines += _histogram_lines(_exposed(name), histogram)
+            lines += _histogram_lines(_prometheus_name(name), histogram)
         return "\n".join(lines) + "\n"
 
     def flush(self, pipe: StatsdPipe) -> None:
-        """Send what changed since the last flush."""
+        """Send the changes since the last flush, and all gauges."""
         for name, value in self._counts.items():
             change = value - self._sent[name]
             if change:
@@ -120,19 +123,19 @@
         self._timings.clear()
 
 
-def _exposed(name: str) -> str:
+def _prometheus_name(name: str) -> str:
     return "crowdeck_" + name.replace(".", "_").replace("-", "_")
 
 
 def _histogram_lines(name: str, histogram: Histogram) -> list[str]:
     lines = []
-    running = 0
+    cumulative = 0
     bounds = [f"{bound:g}" for bound in BUCKETS] + ["+Inf"]
     for bound, count in zip(bounds, histogram.counts, strict=True):
-        running += count
-        lines.append(f'{name}_seconds_bucket{{le="{bound}"}} {running}')
+        cumulative += count
+        lines.append(f'{name}_seconds_bucket{{le="{bound}"}} {cumulative}')
     lines.append(f"{name}_seconds_sum {histogram.total:.6f}")
-    lines.append(f"{name}_seconds_count {running}")
+    lines.append(f"{name}_seconds_count {cumulative}")
     return lines
 
 
--- a/src/crowdeck/observe/logs.py
+++ b/src/crowdeck/observe/logs.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Logs: one JSON line for each decision and each change of belief.
+"""Structured logs: a JSON line for each decision and each state change.
 
-Lines go to standard output through eliot. Their number is bounded for
-each kind and second, and a pipe that nobody reads never holds the
-process up: what does not fit is left out and counted.
+Lines go to standard output through eliot. They are rate limited by event
+and never block the process: lines over the limit, and lines that a full
+pipe does not take, are dropped and counted.
 """
 
 import collections
@@ -21,28 +21,27 @@
 
 from crowdeck.observe import counters
 
-# Names of fields that may never reach a log, whatever their value.
+# Fields that must never be logged, whatever their value.
 SECRET_FIELDS = frozenset(
     {"authorization", "prompt", "body", "key", "bearer", "password"}
 )
-# Lines of one kind in a second. An entry decides on some tens of requests
-# a second; 100 lets all of their lines through and keeps a storm of
-# refusals to some 30 KB a second.
+# Maximum number of lines per event and second.
 LINES_PER_SECOND = 100
-# Writes up to this size reach a pipe whole or not at all (PIPE_BUF).
+# Pipe writes up to this size are atomic (PIPE_BUF).
 LINE_BYTES = 4_096
 
 _KIND = "message_type"
 _TIME = "timestamp"
-# eliot's place of a message in its tree of actions, which is not used.
-_DROPPED = frozenset({"task_uuid", "task_level", _KIND, _TIME})
+# Fields of eliot that are not copied: its action tree is not used, and the
+# event and the time are set here.
+_OMITTED = frozenset({"task_uuid", "task_level", _KIND, _TIME})
 
 
 class BoundedWriter:
-    """Writes log messages as JSON lines and never waits.
+    """Writes log messages as JSON lines without blocking.
 
-    :param write: takes a line and returns how much of it was taken;
-        raises ``BlockingIOError`` when there is no room.
+    :param write: non-blocking write that returns the number of bytes
+        written; raises ``BlockingIOError`` if the pipe is full.
     """
 
     def __init__(
@@ -54,68 +53,72 @@
         self._clock = clock
         self._second = 0
         self._written: collections.Counter[str] = collections.Counter()
-        self._left_out: collections.Counter[str] = collections.Counter()
+        self._dropped: collections.Counter[str] = collections.Counter()
 
     def __call__(self, message: dict[str, typing.Any]) -> None:
-        """Write one message, or count it as left out."""
+        """Write one message, or count it as dropped."""
         kind = str(message.get(_KIND, "eliot"))
-        self._begin_second()
+        self._roll_second()
         self._written[kind] += 1
         if self._written[kind] > LINES_PER_SECOND:
-            self._leave_out(kind)
+            self._drop(kind)
             return
-        self._put(kind, _line(kind, message))
+        self._write_line(kind, _encode_line(kind, message))
 
-    def _begin_second(self) -> None:
+    def _roll_second(self) -> None:
         second = int(self._clock())
         if second == self._second:
             return
         self._second = second
         self._written.clear()
-        if self._left_out:
-            left_out = dict(self._left_out)
-            self._left_out.clear()
+        if self._dropped:
+            dropped = dict(self._dropped)
+            self._dropped.clear()
             kind = "crowdeck:log_left_out"
-            self._put(kind, _line(kind, {"lines": left_out}))
+            self._write_line(kind, _encode_line(kind, {"lines": dropped}))
 
-    def _put(self, kind: str, line: bytes) -> None:
+    def _write_line(self, kind: str, line: bytes) -> None:
         try:
-            taken = self._write(line)
+            written = self._write(line)
         except (BlockingIOError, BrokenPipeError):
-            # Logging never holds up or ends what it tells of.
-            self._leave_out(kind)
+            # A failure to log must not affect the process.
+            self._drop(kind)
             return
-        if taken < len(line):
-            self._leave_out(kind)
+        if written < len(line):
+            self._drop(kind)
 
-    def _leave_out(self, kind: str) -> None:
-        self._left_out[kind] += 1
+    def _drop(self, kind: str) -> None:
+        self._dropped[kind] += 1
         counters.COUNTERS.add("log.left_out")
 
 
-def _line(kind: str, message: dict[str, typing.Any]) -> bytes:
+def _encode_line(kind: str, message: dict[str, typing.Any]) -> bytes:
     fields = {_TIME: round(time.time(), 3), _KIND: kind}
     fields.update(
         (name, value)
         for name, value in message.items()
-        if name not in _DROPPED
+        if name not in _OMITTED
     )
     line = orjson.dumps(fields, default=str) + b"\n"
     if len(line) > LINE_BYTES:
-        short = {name: fields[name] for name in (_TIME, _KIND)}
-        line = orjson.dumps({**short, "too_long": len(line)}) + b"\n"
+        header = {name: fields[name] for name in (_TIME, _KIND)}
+        line = orjson.dumps({**header, "too_long": len(line)}) + b"\n"
     return line
 
 
 def to_stdout() -> None:
-    """Send log lines to standard output, where the platform takes them."""
-    number = sys.stdout.fileno()
-    os.set_blocking(number, False)
-    eliot.add_destinations(BoundedWriter(lambda line: os.write(number, line)))
+    """Send log lines to standard output, set to non-blocking."""
+    descriptor = sys.stdout.fileno()
+    os.set_blocking(descriptor, False)
+    eliot.add_destinations(
+        BoundedWriter(lambda line: os.write(descriptor, line))
+    )
 
 
 def change(what: str, **fields: typing.Any) -> None:
-    """Log one change of what the process is or believes.
+    """Log a change of the state of this process or of its view of others.
+
+    :param what: name of the event.
 
     >>> change("peer_lost", peer="engine-3")
     """
@@ -124,8 +127,9 @@
 
 
 def decision(what: str, request: str, **fields: typing.Any) -> None:
-    """Log one decision on a request, with the inputs that decided it.
+    """Log a decision on a request, with its inputs.
 
-    :param request: the request's id, by which its lines are found.
+    :param what: name of the event.
+    :param request: id of the request.
     """
     change(what, request=request, **fields)
--- a/src/crowdeck/observe/traces.py
+++ b/src/crowdeck/observe/traces.py
@@ -5,10 +5,9 @@
 
 """Traces: a span for each hop of each request, in W3C trace context.
 
-Spans are kept in a bounded buffer for ``crowdeck trace`` and, where an
-address is configured, exported over OTLP/HTTP. A stage has one span per
-attempt rather than per token: at 41 ms a token the latter would outweigh
-the tokens themselves.
+Spans are kept in a bounded buffer for ``crowdeck trace`` and, if an endpoint
+is configured, exported over OTLP/HTTP. A stage has one span per attempt, as
+spans per token would cost too much.
 """
 
 import collections
@@ -28,7 +27,7 @@
 
 
 class SpanBuffer(sdk_trace.SpanProcessor):
-    """Keeps the latest ended spans."""
+    """Keeps the most recently ended spans."""
 
     def __init__(self, limit: int = BUFFER_LIMIT) -> None:
         self._spans: collections.deque[sdk_trace.ReadableSpan] = (
@@ -36,7 +35,7 @@
         )
 
     def on_end(self, span: sdk_trace.ReadableSpan) -> None:
-        """Keep an ended span, dropping the oldest when full."""
+        """Keep an ended span; drop the oldest one if the buffer is full."""
         self._spans.append(span)
 
     def find(self, trace_id: str) -> tuple[str, ...]:
@@ -67,7 +66,7 @@
 
 
 class OpenSpan:
-    """A span that has begun; ``end`` may be called more than once."""
+    """A span that has begun."""
 
     def __init__(self, span: trace.Span) -> None:
         self._span = span
@@ -75,7 +74,7 @@
 
     @property
     def traceparent(self) -> str:
-        """W3C header by which the next hop joins this span."""
+        """W3C ``traceparent`` header for the next hop."""
         carrier: dict[str, str] = {}
         context = trace.set_span_in_context(self._span)
         _PROPAGATOR.inject(carrier, context)
@@ -87,11 +86,11 @@
         return f"{self._span.get_span_context().trace_id:032x}"
 
     def note(self, name: str, value: str | int | float) -> None:
-        """Attach an attribute; never a secret or a caller's text."""
+        """Set an attribute; must not contain secrets or caller content."""
         self._span.set_attribute(name, value)
 
     def end(self, outcome: str = "") -> None:
-        """End the span."""
+        """End the span; later calls have no effect."""
         if self._has_ended:
             return
         self._has_ended = True
@@ -101,7 +100,7 @@
 
 
 class Tracer:
-    """Begins spans for one process."""
+    """Creates the spans of one process."""
 
     def __init__(self, instance: str, otlp_endpoint: str = "") -> None:
         resource = resources.Resource.create(
@@ -125,7 +124,7 @@
         traceparent: str = "",
         attributes: typing.Mapping[str, str | int | float] | None = None,
     ) -> OpenSpan:
-        """Begin a span under ``traceparent``, or a new trace."""
+        """Begin a span under ``traceparent``; if empty, a new trace."""
         context = _PROPAGATOR.extract({"traceparent": traceparent})
         span = self._tracer.start_span(
             name, context=context, attributes=dict(attributes or {})
@@ -137,5 +136,5 @@
         return self._buffer.find(trace_id)
 
     def close(self) -> None:
-        """Send what is left and stop exporting."""
+        """Export the remaining spans and stop."""
         self._provider.shutdown()
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Log lines and metrics."""
+"""Tests of log lines and metrics."""
 
 import orjson
 
@@ -26,9 +26,9 @@
 
 
 class TestLogs:
-    """JSON lines, bounded, never waiting."""
+    """Log lines are JSON, rate limited and never block."""
 
-    def test_a_line_is_json_with_what_and_when(self) -> None:
+    def test_line_is_json_with_event_and_time(self) -> None:
         pipe = _Pipe()
         writer = logs.BoundedWriter(pipe.write)
         writer({"message_type": "crowdeck:refused", "request": "r1"})
@@ -38,7 +38,7 @@
         assert line["timestamp"] > 0
         assert pipe.lines[0].endswith(b"\n")
 
-    def test_lines_of_a_kind_are_bounded_and_the_rest_is_told(self) -> None:
+    def test_lines_over_the_limit_are_dropped_and_counted(self) -> None:
         pipe = _Pipe()
         now = [10.0]
         writer = logs.BoundedWriter(pipe.write, lambda: now[0])
@@ -48,11 +48,13 @@
         assert len(pipe.lines) == logs.LINES_PER_SECOND + 1
         now[0] += 1.0
         writer({"message_type": "crowdeck:refused"})
-        told = orjson.loads(pipe.lines[-2])
-        assert told["message_type"] == "crowdeck:log_left_out"
-        assert told["lines"] == {"crowdeck:refused": 2 * logs.LINES_PER_SECOND}
+        report = orjson.loads(pipe.lines[-2])
+        assert report["message_type"] == "crowdeck:log_left_out"
+        assert report["lines"] == {
+            "crowdeck:refused": 2 * logs.LINES_PER_SECOND
+        }
 
-    def test_a_full_pipe_costs_lines_and_nothing_else(self) -> None:
+    def test_full_pipe_drops_lines_without_an_error(self) -> None:
         pipe = _Pipe()
         now = [10.0]
         writer = logs.BoundedWriter(pipe.write, lambda: now[0])
@@ -63,7 +65,7 @@
         writer({"message_type": "crowdeck:refused"})
         assert orjson.loads(pipe.lines[0])["lines"] == {"crowdeck:refused": 1}
 
-    def test_a_line_fits_a_pipes_whole_write(self) -> None:
+    def test_long_line_is_cut_to_an_atomic_pipe_write(self) -> None:
         pipe = _Pipe()
         writer = logs.BoundedWriter(pipe.write)
         writer({"message_type": "crowdeck:x", "path": "a" * 10_000})
@@ -72,9 +74,9 @@
 
 
 class TestMetrics:
-    """The text that collectors read."""
+    """The Prometheus text format."""
 
-    def test_counters_and_histograms(self) -> None:
+    def test_text_has_counters_gauges_and_histograms(self) -> None:
         table = counters.Counters()
         table.add("relay.requests", 3)
         table.set_gauge("config.version", 7)
