--- a/src/crowdeck/wire/__init__.py
+++ b/src/crowdeck/wire/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Messages between crowdeck's own processes, and their links."""
+"""Messages between crowdeck processes and the links that carry them."""
--- a/src/crowdeck/wire/codec.py
+++ b/src/crowdeck/wire/codec.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Turns messages into Cap'n Proto structs and back.
+"""Converts messages to Cap'n Proto structs and back.
 
-cattrs does the work by the classes' own fields, so that a new message
-needs a struct in the schema and a class, and no code here.
+The converters are derived from the fields of the classes: a new message needs
+a struct in the schema and a class, but no code here.
 """
 
 from collections import abc
@@ -24,7 +24,7 @@
 from crowdeck.wire import messages
 from crowdeck.wire import questions
 
-# The schema is loaded when the process starts: no generator is needed.
+# Loaded at import, without generated code.
 SCHEMA: typing.Any = capnp.load(
     str(importlib.resources.files("crowdeck.wire") / "crowdeck.capnp")
 )
@@ -32,18 +32,18 @@
 _Struct = dict[str, typing.Any]
 
 
-def _camel(name: str) -> str:
+def _to_camel_case(name: str) -> str:
     first, *rest = name.split("_")
     return first + "".join(part.capitalize() for part in rest)
 
 
-def _field_name(cls: type) -> str:
+def _union_field_name(cls: type) -> str:
     return cls.__name__[0].lower() + cls.__name__[1:]
 
 
-def _renames(cls: type) -> dict[str, typing.Any]:
+def _field_overrides(cls: type) -> dict[str, typing.Any]:
     return {
-        field.name: cattrs.override(rename=_camel(field.name))
+        field.name: cattrs.override(rename=_to_camel_case(field.name))
         for field in attrs.fields(cls)
     }
 
@@ -55,17 +55,17 @@
     converter.register_unstructure_hook_factory(
         attrs.has,
         lambda cls: gen.make_dict_unstructure_fn(
-            cls, converter, **_renames(cls)
+            cls, converter, **_field_overrides(cls)
         ),
     )
     converter.register_structure_hook_factory(
         attrs.has,
         lambda cls: gen.make_dict_structure_fn(
-            cls, converter, **_renames(cls)
+            cls, converter, **_field_overrides(cls)
         ),
     )
-    # Cap'n Proto's types are exact already: bytes must not be read as
-    # base64 text, which is cattrs' habit for JSON.
+    # Cap'n Proto carries bytes as such; by default, cattrs would take them
+    # for base64 text.
     converter.register_structure_hook(bytes, lambda value, _: bytes(value))
     converter.register_unstructure_hook(bytes, lambda value: value)
     return converter
@@ -74,27 +74,27 @@
 _CONVERTER = _make_converter()
 
 
-def _malformed(error: Exception) -> errors.CrowdeckError:
+def _malformed_error(error: Exception) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.MALFORMED,
-        f"a message could not be read ({type(error).__name__})",
+        f"cannot decode a message ({type(error).__name__})",
     )
 
 
 class UnionCodec:
-    """Codes one union of message classes by its field names."""
+    """Encodes and decodes a union of message classes."""
 
     def __init__(self, union: typing.Any) -> None:
         classes: tuple[type, ...] = typing.get_args(union)
-        self._class_by_name = {_field_name(cls): cls for cls in classes}
+        self._class_by_name = {_union_field_name(cls): cls for cls in classes}
         self._name_by_class = {
             cls: name for name, cls in self._class_by_name.items()
         }
 
     def encode(self, message: typing.Any) -> _Struct:
-        """Return the struct's dict form.
+        """Return the struct as a dict.
 
-        :raises KeyError: for a class that is not in the union.
+        :raises KeyError: if the class is not in the union.
         """
         name = self._name_by_class[type(message)]
         return {name: _CONVERTER.unstructure(message)}
@@ -102,36 +102,36 @@
     def decode(self, struct: typing.Any) -> typing.Any:
         """Return the message in ``struct``.
 
-        :raises CrowdeckError: ``MALFORMED`` when it is no valid message.
+        :raises CrowdeckError: ``MALFORMED`` if it is not a valid message.
         """
         try:
             name = str(struct.which())
             body = getattr(struct, name).to_dict(verbose=True)
             return _CONVERTER.structure(body, self._class_by_name[name])
         except Exception as error:
-            # cattrs and pycapnp raise many kinds; each means the same:
-            # what came is not a message of ours.
-            raise _malformed(error) from error
+            # cattrs and pycapnp raise many types of errors; all of them
+            # mean that the message is invalid.
+            raise _malformed_error(error) from error
 
 
 class ColumnCodec:
-    """Codes many records of one class as one list per field."""
+    """Encodes and decodes records of one class as a list per field."""
 
     def __init__(self, cls: type) -> None:
         self._cls = cls
         names = [field.name for field in attrs.fields(cls)]
-        self._columns = [_camel(name) for name in names]
-        self._read = operator.attrgetter(*names)
+        self._columns = [_to_camel_case(name) for name in names]
+        self._get_values = operator.attrgetter(*names)
 
     def encode(self, records: list[typing.Any]) -> _Struct:
-        """Return the columns' dict form."""
-        columns = zip(*map(self._read, records), strict=True)
+        """Return the columns as a dict."""
+        columns = zip(*map(self._get_values, records), strict=True)
         return dict(zip(self._columns, map(list, columns), strict=True))
 
     def decode(self, struct: typing.Any) -> list[typing.Any]:
         """Return the records.
 
-        :raises ValueError: when the columns are of different lengths.
+        :raises ValueError: if the columns have different lengths.
         """
         columns = [list(getattr(struct, name)) for name in self._columns]
         rows = zip(*columns, strict=True)
@@ -154,12 +154,12 @@
 
 
 def encode_runs(records: abc.Iterable[messages.Record]) -> list[_Struct]:
-    """Return the dict form of a batch, its order kept."""
+    """Return a batch as dicts of runs, in the order of the records."""
     runs: list[_Struct] = []
     for cls, group in itertools.groupby(records, type):
         name = _COLUMN_NAMES.get(cls)
         if name is None:
-            runs.extend({"record": RECORDS.encode(one)} for one in group)
+            runs.extend({"record": RECORDS.encode(record)} for record in group)
         else:
             runs.append({name: _COLUMNS[name].encode(list(group))})
     return runs
@@ -168,7 +168,7 @@
 def decode_runs(runs: typing.Any) -> abc.Iterator[messages.Record]:
     """Yield the records of a batch.
 
-    :raises CrowdeckError: ``MALFORMED`` when one cannot be read.
+    :raises CrowdeckError: ``MALFORMED`` if one cannot be decoded.
     """
     for run in runs:
         name = str(run.which())
@@ -178,12 +178,12 @@
         try:
             records = _COLUMNS[name].decode(getattr(run, name))
         except Exception as error:
-            raise _malformed(error) from error
+            raise _malformed_error(error) from error
         yield from records
 
 
 def encode_greeting(greeting: messages.Greeting) -> _Struct:
-    """Return the struct's dict form."""
+    """Return the greeting as a dict."""
     struct: _Struct = _CONVERTER.unstructure(greeting)
     return struct
 
--- a/src/crowdeck/wire/crowdeck.capnp
+++ b/src/crowdeck/wire/crowdeck.capnp
@@ -1,5 +1,5 @@
-# What crowdeck's own processes say to each other. Records are one-way
-# and batched per link; questions are answered one by one.
+# Messages between crowdeck processes. Records are one-way and batched per
+# link; each question has a reply.
 @0xb5a1e0c2d7f34c11;
 
 struct StageRef {
@@ -118,8 +118,8 @@
   }
 }
 
-# Records that flow once per token go as columns: building one struct for
-# each of them took 40 % of a sidecar's time.
+# Records that are sent for each token are encoded as columns, as a struct
+# for each of them is slow to build.
 
 struct StepColumns {
   request @0 :List(Text);
@@ -150,7 +150,7 @@
   finish @5 :List(Text);
 }
 
-# Neighbouring records of one kind; runs keep the order of the records.
+# Consecutive records of one type; runs keep the order of the records.
 struct Run {
   union {
     record @0 :Record;
--- a/src/crowdeck/wire/link.py
+++ b/src/crowdeck/wire/link.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Links between two processes, whatever carries them.
+"""Interfaces of the links between two processes.
 
-``crowdeck.wire.rpc`` carries them over TCP; ``crowdeck.standin.network``
-carries them in memory, with scripted faults, for tests in virtual time.
+``crowdeck.wire.rpc`` implements them over TCP; ``crowdeck.standin.network``
+in memory, with scripted faults, for tests in virtual time.
 """
 
 import typing
@@ -17,11 +17,11 @@
 
 
 class Peer(typing.Protocol):
-    """The far end of one open link."""
+    """The remote end of a link."""
 
     @property
     def greeting(self) -> messages.Greeting:
-        """What the far end said of itself."""
+        """The greeting of the remote end."""
         ...
 
     @property
@@ -32,20 +32,20 @@
     def send(self, record: messages.Record) -> None:
         """Queue a record; a full queue closes the link.
 
-        Records arrive in order or, once the link is lost, not at all;
-        nothing tells the sender which, so a record that matters has its
-        outcome reported by the protocol above.
+        Records arrive in order until the link is lost. Delivery is not
+        acknowledged: protocols that need to know the outcome report it
+        themselves.
         """
         ...
 
     async def ask(
         self, question: questions.Question, timeout: float
     ) -> questions.Reply:
-        """Ask a question and wait for its reply.
+        """Send a question and wait for its reply.
 
-        :param timeout: seconds to wait.
-        :raises LinkLost: when no reply came; it says whether the
-            question may have arrived.
+        :param timeout: time to wait, in seconds.
+        :raises LinkLost: if there was no reply; its ``was_sent`` tells
+            whether the question may have arrived.
         """
         ...
 
@@ -54,29 +54,29 @@
         ...
 
     def close(self) -> None:
-        """Close the link; closing twice is harmless."""
+        """Close the link; idempotent."""
         ...
 
 
 class Handler(typing.Protocol):
-    """What a process does with its links."""
+    """Callbacks of a process for its links."""
 
     def on_opened(self, peer: Peer) -> None:
-        """Take note of a new link, before anything arrives on it."""
+        """Handle a new link, before any message arrives on it."""
         ...
 
     def on_record(self, peer: Peer, record: messages.Record) -> None:
-        """Take one record; must not block."""
+        """Handle a record; must not block."""
         ...
 
     async def on_question(
         self, peer: Peer, question: questions.Question
     ) -> questions.Reply:
-        """Answer one question."""
+        """Return the reply to a question."""
         ...
 
     def on_closed(self, peer: Peer) -> None:
-        """Take note that a link is gone."""
+        """Handle the end of a link."""
         ...
 
 
@@ -86,6 +86,6 @@
     async def dial(self, address: instances.Address) -> Peer:
         """Open a link.
 
-        :raises LinkLost: with ``was_sent`` false when none could be had.
+        :raises LinkLost: with ``was_sent`` false if the connection failed.
         """
         ...
--- a/src/crowdeck/wire/rpc.py
+++ b/src/crowdeck/wire/rpc.py
@@ -3,11 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Links over TCP, by Cap'n Proto RPC.
+"""Links over TCP, with Cap'n Proto RPC.
 
-One task per link sends its records: it takes all that is queued into one
-call and queues more while that call is in flight. The slower the link,
-the larger its batches, which is what makes one call per token needless.
+One task per link sends its records in batches: records that are queued while
+a call is in flight are sent together in the next call.
 """
 
 import collections
@@ -31,12 +30,10 @@
 from crowdeck.wire import questions
 from crowdeck.wire import security
 
-DIAL_TIMEOUT = 2.0
-# A batch of 512 decode records is about 64 KiB, one TCP window; larger
-# ones gained nothing in the figures of docs/decisions/0003.
+DIAL_TIMEOUT_SECONDS = 2.0
+# Maximum number of records in one call.
 BATCH_LIMIT = 512
-# Records one link may hold back. A path has one step in flight for each
-# of its attempts, so this is an order above any sidecar's attempts.
+# Maximum number of records queued on one link; more close the link.
 QUEUE_LIMIT = 65_536
 
 
@@ -44,7 +41,7 @@
 
 
 class RpcPeer:
-    """The far end of a TCP link."""
+    """The remote end of a TCP link."""
 
     def __init__(
         self,
@@ -63,7 +60,7 @@
 
     @property
     def greeting(self) -> messages.Greeting:
-        """What the far end said of itself."""
+        """The greeting of the remote end."""
         return self._greeting
 
     @property
@@ -72,7 +69,7 @@
         return not self._closed.is_set()
 
     def send(self, record: messages.Record) -> None:
-        """Queue a record for the next batch."""
+        """Queue a record for the next batch; a full queue closes the link."""
         if not self.is_open:
             return
         if len(self._outgoing) >= QUEUE_LIMIT:
@@ -85,7 +82,11 @@
     async def ask(
         self, question: questions.Question, timeout: float
     ) -> questions.Reply:
-        """Ask a question and wait for its reply."""
+        """Send a question and wait for its reply.
+
+        :param timeout: time to wait, in seconds.
+        :raises LinkLost: if there was no reply.
+        """
         name = self._greeting.instance
         if not self.is_open:
             raise errors.LinkLost(
@@ -113,20 +114,21 @@
         await self._closed.wait()
 
     def close(self) -> None:
-        """Close the link; its task does the rest."""
+        """Close the link; ``run`` then cleans up."""
         self._closed.set()
         self._wake.set()
 
     async def run(self, disconnected: typing.Any) -> None:
-        """Send records until the link closes, then tell the handler.
+        """Send records until the link closes, then notify the handler.
 
-        :param disconnected: awaitable that ends with the TCP connection.
+        :param disconnected: awaitable that completes when the TCP connection
+            ends.
         """
         self._handler.on_opened(self)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._send_batches)
-                tasks.start_soon(self._watch, disconnected)
+                tasks.start_soon(self._wait_disconnected, disconnected)
                 await self._closed.wait()
                 tasks.cancel_scope.cancel()
         finally:
@@ -134,8 +136,8 @@
             self._outgoing.clear()
             self._handler.on_closed(self)
 
-    async def _watch(self, disconnected: typing.Any) -> None:
-        # Any way in which the connection ends is the same to us.
+    async def _wait_disconnected(self, disconnected: typing.Any) -> None:
+        # An error of the connection ends the link like a normal close.
         with contextlib.suppress(capnp.KjException):
             await disconnected
         self.close()
@@ -159,7 +161,7 @@
 
 
 class _Endpoint(codec.SCHEMA.Endpoint.Server):
-    """Our own end of one link, as the far end calls it."""
+    """The local end of a link, which the remote end calls."""
 
     def __init__(
         self, greeting: messages.Greeting, handler: link.Handler
@@ -172,9 +174,9 @@
     async def greet(
         self, greeting: typing.Any, back: typing.Any, **_: typing.Any
     ) -> typing.Any:
-        theirs = codec.decode_greeting(greeting)
-        if theirs.cluster == self._greeting.cluster and self.peer is None:
-            self.peer = RpcPeer(back, theirs, self._handler)
+        remote = codec.decode_greeting(greeting)
+        if remote.cluster == self._greeting.cluster and self.peer is None:
+            self.peer = RpcPeer(back, remote, self._handler)
         self._greeted.set()
         return codec.encode_greeting(self._greeting)
 
@@ -186,16 +188,16 @@
             for record in codec.decode_runs(runs):
                 self._handler.on_record(peer, record)
         except errors.CrowdeckError as error:
-            self._close_for(peer, error)
+            self._close_after(peer, error)
         except Exception as error:
-            # A fault of our own in one record must neither pass unseen
-            # nor cross the link as a stack trace, file names and all.
-            _note_internal(error)
+            # An internal error must be reported here, and its traceback
+            # must not be sent to the peer.
+            _report_internal_error(error)
             peer.close()
 
     async def ask(self, question: typing.Any, **_: typing.Any) -> typing.Any:
-        # What is raised here would cross the link with its stack trace,
-        # file names and all; so nothing may be raised.
+        # Nothing may be raised here, as pycapnp would send the traceback to
+        # the peer.
         try:
             peer = self._require_peer()
             asked = codec.QUESTIONS.decode(question)
@@ -203,45 +205,46 @@
         except errors.CrowdeckError as error:
             reply = questions.Refused.of(error)
         except Exception as error:
-            _note_internal(error)
-            reply = questions.Refused.of(_internal(error))
+            _report_internal_error(error)
+            reply = questions.Refused.of(_internal_error(error))
         return codec.REPLIES.encode(reply)
 
     async def wait_greeted(self) -> RpcPeer | None:
-        """Return the peer, or ``None`` for one that is not of our own."""
+        """Return the peer, or ``None`` if it is of another cluster."""
         await self._greeted.wait()
         return self.peer
 
     def _require_peer(self) -> RpcPeer:
         if self.peer is None:
             raise errors.CrowdeckError(
-                errors.Code.FOREIGN, "greet first, with this cluster's name"
+                errors.Code.FOREIGN,
+                "the first call must be a greeting from the same cluster",
             )
         return self.peer
 
-    def _close_for(self, peer: RpcPeer, error: errors.CrowdeckError) -> None:
+    def _close_after(self, peer: RpcPeer, error: errors.CrowdeckError) -> None:
         counters.COUNTERS.add(f"link.closed.{error.code.lower()}")
         peer.close()
 
 
-def _note_internal(error: Exception) -> None:
+def _report_internal_error(error: Exception) -> None:
     counters.COUNTERS.add("link.internal_error")
-    # Its text may hold a caller's words; its kind and place do not.
+    # Only type and place: the text may contain content of a caller.
     frames = traceback.extract_tb(error.__traceback__)
     place = f"{frames[-1].name}:{frames[-1].lineno}" if frames else ""
     logs.change("internal_error", error=type(error).__name__, place=place)
 
 
-def _internal(error: Exception) -> errors.CrowdeckError:
+def _internal_error(error: Exception) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.INTERNAL,
-        f"an unexpected {type(error).__name__}",
+        f"internal error: {type(error).__name__}",
         verdict=verdicts.Verdict.MAY_HAVE_RUN,
     )
 
 
 class RpcTransport:
-    """Dials peers over TCP and serves those that dial us.
+    """Opens links to peers over TCP and accepts links from them.
 
     Use it as an asynchronous context manager inside ``capnp.kj_loop()``.
     """
@@ -257,7 +260,7 @@
         self._security = security or TlsContexts()
         self._stack = contextlib.AsyncExitStack()
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._accepted: dict[int, anyio.CancelScope] = {}
+        self._accepted_scopes: dict[int, anyio.CancelScope] = {}
         self._keys = itertools.count()
 
     async def __aenter__(self) -> "RpcTransport":
@@ -269,17 +272,20 @@
     async def __aexit__(self, *exc_info: typing.Any) -> None:
         if self._tasks is not None:
             self._tasks.cancel_scope.cancel()
-        # The library runs accepted links in tasks of its own, outside
-        # our group; they are ended by their scopes.
-        for scope in list(self._accepted.values()):
+        # pycapnp runs accepted links in tasks outside of the task group, so
+        # their scopes are cancelled one by one.
+        for scope in list(self._accepted_scopes.values()):
             scope.cancel()
         await self._stack.__aexit__(*exc_info)
 
     async def dial(self, address: instances.Address) -> RpcPeer:
-        """Open a link to ``address``."""
+        """Open a link to ``address``.
+
+        :raises LinkLost: if the connection fails.
+        """
         assert self._tasks is not None, "enter the transport first"
         try:
-            with anyio.fail_after(DIAL_TIMEOUT):
+            with anyio.fail_after(DIAL_TIMEOUT_SECONDS):
                 peer: RpcPeer = await self._tasks.start(
                     self._run_dialled, address
                 )
@@ -305,20 +311,20 @@
             client = capnp.TwoPartyClient(stream)
             stack.callback(client.close)
             endpoint = client.bootstrap().cast_as(codec.SCHEMA.Endpoint)
-            ours = _Endpoint(self._greeting, self._handler)
+            local_endpoint = _Endpoint(self._greeting, self._handler)
             answer = await endpoint.greet(
-                codec.encode_greeting(self._greeting), ours
+                codec.encode_greeting(self._greeting), local_endpoint
             )
-            theirs = codec.decode_greeting(answer.greeting)
-            self._require_own(theirs)
-            peer = RpcPeer(endpoint, theirs, self._handler)
-            ours.peer = peer
+            remote = codec.decode_greeting(answer.greeting)
+            self._require_same_cluster(remote)
+            peer = RpcPeer(endpoint, remote, self._handler)
+            local_endpoint.peer = peer
             task_status.started(peer)
             await peer.run(client.on_disconnect())
 
-    def _require_own(self, theirs: messages.Greeting) -> None:
-        if theirs.cluster != self._greeting.cluster:
-            raise ConnectionRefusedError("the peer is of another cluster")
+    def _require_same_cluster(self, remote: messages.Greeting) -> None:
+        if remote.cluster != self._greeting.cluster:
+            raise ConnectionRefusedError("the peer belongs to another cluster")
 
     async def serve(
         self,
@@ -328,7 +334,10 @@
             instances.Address
         ] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Accept links until cancelled; reports the address it got."""
+        """Accept links until cancelled.
+
+        Reports the bound address through ``task_status``.
+        """
         server = await capnp.AsyncIoStream.create_server(
             self._accept,
             address.host,
@@ -345,27 +354,27 @@
     async def _accept(self, stream: typing.Any) -> None:
         key = next(self._keys)
         with anyio.CancelScope() as scope:
-            self._accepted[key] = scope
+            self._accepted_scopes[key] = scope
             try:
                 await self._run_accepted(stream)
             except capnp.KjException:
-                # Bytes that are no RPC at all end here; nobody else is
-                # touched, since each connection has its own state.
+                # The peer did not speak Cap'n Proto RPC. Other connections
+                # are not affected.
                 counters.COUNTERS.add("link.closed.malformed")
             finally:
-                del self._accepted[key]
+                del self._accepted_scopes[key]
                 stream.close()
 
     async def _run_accepted(self, stream: typing.Any) -> None:
-        ours = _Endpoint(self._greeting, self._handler)
-        server = capnp.TwoPartyServer(stream, bootstrap=ours)
+        endpoint = _Endpoint(self._greeting, self._handler)
+        server = capnp.TwoPartyServer(stream, bootstrap=endpoint)
         peer: RpcPeer | None = None
-        with anyio.move_on_after(DIAL_TIMEOUT):
-            peer = await ours.wait_greeted()
+        with anyio.move_on_after(DIAL_TIMEOUT_SECONDS):
+            peer = await endpoint.wait_greeted()
         if peer is None:
             counters.COUNTERS.add("link.closed.foreign")
-            # A foreign dialler must still get the greeting that tells
-            # it so, before the connection goes.
+            # Let the reply to the greeting be sent before closing, so that
+            # the peer learns of the other cluster.
             await anyio.sleep(0)
             return
         await peer.run(server.on_disconnect())
--- a/src/crowdeck/wire/security.py
+++ b/src/crowdeck/wire/security.py
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class TlsContexts:
-    """TLS contexts for both ends of a link, ``None`` for plain TCP."""
+    """TLS contexts for both ends of a link; ``None`` for unencrypted TCP."""
 
     server: ssl.SSLContext | None = None
     client: ssl.SSLContext | None = None
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Messages, their codec, and links over TCP and TLS."""
+"""Tests of messages, their codec, and links over TCP and TLS."""
 
 import pathlib
 import typing
@@ -68,9 +68,9 @@
 
 
 class TestCodec:
-    """Every message comes back as it was."""
+    """Messages survive a round trip; invalid input is malformed."""
 
-    def test_batches_keep_records_and_order(self) -> None:
+    def test_batch_keeps_records_in_order(self) -> None:
         runs = codec.encode_runs(SAMPLES + SAMPLES[::-1])
         built = _build_runs(runs)
         assert list(codec.decode_runs(built)) == SAMPLES + SAMPLES[::-1]
@@ -78,7 +78,9 @@
     @pytest.mark.parametrize(
         "question", QUESTIONS, ids=lambda q: type(q).__name__
     )
-    def test_questions(self, question: questions.Question) -> None:
+    def test_question_survives_a_round_trip(
+        self, question: questions.Question
+    ) -> None:
         struct = codec.SCHEMA.Question.new_message(
             **codec.QUESTIONS.encode(question)
         )
@@ -90,7 +92,7 @@
             list(codec.decode_runs(_build_runs([{"steps": columns}])))
         assert caught.value.code == errors.Code.MALFORMED
 
-    def test_impossible_path_is_malformed(self) -> None:
+    def test_invalid_path_is_malformed(self) -> None:
         encoded = codec.QUESTIONS.encode(questions.Open(OPENING))
         stages = encoded["open"]["opening"]["path"]["stages"]
         stages[0]["endLayer"] = 3
@@ -101,7 +103,7 @@
 
     @hypothesis.settings(derandomize=True, database=None, deadline=None)
     @hypothesis.given(strategies.binary(max_size=300))
-    def test_any_bytes_are_read_or_malformed(self, data: bytes) -> None:
+    def test_any_bytes_are_decoded_or_malformed(self, data: bytes) -> None:
         padded = data + b"\0" * (-len(data) % 8)
         try:
             with codec.SCHEMA.Record.from_bytes(padded) as struct:
@@ -147,7 +149,7 @@
     client_tls: rpc.TlsContexts | None = None,
     cluster: str = "c",
 ) -> None:
-    async def whole() -> None:
+    async def run_check() -> None:
         async with capnp.kj_loop(), anyio.create_task_group() as tasks:
             far, near = _Echo(), _Echo()
             async with (
@@ -163,13 +165,13 @@
                     await check(client, address, far)
             tasks.cancel_scope.cancel()
 
-    anyio.run(whole)
+    anyio.run(run_check)
 
 
 class TestTcp:
     """Links over TCP."""
 
-    def test_records_and_questions_cross(self) -> None:
+    def test_records_and_questions_arrive(self) -> None:
         async def check(
             client: rpc.RpcTransport, address: instances.Address, far: _Echo
         ) -> None:
@@ -186,7 +188,7 @@
 
         _with_link(check)
 
-    def test_inner_faults_do_not_cross(self) -> None:
+    def test_details_of_internal_errors_are_not_sent(self) -> None:
         async def check(
             client: rpc.RpcTransport, address: instances.Address, far: _Echo
         ) -> None:
@@ -199,7 +201,9 @@
 
         _with_link(check)
 
-    def test_fault_in_a_record_is_counted_and_closes_its_link(self) -> None:
+    def test_internal_error_on_a_record_is_counted_and_closes_the_link(
+        self,
+    ) -> None:
         async def check(
             client: rpc.RpcTransport, address: instances.Address, far: _Echo
         ) -> None:
@@ -213,7 +217,7 @@
 
         _with_link(check)
 
-    def test_foreign_cluster_is_refused(self) -> None:
+    def test_peer_of_another_cluster_is_refused(self) -> None:
         async def check(
             client: rpc.RpcTransport, address: instances.Address, far: _Echo
         ) -> None:
@@ -223,7 +227,7 @@
 
         _with_link(check, cluster="other")
 
-    def test_closed_link_says_whether_it_was_sent(self) -> None:
+    def test_closed_link_tells_that_nothing_was_sent(self) -> None:
         async def check(
             client: rpc.RpcTransport, address: instances.Address, far: _Echo
         ) -> None:
@@ -240,7 +244,7 @@
 class TestTls:
     """Mutual TLS between processes."""
 
-    def test_own_certificates_pass_and_others_do_not(
+    def test_only_certificates_of_the_same_authority_are_accepted(
         self, tmp_path: pathlib.Path
     ) -> None:
         ours = _security(tmp_path / "ours")
@@ -281,11 +285,13 @@
     return [codec.SCHEMA.Run.new_message(**run) for run in runs]
 
 
-def test_every_message_has_its_struct() -> None:
-    """A class without a struct of the same fields fails here, not later."""
+def test_every_message_matches_its_struct() -> None:
+    """Each class has a struct with the same fields in the schema."""
     for cls in (*vars(messages).values(), *vars(questions).values()):
         if isinstance(cls, type) and attrs.has(cls):
             name = "Offer" if cls is messages.OfferNote else cls.__name__
             fields = getattr(codec.SCHEMA, name).schema.non_union_fields
-            expected = {codec._camel(one.name) for one in attrs.fields(cls)}
+            expected = {
+                codec._to_camel_case(field.name) for field in attrs.fields(cls)
+            }
             assert set(fields) == expected, name
