--- a/src/crowdeck/wire/messages.py
+++ b/src/crowdeck/wire/messages.py
@@ -3,12 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What crowdeck's own processes say to each other, as typed data.
+"""Records that crowdeck processes send to each other.
 
-Each class stands for the struct of the same name in ``crowdeck.capnp``.
-Records go one way and are batched per link; ``questions`` has what is asked
-and replied.
-Times are relative seconds, never wall-clock times: peers' clocks differ.
+Each class corresponds to the struct of the same name in ``crowdeck.capnp``.
+Records are one-way and batched per link; ``crowdeck.wire.questions`` has the
+questions and replies. Times are durations in seconds, never wall-clock
+times, as the clocks of peers differ.
 """
 
 import attrs
@@ -28,17 +28,17 @@
 
 @attrs.frozen
 class Opening:
-    """All that the stages of one attempt have to know.
+    """Parameters of one attempt, for all of its stages.
 
     :ivar request: unique id of the caller's request.
-    :ivar epoch: number of the attempt; each stage lets only the highest
-        one that it has seen go on.
-    :ivar delivered: what earlier attempts gave; it is replayed as input
-        and never generated again.
-    :ivar seconds_left: time to the caller's deadline.
+    :ivar epoch: number of the attempt; each stage continues only the
+        highest one that it has seen.
+    :ivar delivered: tokens of earlier attempts; they are replayed as input
+        and not generated again.
+    :ivar seconds_left: time until the caller's deadline.
     :ivar window: how many tokens the head may be ahead of the caller.
-    :ivar warm_position: position up to which the stages still hold the
-        request's KV cache, or -1 where everything is to be computed.
+    :ivar warm_position: position up to which the stages still have the
+        request's KV cache, or -1 if there is none.
     :ivar warm_context: tokens of context at ``warm_position``.
     """
 
@@ -60,10 +60,10 @@
 
 @attrs.frozen
 class Prefill:
-    """The first record of an attempt on its way through the stages.
+    """The first record of an attempt, passed from stage to stage.
 
-    :ivar next_layer: the layer that has to run next.
-    :ivar context: tokens of context before this record's ``count``.
+    :ivar next_layer: the layer to run next.
+    :ivar context: tokens of context before the ``count`` of this record.
     :ivar hidden: the previous layer's output, opaque to crowdeck.
     """
 
@@ -76,7 +76,7 @@
 
 @attrs.frozen
 class Step:
-    """One position of one answer on its way through the stages."""
+    """A decode step for one position, passed from stage to stage."""
 
     request: str
     epoch: int
@@ -90,9 +90,10 @@
 class Token:
     """A token, from the last stage to the head.
 
-    :ivar next_layer: the model's layer count, or the token is refused.
-    :ivar context: tokens of context once this one is added.
-    :ivar finish: why the model ended, empty while it goes on.
+    :ivar next_layer: must be the layer count of the model, else the token
+        is refused.
+    :ivar context: tokens of context, including this one.
+    :ivar finish: why the model stopped, empty if it has not.
     """
 
     request: str
@@ -109,9 +110,9 @@
 class Answer:
     """A token, from the head to the entry.
 
-    :ivar finish: why the answer ends with this token, empty while it goes
-        on. An entry whose head dies before ``AnswerEnd`` must not drive
-        an answer on that is whole.
+    :ivar finish: why the answer ends with this token, empty if it does not.
+        It keeps the entry from resuming a complete answer if the head fails
+        before ``AnswerEnd``.
     """
 
     request: str
@@ -124,7 +125,7 @@
 
 @attrs.frozen
 class AnswerEnd:
-    """The end of an answer: how many tokens it had, and their digest."""
+    """The end of an answer: its token count and the digest of its tokens."""
 
     request: str
     epoch: int
@@ -135,7 +136,7 @@
 
 @attrs.frozen
 class Failure:
-    """An attempt has failed; sent towards the entry."""
+    """The failure of an attempt, sent towards the entry."""
 
     request: str
     epoch: int
@@ -147,7 +148,7 @@
 
 @attrs.frozen
 class Credit:
-    """The caller has taken all positions below ``upto``."""
+    """Flow control: the caller has consumed all positions below ``upto``."""
 
     request: str
     epoch: int
@@ -156,7 +157,7 @@
 
 @attrs.frozen
 class Cancel:
-    """No more work for this attempt; sent from the entry to each stage."""
+    """Cancels an attempt; sent from the entry to each stage."""
 
     request: str
     epoch: int
@@ -177,7 +178,7 @@
 
     @classmethod
     def of(cls, offer: pipeline.Offer) -> "OfferNote":
-        """Flatten an offer."""
+        """Return the flat form of an offer."""
         return cls(
             model=offer.model,
             version=offer.version,
@@ -192,7 +193,7 @@
     def as_offer(self) -> pipeline.Offer:
         """Return the offer.
 
-        :raises ValueError: when its layer range is impossible.
+        :raises ValueError: if its layer range is invalid.
         """
         return pipeline.Offer(
             model=self.model,
@@ -207,16 +208,16 @@
 
 @attrs.frozen
 class Load:
-    """What a sidecar says of itself.
+    """The state of a sidecar.
 
-    It answers heartbeats, and goes out as a record when a change cannot
-    wait for the next one.
+    Sent as the reply to heartbeats, and as a record if a change must not
+    wait for the next heartbeat.
 
     :ivar queued: steps waiting for the engine.
     :ivar running: attempts and calls in progress.
-    :ivar batch_seconds: learned time of an engine batch, whatever is in
-        it; 0 while none was run.
-    :ivar token_seconds: what each further sequence in a batch adds.
+    :ivar batch_seconds: estimated fixed time of an engine batch; 0 before
+        the first one.
+    :ivar token_seconds: estimated time that each further sequence adds.
     """
 
     incarnation: int
@@ -244,7 +245,7 @@
 
 @attrs.frozen
 class Greeting:
-    """The first words of each side of a link."""
+    """The first message of each side of a link."""
 
     cluster: str
     instance: str
--- a/src/crowdeck/wire/questions.py
+++ b/src/crowdeck/wire/questions.py
@@ -3,10 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What crowdeck's own processes ask one another, and what they reply.
+"""Questions that crowdeck processes ask each other, and their replies.
 
-Each class stands for the struct of the same name in ``crowdeck.capnp``.
-Times are relative seconds, never wall-clock times: peers' clocks differ.
+Each class corresponds to the struct of the same name in ``crowdeck.capnp``.
+Times are durations in seconds, never wall-clock times, as the clocks of peers
+differ.
 """
 
 import attrs
@@ -20,14 +21,20 @@
 
 @attrs.frozen
 class Open:
-    """Asks a head to begin an attempt; ``Done`` or ``Refused``."""
+    """Asks a head to begin an attempt.
+
+    The reply is ``Done`` or ``Refused``.
+    """
 
     opening: messages.Opening
 
 
 @attrs.frozen
 class Seal:
-    """Asks that an attempt which has not run never will; ``Sealed``."""
+    """Asks that an attempt which has not run yet never runs.
+
+    The reply is ``Sealed``.
+    """
 
     request: str
     epoch: int
@@ -36,7 +43,10 @@
 
 @attrs.frozen
 class Attach:
-    """Asks for an answer from ``position`` on; ``Attached``."""
+    """Asks for an answer from ``position`` on.
+
+    The reply is ``Attached``.
+    """
 
     request: str
     team: str
@@ -46,7 +56,10 @@
 
 @attrs.frozen
 class Call:
-    """Asks for one call of a plain service; ``Called`` or ``Refused``."""
+    """Asks for one call of a plain service.
+
+    The reply is ``Called`` or ``Refused``.
+    """
 
     request: str
     epoch: int
@@ -64,7 +77,7 @@
 
 @attrs.frozen
 class Collect:
-    """Asks for the kept reply of an earlier ``Call``."""
+    """Asks for the stored reply to an earlier ``Call``."""
 
     request: str
     team: str
@@ -72,13 +85,15 @@
 
 @attrs.frozen
 class TakeTurn:
-    """Asks the session's home for the next turn; replies when granted.
+    """Asks the session's home sidecar for the next turn.
+
+    The reply is sent once the turn is granted.
 
-    :ivar sequence: the caller's own number of the turn, or -1.
-    :ivar is_holding: whether an earlier home had granted it already.
-    :ivar is_moved: whether the session may have had another home of
-        late, whose holder has yet to come forward.
-    :ivar seconds_left: how long the asker will wait.
+    :ivar sequence: number that the caller gave the turn, or -1.
+    :ivar is_holding: whether an earlier home has already granted the turn.
+    :ivar is_moved: whether the session may recently have had another home,
+        which granted a turn that this home does not know yet.
+    :ivar seconds_left: time that the sender will wait.
     """
 
     session: str
@@ -91,7 +106,7 @@
 
 @attrs.frozen
 class EndTurn:
-    """Gives a turn back."""
+    """Releases a turn."""
 
     session: str
     request: str
@@ -99,21 +114,24 @@
 
 @attrs.frozen
 class Heartbeat:
-    """Asks whether the peer lives; ``Load``."""
+    """Asks whether the peer is alive; the reply is ``Load``."""
 
     seconds_left: float
 
 
 @attrs.frozen
 class Drain:
-    """Asks for a planned stop within ``limit`` seconds."""
+    """Asks for a graceful shutdown within ``limit`` seconds."""
 
     limit: float
 
 
 @attrs.frozen
 class MoveOut:
-    """Asks a stage to hand its KV cache of a request to ``target``."""
+    """Asks a stage to transfer the KV cache of a request to ``target``.
+
+    The reply is ``MovedOut``.
+    """
 
     request: str
     epoch: int
@@ -122,7 +140,7 @@
 
 @attrs.frozen
 class ImportKv:
-    """Hands over a KV cache that covers ``context`` tokens."""
+    """Transfers a KV cache of ``context`` tokens."""
 
     request: str
     team: str
@@ -132,14 +150,14 @@
 
 @attrs.frozen
 class ReadStatus:
-    """Asks for the process's status, as JSON text."""
+    """Asks for the status of the process; the reply is ``Status``."""
 
     detail: str
 
 
 @attrs.frozen
 class ReadSpans:
-    """Asks for the kept spans of one trace, as JSON texts."""
+    """Asks for the buffered spans of a trace; the reply is ``Spans``."""
 
     trace: str
 
@@ -170,7 +188,10 @@
 
 @attrs.frozen
 class Refused:
-    """The question was not carried out; ``retry_after`` -1 for unknown."""
+    """The question was not carried out.
+
+    :ivar retry_after: time in seconds, -1 if unknown.
+    """
 
     code: errors.Code
     verdict: verdicts.Verdict
@@ -180,7 +201,7 @@
 
     @classmethod
     def of(cls, error: errors.CrowdeckError) -> "Refused":
-        """Put an error into words that cross a link."""
+        """Return the message for an error."""
         retry_after = error.retry_after
         return cls(
             code=error.code,
@@ -191,7 +212,7 @@
         )
 
     def as_error(self) -> errors.CrowdeckError:
-        """Return the error that these words describe."""
+        """Return the error that the message describes."""
         return errors.CrowdeckError(
             self.code,
             self.message,
@@ -203,14 +224,14 @@
 
 @attrs.frozen
 class Sealed:
-    """What a gate knows of an attempt after sealing it."""
+    """The outcome of an attempt that was sealed."""
 
     outcome: verdicts.Verdict
 
 
 @attrs.frozen
 class Attached:
-    """The kept part of an answer; the rest follows as records."""
+    """The stored part of an answer; the rest follows as records."""
 
     epoch: int
     pieces: tuple[messages.Piece, ...]
@@ -220,7 +241,7 @@
 
 @attrs.frozen
 class Companion:
-    """A document that comes with a service's answer."""
+    """A document that accompanies the answer of a service."""
 
     path: str
     content_type: str
@@ -229,7 +250,7 @@
 
 @attrs.frozen
 class Called:
-    """A plain service's answer."""
+    """The answer of a plain service."""
 
     status: int
     headers: tuple[http_header.Header, ...]
@@ -239,7 +260,7 @@
 
 @attrs.frozen
 class MovedOut:
-    """A KV cache was handed over, valid up to these counts."""
+    """A KV cache was transferred, valid up to these counts."""
 
     position: int
     context: int
@@ -247,14 +268,14 @@
 
 @attrs.frozen
 class Status:
-    """A process's status, as JSON text."""
+    """The status of a process, as JSON text."""
 
     text: str
 
 
 @attrs.frozen
 class Spans:
-    """Kept spans, each as JSON text."""
+    """Buffered spans, each as JSON text."""
 
     spans: tuple[str, ...]
 
