--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -112,7 +112,7 @@
 Scenario = typing.Callable[[Demand], typing.Awaitable[None]]
 
 
-def play(
+def simulate(
     scenario: Scenario,
     count: int,
     kind: routes.RepeatPolicy = routes.RepeatPolicy.IDEMPOTENT,
@@ -125,12 +125,12 @@
     """
     made: list[Demand] = []
 
-    async def work(entries: entries_system.Entries) -> None:
+    async def run(entries: entries_system.Entries) -> None:
         entries.fleet.events = STREAM_EVENTS
         demand = Demand(entries, kind)
         made.append(demand)
         await scenario(demand)
         await demand.end()
 
-    entries_system.play(work, count=count, copies=2, are_noted=are_noted)
+    entries_system.play(run, count=count, copies=2, are_noted=are_noted)
     return made[0]
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -44,7 +44,7 @@
 EVENTS = 100
 
 
-class Play:
+class Traffic:
     """Requests to some entries, and an instance that announces a limit.
 
     :param weights: how the requests are split among the entries.
@@ -138,15 +138,15 @@
     assert max_within(times, WINDOW_SECONDS) <= allowed
 
 
-def play(
-    work: typing.Callable[[Play], typing.Awaitable[None]],
+def simulate(
+    scenario: typing.Callable[[Traffic], typing.Awaitable[None]],
     weights: tuple[float, ...],
     copies: int = 2,
 ) -> None:
     async def body(entries: entries_system.Entries) -> None:
         entries.fleet.events = EVENTS
         await anyio.sleep(2.0)
-        await work(Play(entries, weights))
+        await scenario(Traffic(entries, weights))
 
     entries_system.play(body, count=len(weights), copies=copies, parts=4)
 
@@ -164,37 +164,37 @@
     def test_all_entries_keep_and_use_the_limit(
         self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
-        async def work(one: Play) -> None:
-            await one.send(4.0, PER_SECOND, repeat)
-            target = one.busiest()
+        async def scenario(traffic: Traffic) -> None:
+            await traffic.send(4.0, PER_SECOND, repeat)
+            target = traffic.busiest()
             target.limit = LIMIT
             announced_at = anyio.current_time()
-            await one.send(20.0, PER_SECOND, repeat)
-            times = one.bounded_arrivals(target, announced_at)
+            await traffic.send(20.0, PER_SECOND, repeat)
+            times = traffic.bounded_arrivals(target, announced_at)
             assert_kept(times, LIMIT)
             assert len(times) >= MIN_USED_SHARE * LIMIT * 17.0
-            assert not one.refused
+            assert not traffic.refused
 
-        play(work, weights)
+        simulate(scenario, weights)
 
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
     def test_gets_its_share_again_once_the_limit_is_lifted(
         self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
-        async def work(one: Play) -> None:
-            await one.send(4.0, PER_SECOND, repeat)
-            target = one.busiest()
-            before = len(one.arrivals(target, anyio.current_time() - 3.0))
+        async def scenario(traffic: Traffic) -> None:
+            await traffic.send(4.0, PER_SECOND, repeat)
+            target = traffic.busiest()
+            before = len(traffic.arrivals(target, anyio.current_time() - 3.0))
             target.limit = LIMIT
-            await one.send(8.0, PER_SECOND, repeat)
+            await traffic.send(8.0, PER_SECOND, repeat)
             target.limit = None
-            await one.send(4.0, PER_SECOND, repeat)
+            await traffic.send(4.0, PER_SECOND, repeat)
             since = anyio.current_time()
-            await one.send(3.0, PER_SECOND, repeat)
-            assert len(one.arrivals(target, since)) >= before / 2
-            assert not one.refused
+            await traffic.send(3.0, PER_SECOND, repeat)
+            assert len(traffic.arrivals(target, since)) >= before / 2
+            assert not traffic.refused
 
-        play(work, weights)
+        simulate(scenario, weights)
 
 
 class TestManyEntries:
@@ -204,35 +204,35 @@
     def test_seventy_entries_keep_a_limit_together(self, share: float) -> None:
         rest = (1.0 - share) / 69
 
-        async def work(one: Play) -> None:
-            await one.send(3.0, PER_SECOND, STREAM)
-            target = one.busiest()
+        async def scenario(traffic: Traffic) -> None:
+            await traffic.send(3.0, PER_SECOND, STREAM)
+            target = traffic.busiest()
             target.limit = LIMIT
             announced_at = anyio.current_time()
-            await one.send(15.0, PER_SECOND, STREAM)
-            times = one.bounded_arrivals(target, announced_at)
+            await traffic.send(15.0, PER_SECOND, STREAM)
+            times = traffic.bounded_arrivals(target, announced_at)
             assert_kept(times, LIMIT)
             assert times
 
-        play(work, (share, *[rest] * 69))
+        simulate(scenario, (share, *[rest] * 69))
 
     def test_a_restarted_entry_learns_it_from_its_first_answer(
         self,
     ) -> None:
-        async def work(one: Play) -> None:
-            await one.send(4.0, PER_SECOND, STREAM)
-            target = one.busiest()
+        async def scenario(traffic: Traffic) -> None:
+            await traffic.send(4.0, PER_SECOND, STREAM)
+            target = traffic.busiest()
             target.limit = LIMIT
             announced_at = anyio.current_time()
-            await one.send(5.0, PER_SECOND, STREAM)
-            one.entries.stop(0)
-            await one.send(10.0, PER_SECOND, STREAM)
+            await traffic.send(5.0, PER_SECOND, STREAM)
+            traffic.entries.stop(0)
+            await traffic.send(10.0, PER_SECOND, STREAM)
             # The new process sends a few requests before it knows the limit.
-            times = one.bounded_arrivals(target, announced_at)
+            times = traffic.bounded_arrivals(target, announced_at)
             allowed = BOUND_FACTOR * LIMIT * WINDOW_SECONDS + BOUND_EXTRA
             assert max_within(times, WINDOW_SECONDS) <= allowed + 3
 
-        play(work, EVEN)
+        simulate(scenario, EVEN)
 
 
 class TestWholeService:
@@ -243,24 +243,24 @@
     def test_limits_are_used_and_the_rest_is_refused_at_once(
         self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
-        async def work(one: Play) -> None:
+        async def scenario(traffic: Traffic) -> None:
             limited = [
                 target
-                for target in one.fleet.upstreams
+                for target in traffic.fleet.upstreams
                 if _may_begin(target, repeat)
             ]
             for target in limited:
                 target.limit = LIMIT
-            await one.send(3.0, PER_SECOND, repeat)
+            await traffic.send(3.0, PER_SECOND, repeat)
             since = anyio.current_time()
-            await one.send(20.0, PER_SECOND, repeat)
+            await traffic.send(20.0, PER_SECOND, repeat)
             taken = 0
             for target in limited:
-                times = one.arrivals(target, since)
+                times = traffic.arrivals(target, since)
                 assert_kept(times, LIMIT)
                 taken += len(times)
             assert taken >= MIN_USED_SHARE * LIMIT * len(limited) * 20.0
-            told = [it for it in one.entries.told if it.sent_at >= since]
+            told = [it for it in traffic.entries.told if it.sent_at >= since]
             for it in told:
                 if it.was_served:
                     continue
@@ -272,7 +272,7 @@
                 assert error.retry_after is not None
                 assert 0.0 < error.retry_after <= 6.0
 
-        play(work, weights)
+        simulate(scenario, weights)
 
 
 def _may_begin(
@@ -288,39 +288,39 @@
     """The limit holds for resumed streams and retried calls too."""
 
     def test_resumed_streams_keep_the_limit(self) -> None:
-        async def work(one: Play) -> None:
-            await one.send(3.0, PER_SECOND, STREAM)
-            target = one.busiest()
+        async def scenario(traffic: Traffic) -> None:
+            await traffic.send(3.0, PER_SECOND, STREAM)
+            target = traffic.busiest()
             target.limit = LIMIT
             announced_at = anyio.current_time()
-            await one.send(4.0, PER_SECOND, STREAM)
+            await traffic.send(4.0, PER_SECOND, STREAM)
             others = [
                 it
-                for it in one.fleet.upstreams
+                for it in traffic.fleet.upstreams
                 if _may_begin(it, STREAM) and it is not target
             ]
             # All streams of one engine have to be resumed at another.
             others[0].is_dead = True
-            await one.send(6.0, PER_SECOND, STREAM)
-            times = one.bounded_arrivals(target, announced_at)
+            await traffic.send(6.0, PER_SECOND, STREAM)
+            times = traffic.bounded_arrivals(target, announced_at)
             assert_kept(times, LIMIT)
 
-        play(work, EVEN)
+        simulate(scenario, EVEN)
 
     def test_retried_calls_keep_the_limit(self) -> None:
-        async def work(one: Play) -> None:
-            await one.send(3.0, PER_SECOND, IDEMPOTENT)
-            target = one.busiest()
+        async def scenario(traffic: Traffic) -> None:
+            await traffic.send(3.0, PER_SECOND, IDEMPOTENT)
+            target = traffic.busiest()
             target.limit = LIMIT
             announced_at = anyio.current_time()
-            for it in one.fleet.upstreams:
+            for it in traffic.fleet.upstreams:
                 if it is not target:
                     it.failed_calls = 1000
-            await one.send(10.0, PER_SECOND, IDEMPOTENT)
-            times = one.bounded_arrivals(target, announced_at)
+            await traffic.send(10.0, PER_SECOND, IDEMPOTENT)
+            times = traffic.bounded_arrivals(target, announced_at)
             assert_kept(times, LIMIT)
 
-        play(work, EVEN)
+        simulate(scenario, EVEN)
 
 
 class TestWaitingCalls:
@@ -330,9 +330,9 @@
     turn that others take.
     """
 
-    def play(
+    def simulate(
         self,
-        work: typing.Callable[
+        scenario: typing.Callable[
             [fleet_system.FleetSystem, list[chain.Upstream]],
             typing.Awaitable[None],
         ],
@@ -352,7 +352,7 @@
                 )
                 system.add(one)
                 found.append(one)
-            await work(system, found)
+            await scenario(system, found)
 
         virtual.run(body)
 
@@ -366,7 +366,7 @@
         limit = 4.0
         told: list[tuple[float, float, fleet_system.Caller]] = []
 
-        async def work(
+        async def scenario(
             system: fleet_system.FleetSystem, found: list[chain.Upstream]
         ) -> None:
             for one in found:
@@ -383,7 +383,7 @@
                     tasks.start_soon(ask)
                     await anyio.sleep(rng.expovariate(30.0))
 
-        self.play(work, count, objective)
+        self.simulate(scenario, count, objective)
         late = [one for one in told if one[0] >= 3.0]
         refused = [one for one in late if one[2].error is not None]
         assert refused
@@ -392,7 +392,7 @@
         assert served >= 0.75 * limit * count * 20.0
 
     def test_calls_that_wait_for_a_backoff_are_sent_after_it(self) -> None:
-        async def work(
+        async def scenario(
             system: fleet_system.FleetSystem, found: list[chain.Upstream]
         ) -> None:
             callers: list[fleet_system.Caller] = []
@@ -409,10 +409,10 @@
             assert all(one.error is None for one in callers)
             assert anyio.current_time() < 0.3
 
-        self.play(work, 1)
+        self.simulate(scenario, 1)
 
     def test_calls_do_not_wait_without_any_instance(self) -> None:
-        async def work(
+        async def scenario(
             system: fleet_system.FleetSystem, found: list[chain.Upstream]
         ) -> None:
             waiting = []
@@ -430,15 +430,15 @@
                 assert caller.error is not None
                 assert anyio.current_time() == began
 
-        self.play(work, 1)
+        self.simulate(scenario, 1)
 
 
 class TestContext:
     """What an entry learns of limits from answers, and drops."""
 
-    def play(
+    def simulate(
         self,
-        work: typing.Callable[
+        scenario: typing.Callable[
             [fleet_system.FleetSystem, chain.Upstream],
             typing.Awaitable[None],
         ],
@@ -448,12 +448,12 @@
             one = fleet_system.upstream("one", service=fleet_system.PLAIN)
             system.install(system.config)
             system.add(one).limit = 1.0
-            await work(system, one)
+            await scenario(system, one)
 
         virtual.run(body)
 
     def test_a_report_without_a_limit_keeps_that_of_an_answer(self) -> None:
-        async def work(
+        async def scenario(
             system: fleet_system.FleetSystem, one: chain.Upstream
         ) -> None:
             await system.ask(system.request(IDEMPOTENT))
@@ -461,10 +461,10 @@
             await system.client.report(one)
             assert system.context.limits.per_second(one) <= 1.0
 
-        self.play(work)
+        self.simulate(scenario)
 
     def test_an_instance_that_ended_has_no_limit(self) -> None:
-        async def work(
+        async def scenario(
             system: fleet_system.FleetSystem, one: chain.Upstream
         ) -> None:
             await system.ask(system.request(IDEMPOTENT))
@@ -472,7 +472,7 @@
             system.registry.on_changed((), (one.incarnation.id,))
             assert system.context.limits.per_second(one) == float("inf")
 
-        self.play(work)
+        self.simulate(scenario)
 
 
 class _Usage:
@@ -488,9 +488,9 @@
 class TestRateLimits:
     """One entry's shares of limits."""
 
-    def play(
+    def simulate(
         self,
-        work: typing.Callable[
+        scenario: typing.Callable[
             [rate_limits.RateLimits, _Usage, chain.Upstream],
             typing.Awaitable[None],
         ],
@@ -500,7 +500,7 @@
             usage = _Usage()
             limits = rate_limits.RateLimits(usage, random.Random(3))
             limits.set_entry_count(entries)
-            await work(limits, usage, fleet_system.upstream("one"))
+            await scenario(limits, usage, fleet_system.upstream("one"))
 
         virtual.run(body)
 
@@ -538,17 +538,17 @@
         virtual.run(body)
 
     def test_no_limit_allows_everything(self) -> None:
-        async def work(
+        async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
             assert await self.count(limits, one, 5.0) == 100
             assert limits.seconds_until_allowed(one) == 0.0
 
-        self.play(work)
+        self.simulate(scenario)
 
     @pytest.mark.parametrize("entries", [1, 4, 70])
     def test_shares_are_even_without_reported_load(self, entries: int) -> None:
-        async def work(
+        async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
             limits.note(one, 10.0, None)
@@ -556,10 +556,10 @@
             expected = 200.0 * 10.0 * rate_limits.USED_SHARE / entries
             assert abs(sent - expected) <= 5
 
-        self.play(work, entries)
+        self.simulate(scenario, entries)
 
     def test_share_follows_own_requests(self) -> None:
-        async def work(
+        async def scenario(
             limits: rate_limits.RateLimits, usage: _Usage, one: chain.Upstream
         ) -> None:
             usage.count = 18
@@ -571,12 +571,12 @@
             sent = await self.count(limits, one, 2.0)
             assert sent >= 0.8 * 10.0 * rate_limits.USED_SHARE * 2.0
 
-        self.play(work, entries=4)
+        self.simulate(scenario, entries=4)
 
     def test_an_idle_entry_accumulates_little(
         self,
     ) -> None:
-        async def work(
+        async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
             limits.note(one, 2.0, None)
@@ -585,10 +585,10 @@
             sent = await self.count(limits, one, 4.0)
             assert sent <= BOUND_FACTOR * 2.0 * WINDOW_SECONDS + BOUND_EXTRA
 
-        self.play(work)
+        self.simulate(scenario)
 
     def test_bursts_are_bounded(self) -> None:
-        async def work(
+        async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
             limits.note(one, 10.0, None)
@@ -597,10 +597,10 @@
             burst = 10.0 * rate_limits.BURST_SECONDS + rate_limits.BURST_EXTRA
             assert sent <= burst
 
-        self.play(work)
+        self.simulate(scenario)
 
     def test_one_of_many_entries_accumulates_less_than_a_request(self) -> None:
-        async def work(
+        async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
             limits.note(one, 2.0, None)
@@ -610,22 +610,22 @@
             await anyio.sleep(3600.0)
             assert not limits.allows(one)
 
-        self.play(work, entries=70)
+        self.simulate(scenario, entries=70)
 
     def test_a_limit_of_zero_is_probed(self) -> None:
-        async def work(
+        async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
             limits.note(one, 0.0, None)
             sent = await self.count(limits, one, 40.0)
             assert 5 <= sent <= 15
 
-        self.play(work)
+        self.simulate(scenario)
 
     def test_a_report_without_a_limit_lifts_that_of_a_report(
         self,
     ) -> None:
-        async def work(
+        async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
             limits.note(one, 1.0, None)
@@ -635,24 +635,24 @@
             limits.note(one, None, None, in_report=True)
             assert limits.per_second(one) == float("inf")
 
-        self.play(work)
+        self.simulate(scenario)
 
     def test_an_answer_without_a_limit_lifts_it(self) -> None:
-        async def work(
+        async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
             limits.note(one, 1.0, None)
             limits.note(one, None, None)
             assert limits.allows(one)
 
-        self.play(work)
+        self.simulate(scenario)
 
     def test_drops_the_limit_of_an_ended_instance(self) -> None:
-        async def work(
+        async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
             limits.note(one, 1.0, None)
             limits.forget(one)
             assert limits.per_second(one) == float("inf")
 
-        self.play(work)
+        self.simulate(scenario)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -51,7 +51,7 @@
             _restart_all(demand, count)
             await demand.ask(15.0)
 
-        peak = repeats_system.play(body, count, kind).peak
+        peak = repeats_system.simulate(body, count, kind).peak
         assert not peak.is_over, peak
 
     @counts
@@ -63,7 +63,7 @@
                 await demand.ask(1.0)
             await demand.ask(5.0)
 
-        peak = repeats_system.play(body, count).peak
+        peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
     @counts
@@ -75,7 +75,7 @@
                 await demand.ask(1.0)
             await demand.ask(5.0)
 
-        peak = repeats_system.play(body, count).peak
+        peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
 
@@ -95,7 +95,7 @@
             demand.entries.store.is_down = False
             await demand.ask(5.0)
 
-        peak = repeats_system.play(body, count, kind).peak
+        peak = repeats_system.simulate(body, count, kind).peak
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (5, 70))
@@ -106,7 +106,7 @@
             await demand.ask(CALM, fails=False)
             await demand.ask(12.0)
 
-        peak = repeats_system.play(body, count, are_noted=False).peak
+        peak = repeats_system.simulate(body, count, are_noted=False).peak
         assert not peak.is_over, peak
 
 
@@ -121,7 +121,7 @@
                 demand.entries.start()
             await demand.ask(25.0)
 
-        peak = repeats_system.play(body, count).peak
+        peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (1, 5))
@@ -134,7 +134,7 @@
                 demand.entries.start()
             await demand.ask(25.0)
 
-        peak = repeats_system.play(body, count).peak
+        peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (1, 5, 12))
@@ -149,7 +149,7 @@
             await demand.ask(30.0, LOW_RATE, fails=False)
             await demand.ask(12.0, LOW_RATE)
 
-        peak = repeats_system.play(body, count).peak
+        peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
 
@@ -168,7 +168,7 @@
             await demand.ask(1.0, per_second, among=[0])
             await demand.ask(14.0, per_second, among=others)
 
-        peak = repeats_system.play(body, count).peak
+        peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
 
@@ -184,7 +184,7 @@
             demand.thaw()
             await demand.ask(12.0)
 
-        peak = repeats_system.play(body, count).peak
+        peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (2, 5))
@@ -198,7 +198,7 @@
             demand.thaw()
             await demand.ask(12.0, HIGH_RATE, among=others)
 
-        peak = repeats_system.play(body, count).peak
+        peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (1, 5))
@@ -212,7 +212,7 @@
             demand.thaw()
             await demand.ask(15.0)
 
-        peak = repeats_system.play(body, count).peak
+        peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
 
@@ -228,7 +228,7 @@
             await demand.ask(CALM, fails=False)
             await demand.ask(12.0)
 
-        peak = repeats_system.play(body, count, kind).peak
+        peak = repeats_system.simulate(body, count, kind).peak
         assert 0.6 * peak.allowed <= peak.repeats <= peak.allowed, peak
 
     def test_a_restarted_entry_repeats_soon(self) -> None:
@@ -238,5 +238,5 @@
             await anyio.sleep(2.0)
             await demand.ask(3.0)
 
-        demand = repeats_system.play(body, 5)
+        demand = repeats_system.simulate(body, 5)
         assert len(demand.account.repeats()) >= 5
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -112,7 +112,7 @@
             entry.learned_at.setdefault(upstream.name, anyio.current_time())
 
 
-def play(
+def simulate(
     entries: int, spread: str, seconds: float, tells_load: bool
 ) -> _Service:
     """Simulate a service and return it."""
@@ -165,7 +165,7 @@
     def test_are_used(
         self, entries: int, spread: str, seconds: float, tells_load: bool
     ) -> None:
-        service = play(entries, spread, seconds, tells_load)
+        service = simulate(entries, spread, seconds, tells_load)
         served = sum(len(times) for times in service.received.values())
         allowed = LIMIT * INSTANCES * (SIMULATED_SECONDS - COUNTED_FROM)
         assert served >= MIN_SERVED_SHARE * allowed, f"{served / allowed:.2f}"
@@ -187,7 +187,7 @@
     def test_are_kept(
         self, entries: int, spread: str, seconds: float, tells_load: bool
     ) -> None:
-        service = play(entries, spread, seconds, tells_load)
+        service = simulate(entries, spread, seconds, tells_load)
         for times in service.bounded.values():
             first = 0
             for last, at in enumerate(times):
