--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -112,7 +112,7 @@
 Scenario = typing.Callable[[Demand], typing.Awaitable[None]]
 
 
-def play(
+def simulate(
     scenario: Scenario,
     count: int,
     kind: routes.RepeatPolicy = routes.RepeatPolicy.IDEMPOTENT,
@@ -121,11 +121,11 @@
 ) -> Demand:
     """Run a scenario with some entries, and return its demand.
 
-    :param are_noted: whether the store knows the entries at the start.
+    :param are_registered: whether the store knows the entries at the start.
     """
     made: list[Demand] = []
 
-    async def work(entries: entries_system.Entries) -> None:
+    async def run(entries: entries_system.Entries) -> None:
         entries.fleet.events = STREAM_EVENTS
         demand = Demand(entries, kind)
         made.append(demand)
@@ -133,6 +133,6 @@
         await demand.end()
 
     entries_system.play(
-        work, count=count, copies=2, are_registered=are_registered
+        run, count=count, copies=2, are_registered=are_registered
     )
     return made[0]
