--- a/src/crowdeck/cmd/daemon.py
+++ b/src/crowdeck/cmd/daemon.py
@@ -57,7 +57,7 @@
         ...
 
 
-class EarlyHangup:
+class HangupRecorder:
     """Remembers a SIGHUP that came before it could be acted on.
 
     By default it would end the process; ignored, a change of the file made
@@ -81,7 +81,7 @@
     :param listener: the callers' socket, where it is open already.
     """
     options = _parser().parse_args(arguments)
-    hangup = EarlyHangup()
+    hangup = HangupRecorder()
     try:
         config = checks.check(options.config)
     except errors.ConfigError as error:
@@ -121,7 +121,7 @@
 async def _serve(
     config: configs.Config,
     path: pathlib.Path,
-    hangup: EarlyHangup,
+    hangup: HangupRecorder,
     listener: socket.socket | None,
 ) -> None:
     if config.is_fleet:
@@ -142,7 +142,7 @@
     process: Stoppable,
     config: configs.Config,
     path: pathlib.Path,
-    hangup: EarlyHangup,
+    hangup: HangupRecorder,
 ) -> None:
     async with anyio.create_task_group() as tasks:
         await tasks.start(_handle_signals, process, path, tasks.cancel_scope)
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -199,7 +199,7 @@
         monkeypatch.setattr(daemon.anyio, "run", run)
         monkeypatch.setattr(daemon.logs, "to_stdout", lambda: None)
         monkeypatch.setattr(daemon.checks, "check", lambda path: None)
-        monkeypatch.setattr(daemon, "EarlyHangup", lambda: None)
+        monkeypatch.setattr(daemon, "HangupRecorder", lambda: None)
         daemon.main(["--config", "entry.ini"])
         options = typing.cast(dict[str, object], asked[0]["backend_options"])
         assert options["loop_factory"] is timers.BootTimeEventLoop
