--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -152,10 +152,10 @@
 async def show_status(operator: operators.Operator) -> commands.Result:
     """Show every instance, and the epoch that the store is in."""
     shown = await commands.show_status(operator)
-    return tell_epoch(shown, operator.store.epoch)
+    return add_epoch(shown, operator.store.epoch)
 
 
-def tell_epoch(shown: commands.Result, epoch: int | None) -> commands.Result:
+def add_epoch(shown: commands.Result, epoch: int | None) -> commands.Result:
     """Add how often the store came back from a copy, as it counts.
 
     :param epoch: of the store's latest answer to this command; an instance
--- a/tests/test_inspection.py
+++ b/tests/test_inspection.py
@@ -25,7 +25,7 @@
         shown = commands.Result(
             list(self.ROWS), "instance", commands.EXIT_UNREACHABLE
         )
-        found = inspection.tell_epoch(shown, epoch)
+        found = inspection.add_epoch(shown, epoch)
         lines = found.text.splitlines()
         assert lines[0] == "instance"
         assert lines[-1] == f"epoch of the store: {told}"
