--- a/src/crowdeck/cmd/cli.py
+++ b/src/crowdeck/cmd/cli.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""``crowdeck``: the operators' command line."""
+"""``crowdeck``: the command line for operators."""
 
 import argparse
 import collections.abc
@@ -26,7 +26,7 @@
 from crowdeck.settings import tree as trees
 
 PLATFORM_VARIABLE = "CROWDECK_PLATFORM"
-DEFAULT_TIMEOUT = 10.0
+DEFAULT_TIMEOUT_SECONDS = 10.0
 PROGRESS_SECONDS = 2.0
 
 _EXAMPLES = """\
@@ -46,7 +46,7 @@
   crowdeck --platform http://127.0.0.1:8000 bound
 
 exit codes:
-  0 done   1 failed   2 wrong usage or file   3 a racing edit
+  0 success   1 failure   2 wrong usage or invalid file   3 conflicting edit
   4 the platform or an instance could not be reached
 """
 
@@ -56,7 +56,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one command; returns its exit code."""
+    """Run one command and return its exit code."""
     options = _build_parser().parse_args(arguments)
     try:
         if options.command == "demo":
@@ -74,7 +74,7 @@
 def _run_demo(stay: bool) -> int:
     failure = anyio.run(demo.run, stay)
     if failure:
-        print(f"the demo failed: {failure}", file=sys.stderr)
+        print(f"demo failed: {failure}", file=sys.stderr)
     return commands.EXIT_FAILED if failure else commands.EXIT_OK
 
 
@@ -93,7 +93,7 @@
         )
     if not options.platform:
         raise errors.ConfigError(
-            f"say where the platform is: --platform URL or {PLATFORM_VARIABLE}"
+            f"no platform URL: give --platform or set {PLATFORM_VARIABLE}"
         )
     outcome = anyio.run(_run_command, options)
     if isinstance(outcome, errors.CrowdeckError):
@@ -106,7 +106,7 @@
 ) -> commands.Result | errors.CrowdeckError:
     """Run a command that needs the platform.
 
-    The error is returned, since task groups would wrap what is raised.
+    Errors are returned, since a task group would wrap a raised one.
     """
     tls = configs.TlsFiles(options.certificate, options.key, options.authority)
     async with (
@@ -119,7 +119,7 @@
         tasks.start_soon(_show_progress, options.command)
         outcome: commands.Result | errors.CrowdeckError
         try:
-            outcome = await _pick(options)(operator)
+            outcome = await _select_command(options)(operator)
         except errors.CrowdeckError as error:
             outcome = error
         tasks.cancel_scope.cancel()
@@ -134,49 +134,53 @@
         print(f"{command}: {waited:.0f} s ...", file=sys.stderr, flush=True)
 
 
-def _pick(options: argparse.Namespace) -> Command:
+def _select_command(options: argparse.Namespace) -> Command:
     match options.command:
         case "status":
             return inspection.show_status
         case "upstreams":
             return commands.show_upstreams
         case "placement":
-            return lambda one: inspection.show_placement(one.store)
+            return lambda operator: inspection.show_placement(operator.store)
         case "bound":
-            return lambda one: inspection.show_bound(one.store)
+            return lambda operator: inspection.show_bound(operator.store)
         case "trace":
-            return lambda one: commands.show_trace(one, options.id)
+            return lambda operator: commands.show_trace(operator, options.id)
         case "drain":
-            return lambda one: commands.drain(
-                one, options.name, options.limit, not options.no_wait
+            return lambda operator: commands.drain(
+                operator, options.name, options.limit, not options.no_wait
             )
         case _:
-            return _pick_settings(options)
+            return _select_settings_command(options)
 
 
-def _pick_settings(options: argparse.Namespace) -> Command:
+def _select_settings_command(options: argparse.Namespace) -> Command:
     match options.action:
         case "get":
-            return lambda one: commands.get_setting(
-                one, _place(options), options.option, options.why
+            return lambda operator: commands.get_setting(
+                operator, _scope(options), options.option, options.why
             )
         case "set":
-            return lambda one: commands.set_setting(
-                one, _place(options), options.option, options.value
+            return lambda operator: commands.set_setting(
+                operator, _scope(options), options.option, options.value
             )
         case "diff":
-            return lambda one: commands.show_diff(one, options.file)
+            return lambda operator: commands.show_diff(operator, options.file)
         case "apply":
-            return lambda one: commands.apply_file(
-                one, options.file, options.change
+            return lambda operator: commands.apply_file(
+                operator, options.file, options.change
             )
         case "rollback":
-            return lambda one: commands.roll_back(one, options.generation)
+            return lambda operator: commands.roll_back(
+                operator, options.generation
+            )
         case _:
-            return lambda one: commands.show_history(one, options.limit)
+            return lambda operator: commands.show_history(
+                operator, options.limit
+            )
 
 
-def _place(options: argparse.Namespace) -> trees.SettingsScope:
+def _scope(options: argparse.Namespace) -> trees.SettingsScope:
     return trees.SettingsScope(options.team, options.service, options.session)
 
 
@@ -203,76 +207,88 @@
     )
     parser = argparse.ArgumentParser(
         prog="crowdeck",
-        description="Look at and steer a crowdeck system.",
+        description="Inspect and operate a crowdeck system.",
         epilog=_EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    _add_reach(parser)
-    chosen = parser.add_subparsers(dest="command", required=True)
-    one = chosen.add_parser(
+    _add_connection_options(parser)
+    subparsers = parser.add_subparsers(dest="command", required=True)
+    subparser = subparsers.add_parser(
         "demo", parents=[shared], help="run a small system on loopback"
     )
-    one.add_argument("--stay", action="store_true", help="leave it running")
-    chosen.add_parser("status", parents=[shared], help="show every instance")
-    chosen.add_parser(
+    subparser.add_argument(
+        "--stay",
+        action="store_true",
+        help="keep it running after the last step",
+    )
+    subparsers.add_parser(
+        "status", parents=[shared], help="show every instance"
+    )
+    subparsers.add_parser(
         "upstreams", parents=[shared], help="show engines and services"
     )
-    one = chosen.add_parser(
+    subparser = subparsers.add_parser(
         "trace", parents=[shared], help="show one request's spans"
     )
-    one.add_argument("id", help="trace id, 32 hexadecimal digits")
-    one = chosen.add_parser(
+    subparser.add_argument("id", help="trace id, 32 hexadecimal digits")
+    subparser = subparsers.add_parser(
         "explain",
         parents=[shared],
-        help="follow one request through logs to its cause",
+        help="find in logs why one request failed or was late",
     )
-    one.add_argument("id", help="the request's id")
-    _add_log_options(one)
-    one = chosen.add_parser(
+    subparser.add_argument("id", help="the request's id")
+    _add_log_options(subparser)
+    subparser = subparsers.add_parser(
         "losses",
         parents=[shared],
-        help="tell from logs what was not served in time, and why",
+        help="summarise from logs which requests were lost or late, and why",
     )
-    _add_log_options(one)
-    one.add_argument(
+    _add_log_options(subparser)
+    subparser.add_argument(
         "--first",
         type=float,
         default=0.5,
         metavar="SECONDS",
-        help="time to a stream's first event that is in time",
+        help="longest time to a stream's first event that is in time",
     )
-    one.add_argument(
+    subparser.add_argument(
         "--every",
         type=float,
         default=2.0,
         metavar="SECONDS",
-        help="length of the spans that are told apart",
+        help="length of the intervals that are reported separately",
     )
-    chosen.add_parser(
+    subparsers.add_parser(
         "placement",
         parents=[shared],
         help="show which engines hold which layers",
     )
-    chosen.add_parser(
+    subparsers.add_parser(
         "bound",
         parents=[shared],
-        help="show what the engines can serve at most, and what binds",
+        help="show the engines' maximum throughput and its bottleneck",
+    )
+    subparser = subparsers.add_parser(
+        "drain", parents=[shared], help="begin a planned stop of an instance"
     )
-    one = chosen.add_parser(
-        "drain", parents=[shared], help="plan an instance's stop"
+    subparser.add_argument("name", help="name of the instance")
+    subparser.add_argument(
+        "--limit", type=float, default=30.0, metavar="SECONDS"
     )
-    one.add_argument("name", help="the instance")
-    one.add_argument("--limit", type=float, default=30.0, metavar="SECONDS")
-    one.add_argument("--no-wait", action="store_true", help="only begin it")
-    one = chosen.add_parser(
+    subparser.add_argument(
+        "--no-wait",
+        action="store_true",
+        help="return without waiting until it is idle",
+    )
+    subparser = subparsers.add_parser(
         "check", parents=[shared], help="check an INI file"
     )
-    one.add_argument("file", type=pathlib.Path)
-    _add_settings(chosen, shared)
+    subparser.add_argument("file", type=pathlib.Path)
+    _add_settings_commands(subparsers, shared)
     return parser
 
 
-def _add_reach(parser: argparse.ArgumentParser) -> None:
+def _add_connection_options(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
         "--platform",
         default=os.environ.get(PLATFORM_VARIABLE, ""),
@@ -281,7 +297,10 @@
     )
     parser.add_argument("--cluster", default="crowdeck")
     parser.add_argument(
-        "--timeout", type=float, default=DEFAULT_TIMEOUT, metavar="SECONDS"
+        "--timeout",
+        type=float,
+        default=DEFAULT_TIMEOUT_SECONDS,
+        metavar="SECONDS",
     )
     for name in ("certificate", "key", "authority"):
         parser.add_argument(
@@ -290,12 +309,12 @@
 
 
 def _add_log_options(parser: argparse.ArgumentParser) -> None:
-    """Add which logs are read, and from when on a stream is late."""
+    """Add the log files, and the pause from which a stream is late."""
     parser.add_argument(
         "files",
         type=pathlib.Path,
         nargs="*",
-        help="log files; standard input where none is named",
+        help="log files; default standard input",
     )
     parser.add_argument(
         "--gap",
@@ -306,49 +325,53 @@
     )
 
 
-def _add_settings(
-    chosen: "argparse._SubParsersAction[argparse.ArgumentParser]",
+def _add_settings_commands(
+    subparsers: "argparse._SubParsersAction[argparse.ArgumentParser]",
     shared: argparse.ArgumentParser,
 ) -> None:
-    settings = chosen.add_parser("settings", help="the tree of settings")
-    actions = settings.add_subparsers(dest="action", required=True)
-    place = argparse.ArgumentParser(add_help=False)
+    settings = subparsers.add_parser(
+        "settings", help="show and change the settings tree"
+    )
+    action_parsers = settings.add_subparsers(dest="action", required=True)
+    scope = argparse.ArgumentParser(add_help=False)
     for name in ("team", "service", "session"):
-        place.add_argument(f"--{name}", default="", metavar="NAME")
-    one = actions.add_parser(
-        "get", parents=[shared, place], help="show a value, or the tree"
+        scope.add_argument(f"--{name}", default="", metavar="NAME")
+    subparser = action_parsers.add_parser(
+        "get", parents=[shared, scope], help="show a value, or the whole tree"
+    )
+    subparser.add_argument("--option", default="")
+    subparser.add_argument(
+        "--why", action="store_true", help="show which section sets it"
     )
-    one.add_argument("--option", default="")
-    one.add_argument("--why", action="store_true", help="say where from")
-    one = actions.add_parser(
-        "set", parents=[shared, place], help="override a value, or unset it"
+    subparser = action_parsers.add_parser(
+        "set", parents=[shared, scope], help="override a value, or unset it"
     )
-    one.add_argument("--option", required=True)
-    change = one.add_mutually_exclusive_group(required=True)
+    subparser.add_argument("--option", required=True)
+    change = subparser.add_mutually_exclusive_group(required=True)
     change.add_argument("--value")
     change.add_argument("--unset", action="store_true")
-    one = actions.add_parser(
+    subparser = action_parsers.add_parser(
         "diff", parents=[shared], help="show what a file would change"
     )
-    one.add_argument("file", type=pathlib.Path)
-    one = actions.add_parser(
-        "apply", parents=[shared], help="put a file in force"
+    subparser.add_argument("file", type=pathlib.Path)
+    subparser = action_parsers.add_parser(
+        "apply", parents=[shared], help="make a file the current settings"
     )
-    one.add_argument("file", type=pathlib.Path)
-    one.add_argument(
+    subparser.add_argument("file", type=pathlib.Path)
+    subparser.add_argument(
         "--change",
         default="",
         metavar="ID",
-        help="your id of the change: safe to repeat after a lost reply",
+        help="id of the change, for a safe retry after a lost reply",
     )
-    one = actions.add_parser(
+    subparser = action_parsers.add_parser(
         "history", parents=[shared], help="show past generations"
     )
-    one.add_argument("--limit", type=int, default=20)
-    one = actions.add_parser(
-        "rollback", parents=[shared], help="put an old generation in force"
+    subparser.add_argument("--limit", type=int, default=20)
+    subparser = action_parsers.add_parser(
+        "rollback", parents=[shared], help="restore an earlier generation"
     )
-    one.add_argument("generation", type=int)
+    subparser.add_argument("generation", type=int)
 
 
 if __name__ == "__main__":
--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The operators' commands: each returns data and text to show."""
+"""Commands for operators; each returns data and text to show."""
 
 import json
 import pathlib
@@ -34,7 +34,11 @@
 
 @attrs.frozen
 class Result:
-    """What a command found: ``data`` for programs, ``text`` for people."""
+    """The result of a command.
+
+    :ivar data: printed as JSON for programs.
+    :ivar text: printed for people.
+    """
 
     data: Data
     text: str
@@ -42,7 +46,7 @@
 
 
 def exit_code_of(error: errors.CrowdeckError) -> int:
-    """Return the exit code that stands for an error."""
+    """Return the exit code for an error."""
     match error.code:
         case errors.Code.STORE_CONFLICT:
             return EXIT_CONFLICT
@@ -55,7 +59,7 @@
 
 
 async def show_status(operator: operators.Operator) -> Result:
-    """Show every instance and how it is."""
+    """Show the state of every instance."""
     answers = await operator.ask_all(questions.ReadStatus(""))
     rows = [_status_row(answer) for answer in answers]
     rows += await operator.entries()
@@ -64,32 +68,37 @@
     return Result(
         rows,
         "\n".join(
-            [table(rows, columns), *_unheld_lines(rows)] + _need_lines(rows)
+            [format_table(rows, columns), *_unheld_lines(rows)]
+            + _need_lines(rows)
         ),
         EXIT_UNREACHABLE if lost else EXIT_OK,
     )
 
 
 def _unheld_lines(rows: list[dict[str, Data]]) -> list[str]:
-    """Show the layers that no engine holds."""
+    """Return the lines about layers that no engine holds."""
     unheld = entry_status.list_unheld(rows)
     if not unheld:
         return []
     columns = ("service", "layers", "seconds", "can_hold", "of", "needed")
-    shown = table(unheld, columns)
+    shown = format_table(unheld, columns)
     return ["", "layers that no engine holds:", shown]
 
 
 def _need_lines(rows: list[dict[str, Data]]) -> list[str]:
-    """Show what instances ask for themselves."""
+    """Return the lines about the backpressure that instances ask for."""
     sums = entry_status.sum_needs(rows)
     if not sums:
         return []
     needs = entry_status.list_needs(rows)
     columns = ("upstream", "need", "seconds", "per_second", "used", "entry")
     shown = needs[: entry_status.MAX_SHOWN]
-    lines = ["", "instances in need:", table(sums, tuple(sums[0]))]
-    lines += ["", table(shown, columns)]
+    lines = [
+        "",
+        "instances that ask for less load:",
+        format_table(sums, tuple(sums[0])),
+    ]
+    lines += ["", format_table(shown, columns)]
     if len(needs) > len(shown):
         lines.append(f"and {len(needs) - len(shown)} more; see --json")
     return lines
@@ -97,15 +106,15 @@
 
 def _status_row(answer: operators.InstanceReply) -> dict[str, Data]:
     if not isinstance(answer.reply, questions.Status):
-        why = answer.error.message if answer.error else "no status"
-        return {"instance": answer.name, "state": "lost", "error": why}
+        reason = answer.error.message if answer.error else "no status"
+        return {"instance": answer.name, "state": "lost", "error": reason}
     status: dict[str, Data] = json.loads(answer.reply.text)
     status["state"] = "leaving" if status["is_leaving"] else "up"
     return status
 
 
 async def show_upstreams(operator: operators.Operator) -> Result:
-    """Show upstreams as the first entry that answers sees them."""
+    """Show the upstreams that the first reachable entry knows."""
     for answer in await operator.ask_all(questions.ReadStatus("")):
         if isinstance(answer.reply, questions.Status):
             status = json.loads(answer.reply.text)
@@ -121,9 +130,10 @@
                     "running",
                     "step_ms",
                 )
-                return Result(rows, table(rows, columns))
+                return Result(rows, format_table(rows, columns))
     raise errors.CrowdeckError(
-        errors.Code.LINK_LOST, "no entry answers; see 'crowdeck status'"
+        errors.Code.LINK_LOST,
+        "no entry could be reached; see 'crowdeck status'",
     )
 
 
@@ -135,7 +145,7 @@
             spans.extend(json.loads(span) for span in answer.reply.spans)
     spans.sort(key=lambda span: int(span["start_ns"]))
     if not spans:
-        return Result([], f"no spans of trace {trace} are kept", EXIT_FAILED)
+        return Result([], f"no spans found for trace {trace}", EXIT_FAILED)
     started = int(spans[0]["start_ns"])
     lines = [
         f"{(int(span['start_ns']) - started) / 1e6:10.3f} ms  "
@@ -156,17 +166,15 @@
     """Begin a planned stop of an instance, and wait until it is idle."""
     await operator.ask(name, questions.Drain(limit))
     if not is_waiting:
-        return Result({"instance": name}, f"{name} is leaving")
+        return Result({"instance": name}, f"{name} is draining")
     running = -1
     with anyio.move_on_after(limit):
         running = await _wait_idle(operator, name)
     if running == 0:
-        return Result(
-            {"instance": name, "running": 0}, f"{name} has left; it is idle"
-        )
+        return Result({"instance": name, "running": 0}, f"{name} is idle")
     return Result(
         {"instance": name, "running": running},
-        f"{name} still has work after {limit:g} s",
+        f"{name} still runs requests after {limit:g} s",
         EXIT_FAILED,
     )
 
@@ -176,7 +184,7 @@
         try:
             reply = await operator.ask(name, questions.ReadStatus(""))
         except errors.LinkLost:
-            # It ends by itself once it is idle.
+            # A drained instance exits once it is idle.
             return 0
         assert isinstance(reply, questions.Status)
         if json.loads(reply.text)["running"] == 0:
@@ -184,125 +192,128 @@
         await anyio.sleep(DRAIN_POLL_SECONDS)
 
 
-def _editor(operator: operators.Operator) -> editors.SettingsEditor:
+def _open_editor(operator: operators.Operator) -> editors.SettingsEditor:
     return editors.SettingsEditor(operator.store)
 
 
 async def get_setting(
     operator: operators.Operator,
-    place: trees.SettingsScope,
+    scope: trees.SettingsScope,
     option: str,
-    is_why: bool,
+    show_source: bool,
 ) -> Result:
-    """Show a value in force, or the whole tree."""
-    edition = await _editor(operator).read()
+    """Show an effective value, or the whole tree."""
+    revision = await _open_editor(operator).read()
     if not option:
-        return Result(attrs.asdict(edition), edition.text.rstrip("\n"))
-    tree = trees.parse(edition.text, edition.generation)
-    found = tree.effective(place, option)
+        return Result(attrs.asdict(revision), revision.text.rstrip("\n"))
+    tree = trees.parse(revision.text, revision.generation)
+    found = tree.effective(scope, option)
     text = f"{found.value}"
-    if is_why:
+    if show_source:
         text += f"    from [{found.section}], generation {tree.generation}"
     return Result({"option": option, **attrs.asdict(found)}, text)
 
 
 async def set_setting(
     operator: operators.Operator,
-    place: trees.SettingsScope,
+    scope: trees.SettingsScope,
     option: str,
     value: str | None,
 ) -> Result:
-    """Override a value at a place, or unset it there."""
-    editor = _editor(operator)
-    base = await editor.read()
-    text = trees.edit(base.text, place.section, option, value)
-    return await _apply(editor, base, text)
+    """Override a value in a scope, or unset it there if ``None``."""
+    editor = _open_editor(operator)
+    current = await editor.read()
+    text = trees.edit(current.text, scope.section, option, value)
+    return await _apply(editor, current, text)
 
 
 async def show_diff(
     operator: operators.Operator, path: pathlib.Path
 ) -> Result:
     """Show what applying a file would change."""
-    base = await _editor(operator).read()
-    text = _read(path)
-    trees.parse(text, base.generation + 1)
-    change = editors.show_difference(base.text, text)
-    return Result({"difference": change}, change or "nothing would change")
+    current = await _open_editor(operator).read()
+    text = _read_text(path)
+    trees.parse(text, current.generation + 1)
+    difference = editors.show_difference(current.text, text)
+    return Result({"difference": difference}, difference or "no changes")
 
 
 async def apply_file(
     operator: operators.Operator, path: pathlib.Path, change: str
 ) -> Result:
     """Make a file the next generation of the settings."""
-    editor = _editor(operator)
-    return await _apply(editor, await editor.read(), _read(path), change)
+    editor = _open_editor(operator)
+    return await _apply(editor, await editor.read(), _read_text(path), change)
 
 
 async def _apply(
     editor: editors.SettingsEditor,
-    base: editors.SettingsRevision,
+    current: editors.SettingsRevision,
     text: str,
     change: str = "",
 ) -> Result:
-    if change and base.change == change:
-        return _applied(base, "it was applied before")
-    if text == base.text:
-        return _applied(base, "nothing changes")
-    shown = editors.show_difference(base.text, text)
-    edition = await editor.apply(base, text, change)
-    return _applied(edition, shown)
+    if change and current.change == change:
+        return _applied_result(current, "this change was already applied")
+    if text == current.text:
+        return _applied_result(current, "no changes")
+    difference = editors.show_difference(current.text, text)
+    revision = await editor.apply(current, text, change)
+    return _applied_result(revision, difference)
 
 
-def _applied(edition: editors.SettingsRevision, shown: str) -> Result:
+def _applied_result(revision: editors.SettingsRevision, shown: str) -> Result:
     return Result(
-        {"generation": edition.generation, "change": edition.change},
-        f"{shown}\ngeneration {edition.generation} is in force",
+        {"generation": revision.generation, "change": revision.change},
+        f"{shown}\ngeneration {revision.generation} is in force",
     )
 
 
 async def show_history(operator: operators.Operator, limit: int) -> Result:
     """Show past generations, newest first."""
-    editions = await _editor(operator).history(limit)
-    older = [*editions[1:], editors.EMPTY]
+    revisions = await _open_editor(operator).history(limit)
+    older = [*revisions[1:], editors.EMPTY]
     lines = []
-    for edition, before in zip(editions, older, strict=False):
-        shown = editors.show_difference(before.text, edition.text)
-        lines.append(f"generation {edition.generation}  {edition.change}")
+    for revision, before in zip(revisions, older, strict=False):
+        shown = editors.show_difference(before.text, revision.text)
+        lines.append(f"generation {revision.generation}  {revision.change}")
         lines.extend(f"    {line}" for line in shown.splitlines()[2:])
-    return Result([attrs.asdict(one) for one in editions], "\n".join(lines))
+    return Result([attrs.asdict(one) for one in revisions], "\n".join(lines))
 
 
 async def roll_back(operator: operators.Operator, generation: int) -> Result:
     """Make an earlier generation's text the next generation."""
-    editor = _editor(operator)
+    editor = _open_editor(operator)
     text = await editor.text_of(generation)
     return await _apply(editor, await editor.read(), text)
 
 
 def check_file(path: pathlib.Path) -> Result:
-    """Check a daemon's configuration, or a settings tree, by its looks."""
-    text = _read(path)
+    """Check a daemon's configuration or a settings tree.
+
+    A file with a daemon section is taken as a configuration.
+    """
+    text = _read_text(path)
     if f"[{configs.DAEMON}]" in text:
         checks.check(path)
         kind = "configuration"
     else:
         trees.parse(text, 1)
         kind = "settings tree"
-    return Result({"kind": kind}, f"{path}: a {kind}, in order")
+    return Result({"kind": kind}, f"{path}: valid {kind}")
 
 
-def _read(path: pathlib.Path) -> str:
+def _read_text(path: pathlib.Path) -> str:
     try:
         return path.read_text()
     except (OSError, UnicodeDecodeError) as error:
         raise errors.ConfigError(f"{path}: {error}") from None
 
 
-def table(rows: list[dict[str, Data]], columns: tuple[str, ...]) -> str:
+def format_table(rows: list[dict[str, Data]], columns: tuple[str, ...]) -> str:
     cells = [[str(row.get(name, "-")) for name in columns] for row in rows]
     widths = [
-        max(len(name), *(len(line[at]) for line in cells), 0)
-        for at, name in enumerate(columns)
+        max(len(name), *(len(line[column]) for line in cells), 0)
+        for column, name in enumerate(columns)
     ]
     lines = [columns, *cells]
     return "\n".join(
--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What entries before engines that chain their stages tell an operator."""
+"""Reads the status of entries whose engines chain their own stages."""
 
 import collections
 import typing
@@ -19,10 +19,10 @@
 from crowdeck.membership import roster as rosters
 from crowdeck.state import objects as stores
 
-ANSWER_BYTES = 4 * 1024 * 1024
-# Questions under way at once; a status of hundreds of needs is some 100 KB.
-AT_ONCE = 16
-# Instances that are shown to people; programs get all.
+MAX_STATUS_BYTES = 4 * 1024 * 1024
+# Bounds the memory for replies, which may be some 100 KB each.
+MAX_CONCURRENT_QUERIES = 16
+# Rows printed for people; JSON output has all.
 MAX_SHOWN = 30
 
 Row = dict[str, typing.Any]
@@ -31,14 +31,17 @@
 async def read(
     store: stores.ObjectStore, client: http.HttpClient, timeout: float
 ) -> list[Row]:
-    """Ask every entry that is noted in the store; the lost are said so."""
+    """Read the status of every entry that is registered in the store.
+
+    An entry that cannot be reached has the state ``lost``.
+    """
     listing = await store.list(rosters.KIND)
-    limiter = anyio.CapacityLimiter(AT_ONCE)
+    limiter = anyio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
     rows: list[Row] = []
 
     async def ask(stored: stores.StoredObject) -> None:
         async with limiter:
-            rows.append(await _read_one(client, stored, timeout))
+            rows.append(await _read_entry(client, stored, timeout))
 
     async with anyio.create_task_group() as tasks:
         for one in listing.objects:
@@ -46,27 +49,30 @@
     return sorted(rows, key=lambda row: str(row["instance"]))
 
 
-async def _read_one(
+async def _read_entry(
     client: http.HttpClient, stored: stores.StoredObject, timeout: float
 ) -> Row:
     row: Row = {"instance": stored.name, "role": "entry"}
     address = rosters.decode_record(stored).address
     if address is None:
-        return row | {"state": "unknown", "error": "it tells no address"}
+        return row | {
+            "state": "unknown",
+            "error": "it has registered no address",
+        }
     try:
-        found = await _ask(client, address, timeout)
+        status = await _fetch_status(client, address, timeout)
     except errors.CrowdeckError as error:
         return row | {"state": "lost", "error": error.message}
-    return row | found | {"state": "up" if found["is_ready"] else "unready"}
+    return row | status | {"state": "up" if status["is_ready"] else "unready"}
 
 
-async def _ask(
+async def _fetch_status(
     client: http.HttpClient, address: instances.Address, timeout: float
 ) -> Row:
     url = f"http://{address}{peer_http.STATUS_PATH}"
     timeouts = http.Timeouts(timeout, timeout)
     async with client.open("GET", url, [], b"", timeouts) as response:
-        body = await response.read(ANSWER_BYTES)
+        body = await response.read(MAX_STATUS_BYTES)
         status = response.status
     try:
         found = orjson.loads(body) if status == 200 else None
@@ -74,25 +80,26 @@
         found = None
     if not isinstance(found, dict) or "is_ready" not in found:
         raise errors.CrowdeckError(
-            errors.Code.MALFORMED, f"it answered {status} and no status"
+            errors.Code.MALFORMED,
+            f"invalid status reply; HTTP status {status}",
         )
     return found
 
 
 @attrs.define
 class _Group:
-    """What entries tell of one need in one zone of a service."""
+    """The backpressure of one kind in one zone of a service."""
 
     instances: dict[str, float] = attrs.field(factory=dict)
     limits: dict[str, float] = attrs.field(factory=dict)
     used: float = 0.0
     entries: set[str] = attrs.field(factory=set)
 
-    def take(self, entry: str, need: Row) -> None:
+    def merge(self, entry: str, need: Row) -> None:
         address = str(need["address"])
         seconds = float(need["seconds"])
-        known = self.instances.get(address, 0.0)
-        self.instances[address] = max(known, seconds)
+        longest = self.instances.get(address, 0.0)
+        self.instances[address] = max(longest, seconds)
         self.entries.add(entry)
         if "per_second" in need:
             self.limits[address] = float(need["per_second"])
@@ -100,9 +107,9 @@
 
 
 def sum_needs(rows: list[Row]) -> list[Row]:
-    """Return what instances ask for, by service, zone and need.
+    """Return the needs of instances, summed by service, zone and kind.
 
-    What is used of a limit is the sum over all entries that answered.
+    The use of a limit is summed over all entries that replied.
     """
     groups: dict[tuple[str, str, str], _Group] = collections.defaultdict(
         _Group
@@ -110,7 +117,7 @@
     for row in rows:
         for need in row.get("needs", ()):
             key = (need["service"], need["zone"], need["need"])
-            groups[key].take(str(row["instance"]), need)
+            groups[key].merge(str(row["instance"]), need)
     return [
         {
             "service": service,
@@ -127,18 +134,21 @@
 
 
 def list_needs(rows: list[Row]) -> list[Row]:
-    """Return what each instance asks for, as each entry knows it."""
-    found = [
+    """Return each instance's needs, as each entry knows them."""
+    needs = [
         {"entry": row["instance"], **need}
         for row in rows
         for need in row.get("needs", ())
     ]
-    found.sort(key=lambda one: (one["service"], one["zone"], one["upstream"]))
-    return found
+    needs.sort(key=lambda one: (one["service"], one["zone"], one["upstream"]))
+    return needs
 
 
 def list_unheld(rows: list[Row]) -> list[Row]:
-    """Return the layers that no engine holds; the longest known of each."""
+    """Return the layers that no engine holds, one row for each.
+
+    The row is that of the entry which has known it for longest.
+    """
     longest: dict[tuple[str, str], Row] = {}
     for row in rows:
         for gap in row.get("unheld", ()):
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands that look at logs and at the store, and ask no instance."""
+"""Commands that read logs or the store."""
 
 import contextlib
 import itertools
@@ -29,40 +29,45 @@
 
 
 def account_losses(
-    files: list[pathlib.Path], aims: losses.Objectives, span: float
+    files: list[pathlib.Path], objectives: losses.Objectives, interval: float
 ) -> commands.Result:
-    """Tell what was not served in time in log files, and why."""
-    with _open_logs(files, are_named=True) as texts:
-        found = losses.account(texts, aims, span)
-    lines = [f"{found.requests} requests ended"]
-    lines += _table(found.causes, found.requests)
-    if found.turned_away:
+    """Summarise from log files which requests were lost, and why.
+
+    :param interval: length of the reported intervals in seconds.
+    """
+    with _open_logs(files, with_file_names=True) as texts:
+        report = losses.account(texts, objectives, interval)
+    lines = [f"{report.requests} requests ended"]
+    lines += _table(report.causes, report.requests)
+    if report.turned_away:
         lines += ["", "attempts that failed:"]
-        lines += _table(found.turned_away, sum(found.turned_away.values()))
-    if found.lost_by_source:
+        lines += _table(report.turned_away, sum(report.turned_away.values()))
+    if report.lost_by_source:
         lines += ["", "lost, by entry:"]
-        whole = sum(found.lost_by_source.values())
-        lines += _table(found.lost_by_source, whole)
-    if found.reroutes.streams:
-        lines += ["", *_reroute_lines(found.reroutes)]
-    for one in found.spans:
-        lost = {k: n for k, n in one.causes.items() if k != losses.IN_TIME}
+        total = sum(report.lost_by_source.values())
+        lines += _table(report.lost_by_source, total)
+    if report.reroutes.streams:
+        lines += ["", *_reroute_lines(report.reroutes)]
+    for report_span in report.spans:
+        lost = {
+            k: n for k, n in report_span.causes.items() if k != losses.IN_TIME
+        }
         if lost:
-            ended = sum(one.causes.values())
-            lines += ["", f"from second {one.since:g}, {ended} ended:"]
+            ended = sum(report_span.causes.values())
+            lines += ["", f"from second {report_span.since:g}, {ended} ended:"]
             lines += _table(lost, ended)
-    return commands.Result(attrs.asdict(found), "\n".join(lines))
+    return commands.Result(attrs.asdict(report), "\n".join(lines))
 
 
-def _reroute_lines(found: reroutes.Reroutes) -> list[str]:
+def _reroute_lines(report: reroutes.Reroutes) -> list[str]:
     steps = (
-        ("engine found at fault", found.noticed),
-        ("new path agreed", found.agreed),
-        ("next event", found.pause),
+        ("engine found at fault", report.noticed),
+        ("new path agreed", report.agreed),
+        ("next event", report.pause),
     )
     return [
-        f"{found.streams} streams led around an engine, "
-        f"{found.in_time} in time; ms after the last event:",
+        f"{report.streams} streams led around an engine, "
+        f"{report.in_time} in time; ms after the last event:",
         *(
             f"{1000 * spread.median:7.0f} (nine in ten: "
             f"{1000 * spread.nine_in_ten:.0f})  {name}"
@@ -71,34 +76,36 @@
     ]
 
 
-def _table(counts: dict[str, int], whole: int) -> list[str]:
+def _table(counts: dict[str, int], total: int) -> list[str]:
     return [
-        f"{count:7d} {count / max(1, whole):6.1%}  {name}"
+        f"{count:7d} {count / max(1, total):6.1%}  {name}"
         for name, count in counts.items()
     ]
 
 
 @contextlib.contextmanager
 def _open_logs(
-    files: list[pathlib.Path], *, are_named: bool = False
+    files: list[pathlib.Path], *, with_file_names: bool = False
 ) -> typing.Iterator[typing.Iterable[str]]:
     """Open log files one after the other, or standard input.
 
-    :param are_named: have lines that name no process begin with the name of
-        their file.
+    :param with_file_names: prefix lines that name no process with the name
+        of their file.
     """
     with contextlib.ExitStack() as stack:
         texts: list[typing.Iterable[str]] = []
         for path in files:
             text = stack.enter_context(_open_log(path))
-            texts.append(_named(path, text) if are_named else text)
+            texts.append(
+                _prefix_file_name(path, text) if with_file_names else text
+            )
         yield itertools.chain.from_iterable(texts or [sys.stdin])
 
 
-def _named(
+def _prefix_file_name(
     path: pathlib.Path, texts: typing.Iterable[str]
 ) -> typing.Iterator[str]:
-    # One word without a brace: what follows a brace is taken for the line.
+    # The log parser takes everything from the first brace as the record.
     name = "-".join(path.name.replace("{", "").replace("}", "").split())
     for text in texts:
         yield f"{name} {text}" if text.startswith("{") else text
@@ -107,33 +114,35 @@
 def explain_request(
     request: str, files: list[pathlib.Path], gap: float
 ) -> commands.Result:
-    """Follow one request through log files, or standard input.
+    """Explain the outcome of one request from its log lines.
 
-    The exit code tells whether a cause was found, or none was needed.
+    The exit code is zero if it was answered in time or a cause was found.
     """
     with _open_logs(files) as texts:
-        found = explaining.explain(request, texts, gap)
-    lines = [str(line) for line in found.lines]
-    if found.context:
-        lines += ["", "believed by then:"]
-        lines += [f"  {line}" for line in found.context]
-    if not found.lines:
+        explanation = explaining.explain(request, texts, gap)
+    lines = [str(line) for line in explanation.lines]
+    if explanation.context:
+        lines += ["", "known to the entry at that time:"]
+        lines += [f"  {line}" for line in explanation.context]
+    if not explanation.lines:
         verdict = "the logs hold nothing of it"
-    elif not found.has_failed:
+    elif not explanation.has_failed:
         verdict = "it was answered in time"
     else:
-        verdict = found.cause or "the logs do not tell the cause"
-    if found.held_back:
-        lines += ["", f"in need meanwhile: {', '.join(found.held_back)}"]
+        verdict = explanation.cause or "not found in the logs"
+    if explanation.held_back:
+        lines += ["", f"in need meanwhile: {', '.join(explanation.held_back)}"]
     lines += ["", f"cause: {verdict}"]
-    is_known = bool(found.lines) and bool(found.cause or not found.has_failed)
+    is_known = bool(explanation.lines) and bool(
+        explanation.cause or not explanation.has_failed
+    )
     data: commands.Data = {
         "request": request,
-        "cause": found.cause,
-        "has_failed": found.has_failed,
-        "lines": [str(line) for line in found.lines],
-        "context": [str(line) for line in found.context],
-        "held_back": list(found.held_back),
+        "cause": explanation.cause,
+        "has_failed": explanation.has_failed,
+        "lines": [str(line) for line in explanation.lines],
+        "context": [str(line) for line in explanation.context],
+        "held_back": list(explanation.held_back),
     }
     return commands.Result(
         data,
@@ -150,45 +159,49 @@
 
 
 async def show_status(operator: operators.Operator) -> commands.Result:
-    """Show every instance, and the epoch that the store is in."""
-    shown = await commands.show_status(operator)
-    return add_epoch(shown, operator.store.epoch)
+    """Show the state of every instance and the store's epoch."""
+    status = await commands.show_status(operator)
+    return add_epoch(status, operator.store.epoch)
 
 
-def add_epoch(shown: commands.Result, epoch: int | None) -> commands.Result:
-    """Add how often the store came back from a copy, as it counts.
+def add_epoch(status: commands.Result, epoch: int | None) -> commands.Result:
+    """Add how often the store was restored from a backup.
 
-    :param epoch: of the store's latest answer to this command; an instance
-        that has not noticed a return yet may be in an earlier one.
+    :param epoch: of the store's latest reply to this command. An instance
+        that has not noticed a restore yet may be in an earlier one.
     """
-    data = [{**row, "store_epoch": epoch} for row in shown.data]
-    told = "unknown" if epoch is None else str(epoch)
-    text = f"{shown.text}\n\nepoch of the store: {told}"
-    return attrs.evolve(shown, data=data, text=text)
+    data = [{**row, "store_epoch": epoch} for row in status.data]
+    label = "unknown" if epoch is None else str(epoch)
+    text = f"{status.text}\n\nepoch of the store: {label}"
+    return attrs.evolve(status, data=data, text=text)
 
 
 @attrs.frozen
 class _Model:
-    """A service of model engines, as the store lists it."""
+    """A model service and its engines, as listed in the store."""
 
     service: routes.Service
     profile: chain.EngineProfile
     engines: list[chain.Upstream]
 
     def zones(self) -> list[str]:
-        return sorted({one.availability_zone for one in self.engines})
+        return sorted({engine.availability_zone for engine in self.engines})
 
     def inside(self, zone: str) -> list[chain.Upstream]:
-        return [one for one in self.engines if one.availability_zone == zone]
+        return [
+            engine
+            for engine in self.engines
+            if engine.availability_zone == zone
+        ]
 
 
-async def _models(store: stores.ObjectStore) -> list[_Model]:
-    """Return every service whose engines hold layers of a model."""
+async def _list_models(store: stores.ObjectStore) -> list[_Model]:
+    """Return every service that has an engine profile."""
     listing = await store.list(names.UPSTREAM_KIND)
     config = await store.get(names.CONFIG_KIND, names.CONFIG_NAME)
     if config is None:
         raise errors.CrowdeckError(
-            errors.Code.NOT_FOUND, "the store holds no config yet"
+            errors.Code.NOT_FOUND, "the store has no config"
         )
     found = [platform_upstreams.decode(one) for one in listing.objects]
     return [
@@ -206,17 +219,17 @@
     """Show which engines hold which layers, by service and zone."""
     lines: list[str] = []
     data: list[commands.Data] = []
-    for model in await _models(store):
-        shown, told = _placement_of(model)
-        lines += shown
-        data += told
+    for model in await _list_models(store):
+        table_lines, zones = _describe_placement(model)
+        lines += table_lines
+        data += zones
     return commands.Result(data, "\n".join(lines))
 
 
 async def show_bound(store: stores.ObjectStore) -> commands.Result:
-    """Show what engines can serve at most, by service and zone."""
+    """Show the maximum throughput of engines, by service and zone."""
     rows: list[dict[str, commands.Data]] = []
-    for model in await _models(store):
+    for model in await _list_models(store):
         staying = [one for one in model.engines if not one.is_leaving]
         rows.append(_bound_row(model, "all", staying))
         for zone in model.zones():
@@ -224,40 +237,42 @@
             rows.append(_bound_row(model, zone, inside))
     columns = ("service", "zone", "at once", "a second", "binds", "layers")
     return commands.Result(
-        typing.cast(commands.Data, rows), commands.table(rows, columns)
+        typing.cast(commands.Data, rows), commands.format_table(rows, columns)
     )
 
 
 def _bound_row(
     model: _Model, zone: str, engines: list[chain.Upstream]
 ) -> dict[str, commands.Data]:
-    most = bounds.bound(engines, model.profile)
+    capacity = bounds.bound(engines, model.profile)
     return {
         "service": model.service.name,
         "zone": zone,
-        "at once": round(most.concurrent_requests, 1),
-        "a second": round(most.per_second, 1),
-        "answer_seconds": round(most.answer_seconds, 3),
-        "binds": str(most.binding),
-        "layers": f"{most.bottleneck.first}-{most.bottleneck.end}",
+        "at once": round(capacity.concurrent_requests, 1),
+        "a second": round(capacity.per_second, 1),
+        "answer_seconds": round(capacity.answer_seconds, 3),
+        "binds": str(capacity.binding),
+        "layers": f"{capacity.bottleneck.first}-{capacity.bottleneck.end}",
     }
 
 
-def _placement_of(model: _Model) -> tuple[list[str], list[commands.Data]]:
+def _describe_placement(
+    model: _Model,
+) -> tuple[list[str], list[commands.Data]]:
     profile = model.profile
     lines = [f"{model.service.name}: {profile.layer_count} layers"]
     data: list[commands.Data] = []
     for zone in model.zones():
-        inside = model.inside(zone)
-        counts = chain.coverage(inside, profile.layer_count)
+        engines = model.inside(zone)
+        counts = chain.coverage(engines, profile.layer_count)
         missing = counts.count(0)
         lines.append(f"  {zone}  copies of each layer, {missing} missing:")
         lines.append("    " + "".join(str(min(9, one)) for one in counts))
         rows: list[dict[str, commands.Data]] = [
             _engine_row(one, profile)
-            for one in sorted(inside, key=_by_first_layer)
+            for one in sorted(engines, key=_by_first_layer)
         ]
-        table = commands.table(
+        table = commands.format_table(
             rows, ("engine", "card", "layers", "room", "state")
         )
         lines += [f"    {line}" for line in table.splitlines()]
@@ -266,21 +281,21 @@
 
 
 def _engine_row(
-    one: chain.Upstream, profile: chain.EngineProfile
+    engine: chain.Upstream, profile: chain.EngineProfile
 ) -> dict[str, commands.Data]:
-    held = one.layers
+    held = engine.layers
     size = held.end - held.first if held else 0
-    token_capacity = profile.token_capacity(one.card, size)
+    token_capacity = profile.token_capacity(engine.card, size)
     return {
-        "engine": str(one.address),
-        "card": one.card,
+        "engine": str(engine.address),
+        "card": engine.card,
         "layers": f"{held.first}-{held.end}" if held else "-",
         "room": int(token_capacity)
         if size and token_capacity != float("inf")
         else "-",
-        "state": "leaving" if one.is_leaving else "ready",
+        "state": "leaving" if engine.is_leaving else "ready",
     }
 
 
-def _by_first_layer(one: chain.Upstream) -> tuple[int, str]:
-    return (one.layers.first if one.layers else -1, one.name)
+def _by_first_layer(engine: chain.Upstream) -> tuple[int, str]:
+    return (engine.layers.first if engine.layers else -1, engine.name)
--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""An operator's own links to the processes of the system."""
+"""Access of the command line to the platform and the instances."""
 
 import contextlib
 import typing
@@ -26,15 +26,15 @@
 
 @attrs.frozen
 class InstanceReply:
-    """What one instance said, or why it did not."""
+    """The reply of one instance, or the error instead of it."""
 
     name: str
     reply: questions.Reply | None
     error: errors.CrowdeckError | None
 
 
-class _SilentHandler:
-    """Operators take no records and answer nothing."""
+class _OperatorLinkHandler:
+    """Ignores records and refuses questions."""
 
     def on_opened(self, peer: link.Peer) -> None:
         """There is nothing to do."""
@@ -48,14 +48,15 @@
     async def on_question(
         self, peer: link.Peer, question: questions.Question
     ) -> questions.Reply:
-        """Refuse."""
+        """Refuse every question."""
         raise errors.CrowdeckError(
-            errors.Code.MALFORMED, "an operator answers no questions"
+            errors.Code.MALFORMED,
+            "the operator command line answers no questions",
         )
 
 
 class Operator:
-    """Reads the platform and asks instances; a context manager.
+    """Reads the platform and asks instances; an async context manager.
 
     Use it inside ``capnp.kj_loop()``.
     """
@@ -81,7 +82,7 @@
             incarnation=instances.new_incarnation(),
         )
         self._transport = rpc.RpcTransport(
-            greeting, _SilentHandler(), security
+            greeting, _OperatorLinkHandler(), security
         )
         self._links = links_module.Links(self._directory, self._transport)
 
@@ -103,7 +104,7 @@
         return listing.instances if listing is not None else ()
 
     async def entries(self) -> list[entry_status.Row]:
-        """Ask the entries before engines that chain their stages.
+        """Return the status of entries whose engines chain their own stages.
 
         :raises CrowdeckError: ``STORE_DOWN`` when they cannot be listed.
         """
@@ -116,7 +117,7 @@
     ) -> questions.Reply:
         """Ask one instance.
 
-        :raises CrowdeckError: when it is lost, or refuses.
+        :raises CrowdeckError: if it cannot be reached or refuses.
         """
         peer = await self._links.get(name)
         reply = await peer.ask(question, self._timeout)
@@ -127,7 +128,10 @@
     async def ask_all(
         self, question: questions.Question
     ) -> list[InstanceReply]:
-        """Ask every listed instance at once; the lost ones are said so."""
+        """Ask every listed instance concurrently.
+
+        An instance that fails has its error in the result.
+        """
         answers: list[InstanceReply] = []
 
         async def ask_one(name: str) -> None:
--- a/tests/test_inspection.py
+++ b/tests/test_inspection.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What the commands that look at the store tell of it."""
+"""Output of the commands that read the store."""
 
 import pytest
 
@@ -12,23 +12,21 @@
 
 
 class TestEpoch:
-    """``crowdeck status`` tells how often the store came back."""
+    """``crowdeck status`` shows how often the store was restored."""
 
     ROWS = ({"instance": "entry-0", "state": "up"}, {"instance": "engine-0"})
 
     @pytest.mark.parametrize(
-        ("epoch", "told"), [(0, "0"), (3, "3"), (None, "unknown")]
+        ("epoch", "label"), [(0, "0"), (3, "3"), (None, "unknown")]
     )
-    def test_is_told_to_people_and_programs(
-        self, epoch: int | None, told: str
-    ) -> None:
+    def test_is_in_text_and_data(self, epoch: int | None, label: str) -> None:
         shown = commands.Result(
             list(self.ROWS), "instance", commands.EXIT_UNREACHABLE
         )
         found = inspection.add_epoch(shown, epoch)
         lines = found.text.splitlines()
         assert lines[0] == "instance"
-        assert lines[-1] == f"epoch of the store: {told}"
+        assert lines[-1] == f"epoch of the store: {label}"
         assert found.data == [
             {**row, "store_epoch": epoch} for row in self.ROWS
         ]
