--- a/src/crowdeck/cmd/daemon.py
+++ b/src/crowdeck/cmd/daemon.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""``crowdeckd``: runs one entry or one sidecar."""
+"""``crowdeckd``: the daemon that runs one entry or one sidecar."""
 
 import argparse
 import pathlib
@@ -26,18 +26,18 @@
 
 _EXAMPLES = """\
 examples:
-  crowdeckd --config entry.ini           run until told to stop
-  crowdeckd --config entry.ini --check   check the file and end
+  crowdeckd --config entry.ini           run until stopped
+  crowdeckd --config entry.ini --check   check the file and exit
 
 signals:
-  SIGTERM, SIGINT   planned stop: no new work, running work finishes;
-                    a second one hurries it
-  SIGHUP            read the configuration again, change what may change
+  SIGTERM, SIGINT   planned stop: refuse new requests, finish running ones;
+                    a second signal cuts the wait short
+  SIGHUP            reload the options that can change at run time
 """
 
 
-class Stoppable(typing.Protocol):
-    """A process of either kind."""
+class DaemonProcess(typing.Protocol):
+    """An entry or a sidecar that the daemon runs."""
 
     @property
     def is_running(self) -> bool:
@@ -49,38 +49,38 @@
         ...
 
     def reconfigure(self, config: configs.Config) -> None:
-        """Take a configuration that was read again."""
+        """Apply a reloaded configuration."""
         ...
 
     async def stop(self, force: bool = False) -> None:
-        """Stop as planned."""
+        """Begin a planned stop; ``force`` cuts its wait short."""
         ...
 
 
 class HangupRecorder:
-    """Remembers a SIGHUP that came before it could be acted on.
+    """Records a SIGHUP that arrives before the daemon handles signals.
 
-    By default it would end the process; ignored, a change of the file made
-    while it was being read would be missed.
+    The default action would end the process. Ignoring the signal would miss
+    a change made while the configuration was being read.
     """
 
     def __init__(self) -> None:
-        self.has_come = False
-        signal.signal(signal.SIGHUP, self._note)
+        self.was_received = False
+        signal.signal(signal.SIGHUP, self._record_signal)
 
-    def _note(self, number: int, frame: object) -> None:
-        self.has_come = True
+    def _record_signal(self, signal_number: int, frame: object) -> None:
+        self.was_received = True
 
 
 def main(
     arguments: list[str] | None = None,
     listener: socket.socket | None = None,
 ) -> int:
-    """Run the daemon; returns its exit code.
+    """Run the daemon and return its exit code.
 
-    :param listener: the callers' socket, where it is open already.
+    :param listener: the socket for callers, if it is already open.
     """
-    options = _parser().parse_args(arguments)
+    options = _build_parser().parse_args(arguments)
     hangup = HangupRecorder()
     try:
         config = checks.check(options.config)
@@ -88,7 +88,7 @@
         print(f"{error.code}: {error.message}", file=sys.stderr)
         return EXIT_CONFIG
     if options.check:
-        print(f"{options.config}: in order")
+        print(f"{options.config}: valid configuration")
         return 0
     logs.to_stdout()
     anyio.run(
@@ -102,7 +102,7 @@
     return 0
 
 
-def _parser() -> argparse.ArgumentParser:
+def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="crowdeckd",
         description="Run one entry or one sidecar of crowdeck.",
@@ -113,7 +113,7 @@
         "--config", type=pathlib.Path, required=True, metavar="FILE"
     )
     parser.add_argument(
-        "--check", action="store_true", help="check FILE and end"
+        "--check", action="store_true", help="check FILE and exit"
     )
     return parser
 
@@ -128,8 +128,8 @@
         process = fleet_process.FleetProcess(config, listener)
         await _run(process, config, path, hangup)
         return
-    # Only where sidecars chain the stages: Cap'n Proto takes memory that
-    # a process without links of its own would waste.
+    # Cap'n Proto takes memory that an entry without links between
+    # instances does not need.
     import capnp
 
     from crowdeck.cmd import process as processes
@@ -139,7 +139,7 @@
 
 
 async def _run(
-    process: Stoppable,
+    process: DaemonProcess,
     config: configs.Config,
     path: pathlib.Path,
     hangup: HangupRecorder,
@@ -147,38 +147,38 @@
     async with anyio.create_task_group() as tasks:
         await tasks.start(_handle_signals, process, path, tasks.cancel_scope)
         logs.change("starting", instance=config.name)
-        if hangup.has_come:
-            _reread(process, path)
+        if hangup.was_received:
+            _reload(process, path)
         await process.run()
         tasks.cancel_scope.cancel()
 
 
 async def _handle_signals(
-    process: Stoppable,
+    process: DaemonProcess,
     path: pathlib.Path,
-    whole: anyio.CancelScope,
+    scope: anyio.CancelScope,
     *,
     task_status: anyio.abc.TaskStatus[None],
 ) -> None:
     stop_signals = (signal.SIGTERM, signal.SIGINT)
-    with anyio.open_signal_receiver(*stop_signals, signal.SIGHUP) as received:
+    with anyio.open_signal_receiver(*stop_signals, signal.SIGHUP) as signals:
         task_status.started()
         async with anyio.create_task_group() as tasks:
-            has_begun = False
-            async for number in received:
-                if number == signal.SIGHUP:
-                    _reread(process, path)
+            is_stopping = False
+            async for signal_number in signals:
+                if signal_number == signal.SIGHUP:
+                    _reload(process, path)
                     continue
                 if not process.is_running:
-                    # It waits for its engine or platform; nothing runs
-                    # that a planned stop would have to wait for.
-                    whole.cancel()
+                    # The process still waits for its engine or platform,
+                    # so there are no requests to drain.
+                    scope.cancel()
                     return
-                tasks.start_soon(process.stop, has_begun)
-                has_begun = True
+                tasks.start_soon(process.stop, is_stopping)
+                is_stopping = True
 
 
-def _reread(process: Stoppable, path: pathlib.Path) -> None:
+def _reload(process: DaemonProcess, path: pathlib.Path) -> None:
     try:
         config = checks.check(path)
     except errors.ConfigError as error:
--- a/src/crowdeck/cmd/http_server.py
+++ b/src/crowdeck/cmd/http_server.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""uvicorn as the daemons run it: without signals and logs of its own."""
+"""Runs uvicorn without its own signal handling and logging."""
 
 import asyncio
 import contextlib
@@ -18,18 +18,17 @@
 from crowdeck.observe import logs
 
 STOP_SECONDS = 2
-START_STEP = 0.005
-# How often a server looks whether it is to end. The library's tenth of a
-# second woke an entry with three servers 30 times a second all day.
+START_POLL_SECONDS = 0.005
+# How often a server checks whether to exit. uvicorn's 0.1 s wakes an idle
+# process too often.
 TICK_SECONDS = 0.25
-TICKS_A_HEADER = 4
+TICKS_PER_DATE_HEADER = 4
 
 
-class _ToOurLogs(logging.Handler):
-    """Turns what uvicorn has to say into lines of our own log.
+class _LogForwarder(logging.Handler):
+    """Forwards uvicorn's log records to crowdeck's log.
 
-    A request that is cancelled is no error of the application: that
-    happens only when its process ends.
+    Cancelled requests are left out: they occur only at shutdown.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -41,15 +40,15 @@
         logs.change("http_server", message=message, error=repr(error))
 
 
-def _take_logs() -> None:
+def _forward_uvicorn_logs() -> None:
     logger = logging.getLogger("uvicorn.error")
-    if not any(isinstance(one, _ToOurLogs) for one in logger.handlers):
-        logger.addHandler(_ToOurLogs())
+    if not any(isinstance(one, _LogForwarder) for one in logger.handlers):
+        logger.addHandler(_LogForwarder())
         logger.propagate = False
 
 
 class QuietServer(uvicorn.Server):
-    """uvicorn without its own signal handling: the process has its own."""
+    """A uvicorn server that leaves signals to the process."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> typing.Iterator[None]:
@@ -57,10 +56,10 @@
         yield
 
     async def main_loop(self) -> None:
-        """Wait until told to exit; renew the date header every second."""
+        """Wait until told to exit; update the date header every second."""
         tick = 0
-        # The library renews its headers where the count ends in zero.
-        while not await self.on_tick(min(1, tick % TICKS_A_HEADER)):
+        # uvicorn updates its headers when the counter is a multiple of ten.
+        while not await self.on_tick(min(1, tick % TICKS_PER_DATE_HEADER)):
             tick += 1
             await anyio.sleep(TICK_SECONDS)
 
@@ -68,8 +67,8 @@
 def build(
     app: typing.Any, host: str, port: int, **options: typing.Any
 ) -> QuietServer:
-    """Return a server for an ASGI application, not started yet."""
-    _take_logs()
+    """Return a server for an ASGI application, not yet started."""
+    _forward_uvicorn_logs()
     return QuietServer(
         uvicorn.Config(
             app,
@@ -91,15 +90,16 @@
     *,
     task_status: anyio.abc.TaskStatus[int] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until told to exit or cancelled; reports the port.
+    """Serve until told to exit or cancelled.
 
-    :param listener: a socket that listens already, instead of a new one.
+    :param listener: a listening socket to use instead of a new one.
+    :param task_status: reports the port.
     """
     sockets = None if listener is None else [listener]
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(server.serve, sockets)
         while not server.started:
-            await anyio.sleep(START_STEP)
+            await anyio.sleep(START_POLL_SECONDS)
         task_status.started(server.servers[0].sockets[0].getsockname()[1])
 
 
@@ -112,7 +112,10 @@
     key: str = "",
     task_status: anyio.abc.TaskStatus[int] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve an ASGI application until cancelled; reports its port."""
+    """Serve an ASGI application until cancelled.
+
+    :param task_status: reports the port.
+    """
     server = build(
         app,
         host,
--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Builds a daemon's process from its configuration, and runs it."""
+"""Builds and runs an entry or a sidecar from its configuration."""
 
 import contextlib
 
@@ -34,15 +34,14 @@
 from crowdeck.wire import rpc
 
 ENGINE_RETRY_SECONDS = 0.5
-# uvicorn's own wait for open answers; our planned stop has done it before.
 
 
 @attrs.frozen
 class Running:
-    """A process that serves.
+    """The addresses and the main object of a running process.
 
-    :ivar address: where its peers reach it.
-    :ivar http_port: where callers reach it, 0 for a sidecar.
+    :ivar address: where other instances reach it.
+    :ivar http_port: where callers reach it; 0 for a sidecar.
     """
 
     address: instances.Address
@@ -51,10 +50,10 @@
 
 
 class Process:
-    """One daemon, from its configuration to its end.
+    """One entry or sidecar, built from its configuration.
 
-    Run it inside ``capnp.kj_loop()``. All that it opens is owned by one
-    exit stack and closed in reverse order when its task is cancelled.
+    Run it inside ``capnp.kj_loop()``. One exit stack owns all resources and
+    closes them in reverse order when the task is cancelled.
     """
 
     def __init__(self, config: configs.Config) -> None:
@@ -71,7 +70,7 @@
 
     @property
     def running(self) -> Running:
-        """What serves; only once :meth:`run` has reported it."""
+        """The running process; valid once :meth:`run` has reported it."""
         assert self._running is not None, "the process has not started"
         return self._running
 
@@ -108,9 +107,9 @@
             logs.change("stopped", instance=self._config.name)
 
     def reconfigure(self, config: configs.Config) -> None:
-        """Take what may change while running: time and request limits.
+        """Apply a new stop time and request limit.
 
-        The rest needs a restart, which a planned stop makes harmless.
+        All other options need a restart.
         """
         self._config = attrs.evolve(
             self._config, stop_seconds=config.stop_seconds
@@ -267,7 +266,7 @@
 async def _until_ready(
     sidecar: sidecars.Sidecar, transport: link.Transport
 ) -> None:
-    """Start a sidecar, waiting for an engine that is still loading."""
+    """Start a sidecar; retry while its engine is still loading."""
     while True:
         try:
             await sidecar.start(transport)
--- a/src/crowdeck/cmd/start.py
+++ b/src/crowdeck/cmd/start.py
@@ -3,15 +3,14 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Starts ``crowdeckd``: first the callers' socket, then everything else.
+"""Starts ``crowdeckd``: opens the socket for callers, then imports the rest.
 
-Importing the daemon takes half a second of a full core, 1.4 s of an
-instance with 0.4 of one. Until its socket listens, callers are refused, and
-after a fault of all instances they find no other. So the socket is opened
-before anything large is imported, and callers that come meanwhile wait in
-its queue and are served late instead of never.
+Importing the daemon may take more than a second, and callers are refused
+until the socket listens. Opened first, it keeps them waiting in its backlog
+instead.
 
-Nothing is imported here that takes long: neither the daemon nor attrs.
+This module must import nothing that is slow to load, such as the daemon or
+attrs.
 """
 
 from collections import abc
@@ -21,35 +20,34 @@
 import socket
 import sys
 
-# As many as uvicorn asks for; a queue that overflows drops callers, who try
-# again after a second.
+# Same as uvicorn's default. If it overflows, connection attempts are dropped
+# and TCP retries them after a second.
 BACKLOG = 2048
 _CONFIG_OPTION = "--config"
 _SECTION = "fleet"
-_CALLERS = "callers"
+_CALLERS_OPTION = "callers"
 
 Daemon = abc.Callable[[list[str], socket.socket | None], int]
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the daemon; returns its exit code."""
-    # By default the signal that tells of changed settings would end a
-    # process that has only begun to start.
+    """Run the daemon and return its exit code."""
+    # The default action would end the process until the daemon has installed
+    # its handler.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    given = sys.argv[1:] if arguments is None else arguments
-    listener = open_listener(given)
-    return _import_daemon()(given, listener)
+    command_line = sys.argv[1:] if arguments is None else arguments
+    listener = open_listener(command_line)
+    return _import_daemon()(command_line, listener)
 
 
 def _import_daemon() -> Daemon:
-    """Return the daemon's main function, imported as quickly as may be.
+    """Import the daemon and return its main function.
 
-    What is imported stays for good, so looking through it for garbage is
-    in vain, while importing and later: 0.46 s of processor time beside
-    0.50 with it, medians of four imports beside other work.
+    Imported modules are never freed, so garbage collection is off while they
+    load and skips their objects afterwards.
     """
     gc.disable()
-    # Imported only now: see above.
+    # Imported after the socket is open.
     from crowdeck.cmd import daemon
 
     gc.freeze()
@@ -58,25 +56,27 @@
 
 
 def open_listener(arguments: list[str]) -> socket.socket | None:
-    """Return the callers' socket, listening, where it can be opened.
+    """Return the listening socket for callers.
 
-    ``None`` where the configuration names none or something is wrong with
-    it: the daemon checks it whole and says what.
+    ``None`` if the configuration has no address for it or is invalid; the
+    daemon reports what is wrong.
     """
     if _CONFIG_OPTION not in arguments or "--check" in arguments:
         return None
     parser = configparser.ConfigParser(interpolation=None)
     try:
-        with open(_after(arguments, _CONFIG_OPTION), encoding="utf-8") as file:
+        with open(
+            _option_value(arguments, _CONFIG_OPTION), encoding="utf-8"
+        ) as file:
             parser.read_file(file)
-        address = parser.get(_SECTION, _CALLERS)
+        address = parser.get(_SECTION, _CALLERS_OPTION)
         host, _, port = address.rpartition(":")
         return _listen(host, int(port))
     except (OSError, ValueError, configparser.Error):
         return None
 
 
-def _after(arguments: list[str], option: str) -> str:
+def _option_value(arguments: list[str], option: str) -> str:
     position = arguments.index(option) + 1
     if position >= len(arguments):
         raise ValueError(f"{option} needs a value")
