--- a/src/crowdeck/cmd/__init__.py
+++ b/src/crowdeck/cmd/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The programs."""
+"""The command line, the daemon and the demo."""
--- a/src/crowdeck/cmd/checks.py
+++ b/src/crowdeck/cmd/checks.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Checks of a configuration and of all files that it names."""
+"""Checks a configuration and the files that it refers to."""
 
 import pathlib
 import ssl
@@ -13,9 +13,9 @@
 
 
 def check(path: pathlib.Path) -> configs.Config:
-    """Load a configuration and all files that it names.
+    """Load a configuration and its TLS files.
 
-    :raises ConfigError: in one line.
+    :raises ConfigError: with a message of one line.
     """
     config = configs.load(path)
     config.tls.load()
--- a/src/crowdeck/cmd/demo.py
+++ b/src/crowdeck/cmd/demo.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""``crowdeck demo``: the whole system on loopback, with its failures."""
+"""``crowdeck demo``: a small system on loopback that survives failures."""
 
 import sys
 
@@ -17,8 +17,8 @@
 from crowdeck.standin import model as models
 
 ANSWER_TOKENS = 40
-KILL_AT = 12
-DRAIN_AT = 10
+KILL_AFTER_TOKENS = 12
+DRAIN_AFTER_TOKENS = 10
 SHOWN_COUNTERS = (
     "entry.requests",
     "drive.attempts",
@@ -34,15 +34,18 @@
 
 
 class DemoFailed(Exception):
-    """Something that the demo shows did not hold."""
+    """A step of the demo did not give the expected result."""
 
 
 async def run(stay: bool) -> str:
-    """Run the demo and return what failed, or nothing."""
+    """Run the demo and return what failed, or an empty string.
+
+    :param stay: keep the system running afterwards.
+    """
     async with clusters.Cluster() as cluster:
-        _say(
+        _print(
             f"{len(cluster.entries)} entries and {len(cluster.sidecars)} "
-            "sidecars run, over TCP on loopback."
+            "sidecars are running, over TCP on loopback."
         )
         try:
             await Demo(cluster).show_all()
@@ -55,13 +58,16 @@
 
 
 class Demo:
-    """The steps of the demo, on one running cluster."""
+    """The steps of the demo, run on one cluster."""
 
     def __init__(self, cluster: clusters.Cluster) -> None:
         self._cluster = cluster
 
     async def show_all(self) -> None:
-        """Show every step; raises :class:`DemoFailed` at the first fault."""
+        """Run every step.
+
+        :raises DemoFailed: at the first step that fails.
+        """
         await self.show_answer()
         await self.show_receipt()
         await self.show_stage_death()
@@ -69,43 +75,47 @@
 
     async def show_answer(self) -> None:
         """Stream an answer to the terminal."""
-        _say("\n1. An answer, streamed through three stages:")
+        _print("\n1. An answer, streamed through three stages:")
         await self._stream("why did the recharge fail", None, 0)
 
     async def show_receipt(self) -> None:
         """Fetch a receipt twice with one key, at two entries."""
-        _say("\n2. A receipt, fetched twice with one key at two entries:")
+        _print("\n2. A receipt, fetched twice with one key at two entries:")
         first = await self._fetch_receipt(0)
         second = await self._fetch_receipt(1)
         runs = self._cluster.service.runs["receipt 81"]
-        _say(f"   {first!r} and {second!r}; the service ran {runs} time")
+        _print(f"   {first!r} and {second!r}; the service ran {runs} time")
         if first != second or runs != 1:
             raise DemoFailed("the receipt was not fetched exactly once")
 
     async def show_stage_death(self) -> None:
         """Kill a stage in the middle of an answer."""
-        _say(f"\n3. A stage is killed after token {KILL_AT}:")
-        await self._stream("draft a short reply", self._kill_stage, KILL_AT)
+        _print(f"\n3. A stage is killed after token {KILL_AFTER_TOKENS}:")
+        await self._stream(
+            "draft a short reply", self._kill_stage, KILL_AFTER_TOKENS
+        )
 
     async def show_drain(self) -> None:
         """Drain a stage in the middle of an answer."""
-        _say(f"\n4. A stage begins a planned stop after token {DRAIN_AT}:")
-        await self._stream("summarise the dispute", self._drain, DRAIN_AT)
+        _print(f"\n4. A stage is drained after token {DRAIN_AFTER_TOKENS}:")
+        await self._stream(
+            "summarise the dispute", self._drain, DRAIN_AFTER_TOKENS
+        )
 
     def _kill_stage(self) -> None:
-        name = self._busy(1)
-        sys.stdout.write(f"[{name} dies] ")
+        name = self._find_running_sidecar(1)
+        sys.stdout.write(f"[{name} is killed] ")
         self._cluster.kill(name)
         self._cluster.unlist(name)
 
     def _drain(self) -> None:
-        name = self._busy(2)
-        sys.stdout.write(f"[{name} leaves] ")
+        name = self._find_running_sidecar(2)
+        sys.stdout.write(f"[{name} drains] ")
         part = self._cluster.sidecars[name].running.part
         part.begin_drain(5.0)
 
-    def _busy(self, stage: int) -> str:
-        """Return the sidecar of a stage that runs the answer."""
+    def _find_running_sidecar(self, stage: int) -> str:
+        """Return the name of the sidecar that runs a stage of the answer."""
         for name in self._cluster.stage_names(stage):
             member = self._cluster.sidecars[name]
             part = member.running.part
@@ -114,20 +124,22 @@
                 return name
         raise DemoFailed(f"no stage {stage} runs the answer")
 
-    async def _stream(self, prompt: str, event: object, event_at: int) -> None:
+    async def _stream(
+        self, prompt: str, event: object, after_tokens: int
+    ) -> None:
         texts: list[str] = []
         sys.stdout.write("   ")
         async for text in stream(self._cluster.urls[0], prompt):
             texts.append(text)
             sys.stdout.write(text)
             sys.stdout.flush()
-            if callable(event) and len(texts) == event_at:
+            if callable(event) and len(texts) == after_tokens:
                 event()
         sys.stdout.write("\n")
-        expected = expect(self._cluster.model, prompt)
+        expected = expected_texts(self._cluster.model, prompt)
         if texts != expected:
-            raise DemoFailed("the answer is not what the model says")
-        _say(f"   {len(texts)} tokens, each the one the whole model gives.")
+            raise DemoFailed("the answer differs from the model's own")
+        _print(f"   {len(texts)} tokens, all equal to the model's own.")
 
     async def _fetch_receipt(self, entry: int) -> str:
         url = self._cluster.urls[entry] + "/services/records/receipts/81"
@@ -145,14 +157,14 @@
         return response.content.decode().strip()
 
 
-def expect(model: models.StandinModel, prompt: str) -> list[str]:
-    """Return the right answer's texts for a user's message."""
+def expected_texts(model: models.StandinModel, prompt: str) -> list[str]:
+    """Return the texts of the correct answer to a user's message."""
     choices = model.answer(f"user: {prompt}", ANSWER_TOKENS)
     return [choice.text for choice in choices]
 
 
 async def stream(url: str, prompt: str):  # type: ignore[no-untyped-def]
-    """Yield an answer's texts as they come."""
+    """Yield the texts of an answer as they arrive."""
     body = {
         "model": clusters.MODEL,
         "stream": True,
@@ -191,23 +203,23 @@
 
 
 def _show_counters() -> None:
-    _say("\nCounters of all processes together:")
+    _print("\nCounters of all processes:")
     for name in SHOWN_COUNTERS:
-        _say(f"   {name:<26}{counters.COUNTERS.get(name):>8}")
+        _print(f"   {name:<26}{counters.COUNTERS.get(name):>8}")
 
 
 async def _stay(cluster: clusters.Cluster) -> None:
-    _say("\nThe system stays up; end it with Ctrl-C. Talk to it with:\n")
-    _say(
+    _print("\nThe system keeps running; stop it with Ctrl-C. Try:\n")
+    _print(
         f"curl -N {cluster.urls[0]}/v1/chat/completions \\\n"
         f"  -H 'Authorization: Bearer {clusters.KIOSKS_KEY}' \\\n"
         f'  -d \'{{"model": "{clusters.MODEL}", "stream": true, '
         '"max_tokens": 20, "messages": [{"role": "user", '
         '"content": "hello"}]}\'\n'
     )
-    _say(f"crowdeck --platform {cluster.store_url} status")
+    _print(f"crowdeck --platform {cluster.store_url} status")
     await anyio.sleep_forever()
 
 
-def _say(line: str) -> None:
+def _print(line: str) -> None:
     print(line, flush=True)
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Builds and runs an entry in front of engines that chain themselves."""
+"""Builds and runs an entry whose engines chain their own stages."""
 
 import contextlib
 import os
@@ -36,32 +36,29 @@
 from crowdeck.settings import config as configs
 from crowdeck.state import leases
 
-PLACEMENT = "placement"
-# One connection for each request under way, and those of reports and
-# orders; the descriptors of an entry allow four times as many.
+PLACEMENT_LEASE = "placement"
+# Each request in progress takes one connection, as do reports and orders.
+# Keep it well below the process's limit of open files.
 UPSTREAM_CONNECTIONS = 1_000
-# A key works on for so much of the time allowed after the last proof.
-# The rest is for a watch that is silent for up to a second before its
-# history is lost. What counts is when a request was sent, and it is
-# admitted later than that, so requests under way need nothing more.
-TRUST_SHARE = 0.78
-# Balancers ask once a second and take an instance out after two answers
-# that do not welcome them; until then new connections still come.
+# API keys are accepted for this fraction of the revocation time after the
+# config was last proved current. The remainder covers a watch that stays
+# silent for up to a second before its history is lost.
+CONFIG_TRUST_FRACTION = 0.78
+# Load balancers probe once a second and remove an instance after two failed
+# probes; new connections arrive until then.
 UNREADY_SECONDS = 2.3
-# What is left of the grace after the last answers were ended: closing all
-# connections takes an entry up to half a second of its share of a core.
-STOP_MARGIN = 1.0
-IDLE_SECONDS = 15
-# How long an entry that starts may take to learn config and engines, and
-# what they hold, before it takes callers all the same and refuses them.
-# Each takes some tens of milliseconds while the store is well.
-ABLE_SECONDS = 0.5
+# Part of the grace period that is reserved for closing connections.
+STOP_MARGIN_SECONDS = 1.0
+KEEP_ALIVE_SECONDS = 15
+# Longest wait at start for the config and the engines' reports. After it the
+# entry accepts connections and refuses what it cannot serve yet.
+MAX_LEARNING_SECONDS = 0.5
 
 
 class FleetProcess:
-    """One entry, from its configuration to its end.
+    """One entry, built from its configuration.
 
-    :param listener: the callers' socket, where it is open already.
+    :param listener: the socket for callers, if it is already open.
     """
 
     def __init__(
@@ -84,7 +81,7 @@
         return self._server is not None
 
     async def run(self) -> None:
-        """Serve until :meth:`stop` has ended it, or until cancelled."""
+        """Serve until :meth:`stop` completes, or until cancelled."""
         async with contextlib.AsyncExitStack() as stack:
             tasks = await stack.enter_async_context(anyio.create_task_group())
             stack.callback(tasks.cancel_scope.cancel)
@@ -104,16 +101,21 @@
             logs.change("stopped", instance=self._config.name)
 
     def reconfigure(self, config: configs.Config) -> None:
-        """Take a configuration read again: the grace of a planned stop."""
+        """Apply a reloaded configuration; only the grace period changes."""
         self._config = config
         logs.change("reconfigured", instance=config.name)
 
     async def stop(self, force: bool = False) -> None:
-        """Stop as planned: no new callers, then the end of what runs."""
+        """Refuse new requests, then end once the running ones have finished.
+
+        :param force: end at once.
+        """
         if self._relay is None or self._server is None:
             self._stopped.set()
             return
-        grace = float(self._config.fleet["grace_seconds"]) - STOP_MARGIN
+        grace = (
+            float(self._config.fleet["grace_seconds"]) - STOP_MARGIN_SECONDS
+        )
         if force:
             self._stopped.set()
             return
@@ -150,12 +152,12 @@
             view.holder,
             monitor,
             view.config_age,
-            TRUST_SHARE * revocation,
+            CONFIG_TRUST_FRACTION * revocation,
         )
         holder_name = f"{self._config.name}/{secrets.token_hex(8)}"
         lease = leases.Lease(
             store,
-            PLACEMENT,
+            PLACEMENT_LEASE,
             holder_name,
             lambda: view.peer_selector.reads_store,
             is_new_fleet=bool(fleet["first_start"]),
@@ -166,7 +168,9 @@
             tasks.start_soon(part)
         tasks.start_soon(context.backpressure.run)
         tasks.start_soon(context.gaps.run, lambda: view.holder.services)
-        tasks.start_soon(_place, lease, view.registry, upstreams, view.holder)
+        tasks.start_soon(
+            _run_placement, lease, view.registry, upstreams, view.holder
+        )
         tasks.start_soon(self._survey, context, view)
         status = statuses.EntryStatus(
             self._config.name, context, view.holder, self._relay
@@ -194,8 +198,8 @@
     ) -> None:
         await view.holder.wait_known()
         await surveys.Survey(context).run(view.holder.services)
-        # An entry that knew nothing of requests that end engines would pass
-        # each of them on once more.
+        # Without the roster the entry would forward requests that are known
+        # to crash engines.
         await view.roster.wait_listed()
         self._surveyed.set()
 
@@ -239,16 +243,15 @@
         )
         status_server = http_server.build(app, status.host, status.port)
         await tasks.start(_run_server, status_server)
-        # Callers that wait for their connection to be taken up find an
-        # entry that can serve them, and no refusal.
-        with anyio.move_on_after(ABLE_SECONDS):
+        # Until then connections wait in the backlog instead of being refused.
+        with anyio.move_on_after(MAX_LEARNING_SECONDS):
             await self._surveyed.wait()
         address = instances.Address.parse(str(fleet["callers"]))
         self._server = http_server.build(
             ingress.Ingress(relay, callers),
             address.host,
             address.port,
-            timeout_keep_alive=IDLE_SECONDS,
+            timeout_keep_alive=KEEP_ALIVE_SECONDS,
             date_header=False,
         )
         await tasks.start(_run_server, self._server, self._listener)
@@ -261,16 +264,16 @@
         return client
 
 
-async def _place(
+async def _run_placement(
     lease: leases.Lease,
     registry: registries.UpstreamRegistry,
     upstreams: engines.UpstreamClient,
     holder: relays.ConfigHolder,
 ) -> None:
-    """Order layers whenever the lease is held."""
+    """Run the placement controller from when the lease is first held."""
     await lease.wait_held()
-    # One entry of a fleet needs this, and every entry serves nobody while
-    # it starts: with the placement's modules that took a tenth longer.
+    # Only one entry of a fleet runs the placement; the others start faster
+    # without its modules.
     from crowdeck.placement import controller
     from crowdeck.platform import orders
 
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What an entry keeps of the platform's store, read itself or by a peer."""
+"""An entry's copies of the platform's store, read directly or from a peer."""
 
 import typing
 
@@ -21,25 +21,25 @@
 from crowdeck.state import objects as stores
 from crowdeck.state import store_health
 
-# The config's watch is renewed after this share of the time in which a
-# removed key has to stop working; each renewal proves it current. One
-# entry of each zone pays for it. With 0.4 an entry that lost the store
-# refused after 1.4 to 3.5 s, by chance; with 0.22 after 2.7 s at the least.
-# With 0.16 a peer that falls silent is left after 1.3 s, before the age of
-# the last proof sends callers away.
-CONFIG_WAIT_SHARE = 0.16
-UPSTREAM_WAIT = 10.0
-CONFIG_LINGER = 0.1
-# Shorter than the store's history, or each watch would end with a listing.
-ROSTER_WAIT = 10.0
+# The config's watch is renewed after this fraction of the revocation time;
+# each renewal proves the copy current. It is short enough that a silent peer
+# is replaced before the copy's age makes the entry refuse callers.
+CONFIG_WAIT_FRACTION = 0.16
+UPSTREAM_WAIT_SECONDS = 10.0
+CONFIG_LINGER_SECONDS = 0.1
+# Shorter than the store's history; otherwise each watch would need a new
+# listing.
+ROSTER_WAIT_SECONDS = 10.0
 
-Part = typing.Callable[[], typing.Coroutine[typing.Any, typing.Any, None]]
+BackgroundTask = typing.Callable[
+    [], typing.Coroutine[typing.Any, typing.Any, None]
+]
 
 
 class StoreView:
-    """Copies of the config, the upstreams' entries and the entries' notes.
+    """Copies of the config, the upstreams and the roster of entries.
 
-    :param peers: reaches the copies of this zone's other entries.
+    :param peers: client for the copies of other entries.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         )
         self.quarantine = trackers.QuarantineTracker()
         self.roster = rosters.Roster(
-            store, config.name, _note(config), self.quarantine
+            store, config.name, _entry_record(config), self.quarantine
         )
         self._health = store_health.StoreHealth()
         self.peer_selector = peer_selection.PeerSelector(
@@ -70,13 +70,13 @@
         self._config_mirror = self._mirror(
             names.CONFIG_KIND,
             self.holder,
-            CONFIG_WAIT_SHARE * revocation,
-            lambda: CONFIG_LINGER,
+            CONFIG_WAIT_FRACTION * revocation,
+            lambda: CONFIG_LINGER_SECONDS,
         )
         roster_mirror = self._mirror(
             rosters.KIND,
             self.roster,
-            ROSTER_WAIT,
+            ROSTER_WAIT_SECONDS,
             lambda: rosters.NOTES_LINGER,
         )
         self.roster.set_age_source(roster_mirror.age)
@@ -85,19 +85,19 @@
             self._mirror(
                 names.UPSTREAM_KIND,
                 self.registry,
-                UPSTREAM_WAIT,
+                UPSTREAM_WAIT_SECONDS,
                 self.roster.linger,
             ),
             roster_mirror,
         )
 
     @property
-    def parts(self) -> tuple[Part, ...]:
-        """What has to run to keep it up."""
+    def parts(self) -> tuple[BackgroundTask, ...]:
+        """Coroutine functions that keep the copies up to date."""
         return (*(one.run for one in self.mirrors), self.roster.run)
 
     def config_age(self) -> float:
-        """Return for how many seconds the config is not proved current."""
+        """Return the seconds since the config was last proved current."""
         return self._config_mirror.age()
 
     def _mirror(
@@ -118,7 +118,7 @@
         )
 
 
-def _note(config: configs.Config) -> rosters.EntryRecord:
+def _entry_record(config: configs.Config) -> rosters.EntryRecord:
     peers = str(config.fleet["peers"])
     return rosters.EntryRecord(
         config.availability_zone,
