--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A whole entry over real sockets, in front of stand-in upstreams."""
+"""An entry over real sockets with stand-in upstreams."""
 
 import gc
 import os
@@ -54,24 +54,24 @@
 
 
 def free_port() -> int:
-    """Return a port that no outgoing connection is given meanwhile."""
+    """Return a free port outside the range of outgoing connections."""
     return ports.find_free(1, os.getpid())[0]
 
 
 def fill(template: str, values: dict[str, str]) -> str:
-    """Fill a template as the platform does, for plain values."""
+    """Substitute plain values in a template as the platform does."""
     for name, value in values.items():
         template = template.replace("{{" + name + "}}", value)
     return template
 
 
-def a_config(model: str, plain: str) -> dict[str, typing.Any]:
+def make_config(model: str, plain_service: str) -> dict[str, typing.Any]:
     body = orjson.loads(orjson.dumps(test_platform_formats.CONFIG))
-    stream, once = body["routes"]
-    stream["traffic_split"] = [{"service": model, "weight": 1}]
-    once["service"] = plain
+    stream_route, plain_route = body["routes"]
+    stream_route["traffic_split"] = [{"service": model, "weight": 1}]
+    plain_route["service"] = plain_service
     body["services"][0]["name"] = model
-    body["services"][1]["name"] = plain
+    body["services"][1]["name"] = plain_service
     card = body["services"][0]["engine"]["kinds"][0]
     card["size_mb"] = 60_000.0
     return typing.cast(dict[str, typing.Any], body)
@@ -79,7 +79,7 @@
 
 @attrs.define
 class Running:
-    """A running entry and what stands around it."""
+    """A running entry with its store and upstreams."""
 
     process: fleet_process.FleetProcess
     fleet: chain_fleet.ChainFleet
@@ -104,7 +104,7 @@
 
 
 async def run_entry(
-    work: typing.Callable[[Running], typing.Awaitable[None]],
+    scenario: typing.Callable[[Running], typing.Awaitable[None]],
 ) -> None:
     store = standin_store.StandinStore()
     fleet = chain_fleet.ChainFleet()
@@ -127,7 +127,7 @@
             fleet_system.upstream("p0", service=fleet_system.PLAIN, card=""),
             tasks,
         )
-        body = a_config(fleet_system.MODEL, fleet_system.PLAIN)
+        body = make_config(fleet_system.MODEL, fleet_system.PLAIN)
         store.write(names.CONFIG_KIND, names.CONFIG_NAME, orjson.dumps(body))
         tasks.start_soon(chain_http.heartbeat, fleet, store)
         callers, status = free_port(), free_port()
@@ -147,12 +147,12 @@
             process, fleet, store, f"{HOST}:{callers}", f"{HOST}:{status}"
         )
         await until_serving(running)
-        await work(running)
+        await scenario(running)
         tasks.cancel_scope.cancel()
 
 
 async def until_serving(running: Running) -> None:
-    """Wait until the model's layers are ordered and told."""
+    """Wait until the layers are placed and a stream is served."""
     with anyio.fail_after(20.0):
         while True:
             await anyio.sleep(0.1)
@@ -170,34 +170,34 @@
 
 
 class TestEntry:
-    """The entry as its callers and operators see it."""
+    """Requests, readiness, metrics and planned stop."""
 
     def test_serves_streams_and_calls(self) -> None:
-        async def work(running: Running) -> None:
+        async def scenario(running: Running) -> None:
             stream = await running.send("/a/x", "s1")
             assert stream.status == 200
             events = running.fleet.events
-            whole = fleet_system.whole_answer("s1", events)
-            assert stream.content == whole
+            expected = fleet_system.whole_answer("s1", events)
+            assert stream.content == expected
             call = await running.send("/a/b/x", "c1")
             assert call.status == 200
             assert call.content == b"c1"
             assert running.fleet.runs_of("s1")[0].team == "hule"
 
-        anyio.run(run_entry, work)
+        anyio.run(run_entry, scenario)
 
     def test_refuses_unknown_keys_and_routes(self) -> None:
-        async def work(running: Running) -> None:
-            wrong = await running.send("/a/x", "w1", key=b"Token nobody")
-            assert wrong.status == 401
-            lost = await running.send("/nowhere/", "w2")
-            assert lost.status == 404
+        async def scenario(running: Running) -> None:
+            unknown_key = await running.send("/a/x", "w1", key=b"Token nobody")
+            assert unknown_key.status == 401
+            unknown_route = await running.send("/nowhere/", "w2")
+            assert unknown_route.status == 404
             assert running.fleet.runs_of("w1") == []
 
-        anyio.run(run_entry, work)
+        anyio.run(run_entry, scenario)
 
-    def test_tells_readiness_and_metrics(self) -> None:
-        async def work(running: Running) -> None:
+    def test_serves_readiness_and_metrics(self) -> None:
+        async def scenario(running: Running) -> None:
             ready = await status_of(running, names.READINESS_PATH)
             assert ready.status == 200
             metrics = await status_of(running, "/metrics")
@@ -205,11 +205,11 @@
             assert b"relay_answered_seconds_bucket" in metrics.content
             assert (await status_of(running, "/other")).status == 404
 
-        anyio.run(run_entry, work)
+        anyio.run(run_entry, scenario)
 
-    def test_taken_away_key_stops_working(self) -> None:
-        async def work(running: Running) -> None:
-            body = a_config(fleet_system.MODEL, fleet_system.PLAIN)
+    def test_removed_key_stops_working(self) -> None:
+        async def scenario(running: Running) -> None:
+            body = make_config(fleet_system.MODEL, fleet_system.PLAIN)
             body["version"] = 8
             body["tenants"][0]["api_keys"] = ["k2"]
             running.store.write(
@@ -220,10 +220,10 @@
             again = await running.send("/a/x", "r2", key=b"Token k2")
             assert again.status == 200
 
-        anyio.run(run_entry, work)
+        anyio.run(run_entry, scenario)
 
-    def test_planned_stop_cuts_nothing(self) -> None:
-        async def work(running: Running) -> None:
+    def test_planned_stop_finishes_running_requests(self) -> None:
+        async def scenario(running: Running) -> None:
             running.fleet.event_seconds = 0.1
             answers: list[httpcore.Response] = []
 
@@ -237,13 +237,13 @@
                 await anyio.sleep(0.1)
                 ready = await status_of(running, names.READINESS_PATH)
                 assert ready.status == 503
-            whole = fleet_system.whole_answer("long", running.fleet.events)
-            assert answers[0].content == whole
+            expected = fleet_system.whole_answer("long", running.fleet.events)
+            assert answers[0].content == expected
 
-        anyio.run(run_entry, work)
+        anyio.run(run_entry, scenario)
 
-    def test_caller_that_leaves_ends_the_work(self) -> None:
-        async def work(running: Running) -> None:
+    def test_caller_disconnect_cancels_the_request(self) -> None:
+        async def scenario(running: Running) -> None:
             running.fleet.event_seconds = 0.1
             with anyio.move_on_after(0.5):
                 await running.send("/a/x", "left")
@@ -251,11 +251,11 @@
             metrics = await status_of(running, "/metrics")
             assert b"crowdeck_relay_caller_left_total 1" in metrics.content
 
-        anyio.run(run_entry, work)
+        anyio.run(run_entry, scenario)
 
 
 class TestBackpressure:
-    """What an instance asks for over real sockets."""
+    """Limits, backoff and leaving announced by an instance."""
 
     def plain(self, running: Running) -> chain_fleet.StandinUpstream:
         (found,) = (
@@ -265,11 +265,10 @@
         )
         return found
 
-    def test_a_limit_is_kept_and_callers_told_when_to_come_back(
-        self,
-    ) -> None:
-        async def work(running: Running) -> None:
-            # Once in four seconds, that is, to learn of its end.
+    def test_limit_is_respected_and_callers_get_retry_after(self) -> None:
+        async def scenario(running: Running) -> None:
+            # A limit of zero still allows one request in four seconds, to
+            # learn when the limit ends.
             self.plain(running).limit = 0.0
             answers = [
                 await running.send("/a/b/x", f"l{number}")
@@ -280,13 +279,13 @@
             assert len(refused) >= 3
             for one in refused:
                 assert float(dict(one.headers)[names.RETRY_AFTER]) > 0.0
-            told = {name.lower() for name, _ in answers[0].headers}
-            assert names.LIMIT not in told
+            header_names = {name.lower() for name, _ in answers[0].headers}
+            assert names.LIMIT not in header_names
 
-        anyio.run(run_entry, work)
+        anyio.run(run_entry, scenario)
 
-    def test_an_instance_that_wants_rest_gets_nothing(self) -> None:
-        async def work(running: Running) -> None:
+    def test_instance_that_asks_for_backoff_gets_no_requests(self) -> None:
+        async def scenario(running: Running) -> None:
             target = self.plain(running)
             target.rejected_requests = 100
             target.backoff = 60.0
@@ -295,10 +294,10 @@
                 assert answer.status == 503
             assert target.rejected_requests == 99
 
-        anyio.run(run_entry, work)
+        anyio.run(run_entry, scenario)
 
-    def test_one_that_says_it_leaves_gets_no_more_streams(self) -> None:
-        async def work(running: Running) -> None:
+    def test_leaving_instance_gets_no_more_streams(self) -> None:
+        async def scenario(running: Running) -> None:
             for target in running.fleet.upstreams:
                 target.announces_leaving = True
             await running.send("/a/x", "first")
@@ -307,13 +306,13 @@
             assert answer.status == 503
             assert running.fleet.runs_of("second") == []
 
-        anyio.run(run_entry, work)
+        anyio.run(run_entry, scenario)
 
 
 class TestSignals:
-    """Signals to the program, run as the platform runs it."""
+    """Signals to the daemon, started as the platform starts it."""
 
-    def test_hangup_while_starting_does_not_end_it(
+    def test_hangup_during_start_does_not_end_the_process(
         self, tmp_path: pathlib.Path
     ) -> None:
         async def body() -> None:
@@ -335,25 +334,25 @@
                 stderr=None,
             ) as process:
                 assert process.stdout is not None
-                # Python itself needs some time before its first line runs.
+                # The interpreter needs some time before it runs any code.
                 await anyio.sleep(0.15)
                 for _ in range(10):
                     process.send_signal(signal.SIGHUP)
                     await anyio.sleep(0.05)
                 with anyio.fail_after(20.0):
-                    told = b""
-                    while b"crowdeck:started" not in told:
-                        told += await process.stdout.receive()
+                    output = b""
+                    while b"crowdeck:started" not in output:
+                        output += await process.stdout.receive()
                 assert process.returncode is None
                 process.kill()
 
         anyio.run(body)
 
 
-def loaded_by(statement: str) -> set[str]:
-    """Return the modules that a fresh interpreter loads for a statement."""
+def modules_loaded_by(statement: str) -> set[str]:
+    """Return the modules that a statement loads in a new interpreter."""
     source = TEMPLATE.parent.parent / "src"
-    told = subprocess.run(
+    output = subprocess.run(
         [
             sys.executable,
             "-c",
@@ -364,46 +363,55 @@
         check=True,
         text=True,
     )
-    return set(told.stdout.split())
+    return set(output.stdout.split())
 
 
 class TestStart:
-    """What happens between the start and the first request served."""
+    """The phase between the start and the first request."""
 
-    def test_callers_wait_from_before_anything_large_is_loaded(self) -> None:
-        # Importing the daemon takes 1.4 s of an entry with 0.4 of a core.
-        # Callers were refused meanwhile, after a fault of all by every
-        # entry that they tried.
-        loaded = loaded_by("from crowdeck.cmd import start")
+    def test_listener_module_loads_no_large_modules(self) -> None:
+        # Callers are refused until the socket listens, so nothing slow may be
+        # imported before.
+        loaded = modules_loaded_by("from crowdeck.cmd import start")
         large = {"anyio", "asyncio", "attr", "eliot", "httpcore", "uvicorn"}
         assert not loaded & large
         assert "crowdeck.cmd.daemon" not in loaded
 
-    def test_an_entry_loads_only_what_it_needs(self) -> None:
-        # 434 modules were loaded, and each start pays for all of them.
-        loaded = loaded_by("from crowdeck.cmd import daemon")
-        own = {one for one in loaded if one.startswith("crowdeck")}
-        needless = ("placement", "sidecar", "standin", "entry", "wire.m")
-        for one in needless:
-            assert not {it for it in own if it.startswith(f"crowdeck.{one}")}
-        # What an entry needs to know a request again came on top of 74, and
-        # what reads others' fields and entries strictly, and the clocks.
-        again = {one for one in own if one.startswith("crowdeck.quarantine")}
-        assert len(again) <= 5
-        # What instances say of how much they can bear: these alone.
-        again |= {
+    def test_entry_loads_only_needed_modules(self) -> None:
+        # Each loaded module delays every start.
+        loaded = modules_loaded_by("from crowdeck.cmd import daemon")
+        own_modules = {
+            module for module in loaded if module.startswith("crowdeck")
+        }
+        unneeded = ("placement", "sidecar", "standin", "entry", "wire.m")
+        for prefix in unneeded:
+            assert not {
+                name
+                for name in own_modules
+                if name.startswith(f"crowdeck.{prefix}")
+            }
+        extra_modules = {
+            module
+            for module in own_modules
+            if module.startswith("crowdeck.quarantine")
+        }
+        assert len(extra_modules) <= 5
+        # Modules for the backpressure of instances.
+        extra_modules |= {
             "crowdeck.backpressure",
             "crowdeck.membership.leaving_instances",
             "crowdeck.membership.backoffs",
             "crowdeck.routing.rate_limits",
         }
-        # What tells callers and operators of layers that no engine holds, and
-        # of what instances ask for.
-        again |= {"crowdeck.relay.gaps", "crowdeck.relay.backpressure_monitor"}
-        assert len(own - again) <= 77
-        assert len(loaded - again) <= 440
+        # Modules that report layers without an engine, and backpressure.
+        extra_modules |= {
+            "crowdeck.relay.gaps",
+            "crowdeck.relay.backpressure_monitor",
+        }
+        assert len(own_modules - extra_modules) <= 77
+        assert len(loaded - extra_modules) <= 440
 
-    def test_garbage_is_looked_for_again_once_all_is_loaded(self) -> None:
+    def test_garbage_collection_is_enabled_after_the_import(self) -> None:
         try:
             assert callable(start._import_daemon())
             assert gc.isenabled()
@@ -411,7 +419,7 @@
         finally:
             gc.unfreeze()
 
-    def test_the_socket_of_a_wrong_configuration_is_not_opened(
+    def test_invalid_configuration_opens_no_socket(
         self, tmp_path: pathlib.Path
     ) -> None:
         path = tmp_path / "entry.ini"
@@ -421,7 +429,7 @@
         assert start.open_listener(["--config"]) is None
         assert start.open_listener([]) is None
 
-    def test_who_came_while_it_started_is_answered(
+    def test_connection_made_during_start_is_answered(
         self, tmp_path: pathlib.Path
     ) -> None:
         async def body() -> None:
@@ -442,7 +450,7 @@
             listener = start.open_listener(["--config", str(path)])
             assert listener is not None
             process = fleet_process.FleetProcess(configs.load(path), listener)
-            # Nothing but the socket is there yet.
+            # Only the socket is open; no server runs yet.
             stream = await anyio.connect_tcp(HOST, port)
             await stream.send(
                 b"POST /a/x HTTP/1.1\r\nHost: desk\r\nX-Request-Id: r1\r\n"
@@ -460,9 +468,9 @@
 
 
 class TestConfig:
-    """The settings that the platform lays for an entry."""
+    """The configuration that the platform writes for an entry."""
 
-    def test_template_is_a_whole_config(self) -> None:
+    def test_template_is_a_complete_config(self) -> None:
         text = fill(
             TEMPLATE.read_text(),
             {
@@ -485,7 +493,9 @@
             ("grace_seconds = soon", "grace_seconds"),
         ],
     )
-    def test_wrong_settings_are_named(self, line: str, named: str) -> None:
+    def test_errors_name_the_invalid_option(
+        self, line: str, named: str
+    ) -> None:
         name = line.split(" ")[0]
         lines = []
         for one in TEMPLATE.read_text().splitlines():
@@ -504,8 +514,8 @@
         assert named in caught.value.message
 
 
-def test_upstreams_of_the_stand_in_are_the_products() -> None:
-    """The stand-in lists what the adapter decodes."""
+def test_stand_in_entry_is_decoded_to_the_same_upstream() -> None:
+    """The platform adapter decodes the entries that the stand-in writes."""
     listed = fleet_system.upstream("e1", "plateau", (0, 9), "t4")
     store = standin_store.StandinStore()
     chain_http.write_entry(listed, store)
