--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -380,7 +380,7 @@
             (reply(500), False),
         ],
     )
-    def test_only_some_answers_state_that_a_request_did_not_run(
+    def test_answers_that_state_that_a_request_did_not_run(
         self, answer: bytes, has_not_run: bool
     ) -> None:
         async def body() -> None:
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -812,7 +812,7 @@
                 running.store.remove(
                     names.UPSTREAM_KIND, lost.listed.incarnation.id
                 )
-            # An engine that announces it in answers has to answer requests.
+            # Answers to these requests announce that the engine leaves.
             await self._served(running, "first")
             await anyio.sleep(RECOVERY_SECONDS)
             assert await self._served(running, "second") >= 0.9
