--- a/spec/attempts.py
+++ b/spec/attempts.py
@@ -170,7 +170,7 @@
             return state
         return state._replace(delivered=(*state.delivered, (epoch, position)))
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {
             "each layer runs exactly once for every delivered token": (
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -133,7 +133,7 @@
             return sealed._replace(**{f"{holder}_sealed": True})
         return sealed
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {
             "one key's request runs at most once": lambda state: (
--- a/spec/copies.py
+++ b/spec/copies.py
@@ -84,7 +84,7 @@
         found.append(("the follower asks", state._replace(follower=follower)))
         return found
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {
             "a copy that is taken for current is": (
--- a/spec/generations.py
+++ b/spec/generations.py
@@ -80,7 +80,7 @@
             found.append((f"{me} is replaced", after))
         return found
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {
             "an accepted configuration never reverts": lambda state: (
--- a/spec/leases.py
+++ b/spec/leases.py
@@ -84,7 +84,7 @@
             reverted=state.reverted or token < state.applied,
         )
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {
             "an order of a lapsed lease never undoes a later one": (
--- a/spec/model.py
+++ b/spec/model.py
@@ -46,7 +46,7 @@
         """Return what may happen next."""
         ...
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties, in the words of the promises."""
         ...
 
@@ -90,7 +90,7 @@
         ),
         invariants={
             name: promise_of(promise)
-            for name, promise in specification.promises().items()
+            for name, promise in specification.invariants().items()
         },
     )
     found = minicheck.check_safety(machine, max_states=STATE_LIMIT)
--- a/spec/orders.py
+++ b/spec/orders.py
@@ -124,7 +124,7 @@
             found.append((f"{engine} is trusted again", sure))
         return found
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {
             "no order of ours takes the last copy of a layer": (
--- a/spec/rearrangements.py
+++ b/spec/rearrangements.py
@@ -149,7 +149,7 @@
             return [(f"{engine} comes back empty", back)]
         return []
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {
             "no order takes the last copy of a layer": (
--- a/spec/restored_leases.py
+++ b/spec/restored_leases.py
@@ -99,7 +99,7 @@
                 found.append((f"{number} writes", after))
         return found
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {
             "two never hold it at once": (
--- a/spec/seals.py
+++ b/spec/seals.py
@@ -81,7 +81,7 @@
             return state._replace(entry="may have run")
         return state._replace(entry="not run", sealed=True)
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {
             "a request refused as not run did not run": lambda state: (
--- a/spec/spoilt_leases.py
+++ b/spec/spoilt_leases.py
@@ -112,7 +112,7 @@
                 found.append((f"{number} starts anew", after))
         return found
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {"two never hold it at once": _is_held_once}
 
@@ -165,7 +165,7 @@
             found.append(("time passes", _begin_step(state)))
         return found
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {
             "somebody holds it in the end": (
--- a/spec/turns.py
+++ b/spec/turns.py
@@ -106,7 +106,7 @@
             return after._replace(new_holder=me)
         return after
 
-    def promises(self) -> dict[str, abc.Callable[[State], bool]]:
+    def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the properties."""
         return {
             "a session's turns run one at a time": lambda state: (
