--- a/spec/check.py
+++ b/spec/check.py
@@ -50,8 +50,8 @@
     def is_as_expected(self) -> bool:
         """Whether promises hold whole, and break without a protection."""
         if self.removed:
-            return bool(self.verdict.broken)
-        return self.verdict.is_exhaustive and not self.verdict.broken
+            return bool(self.verdict.violated)
+        return self.verdict.is_exhaustive and not self.verdict.violated
 
     @property
     def line(self) -> str:
@@ -59,16 +59,16 @@
         verdict = self.verdict
         if not self.removed:
             outcome = "all promises hold"
-            if verdict.broken:
-                outcome = f"BROKEN: {verdict.broken[0]}"
+            if verdict.violated:
+                outcome = f"BROKEN: {verdict.violated[0]}"
             elif not verdict.is_exhaustive:
                 outcome = "NOT EXHAUSTIVE"
             return f"{self.name}: {verdict.states} states, {outcome}"
-        if not verdict.broken:
+        if not verdict.violated:
             return f"  without '{self.removed}': NOTHING BREAKS"
         steps = "; ".join(verdict.trace)
         return (
-            f"  without '{self.removed}': breaks '{verdict.broken[0]}' "
+            f"  without '{self.removed}': breaks '{verdict.violated[0]}' "
             f"in {len(verdict.trace)} steps: {steps}"
         )
 
--- a/spec/model.py
+++ b/spec/model.py
@@ -62,7 +62,7 @@
 
     states: int
     is_exhaustive: bool
-    broken: tuple[str, ...]
+    violated: tuple[str, ...]
     trace: tuple[str, ...]
 
 
@@ -94,16 +94,16 @@
         },
     )
     found = minicheck.check_safety(machine, max_states=STATE_LIMIT)
-    broken = []
+    violated = []
     trace: tuple[str, ...] = ()
     for name, result in found["properties"].items():
         if result["holds"] is False:
-            broken.append(name)
+            violated.append(name)
             steps = result["counterexample"]
             trace = trace or tuple(step["label"] for step in steps[1:])
     return Verdict(
         states=found["reachable_states"],
         is_exhaustive=bool(found["exhaustive"]),
-        broken=tuple(broken),
+        violated=tuple(violated),
         trace=trace,
     )
