--- a/spec/__main__.py
+++ b/spec/__main__.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Checks every specification; ``--full`` takes the larger bounds."""
+"""Checks every specification; ``--full`` uses larger bounds."""
 
 import argparse
 import sys
@@ -12,7 +12,10 @@
 
 
 def main() -> int:
-    """Check all models and print a line for each."""
+    """Check all specifications and print a line for each check.
+
+    Returns 1 when a check did not end as expected.
+    """
     parser = argparse.ArgumentParser(prog="python -m spec")
     parser.add_argument("--full", action="store_true", help="larger bounds")
     options = parser.parse_args()
--- a/spec/check.py
+++ b/spec/check.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Checks all specifications, whole and with each protection removed."""
+"""Checks all specifications, intact and with each protection removed."""
 
 from collections import abc
 
@@ -12,6 +12,7 @@
 from spec import attempts
 from spec import claims
 from spec import copies
+from spec import corrupted_leases
 from spec import generations
 from spec import leases
 from spec import model
@@ -19,7 +20,6 @@
 from spec import rearrangements
 from spec import restored_leases
 from spec import seals
-from spec import spoilt_leases
 from spec import turns
 
 ALL: tuple[model.Specification, ...] = (
@@ -28,8 +28,8 @@
     claims.Claims(),
     leases.Leases(),
     restored_leases.RestoredLeases(),
-    spoilt_leases.SpoiltLeases(),
-    spoilt_leases.PromptLeases(),
+    corrupted_leases.CorruptedLeases(),
+    corrupted_leases.PromptLeases(),
     copies.Copies(),
     orders.Orders(),
     rearrangements.Rearrangements(),
@@ -40,7 +40,10 @@
 
 @attrs.frozen
 class Report:
-    """One check: what was removed, and what was found."""
+    """One check of a specification.
+
+    :ivar removed: the protection left out, empty for none.
+    """
 
     name: str
     removed: str
@@ -48,7 +51,7 @@
 
     @property
     def is_as_expected(self) -> bool:
-        """Whether promises hold whole, and break without a protection."""
+        """Whether invariants hold, or one fails without the protection."""
         if self.removed:
             return bool(self.verdict.violated)
         return self.verdict.is_exhaustive and not self.verdict.violated
@@ -58,17 +61,17 @@
         """The report in one line."""
         verdict = self.verdict
         if not self.removed:
-            outcome = "all promises hold"
+            outcome = "all invariants hold"
             if verdict.violated:
-                outcome = f"BROKEN: {verdict.violated[0]}"
+                outcome = f"VIOLATED: {verdict.violated[0]}"
             elif not verdict.is_exhaustive:
                 outcome = "NOT EXHAUSTIVE"
             return f"{self.name}: {verdict.states} states, {outcome}"
         if not verdict.violated:
-            return f"  without '{self.removed}': NOTHING BREAKS"
+            return f"  without '{self.removed}': NOTHING IS VIOLATED"
         steps = "; ".join(verdict.trace)
         return (
-            f"  without '{self.removed}': breaks '{verdict.violated[0]}' "
+            f"  without '{self.removed}': violates '{verdict.violated[0]}' "
             f"in {len(verdict.trace)} steps: {steps}"
         )
 
@@ -76,13 +79,17 @@
 def check_one(
     specification: model.Specification, is_full: bool = False
 ) -> abc.Iterator[Report]:
-    """Check one specification, whole and without each protection."""
-    every = frozenset(specification.protections)
+    """Check one specification, intact and without each protection."""
+    all_protections = frozenset(specification.protections)
     yield Report(
-        specification.name, "", model.check(specification, every, is_full)
+        specification.name,
+        "",
+        model.check(specification, all_protections, is_full),
     )
     for removed in specification.protections:
-        verdict = model.check(specification, every - {removed}, is_full)
+        verdict = model.check(
+            specification, all_protections - {removed}, is_full
+        )
         yield Report(specification.name, removed, verdict)
 
 
--- a/spec/model.py
+++ b/spec/model.py
@@ -3,12 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What every specification has, and how it is checked.
+"""The interface of a specification, and the exhaustive search of its states.
 
 A specification is a small state machine of one part of the core protocol.
-Each protection of the real code has a switch here; with a protection
-removed, the checker has to find a state that breaks a promise, or the
-protection (or its model) is worth nothing.
+Each protection in the real code can be switched off here. The search then
+has to find a state that violates an invariant: otherwise the protection is
+unnecessary, or the specification too coarse to need it.
 """
 
 from collections import abc
@@ -28,7 +28,7 @@
 
     @property
     def name(self) -> str:
-        """Name of the part."""
+        """Name of the specification in reports."""
         ...
 
     @property
@@ -37,27 +37,28 @@
         ...
 
     def initial(self) -> State:
-        """Return the first state, a named tuple."""
+        """Return the initial state, a named tuple."""
         ...
 
     def transitions(
         self, state: State, protections: frozenset[str], is_full: bool
     ) -> list[Transition]:
-        """Return what may happen next."""
+        """Return the transitions that are enabled in a state."""
         ...
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
-        """Return the properties, in the words of the promises."""
+        """Return the invariants by name; each holds in every state."""
         ...
 
 
 @attrs.frozen
 class Verdict:
-    """What the checker found.
+    """Result of a search.
 
-    :ivar states: how many states are reachable.
-    :ivar broken: promises that a reachable state breaks.
-    :ivar trace: labels of the shortest way to the first of these.
+    :ivar states: number of reachable states.
+    :ivar is_exhaustive: whether the search visited all of them.
+    :ivar violated: invariants that some reachable state violates.
+    :ivar trace: labels of the shortest path to a violation of the first one.
     """
 
     states: int
@@ -71,14 +72,14 @@
     protections: frozenset[str],
     is_full: bool = False,
 ) -> Verdict:
-    """Search every reachable state."""
+    """Search the reachable states, up to ``STATE_LIMIT``."""
     first = specification.initial()
-    make = type(first)
+    state_type = type(first)
 
-    def promise_of(
-        promise: abc.Callable[[State], bool],
+    def over_fields(
+        invariant: abc.Callable[[State], bool],
     ) -> abc.Callable[[dict[str, typing.Any]], bool]:
-        return lambda fields: promise(make(**fields))
+        return lambda fields: invariant(state_type(**fields))
 
     machine = minicheck.Protocol(
         name=specification.name,
@@ -89,21 +90,21 @@
             state, protections, is_full
         ),
         invariants={
-            name: promise_of(promise)
-            for name, promise in specification.invariants().items()
+            name: over_fields(invariant)
+            for name, invariant in specification.invariants().items()
         },
     )
-    found = minicheck.check_safety(machine, max_states=STATE_LIMIT)
+    search = minicheck.check_safety(machine, max_states=STATE_LIMIT)
     violated = []
     trace: tuple[str, ...] = ()
-    for name, result in found["properties"].items():
-        if result["holds"] is False:
+    for name, outcome in search["properties"].items():
+        if outcome["holds"] is False:
             violated.append(name)
-            steps = result["counterexample"]
+            steps = outcome["counterexample"]
             trace = trace or tuple(step["label"] for step in steps[1:])
     return Verdict(
-        states=found["reachable_states"],
-        is_exhaustive=bool(found["exhaustive"]),
+        states=search["reachable_states"],
+        is_exhaustive=bool(search["exhaustive"]),
         violated=tuple(violated),
         trace=trace,
     )
--- a/spec/restored_leases.py
+++ b/spec/restored_leases.py
@@ -3,23 +3,25 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A lease whose store comes back from an older copy, in steps of time."""
+"""A lease whose store is restored from an older backup, in time steps."""
 
 from collections import abc
 import typing
 
 from spec import model
 
-WAITS = "nobody takes it for its whole length after meeting an epoch"
-START_WAITS = "nor does a process that starts in an old fleet"
-COUNTS = "a write answered in another epoch counts for nothing"
+WAITS = "nobody takes the lease for its duration after seeing a new epoch"
+START_WAITS = "a process that joins an existing fleet waits as long"
+DISREGARDS = "a write that is answered in another epoch is disregarded"
 TERMS = "terms of a later epoch are higher than all before"
-VERSIONS = "the first term that is known of an epoch is not its first"
-
-# Steps of time for which a holder may act, and after which others may take
-# the lease from it.
-HOLD = 1
-LENGTH = 2
+VERSIONS = (
+    "the first term taken in an epoch allows for one per earlier version"
+)
+
+# Time steps for which a holder may act, and after which others may take an
+# unchanged lease.
+HOLD_STEPS = 1
+LEASE_STEPS = 2
 VERSION_LIMIT = 4
 FULL_VERSION_LIMIT = 5
 TERMS_PER_EPOCH = 10
@@ -39,79 +41,87 @@
 class Process(typing.NamedTuple):
     """What one process knows.
 
-    ``held`` counts the steps for which it may act yet, ``seen`` those since
-    when the lease did not change, ``barred`` those in which it must not
-    take it.
+    ``hold_left`` counts the time steps for which it may still act,
+    ``unchanged`` those since it last saw the lease change, ``wait_left``
+    those in which it must not take the lease.
     """
 
     epoch: int = UNKNOWN
     known: Stored = Stored()
-    held: int = 0
-    seen: int = 0
-    barred: int = 0
+    hold_left: int = 0
+    unchanged: int = 0
+    wait_left: int = 0
 
 
 class State(typing.NamedTuple):
-    """Store, backup, and processes; the highest term that was given."""
+    """Store, backup, processes, and the highest term ever given."""
 
     epoch: int = 0
     stored: Stored = Stored()
     backup: Stored = Stored()
     processes: tuple[Process, ...] = (Process(),) * PROCESSES
-    given: int = 0
+    highest_term: int = 0
     is_reused: bool = False
     has_started: bool = False
 
 
 class RestoredLeases:
-    """Processes look, take, renew and start anew; the store goes back."""
+    """Processes read, take and renew the lease; the store is restored."""
 
     name = "restored leases"
-    protections = (WAITS, START_WAITS, COUNTS, TERMS, VERSIONS)
+    protections = (WAITS, START_WAITS, DISREGARDS, TERMS, VERSIONS)
 
     def initial(self) -> State:
-        """Return the first state."""
+        """Return the initial state."""
         return State()
 
     def transitions(
         self, state: State, protections: frozenset[str], is_full: bool
     ) -> list[model.Transition]:
-        """Return what may happen next."""
+        """Return the transitions that are enabled in a state."""
         limit = FULL_VERSION_LIMIT if is_full else VERSION_LIMIT
         found: list[model.Transition] = [
             ("time passes", _pass_time(state)),
-            ("the store is copied", state._replace(backup=state.stored)),
+            ("the store is backed up", state._replace(backup=state.stored)),
         ]
-        # A new fleet has looked before its store first comes back.
-        has_looked = all(one.epoch != UNKNOWN for one in state.processes)
-        if state.epoch < 1 and (has_looked or state.has_started):
-            back = state._replace(epoch=1, stored=state.backup)
-            found.append(("the store comes back", back))
-        for number, one in enumerate(state.processes):
-            looked = _look(state, one, protections)
-            found.append((f"{number} looks", _put(state, number, looked)))
-            if one.epoch != UNKNOWN and not state.has_started:
-                fresh = _put(state, number, Process())
-                fresh = fresh._replace(has_started=True)
-                found.append((f"{number} starts anew", fresh))
-            if state.stored.version < limit and _may_write(one, number):
-                after = _write(state, number, one, protections)
+        # In a new fleet all processes read the store before its first restore.
+        have_all_read = all(
+            process.epoch != UNKNOWN for process in state.processes
+        )
+        if state.epoch < 1 and (have_all_read or state.has_started):
+            restored = state._replace(epoch=1, stored=state.backup)
+            found.append(("the store is restored", restored))
+        for number, process in enumerate(state.processes):
+            read = _read(state, process, protections)
+            found.append(
+                (f"{number} reads", _with_process(state, number, read))
+            )
+            if process.epoch != UNKNOWN and not state.has_started:
+                restarted = _with_process(state, number, Process())
+                restarted = restarted._replace(has_started=True)
+                found.append((f"{number} restarts", restarted))
+            if state.stored.version < limit and _may_write(process, number):
+                after = _write(state, number, process, protections)
                 found.append((f"{number} writes", after))
         return found
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
-        """Return the properties."""
+        """Return the invariants by name."""
         return {
-            "two never hold it at once": (
+            "two processes never hold the lease at once": (
                 lambda state: (
-                    sum(Process(*one).held > 0 for one in state.processes) <= 1
+                    sum(
+                        Process(*process).hold_left > 0
+                        for process in state.processes
+                    )
+                    <= 1
                 )
             ),
             "a term is never given twice": lambda state: not state.is_reused,
         }
 
 
-def _put(state: State, number: int, process: Process) -> State:
+def _with_process(state: State, number: int, process: Process) -> State:
     processes = list(state.processes)
     processes[number] = process
     return state._replace(processes=tuple(processes))
@@ -120,69 +130,79 @@
 def _pass_time(state: State) -> State:
     return state._replace(
         processes=tuple(
-            one._replace(
-                held=max(0, one.held - 1),
-                seen=min(LENGTH, one.seen + 1),
-                barred=max(0, one.barred - 1),
+            process._replace(
+                hold_left=max(0, process.hold_left - 1),
+                unchanged=min(LEASE_STEPS, process.unchanged + 1),
+                wait_left=max(0, process.wait_left - 1),
             )
-            for one in state.processes
+            for process in state.processes
         )
     )
 
 
-def _look(state: State, one: Process, protections: frozenset[str]) -> Process:
-    if one.epoch == UNKNOWN:
-        # The very first processes of a fleet know that they are.
+def _read(
+    state: State, process: Process, protections: frozenset[str]
+) -> Process:
+    if process.epoch == UNKNOWN:
+        # The first processes of a fleet know that no lease was held before.
         is_old = state.has_started and START_WAITS in protections
-        barred = LENGTH if is_old else 0
-        return Process(state.epoch, state.stored, 0, 0, barred)
-    if one.epoch != state.epoch:
-        barred = LENGTH if WAITS in protections else 0
-        return Process(state.epoch, state.stored, one.held, 0, barred)
-    if one.known != state.stored:
-        return one._replace(known=state.stored, seen=0)
-    return one
-
-
-def _may_write(one: Process, number: int) -> bool:
-    """Whether a process renews the lease, or takes it."""
-    if one.epoch == UNKNOWN:
+        wait_left = LEASE_STEPS if is_old else 0
+        return Process(state.epoch, state.stored, 0, 0, wait_left)
+    if process.epoch != state.epoch:
+        wait_left = LEASE_STEPS if WAITS in protections else 0
+        return Process(
+            state.epoch, state.stored, process.hold_left, 0, wait_left
+        )
+    if process.known != state.stored:
+        return process._replace(known=state.stored, unchanged=0)
+    return process
+
+
+def _may_write(process: Process, number: int) -> bool:
+    """Whether a process may renew or take the lease."""
+    if process.epoch == UNKNOWN:
         return False
-    if one.held:
+    if process.hold_left:
         return True
-    if one.barred:
+    if process.wait_left:
         return False
-    is_free = one.known.holder == NOBODY or one.seen >= LENGTH
-    return one.known.holder == number or is_free
+    is_free = (
+        process.known.holder == NOBODY or process.unchanged >= LEASE_STEPS
+    )
+    return process.known.holder == number or is_free
 
 
 def _write(
-    state: State, number: int, one: Process, protections: frozenset[str]
+    state: State, number: int, process: Process, protections: frozenset[str]
 ) -> State:
-    """Write the lease if it is at the version that is known."""
-    if one.known.version != state.stored.version:
-        # Refused; whether another wrote it shows when it is read.
-        is_same = one.epoch == state.epoch
-        held = 0 if is_same else one.held
-        looked = _look(state, one._replace(held=held), protections)
-        return _put(state, number, looked)
-    floor = TERMS_PER_EPOCH * one.epoch if TERMS in protections else 0
-    term = one.known.term
-    is_new = one.known.holder != number or term <= floor
-    if is_new and not one.held:
+    """Write the lease if its version is the one last read."""
+    if process.known.version != state.stored.version:
+        # Refused: within the same epoch another process wrote the lease.
+        is_same = process.epoch == state.epoch
+        hold_left = 0 if is_same else process.hold_left
+        read = _read(state, process._replace(hold_left=hold_left), protections)
+        return _with_process(state, number, read)
+    floor = TERMS_PER_EPOCH * process.epoch if TERMS in protections else 0
+    term = process.known.term
+    is_new = process.known.holder != number or term <= floor
+    if is_new and not process.hold_left:
         is_hidden = term <= floor and VERSIONS in protections
-        step = max(1, one.known.version) if is_hidden else 1
+        step = max(1, process.known.version) if is_hidden else 1
         term = max(term, floor) + step
     elif is_new:
-        # Written back by its holder, in the term that it has.
-        term = state.given
+        # The holder writes its lease again, in its present term.
+        term = state.highest_term
     stored = Stored(state.stored.version + 1, number, term)
     after = state._replace(stored=stored)
-    if one.epoch != state.epoch and COUNTS in protections:
-        return _put(after, number, _look(after, one, protections))
-    is_given = is_new and not one.held
+    if process.epoch != state.epoch and DISREGARDS in protections:
+        return _with_process(after, number, _read(after, process, protections))
+    is_given = is_new and not process.hold_left
     after = after._replace(
-        given=max(state.given, term),
-        is_reused=state.is_reused or is_given and term <= state.given,
+        highest_term=max(state.highest_term, term),
+        is_reused=state.is_reused or is_given and term <= state.highest_term,
+    )
+    return _with_process(
+        after,
+        number,
+        process._replace(known=stored, hold_left=HOLD_STEPS, unchanged=0),
     )
-    return _put(after, number, one._replace(known=stored, held=HOLD, seen=0))
