--- a/spec/attempts.py
+++ b/spec/attempts.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One answer over two stages: epochs, positions and layers."""
+"""One answer that two pipeline stages generate, over several attempts."""
 
 from collections import abc
 import typing
@@ -12,86 +12,96 @@
 
 EPOCHS = "records of other epochs are refused"
 POSITIONS = "records of other positions are refused"
-LAYERS = "a token counts only past the model's last layer"
+LAYERS = "a token is accepted only from the model's last layer"
 
-WANTED = 2
-FULL_WANTED = 3
+TOKENS = 2
+FULL_TOKENS = 3
 LAST_EPOCH = 1
 FULL_LAST_EPOCH = 2
-REPEATS = 1
+DUPLICATES = 1
 
 Message = tuple[str, int, int]
-Lineage = tuple[int, int]
+DeliveredToken = tuple[int, int]
 
 
 class State(typing.NamedTuple):
-    """Entry, stages, records under way, and what each stage has run.
+    """Entry, both stages, messages in flight, and what each stage has run.
 
-    ``runs`` holds (epoch, position, stage) once for each run.
+    ``epoch`` is the entry's current attempt, ``opened`` the position at which
+    each attempt began. ``head`` and ``tail`` hold the epoch and the position
+    that the first and the last stage expect next. ``runs`` holds (epoch,
+    position, stage) once for each run.
     """
 
     epoch: int = 0
-    delivered: tuple[Lineage, ...] = ()
+    delivered: tuple[DeliveredToken, ...] = ()
     opened: tuple[int, ...] = (0,)
     head: tuple[int, int] = (-1, 0)
     tail: tuple[int, int] = (-1, 0)
-    flying: frozenset[Message] = frozenset({("open", 0, 0)})
+    in_flight: frozenset[Message] = frozenset({("open", 0, 0)})
     runs: tuple[tuple[int, int, int], ...] = ()
-    repeats: int = REPEATS
+    duplicates_left: int = DUPLICATES
 
 
 class Attempts:
-    """The entry may give an attempt up at any moment, wrongly too."""
+    """Attempts, which the entry may abandon even while they make progress."""
 
     name = "attempts"
     protections = (EPOCHS, POSITIONS, LAYERS)
 
     def initial(self) -> State:
-        """Return the first state."""
+        """Return the initial state."""
         return State()
 
     def transitions(
         self, state: State, protections: frozenset[str], is_full: bool
     ) -> list[model.Transition]:
-        """Return what may happen next."""
+        """Return the transitions that are enabled in a state."""
         found: list[model.Transition] = []
-        wanted = FULL_WANTED if is_full else WANTED
+        token_count = FULL_TOKENS if is_full else TOKENS
         last = FULL_LAST_EPOCH if is_full else LAST_EPOCH
-        for message in sorted(state.flying):
-            taken = state._replace(flying=state.flying - {message})
+        for message in sorted(state.in_flight):
+            received = state._replace(in_flight=state.in_flight - {message})
             label = "{} {}.{}".format(*message)
-            after = self._take(taken, message, protections, wanted)
+            after = self._receive(received, message, protections, token_count)
             found.append((label, after))
-            if state.repeats:
-                kept = state._replace(repeats=state.repeats - 1)
-                again = self._take(kept, message, protections, wanted)
-                found.append((f"{label}, repeated", again))
-            found.append((f"{label} is lost", taken))
+            if state.duplicates_left:
+                retained = state._replace(
+                    duplicates_left=state.duplicates_left - 1
+                )
+                duplicated = self._receive(
+                    retained, message, protections, token_count
+                )
+                found.append((f"{label} is duplicated", duplicated))
+            found.append((f"{label} is lost", received))
             if message[0] == "step":
-                crossed = ("early token", message[1], message[2])
-                flying = taken.flying | {crossed}
+                early = ("early token", message[1], message[2])
+                in_flight = received.in_flight | {early}
                 found.append(
-                    (f"{label} is crossed", taken._replace(flying=flying))
+                    (
+                        f"{label} comes back as a token",
+                        received._replace(in_flight=in_flight),
+                    )
                 )
-        if state.epoch < last and len(state.delivered) < wanted:
-            found.append(("give up", self._give_up(state)))
+        if state.epoch < last and len(state.delivered) < token_count:
+            found.append(("abandon the attempt", self._abandon(state)))
         return found
 
-    def _give_up(self, state: State) -> State:
+    def _abandon(self, state: State) -> State:
         epoch = state.epoch + 1
         position = len(state.delivered)
         return state._replace(
             epoch=epoch,
             opened=(*state.opened, position),
-            flying=state.flying | {("open", epoch, position)},
+            in_flight=state.in_flight | {("open", epoch, position)},
         )
 
-    def _take(
+    def _receive(
         self,
         state: State,
         message: Message,
         protections: frozenset[str],
-        wanted: int,
+        token_count: int,
     ) -> State:
         kind, epoch, position = message
         match kind:
@@ -104,7 +114,7 @@
             case "early token":
                 if LAYERS in protections:
                     return state
-        return self._token(state, epoch, position, protections, wanted)
+        return self._token(state, epoch, position, protections, token_count)
 
     def _open(
         self,
@@ -129,8 +139,8 @@
         held, expected = state.tail
         if epoch < held and EPOCHS in protections:
             return state
-        is_repeat = epoch == held and position != expected
-        if is_repeat and POSITIONS in protections:
+        is_duplicate = epoch == held and position != expected
+        if is_duplicate and POSITIONS in protections:
             return state
         after = _run(state, epoch, position, 1)
         return after._replace(tail=(epoch, position + 1))
@@ -141,17 +151,17 @@
         epoch: int,
         position: int,
         protections: frozenset[str],
-        wanted: int,
+        token_count: int,
     ) -> State:
         held, expected = state.head
         if epoch != held and EPOCHS in protections:
             return state
         if position != expected - 1 and POSITIONS in protections:
             return state
-        flying = state.flying | {("answer", epoch, position)}
-        after = state._replace(flying=flying)
-        if position + 1 >= wanted:
-            # The answer is whole: the head takes no more tokens for it.
+        in_flight = state.in_flight | {("answer", epoch, position)}
+        after = state._replace(in_flight=in_flight)
+        if position + 1 >= token_count:
+            # The answer is complete: the head accepts no more tokens for it.
             return after._replace(head=(epoch, position + 2))
         after = _run(after, epoch, position + 1, 0)
         return after._replace(head=(epoch, position + 2))
@@ -171,14 +181,14 @@
         return state._replace(delivered=(*state.delivered, (epoch, position)))
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
-        """Return the properties."""
+        """Return the invariants by name."""
         return {
             "each layer runs exactly once for every delivered token": (
-                _has_each_layer_once
+                _runs_each_layer_once
             ),
-            "an answer is delivered whole and in order": _is_in_order,
-            "each delivered token follows from those before it": (
-                _is_one_lineage
+            "an answer is delivered in order and without gaps": _is_in_order,
+            "each delivered token continues the ones delivered before it": (
+                _continues_prefix
             ),
         }
 
@@ -186,11 +196,11 @@
 def _run(state: State, epoch: int, position: int, stage: int) -> State:
     kind = "step" if stage == 0 else "token"
     runs = tuple(sorted((*state.runs, (epoch, position, stage))))
-    flying = state.flying | {(kind, epoch, position)}
-    return state._replace(runs=runs, flying=flying)
+    in_flight = state.in_flight | {(kind, epoch, position)}
+    return state._replace(runs=runs, in_flight=in_flight)
 
 
-def _has_each_layer_once(state: State) -> bool:
+def _runs_each_layer_once(state: State) -> bool:
     return all(
         state.runs.count((epoch, position, stage)) == 1
         for epoch, position in state.delivered
@@ -203,7 +213,7 @@
     return positions == list(range(len(positions)))
 
 
-def _is_one_lineage(state: State) -> bool:
+def _continues_prefix(state: State) -> bool:
     pairs = zip(state.delivered, state.delivered[1:], strict=False)
     return all(
         before[0] == after[0] or state.opened[after[0]] == after[1]
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One idempotency key, claimed by two entries in an unsure store."""
+"""One idempotency key, claimed by two entries in an unreliable store."""
 
 from collections import abc
 import typing
@@ -28,7 +28,7 @@
 
 
 class State(typing.NamedTuple):
-    """The key's object, both entries, and the gate's notes."""
+    """The key's object, both entries, and each entry's call at the gate."""
 
     version: int = 0
     holder: int = NOBODY
@@ -44,97 +44,113 @@
 
 
 class Claims:
-    """Both entries have the same key's call to make."""
+    """Two entries, each with a call for the same key."""
 
     name = "claims"
     protections = (CONDITIONAL, READ_BACK, SEALS_FIRST)
 
     def initial(self) -> State:
-        """Return the first state."""
+        """Return the initial state."""
         return State()
 
     def transitions(
         self, state: State, protections: frozenset[str], is_full: bool
     ) -> list[model.Transition]:
-        """Return what may happen next."""
+        """Return the transitions that are enabled in a state."""
         limit = FULL_VERSION_LIMIT if is_full else VERSION_LIMIT
         found: list[model.Transition] = []
-        for me in range(len(_ENTRIES)):
-            found += self._moves(state, me, protections, limit)
+        for index in range(len(_ENTRIES)):
+            found += self._entry_transitions(state, index, protections, limit)
         return found
 
-    def _moves(
-        self, state: State, me: int, protections: frozenset[str], limit: int
+    def _entry_transitions(
+        self, state: State, index: int, protections: frozenset[str], limit: int
     ) -> list[model.Transition]:
-        entry: Entry = getattr(state, _ENTRIES[me])
+        entry: Entry = getattr(state, _ENTRIES[index])
         match entry.phase:
             case "start":
-                return [(f"{me} reads", self._read(state, me))]
+                return [(f"{index} reads", self._read(state, index))]
             case "claims" | "replaces":
                 if state.version >= limit:
                     return []
-                return self._write(state, me, entry, protections)
+                return self._write(state, index, entry, protections)
             case "unsure":
                 phase = "start" if READ_BACK in protections else "holds"
-                return [(f"{me} looks", _set(state, me, phase=phase))]
+                return [
+                    (
+                        f"{index} reads its write back",
+                        _set(state, index, phase=phase),
+                    )
+                ]
             case "holds":
-                return [(f"{me} runs", self._run(state, me))]
+                return [(f"{index} runs", self._run_call(state, index))]
             case "follows":
-                return [(f"{me} asks", self._ask(state, me, protections))]
+                return [
+                    (
+                        f"{index} asks the gate",
+                        self._ask_gate(state, index, protections),
+                    )
+                ]
             case _:
                 return []
 
-    def _read(self, state: State, me: int) -> State:
-        if state.holder == me:
+    def _read(self, state: State, index: int) -> State:
+        if state.holder == index:
             phase = "holds"
         elif state.holder == NOBODY:
             phase = "claims"
         else:
             phase = "follows"
         return _set(
-            state, me, phase=phase, version=state.version, holder=state.holder
+            state,
+            index,
+            phase=phase,
+            version=state.version,
+            holder=state.holder,
         )
 
     def _write(
         self,
         state: State,
-        me: int,
+        index: int,
         entry: Entry,
         protections: frozenset[str],
     ) -> list[model.Transition]:
         is_current = state.version == entry.version
-        lost = (f"{me}'s write is lost", _set(state, me, phase="unsure"))
+        lost = (f"{index}'s write is lost", _set(state, index, phase="unsure"))
         if not is_current and CONDITIONAL in protections:
-            conflict = _set(state, me, phase="start")
-            return [(f"{me} conflicts", conflict), lost]
-        written = state._replace(version=state.version + 1, holder=me)
+            conflict = _set(state, index, phase="start")
+            return [(f"{index} conflicts", conflict), lost]
+        written = state._replace(version=state.version + 1, holder=index)
         return [
-            (f"{me} writes", _set(written, me, phase="holds")),
-            (f"{me}'s reply is lost", _set(written, me, phase="unsure")),
+            (f"{index} writes", _set(written, index, phase="holds")),
+            (f"{index}'s reply is lost", _set(written, index, phase="unsure")),
             lost,
         ]
 
-    def _run(self, state: State, me: int) -> State:
-        name = _ENTRIES[me]
+    def _run_call(self, state: State, index: int) -> State:
+        name = _ENTRIES[index]
         if getattr(state, f"{name}_sealed"):
-            return _set(state, me, phase="refused")
+            return _set(state, index, phase="refused")
         runs = getattr(state, f"{name}_runs") + 1
-        return _set(state, me, phase="done")._replace(**{f"{name}_runs": runs})
+        return _set(state, index, phase="done")._replace(
+            **{f"{name}_runs": runs}
+        )
 
-    def _ask(
-        self, state: State, me: int, protections: frozenset[str]
+    def _ask_gate(
+        self, state: State, index: int, protections: frozenset[str]
     ) -> State:
-        entry: Entry = getattr(state, _ENTRIES[me])
+        entry: Entry = getattr(state, _ENTRIES[index])
         holder = _ENTRIES[entry.holder]
         if getattr(state, f"{holder}_runs"):
-            return _set(state, me, phase="answered")
-        sealed = _set(state, me, phase="replaces")
+            return _set(state, index, phase="answered")
+        sealed = _set(state, index, phase="replaces")
         if SEALS_FIRST in protections:
             return sealed._replace(**{f"{holder}_sealed": True})
         return sealed
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
-        """Return the properties."""
+        """Return the invariants by name."""
         return {
             "one key's request runs at most once": lambda state: (
                 state.first_runs + state.second_runs <= 1
@@ -142,6 +158,6 @@
         }
 
 
-def _set(state: State, me: int, **changes: typing.Any) -> State:
-    name = _ENTRIES[me]
+def _set(state: State, index: int, **changes: typing.Any) -> State:
+    name = _ENTRIES[index]
     return state._replace(**{name: getattr(state, name)._replace(**changes)})
--- a/spec/generations.py
+++ b/spec/generations.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Settings generations, a lagging network and restarts."""
+"""Settings generations with delayed announcements and restarts."""
 
 from collections import abc
 import typing
@@ -20,17 +20,17 @@
 
 
 class State(typing.NamedTuple):
-    """The store's generation, each instance's, and news under way.
+    """The store's generation, each instance's, and those announced.
 
     An instance's generation is 0 while it knows none; ``served`` is the
-    highest generation that it, or an earlier run of it, has worked under.
+    highest generation under which any of its processes has worked.
     """
 
     stored: int = 1
     held: tuple[int, ...] = (0,) * INSTANCES
     served: tuple[int, ...] = (0,) * INSTANCES
     reverted: bool = False
-    news: frozenset[int] = frozenset()
+    announced: frozenset[int] = frozenset()
     restarts: int = RESTARTS
 
 
@@ -41,47 +41,57 @@
     protections = (ONLY_NEWER, READS_FIRST)
 
     def initial(self) -> State:
-        """Return the first state."""
+        """Return the initial state."""
         return State()
 
     def transitions(
         self, state: State, protections: frozenset[str], is_full: bool
     ) -> list[model.Transition]:
-        """Return what may happen next."""
+        """Return the transitions that are enabled in a state."""
         limit = FULL_GENERATIONS if is_full else GENERATIONS
         found: list[model.Transition] = []
         if state.stored < limit:
             accepted = state._replace(stored=state.stored + 1)
             found.append(("accept a change", accepted))
         found.append(
-            ("send news", state._replace(news=state.news | {state.stored}))
+            (
+                "announce the generation",
+                state._replace(announced=state.announced | {state.stored}),
+            )
         )
-        for me in range(INSTANCES):
-            found += self._moves(state, me, protections)
+        for instance in range(INSTANCES):
+            found += self._instance_transitions(state, instance, protections)
         return found
 
-    def _moves(
-        self, state: State, me: int, protections: frozenset[str]
+    def _instance_transitions(
+        self, state: State, instance: int, protections: frozenset[str]
     ) -> list[model.Transition]:
         found: list[model.Transition] = [
-            (f"{me} reads the store", _hold(state, me, state.stored))
+            (
+                f"{instance} reads the store",
+                _with_held(state, instance, state.stored),
+            )
         ]
-        for generation in sorted(state.news):
-            # A new process must not go by news alone: it may be old.
-            is_known = state.held[me] > 0 or READS_FIRST not in protections
-            is_newer = generation > state.held[me]
+        for generation in sorted(state.announced):
+            # An announcement may be outdated when a new process receives it.
+            is_known = (
+                state.held[instance] > 0 or READS_FIRST not in protections
+            )
+            is_newer = generation > state.held[instance]
             if is_known and (is_newer or ONLY_NEWER not in protections):
-                after = _hold(state, me, generation)
-                found.append((f"{me} hears of {generation}", after))
-        if state.held[me]:
-            found.append((f"{me} works", _serve(state, me)))
+                after = _with_held(state, instance, generation)
+                found.append((f"{instance} receives {generation}", after))
+        if state.held[instance]:
+            found.append((f"{instance} works", _work(state, instance)))
         if state.restarts:
-            after = _hold(state, me, 0)._replace(restarts=state.restarts - 1)
-            found.append((f"{me} is replaced", after))
+            after = _with_held(state, instance, 0)._replace(
+                restarts=state.restarts - 1
+            )
+            found.append((f"{instance} restarts", after))
         return found
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
-        """Return the properties."""
+        """Return the invariants by name."""
         return {
             "an accepted configuration never reverts": lambda state: (
                 not state.reverted
@@ -89,16 +99,16 @@
         }
 
 
-def _hold(state: State, me: int, generation: int) -> State:
+def _with_held(state: State, instance: int, generation: int) -> State:
     held = list(state.held)
-    held[me] = generation
+    held[instance] = generation
     return state._replace(held=tuple(held))
 
 
-def _serve(state: State, me: int) -> State:
+def _work(state: State, instance: int) -> State:
     served = list(state.served)
-    served[me] = max(served[me], state.held[me])
-    is_older = state.held[me] < state.served[me]
+    served[instance] = max(served[instance], state.held[instance])
+    is_older = state.held[instance] < state.served[instance]
     return state._replace(
         served=tuple(served), reverted=state.reverted or is_older
     )
--- a/spec/seals.py
+++ b/spec/seals.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One call that may not be repeated, its seal, and a replaced sidecar."""
+"""One non-idempotent call, its seal, and a replaced sidecar."""
 
 from collections import abc
 import typing
@@ -11,16 +11,21 @@
 from spec import model
 
 REFUSES_SEALED = "the gate refuses sealed calls"
-NAMES_RUN = "a call names the run of the sidecar it is for"
-OTHER_RUN_UNSURE = "another run of the sidecar never says not run"
+NAMES_INCARNATION = "a call names the sidecar incarnation that it is for"
+OTHER_INCARNATION_UNSURE = (
+    "another incarnation never answers that a call did not run"
+)
 
 
 class State(typing.NamedTuple):
-    """The call, the sidecar's gate, and what the entry believes."""
+    """The call, the sidecar's gate, and what the entry knows.
+
+    ``is_recorded`` tells whether the gate has a record that the call ran.
+    """
 
     call: str = "unsent"
     incarnation: int = 0
-    entered: bool = False
+    is_recorded: bool = False
     sealed: bool = False
     runs: int = 0
     entry: str = "idle"
@@ -28,37 +33,37 @@
 
 
 class Seals:
-    """A call's reply is lost; was it run?"""
+    """An entry that loses its link seals the call before it retries it."""
 
     name = "seals"
-    protections = (REFUSES_SEALED, NAMES_RUN, OTHER_RUN_UNSURE)
+    protections = (REFUSES_SEALED, NAMES_INCARNATION, OTHER_INCARNATION_UNSURE)
 
     def initial(self) -> State:
-        """Return the first state."""
+        """Return the initial state."""
         return State()
 
     def transitions(
         self, state: State, protections: frozenset[str], is_full: bool
     ) -> list[model.Transition]:
-        """Return what may happen next."""
+        """Return the transitions that are enabled in a state."""
         found: list[model.Transition] = []
         if state.entry == "idle":
-            sent = state._replace(entry="waiting", call="flying")
+            sent = state._replace(entry="waiting", call="in flight")
             found.append(("send", sent))
-        if state.call == "flying":
+        if state.call == "in flight":
             found.append(("lose the call", state._replace(call="gone")))
             found.append(("arrive", self._arrive(state, protections)))
         if state.entry == "waiting":
             # What was sent may still arrive after the link is given up.
             found.append(("lose the link", state._replace(entry="lost")))
-            if state.entered:
+            if state.is_recorded:
                 answered = state._replace(entry="answered")
                 found.append(("reply", answered))
         if state.entry == "lost":
             found.append(("seal", self._seal(state, protections)))
         if state.incarnation == 0:
             replaced = state._replace(
-                incarnation=1, entered=False, sealed=False
+                incarnation=1, is_recorded=False, sealed=False
             )
             found.append(("replace the sidecar", replaced))
         if state.entry == "not run" and not state.has_retried:
@@ -67,22 +72,26 @@
         return found
 
     def _arrive(self, state: State, protections: frozenset[str]) -> State:
-        is_foreign = state.incarnation != 0 and NAMES_RUN in protections
-        is_barred = state.sealed and REFUSES_SEALED in protections
-        if is_foreign or is_barred:
+        is_for_other_incarnation = (
+            state.incarnation != 0 and NAMES_INCARNATION in protections
+        )
+        is_refused = state.sealed and REFUSES_SEALED in protections
+        if is_for_other_incarnation or is_refused:
             return state._replace(call="refused")
-        return state._replace(call="ran", entered=True, runs=state.runs + 1)
+        return state._replace(
+            call="ran", is_recorded=True, runs=state.runs + 1
+        )
 
     def _seal(self, state: State, protections: frozenset[str]) -> State:
-        is_other = state.incarnation != 0
-        if is_other and OTHER_RUN_UNSURE in protections:
+        is_other_incarnation = state.incarnation != 0
+        if is_other_incarnation and OTHER_INCARNATION_UNSURE in protections:
             return state._replace(entry="may have run")
-        if state.entered:
+        if state.is_recorded:
             return state._replace(entry="may have run")
         return state._replace(entry="not run", sealed=True)
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
-        """Return the properties."""
+        """Return the invariants by name."""
         return {
             "a request refused as not run did not run": lambda state: (
                 not (
--- a/spec/turns.py
+++ b/spec/turns.py
@@ -3,15 +3,15 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Turns of one session across the death of its home."""
+"""Turns of one session across a crash of its home."""
 
 from collections import abc
 import typing
 
 from spec import model
 
-SETTLES = "a moved session waits until its entries have noticed"
-COMES_FORWARD = "the holder of a turn comes forward at the new home"
+SETTLES = "a moved session waits until all entries noticed the crash"
+REGISTERS = "the holder of a turn registers it at the new home"
 ONE_HOLDER = "a home grants one turn at a time"
 
 ENTRIES = 2
@@ -20,7 +20,10 @@
 
 
 class State(typing.NamedTuple):
-    """Both homes' holders, and each entry's phase and view."""
+    """The turn holders at both homes, and each entry's phase and view.
+
+    ``noticed`` tells which entries know that the old home crashed.
+    """
 
     is_alive: bool = True
     old_holder: int = NOBODY
@@ -31,83 +34,90 @@
 
 
 class Turns:
-    """The settling time outlasts detection: that is assumed, not shown."""
+    """Turns granted by the old home, and by the new one once it settled.
+
+    The settling time is assumed to outlast failure detection.
+    """
 
     name = "turns"
-    protections = (SETTLES, COMES_FORWARD, ONE_HOLDER)
+    protections = (SETTLES, REGISTERS, ONE_HOLDER)
 
     def initial(self) -> State:
-        """Return the first state."""
+        """Return the initial state."""
         return State()
 
     def transitions(
         self, state: State, protections: frozenset[str], is_full: bool
     ) -> list[model.Transition]:
-        """Return what may happen next."""
+        """Return the transitions that are enabled in a state."""
         entries = range(FULL_ENTRIES if is_full else ENTRIES)
         found: list[model.Transition] = []
         if state.is_alive:
             died = state._replace(is_alive=False, old_holder=NOBODY)
-            found.append(("the home dies", died))
+            found.append(("the home crashes", died))
         if not state.is_alive and not state.has_settled:
-            if all(state.noticed[me] for me in entries):
+            if all(state.noticed[entry] for entry in entries):
                 settled = state._replace(has_settled=True)
                 found.append(("the new home settles", settled))
-        for me in entries:
-            found += self._moves(state, me, protections)
+        for entry in entries:
+            found += self._entry_transitions(state, entry, protections)
         return found
 
-    def _moves(
-        self, state: State, me: int, protections: frozenset[str]
+    def _entry_transitions(
+        self, state: State, entry: int, protections: frozenset[str]
     ) -> list[model.Transition]:
         found: list[model.Transition] = []
-        if state.phases[me] == "idle":
-            found += self._take(state, me, protections)
-        if state.phases[me] == "running":
-            found.append((f"{me} ends", self._end(state, me)))
-        if not state.is_alive and not state.noticed[me]:
+        if state.phases[entry] == "idle":
+            found += self._grant(state, entry, protections)
+        if state.phases[entry] == "running":
+            found.append((f"{entry} ends", self._end(state, entry)))
+        if not state.is_alive and not state.noticed[entry]:
             found.append(
-                (f"{me} notices", self._notice(state, me, protections))
+                (f"{entry} notices", self._notice(state, entry, protections))
             )
         return found
 
-    def _take(
-        self, state: State, me: int, protections: frozenset[str]
+    def _grant(
+        self, state: State, entry: int, protections: frozenset[str]
     ) -> list[model.Transition]:
         is_single = ONE_HOLDER in protections
-        if not state.noticed[me]:
+        if not state.noticed[entry]:
             is_free = state.old_holder == NOBODY or not is_single
             if state.is_alive and is_free:
-                granted = _phase(state, me, "running")._replace(old_holder=me)
-                return [(f"{me} gets a turn", granted)]
+                granted = _with_phase(state, entry, "running")._replace(
+                    old_holder=entry
+                )
+                return [(f"{entry} gets a turn", granted)]
             return []
         is_free = state.new_holder == NOBODY or not is_single
         if is_free and (state.has_settled or SETTLES not in protections):
-            granted = _phase(state, me, "running")._replace(new_holder=me)
-            return [(f"{me} gets a turn at the new home", granted)]
+            granted = _with_phase(state, entry, "running")._replace(
+                new_holder=entry
+            )
+            return [(f"{entry} gets a turn at the new home", granted)]
         return []
 
-    def _end(self, state: State, me: int) -> State:
-        after = _phase(state, me, "done")
-        if state.old_holder == me:
+    def _end(self, state: State, entry: int) -> State:
+        after = _with_phase(state, entry, "done")
+        if state.old_holder == entry:
             after = after._replace(old_holder=NOBODY)
-        if state.new_holder == me:
+        if state.new_holder == entry:
             after = after._replace(new_holder=NOBODY)
         return after
 
     def _notice(
-        self, state: State, me: int, protections: frozenset[str]
+        self, state: State, entry: int, protections: frozenset[str]
     ) -> State:
         noticed = list(state.noticed)
-        noticed[me] = True
+        noticed[entry] = True
         after = state._replace(noticed=tuple(noticed))
-        holds = state.phases[me] == "running"
-        if holds and COMES_FORWARD in protections:
-            return after._replace(new_holder=me)
+        is_running = state.phases[entry] == "running"
+        if is_running and REGISTERS in protections:
+            return after._replace(new_holder=entry)
         return after
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
-        """Return the properties."""
+        """Return the invariants by name."""
         return {
             "a session's turns run one at a time": lambda state: (
                 state.phases.count("running") <= 1
@@ -115,7 +125,7 @@
         }
 
 
-def _phase(state: State, me: int, phase: str) -> State:
+def _with_phase(state: State, entry: int, phase: str) -> State:
     phases = list(state.phases)
-    phases[me] = phase
+    phases[entry] = phase
     return state._replace(phases=tuple(phases))
