--- a/spec/copies.py
+++ b/spec/copies.py
@@ -3,15 +3,15 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Copies of the config, one read from the other, and a store restored."""
+"""Copies of the config, one updated from the other, and a restored store."""
 
 from collections import abc
 import typing
 
 from spec import model
 
-STORE_EPOCH = "an answer of another epoch of the store is no history"
-PEER_EPOCH = "a copy tells others of its own epoch only"
+STORE_EPOCH = "changes since an earlier epoch of the store are not relied on"
+PEER_EPOCH = "copies exchange changes only within one epoch of the store"
 
 VERSION_LIMIT = 3
 FULL_VERSION_LIMIT = 4
@@ -20,23 +20,23 @@
 class Copy(typing.NamedTuple):
     """What one entry knows.
 
-    ``learned`` is the version it had when it learned of the config.
-    ``is_proved`` holds from an answer until
+    ``config_learned_at`` is the version of the store at which it learned its
+    config. ``is_confirmed`` holds from an answer until the operator writes
     the next config: the entry takes its copy for current.
     """
 
     epoch: int = 0
     version: int = 0
-    learned: int = 0
+    config_learned_at: int = 0
     config: int = 0
-    is_proved: bool = True
+    is_confirmed: bool = True
 
 
 class State(typing.NamedTuple):
     """The store, its backup, and the copies: a reader and a follower.
 
-    ``written`` is the version of the config's object, ``newest`` the last
-    config that the operator has written, whatever became of it.
+    ``written`` is the version at which the config was written, ``newest`` the
+    last config that the operator has written, even if a restore lost it.
     """
 
     epoch: int = 0
@@ -50,19 +50,19 @@
 
 
 class Copies:
-    """The follower asks the reader; both may ask the store."""
+    """The follower reads from the reader; both read from the store."""
 
     name = "copies"
     protections = (STORE_EPOCH, PEER_EPOCH)
 
     def initial(self) -> State:
-        """Return the first state."""
+        """Return the initial state."""
         return State()
 
     def transitions(
         self, state: State, protections: frozenset[str], is_full: bool
     ) -> list[model.Transition]:
-        """Return what may happen next."""
+        """Return the transitions that are enabled in a state."""
         limit = FULL_VERSION_LIMIT if is_full else VERSION_LIMIT
         found: list[model.Transition] = []
         if state.version < limit:
@@ -71,9 +71,9 @@
             other = state._replace(version=state.version + 1)
             found.append(("something else is written", other))
         backup = (state.version, state.written, state.config)
-        found.append(("the store is copied", state._replace(backup=backup)))
+        found.append(("the store is backed up", state._replace(backup=backup)))
         if state.epoch < 1:
-            found.append(("the store comes back", _restore(state)))
+            found.append(("the store is restored", _restore(state)))
         reader = _watch(state, state.reader, protections)
         found.append(("the reader watches", state._replace(reader=reader)))
         follower = _watch(state, state.follower, protections)
@@ -81,16 +81,18 @@
             ("the follower watches", state._replace(follower=follower))
         )
         follower = _ask(state.reader, state.follower, protections)
-        found.append(("the follower asks", state._replace(follower=follower)))
+        found.append(
+            ("the follower asks the reader", state._replace(follower=follower))
+        )
         return found
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
-        """Return the properties."""
+        """Return the invariants by name."""
         return {
-            "a copy that is taken for current is": (
+            "a copy that is taken for current is current": (
                 lambda state: all(
-                    not one.is_proved or one.config >= state.config
-                    for one in (Copy(*state.reader), Copy(*state.follower))
+                    not copy.is_confirmed or copy.config >= state.config
+                    for copy in (Copy(*state.reader), Copy(*state.follower))
                 )
             )
         }
@@ -103,8 +105,8 @@
         written=state.version + 1,
         config=newest,
         newest=newest,
-        reader=state.reader._replace(is_proved=False),
-        follower=state.follower._replace(is_proved=False),
+        reader=state.reader._replace(is_confirmed=False),
+        follower=state.follower._replace(is_confirmed=False),
     )
 
 
@@ -116,19 +118,19 @@
 
 
 def _watch(state: State, copy: Copy, protections: frozenset[str]) -> Copy:
-    """Ask the store what changed, and list where it cannot tell."""
+    """Read changes from the store, or all of it where it has no history."""
     is_other = copy.epoch != state.epoch and STORE_EPOCH in protections
     config = max(copy.config, state.config)
     if is_other or copy.version > state.version:
         version = state.version
         return Copy(state.epoch, version, version, config, True)
     if state.written <= copy.version:
-        return copy._replace(version=state.version, is_proved=True)
+        return copy._replace(version=state.version, is_confirmed=True)
     return copy._replace(
         version=state.version,
-        learned=state.version,
+        config_learned_at=state.version,
         config=config,
-        is_proved=True,
+        is_confirmed=True,
     )
 
 
@@ -138,10 +140,11 @@
         return follower
     told = follower._replace(
         version=max(follower.version, reader.version),
-        is_proved=follower.is_proved or reader.is_proved,
+        is_confirmed=follower.is_confirmed or reader.is_confirmed,
     )
-    if reader.learned <= follower.version:
+    if reader.config_learned_at <= follower.version:
         return told
     return told._replace(
-        learned=told.version, config=max(follower.config, reader.config)
+        config_learned_at=told.version,
+        config=max(follower.config, reader.config),
     )
--- a/spec/leases.py
+++ b/spec/leases.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A lease, its fencing tokens, a paused holder and a replaced guard."""
+"""A lease whose fencing tokens a guard checks, and a replaced guard."""
 
 from collections import abc
 import typing
@@ -19,11 +19,12 @@
 
 
 class State(typing.NamedTuple):
-    """The store's lease, each holder's token, and the guard's memory.
+    """The store's lease, each holder's token, and the guard's highest one.
 
-    ``tokens`` are those that the holders believe to hold, 0 for none;
-    a paused holder keeps believing. ``applied`` is the highest token of
-    an order that took effect, ``reverted`` whether a lower one did later.
+    ``tokens`` are those that the holders believe to hold, 0 for none; a
+    paused holder does not notice that its lease lapsed. ``applied`` is the
+    highest token of an order that took effect, ``reverted`` whether a lower
+    one did later.
     """
 
     token: int = 0
@@ -36,19 +37,19 @@
 
 
 class Leases:
-    """Holders take the lease when it lapses; any may act at any time."""
+    """Holders take the lapsed lease; any may give orders at any time."""
 
     name = "leases"
     protections = (CHECKS_FENCE, READS_FENCE)
 
     def initial(self) -> State:
-        """Return the first state."""
+        """Return the initial state."""
         return State()
 
     def transitions(
         self, state: State, protections: frozenset[str], is_full: bool
     ) -> list[model.Transition]:
-        """Return what may happen next."""
+        """Return the transitions that are enabled in a state."""
         limit = FULL_TOKEN_LIMIT if is_full else TOKEN_LIMIT
         found: list[model.Transition] = []
         for holder in range(HOLDERS):
@@ -63,14 +64,14 @@
                 after = self._order(state, state.tokens[holder], protections)
                 found.append((f"{holder} orders", after))
         if not state.has_replaced:
-            found.append(("replace the guard", self._replace(state)))
+            found.append(("replace the guard", self._replace_guard(state)))
         if not state.guard_ready:
             guard = state.token if READS_FENCE in protections else 0
             ready = state._replace(guard=guard, guard_ready=True)
             found.append(("the guard starts", ready))
         return found
 
-    def _replace(self, state: State) -> State:
+    def _replace_guard(self, state: State) -> State:
         return state._replace(has_replaced=True, guard=0, guard_ready=False)
 
     def _order(
@@ -85,7 +86,7 @@
         )
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
-        """Return the properties."""
+        """Return the invariants by name."""
         return {
             "an order of a lapsed lease never undoes a later one": (
                 lambda state: not state.reverted
--- a/spec/orders.py
+++ b/spec/orders.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Orders to engines that check no fencing token, done late or not at all.
+"""Orders to engines that check no fencing token, executed late or never.
 
-Two engines hold the same layers. A giver of orders, one at a time by the
-lease, may have either give them up as long as the other holds them. An
-order without an answer may be carried out seconds later.
+Two engines hold the same layers. The controller, the holder of a lease, may
+order either one to drop them as long as the other holds them. An order
+without an answer is in doubt: it may be executed later.
 """
 
 from collections import abc
@@ -15,10 +15,10 @@
 
 from spec import model
 
-EXPECTS_COUNT = "an order names the count of orders that its engine had taken"
+EXPECTS_COUNT = "an order names the number of orders its engine has executed"
 DOUBTS = "layers of an engine with an order in doubt are not relied on"
-WAITS = "the doubt lasts as long as the order may still be carried out"
-HANDS_OVER = "the lease tells the next giver which orders are in doubt"
+WAITS = "an order is in doubt for as long as it may still be executed"
+HANDS_OVER = "the lease tells the next controller which orders are in doubt"
 
 ENGINES = 2
 COUNT_LIMIT = 2
@@ -27,115 +27,127 @@
 
 
 class State(typing.NamedTuple):
-    """Both engines, the orders under way, and what the giver doubts.
+    """Both engines, the unanswered orders, and those in doubt.
 
-    ``late`` is the count that an unanswered order to give the layers up
-    expects, ``NONE`` where none is under way.
+    ``late`` is the count that an unanswered order to drop the layers names,
+    ``NONE`` where there is no such order.
     """
 
     holds: tuple[bool, ...] = (True,) * ENGINES
     counts: tuple[int, ...] = (0,) * ENGINES
     late: tuple[int, ...] = (NONE,) * ENGINES
-    doubted: tuple[bool, ...] = (False,) * ENGINES
+    in_doubt: tuple[bool, ...] = (False,) * ENGINES
 
 
 class Orders:
-    """One giver after another, each of which plans from what it knows."""
+    """One controller after another, each of which plans from what it knows."""
 
     name = "orders"
     protections = (EXPECTS_COUNT, DOUBTS, WAITS, HANDS_OVER)
 
     def initial(self) -> State:
-        """Return the first state."""
+        """Return the initial state."""
         return State()
 
     def transitions(
         self, state: State, protections: frozenset[str], is_full: bool
     ) -> list[model.Transition]:
-        """Return what may happen next."""
+        """Return the transitions that are enabled in a state."""
         limit = FULL_COUNT_LIMIT if is_full else COUNT_LIMIT
         found: list[model.Transition] = []
         for engine in range(ENGINES):
-            found += self._given(state, engine, protections, limit)
-            found += self._late(state, engine, protections)
+            found += self._order_transitions(state, engine, protections, limit)
+            found += self._late_order_transitions(state, engine, protections)
         if HANDS_OVER not in protections:
-            nothing = (False,) * ENGINES
+            none_in_doubt = (False,) * ENGINES
             found.append(
-                ("another giver begins", state._replace(doubted=nothing))
+                (
+                    "another controller takes over",
+                    state._replace(in_doubt=none_in_doubt),
+                )
             )
         return found
 
-    def _given(
+    def _order_transitions(
         self,
         state: State,
         engine: int,
         protections: frozenset[str],
         limit: int,
     ) -> list[model.Transition]:
-        """Return the orders that a giver may give to an engine."""
+        """Return the orders that a controller may send to an engine."""
         if state.counts[engine] >= limit:
             return []
         if not state.holds[engine]:
-            back = self._taken(state, engine, True)
-            return [(f"{engine} is ordered to hold them again", back)]
+            back = self._carry_out(state, engine, True)
+            return [(f"{engine} is ordered to load the layers again", back)]
         other = 1 - engine
-        is_doubted = state.doubted[other] and DOUBTS in protections
-        if not state.holds[other] or is_doubted:
+        is_other_in_doubt = state.in_doubt[other] and DOUBTS in protections
+        if not state.holds[other] or is_other_in_doubt:
             return []
-        given = self._taken(state, engine, False)
-        found = [(f"{engine} is ordered to give them up", given)]
+        dropped = self._carry_out(state, engine, False)
+        found = [(f"{engine} is ordered to drop the layers", dropped)]
         if state.late[engine] == NONE:
             unanswered = state._replace(
-                late=_with(state.late, engine, state.counts[engine]),
-                doubted=_with(state.doubted, engine, True),
+                late=_with_item(state.late, engine, state.counts[engine]),
+                in_doubt=_with_item(state.in_doubt, engine, True),
             )
             found.append((f"an order to {engine} gets no answer", unanswered))
         return found
 
-    def _taken(self, state: State, engine: int, holds: bool) -> State:
-        """Carry an order out, with its answer.
+    def _carry_out(self, state: State, engine: int, holds: bool) -> State:
+        """Execute an order and receive its answer.
 
-        A late order expects a lower count from then on: no more doubt.
+        A late order names a lower count from then on and is refused, so it is
+        no longer in doubt.
         """
         return state._replace(
-            holds=_with(state.holds, engine, holds),
-            counts=_with(state.counts, engine, state.counts[engine] + 1),
-            doubted=_with(state.doubted, engine, False),
+            holds=_with_item(state.holds, engine, holds),
+            counts=_with_item(state.counts, engine, state.counts[engine] + 1),
+            in_doubt=_with_item(state.in_doubt, engine, False),
         )
 
-    def _late(
+    def _late_order_transitions(
         self, state: State, engine: int, protections: frozenset[str]
     ) -> list[model.Transition]:
-        """Return what may become of an unanswered order, and the doubt."""
+        """Return what may become of an unanswered order."""
         found: list[model.Transition] = []
-        is_gone = state.late[engine] == NONE
-        if not is_gone:
-            gone = state._replace(late=_with(state.late, engine, NONE))
+        is_resolved = state.late[engine] == NONE
+        if not is_resolved:
+            gone = state._replace(late=_with_item(state.late, engine, NONE))
             found.append((f"the order to {engine} is lost", gone))
             fits = state.late[engine] == state.counts[engine]
             if fits or EXPECTS_COUNT not in protections:
                 done = gone._replace(
-                    holds=_with(gone.holds, engine, False),
-                    counts=_with(gone.counts, engine, gone.counts[engine] + 1),
+                    holds=_with_item(gone.holds, engine, False),
+                    counts=_with_item(
+                        gone.counts, engine, gone.counts[engine] + 1
+                    ),
                 )
-                found.append((f"{engine} carries it out late", done))
-        if state.doubted[engine] and (is_gone or WAITS not in protections):
-            sure = state._replace(doubted=_with(state.doubted, engine, False))
-            found.append((f"{engine} is trusted again", sure))
+                found.append((f"{engine} executes the order late", done))
+        if state.in_doubt[engine] and (
+            is_resolved or WAITS not in protections
+        ):
+            settled = state._replace(
+                in_doubt=_with_item(state.in_doubt, engine, False)
+            )
+            found.append(
+                (f"the order to {engine} is no longer in doubt", settled)
+            )
         return found
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
-        """Return the properties."""
+        """Return the invariants by name."""
         return {
-            "no order of ours takes the last copy of a layer": (
+            "no order removes the last copy of a layer": (
                 lambda state: any(state.holds)
             )
         }
 
 
-def _with(
-    values: tuple[typing.Any, ...], at: int, value: object
+def _with_item(
+    values: tuple[typing.Any, ...], index: int, value: object
 ) -> typing.Any:
     changed = list(values)
-    changed[at] = value
+    changed[index] = value
     return tuple(changed)
--- a/spec/rearrangements.py
+++ b/spec/rearrangements.py
@@ -3,16 +3,17 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Engines laid out anew while one is lost, and orders are late or lost.
+"""Layers redistributed while an engine fails and orders are late or lost.
 
-A model of four layers of which nobody holds the last two. Two engines hold
-the others, one the second alone; each takes two layers. A giver of orders
-plans anew from what engines hold after each change, and has several orders
-under way at once. An order without an answer may be carried out later; the
-giver may be replaced meanwhile; one engine may end, and come back empty.
+A model of four layers, the last two of which no engine holds. Two engines
+hold the others, a third only the second layer; each has room for two layers.
+The controller plans anew after each change, from what the engines hold, and
+has several orders pending at once. An order without an answer may be executed
+later, the controller may be replaced meanwhile, and one engine may fail and
+come back empty.
 
-That a giver dies between sending an order and noting that it got no answer
-is taken for one step, as in :mod:`spec.orders`.
+A controller records that an order is in doubt in the same step in which it
+stops waiting for the answer, as in :mod:`spec.orders`.
 """
 
 from collections import abc
@@ -22,220 +23,235 @@
 
 from spec import model
 
-TAKEN_FIRST = "layers are given up once others hold them, not before"
-KEPT = "what others are about to give up is not relied on"
+HELD_FIRST = "layers are dropped only once other engines hold them"
+KEPT = "layers that others are about to drop are not relied on"
 DOUBTS = "layers of an engine with an order in doubt are not relied on"
-WAITS = "the doubt lasts as long as the order may still be carried out"
-HANDS_OVER = "the lease tells the next giver which orders are in doubt"
+WAITS = "an order is in doubt for as long as it may still be executed"
+HANDS_OVER = "the lease tells the next controller which orders are in doubt"
 
 LAYERS = 4
-MOST = (2, 2, 2)
-ENGINES = len(MOST)
-ORDERS_MOST = 3
-FULL_ORDERS_MOST = 4
+LAYER_LIMITS = (2, 2, 2)
+ENGINES = len(LAYER_LIMITS)
+ORDER_LIMIT = 3
+FULL_ORDER_LIMIT = 4
 
-Held = frozenset[int]
-NOTHING: Held = frozenset()
+Layers = frozenset[int]
+NO_LAYERS: Layers = frozenset()
 
 
 class State(typing.NamedTuple):
-    """What engines hold, and the orders under way.
+    """What the engines hold, and the orders to them.
 
-    ``under_way`` has what an engine's order is to have it hold, ``None``
-    where there is none; ``pending`` tells whether its giver awaits the
-    answer yet. ``gone`` has layers that were lost with an engine.
+    ``targets`` has what an engine's order tells it to hold, ``None`` where
+    there is no order; ``awaiting`` tells whether the controller still waits
+    for the answer. ``lost_layers`` are those lost with the failed engine,
+    or held by none from the start, until an engine is certain to hold them.
     """
 
     alive: tuple[bool, ...] = (True,) * ENGINES
-    holds: tuple[Held, ...] = (
+    holds: tuple[Layers, ...] = (
         frozenset({0, 1}),
         frozenset({1}),
         frozenset({0, 1}),
     )
-    under_way: tuple[Held | None, ...] = (None,) * ENGINES
-    pending: tuple[bool, ...] = (False,) * ENGINES
-    doubted: tuple[bool, ...] = (False,) * ENGINES
-    gone: Held = frozenset({2, 3})
+    targets: tuple[Layers | None, ...] = (None,) * ENGINES
+    awaiting: tuple[bool, ...] = (False,) * ENGINES
+    in_doubt: tuple[bool, ...] = (False,) * ENGINES
+    lost_layers: Layers = frozenset({2, 3})
     orders: int = 0
     ends: int = 0
     returns: int = 0
 
 
 class Rearrangements:
-    """One giver after another, each of which plans from what is held."""
+    """One controller after another, each planning from what engines hold."""
 
     name = "rearrangements"
-    protections = (TAKEN_FIRST, KEPT, DOUBTS, WAITS, HANDS_OVER)
+    protections = (HELD_FIRST, KEPT, DOUBTS, WAITS, HANDS_OVER)
 
     def initial(self) -> State:
-        """Return the first state."""
+        """Return the initial state."""
         return State()
 
     def transitions(
         self, state: State, protections: frozenset[str], is_full: bool
     ) -> list[model.Transition]:
-        """Return what may happen next."""
-        limit = FULL_ORDERS_MOST if is_full else ORDERS_MOST
+        """Return the transitions that are enabled in a state."""
+        limit = FULL_ORDER_LIMIT if is_full else ORDER_LIMIT
         found: list[model.Transition] = []
         if state.orders < limit:
             found += [
                 (
                     f"{engine} is ordered to hold {sorted(target)}",
-                    _sent(state, engine, target),
+                    _send_order(state, engine, target),
                 )
-                for engine, target in _steps(state, protections)
+                for engine, target in _possible_orders(state, protections)
             ]
         for engine in range(ENGINES):
-            found += self._orders(state, engine, protections)
-            found += self._lives(state, engine)
-        if not any(state.pending):
-            doubted = state.doubted
+            found += self._order_transitions(state, engine, protections)
+            found += self._life_transitions(state, engine)
+        if not any(state.awaiting):
+            in_doubt = state.in_doubt
             if HANDS_OVER not in protections:
-                doubted = (False,) * ENGINES
+                in_doubt = (False,) * ENGINES
             found.append(
-                ("another giver begins", state._replace(doubted=doubted))
+                (
+                    "another controller takes over",
+                    state._replace(in_doubt=in_doubt),
+                )
             )
-        return [(label, _noted(after)) for label, after in found]
+        return [(label, _drop_recovered(after)) for label, after in found]
 
-    def _orders(
+    def _order_transitions(
         self, state: State, engine: int, protections: frozenset[str]
     ) -> list[model.Transition]:
-        """Return what may become of an engine's order, and of the doubt."""
-        target = state.under_way[engine]
+        """Return what may become of an engine's order."""
+        target = state.targets[engine]
         found: list[model.Transition] = []
         if target is not None:
             over = state._replace(
-                under_way=_with(state.under_way, engine, None)
+                targets=_with_item(state.targets, engine, None)
             )
-            done = over._replace(holds=_with(state.holds, engine, target))
-            if state.pending[engine]:
+            done = over._replace(holds=_with_item(state.holds, engine, target))
+            if state.awaiting[engine]:
                 unanswered = state._replace(
-                    pending=_with(state.pending, engine, False),
-                    doubted=_with(state.doubted, engine, True),
+                    awaiting=_with_item(state.awaiting, engine, False),
+                    in_doubt=_with_item(state.in_doubt, engine, True),
                 )
                 found.append((f"{engine} does not answer", unanswered))
                 answered = done._replace(
-                    pending=_with(state.pending, engine, False),
-                    doubted=_with(state.doubted, engine, False),
+                    awaiting=_with_item(state.awaiting, engine, False),
+                    in_doubt=_with_item(state.in_doubt, engine, False),
                 )
-                found.append((f"{engine} takes the order", answered))
+                found.append((f"{engine} executes the order", answered))
             else:
                 found.append((f"the order to {engine} is lost", over))
-                found.append((f"{engine} carries it out late", done))
-        if state.doubted[engine] and (
+                found.append((f"{engine} executes the order late", done))
+        if state.in_doubt[engine] and (
             target is None or WAITS not in protections
         ):
-            sure = state._replace(doubted=_with(state.doubted, engine, False))
-            found.append((f"{engine} is trusted again", sure))
+            settled = state._replace(
+                in_doubt=_with_item(state.in_doubt, engine, False)
+            )
+            found.append(
+                (f"the order to {engine} is no longer in doubt", settled)
+            )
         return found
 
-    def _lives(self, state: State, engine: int) -> list[model.Transition]:
-        """Return the end of an engine, or its return."""
+    def _life_transitions(
+        self, state: State, engine: int
+    ) -> list[model.Transition]:
+        """Return the failure of an engine, or its return."""
         if state.alive[engine] and not state.ends:
             ended = state._replace(
-                alive=_with(state.alive, engine, False),
-                holds=_with(state.holds, engine, NOTHING),
-                under_way=_with(state.under_way, engine, None),
-                pending=_with(state.pending, engine, False),
-                doubted=_with(state.doubted, engine, False),
+                alive=_with_item(state.alive, engine, False),
+                holds=_with_item(state.holds, engine, NO_LAYERS),
+                targets=_with_item(state.targets, engine, None),
+                awaiting=_with_item(state.awaiting, engine, False),
+                in_doubt=_with_item(state.in_doubt, engine, False),
                 ends=1,
             )
-            lost = frozenset(range(LAYERS)) - _certain(ended)
-            return [(f"{engine} ends", ended._replace(gone=lost))]
+            lost = frozenset(range(LAYERS)) - _certain_layers(ended)
+            return [(f"{engine} fails", ended._replace(lost_layers=lost))]
         if not state.alive[engine] and not state.returns:
-            back = state._replace(
-                alive=_with(state.alive, engine, True), returns=1
+            returned = state._replace(
+                alive=_with_item(state.alive, engine, True), returns=1
             )
-            return [(f"{engine} comes back empty", back)]
+            return [(f"{engine} comes back empty", returned)]
         return []
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
-        """Return the properties."""
+        """Return the invariants by name."""
         return {
-            "no order takes the last copy of a layer": (
+            "no order removes the last copy of a layer": (
                 lambda state: (
-                    _held(state) | state.gone == frozenset(range(LAYERS))
+                    _held_layers(state) | state.lost_layers
+                    == frozenset(range(LAYERS))
                 )
             ),
-            "what can be made whole is, or there is an order to give": (
+            "a model that can be completed is, or an order can be sent": (
                 lambda state: not _is_stuck(state)
             ),
         }
 
 
-def _with(
-    values: tuple[typing.Any, ...], at: int, value: object
+def _with_item(
+    values: tuple[typing.Any, ...], index: int, value: object
 ) -> typing.Any:
     changed = list(values)
-    changed[at] = value
+    changed[index] = value
     return tuple(changed)
 
 
-def _held(state: State) -> Held:
-    return NOTHING.union(*state.holds)
+def _held_layers(state: State) -> Layers:
+    return NO_LAYERS.union(*state.holds)
 
 
-def _certain(state: State) -> Held:
-    """Return what is held whatever becomes of the orders under way."""
-    return NOTHING.union(
+def _certain_layers(state: State) -> Layers:
+    """Return the layers that stay held whatever becomes of the orders."""
+    return NO_LAYERS.union(
         *(
             held if target is None else held & target
-            for held, target in zip(state.holds, state.under_way, strict=True)
+            for held, target in zip(state.holds, state.targets, strict=True)
         )
     )
 
 
-def _noted(state: State) -> State:
-    return state._replace(gone=state.gone - _certain(state))
+def _drop_recovered(state: State) -> State:
+    return state._replace(
+        lost_layers=state.lost_layers - _certain_layers(state)
+    )
 
 
-def _sent(state: State, engine: int, target: Held) -> State:
+def _send_order(state: State, engine: int, target: Layers) -> State:
     return state._replace(
-        under_way=_with(state.under_way, engine, target),
-        pending=_with(state.pending, engine, True),
+        targets=_with_item(state.targets, engine, target),
+        awaiting=_with_item(state.awaiting, engine, True),
         orders=state.orders + 1,
     )
 
 
-def _expected(state: State) -> tuple[Held, ...]:
-    """Return what the giver takes engines to hold."""
+def _expected(state: State) -> tuple[Layers, ...]:
+    """Return what the controller expects the engines to hold."""
     return tuple(
-        target if is_pending and target is not None else held
-        for held, target, is_pending in zip(
-            state.holds, state.under_way, state.pending, strict=True
+        target if is_awaited and target is not None else held
+        for held, target, is_awaited in zip(
+            state.holds, state.targets, state.awaiting, strict=True
         )
     )
 
 
-def _choices(engine: int, held: Held) -> list[Held]:
+def _layer_ranges(engine: int, held: Layers) -> list[Layers]:
     found = {held}
     for first in range(LAYERS):
-        for end in range(first + 1, min(LAYERS, first + MOST[engine]) + 1):
+        for end in range(
+            first + 1, min(LAYERS, first + LAYER_LIMITS[engine]) + 1
+        ):
             found.add(frozenset(range(first, end)))
     return sorted(found, key=sorted)
 
 
-def _layouts(state: State) -> tuple[tuple[Held, ...], ...]:
-    """Return the layouts that hold all layers and load least."""
+def _layouts(state: State) -> tuple[tuple[Layers, ...], ...]:
+    """Return the layouts that hold all layers and load the fewest."""
     is_free = tuple(
         is_alive and target is None
-        for is_alive, target in zip(state.alive, state.under_way, strict=True)
+        for is_alive, target in zip(state.alive, state.targets, strict=True)
     )
     return _cheapest(_expected(state), is_free)
 
 
 @functools.cache
 def _cheapest(
-    expected: tuple[Held, ...], is_free: tuple[bool, ...]
-) -> tuple[tuple[Held, ...], ...]:
+    expected: tuple[Layers, ...], is_free: tuple[bool, ...]
+) -> tuple[tuple[Layers, ...], ...]:
     choices = [
-        _choices(engine, held) if is_free[engine] else [held]
+        _layer_ranges(engine, held) if is_free[engine] else [held]
         for engine, held in enumerate(expected)
     ]
-    best: list[tuple[Held, ...]] = []
+    best: list[tuple[Layers, ...]] = []
     least = LAYERS * ENGINES
     for layout in itertools.product(*choices):
-        if len(NOTHING.union(*layout)) < LAYERS:
+        if len(NO_LAYERS.union(*layout)) < LAYERS:
             continue
         cost = sum(
             len(after - before)
@@ -248,47 +264,51 @@
     return tuple(best)
 
 
-def _steps(
+def _possible_orders(
     state: State, protections: frozenset[str]
-) -> list[tuple[int, Held]]:
-    """Return the orders that may be given now."""
-    if len(NOTHING.union(*_expected(state))) == LAYERS:
+) -> list[tuple[int, Layers]]:
+    """Return the orders that the controller may send now."""
+    if len(NO_LAYERS.union(*_expected(state))) == LAYERS:
         return []
     found = set()
     for layout in _layouts(state):
         for engine, target in enumerate(layout):
-            if target != _expected(state)[engine] and _may_give(
+            if target != _expected(state)[engine] and _may_drop(
                 state, layout, engine, protections
             ):
                 found.add((engine, target))
     return sorted(found, key=lambda step: (step[0], sorted(step[1])))
 
 
-def _may_give(
+def _may_drop(
     state: State,
-    layout: tuple[Held, ...],
+    layout: tuple[Layers, ...],
     engine: int,
     protections: frozenset[str],
 ) -> bool:
-    """Whether others hold what an engine gives up."""
-    others: Held = NOTHING
+    """Whether others hold all layers that an engine drops."""
+    others: Layers = NO_LAYERS
     for other in range(ENGINES):
         if other == engine or not state.alive[other]:
             continue
-        if state.doubted[other] and DOUBTS in protections:
+        if state.in_doubt[other] and DOUBTS in protections:
             continue
         held = state.holds[other]
         if KEPT in protections:
             held &= layout[other]
-        if TAKEN_FIRST not in protections:
+        if HELD_FIRST not in protections:
             held |= layout[other]
         others |= held
     return state.holds[engine] - layout[engine] <= others
 
 
 def _is_stuck(state: State) -> bool:
-    """Whether nothing is under way that makes a model whole that can be."""
-    is_still = not any(state.doubted) and state.under_way == (None,) * ENGINES
-    if not is_still or len(_held(state)) == LAYERS or not _layouts(state):
+    """Whether the model can be completed, but no order leads to it."""
+    is_idle = not any(state.in_doubt) and state.targets == (None,) * ENGINES
+    if (
+        not is_idle
+        or len(_held_layers(state)) == LAYERS
+        or not _layouts(state)
+    ):
         return False
-    return not _steps(state, frozenset(Rearrangements.protections))
+    return not _possible_orders(state, frozenset(Rearrangements.protections))
