--- a/bench/soak/config.py
+++ b/bench/soak/config.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The operator's config that the soak begins with."""
+"""The operator's config at the start of a seed."""
 
 import copy
 import typing
@@ -66,7 +66,7 @@
     "tenants": [{"name": "team", "api_keys": ["key-0"]}],
 }
 
-# Calls that may be repeated, and how often each request may be sent.
+# Idempotent calls, and how often each request may be sent.
 REPEATED: Spec = {
     "name": "repeated",
     "host": "desk.example",
@@ -79,7 +79,7 @@
 
 
 def with_repeats() -> Spec:
-    """Return the config of seeds that play for the retry budget."""
+    """Return the config of seeds that test the retry budget."""
     found = copy.deepcopy(CONFIG)
     found["routes"].append(copy.deepcopy(REPEATED))
     for route in found["routes"]:
--- a/bench/soak/ports.py
+++ b/bench/soak/ports.py
@@ -10,26 +10,26 @@
 import socket
 
 HOST = "127.0.0.1"
-# Below those that Linux gives to outgoing connections, 32768 and more.
+# Below the ephemeral ports of Linux, which begin at 32768.
 PORTS = range(10_000, 32_000)
-# Seeds that are played beside one another draw from parts of their own: an
-# entry's ports are free for a moment whenever it is killed.
-PARTS = 20
+# Seeds that run at the same time draw from different shares of the ports: the
+# ports of a killed entry are free for a moment.
+PORT_SHARES = 20
 
 
 def find_free(count: int, seed: int) -> list[int]:
-    """Return ports that nobody listens at.
+    """Return ports on which nothing listens.
 
-    They are used a moment later. Of those that the system gives itself one
-    was an outgoing connection's by then, and an entry ended as it started.
+    Ephemeral ports, as the system assigns them, could be taken by an outgoing
+    connection before an entry listens on them.
     """
-    part = PORTS[seed % PARTS :: PARTS]
-    drawn = random.SystemRandom().sample(part, len(part))
+    share = PORTS[seed % PORT_SHARES :: PORT_SHARES]
+    drawn = random.SystemRandom().sample(share, len(share))
     found: list[int] = []
     for port in drawn:
         if len(found) == count:
             break
-        with contextlib.suppress(OSError), socket.socket() as one:
-            one.bind((HOST, port))
+        with contextlib.suppress(OSError), socket.socket() as probe:
+            probe.bind((HOST, port))
             found.append(port)
     return found
