--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Plays seeds of the soak and prints what they showed."""
+"""Runs seeds of the soak test and prints their results."""
 
 import argparse
 import pathlib
@@ -15,12 +15,12 @@
 from bench.soak import run as soak
 
 CALLERS = 6
-# Enough to reach the retry budget of three entries.
+# Enough requests to exhaust the retry budget of three entries.
 BUDGET_CALLERS = 30
 
 
 def main() -> int:
-    """Play the seeds; returns 1 when a promise was broken."""
+    """Run the seeds; returns 1 when a guarantee was violated."""
     parser = argparse.ArgumentParser(prog="python -m bench.soak")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1, metavar="N")
@@ -33,7 +33,7 @@
         "--restores",
         action=argparse.BooleanOptionalAction,
         default=True,
-        help="whether the store comes back from older copies",
+        help="whether the store is restored from older backups",
     )
     parser.add_argument(
         "--peers",
@@ -45,38 +45,38 @@
         "--presses-back",
         action=argparse.BooleanOptionalAction,
         default=True,
-        help="whether instances name limits, want rest and leave",
+        help="whether instances set limits, ask for back-off and leave",
     )
     parser.add_argument(
         "--budget",
         action="store_true",
-        help="whether faults come in series and play for the retry budget",
+        help="whether bursts of faults test the retry budget instead",
     )
     parser.add_argument(
         "--freezes",
         action="store_true",
-        help="whether that freezes all instances of a service as well",
+        help="whether these bursts also freeze all instances of a service",
     )
     parser.add_argument("--callers", type=int, default=0)
     parser.add_argument(
         "--slack",
         type=float,
         default=budget.ALLOWANCE.slack,
-        help="repeats that the retry budget allows on top in a window",
+        help="repeats per window that the retry budget allows on top",
     )
     options = parser.parse_args()
     callers = BUDGET_CALLERS if options.budget else CALLERS
     allowance = attrs.evolve(budget.ALLOWANCE, slack=options.slack)
-    broken = 0
+    violations = 0
     for seed in range(options.seed, options.seed + options.seeds):
         folder = options.logs / str(seed) if options.logs else None
-        verdict = soak.play(
+        verdict = soak.run_seed(
             soak.Options(
                 seed,
                 options.seconds,
                 options.entries,
                 restores=options.restores,
-                presses_back=options.presses_back,
+                has_backpressure=options.presses_back,
                 peers=options.peers,
                 allowance=allowance if options.budget else None,
                 freezes=options.freezes,
@@ -84,20 +84,20 @@
             ),
             folder,
         )
-        broken += bool(verdict.broken)
+        violations += bool(verdict.violations)
         print(
             f"seed {seed}: {verdict.served} of {verdict.asked} served, "
             f"{len(verdict.faults)} faults, "
-            f"{len(verdict.broken)} promises broken",
+            f"{len(verdict.violations)} guarantees violated",
             flush=True,
         )
         for finding in verdict.peaks:
             print(f"  {finding}", flush=True)
-        for one in verdict.broken:
+        for one in verdict.violations:
             print(f"  {one}", flush=True)
-        if verdict.broken or options.budget:
-            print("  struck: " + ", ".join(verdict.faults), flush=True)
-    return 1 if broken else 0
+        if verdict.violations or options.budget:
+            print("  faults: " + ", ".join(verdict.faults), flush=True)
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/bench/soak/budget.py
+++ b/bench/soak/budget.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The retry budget that a seed plays with, and whether it was kept."""
+"""The retry budget of a seed, and whether entries kept to it."""
 
 import typing
 
@@ -12,8 +12,7 @@
 from bench.soak import callers as callers_module
 from crowdeck.standin import repeats
 
-# Small, and over a short window, so that a few callers reach it again and
-# again in ten seconds.
+# Small and over a short window, so that few callers exhaust it repeatedly.
 ALLOWANCE = repeats.Allowance(ratio=0.05, slack=40.0, window=5.0)
 SERVICES = {
     callers_module.STREAM: "model",
@@ -26,10 +25,10 @@
 
 
 @attrs.frozen
-class Finding:
-    """What one service got at most.
+class ServicePeak:
+    """The window in which a service got most repeats relative to its budget.
 
-    :ivar since: when the window begins, in seconds of the seed.
+    :ivar since: seconds from the first request to the start of the window.
     """
 
     service: str
@@ -37,7 +36,7 @@
     since: float
 
     def __str__(self) -> str:
-        """Return the window in words."""
+        """Return a line for the report."""
         peak = self.peak
         if not peak.repeats:
             return f"repeats: {self.service} got none"
@@ -48,7 +47,7 @@
 
 
 def ini(allowance: repeats.Allowance) -> str:
-    """Return the budget's terms as an entry is given them."""
+    """Return the budget as settings of an entry."""
     return (
         f"retry_ratio = {allowance.ratio}\n"
         f"retry_slack = {allowance.slack}\n"
@@ -60,19 +59,19 @@
     outcomes: typing.Sequence[callers_module.Outcome],
     arrivals: Arrivals,
     allowance: repeats.Allowance,
-) -> list[Finding]:
+) -> list[ServicePeak]:
     """Return for each service the window that uses most of its budget.
 
-    Both clocks are the machine's monotonic one.
+    Callers and stand-ins both read the machine's monotonic clock.
 
-    :param outcomes: all that callers sent, to whichever entry.
+    :param outcomes: all requests of callers, to any entry.
     """
-    began = min(one.sent_at for one in outcomes)
+    started_at = min(one.sent_at for one in outcomes)
     found = []
     for service, arrived in sorted(arrivals.items()):
         peaks = _account(service, outcomes, arrived).peaks(allowance)
         peak = max(peaks, key=lambda one: one.repeats / one.allowed)
-        found.append(Finding(service, peak, peak.since - began))
+        found.append(ServicePeak(service, peak, peak.since - started_at))
     return found
 
 
@@ -87,9 +86,9 @@
         for one in outcomes
         if one.is_sent and SERVICES[one.path] == service
     ]
-    for at in sorted(sent):
-        account.note_request(at)
+    for time in sorted(sent):
+        account.note_request(time)
     for request, times in arrived.items():
-        for at in times:
-            account.note_arrival(request, at)
+        for time in times:
+            account.note_arrival(request, time)
     return account
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Callers that check what they are answered."""
+"""Callers that check the answers they receive."""
 
 import random
 import typing
@@ -12,27 +12,27 @@
 import attrs
 import httpcore
 
-PATIENCE_SECONDS = 6.0
+REQUEST_TIMEOUT_SECONDS = 6.0
 CONNECT_SECONDS = 1.0
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 STREAM, ONCE, REPEATED = "/stream/", "/once/", "/repeated/"
 PATHS = (STREAM, STREAM, ONCE)
-# A request that ends each engine which begins it, sent again and again.
-ENDING = "ends whoever begins it"
-ENDING_PAUSE_SECONDS = 0.4
-# Engines that it may end: three, and as many as are sent it before all know;
-# a store that is away for seconds doubles both.
-ENDS_MOST = 10
+# A request that crashes each engine which runs it, sent repeatedly.
+CRASHING_BODY = "ends whoever begins it"
+CRASHING_PAUSE_SECONDS = 0.4
+# Engines that it may crash: three, and those that receive it before all
+# entries know of it; a store that is down for seconds doubles both.
+CRASH_LIMIT = 10
 HOST_HEADER = b"desk.example"
 
 
 @attrs.define
 class Outcome:
-    """What became of one attempt.
+    """Outcome of one request.
 
     :ivar status: 0 where the connection ended without one.
-    :ivar is_whole: whether the answer's end was seen.
-    :ivar is_sent: whether there was a connection to send it by.
+    :ivar is_whole: whether the answer was received to its end.
+    :ivar is_sent: whether a connection to the entry was made.
     """
 
     request: str
@@ -46,12 +46,12 @@
 
 
 class Callers:
-    """Sends requests to entries until told to end.
+    """Sends requests to entries until cancelled.
 
-    :param name: begins the ids of its requests; no two may share one, or
-        runs of one's requests count for the other's (seen with seed 2).
-    :param paths: what is asked for, each as often as it stands there.
-    :ivar ports: where entries are asked.
+    :param name: prefix of the request ids; unique among callers, or runs of
+        one caller's requests count as runs of another's.
+    :param paths: paths to choose from; a repeated path has more weight.
+    :ivar ports: ports of the entries to send to.
     """
 
     def __init__(
@@ -65,28 +65,28 @@
         self.ports = ports
         self._paths = paths
         self._name = name
-        self._chance = rng
+        self._rng = rng
         self._events = events
         self._count = 0
         self.key = "key-0"
         self.outcomes: list[Outcome] = []
-        self.faults: list[str] = []
+        self.violations: list[str] = []
 
     async def run(self, pause: float) -> None:
-        """Send one request after the other, on kept connections too."""
+        """Send one request after another, reusing connections."""
         pool = httpcore.AsyncConnectionPool()
         async with pool:
             while True:
-                path = self._chance.choice(self._paths)
+                path = self._rng.choice(self._paths)
                 await self.ask(path, pool)
-                await anyio.sleep(self._chance.uniform(0.2, 1.8) * pause)
+                await anyio.sleep(self._rng.uniform(0.2, 1.8) * pause)
 
-    async def run_ending(self) -> None:
-        """Send the same request again and again, under other ids."""
+    async def run_crashing(self) -> None:
+        """Send the crashing request repeatedly, each time under a new id."""
         async with httpcore.AsyncConnectionPool() as pool:
             while True:
-                await self.ask(STREAM, pool, ENDING.encode())
-                await anyio.sleep(ENDING_PAUSE_SECONDS)
+                await self.ask(STREAM, pool, CRASHING_BODY.encode())
+                await anyio.sleep(CRASHING_PAUSE_SECONDS)
 
     async def ask(
         self,
@@ -100,17 +100,17 @@
             f"{self._name}{self._count}", path, self.key, anyio.current_time()
         )
         self.outcomes.append(outcome)
-        port = self._chance.choice(self.ports)
+        port = self._rng.choice(self.ports)
         try:
-            with anyio.move_on_after(PATIENCE_SECONDS):
+            with anyio.move_on_after(REQUEST_TIMEOUT_SECONDS):
                 await self._exchange(outcome, port, pool, body)
         except (httpcore.ConnectError, httpcore.ConnectTimeout):
             outcome.is_sent = False
         except httpcore.NetworkError:
-            pass  # no answer is an outcome, and stands as such
+            pass  # the outcome has no answer
         except (httpcore.ProtocolError, httpcore.TimeoutException):
-            pass  # an answer that broke off: its body is checked all the same
-        self._check(outcome)
+            pass  # a truncated answer; what was received is checked below
+        self._check_answer(outcome)
         return outcome
 
     async def _exchange(
@@ -120,7 +120,7 @@
         pool: httpcore.AsyncConnectionPool,
         body: bytes,
     ) -> None:
-        milliseconds = str(int(PATIENCE_SECONDS * 1000)).encode()
+        milliseconds = str(int(REQUEST_TIMEOUT_SECONDS * 1000)).encode()
         headers = [
             (b"host", HOST_HEADER),
             (b"x-request-id", outcome.request.encode()),
@@ -141,26 +141,32 @@
                 outcome.body += piece
             outcome.is_whole = True
 
-    def _check(self, outcome: Outcome) -> None:
+    def _check_answer(self, outcome: Outcome) -> None:
         if outcome.status != 200:
             return
         request = outcome.request
         if outcome.path != STREAM:
             if outcome.is_whole and outcome.body != request.encode():
-                self.faults.append(f"{request}: a foreign or torn answer")
+                self.violations.append(
+                    f"{request}: a wrong or truncated answer"
+                )
             return
         whole = b"".join(
             f"id: {number}\ndata: {request}:{number}\n\n".encode()
             for number in range(self._events)
         )
         if outcome.is_whole and outcome.body != whole:
-            self.faults.append(f"{request}: a wrong stream taken for whole")
+            self.violations.append(
+                f"{request}: a wrong stream received as complete"
+            )
         elif not whole.startswith(outcome.body):
-            self.faults.append(f"{request}: an event lost, doubled or foreign")
+            self.violations.append(
+                f"{request}: an event lost, duplicated or wrong"
+            )
 
-    def judge(self, runs: list[list[str]]) -> typing.Iterator[str]:
-        """Yield each promise that was broken, given what ran."""
-        yield from self.faults
+    def find_violations(self, runs: list[list[str]]) -> typing.Iterator[str]:
+        """Yield each violated guarantee, given which requests ran where."""
+        yield from self.violations
         ran: dict[str, int] = {}
         for request, _ in runs:
             ran[request] = ran.get(request, 0) + 1
@@ -168,5 +174,9 @@
             times = ran.get(outcome.request, 0)
             if outcome.path == ONCE and times > 1:
                 yield f"{outcome.request}: ran {times} times"
-            if outcome.path == ONCE and times and outcome.status in PROMISES:
+            if (
+                outcome.path == ONCE
+                and times
+                and outcome.status in NOT_RUN_STATUSES
+            ):
                 yield f"{outcome.request}: {outcome.status}, and it ran"
--- a/bench/soak/control.py
+++ b/bench/soak/control.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Orders to the process of the stand-ins, and questions to it."""
+"""Client of the stand-ins' control port."""
 
 import typing
 
@@ -16,13 +16,13 @@
 
 
 class Control:
-    """The way to the world's control port."""
+    """Sends commands and queries to the stand-ins."""
 
     def __init__(self, port: int) -> None:
         self.port = port
 
     async def do(self, what: str, **order: typing.Any) -> None:
-        """Have the world do something."""
+        """Send a command."""
         async with httpcore.AsyncConnectionPool() as pool:
             await pool.request(
                 "POST",
@@ -35,8 +35,8 @@
         found: list[list[str]] = await self._fetch("runs")
         return found
 
-    async def falls(self) -> list[int]:
-        """Return the numbers of instances that ended under a request."""
+    async def crashes(self) -> list[int]:
+        """Return the numbers of instances that crashed under a request."""
         found: list[int] = await self._fetch("falls")
         return found
 
--- a/bench/soak/entries.py
+++ b/bench/soak/entries.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The entries of one seed, each a process with a proxy before its store."""
+"""Entry processes of one seed, each with a proxy in front of the store."""
 
 import contextlib
 import pathlib
@@ -19,14 +19,14 @@
 
 HOST = "127.0.0.1"
 ROOT = pathlib.Path(__file__).parent.parent.parent
-# A key that was taken away stops working within this time.
+# A revoked key stops working within this time.
 REVOCATION_SECONDS = 5.0
 PORTS_EACH = 4
 
 
 @attrs.frozen
-class Place:
-    """Where one entry listens, and how it reaches the store."""
+class Endpoints:
+    """Ports of one entry, and its proxy to the store."""
 
     callers: int
     status: int
@@ -35,11 +35,11 @@
 
 
 class Entries:
-    """Starts entries, and ends at its own end those that still run.
+    """Starts entries, and kills on exit those that still run.
 
     :param ports: ``PORTS_EACH`` for each entry.
     :param has_peers: whether entries of a zone ask one another for the store.
-    :param settings: more lines of each entry's ``[fleet]``.
+    :param settings: further lines of each entry's ``[fleet]`` section.
     """
 
     def __init__(
@@ -53,8 +53,8 @@
         self._settings = settings
         self._folder = folder
         self._has_peers = has_peers
-        self.places = [
-            Place(callers, status, peers, proxies.Proxy(store, store_port))
+        self.endpoints = [
+            Endpoints(callers, status, peers, proxies.Proxy(store, store_port))
             for callers, status, peers, store in zip(
                 *[iter(ports)] * PORTS_EACH, strict=True
             )
@@ -63,7 +63,7 @@
         self._stack = contextlib.AsyncExitStack()
 
     async def __aenter__(self) -> typing.Self:
-        """Begin."""
+        """Return the entries; none is started yet."""
         return self
 
     async def __aexit__(
@@ -72,11 +72,11 @@
         error: BaseException | None,
         trace: types.TracebackType | None,
     ) -> None:
-        """End all processes."""
+        """Kill all processes and close their logs."""
         await self._stack.aclose()
 
     async def start(self, number: int) -> None:
-        """Start an entry, for the first time or again."""
+        """Start or restart an entry."""
         path = self._folder / f"entry-{number}.ini"
         path.write_text(self._ini(number))
         log = self._stack.enter_context(
@@ -97,15 +97,15 @@
 
     def _ini(self, number: int) -> str:
         zone = ("a", "b")[number % 2]
-        place = self.places[number]
-        peers = f"peers = {HOST}:{place.peers}\n"
+        endpoint = self.endpoints[number]
+        peers = f"peers = {HOST}:{endpoint.peers}\n"
         return (
             f"[crowdeckd]\nrole = entry\nname = entry-{number}\n"
             f"availability_zone = {zone}\nhost = {HOST}\n"
-            f"[platform]\nurl = http://{HOST}:{place.store.port}\n"
+            f"[platform]\nurl = http://{HOST}:{endpoint.store.port}\n"
             f"[entry]\nhttp_host = {HOST}\n"
-            f"[fleet]\ncallers = {HOST}:{place.callers}\n"
-            f"status = {HOST}:{place.status}\n"
+            f"[fleet]\ncallers = {HOST}:{endpoint.callers}\n"
+            f"status = {HOST}:{endpoint.status}\n"
             f"revocation_ms = {REVOCATION_SECONDS * 1000:.0f}\n"
             "grace_seconds = 4\n"
             + self._settings
@@ -114,7 +114,7 @@
 
 
 async def end(process: anyio.abc.Process) -> None:
-    """Kill a process that still runs, and close what leads to it."""
+    """Kill a process that still runs, and close its streams."""
     if process.returncode is None:
         process.kill()
     await process.aclose()
--- a/bench/soak/proxy.py
+++ b/bench/soak/proxy.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A loopback TCP proxy that delays, resets, cuts or silences."""
+"""A loopback TCP proxy that delays, holds, resets or refuses connections."""
 
 import enum
 import random
@@ -14,25 +14,25 @@
 import anyio.abc
 
 HOST = "127.0.0.1"
-CHUNK = 65_536
+CHUNK_BYTES = 65_536
 DELAY_SECONDS = 0.05
 POLL_SECONDS = 0.02
-# SO_LINGER with no time: closing then sends a reset.
+# SO_LINGER with a time-out of zero: closing sends a reset.
 RESET = struct.pack("ii", 1, 0)
 
 
 class Mode(enum.StrEnum):
-    """What becomes of bytes."""
+    """What happens to bytes and to new connections."""
 
     PASS = "pass"  # noqa: S105
     DELAY = "delay"
-    SILENT = "silent"
-    DEAF = "deaf"  # requests pass, answers do not
+    HOLD = "hold"
+    HOLD_REPLIES = "hold_replies"  # requests pass, replies do not
     REFUSE = "refuse"
 
 
 class Proxy:
-    """One port before one target."""
+    """Forwards the connections of one port to a target port."""
 
     def __init__(self, port: int, target: int) -> None:
         self.port = port
@@ -59,53 +59,55 @@
             if rng.random() < share:
                 _reset(stream)
 
-    async def harm(self, seconds: float, rng: random.Random) -> None:
-        """Reset some connections, and hold up what passes for some time."""
+    async def impair(self, seconds: float, rng: random.Random) -> None:
+        """Reset some connections, and delay or hold bytes for some time."""
         self.reset(rng.random(), rng)
-        self.mode = rng.choice((Mode.DELAY, Mode.SILENT, Mode.DEAF))
+        self.mode = rng.choice((Mode.DELAY, Mode.HOLD, Mode.HOLD_REPLIES))
         await anyio.sleep(seconds)
         self.mode = Mode.PASS
 
-    async def _serve(self, near: anyio.abc.SocketStream) -> None:
-        async with near:
+    async def _serve(self, client: anyio.abc.SocketStream) -> None:
+        async with client:
             if self.mode is Mode.REFUSE:
-                _reset(near)
+                _reset(client)
                 return
             try:
-                far = await anyio.connect_tcp(HOST, self._target)
+                server = await anyio.connect_tcp(HOST, self._target)
             except OSError:
-                _reset(near)
+                _reset(client)
                 return
-            async with far, anyio.create_task_group() as tasks:
-                self._streams |= {near, far}
-                tasks.start_soon(self._pump, near, far, False, tasks)
-                tasks.start_soon(self._pump, far, near, True, tasks)
-            self._streams -= {near, far}
+            async with server, anyio.create_task_group() as tasks:
+                self._streams |= {client, server}
+                tasks.start_soon(self._forward, client, server, False, tasks)
+                tasks.start_soon(self._forward, server, client, True, tasks)
+            self._streams -= {client, server}
 
-    async def _pump(
+    async def _forward(
         self,
         source: anyio.abc.SocketStream,
         sink: anyio.abc.SocketStream,
-        is_back: bool,
+        is_response: bool,
         tasks: anyio.abc.TaskGroup,
     ) -> None:
         try:
             while True:
-                piece = await source.receive(CHUNK)
-                await self._hold(is_back)
-                await sink.send(piece)
+                chunk = await source.receive(CHUNK_BYTES)
+                await self._delay(is_response)
+                await sink.send(chunk)
         except anyio.EndOfStream:
-            if is_back:
+            if is_response:
                 tasks.cancel_scope.cancel()
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-            # A reset on one side is a reset on the other.
+            # Propagate a reset of one side to the other.
             _reset(sink)
             tasks.cancel_scope.cancel()
 
-    async def _hold(self, is_back: bool) -> None:
+    async def _delay(self, is_response: bool) -> None:
         if self.mode is Mode.DELAY:
             await anyio.sleep(DELAY_SECONDS)
-        while self.mode is Mode.SILENT or (self.mode is Mode.DEAF and is_back):
+        while self.mode is Mode.HOLD or (
+            self.mode is Mode.HOLD_REPLIES and is_response
+        ):
             await anyio.sleep(POLL_SECONDS)
 
 
@@ -119,5 +121,5 @@
         if transport is not None:
             transport.abort()
     except OSError:
-        # It closed by itself in between: as good as reset.
+        # The connection has closed already.
         return
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One seed of the soak: start, strike, check, end."""
+"""One seed of the soak test: start, inject faults, check, stop."""
 
 import contextlib
 import json
@@ -25,26 +25,25 @@
 from bench.soak import engine_faults
 from bench.soak import entries as entries_module
 from bench.soak import entry_faults
+from bench.soak import fault_bursts
 from bench.soak import keys
 from bench.soak import ports as free_ports
 from bench.soak import proxy as proxies
 from bench.soak import store_faults
-from bench.soak import storm as storms
 from crowdeck.standin import repeats
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
 START_SECONDS = 30.0
-# After the last fault is undone, everything is served again within this.
-RECOVER_SECONDS = 8.0
-# A lease that another writer spoilt is somebody else's for its whole length,
-# and is looked at every 1.5 s: taken 5.5 s after the last such write, with an
-# engine without layers since before (seeds 4 and 6 of 4 s).
-SPOILT_SECONDS = 6.0
-EVENTS = 20
+# Time from the end of the last fault until all requests are served again.
+RECOVERY_SECONDS = 8.0
+# More time after another writer corrupted the lease: nobody may take it for
+# its whole duration, and engines get no layers meanwhile.
+CORRUPTED_LEASE_SECONDS = 6.0
+STREAM_EVENTS = 20
 # Mean pause of a caller between two requests.
-CALLER_PAUSE = 0.15
-# The same where many requests are wanted for a budget to be reached.
-BUDGET_CALLER_PAUSE = 0.05
+CALLER_PAUSE_SECONDS = 0.15
+# The same for seeds that have to exhaust the retry budget.
+BUDGET_CALLER_PAUSE_SECONDS = 0.05
 BUDGET_PATHS = (
     callers_module.STREAM,
     callers_module.STREAM,
@@ -59,21 +58,23 @@
 
 @attrs.frozen
 class Options:
-    """How long and how hard one seed is played.
-
-    :ivar seconds: time during which faults strike.
-    :ivar pause: mean time between two faults; they overlap.
-    :ivar ending: whether a caller sends what ends each engine it runs at.
-    :ivar restores: whether the store comes back from older copies. It has
-        its own draws, so that a seed strikes the same without it.
-    :ivar presses_back: whether instances name limits, ask for rest and say in
-        answers that they leave; by draws of its own as well.
+    """Size, duration and faults of one seed.
+
+    Optional faults have random generators of their own, so that a seed
+    injects the same other faults without them.
+
+    :ivar seconds: time during which faults are injected.
+    :ivar pause: mean seconds between two faults, which may overlap.
+    :ivar sends_crashing: whether a caller sends a request that crashes each
+        engine it runs at.
+    :ivar restores: whether the store is restored from older backups.
+    :ivar has_backpressure: whether instances set limits, ask for back-off and
+        announce in answers that they leave.
     :ivar peers: whether entries of a zone ask one another for the store.
-    :ivar allowance: the terms of the retry budget where it is played for:
-        by faults in series, instead of the ones above.
-    :ivar freezes: whether such faults freeze all instances of a service too;
-        by draws of its own.
-    :ivar newcomers: entries under new names that may join in such a storm.
+    :ivar allowance: terms of the retry budget, for a seed that tests it with
+        bursts of faults instead of single ones; ``None`` for other seeds.
+    :ivar freezes: whether bursts freeze all instances of a service too.
+    :ivar new_entries: entries under new names that may join in bursts.
     """
 
     seed: int
@@ -82,38 +83,38 @@
     engines: int = 6
     callers: int = 6
     pause: float = 0.7
-    ending: bool = True
+    sends_crashing: bool = True
     restores: bool = False
-    presses_back: bool = False
+    has_backpressure: bool = False
     peers: bool = False
     allowance: repeats.Allowance | None = None
     freezes: bool = False
-    newcomers: int = 2
+    new_entries: int = 2
 
 
 @attrs.define
 class Verdict:
-    """What one seed showed."""
+    """Result of one seed."""
 
     seed: int
     asked: int
     served: int
-    broken: list[str]
+    violations: list[str]
     faults: list[str]
-    peaks: list[budget.Finding]
+    peaks: list[budget.ServicePeak]
 
 
 class Soak:
-    """One seed, from its start to its verdict."""
+    """Runs one seed and checks the guarantees."""
 
     def __init__(self, options: Options, folder: pathlib.Path) -> None:
         self._options = options
-        self._chance = random.Random(options.seed)
+        self._rng = random.Random(options.seed)
         count = options.engines + (4 if options.allowance else 2)
-        newcomers = options.newcomers if options.allowance else 0
-        places = options.entries + newcomers
-        needed = entries_module.PORTS_EACH * places
-        # All at once: who draws again may draw the same, not yet taken.
+        new_entries = options.new_entries if options.allowance else 0
+        entry_count = options.entries + new_entries
+        needed = entries_module.PORTS_EACH * entry_count
+        # Drawn in one call: a second one might return ports not yet in use.
         ports = iter(
             free_ports.find_free(2 + 2 * count + needed, options.seed)
         )
@@ -141,36 +142,37 @@
             options.peers,
             budget.ini(options.allowance) if options.allowance else "",
         )
-        self._store_proxies = [one.store for one in self._entries.places]
+        self._store_proxies = [one.store for one in self._entries.endpoints]
         self._config = config.CONFIG
         if options.allowance:
             self._config = config.with_repeats()
-        self._told: list[str] = []
-        self._checks = 0
+        self._fault_log: list[str] = []
+        self._probe_count = 0
         self.callers = callers_module.Callers(
-            [one.callers for one in self._entries.places[: options.entries]],
+            [
+                one.callers
+                for one in self._entries.endpoints[: options.entries]
+            ],
             random.Random(options.seed + 1),
-            EVENTS,
+            STREAM_EVENTS,
             paths=BUDGET_PATHS if options.allowance else callers_module.PATHS,
         )
-        self._checked: list[callers_module.Outcome] = []
+        self._probe_outcomes: list[callers_module.Outcome] = []
         self._keys = keys.Keys(self._config, self._control, self.callers)
-        self._entry_faults = entry_faults.EntryFaults(
-            self._chance, self._entries
-        )
+        self._entry_faults = entry_faults.EntryFaults(self._rng, self._entries)
         self._store_faults = store_faults.StoreFaults(
-            self._chance, self._control, self._store_proxies
+            self._rng, self._control, self._store_proxies
         )
         self._engine_faults = engine_faults.EngineFaults(
-            self._chance, self._control, self._engine_proxies
+            self._rng, self._control, self._engine_proxies
         )
 
     async def run(self) -> Verdict:
-        """Play the seed."""
+        """Run the seed."""
         async with contextlib.AsyncExitStack() as stack:
             tasks = await stack.enter_async_context(anyio.create_task_group())
             stack.callback(tasks.cancel_scope.cancel)
-            await self._start_world(stack)
+            await self._start_platform(stack)
             for one in (*self._engine_proxies, *self._store_proxies):
                 await tasks.start(one.run)
             await stack.enter_async_context(self._entries)
@@ -178,30 +180,36 @@
                 await self._entries.start(number)
             await self._await_service()
             allowance = self._options.allowance
-            pause = BUDGET_CALLER_PAUSE if allowance else CALLER_PAUSE
+            pause = (
+                BUDGET_CALLER_PAUSE_SECONDS
+                if allowance
+                else CALLER_PAUSE_SECONDS
+            )
             for _ in range(self._options.callers):
                 tasks.start_soon(self.callers.run, pause)
-            if self._options.ending and not allowance:
-                await self._control.do("ending", body=callers_module.ENDING)
-                tasks.start_soon(self.callers.run_ending)
-                tasks.start_soon(self._engine_faults.bring_back)
+            if self._options.sends_crashing and not allowance:
+                await self._control.do(
+                    "ending", body=callers_module.CRASHING_BODY
+                )
+                tasks.start_soon(self.callers.run_crashing)
+                tasks.start_soon(self._engine_faults.restart_crashed)
             if allowance:
-                await self._storm(allowance.window)
+                await self._run_bursts(allowance.window)
             else:
-                await self._strike_all()
-            broken = await self._check_recovery()
+                await self._inject_faults()
+            violations = await self._check_recovery()
             runs = await self._control.runs()
-            broken += self.callers.judge(runs)
-            broken += await self._check_ends()
-            broken += self._keys.judge()
+            violations += self.callers.find_violations(runs)
+            violations += await self._check_crashes()
+            violations += self._keys.find_violations()
             peaks = await self._find_peaks()
-            broken += [str(one) for one in peaks if one.peak.is_over]
-            # Before the world ends that they ask.
+            violations += [str(one) for one in peaks if one.peak.is_over]
+            # Stop the callers before the platform that serves them.
             tasks.cancel_scope.cancel()
-            return self._verdict(broken, peaks)
+            return self._verdict(violations, peaks)
 
     def _verdict(
-        self, broken: list[str], peaks: list[budget.Finding]
+        self, violations: list[str], peaks: list[budget.ServicePeak]
     ) -> Verdict:
         served = sum(
             1
@@ -212,40 +220,40 @@
             self._options.seed,
             len(self.callers.outcomes),
             served,
-            broken,
-            self._told,
+            violations,
+            self._fault_log,
             peaks,
         )
 
-    async def _storm(self, calm: float) -> None:
+    async def _run_bursts(self, quiet_seconds: float) -> None:
         options = self._options
-        places = len(self._entries.places)
-        storm = storms.Storm(
-            self._chance,
-            storms.Struck(
+        entry_count = len(self._entries.endpoints)
+        bursts = fault_bursts.FaultBursts(
+            self._rng,
+            fault_bursts.Targets(
                 self._entries,
                 self._control,
                 self._engine_proxies,
                 options.engines,
                 self.callers,
-                list(range(options.entries, places)),
+                list(range(options.entries, entry_count)),
             ),
-            self._told,
+            self._fault_log,
             random.Random(options.seed + 4) if options.freezes else None,
         )
-        await storm.run(options.seconds, calm)
+        await bursts.run(options.seconds, quiet_seconds)
 
-    async def _find_peaks(self) -> list[budget.Finding]:
+    async def _find_peaks(self) -> list[budget.ServicePeak]:
         allowance = self._options.allowance
         if not allowance:
             return []
         return budget.find_peaks(
-            self.callers.outcomes + self._checked,
+            self.callers.outcomes + self._probe_outcomes,
             await self._control.arrivals(),
             allowance,
         )
 
-    async def _start_world(self, stack: contextlib.AsyncExitStack) -> None:
+    async def _start_platform(self, stack: contextlib.AsyncExitStack) -> None:
         spec = {
             "store": self._store_port,
             "control": self._control.port,
@@ -253,7 +261,12 @@
             "config": self._config,
         }
         process = await anyio.open_process(
-            [sys.executable, "-m", "bench.soak.world", json.dumps(spec)],
+            [
+                sys.executable,
+                "-m",
+                "bench.soak.standin_platform",
+                json.dumps(spec),
+            ],
             cwd=ROOT,
             stderr=None,
         )
@@ -268,69 +281,70 @@
                 await anyio.sleep(0.3)
 
     async def _serves_all(self) -> bool:
-        """Whether every entry serves both kinds of request."""
+        """Whether every entry serves a stream and a single call."""
         served: list[bool] = []
         async with anyio.create_task_group() as tasks:
             for port in self.callers.ports:
-                tasks.start_soon(self._ask_both, port, served)
+                tasks.start_soon(self._probe, port, served)
         return all(served)
 
-    async def _ask_both(self, port: int, served: list[bool]) -> None:
-        self._checks += 1
+    async def _probe(self, port: int, served: list[bool]) -> None:
+        self._probe_count += 1
         one = callers_module.Callers(
-            [port], random.Random(0), EVENTS, f"check-{self._checks}-"
+            [port],
+            random.Random(0),
+            STREAM_EVENTS,
+            f"check-{self._probe_count}-",
         )
         one.key = self.callers.key
         async with httpcore.AsyncConnectionPool() as pool:
             for path in (callers_module.STREAM, callers_module.ONCE):
                 outcome = await one.ask(path, pool)
-                self._checked.append(outcome)
+                self._probe_outcomes.append(outcome)
                 served.append(outcome.status == 200 and outcome.is_whole)
 
     async def _check_recovery(self) -> list[str]:
-        seconds = RECOVER_SECONDS
-        if any(one.startswith("write_foreign") for one in self._told):
-            seconds += SPOILT_SECONDS
+        seconds = RECOVERY_SECONDS
+        if any(one.startswith("write_foreign") for one in self._fault_log):
+            seconds += CORRUPTED_LEASE_SECONDS
         engines = self._engine_faults
-        engines.struck_at = anyio.current_time()
-        while anyio.current_time() < engines.struck_at + seconds:
+        engines.recovered_at = anyio.current_time()
+        while anyio.current_time() < engines.recovered_at + seconds:
             if await self._serves_all():
                 return []
             await anyio.sleep(0.2)
         return [f"not served {seconds} s after the last fault"]
 
-    async def _check_ends(self) -> list[str]:
-        ends = len(await self._control.falls())
-        if ends <= callers_module.ENDS_MOST:
+    async def _check_crashes(self) -> list[str]:
+        crash_count = len(await self._control.crashes())
+        if crash_count <= callers_module.CRASH_LIMIT:
             return []
-        return [f"{ends} engines ended under one request"]
+        return [f"{crash_count} engines crashed under one request"]
 
-    async def _strike_all(self) -> None:
-        """Strike for the seed's time, and wait until all is undone."""
+    async def _inject_faults(self) -> None:
+        """Inject faults for the seed's time, and wait until all have ended."""
         options = self._options
-        async with anyio.create_task_group() as striking:
+        async with anyio.create_task_group() as task_group:
             with anyio.move_on_after(options.seconds):
                 if options.restores:
-                    striking.start_soon(
+                    task_group.start_soon(
                         self._store_faults.restore,
                         random.Random(options.seed + 2),
                         options.seconds,
-                        self._told,
+                        self._fault_log,
                     )
-                if options.presses_back:
-                    striking.start_soon(
-                        self._engine_faults.press_back,
+                if options.has_backpressure:
+                    task_group.start_soon(
+                        self._engine_faults.apply_backpressure,
                         random.Random(options.seed + 3),
                         options.seconds,
-                        self._told,
+                        self._fault_log,
                     )
                 while True:
-                    await anyio.sleep(
-                        self._chance.expovariate(1 / options.pause)
-                    )
-                    striking.start_soon(self._strike)
+                    await anyio.sleep(self._rng.expovariate(1 / options.pause))
+                    task_group.start_soon(self._inject_fault)
 
-    async def _strike(self) -> None:
+    async def _inject_fault(self) -> None:
         kinds = (
             self._entry_faults.kill_entry,
             self._entry_faults.stop_entry,
@@ -344,17 +358,17 @@
             self._change_config,
             self._store_faults.write_foreign,
         )
-        strike = self._chance.choice(kinds)
-        seconds = self._chance.uniform(0.3, 2.5)
-        self._told.append(f"{strike.__name__.strip('_')} {seconds:.1f} s")
-        await strike(seconds)
+        fault = self._rng.choice(kinds)
+        seconds = self._rng.uniform(0.3, 2.5)
+        self._fault_log.append(f"{fault.__name__.strip('_')} {seconds:.1f} s")
+        await fault(seconds)
 
     async def _change_config(self, seconds: float) -> None:
-        await self._keys.change_config(self._chance.randint(1, 3))
+        await self._keys.change_config(self._rng.randint(1, 3))
 
 
-def play(options: Options, folder: pathlib.Path | None = None) -> Verdict:
-    """Play one seed; logs go to ``folder``, or to one that is removed."""
+def run_seed(options: Options, folder: pathlib.Path | None = None) -> Verdict:
+    """Run one seed; logs go to ``folder``, or to a temporary folder."""
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
         return anyio.run(Soak(options, folder).run)
--- a/bench/soak/world.py
+++ b/bench/soak/standin_platform.py
@@ -3,9 +3,9 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The stand-ins of the platform, in a process of their own.
+"""The process that runs the stand-ins of the platform.
 
-It is steered, and asked what ran, over HTTP on a port of its own.
+A control port takes commands over HTTP, and tells which requests ran.
 """
 
 import collections
@@ -35,20 +35,20 @@
 HOST = "127.0.0.1"
 EVENT_SECONDS = 0.04
 CALL_SECONDS = 0.02
-# The store is copied this often, and comes back from one of the last ten:
-# what was written in up to five seconds is lost.
+# The store is backed up this often and restored from one of the last ten
+# backups, which loses the writes of up to five seconds.
 BACKUP_SECONDS = 0.5
 BACKUPS_KEPT = 10
-# The operator notices a return of the store, and writes its config again.
+# Time after which the operator writes its config again to a restored store.
 REWRITE_SECONDS = 0.3
 # More requests than a seed sends.
-ALWAYS = 10**6
+UNLIMITED = 10**6
 
 Spec = dict[str, typing.Any]
 
 
-class World:
-    """Store, engines and plain services, and the control over them."""
+class StandinPlatform:
+    """Store, engines and plain services, and their control port."""
 
     def __init__(self, spec: Spec) -> None:
         self._spec = spec
@@ -62,20 +62,20 @@
         )
 
     async def run(self) -> None:
-        """Serve until the process is told to end."""
+        """Serve until the process is terminated."""
         self._put_config(self._config)
         async with anyio.create_task_group() as tasks:
             for one in self._spec["upstreams"]:
-                await self._add(one, tasks)
+                await self._add_upstream(one, tasks)
             store = store_http.StoreApp(self._store).build()
             await tasks.start(
                 http_server.serve_http, store, HOST, self._spec["store"]
             )
             control = applications.Starlette(
                 routes=[
-                    routing.Route("/do", self._do, methods=["POST"]),
+                    routing.Route("/do", self._execute, methods=["POST"]),
                     routing.Route("/runs", self._runs),
-                    routing.Route("/falls", self._falls),
+                    routing.Route("/falls", self._crashes),
                     routing.Route("/arrivals", self._arrivals),
                 ]
             )
@@ -86,7 +86,9 @@
             tasks.start_soon(self._back_up)
             print("ready", flush=True)
 
-    async def _add(self, one: Spec, tasks: anyio.abc.TaskGroup) -> None:
+    async def _add_upstream(
+        self, one: Spec, tasks: anyio.abc.TaskGroup
+    ) -> None:
         listed = chain.Upstream(
             name=one["name"],
             service=one["service"],
@@ -111,7 +113,7 @@
             await anyio.sleep(BACKUP_SECONDS)
 
     async def _restore(self, age: int, seconds: float) -> None:
-        """Have the store away for some time and come back from a copy."""
+        """Have the store down for some time, then restored from a backup."""
         self._store.is_down = True
         await anyio.sleep(seconds)
         self._store.restore(self._backups[-min(age, len(self._backups))])
@@ -125,7 +127,7 @@
             names.CONFIG_KIND, names.CONFIG_NAME, orjson.dumps(body)
         )
 
-    async def _do(self, request: requests.Request) -> responses.Response:
+    async def _execute(self, request: requests.Request) -> responses.Response:
         order = orjson.loads(await request.body())
         what = order["what"]
         if what == "config":
@@ -172,12 +174,12 @@
         elif what == "leave":
             target.announces_leaving = True
         elif what == "fail_all":
-            target.failed_calls, target.break_stream_after = ALWAYS, 1
+            target.failed_calls, target.break_stream_after = UNLIMITED, 1
             target.breaks_every_stream = True
         elif what == "lose_all":
-            target.lost_answers = ALWAYS
+            target.lost_answers = UNLIMITED
         elif what == "reject_all":
-            target.rejected_requests = ALWAYS
+            target.rejected_requests = UNLIMITED
         elif what == "mend":
             target.failed_calls = target.lost_answers = (
                 target.rejected_requests
@@ -191,7 +193,7 @@
     def _restart(
         self, target: chain_fleet.StandinUpstream, keeps_id: bool
     ) -> None:
-        """Bring an instance back: empty, and as another run."""
+        """Restart an instance; one that was dead has a new incarnation."""
         if target.is_dead:
             self._starts += 1
             listed = target.listed
@@ -212,7 +214,7 @@
         target.is_dead = target.is_unresponsive = False
 
     def _write_foreign(self, number: int) -> None:
-        """Write an entry as another program would, or spoil one's own."""
+        """Write foreign values to an upstream's key and to the lease."""
         values = (
             b"7",
             b'{"service": 1}',
@@ -234,8 +236,8 @@
         }
         return responses.Response(orjson.dumps(arrivals))
 
-    async def _falls(self, request: requests.Request) -> responses.Response:
-        """Tell which instances ended under a request, in order."""
+    async def _crashes(self, request: requests.Request) -> responses.Response:
+        """Return which instances crashed under a request, in order."""
         numbers = {
             id(one): number for number, one in enumerate(self._fleet.upstreams)
         }
@@ -247,4 +249,4 @@
 
 
 if __name__ == "__main__":
-    anyio.run(World(json.loads(sys.argv[1])).run)
+    anyio.run(StandinPlatform(json.loads(sys.argv[1])).run)
--- a/bench/soak/store_faults.py
+++ b/bench/soak/store_faults.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Faults of the platform's store, and of the ways to it."""
+"""Faults of the platform's store, and of the links to it."""
 
 import random
 import typing
@@ -13,30 +13,30 @@
 from bench.soak import control as controls
 from bench.soak import proxy as proxies
 
-# Mean time between two returns of the store from a copy.
-RESTORE_PAUSE = 2.0
+# Mean time between two restores of the store.
+RESTORE_PAUSE_SECONDS = 2.0
 
 
 class StoreFaults:
-    """Strikes the store, and the proxies before it."""
+    """Injects faults into the store, and the proxies in front of it."""
 
     def __init__(
         self,
         rng: random.Random,
         control: controls.Control,
-        ways: typing.Sequence[proxies.Proxy],
+        links: typing.Sequence[proxies.Proxy],
     ) -> None:
-        self._chance = rng
+        self._rng = rng
         self._control = control
-        self._ways = ways
+        self._links = links
 
     async def cut_store(self, seconds: float) -> None:
-        """Harm one entry's way to the store."""
-        await self._chance.choice(self._ways).harm(seconds, self._chance)
+        """Impair the link of one entry to the store."""
+        await self._rng.choice(self._links).impair(seconds, self._rng)
 
     async def fail_store(self, seconds: float) -> None:
-        """Have the store lose replies, and be down for some time."""
-        if self._chance.random() < 0.5:
+        """Have the store lose a reply, and be down for some time."""
+        if self._rng.random() < 0.5:
             await self._control.do("forget")
         await self._control.do("lose", count=1)
         await self._control.do("store", is_down=True)
@@ -44,23 +44,23 @@
         await self._control.do("store", is_down=False)
 
     async def write_foreign(self, seconds: float) -> None:
-        """Write entries as another program would."""
+        """Write foreign values to the store, as another program might."""
         for _ in range(3):
-            number = self._chance.randrange(8)
+            number = self._rng.randrange(8)
             await self._control.do("foreign", number=number)
             await anyio.sleep(seconds / 3)
 
     async def restore(
-        self, rng: random.Random, seconds: float, told: list[str]
+        self, rng: random.Random, seconds: float, fault_log: list[str]
     ) -> None:
-        """Have the store come back from copies, now and then."""
+        """Have the store restored from backups at random times."""
         ends_at = anyio.current_time() + seconds
         while True:
-            await anyio.sleep(rng.expovariate(1 / RESTORE_PAUSE))
+            await anyio.sleep(rng.expovariate(1 / RESTORE_PAUSE_SECONDS))
             if anyio.current_time() >= ends_at:
                 return
             away = rng.uniform(0.0, 2.5)
-            told.append(f"restore_store {away:.1f} s")
+            fault_log.append(f"restore_store {away:.1f} s")
             await self._control.do(
                 "restore", age=rng.randint(1, 10), seconds=away
             )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A short seeded run of the soak, and every seed that ever failed.
+"""Short seeded runs of the soak test, and regressions of seeds that failed.
 
-Real processes take real time: what is struck is fixed by the seed, when it
-meets which request is not. So only promises that hold at any timing are
-asserted, none on how much was served.
+The seed fixes the faults, but not which requests they meet: real processes
+take real time. So only guarantees that hold at any timing are asserted, and
+not how many requests were served.
 """
 
 import attrs
@@ -21,54 +21,54 @@
 BUDGET = attrs.evolve(
     SHORT,
     seed=5,
-    newcomers=0,
+    new_entries=0,
     callers=24,
     peers=True,
     allowance=budget.ALLOWANCE,
 )
-# Seeds that broke a promise once, each with its cause.
+# Seeds that once violated a guarantee, each with the cause.
 REGRESSIONS = (
-    4,  # a SIGHUP ended an entry that had only begun to start
-    6,  # another writer spoilt the lease while an engine had no layers
+    4,  # a SIGHUP killed an entry that was still starting
+    6,  # another writer corrupted the lease while an engine had no layers
 )
 
 
 class TestSoak:
-    """Real processes under faults from outside."""
+    """Real processes under injected faults."""
 
     @pytest.mark.parametrize("seed", [SHORT.seed, *REGRESSIONS])
-    def test_no_promise_is_broken(self, seed: int) -> None:
-        verdict = soak.play(attrs.evolve(SHORT, seed=seed))
-        assert verdict.broken == []
+    def test_guarantees_hold(self, seed: int) -> None:
+        verdict = soak.run_seed(attrs.evolve(SHORT, seed=seed))
+        assert verdict.violations == []
 
-    def test_store_comes_back_from_copies_meanwhile(self) -> None:
-        verdict = soak.play(
+    def test_guarantees_hold_while_store_is_restored(self) -> None:
+        verdict = soak.run_seed(
             attrs.evolve(SHORT, seed=2, restores=True, peers=True)
         )
         assert any(one.startswith("restore") for one in verdict.faults)
-        assert verdict.broken == []
+        assert verdict.violations == []
 
-    def test_instances_ask_for_less_meanwhile(self) -> None:
-        verdict = soak.play(attrs.evolve(SHORT, seed=5, presses_back=True))
+    def test_guarantees_hold_under_backpressure(self) -> None:
+        verdict = soak.run_seed(
+            attrs.evolve(SHORT, seed=5, has_backpressure=True)
+        )
         assert any(one.startswith("limit") for one in verdict.faults)
-        assert verdict.broken == []
+        assert verdict.violations == []
 
     def test_repeats_keep_to_the_budget(self) -> None:
-        """An entry that starts does not know what the one before it spent.
+        """Guards against restarted entries that spend a retry budget again.
 
-        Both entries spent their budget on streams whose answers were lost,
-        and were killed a second later. The processes after them spent a part
-        of it once more, and took themselves for the only entry: the model's
-        service got 68 repeats in five seconds, 55.8 were allowed.
+        An entry does not know at its start what its predecessor spent, nor
+        how many entries share the budget.
         """
-        verdict = soak.play(BUDGET)
+        verdict = soak.run_seed(BUDGET)
         assert any("kill_all" in one for one in verdict.faults)
         assert any(one.peak.repeats for one in verdict.peaks)
-        assert verdict.broken == []
+        assert verdict.violations == []
 
 
 class TestBudget:
-    """What a service may get, whichever entry or process sent it."""
+    """The retry budget of a service, over all entries and processes."""
 
     SENT = 20
     ALLOWED = 41
@@ -86,46 +86,48 @@
         )
         return found.peak.is_over
 
-    def test_as_many_as_allowed(self) -> None:
+    def test_allowed_repeats_are_within_budget(self) -> None:
         assert not self.is_over(self.ALLOWED)
 
-    def test_one_more(self) -> None:
+    def test_one_repeat_more_is_over_budget(self) -> None:
         assert self.is_over(self.ALLOWED + 1)
 
-    def test_requests_without_a_connection_allow_none(self) -> None:
+    def test_unsent_requests_add_no_budget(self) -> None:
         assert self.is_over(self.ALLOWED, is_sent=False)
 
 
 class TestOracle:
-    """What the soak's callers take for broken."""
+    """Answers that the callers report as violations."""
 
-    def judge(self, *outcomes: callers.Outcome) -> list[str]:
+    def find_violations(self, *outcomes: callers.Outcome) -> list[str]:
         one = callers.Callers([1], None, 2)  # type: ignore[arg-type]
         one.outcomes = list(outcomes)
         for outcome in outcomes:
-            one._check(outcome)
+            one._check_answer(outcome)
         runs = [["a", "u"], ["a", "u"], ["b", "u"]]
-        return list(one.judge(runs))
+        return list(one.find_violations(runs))
 
     def outcome(self, request: str, **changes: object) -> callers.Outcome:
         base = callers.Outcome(request, callers.ONCE, "key", 0.0)
         return attrs.evolve(base, **changes)  # type: ignore[arg-type]
 
-    def test_second_run_of_a_call(self) -> None:
-        assert self.judge(self.outcome("a", status=502)) == ["a: ran 2 times"]
+    def test_second_run_of_a_call_is_reported(self) -> None:
+        assert self.find_violations(self.outcome("a", status=502)) == [
+            "a: ran 2 times"
+        ]
 
-    def test_refusal_that_ran(self) -> None:
-        broken = self.judge(self.outcome("b", status=503))
-        assert broken == ["b: 503, and it ran"]
+    def test_refused_request_that_ran_is_reported(self) -> None:
+        violations = self.find_violations(self.outcome("b", status=503))
+        assert violations == ["b: 503, and it ran"]
 
-    def test_foreign_answer(self) -> None:
-        broken = self.judge(
+    def test_wrong_answer_is_reported(self) -> None:
+        violations = self.find_violations(
             self.outcome("c", status=200, body=b"d", is_whole=True)
         )
-        assert broken == ["c: a foreign or torn answer"]
+        assert violations == ["c: a wrong or truncated answer"]
 
     @pytest.mark.parametrize(
-        ("body", "is_whole", "is_broken"),
+        ("body", "is_whole", "is_violation"),
         [
             (b"id: 0\ndata: s:0\n\n", False, False),
             (b"id: 0\ndata: s:0\n\n", True, True),
@@ -133,8 +135,8 @@
             (b"id: 0\ndata: x:0\n\n", False, True),
         ],
     )
-    def test_streams(
-        self, body: bytes, is_whole: bool, is_broken: bool
+    def test_wrong_streams_are_reported(
+        self, body: bytes, is_whole: bool, is_violation: bool
     ) -> None:
         outcome = self.outcome(
             "s",
@@ -143,4 +145,4 @@
             body=body,
             is_whole=is_whole,
         )
-        assert bool(self.judge(outcome)) is is_broken
+        assert bool(self.find_violations(outcome)) is is_violation
