--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -22,7 +22,7 @@
 POLL_SECONDS = 0.5
 # Changes of one check that are logged a line each. The others are counted in
 # one further line, since a whole service may signal at once.
-MAX_LINES = 20
+MAX_LOG_LINES = 20
 # Instances named in the log line of one request.
 MAX_NAMED = 5
 
@@ -178,9 +178,9 @@
 
 
 def _log(event: str, signals: list[BackpressureSignal]) -> None:
-    for one in signals[:MAX_LINES]:
+    for one in signals[:MAX_LOG_LINES]:
         logs.change(event, **one.as_fields())
-    others = signals[MAX_LINES:]
+    others = signals[MAX_LOG_LINES:]
     if others:
         counts = collections.Counter(
             f"{one.upstream.service} {one.upstream.availability_zone} "
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -175,10 +175,14 @@
 
         run_scenario(work, plain=300)
         for what in ("need_begun", "need_ended"):
-            assert len(lines_of(what, lines)) == backpressure_monitor.MAX_LINES
+            assert (
+                len(lines_of(what, lines))
+                == backpressure_monitor.MAX_LOG_LINES
+            )
             (others,) = lines_of(f"{what}_by_others", lines)
             assert others["instances"] == {
-                f"{PLAIN} plateau rest": 300 - backpressure_monitor.MAX_LINES
+                f"{PLAIN} plateau rest": 300
+                - backpressure_monitor.MAX_LOG_LINES
             }
 
     def test_gauges_by_service_and_zone(self) -> None:
