--- a/src/crowdeck/relay/survey.py
+++ b/src/crowdeck/relay/survey.py
@@ -21,7 +21,7 @@
 MAX_CONCURRENT = 32
 # Maximum number of engines asked, those of the entry's own availability zone
 # first. More questions would delay the start of a small entry.
-MAX_QUESTIONS = 40
+MAX_ENGINES = 40
 
 
 class Survey:
@@ -47,7 +47,7 @@
     def _nearest(self, engines: list[chain.Upstream]) -> list[chain.Upstream]:
         zone = self._context.zone
         engines.sort(key=lambda one: one.availability_zone != zone)
-        return engines[:MAX_QUESTIONS]
+        return engines[:MAX_ENGINES]
 
     async def _find_engines(
         self, services: tuple[routes.Service, ...]
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -239,7 +239,7 @@
             client = _ReportClient(silent="")
             system.context.client = client  # type: ignore[assignment]
             await surveys.Survey(system.context).run(system.holder.services)
-            assert len(client.asked) == surveys.MAX_QUESTIONS
+            assert len(client.asked) == surveys.MAX_ENGINES
             own = [
                 name
                 for name, one in system.listed.items()
