--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -187,7 +187,7 @@
     def refusal(self) -> errors.CrowdeckError:
         """Return the error for a stream that found no path."""
         rng = self._context.rng
-        delay = self._context.retry_advisor.estimate_delay()
+        delay = self._context.retry_advisor.record_refusal()
         gap = self._gap()
         if gap is not None:
             counters.COUNTERS.add("relay.unheld")
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -213,7 +213,7 @@
                 errors.Code.OVERLOADED,
                 f"this entry lags by {lag:.2f} s with {self._in_progress} "
                 "requests in progress",
-                retry_after=self._context.retry_advisor.estimate_delay(),
+                retry_after=self._context.retry_advisor.record_refusal(),
             )
 
     def _admit(
--- a/src/crowdeck/relay/retry_advice.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -49,7 +49,7 @@
             return 0.0
         return WINDOW_SECONDS * count / len(self._ended)
 
-    def estimate_delay(self) -> float:
+    def record_refusal(self) -> float:
         """Return the seconds after which a request refused now should retry.
 
         Capacity for all recent refusals comes with as many ended streams;
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -379,6 +379,6 @@
             error.message,
             verdict=verdict,
             retry_after=error.retry_after
-            or self._context.retry_advisor.estimate_delay(),
+            or self._context.retry_advisor.record_refusal(),
             culprit=error.culprit,
         )
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -20,7 +20,7 @@
     def test_single_refusal_has_the_minimum_delay(self) -> None:
         async def body() -> None:
             advisor = retry_advice.RetryAdvisor(random.Random(1))
-            assert advisor.estimate_delay() == retry_advice.MIN_DELAY_SECONDS
+            assert advisor.record_refusal() == retry_advice.MIN_DELAY_SECONDS
 
         virtual.run(body)
 
@@ -30,7 +30,7 @@
             advisor = retry_advice.RetryAdvisor(random.Random(1))
             for _ in range(20):
                 advisor.note_end()
-            delays = [advisor.estimate_delay() for _ in range(40)]
+            delays = [advisor.record_refusal() for _ in range(40)]
             assert max(delays) > 2.0
             assert min(delays) < 0.5
             assert max(delays) <= retry_advice.MAX_DELAY_SECONDS
@@ -41,9 +41,9 @@
         async def body() -> None:
             advisor = retry_advice.RetryAdvisor(random.Random(1))
             for _ in range(40):
-                advisor.estimate_delay()
+                advisor.record_refusal()
             await anyio.sleep(retry_advice.WINDOW_SECONDS + 0.1)
-            assert advisor.estimate_delay() == retry_advice.MIN_DELAY_SECONDS
+            assert advisor.record_refusal() == retry_advice.MIN_DELAY_SECONDS
 
         virtual.run(body)
 
