--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -93,7 +93,7 @@
         self._known: dict[tuple[str, SignalKind], BackpressureSignal] = {}
         self._gauges: set[str] = set()
 
-    def now(self) -> tuple[BackpressureSignal, ...]:
+    def active_signals(self) -> tuple[BackpressureSignal, ...]:
         """Return the signals in force."""
         return (*self._limited(), *self._backing_off(), *self._leaving())
 
@@ -154,7 +154,7 @@
                 yield BackpressureSignal(upstream, SignalKind.LEAVING, since)
 
     def _check(self) -> None:
-        found = {one.key: one for one in self.now()}
+        found = {one.key: one for one in self.active_signals()}
         begun = [one for key, one in found.items() if key not in self._known]
         ended = [one for key, one in self._known.items() if key not in found]
         _log("need_begun", begun)
--- a/src/crowdeck/relay/status.py
+++ b/src/crowdeck/relay/status.py
@@ -72,7 +72,8 @@
             "running": self._relay.in_progress,
             "generation": table.version if table is not None else 0,
             "needs": [
-                one.as_fields() for one in self._context.backpressure.now()
+                one.as_fields()
+                for one in self._context.backpressure.active_signals()
             ],
             "unheld": [one.as_fields() for one in self._context.gaps.known],
         }
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -100,7 +100,10 @@
             for number in range(2):
                 system.fleet.at(first(system, number).address).limit = 6.0
             await call(system, 20.0, 0.05)
-            found = {one.key: one for one in system.context.backpressure.now()}
+            found = {
+                one.key: one
+                for one in system.context.backpressure.active_signals()
+            }
             one = found[
                 (first(system).name, backpressure_monitor.SignalKind.LIMIT)
             ]
@@ -120,16 +123,16 @@
         async def work(system: System) -> None:
             system.registry.back_off(first(system).name, 3.0)
             await anyio.sleep(1.0)
-            (one,) = system.context.backpressure.now()
+            (one,) = system.context.backpressure.active_signals()
             assert one.kind is backpressure_monitor.SignalKind.BACKOFF
             assert one.since == 0.0
             assert one.seconds_left == pytest.approx(2.0)
             # Extending a backoff does not start a new one.
             system.registry.back_off(first(system).name, 3.0)
-            (one,) = system.context.backpressure.now()
+            (one,) = system.context.backpressure.active_signals()
             assert one.since == 0.0
             await anyio.sleep(3.1)
-            assert not system.context.backpressure.now()
+            assert not system.context.backpressure.active_signals()
 
         run_scenario(work)
 
@@ -137,10 +140,10 @@
         async def work(system: System) -> None:
             system.registry.note_leaving(first(system).name)
             await anyio.sleep(1.0)
-            (one,) = system.context.backpressure.now()
+            (one,) = system.context.backpressure.active_signals()
             assert one.kind is backpressure_monitor.SignalKind.LEAVING
             system.registry.on_changed((), (first(system).incarnation.id,))
-            assert not system.context.backpressure.now()
+            assert not system.context.backpressure.active_signals()
 
         run_scenario(work)
 
