--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -229,7 +229,7 @@
                 float(fleet["retry_slack"]),
                 float(fleet["retry_window_seconds"]),
             ),
-            began=anyio.current_time(),
+            started_at=anyio.current_time(),
             name=self._config.name,
         )
 
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -68,7 +68,7 @@
     usage: usages.InFlight
     planner: hops.HopPlanner
     budget_settings: RetryBudgetSettings
-    began: float = float("-inf")
+    started_at: float = float("-inf")
     name: str = ""
     membership: budgets.Membership = budgets.FixedMembership()
     lag_meter: loop_lag.LoopLagMeter = attrs.field(
@@ -121,7 +121,7 @@
                 budget_settings.ratio,
                 budget_settings.slack,
                 budget_settings.window,
-                self.began,
+                self.started_at,
                 self.membership,
             )
             self._budgets[service] = found
@@ -155,7 +155,7 @@
             left=round(budget.remaining, 2),
             requests=budget.requests,
             entries=self.membership.entries,
-            running=round(anyio.current_time() - self.began, 3),
+            running=round(anyio.current_time() - self.started_at, 3),
         )
 
     def note_end(self, upstream: chain.Upstream) -> None:
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -162,7 +162,7 @@
         self,
         fleet: chain_fleet.ChainFleet | None = None,
         name: str = "",
-        began: float = float("-inf"),
+        started_at: float = float("-inf"),
     ) -> None:
         self.fleet = fleet or chain_fleet.ChainFleet()
         self.name = name
@@ -179,7 +179,7 @@
             usage=self.usage,
             planner=hops.HopPlanner(self.usage),
             budget_settings=contexts.RetryBudgetSettings(0.2, 100.0, 10.0),
-            began=began,
+            started_at=started_at,
             name=name,
             # Entries with the same seed would act in lockstep.
             rng=random.Random(name or 1),
@@ -193,7 +193,9 @@
             self.context, self.holder, self.monitor, lambda: self.age, 3.5
         )
         # A restarted entry must not reuse the ids of its former run.
-        self._prefix = f"{name}r" if began < 0.0 else f"{name}@{began:.3f}r"
+        self._prefix = (
+            f"{name}r" if started_at < 0.0 else f"{name}@{started_at:.3f}r"
+        )
         self._ids = 0
 
     def install(self, config: routes.FleetConfig) -> None:
