--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -163,7 +163,7 @@
             is_new_fleet=bool(fleet["first_start"]),
         )
         self._lease = lease
-        context.follow(view.roster)
+        context.use_roster(view.roster)
         for part in (*view.parts, lease.run, monitor.run):
             tasks.start_soon(part)
         tasks.start_soon(context.backpressure.run)
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -223,7 +223,7 @@
         """Whether the budget allows a stream to restart elsewhere."""
         return self.budget(service).remaining_share >= RESTART_RESERVE_SHARE
 
-    def follow(self, roster: rosters.Roster) -> None:
+    def use_roster(self, roster: rosters.Roster) -> None:
         """Share limits and budgets with the entries of a roster.
 
         Call it before the first budget is used.
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -230,7 +230,7 @@
             lambda: rosters.RECORD_LINGER_SECONDS,
         )
         roster.set_age_source(mirror.age)
-        entry.context.follow(roster)
+        entry.context.use_roster(roster)
         scope = anyio.CancelScope()
         parts = (entry.monitor.run, roster.run, mirror.run)
         self._tasks.start_soon(_run_all, scope, parts)
