--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -69,7 +69,7 @@
         body=body,
         timeout_seconds=None if timeout_ms is None else timeout_ms / 1000.0,
         arrived=arrived,
-        size=_prompt_size(first_values),
+        token_counts=_prompt_size(first_values),
         last_event=int(
             _parse_number(first_values.get(names.LAST_EVENT_ID, b"")) or -1
         ),
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -64,7 +64,7 @@
     body: bytes = attrs.field(repr=False)
     timeout_seconds: float | None
     arrived: float
-    size: TokenCounts | None = None
+    token_counts: TokenCounts | None = None
     last_event: int = -1
 
 
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -60,14 +60,16 @@
         budget = self._context.budget(service.name)
         budget.earn()
         sends = budget.track_sends()
-        size = request.size or requests.TokenCounts(0, 0)
+        token_counts = request.token_counts or requests.TokenCounts(0, 0)
         stream = live.LiveStream(
             request=request,
             service=service,
             profile=service.profile,
             max_pause=admitted.route.gap or admitted.route.objective,
             objective=admitted.route.objective,
-            tokens=size.mean_tokens(service.profile.mean_answer_tokens),
+            tokens=token_counts.mean_tokens(
+                service.profile.mean_answer_tokens
+            ),
             usage=self._context.usage,
             sends=sends,
             last_event=request.last_event,
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -250,7 +250,7 @@
             body=b"",
             timeout_seconds=20.0,
             arrived=anyio.current_time(),
-            size=requests.TokenCounts(700, 400, 100),
+            token_counts=requests.TokenCounts(700, 400, 100),
         )
         return attrs.evolve(request, **changes)
 
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -236,7 +236,7 @@
         assert request.key == "k1"
         assert request.timeout_seconds == 2.5
         assert request.last_event == 12
-        assert request.size == requests.TokenCounts(642, 430, 64)
+        assert request.token_counts == requests.TokenCounts(642, 430, 64)
         assert "k1" not in repr(request)
 
     def test_request_without_an_id_is_none(self) -> None:
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -52,13 +52,13 @@
     """Mean number of tokens that a request holds while it runs."""
 
     def test_half_of_the_answer_is_counted(self) -> None:
-        size = requests.TokenCounts(700, 400)
-        assert size.mean_tokens(200.0) == 800.0
+        token_counts = requests.TokenCounts(700, 400)
+        assert token_counts.mean_tokens(200.0) == 800.0
 
     def test_hint_counts_as_much_as_the_usual_answer(self) -> None:
-        size = requests.TokenCounts(700, 400, 100)
-        assert size.mean_tokens(200.0) == 775.0
+        token_counts = requests.TokenCounts(700, 400, 100)
+        assert token_counts.mean_tokens(200.0) == 775.0
 
     def test_answer_is_limited(self) -> None:
-        size = requests.TokenCounts(700, 10, 100)
-        assert size.mean_tokens(200.0) == 705.0
+        token_counts = requests.TokenCounts(700, 10, 100)
+        assert token_counts.mean_tokens(200.0) == 705.0
