--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -187,10 +187,14 @@
         )
         self.config = make_config()
         self.holder = relays.ConfigHolder(lambda _: self.config, "main")
-        self.age = 0.0
+        self.config_age_seconds = 0.0
         self.monitor = stalls.StallMonitor(self.context)
         self.relay = relays.Relay(
-            self.context, self.holder, self.monitor, lambda: self.age, 3.5
+            self.context,
+            self.holder,
+            self.monitor,
+            lambda: self.config_age_seconds,
+            3.5,
         )
         # A restarted entry must not reuse the ids of its former run.
         self._prefix = (
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -213,7 +213,7 @@
             assert caller.error is not None
             assert requests.status_of(caller.error) == status
             # A newer config might know the key or the route.
-            system.age = 4.0
+            system.config_age_seconds = 4.0
             caller = await system.ask(request)
             assert caller.error is not None
             assert requests.status_of(caller.error) == 503
@@ -222,7 +222,7 @@
 
     def test_key_is_not_trusted_with_an_old_config(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            system.age = 3.6
+            system.config_age_seconds = 3.6
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert caller.error is not None
@@ -238,7 +238,7 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             assert system.relay.is_ready
             assert not system.relay.closes_connections
-            system.age = 1.9
+            system.config_age_seconds = 1.9
             assert not system.relay.is_ready
             assert system.relay.closes_connections
             caller = await system.ask(system.request(ONCE))
@@ -250,7 +250,7 @@
         self,
     ) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            system.age = 3.6
+            system.config_age_seconds = 3.6
             caller = await system.ask(system.request(ONCE))
             assert caller.error is not None
             assert caller.error.retry_after is not None
@@ -263,7 +263,7 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             route = fleet_system.make_route(ONCE, is_anonymous=True)
             system.install(fleet_system.make_config(2, (route,)))
-            system.age = 60.0
+            system.config_age_seconds = 60.0
             caller = await system.ask(system.request(ONCE, key=""))
             assert caller.status == 200
 
