--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -100,14 +100,16 @@
 
 
 def make_config(
-    version: int = 1, listed: tuple[routes.Route, ...] | None = None
+    version: int = 1, config_routes: tuple[routes.Route, ...] | None = None
 ) -> routes.FleetConfig:
     """Return a config with a route of each kind and one team."""
-    if listed is None:
-        listed = tuple(make_route(repeat) for repeat in routes.RepeatPolicy)
+    if config_routes is None:
+        config_routes = tuple(
+            make_route(repeat) for repeat in routes.RepeatPolicy
+        )
     return routes.FleetConfig(
         version=version,
-        routes=listed,
+        routes=config_routes,
         services=(
             routes.Service(MODEL, 100, PROFILE),
             routes.Service(PLAIN, 100),
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -344,7 +344,7 @@
             route = fleet_system.make_route(
                 IDEMPOTENT, objective=objective, timeout=4.0
             )
-            system.install(fleet_system.make_config(listed=(route,)))
+            system.install(fleet_system.make_config(config_routes=(route,)))
             found = []
             for number in range(count):
                 one = fleet_system.upstream(
