--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -70,7 +70,7 @@
         timeout_seconds=None if timeout_ms is None else timeout_ms / 1000.0,
         arrived=arrived,
         token_counts=_prompt_size(first_values),
-        last_event=int(
+        last_event_id=int(
             _parse_number(first_values.get(names.LAST_EVENT_ID, b"")) or -1
         ),
     )
@@ -88,7 +88,7 @@
         | _connection_headers(request.headers)
     )
     dropped -= {_HOST}
-    if dispatch.last_event != request.last_event:
+    if dispatch.last_event_id != request.last_event_id:
         dropped |= {names.LAST_EVENT_ID}
     headers = [pair for pair in request.headers if pair[0] not in dropped]
     milliseconds = max(MIN_DEADLINE_MS, int(dispatch.seconds_left * 1000))
@@ -101,9 +101,9 @@
         headers.append((names.TEAM, dispatch.team.encode()))
     if dispatch.path is not None:
         headers.append((names.HOPS, str(dispatch.path).encode()))
-    if dispatch.last_event != request.last_event:
+    if dispatch.last_event_id != request.last_event_id:
         headers.append(
-            (names.LAST_EVENT_ID, str(dispatch.last_event).encode())
+            (names.LAST_EVENT_ID, str(dispatch.last_event_id).encode())
         )
     if request.body or any(
         name == b"content-length" for name, _ in request.headers
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -91,7 +91,7 @@
             self._admitted.priority,
             left,
             self._path,
-            self._stream.last_event,
+            self._stream.last_event_id,
         )
         with anyio.move_on_after(left):
             async with self._context.client.open(
@@ -142,18 +142,21 @@
         self._context.heads.first_event(self._path.head.name, stream)
         stream.note_event()
         if event.id is not None:
-            if event.id <= stream.last_event:
+            if event.id <= stream.last_event_id:
                 return
-            if stream.last_event >= 0 and event.id != stream.last_event + 1:
+            if (
+                stream.last_event_id >= 0
+                and event.id != stream.last_event_id + 1
+            ):
                 raise self._wrong_answer(
-                    f"event {event.id} follows {stream.last_event}"
+                    f"event {event.id} follows {stream.last_event_id}"
                 )
         if not self._sink.has_started:
             await self._sink.start(answer.status, answer.caller_headers)
         await self._sink.write(event.content)
         stream.has_events = True
         if event.id is not None:
-            stream.last_event = event.id
+            stream.last_event_id = event.id
 
     def _refusal(self, answer: interfaces.Answer) -> errors.CrowdeckError:
         culprit = self._culprit(answer)
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -316,7 +316,7 @@
             self._admitted.team,
             self._admitted.priority,
             self._seconds_left(),
-            last_event=self._request.last_event,
+            last_event_id=self._request.last_event_id,
         )
         timeouts = http.Timeouts(
             self._context.connect_seconds, self._seconds_left()
--- a/src/crowdeck/relay/interfaces.py
+++ b/src/crowdeck/relay/interfaces.py
@@ -22,7 +22,7 @@
 
     :ivar seconds_left: time that the upstream may take.
     :ivar path: the engines it passes, ``None`` for a plain service.
-    :ivar last_event: id of the last event already received, -1 to start
+    :ivar last_event_id: id of the last event already received, -1 to start
         with the first.
     """
 
@@ -30,7 +30,7 @@
     priority: int
     seconds_left: float
     path: chain.ChainPath | None = None
-    last_event: int = -1
+    last_event_id: int = -1
 
 
 @attrs.frozen
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -33,7 +33,7 @@
     :ivar tokens: mean number of tokens that the request holds while it runs.
     :ivar sends: its sends, as the retry budget counts them.
     :ivar can_resume: returns whether it may resume at another first engine.
-    :ivar last_event: id of the last event forwarded, -1 for none.
+    :ivar last_event_id: id of the last event forwarded, -1 for none.
     :ivar progress_at: when its last event came or its attempt began.
     :ivar next_check: it is not checked before this time.
     :ivar checks: how often it was checked since ``progress_at``.
@@ -55,7 +55,7 @@
     _usage: usages.InFlight
     sends: budgets.SendTracker
     can_resume: typing.Callable[[], bool] = lambda: False
-    last_event: int = -1
+    last_event_id: int = -1
     has_events: bool = False
     progress_at: float = 0.0
     next_check: float = 0.0
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -51,7 +51,7 @@
     :ivar path: the path without its query.
     :ivar timeout_seconds: how long the caller waits, ``None`` if not given.
     :ivar arrived: loop time when its headers had been read.
-    :ivar last_event: id of the last event that the caller has, or -1.
+    :ivar last_event_id: id of the last event that the caller has, or -1.
     """
 
     id: str
@@ -65,7 +65,7 @@
     timeout_seconds: float | None
     arrived: float
     token_counts: TokenCounts | None = None
-    last_event: int = -1
+    last_event_id: int = -1
 
 
 def fingerprint_of(
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -274,7 +274,7 @@
             stream.request.id,
             silent=round(anyio.current_time() - silent_since, 3),
             usual=round(stream.usual_pause, 4),
-            after=stream.last_event,
+            after=stream.last_event_id,
             culprits=[str(one.address) for one in found.culprits],
             is_sure=found.is_sure,
             running=found.head.running if found.head else None,
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -72,7 +72,7 @@
             ),
             usage=self._context.usage,
             sends=sends,
-            last_event=request.last_event,
+            last_event_id=request.last_event_id,
             team=admitted.team,
         )
         self._monitor.add(stream)
@@ -175,7 +175,7 @@
             "path_chosen",
             self._request.id,
             path=str(path),
-            after=self._stream.last_event,
+            after=self._stream.last_event_id,
             tokens=int(self._stream.tokens),
             refusals=self._refusals,
             waited=round(anyio.current_time() - self._request.arrived, 3),
@@ -246,7 +246,7 @@
             head=path.head.name,
             first_event=round(first, 4),
             longest_pause=round(stream.longest_pause, 4),
-            last_event=stream.last_event,
+            last_event=stream.last_event_id,
             seconds=round(now - arrived, 3),
             attempts=len(self._ran_on) + 1,
         )
@@ -269,7 +269,7 @@
             culprit=error.culprit,
             reason=error.message,
             verdict=str(error.verdict),
-            after=self._stream.last_event,
+            after=self._stream.last_event_id,
             content=str(self._stream.fingerprint),
             has_begun=not self._stream.is_starting,
         )
@@ -356,7 +356,7 @@
     def _may_resume(self) -> bool:
         if not self._route.is_resumable:
             return False
-        if self._stream.has_events and self._stream.last_event < 0:
+        if self._stream.has_events and self._stream.last_event_id < 0:
             # Its events have no ids, so it cannot be resumed after one.
             return False
         return self._runs_left() > 0
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -225,7 +225,7 @@
             Run(
                 target.listed.name,
                 request.id,
-                dispatch.last_event,
+                dispatch.last_event_id,
                 str(dispatch.path or ""),
                 dispatch.team,
                 request.body,
@@ -426,7 +426,7 @@
             target.hanging_streams -= 1
             await anyio.sleep_forever()
         await self._fall_over(target, request)
-        for number in range(dispatch.last_event + 1, self.events):
+        for number in range(dispatch.last_event_id + 1, self.events):
             await anyio.sleep(self.event_seconds)
             await self._await_path(target, request.id)
             await self._await_link()
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -123,7 +123,7 @@
             priority=0,
             seconds_left=request.timeout_seconds or 0.0,
             path=self._path(hops) if hops else None,
-            last_event=request.last_event,
+            last_event_id=request.last_event_id,
         )
         expected = headers[names.EXPECTED_INSTANCE].decode()
         listed = attrs.evolve(
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -235,7 +235,7 @@
         assert request.host == "desk.example"
         assert request.key == "k1"
         assert request.timeout_seconds == 2.5
-        assert request.last_event == 12
+        assert request.last_event_id == 12
         assert request.token_counts == requests.TokenCounts(642, 430, 64)
         assert "k1" not in repr(request)
 
@@ -266,7 +266,7 @@
 
     def test_unchanged_last_event_id_is_kept(self) -> None:
         request = caller_request()
-        dispatch = interfaces.Dispatch("hule", 1, 1.5, last_event=12)
+        dispatch = interfaces.Dispatch("hule", 1, 1.5, last_event_id=12)
         headers = callers.upstream_request_headers(
             request, fleet_system.upstream("i-9"), dispatch
         )
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -122,7 +122,7 @@
 
     def test_starts_after_the_callers_last_event(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            request = attrs.evolve(system.request(STREAM), last_event=4)
+            request = attrs.evolve(system.request(STREAM), last_event_id=4)
             caller = await system.ask(request)
             assert caller.is_whole
             assert caller.body.startswith(b"id: 5\n")
