--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -75,19 +75,19 @@
         self._upstreams = upstreams
         self._may_probe = may_probe
         self._known: dict[str, Probe] = {}
-        self._asking: dict[str, anyio.Event] = {}
+        self._in_progress: dict[str, anyio.Event] = {}
 
     @property
     def is_probing(self) -> bool:
         """Whether any probe is in progress."""
-        return bool(self._asking)
+        return bool(self._in_progress)
 
-    async def ask(
+    async def probe(
         self, upstream: chain.Upstream, max_age: float = REUSE_SECONDS
     ) -> Probe:
         """Return a new or recent probe of an engine.
 
-        :param fresh: seconds for which a probe with a report is reused.
+        :param max_age: seconds for which a probe with a report is reused.
         """
         while True:
             known = self._known.get(upstream.name)
@@ -98,24 +98,24 @@
                 )
                 if now - known.at < reuse_seconds:
                     return known
-            waiting = self._asking.get(upstream.name)
+            waiting = self._in_progress.get(upstream.name)
             if waiting is None:
                 if not self._may_probe(upstream.name):
                     return Probe(
                         upstream, None, "it is backing off", False, now
                     )
-                return await self._ask(upstream)
+                return await self._run_probe(upstream)
             await waiting.wait()
 
-    async def _ask(self, upstream: chain.Upstream) -> Probe:
-        done = self._asking[upstream.name] = anyio.Event()
+    async def _run_probe(self, upstream: chain.Upstream) -> Probe:
+        done = self._in_progress[upstream.name] = anyio.Event()
         try:
             probe = await self._exchange(upstream)
             self._forget()
             self._known[upstream.name] = probe
             return probe
         finally:
-            del self._asking[upstream.name]
+            del self._in_progress[upstream.name]
             done.set()
 
     def _forget(self) -> None:
@@ -165,7 +165,7 @@
         return Probe(upstream, None, "no answer", is_sure, now)
 
 
-def controls(
+def pick_controls(
     upstream: chain.Upstream, usable: typing.Iterable[chain.Upstream]
 ) -> list[chain.Upstream]:
     """Return engines to probe beside one that is silent.
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -160,7 +160,7 @@
         answers: list[probes.Probe] = []
 
         async def ask(upstream: chain.Upstream) -> None:
-            answers.append(await self._prober.ask(upstream))
+            answers.append(await self._prober.probe(upstream))
 
         async with anyio.create_task_group() as tasks:
             for hop in other.hops:
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -111,7 +111,7 @@
         Awaited before a retry elsewhere, since a request is blamed for the
         end of an instance but not for a broken connection.
         """
-        probe = await self._prober.ask(upstream)
+        probe = await self._prober.probe(upstream)
         if probe.is_gone:
             self._context.registry.avoid(
                 upstream.name, probe.reason, is_gone=True
@@ -195,7 +195,7 @@
         return now + soonest
 
     async def _verify(self, upstream: chain.Upstream) -> None:
-        probe = await self._prober.ask(upstream)
+        probe = await self._prober.probe(upstream)
         if await self._is_lost(probe, ()):
             self._context.registry.avoid(
                 upstream.name, probe.reason, is_gone=probe.is_gone
@@ -218,11 +218,11 @@
         if probe.was_refused:
             return True
         usable = self._context.registry.usable(probe.upstream.service)
-        controls = [*others, *probes.controls(probe.upstream, usable)]
+        controls = [*others, *probes.pick_controls(probe.upstream, usable)]
         answers: list[probes.Probe] = []
 
         async def ask(upstream: chain.Upstream) -> None:
-            answers.append(await self._prober.ask(upstream))
+            answers.append(await self._prober.probe(upstream))
 
         async with anyio.create_task_group() as tasks:
             for control in controls:
@@ -361,7 +361,7 @@
         max_age = probes.REUSE_SECONDS
         if stream.is_starting:
             max_age = probes.STARTING_REUSE_SECONDS
-        head = await self._prober.ask(path.head, max_age)
+        head = await self._prober.probe(path.head, max_age)
         if head.report is None:
             others = tuple(hop.upstream for hop in path.hops[1:])
             if await self._is_lost(head, others):
@@ -378,7 +378,7 @@
         answers: list[probes.Probe] = []
 
         async def ask(upstream: chain.Upstream) -> None:
-            answers.append(await self._prober.ask(upstream, max_age))
+            answers.append(await self._prober.probe(upstream, max_age))
 
         active = self._recently_active()
         async with anyio.create_task_group() as tasks:
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -130,7 +130,7 @@
         async def body() -> None:
             client = typing.cast(interfaces.Upstreams, UnreadableReports())
             prober = probes.Prober(client, lambda _: True)
-            probe = await prober.ask(a_run(7))
+            probe = await prober.probe(a_run(7))
             assert not probe.is_silent
             assert not probe.was_refused
             assert not probe.is_gone
