--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -97,7 +97,7 @@
         """Return the signals in force."""
         return (*self._limited(), *self._backing_off(), *self._leaving())
 
-    def held_back(self, service: str) -> str:
+    def unavailable_addresses(self, service: str) -> str:
         """Return addresses of a service's instances that get no requests.
 
         The first few that backpressure excludes, separated by commas.
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -128,7 +128,7 @@
         self._tried: set[str] = set()
         self._sent = 0
         self._verdict = verdicts.Verdict.NOT_RUN
-        self._held_back = ""
+        self._unavailable = ""
 
     async def run(self) -> _Answer:
         failed: _Answer | None = None
@@ -201,7 +201,7 @@
         until = (
             self._request.arrived + QUEUE_WAIT_SHARE * self._route.objective
         )
-        self._held_back = self._context.backpressure.held_back(
+        self._unavailable = self._context.backpressure.unavailable_addresses(
             self._service.name
         )
         wait_queue = self._context.wait_queue(self._service.name)
@@ -301,7 +301,7 @@
             status=answer.status,
             seconds=round(took, 4),
             tries=self._sent,
-            held_back=self._held_back,
+            held_back=self._unavailable,
         )
         return answer
 
@@ -414,7 +414,7 @@
             self._request.id,
             service=self._service.name,
             listed=len(self._context.registry.listed(self._service.name)),
-            held_back=self._held_back,
+            held_back=self._unavailable,
             ready_in=round(seconds, 3) if seconds else None,
             waited=round(anyio.current_time() - self._request.arrived, 3),
         )
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -52,7 +52,7 @@
         self._arrived = stream.request.arrived
         self._deadline = deadline
         self._excluded: set[str] = set()
-        self._held_back_at_start = ""
+        self._unavailable_at_start = ""
 
     def exclude(self, name: str) -> None:
         """Avoid an engine, unless there is no path without it."""
@@ -69,8 +69,8 @@
         if has_started:
             path = await self._wait_as_started()
         elif self._must_queue(wait_queue) or (path := self._plan()) is None:
-            self._held_back_at_start = self._context.backpressure.held_back(
-                self._service
+            self._unavailable_at_start = (
+                self._context.backpressure.unavailable_addresses(self._service)
             )
             path = await self._wait_in_queue(wait_queue)
         if path is None:
@@ -176,13 +176,13 @@
         """Whether others wait for capacity, and not for missing layers."""
         return bool(len(wait_queue)) and self._gap() is None
 
-    def held_back(self) -> str:
+    def unavailable_addresses(self) -> str:
         """Return addresses that backpressure excludes or excluded.
 
         Those at present, or else those when the wait began.
         """
-        now = self._context.backpressure.held_back(self._service)
-        return now or self._held_back_at_start
+        now = self._context.backpressure.unavailable_addresses(self._service)
+        return now or self._unavailable_at_start
 
     def refusal(self) -> errors.CrowdeckError:
         """Return the error for a stream that found no path."""
@@ -222,7 +222,7 @@
             first_missing=missing[0] if missing else None,
             unheld=str(gap) if gap else None,
             needed=gap.needed if gap else None,
-            held_back=self.held_back(),
+            held_back=self.unavailable_addresses(),
             ready_in=round(ready_in, 3) or None,
             tokens=int(self._stream.tokens),
             waited=round(anyio.current_time() - self._arrived, 3),
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -179,7 +179,7 @@
             tokens=int(self._stream.tokens),
             refusals=self._refusals,
             waited=round(anyio.current_time() - self._request.arrived, 3),
-            held_back=self._paths.held_back(),
+            held_back=self._paths.unavailable_addresses(),
             config=self._admitted.config_version,
         )
         try:
