--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -191,7 +191,7 @@
             upstream.name, attempt_record
         )
         if await self._monitor.has_ended(upstream):
-            self._context.note_end(upstream)
+            self._context.note_instance_ended(upstream)
 
     async def _choose(self) -> chain.Upstream:
         """Return the instance to try, waiting briefly if none is free.
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -96,7 +96,7 @@
         self.backpressure = backpressure_monitor.BackpressureMonitor(
             self.registry, self.limits
         )
-        self.registry.subscribe_ends(self.note_end)
+        self.registry.subscribe_ends(self.note_instance_ended)
         self.client.subscribe(self._apply_notice)
 
     @property
@@ -158,7 +158,7 @@
             running=round(anyio.current_time() - self.started_at, 3),
         )
 
-    def note_end(self, upstream: chain.Upstream) -> None:
+    def note_instance_ended(self, upstream: chain.Upstream) -> None:
         """Note that an instance has ended.
 
         If it was leaving, its end is not blamed on its requests.
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -294,7 +294,7 @@
         if error.code is errors.Code.STALLED:
             return
         if await self._monitor.has_ended(head):
-            self._context.note_end(head)
+            self._context.note_instance_ended(head)
 
     def _note_failed(self, head: chain.Upstream) -> None:
         if self._context.heads.fail(head.name):
