--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -32,7 +32,8 @@
     :ivar max_pause: longest pause between events that is in time.
     :ivar tokens: mean number of tokens that the request holds while it runs.
     :ivar sends: its sends, as the retry budget counts them.
-    :ivar can_resume: returns whether it may resume at another first engine.
+    :ivar check_may_resume: returns whether it may resume at another first
+        engine.
     :ivar last_event_id: id of the last event forwarded, -1 for none.
     :ivar progress_at: when its last event came or its attempt began.
     :ivar next_check: it is not checked before this time.
@@ -54,7 +55,7 @@
     tokens: float
     _usage: usages.InFlight
     sends: budgets.SendTracker
-    can_resume: typing.Callable[[], bool] = lambda: False
+    check_may_resume: typing.Callable[[], bool] = lambda: False
     last_event_id: int = -1
     has_events: bool = False
     progress_at: float = 0.0
@@ -79,7 +80,7 @@
         Not cached: when an engine that it ran on ends, another run becomes
         available.
         """
-        return self.can_resume()
+        return self.check_may_resume()
 
     @property
     def fingerprint(self) -> fingerprint.Fingerprint:
@@ -103,7 +104,7 @@
         """The path in use, or ``None`` between attempts."""
         return self._path
 
-    def wait(self, scope: anyio.CancelScope) -> None:
+    def note_waiting(self, scope: anyio.CancelScope) -> None:
         """Note that it waits for a path; ``abandon`` cancels ``scope``."""
         self._scope = scope
 
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -138,7 +138,7 @@
         """Return a path, waiting briefly if there is none yet."""
         path = None
         with anyio.CancelScope() as scope:
-            self._stream.wait(scope)
+            self._stream.note_waiting(scope)
             path = await self._paths.find(has_started=self._sink.has_started)
         await self._refuse_if_quarantined()
         if path is not None:
@@ -187,7 +187,7 @@
                 self._stream.begin(path, scope)
                 self._context.heads.begin(path.head.name, self._stream)
                 self._stream.sends.send()
-                self._stream.can_resume = lambda: (
+                self._stream.check_may_resume = lambda: (
                     self._route.is_resumable
                     and self._runs_left(path.head.name) > 0
                 )
