--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -136,7 +136,7 @@
         self._logged: dict[str, LayerGap] = {}
 
     @property
-    def known(self) -> tuple[LayerGap, ...]:
+    def current_gaps(self) -> tuple[LayerGap, ...]:
         """The gaps found by the last check of each service."""
         return tuple(self._gaps.values())
 
--- a/src/crowdeck/relay/status.py
+++ b/src/crowdeck/relay/status.py
@@ -75,7 +75,9 @@
                 one.as_fields()
                 for one in self._context.backpressure.active_signals()
             ],
-            "unheld": [one.as_fields() for one in self._context.gaps.known],
+            "unheld": [
+                one.as_fields() for one in self._context.gaps.current_gaps
+            ],
         }
 
 
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -201,7 +201,7 @@
         async def work(system: System) -> None:
             remove_engines(system, "e-1")
             await anyio.sleep(PROFILE.load_seconds)
-            (gap,) = system.context.gaps.known
+            (gap,) = system.context.gaps.current_gaps
             assert gap.can_be_held
             assert gap.seconds_left is None
             error = await refused(system)
@@ -237,7 +237,7 @@
             one = system.listed["e-1"]
             remove_engines(system, "e-1")
             await anyio.sleep(0.6)
-            (gap,) = system.context.gaps.known
+            (gap,) = system.context.gaps.current_gaps
             assert gap.seconds_left is not None
             await anyio.sleep(gap.seconds_left - 0.5)
             callers: list[fleet_system.Caller] = []
@@ -282,7 +282,9 @@
         async def work(system: System) -> None:
             system.registry.avoid("e-1", "refused", is_gone=True)
             await anyio.sleep(0.6)
-            assert [str(one) for one in system.context.gaps.known] == ["20-40"]
+            assert [str(one) for one in system.context.gaps.current_gaps] == [
+                "20-40"
+            ]
             began = anyio.current_time()
             await refused(system)
             assert anyio.current_time() - began < AT_ONCE_SECONDS
@@ -339,7 +341,7 @@
         async def work(system: System) -> None:
             remove_engines(system, "e-1", "e-2")
             await anyio.sleep(0.6)
-            (gap,) = system.context.gaps.known
+            (gap,) = system.context.gaps.current_gaps
             most = gaps.max_layers("small", PROFILE)
             assert gap.layer_capacity == 6 * most
             lacking = 80 - 6 * most
@@ -355,10 +357,10 @@
             one = system.listed["e-1"]
             remove_engines(system, "e-1")
             await anyio.sleep(2.0)
-            assert system.context.gaps.known
+            assert system.context.gaps.current_gaps
             system.add(attrs.evolve(one, name="e-9"))
             await anyio.sleep(0.6)
-            assert not system.context.gaps.known
+            assert not system.context.gaps.current_gaps
             caller = await system.ask(system.request(STREAM))
             assert caller.error is None
 
