--- a/src/crowdeck/relay/__init__.py
+++ b/src/crowdeck/relay/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Relay for engines that forward pipeline stages to each other."""
+"""Relays callers' requests to chains of engines and to plain services."""
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -23,8 +23,8 @@
 
 # Sent by an engine that does not hold the layers asked of it, or that is not
 # the engine the request was meant for.
-STALE_STATUS = 421
-BODY_LIMIT = http.RESPONSE_LIMIT_BYTES
+MISDIRECTED_STATUS = 421
+BODY_LIMIT_BYTES = http.RESPONSE_LIMIT_BYTES
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
@@ -114,7 +114,7 @@
         if answer.load is not None:
             self._context.usage.note_load(self._path.head, answer.load.running)
         if answer.has_not_run:
-            raise self._refusal(answer)
+            raise self._handle_refusal(answer)
         if not answer.belongs_to(self._request):
             raise self._wrong_answer("it has the id of another request")
         if answer.status >= 300:
@@ -158,16 +158,21 @@
         if event.id is not None:
             stream.last_event_id = event.id
 
-    def _refusal(self, answer: interfaces.Answer) -> errors.CrowdeckError:
+    def _handle_refusal(
+        self, answer: interfaces.Answer
+    ) -> errors.CrowdeckError:
+        """Pause the engine that refused, and return the error."""
         culprit = self._culprit(answer)
         if culprit.name != self._path.head.name:
             self._monitor.check_now(culprit)
             # It may be full or gone; the probe tells which.
             self._monitor.verify(culprit)
-        is_stale = answer.status == STALE_STATUS
+        is_misdirected = answer.status == MISDIRECTED_STATUS
         self._context.registry.pause(
             culprit.name,
-            registries.STALE_SECONDS if is_stale else registries.FULL_SECONDS,
+            registries.STALE_SECONDS
+            if is_misdirected
+            else registries.FULL_SECONDS,
             f"refused with {answer.status}",
         )
         return errors.CrowdeckError(
@@ -191,7 +196,7 @@
         )
 
     async def _forward_error(self, answer: interfaces.Answer) -> None:
-        body = await answer.read(BODY_LIMIT)
+        body = await answer.read(BODY_LIMIT_BYTES)
         if (
             self._sink.has_started
             or answer.status in requests.NOT_RUN_STATUSES
--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -20,11 +20,11 @@
 from crowdeck.routing import rate_limits
 
 POLL_SECONDS = 0.5
-# Changes of one check that are logged a line each. The others are counted in
-# one further line, since a whole service may signal at once.
+# Changes that one check logs in a line each. The rest are summarized in one
+# more line, since a whole service may signal at once.
 MAX_LOG_LINES = 20
-# Instances named in the log line of one request.
-MAX_NAMED = 5
+# Maximum number of addresses in the log line of one request.
+MAX_LOGGED_ADDRESSES = 5
 
 
 class SignalKind(enum.StrEnum):
@@ -116,7 +116,7 @@
                 self._registry.is_usable(name) and self._limits.allows(one)
             )
         )
-        return ",".join(itertools.islice(found, MAX_NAMED))
+        return ",".join(itertools.islice(found, MAX_LOGGED_ADDRESSES))
 
     async def run(self) -> None:
         """Log changes and set the gauges, until cancelled."""
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -35,10 +35,12 @@
 ANSWER_MARGIN_SECONDS = 0.03
 # Minimum time left for which a call is still sent.
 MIN_ATTEMPT_SECONDS = 0.05
-# Extra tries for instances that refuse the connection, which do not count
-# as runs. Bounded because a fleet may have many of them.
-CONNECT_TRIES = 4
-RETRY_AFTER_SECONDS = 0.5
+# Tries beyond the route's maximum attempts, for instances that cannot be
+# connected to. Such tries do not count as attempts.
+EXTRA_CONNECT_TRIES = 4
+# Retry time if no better one is known, and the maximum jitter added to one
+# that is known.
+DEFAULT_RETRY_AFTER_SECONDS = 0.5
 # Share of the latency objective for which a call waits while all instances
 # are rate limited or backing off. If the wait would be longer, the call is
 # refused at once with a retry time.
@@ -131,14 +133,14 @@
         self._unavailable = ""
 
     async def run(self) -> _Answer:
-        failed: _Answer | None = None
-        for _ in range(CONNECT_TRIES + self._route.max_attempts):
+        failed_answer: _Answer | None = None
+        for _ in range(EXTRA_CONNECT_TRIES + self._route.max_attempts):
             self._refuse_if_quarantined()
             try:
                 upstream = await self._choose()
             except errors.CrowdeckError:
-                if failed is not None:
-                    return failed
+                if failed_answer is not None:
+                    return failed_answer
                 raise
             try:
                 answer = await self._attempt(upstream)
@@ -147,18 +149,18 @@
                 await self._record_loss(upstream, error)
                 if self._may_retry(error.verdict):
                     continue
-                if failed is not None:
+                if failed_answer is not None:
                     # The upstream's own error is more specific.
-                    return failed
+                    return failed_answer
                 raise self._final_error(error) from None
             if not answer.has_failed:
                 self._context.quarantine.note_served(self._fingerprint)
                 return answer
-            failed = answer
+            failed_answer = answer
             if not self._may_retry(answer.verdict):
                 break
-        if failed is not None:
-            return failed
+        if failed_answer is not None:
+            return failed_answer
         raise self._final_error(self._no_instance(0.0))
 
     @property
@@ -196,7 +198,8 @@
     async def _choose(self) -> chain.Upstream:
         """Return the instance to try, waiting briefly if none is free.
 
-        :raises CrowdeckError: ``NO_PATH`` if none accepts a call in time.
+        :raises CrowdeckError: ``NO_PATH`` if none accepts a call in time,
+            ``DEADLINE`` if too little time is left.
         """
         until = (
             self._request.arrived + QUEUE_WAIT_SHARE * self._route.objective
@@ -205,14 +208,14 @@
             self._service.name
         )
         wait_queue = self._context.wait_queue(self._service.name)
-        # A call that is retried skips the queue: those in the queue may be
-        # able to use instances that this call has already tried.
+        # A retried call does not join the queue: it can use only untried
+        # instances, and would block calls that can use the others.
         if self._tried or not len(wait_queue):
             upstream = self._pick()
             if upstream is not None:
                 return upstream
         if self._tried:
-            return await self._await_turn(until)
+            return await self._await_instance(until)
         # Those in the queue are served first, so the wait includes theirs.
         seconds = self._seconds_until(len(wait_queue))
         if not self._may_wait(seconds, until):
@@ -222,9 +225,9 @@
                 raise self._final_error(
                     self._no_instance(self._seconds_until())
                 )
-            return await self._await_turn(until)
+            return await self._await_instance(until)
 
-    async def _await_turn(self, until: float) -> chain.Upstream:
+    async def _await_instance(self, until: float) -> chain.Upstream:
         """Wait until an instance accepts a call, and return it."""
         while (upstream := self._pick()) is None:
             seconds = self._seconds_until()
@@ -234,7 +237,10 @@
         return upstream
 
     def _pick(self) -> chain.Upstream | None:
-        """Reserve an instance that accepts a call now, if there is one."""
+        """Reserve an instance that accepts a call now, if there is one.
+
+        :raises CrowdeckError: ``DEADLINE`` if too little time is left.
+        """
         if self._seconds_left() < MIN_ATTEMPT_SECONDS:
             raise self._final_error(
                 errors.CrowdeckError(
@@ -246,7 +252,7 @@
         untried = self._untried(usable)
         upstream = self._balancer.pick(filter(limits.allows, untried))
         if upstream is not None:
-            # Before any other task can choose the same instance.
+            # Counted at once, so that other tasks do not exceed the limit.
             limits.take(upstream)
         return upstream
 
@@ -258,8 +264,10 @@
         :param ahead: number of calls that are served before it.
         """
         registry = self._context.registry
-        soon = self._untried(registry.usable_after_backoff(self._service.name))
-        return self._context.seconds_until_any(soon, ahead)
+        usable_later = self._untried(
+            registry.usable_after_backoff(self._service.name)
+        )
+        return self._context.seconds_until_any(usable_later, ahead)
 
     @staticmethod
     def _may_wait(seconds: float, until: float) -> bool:
@@ -422,10 +430,10 @@
             return errors.CrowdeckError(
                 errors.Code.NO_PATH,
                 "no instance of the service can serve it now",
-                retry_after=RETRY_AFTER_SECONDS,
+                retry_after=DEFAULT_RETRY_AFTER_SECONDS,
             )
         counters.COUNTERS.add("relay.limited")
-        jitter = self._context.rng.uniform(0.0, RETRY_AFTER_SECONDS)
+        jitter = self._context.rng.uniform(0.0, DEFAULT_RETRY_AFTER_SECONDS)
         return errors.CrowdeckError(
             errors.Code.NO_PATH,
             "all instances are rate limited or backing off",
@@ -443,7 +451,7 @@
             error.code,
             error.message,
             verdict=verdict,
-            retry_after=error.retry_after or RETRY_AFTER_SECONDS,
+            retry_after=error.retry_after or DEFAULT_RETRY_AFTER_SECONDS,
             culprit=error.culprit,
         )
 
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -47,7 +47,7 @@
 
     ratio: float
     slack: float
-    window: float
+    window_seconds: float
 
 
 @attrs.define(eq=False)
@@ -55,7 +55,7 @@
     """What one entry knows of upstreams, and the client to reach them.
 
     :ivar zone: the entry's availability zone.
-    :ivar began: loop time at which the process was started.
+    :ivar started_at: loop time at which the process was started.
     :ivar name: the entry's name.
     :ivar membership: the entries that share limits and budgets with it.
     :ivar lag_meter: measures the lag of the entry's event loop.
@@ -120,7 +120,7 @@
             found = budgets.SharedRetryBudget(
                 budget_settings.ratio,
                 budget_settings.slack,
-                budget_settings.window,
+                budget_settings.window_seconds,
                 self.started_at,
                 self.membership,
             )
@@ -141,8 +141,8 @@
     ) -> None:
         """Log a retry decision with the state of the budget.
 
-        The sum over entries can be checked from these lines: each entry
-        knows only its own share.
+        Each entry logs its own share, so that the total can be computed from
+        the logs of all entries.
         """
         budget = self.budget(service)
         counters.COUNTERS.set_gauge(
--- a/src/crowdeck/relay/events.py
+++ b/src/crowdeck/relay/events.py
@@ -13,7 +13,7 @@
 from crowdeck import verdict as verdicts
 
 # Far above the size of any event: a longer one means a broken stream.
-EVENT_LIMIT = 1024 * 1024
+EVENT_LIMIT_BYTES = 1024 * 1024
 _EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 
 EventIdReader = typing.Callable[[bytes], int | None]
@@ -59,10 +59,10 @@
             events.append(Event(content, self._read_id(content)))
             start = end
         self._buffer = data[start:]
-        if len(self._buffer) > EVENT_LIMIT:
+        if len(self._buffer) > EVENT_LIMIT_BYTES:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_ANSWER,
-                f"an event is longer than {EVENT_LIMIT} bytes",
+                f"an event is longer than {EVENT_LIMIT_BYTES} bytes",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
         return events
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -18,8 +18,9 @@
 from crowdeck import pipeline
 from crowdeck import route as routes
 
-# Requests that an engine must have memory for besides its layers. The same as
-# in the placement, which an entry does not import.
+# Requests that an engine must have memory for besides its layers. Equal to
+# ``placement.plan.MIN_CONCURRENT_REQUESTS``, which is not imported because an
+# entry loads the placement only when it holds the lease.
 MIN_CONCURRENT_REQUESTS = 4.0
 # Time beyond the longest load until the layers are held again: detecting the
 # loss, ordering the loads and reporting them.
@@ -40,8 +41,8 @@
     :ivar layers: the missing ranges, in order.
     :ivar since: loop time at which the gap was first seen.
     :ivar engines: names of the remaining engines.
-    :ivar engines_since: loop time at which ``engines`` last changed, and
-        with it the loads that close the gap.
+    :ivar engines_since: loop time at which ``engines`` last changed; the
+        loads that close the gap are taken to begin then.
     :ivar layer_capacity: how many layers these engines can hold together.
     :ivar load_seconds: duration of the longest load that closes the gap.
     :ivar was_complete: whether all layers were held before.
@@ -148,7 +149,7 @@
         if now - self._checked_at.get(service, -math.inf) < REUSE_SECONDS:
             return self._gaps.get(service)
         self._checked_at[service] = now
-        staying = chain.engines_within(
+        remaining = chain.engines_within(
             (
                 one
                 for one in self._registry.listed(service)
@@ -157,15 +158,15 @@
             ),
             profile.layer_count,
         )
-        missing = missing_layers(staying, profile.layer_count)
+        missing = missing_layers(remaining, profile.layer_count)
         if not missing:
             self._gaps.pop(service, None)
             self._seen_complete.add(service)
             return None
         known = self._gaps.get(service)
-        names = frozenset(one.name for one in staying)
+        names = frozenset(one.name for one in remaining)
         is_same = known is not None and known.engines == names
-        capacities = [max_layers(one.card, profile) for one in staying]
+        capacities = [max_layers(one.card, profile) for one in remaining]
         longest = max(one.end - one.first for one in missing)
         share = min(longest, max(capacities, default=0)) / profile.layer_count
         gap = self._gaps[service] = LayerGap(
--- a/src/crowdeck/relay/ingress.py
+++ b/src/crowdeck/relay/ingress.py
@@ -62,7 +62,7 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether the head was sent."""
+        """Whether the status and headers were sent."""
         return self._has_started
 
     @property
@@ -122,7 +122,7 @@
 
 
 class Ingress:
-    """Decodes requests, has them served, and answers with errors."""
+    """Decodes requests, passes them to a server and reports errors."""
 
     def __init__(self, server: Server, codec: interfaces.CallerCodec) -> None:
         self._server = server
@@ -213,7 +213,7 @@
         """Answer with an error, unless an answer has started.
 
         An answer that has started is left incomplete: the server then
-        closes the connection, which the caller sees as truncated.
+        closes the connection, so that the caller sees a truncated answer.
         """
         status = requests.status_of(error)
         now = anyio.current_time()
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -29,7 +29,8 @@
     Times are in seconds of the event loop's clock.
 
     :ivar profile: profile of the engines that serve it.
-    :ivar max_pause: longest pause between events that is in time.
+    :ivar max_pause: maximum allowed pause between events.
+    :ivar objective: latency objective for the first event.
     :ivar tokens: mean number of tokens that the request holds while it runs.
     :ivar sends: its sends, as the retry budget counts them.
     :ivar check_may_resume: returns whether it may resume at another first
@@ -68,7 +69,7 @@
     is_starting: bool = True
     abandon_reason: str = ""
     team: str = ""
-    _attempt_event_at: float | None = None
+    _attempt_first_event_at: float | None = None
     _fingerprint: fingerprint.Fingerprint | None = None
     _path: chain.ChainPath | None = None
     _scope: anyio.CancelScope | None = None
@@ -77,8 +78,8 @@
     def may_resume(self) -> bool:
         """Whether it may resume elsewhere if it is abandoned now.
 
-        Not cached: when an engine that it ran on ends, another run becomes
-        available.
+        Not cached: when an engine that it ran on ends, another attempt
+        becomes available.
         """
         return self.check_may_resume()
 
@@ -95,8 +96,8 @@
     def attempt_record(self) -> trackers.AttemptRecord:
         """The request, and the time since its attempt's first event."""
         seconds = None
-        if self._attempt_event_at is not None:
-            seconds = anyio.current_time() - self._attempt_event_at
+        if self._attempt_first_event_at is not None:
+            seconds = anyio.current_time() - self._attempt_first_event_at
         return trackers.AttemptRecord(self.fingerprint, seconds)
 
     @property
@@ -115,7 +116,7 @@
         self.progress_at = anyio.current_time()
         self.next_check = 0.0
         self.is_starting = True
-        self._attempt_event_at = None
+        self._attempt_first_event_at = None
         self.switch_path(path)
 
     def switch_path(self, path: chain.ChainPath) -> None:
@@ -145,7 +146,7 @@
             self.usual_pause += NEWEST_WEIGHT * (pause - self.usual_pause)
             self.longest_pause = max(self.longest_pause, pause)
         if self.is_starting:
-            self._attempt_event_at = now
+            self._attempt_first_event_at = now
         self.is_starting = False
         self.progress_at = now
         self.next_check = 0.0
--- a/src/crowdeck/relay/loop_lag.py
+++ b/src/crowdeck/relay/loop_lag.py
@@ -47,15 +47,15 @@
         """Measure until cancelled."""
         while True:
             self._due = anyio.current_time() + METER_TICK_SECONDS
-            late = await tick(METER_TICK_SECONDS)
-            if late <= ON_TIME_SECONDS:
+            lag = await tick(METER_TICK_SECONDS)
+            if lag <= ON_TIME_SECONDS:
                 continue
             now = self._late_at = anyio.current_time()
-            if late >= self._peak or now - self._peak_at > RECENT_SECONDS:
-                self._peak, self._peak_at = late, now
-            if late > LOGGED_LAG_SECONDS:
-                counters.COUNTERS.time("loop.late", late)
-                logs.change("loop_late", seconds=round(late, 4))
+            if lag >= self._peak or now - self._peak_at > RECENT_SECONDS:
+                self._peak, self._peak_at = lag, now
+            if lag > LOGGED_LAG_SECONDS:
+                counters.COUNTERS.time("loop.late", lag)
+                logs.change("loop_late", seconds=round(lag, 4))
 
     @property
     def is_overloaded(self) -> bool:
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -18,14 +18,14 @@
 from crowdeck.relay import waiting
 from crowdeck.routing import hops
 
-# How long a new request waits for capacity. Callers give up after two seconds
-# without an event, and a busy engine needs some of that for the first one.
+# How long a new request waits for capacity. Leaves an engine time to send the
+# first event before the caller gives up.
 QUEUE_WAIT_SECONDS = 1.2
 # How long a request waits for layers that no listed engine holds. Loading
 # them takes longer; this covers a listing that arrives late.
 UNHELD_WAIT_SECONDS = 0.1
-# How long a stream waits whose answer has started. Its caller gives up after
-# two seconds of silence or more.
+# How long a stream whose answer has started waits for a path or a retry.
+# Shorter than the silence after which callers give up.
 STARTED_WAIT_SECONDS = 1.6
 POLL_SECONDS = 0.02
 # Longer than ``POLL_SECONDS``: planning on a full fleet is costly and would
@@ -74,7 +74,7 @@
             )
             path = await self._wait_in_queue(wait_queue)
         if path is None:
-            self._note_no_path()
+            self._log_no_path()
         return path
 
     async def _wait_as_started(self) -> chain.ChainPath | None:
@@ -131,7 +131,7 @@
         off, the requests in the queue are served first. All layers must be
         held by engines that are not backing off.
         """
-        firsts = [
+        first_engines = [
             one
             for one in self._context.registry.usable_after_backoff(
                 self._service
@@ -139,7 +139,7 @@
             if one.layers is not None and one.layers.first == 0
         ]
         ahead = len(self._context.wait_queue(self._service))
-        until_first = self._context.seconds_until_any(firsts, ahead)
+        until_first = self._context.seconds_until_any(first_engines, ahead)
         return max(until_first, self._seconds_until_backoffs_end())
 
     def _seconds_until_backoffs_end(self) -> float:
@@ -154,22 +154,22 @@
         count = self._stream.profile.layer_count
         usable = chain.engines_within(registry.usable(self._service), count)
         missing = gaps.missing_layers(usable, count)
-        soon = chain.engines_within(
+        usable_later = chain.engines_within(
             registry.usable_after_backoff(self._service), count
         )
-        if not missing or gaps.missing_layers(soon, count):
+        if not missing or gaps.missing_layers(usable_later, count):
             return 0.0
-        soonest = [float("inf")] * count
-        for one in soon:
+        wait_by_layer = [float("inf")] * count
+        for one in usable_later:
             if one.layers is None or registry.is_usable(one.name):
                 continue
             left = registry.backoff_seconds_left(one.name)
             for layer in range(one.layers.first, one.layers.end):
-                soonest[layer] = min(soonest[layer], left)
+                wait_by_layer[layer] = min(wait_by_layer[layer], left)
         return max(
-            soonest[layer]
-            for run in missing
-            for layer in range(run.first, run.end)
+            wait_by_layer[layer]
+            for layers in missing
+            for layer in range(layers.first, layers.end)
         )
 
     def _must_queue(self, wait_queue: waiting.WaitQueue) -> bool:
@@ -205,12 +205,14 @@
         """Return the gap left when leaving engines are gone, if any."""
         return self._context.gaps.find_gap(self._service, self._stream.profile)
 
-    def _note_no_path(self) -> None:
+    def _log_no_path(self) -> None:
         registry = self._context.registry
         usable = registry.usable(self._service)
         count = self._stream.profile.layer_count
-        held = chain.coverage(usable, count)
-        missing = [layer for layer, copies in enumerate(held) if not copies]
+        copies_by_layer = chain.coverage(usable, count)
+        missing = [
+            layer for layer, copies in enumerate(copies_by_layer) if not copies
+        ]
         gap = self._gap()
         ready_in = self.seconds_until_accepted()
         logs.decision(
@@ -244,18 +246,18 @@
         ]
         path = self._plan_over(usable, wanted)
         if path is None or path.crossings:
-            last = [
+            leaving = [
                 one
                 for one in registry.usable_while_leaving(self._service)
                 if one.name not in self._excluded
             ]
-            if last:
-                path = self._plan_over(usable + last, wanted)
+            if leaving:
+                path = self._plan_over(usable + leaving, wanted)
         if path is None and self._excluded:
             # Engines that refused earlier may accept by the next call.
             self._excluded.clear()
         if path is not None:
-            # Before any other task can choose the same engine.
+            # Counted at once, so that other tasks do not exceed the limit.
             self._context.limits.take(path.head)
         return path
 
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -16,9 +16,7 @@
 from crowdeck.relay import interfaces
 from crowdeck.relay import loop_lag
 
-# An engine that has not answered after this many ticks on time is silent. Far
-# above the round trip between availability zones, and short enough for a
-# stream to be rerouted in time.
+# An engine that has not answered after this many ticks on time is silent.
 SILENT_TICKS = 4
 # Ticks after which a probe ends without a result, on time or not.
 MAX_TICKS = 25
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -24,10 +24,10 @@
 from crowdeck.state import objects as stores
 
 # Share of the maximum config age after which the entry reports that it is not
-# ready. Load balancers need up to two seconds to react, so that they stop
-# before requests have to be refused.
+# ready. Load balancers take time to react, and should stop sending before
+# requests have to be refused.
 READY_AGE_SHARE = 0.46
-# A starting process soon knows its config.
+# Retry delay while no config is known yet.
 START_RETRY_SECONDS = 0.3
 
 Decoder = typing.Callable[[bytes], routes.FleetConfig]
@@ -64,7 +64,7 @@
         await self._known.wait()
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
-        """Take the full listing of configs."""
+        """Apply the full listing of configs."""
         self.on_changed(objects, ())
 
     def on_changed(
@@ -72,12 +72,12 @@
         objects: tuple[stores.StoredObject, ...],
         removed: tuple[str, ...],
     ) -> None:
-        """Take written configs; a removed config stays in force."""
+        """Apply written configs; a removed config stays in force."""
         for one in objects:
             if one.name == self._name:
-                self._take(one)
+                self._apply(one)
 
-    def _take(self, stored: stores.StoredObject) -> None:
+    def _apply(self, stored: stores.StoredObject) -> None:
         try:
             config = self._decode(stored.value)
         except errors.CrowdeckError as error:
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -32,8 +32,8 @@
     def mean_tokens(self, mean_answer_tokens: float) -> float:
         """Return the mean number of tokens held while the request runs.
 
-        That is the prompt and half of the expected answer, which is the
-        mean of the caller's hint and the usual answer, up to the maximum.
+        That is the prompt and half of the expected answer: the mean answer,
+        averaged with the caller's hint if there is one, up to the maximum.
         """
         answer = mean_answer_tokens
         if self.answer_hint:
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -93,10 +93,10 @@
         culprit: chain.Upstream,
     ) -> None:
         failed = {one.name for one in self._context.registry.avoided()}
-        refused = {culprit.name}
-        refused |= {hop.upstream.name for hop in path.hops} & failed
+        excluded = {culprit.name}
+        excluded |= {hop.upstream.name for hop in path.hops} & failed
         while True:
-            other = self._find_path(stream, path, refused)
+            other = self._find_path(stream, path, excluded)
             if self._should_restart(stream, path, other):
                 self._log(
                     stream, path, None, "restarts at another first engine"
@@ -110,7 +110,7 @@
             if stream.path is not path:
                 return
             if silent:
-                refused |= silent
+                excluded |= silent
                 continue
             if not self._context.registry.may_probe(path.head.name):
                 self._restart_elsewhere(stream, path)
@@ -128,25 +128,26 @@
             blamed = self._context.registry.find_by_address(outcome.culprit)
             if not outcome.is_known:
                 return
-            if blamed is None or blamed.name in refused:
+            if blamed is None or blamed.name in excluded:
                 self._restart_elsewhere(stream, path)
                 return
-            refused.add(blamed.name)
+            excluded.add(blamed.name)
 
     def _restart_elsewhere(
         self, stream: live.LiveStream, path: chain.ChainPath
     ) -> None:
-        """Restart a stream whose first engine allows no other path.
+        """Restart a stream at another first engine if that is allowed.
 
-        Asking the engine again would get the same refusal, and the stream
-        would stay paused.
+        Used when its own first engine cannot be asked for another path or
+        keeps refusing, so that the stream would stay paused. Nothing happens
+        if it may not resume or the retry budget is low.
         """
         if not stream.may_resume:
             return
         if not self._context.may_restart_stream(stream.service.name):
             return
         self._log(stream, path, None, "restarts at another first engine")
-        stream.abandon(f"{path.head.address} allows no other path")
+        stream.abandon(f"{path.head.address} cannot change the path")
 
     async def _find_silent(
         self, path: chain.ChainPath, other: chain.ChainPath
@@ -193,12 +194,12 @@
         self,
         stream: live.LiveStream,
         path: chain.ChainPath,
-        refused: set[str],
+        excluded: set[str],
     ) -> chain.ChainPath | None:
         usable = [
             one
             for one in self._context.registry.usable(stream.service.name)
-            if one.name not in refused
+            if one.name not in excluded
         ]
         wanted = hops.PathRequest(
             stream.profile,
@@ -207,7 +208,7 @@
             stream.objective,
         )
         chosen = self._context.subset.pick(usable)
-        return self._context.planner.detour(chosen, wanted, path, refused)
+        return self._context.planner.detour(chosen, wanted, path, excluded)
 
     def _log(
         self,
--- a/src/crowdeck/relay/retry_advice.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""When callers should retry that were refused for lack of capacity."""
+"""Advises callers that were refused for lack of capacity when to retry."""
 
 import collections
 import random
@@ -15,7 +15,7 @@
 WINDOW_SECONDS = 2.0
 # Delay for a single refusal.
 MIN_DELAY_SECONDS = 0.3
-# Callers ignore a delay that is more than a third of their remaining time.
+# Upper bound; callers ignore delays that are too long for their deadline.
 MAX_DELAY_SECONDS = 4.0
 # Delay for a refusal that concerns this entry alone. Load balancers
 # already send new connections elsewhere, so a retry reaches another entry.
@@ -50,7 +50,7 @@
         return WINDOW_SECONDS * count / len(self._ended)
 
     def record_refusal(self) -> float:
-        """Return the seconds after which a request refused now should retry.
+        """Record a refusal and return the seconds after which to retry.
 
         Capacity for all recent refusals comes with as many ended streams;
         the delay is drawn at random from that time.
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -22,9 +22,9 @@
 # Maximum time between two checks. An idle entry checks only the engines that
 # are avoided, and should cost little processor time.
 IDLE_CHECK_SECONDS = 0.2
-# A stream is checked after a silence of this many times its usual pause, but
-# not before the first and not after the second share of its maximum pause. The
-# rest of that pause is for probing and rerouting.
+# A stream is checked after PAUSE_FACTOR usual pauses without an event, bounded
+# by EARLIEST_SHARE and LATEST_SHARE of its maximum pause. The rest of that
+# pause is for probing and rerouting.
 PAUSE_FACTOR = 2.5
 EARLIEST_SHARE = 0.3
 LATEST_SHARE = 0.45
@@ -41,7 +41,7 @@
 HUNG_SHARE = 0.8
 HUNG_PAUSES = 3.0
 # If streams at another first engine start within this share of the objective,
-# a hung stream is moved there.
+# a stream without a first event after HUNG_SHARE counts as hung.
 QUICK_SHARE = 0.5
 # After this share of the objective the first event is late.
 LATE_SHARE = 1.2
@@ -60,12 +60,12 @@
     :ivar culprits: engines that stall it.
     :ivar is_sure: whether missing answers are the engines' fault and not that
         of this entry's own lag.
-    :ivar head: the report of the first engine, if there is one.
+    :ivar head_report: the report of the first engine, if there is one.
     """
 
     culprits: list[chain.Upstream]
     is_sure: bool
-    head: chain.EngineReport | None = None
+    head_report: chain.EngineReport | None = None
 
 
 class StallMonitor:
@@ -179,8 +179,8 @@
     def _next_check(self) -> float:
         """Return the loop time before which no stream has to be checked.
 
-        A stream may get its first event meanwhile, which shortens its time
-        to the earliest share of its maximum pause.
+        A first event may shorten a stream's limit to EARLIEST_SHARE of its
+        maximum pause, so the wait is never longer than that.
         """
         now = anyio.current_time()
         if self._lag_meter.is_settling():
@@ -252,16 +252,16 @@
 
     async def _check(self, stream: live.LiveStream) -> None:
         try:
-            await self._find_cause(stream)
+            await self._handle_silence(stream)
         finally:
             stream.checks += 1
-            again = (
+            delay = (
                 RECHECK_SHARE * stream.max_pause * 2.0 ** (stream.checks - 1)
             )
-            stream.next_check = anyio.current_time() + again
+            stream.next_check = anyio.current_time() + delay
             self._checking.discard(stream)
 
-    async def _find_cause(self, stream: live.LiveStream) -> None:
+    async def _handle_silence(self, stream: live.LiveStream) -> None:
         path = stream.path
         if path is None:
             return
@@ -277,8 +277,8 @@
             after=stream.last_event_id,
             culprits=[str(one.address) for one in found.culprits],
             is_sure=found.is_sure,
-            running=found.head.running if found.head else None,
-            waiting=found.head.waiting if found.head else None,
+            running=found.head_report.running if found.head_report else None,
+            waiting=found.head_report.waiting if found.head_report else None,
         )
         for culprit in found.culprits:
             self._context.registry.avoid(culprit.name, "silent in a stream")
@@ -292,7 +292,7 @@
         """Whether a stream's first engine does not work on it."""
         if not stream.may_resume or path.crossings:
             return False
-        if found.head is None or not found.is_sure:
+        if found.head_report is None or not found.is_sure:
             return False
         limit = HUNG_PAUSES * stream.max_pause
         if stream.is_starting:
@@ -304,7 +304,7 @@
             return False
         if stream.is_starting and self._is_quicker_elsewhere(stream, path):
             return True
-        return not found.head.waiting and any(
+        return not found.head_report.waiting and any(
             other.path is not None
             and other.path.head.name == path.head.name
             and other.has_events
@@ -316,7 +316,7 @@
     def _is_quicker_elsewhere(
         self, stream: live.LiveStream, path: chain.ChainPath
     ) -> bool:
-        """Whether no streams start at this first engine but do elsewhere.
+        """Whether a stream should start sooner at another first engine.
 
         Streams at other first engines show whether only this engine is
         stuck or the whole fleet is slow.
--- a/src/crowdeck/relay/status.py
+++ b/src/crowdeck/relay/status.py
@@ -16,8 +16,8 @@
 _TEXT = (b"content-type", b"text/plain; version=0.0.4")
 
 
-class Ready(typing.Protocol):
-    """Knows whether the entry is ready."""
+class ReadinessSource(typing.Protocol):
+    """Reports whether the entry is ready."""
 
     @property
     def is_ready(self) -> bool:
@@ -25,8 +25,8 @@
         ...
 
 
-class _Relay(Ready, typing.Protocol):
-    """Knows how many requests are being served."""
+class _Relay(ReadinessSource, typing.Protocol):
+    """Reports how many requests are being served."""
 
     @property
     def in_progress(self) -> int:
@@ -35,7 +35,7 @@
 
 
 class _Config(typing.Protocol):
-    """Knows which config is in force."""
+    """Reports which config is in force."""
 
     @property
     def table(self) -> tables.RouteTable | None:
@@ -85,11 +85,14 @@
     """Answers load balancers and metrics collectors."""
 
     def __init__(
-        self, ready: Ready, table: counters.Counters, readiness_path: str
+        self,
+        readiness: ReadinessSource,
+        metrics: counters.Counters,
+        readiness_path: str,
     ) -> None:
-        self._ready = ready
+        self._readiness = readiness
         self._readiness_path = readiness_path
-        self._counters = table
+        self._metrics = metrics
 
     async def __call__(
         self,
@@ -100,9 +103,9 @@
         """Answer one request."""
         path = scope["path"]
         if path == self._readiness_path:
-            await _answer(send, 200 if self._ready.is_ready else 503, b"")
+            await _answer(send, 200 if self._readiness.is_ready else 503, b"")
         elif path == METRICS_PATH:
-            await _answer(send, 200, self._counters.as_text().encode())
+            await _answer(send, 200, self._metrics.as_text().encode())
         else:
             await _answer(send, 404, b"")
 
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -200,7 +200,7 @@
                     path,
                     self._deadline,
                 ).run()
-                self._note_end(path)
+                self._note_completed(path)
                 return None
         except errors.CrowdeckError as error:
             self._note_send(error)
@@ -231,7 +231,7 @@
         else:
             sends.fail_to_send()
 
-    def _note_end(self, path: chain.ChainPath) -> None:
+    def _note_completed(self, path: chain.ChainPath) -> None:
         stream = self._stream
         self._context.quarantine.note_served(stream.fingerprint)
         self._context.retry_advisor.note_end()
--- a/src/crowdeck/relay/survey.py
+++ b/src/crowdeck/relay/survey.py
@@ -17,19 +17,19 @@
 # How often, and how many times, to check whether engines are listed.
 POLL_SECONDS = 0.02
 MAX_POLLS = 100
-# Maximum number of questions in progress.
+# Maximum number of concurrent requests.
 MAX_CONCURRENT = 32
 # Maximum number of engines asked, those of the entry's own availability zone
-# first. More questions would delay the start of a small entry.
+# first. More requests would delay the start of a small entry.
 MAX_ENGINES = 40
 
 
 class Survey:
-    """Asks engines once what they hold for other entries' streams.
+    """Asks engines once how much cache other entries' streams use.
 
-    When all entries fail at once, engines work on their streams until they
-    notice. Without the survey, entries that start then take full engines
-    for empty ones.
+    When all entries fail at once, engines keep serving their streams until
+    they detect it. Without the survey, entries that start meanwhile take
+    full engines for empty ones.
     """
 
     def __init__(self, context: contexts.RelayContext) -> None:
