--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -218,11 +218,11 @@
         return target
 
     def list_instance(self, listed: chain.Upstream) -> None:
-        """Deliver an instance's entry as the store would."""
-        entry = listed.incarnation.id
-        self.listed[entry] = listed
+        """Deliver an instance's listing as the store would."""
+        incarnation_id = listed.incarnation.id
+        self.listed[incarnation_id] = listed
         self.registry.on_changed(
-            (stores.StoredObject("upstreams", entry, 1, b"{}"),), ()
+            (stores.StoredObject("upstreams", incarnation_id, 1, b"{}"),), ()
         )
 
     def add_model(self, copies: int = 2, parts: int = 4) -> None:
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -68,8 +68,10 @@
     for one in system.listed.values():
         assert one.layers is not None
         count = one.layers.end - one.layers.first
-        cells = fleet_system.PROFILE.token_capacity(one.card, count) * count
-        system.usage.note_existing_load(one, 1.6 * cells)
+        kv_capacity = (
+            fleet_system.PROFILE.token_capacity(one.card, count) * count
+        )
+        system.usage.note_existing_load(one, 1.6 * kv_capacity)
 
 
 class TestDisconnect:
@@ -129,18 +131,18 @@
 
         run_scenario(work)
 
-    @pytest.mark.parametrize("how", ["is_dead", "is_unresponsive"])
+    @pytest.mark.parametrize("fault", ["is_dead", "is_unresponsive"])
     def test_while_it_is_rerouted(
-        self, how: str, monkeypatch: pytest.MonkeyPatch
+        self, fault: str, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         # At each step: detecting the stall, probing, and changing the path.
         for step in range(STEPS):
             self.disconnect_while_rerouted(
-                how, step * STEP_SECONDS, monkeypatch
+                fault, step * STEP_SECONDS, monkeypatch
             )
 
     def disconnect_while_rerouted(
-        self, how: str, after: float, monkeypatch: pytest.MonkeyPatch
+        self, fault: str, after: float, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         async def work(system: System) -> None:
             request = system.request(STREAM)
@@ -149,18 +151,18 @@
                 await anyio.sleep(0.1)
                 run = system.fleet.runs_of(request.id)[-1]
                 part = run.path.split(",")[2].partition("=")[0]
-                setattr(system.fleet.at(part), how, True)
+                setattr(system.fleet.at(part), fault, True)
 
             asked: list[float] = []
             repath = system.fleet.repath
 
-            async def note(
+            async def record_repath(
                 head: chain.Upstream, request_id: str, path: chain.ChainPath
             ) -> interfaces.RepathOutcome:
                 asked.append(anyio.current_time())
                 return await repath(head, request_id, path)
 
-            monkeypatch.setattr(system.fleet, "repath", note)
+            monkeypatch.setattr(system.fleet, "repath", record_repath)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(inject_fault)
                 await disconnect_after(system, request, 0.1 + after)
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -80,16 +80,16 @@
     virtual.run(body)
 
 
-def first(system: System, number: int = 0) -> chain.Upstream:
+def plain_instance(system: System, number: int = 0) -> chain.Upstream:
     return system.listed[f"records-{number}"]
 
 
-async def call(system: System, seconds: float, step: float) -> None:
+async def send_calls(system: System, seconds: float, interval: float) -> None:
     async with anyio.create_task_group() as tasks:
         until = anyio.current_time() + seconds
         while anyio.current_time() < until:
             tasks.start_soon(system.ask, system.request(ONCE))
-            await anyio.sleep(step)
+            await anyio.sleep(interval)
 
 
 class TestSignals:
@@ -98,14 +98,19 @@
     def test_rate_limit_and_its_usage(self) -> None:
         async def work(system: System) -> None:
             for number in range(2):
-                system.fleet.at(first(system, number).address).limit = 6.0
-            await call(system, 20.0, 0.05)
+                system.fleet.at(
+                    plain_instance(system, number).address
+                ).limit = 6.0
+            await send_calls(system, 20.0, 0.05)
             found = {
                 one.key: one
                 for one in system.context.backpressure.active_signals()
             }
             one = found[
-                (first(system).name, backpressure_monitor.SignalKind.LIMIT)
+                (
+                    plain_instance(system).name,
+                    backpressure_monitor.SignalKind.LIMIT,
+                )
             ]
             assert one.per_second == 6.0
             assert one.share == pytest.approx(1.0)
@@ -121,14 +126,14 @@
 
     def test_backoff_and_its_end(self) -> None:
         async def work(system: System) -> None:
-            system.registry.back_off(first(system).name, 3.0)
+            system.registry.back_off(plain_instance(system).name, 3.0)
             await anyio.sleep(1.0)
             (one,) = system.context.backpressure.active_signals()
             assert one.kind is backpressure_monitor.SignalKind.BACKOFF
             assert one.since == 0.0
             assert one.seconds_left == pytest.approx(2.0)
             # Extending a backoff does not start a new one.
-            system.registry.back_off(first(system).name, 3.0)
+            system.registry.back_off(plain_instance(system).name, 3.0)
             (one,) = system.context.backpressure.active_signals()
             assert one.since == 0.0
             await anyio.sleep(3.1)
@@ -138,11 +143,13 @@
 
     def test_announced_leaving(self) -> None:
         async def work(system: System) -> None:
-            system.registry.note_leaving(first(system).name)
+            system.registry.note_leaving(plain_instance(system).name)
             await anyio.sleep(1.0)
             (one,) = system.context.backpressure.active_signals()
             assert one.kind is backpressure_monitor.SignalKind.LEAVING
-            system.registry.on_changed((), (first(system).incarnation.id,))
+            system.registry.on_changed(
+                (), (plain_instance(system).incarnation.id,)
+            )
             assert not system.context.backpressure.active_signals()
 
         run_scenario(work)
@@ -153,7 +160,7 @@
 
     def test_begin_and_end_are_logged(self, lines: Lines) -> None:
         async def work(system: System) -> None:
-            system.registry.back_off(first(system).name, 3.0)
+            system.registry.back_off(plain_instance(system).name, 3.0)
             await anyio.sleep(5.0)
 
         run_scenario(work)
@@ -173,16 +180,18 @@
     def test_number_of_lines_is_bounded(self, lines: Lines) -> None:
         async def work(system: System) -> None:
             for number in range(300):
-                system.registry.back_off(first(system, number).name, 3.0)
+                system.registry.back_off(
+                    plain_instance(system, number).name, 3.0
+                )
             await anyio.sleep(5.0)
 
         run_scenario(work, plain=300)
-        for what in ("need_begun", "need_ended"):
+        for event in ("need_begun", "need_ended"):
             assert (
-                len(lines_of(what, lines))
+                len(lines_of(event, lines))
                 == backpressure_monitor.MAX_LOG_LINES
             )
-            (others,) = lines_of(f"{what}_by_others", lines)
+            (others,) = lines_of(f"{event}_by_others", lines)
             assert others["instances"] == {
                 f"{PLAIN} plateau rest": 300
                 - backpressure_monitor.MAX_LOG_LINES
@@ -190,9 +199,9 @@
 
     def test_gauges_by_service_and_zone(self) -> None:
         async def work(system: System) -> None:
-            system.registry.back_off(first(system).name, 3.0)
-            system.fleet.at(first(system, 1).address).limit = 6.0
-            await call(system, 2.0, 0.05)
+            system.registry.back_off(plain_instance(system).name, 3.0)
+            system.fleet.at(plain_instance(system, 1).address).limit = 6.0
+            await send_calls(system, 2.0, 0.05)
             gauge = counters.COUNTERS.gauge
             assert gauge(f"needs.rest.{PLAIN}.plateau") == 1
             assert gauge(f"needs.limit.{PLAIN}.plateau") == 1
@@ -210,7 +219,7 @@
 
     def test_served_elsewhere(self, lines: Lines) -> None:
         async def work(system: System) -> None:
-            system.registry.back_off(first(system).name, 3.0)
+            system.registry.back_off(plain_instance(system).name, 3.0)
             await system.ask(system.request(ONCE))
 
         run_scenario(work)
@@ -237,8 +246,10 @@
     ) -> None:
         async def work(system: System) -> None:
             for number in range(2):
-                system.fleet.at(first(system, number).address).limit = 1000.0
-            await call(system, 3.0, 0.5)
+                system.fleet.at(
+                    plain_instance(system, number).address
+                ).limit = 1000.0
+            await send_calls(system, 3.0, 0.5)
 
         run_scenario(work)
         assert not any(
@@ -346,7 +357,9 @@
     def test_causes_sum_to_the_requests(self, lines: Lines) -> None:
         async def work(system: System) -> None:
             for number in range(2):
-                system.fleet.at(first(system, number).address).limit = 4.0
+                system.fleet.at(
+                    plain_instance(system, number).address
+                ).limit = 4.0
             callers: collections.Counter[bool] = collections.Counter()
 
             async def ask() -> None:
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -88,7 +88,7 @@
 
         run_scenario(work)
 
-    def test_forged_answer_is_rejected(self) -> None:
+    def test_answer_to_another_request_is_rejected(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             set_state(system, misattributed_answers=1)
             caller = await system.ask(system.request(ONCE))
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -78,7 +78,7 @@
     ]
 
 
-def set_hangs(system: fleet_system.FleetSystem, count: int) -> None:
+def set_hanging_streams(system: fleet_system.FleetSystem, count: int) -> None:
     for one in system.listed.values():
         system.fleet.at(one.address).hanging_streams = count
 
@@ -130,16 +130,16 @@
         run_scenario(work)
 
 
-class TestFailedStage:
+class TestFailedLaterEngine:
     """An engine other than the first fails during a stream."""
 
-    @pytest.mark.parametrize("how", ["is_dead", "is_unresponsive"])
-    def test_stream_is_rerouted(self, how: str) -> None:
+    @pytest.mark.parametrize("fault", ["is_dead", "is_unresponsive"])
+    def test_stream_is_rerouted(self, fault: str) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
 
             def inject_fault() -> None:
-                setattr(path_of(system, request)[2], how, True)
+                setattr(path_of(system, request)[2], fault, True)
 
             caller = await ask_with_fault(system, request, 0.15, inject_fault)
             assert_whole(caller, request, system.fleet.events)
@@ -322,7 +322,7 @@
 class TestHungRequest:
     """An engine accepts a request and never works on it."""
 
-    def test_is_moved_while_other_streams_make_progress(self) -> None:
+    def test_is_restarted_elsewhere_while_other_streams_progress(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 60
             first = system.request(STREAM)
@@ -335,12 +335,12 @@
                 for _ in range(8):
                     tasks.start_soon(ask, system.request(STREAM))
                 await anyio.sleep(0.2)
-                set_hangs(system, 1)
+                set_hanging_streams(system, 1)
                 began = anyio.current_time()
                 tasks.start_soon(ask, first)
                 await anyio.sleep(0.1)
                 # Only the engine that took it first does not work on it.
-                set_hangs(system, 0)
+                set_hanging_streams(system, 0)
             caller = callers[-1]
             assert_whole(caller, first, 60)
             assert caller.times[0] - began < 0.7
@@ -370,13 +370,13 @@
             assert_whole(caller, request, system.fleet.events)
             assert caller.times[0] - request.arrived < 0.6
             # Of the next streams, at most one tries the stuck engine.
-            waits = []
+            delays = []
             for _ in range(5):
                 later = system.request(STREAM)
                 caller = await system.ask(later)
                 assert_whole(caller, later, system.fleet.events)
-                waits.append(caller.times[0] - later.arrived)
-            assert sum(wait > 0.2 for wait in waits) <= 1
+                delays.append(caller.times[0] - later.arrived)
+            assert sum(delay > 0.2 for delay in delays) <= 1
 
         run_scenario(work, copies=1)
 
@@ -394,7 +394,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(system.ask, system.request(STREAM))
                 await anyio.sleep(0.1)
-                set_hangs(system, 1)
+                set_hanging_streams(system, 1)
                 tasks.start_soon(system.ask, system.request(STREAM))
                 await anyio.sleep(0.28)
                 tasks.cancel_scope.cancel()
@@ -410,30 +410,30 @@
             system.context.zone = fleet_system.ZONES[1]
             await system.ask(system.request(STREAM))
             system.context.zone = zone
-            set_hangs(system, 1)
-            waits = system.request(STREAM)
+            set_hanging_streams(system, 1)
+            hung_request = system.request(STREAM)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(system.ask, waits)
+                tasks.start_soon(system.ask, hung_request)
                 await anyio.sleep(0.02)
-                set_hangs(system, 0)
+                set_hanging_streams(system, 0)
                 await system.ask(system.request(STREAM))
                 await anyio.sleep(0.7)
                 tasks.cancel_scope.cancel()
-            assert len(system.fleet.runs_of(waits.id)) == 1
+            assert len(system.fleet.runs_of(hung_request.id)) == 1
 
         run_scenario(work, copies=1)
 
     def test_barred_engine_is_tried_by_one_stream_at_a_time(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            known = system.context.heads
-            known.bar("h")
-            assert known.is_barred("h")
+            records = system.context.heads
+            records.bar("h")
+            assert records.is_barred("h")
             await anyio.sleep(1.1)
-            assert not known.is_barred("h")
-            known.begin("h", 1)
-            assert known.is_barred("h")
-            known.first_event("h", 1)
-            assert not known.is_barred("h")
+            assert not records.is_barred("h")
+            records.begin("h", 1)
+            assert records.is_barred("h")
+            records.first_event("h", 1)
+            assert not records.is_barred("h")
 
         run_scenario(work)
 
@@ -451,29 +451,29 @@
 
     def test_engine_that_fails_its_streams_is_barred(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            known = system.context.heads
-            assert not known.fail("h")
-            known.begin("h", 1)
-            known.first_event("h", 1)
+            records = system.context.heads
+            assert not records.fail("h")
+            records.begin("h", 1)
+            records.first_event("h", 1)
             # A single failure does not bar an engine.
-            assert not known.is_barred("h")
-            barred = [known.fail("h") for _ in range(3)]
+            assert not records.is_barred("h")
+            barred = [records.fail("h") for _ in range(3)]
             assert any(barred)
-            assert known.is_barred("h")
+            assert records.is_barred("h")
 
         run_scenario(work)
 
-    def test_quick_zone_is_preferred_to_a_slow_one(self) -> None:
+    def test_faster_zone_is_preferred_to_own_slow_zone(self) -> None:
         # Streams must not stay in their own zone whatever the latency.
         async def work(system: fleet_system.FleetSystem) -> None:
-            known = system.context.heads
+            records = system.context.heads
             own = [
                 one.listed.name
                 for one in system.fleet.upstreams
                 if one.listed.availability_zone == fleet_system.ZONES[0]
             ]
             for name in own:
-                known.begin(name, name)
+                records.begin(name, name)
             await anyio.sleep(0.6)
             request = system.request(STREAM)
             await system.ask(request)
@@ -604,13 +604,13 @@
 class TestFailedFirstEngine:
     """A stream's first engine fails."""
 
-    @pytest.mark.parametrize("how", ["is_dead", "is_unresponsive"])
-    def test_stream_is_resumed_at_another(self, how: str) -> None:
+    @pytest.mark.parametrize("fault", ["is_dead", "is_unresponsive"])
+    def test_stream_is_resumed_at_another(self, fault: str) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
 
             def inject_fault() -> None:
-                setattr(path_of(system, request)[0], how, True)
+                setattr(path_of(system, request)[0], fault, True)
 
             caller = await ask_with_fault(system, request, 0.15, inject_fault)
             assert_whole(caller, request, system.fleet.events)
@@ -894,7 +894,7 @@
     def test_is_blamed_on_the_paths_engine_at_the_address(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # The engine's entry may be gone, or its address reused, before the
+        # The engine's listing may be gone, or its address reused, before the
         # refusal arrives. The first engine must not be blamed instead.
         async def work(system: fleet_system.FleetSystem) -> None:
             stale = system.fleet.at(system.listed["plateau-0-2"].address)
@@ -911,10 +911,10 @@
 
         run_scenario(work)
 
-    def test_engine_that_refused_is_avoided_by_the_next(self) -> None:
+    def test_engine_that_refused_is_avoided_by_later_streams(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             stale = system.fleet.at(system.listed["plateau-0-2"].address)
-            # It dropped its layers, and its entry is not up to date.
+            # It dropped its layers, and its listing is outdated.
             stale.listed = attrs.evolve(stale.listed, layers=None)
             for _ in range(3):
                 caller = await system.ask(system.request(STREAM))
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -173,14 +173,14 @@
                 await anyio.sleep(1.0)
                 error = await refused(system)
                 assert error.retry_after is not None
-                comes_at = anyio.current_time() + error.retry_after - lost_at
+                retry_at = anyio.current_time() + error.retry_after - lost_at
                 earliest = load + gaps.ORDER_DELAY_SECONDS
-                assert earliest - 0.1 <= comes_at
+                assert earliest - 0.1 <= retry_at
                 # Detected up to one poll late, and spread at random.
-                most = (
+                latest = (
                     earliest + gaps.POLL_SECONDS + retry_advice.WINDOW_SECONDS
                 )
-                assert comes_at <= most + 0.1
+                assert retry_at <= latest + 0.1
                 assert "20-40" in error.message
 
         run_scenario(work, "large")
@@ -226,9 +226,9 @@
             assert error.retry_after is not None
             load = PROFILE.load_seconds * 10 / PROFILE.layer_count
             earliest = came_at + load + gaps.ORDER_DELAY_SECONDS
-            comes_at = anyio.current_time() + error.retry_after
-            assert earliest - 0.1 <= comes_at
-            assert comes_at <= earliest + 0.6 + retry_advice.WINDOW_SECONDS
+            retry_at = anyio.current_time() + error.retry_after
+            assert earliest - 0.1 <= retry_at
+            assert retry_at <= earliest + 0.6 + retry_advice.WINDOW_SECONDS
 
         run_scenario(work, "small", 8)
 
@@ -320,11 +320,11 @@
     def test_many_requests_share_one_check(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        looks: list[float] = []
+        check_times: list[float] = []
         find = gaps.missing_layers
 
         def count(engines: typing.Any, layers: int) -> typing.Any:
-            looks.append(anyio.current_time())
+            check_times.append(anyio.current_time())
             return find(engines, layers)
 
         async def work(system: System) -> None:
@@ -333,7 +333,7 @@
             monkeypatch.setattr(gaps, "missing_layers", count)
             for _ in range(100):
                 await refused(system)
-            assert len(looks) == 1
+            assert len(check_times) == 1
 
         run_scenario(work, "large")
 
@@ -342,12 +342,12 @@
             remove_engines(system, "e-1", "e-2")
             await anyio.sleep(0.6)
             (gap,) = system.context.gaps.current_gaps
-            most = gaps.max_layers("small", PROFILE)
-            assert gap.layer_capacity == 6 * most
-            lacking = 80 - 6 * most
+            max_layers = gaps.max_layers("small", PROFILE)
+            assert gap.layer_capacity == 6 * max_layers
+            lacking = 80 - 6 * max_layers
             assert gap.needed == (
                 f"engines for {lacking} more layers: 1 large or "
-                f"{-(-lacking // most)} small"
+                f"{-(-lacking // max_layers)} small"
             )
 
         run_scenario(work, "small", 8)
@@ -391,7 +391,7 @@
                 response_headers = dict(answer.headers)
                 assert float(response_headers[names.RETRY_AFTER]) > 0.0
                 assert b"no engine holds layers" in answer.content
-            # Without five waits of 0.1 s.
+            # Less than five times ``UNHELD_WAIT_SECONDS``.
             assert anyio.current_time() - began < 0.4
             found = await test_fleet_process.status_of(running, "/metrics")
             gauge = f"crowdeck_layers_unheld_{fleet_system.MODEL} "
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -193,7 +193,7 @@
 class TestSubset:
     """An entry whose subset of a large fleet has no path."""
 
-    def test_all_engines_are_used_then(self) -> None:
+    def test_all_engines_are_used_if_the_subset_has_no_path(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             system.context.subset = _EmptySubset()  # type: ignore[assignment]
             caller = await system.ask(
@@ -217,19 +217,19 @@
             system.context.client = client  # type: ignore[assignment]
             await surveys.Survey(system.context).run(system.holder.services)
             assert sorted(client.asked) == names[1:]
-            full = {
+            utilization = {
                 name: system.usage.cache_utilization(one, PROFILE)
                 for name, one in system.listed.items()
             }
-            assert full[names[0]] == full[names[1]] == 0.0
-            assert all(0.45 < full[name] <= 0.5 for name in names[2:])
+            assert utilization[names[0]] == utilization[names[1]] == 0.0
+            assert all(0.45 < utilization[name] <= 0.5 for name in names[2:])
             await anyio.sleep(2.6)
             one = system.listed[names[2]]
             assert system.usage.cache_utilization(one, PROFILE) == 0.0
 
         run_scenario(work)
 
-    def test_number_of_questions_is_bounded(self) -> None:
+    def test_number_of_surveyed_engines_is_bounded(self) -> None:
         # A survey of a large fleet would delay the start of a small entry.
         async def work(system: fleet_system.FleetSystem) -> None:
             for number in range(60):
