--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -23,8 +23,8 @@
 
 # Sent by an engine that does not hold the layers asked of it, or that is not
 # the engine the request was meant for.
-STALE_STATUS = 421
-BODY_LIMIT = http.RESPONSE_LIMIT_BYTES
+MISDIRECTED_STATUS = 421
+BODY_LIMIT_BYTES = http.RESPONSE_LIMIT_BYTES
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
@@ -91,7 +91,7 @@
             self._admitted.priority,
             left,
             self._path,
-            self._stream.last_event,
+            self._stream.last_event_id,
         )
         with anyio.move_on_after(left):
             async with self._context.client.open(
@@ -114,7 +114,7 @@
         if answer.load is not None:
             self._context.usage.note_load(self._path.head, answer.load.running)
         if answer.has_not_run:
-            raise self._refusal(answer)
+            raise self._handle_refusal(answer)
         if not answer.belongs_to(self._request):
             raise self._wrong_answer("it has the id of another request")
         if answer.status >= 300:
@@ -142,29 +142,37 @@
         self._context.heads.first_event(self._path.head.name, stream)
         stream.note_event()
         if event.id is not None:
-            if event.id <= stream.last_event:
+            if event.id <= stream.last_event_id:
                 return
-            if stream.last_event >= 0 and event.id != stream.last_event + 1:
+            if (
+                stream.last_event_id >= 0
+                and event.id != stream.last_event_id + 1
+            ):
                 raise self._wrong_answer(
-                    f"event {event.id} follows {stream.last_event}"
+                    f"event {event.id} follows {stream.last_event_id}"
                 )
         if not self._sink.has_started:
             await self._sink.start(answer.status, answer.caller_headers)
         await self._sink.write(event.content)
         stream.has_events = True
         if event.id is not None:
-            stream.last_event = event.id
+            stream.last_event_id = event.id
 
-    def _refusal(self, answer: interfaces.Answer) -> errors.CrowdeckError:
+    def _handle_refusal(
+        self, answer: interfaces.Answer
+    ) -> errors.CrowdeckError:
+        """Pause the engine that refused, and return the error."""
         culprit = self._culprit(answer)
         if culprit.name != self._path.head.name:
             self._monitor.check_now(culprit)
             # It may be full or gone; the probe tells which.
             self._monitor.verify(culprit)
-        is_stale = answer.status == STALE_STATUS
+        is_misdirected = answer.status == MISDIRECTED_STATUS
         self._context.registry.pause(
             culprit.name,
-            registries.STALE_SECONDS if is_stale else registries.FULL_SECONDS,
+            registries.STALE_SECONDS
+            if is_misdirected
+            else registries.FULL_SECONDS,
             f"refused with {answer.status}",
         )
         return errors.CrowdeckError(
@@ -188,7 +196,7 @@
         )
 
     async def _forward_error(self, answer: interfaces.Answer) -> None:
-        body = await answer.read(BODY_LIMIT)
+        body = await answer.read(BODY_LIMIT_BYTES)
         if (
             self._sink.has_started
             or answer.status in requests.NOT_RUN_STATUSES
--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -20,11 +20,11 @@
 from crowdeck.routing import rate_limits
 
 POLL_SECONDS = 0.5
-# Changes of one check that are logged a line each. The others are counted in
-# one further line, since a whole service may signal at once.
-MAX_LINES = 20
-# Instances named in the log line of one request.
-MAX_NAMED = 5
+# Changes that one check logs in a line each. The rest are summarized in one
+# more line, since a whole service may signal at once.
+MAX_LOG_LINES = 20
+# Maximum number of addresses in the log line of one request.
+MAX_LOGGED_ADDRESSES = 5
 
 
 class SignalKind(enum.StrEnum):
@@ -93,11 +93,11 @@
         self._known: dict[tuple[str, SignalKind], BackpressureSignal] = {}
         self._gauges: set[str] = set()
 
-    def now(self) -> tuple[BackpressureSignal, ...]:
+    def active_signals(self) -> tuple[BackpressureSignal, ...]:
         """Return the signals in force."""
         return (*self._limited(), *self._backing_off(), *self._leaving())
 
-    def held_back(self, service: str) -> str:
+    def unavailable_addresses(self, service: str) -> str:
         """Return addresses of a service's instances that get no requests.
 
         The first few that backpressure excludes, separated by commas.
@@ -116,7 +116,7 @@
                 self._registry.is_usable(name) and self._limits.allows(one)
             )
         )
-        return ",".join(itertools.islice(found, MAX_NAMED))
+        return ",".join(itertools.islice(found, MAX_LOGGED_ADDRESSES))
 
     async def run(self) -> None:
         """Log changes and set the gauges, until cancelled."""
@@ -154,7 +154,7 @@
                 yield BackpressureSignal(upstream, SignalKind.LEAVING, since)
 
     def _check(self) -> None:
-        found = {one.key: one for one in self.now()}
+        found = {one.key: one for one in self.active_signals()}
         begun = [one for key, one in found.items() if key not in self._known]
         ended = [one for key, one in self._known.items() if key not in found]
         _log("need_begun", begun)
@@ -178,9 +178,9 @@
 
 
 def _log(event: str, signals: list[BackpressureSignal]) -> None:
-    for one in signals[:MAX_LINES]:
+    for one in signals[:MAX_LOG_LINES]:
         logs.change(event, **one.as_fields())
-    others = signals[MAX_LINES:]
+    others = signals[MAX_LOG_LINES:]
     if others:
         counts = collections.Counter(
             f"{one.upstream.service} {one.upstream.availability_zone} "
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -47,7 +47,7 @@
 
     ratio: float
     slack: float
-    window: float
+    window_seconds: float
 
 
 @attrs.define(eq=False)
@@ -55,7 +55,7 @@
     """What one entry knows of upstreams, and the client to reach them.
 
     :ivar zone: the entry's availability zone.
-    :ivar began: loop time at which the process was started.
+    :ivar started_at: loop time at which the process was started.
     :ivar name: the entry's name.
     :ivar membership: the entries that share limits and budgets with it.
     :ivar lag_meter: measures the lag of the entry's event loop.
@@ -68,7 +68,7 @@
     usage: usages.InFlight
     planner: hops.HopPlanner
     budget_settings: RetryBudgetSettings
-    began: float = float("-inf")
+    started_at: float = float("-inf")
     name: str = ""
     membership: budgets.Membership = budgets.FixedMembership()
     lag_meter: loop_lag.LoopLagMeter = attrs.field(
@@ -96,7 +96,7 @@
         self.backpressure = backpressure_monitor.BackpressureMonitor(
             self.registry, self.limits
         )
-        self.registry.subscribe_ends(self.note_end)
+        self.registry.subscribe_ends(self.note_instance_ended)
         self.client.subscribe(self._apply_notice)
 
     @property
@@ -120,8 +120,8 @@
             found = budgets.SharedRetryBudget(
                 budget_settings.ratio,
                 budget_settings.slack,
-                budget_settings.window,
-                self.began,
+                budget_settings.window_seconds,
+                self.started_at,
                 self.membership,
             )
             self._budgets[service] = found
@@ -141,8 +141,8 @@
     ) -> None:
         """Log a retry decision with the state of the budget.
 
-        The sum over entries can be checked from these lines: each entry
-        knows only its own share.
+        Each entry logs its own share, so that the total can be computed from
+        the logs of all entries.
         """
         budget = self.budget(service)
         counters.COUNTERS.set_gauge(
@@ -155,10 +155,10 @@
             left=round(budget.remaining, 2),
             requests=budget.requests,
             entries=self.membership.entries,
-            running=round(anyio.current_time() - self.began, 3),
+            running=round(anyio.current_time() - self.started_at, 3),
         )
 
-    def note_end(self, upstream: chain.Upstream) -> None:
+    def note_instance_ended(self, upstream: chain.Upstream) -> None:
         """Note that an instance has ended.
 
         If it was leaving, its end is not blamed on its requests.
@@ -223,7 +223,7 @@
         """Whether the budget allows a stream to restart elsewhere."""
         return self.budget(service).remaining_share >= RESTART_RESERVE_SHARE
 
-    def follow(self, roster: rosters.Roster) -> None:
+    def use_roster(self, roster: rosters.Roster) -> None:
         """Share limits and budgets with the entries of a roster.
 
         Call it before the first budget is used.
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -29,11 +29,13 @@
     Times are in seconds of the event loop's clock.
 
     :ivar profile: profile of the engines that serve it.
-    :ivar max_pause: longest pause between events that is in time.
+    :ivar max_pause: maximum allowed pause between events.
+    :ivar objective: latency objective for the first event.
     :ivar tokens: mean number of tokens that the request holds while it runs.
     :ivar sends: its sends, as the retry budget counts them.
-    :ivar can_resume: returns whether it may resume at another first engine.
-    :ivar last_event: id of the last event forwarded, -1 for none.
+    :ivar check_may_resume: returns whether it may resume at another first
+        engine.
+    :ivar last_event_id: id of the last event forwarded, -1 for none.
     :ivar progress_at: when its last event came or its attempt began.
     :ivar next_check: it is not checked before this time.
     :ivar checks: how often it was checked since ``progress_at``.
@@ -54,8 +56,8 @@
     tokens: float
     _usage: usages.InFlight
     sends: budgets.SendTracker
-    can_resume: typing.Callable[[], bool] = lambda: False
-    last_event: int = -1
+    check_may_resume: typing.Callable[[], bool] = lambda: False
+    last_event_id: int = -1
     has_events: bool = False
     progress_at: float = 0.0
     next_check: float = 0.0
@@ -67,7 +69,7 @@
     is_starting: bool = True
     abandon_reason: str = ""
     team: str = ""
-    _attempt_event_at: float | None = None
+    _attempt_first_event_at: float | None = None
     _fingerprint: fingerprint.Fingerprint | None = None
     _path: chain.ChainPath | None = None
     _scope: anyio.CancelScope | None = None
@@ -76,10 +78,10 @@
     def may_resume(self) -> bool:
         """Whether it may resume elsewhere if it is abandoned now.
 
-        Not cached: when an engine that it ran on ends, another run becomes
-        available.
+        Not cached: when an engine that it ran on ends, another attempt
+        becomes available.
         """
-        return self.can_resume()
+        return self.check_may_resume()
 
     @property
     def fingerprint(self) -> fingerprint.Fingerprint:
@@ -94,8 +96,8 @@
     def attempt_record(self) -> trackers.AttemptRecord:
         """The request, and the time since its attempt's first event."""
         seconds = None
-        if self._attempt_event_at is not None:
-            seconds = anyio.current_time() - self._attempt_event_at
+        if self._attempt_first_event_at is not None:
+            seconds = anyio.current_time() - self._attempt_first_event_at
         return trackers.AttemptRecord(self.fingerprint, seconds)
 
     @property
@@ -103,7 +105,7 @@
         """The path in use, or ``None`` between attempts."""
         return self._path
 
-    def wait(self, scope: anyio.CancelScope) -> None:
+    def note_waiting(self, scope: anyio.CancelScope) -> None:
         """Note that it waits for a path; ``abandon`` cancels ``scope``."""
         self._scope = scope
 
@@ -114,7 +116,7 @@
         self.progress_at = anyio.current_time()
         self.next_check = 0.0
         self.is_starting = True
-        self._attempt_event_at = None
+        self._attempt_first_event_at = None
         self.switch_path(path)
 
     def switch_path(self, path: chain.ChainPath) -> None:
@@ -144,7 +146,7 @@
             self.usual_pause += NEWEST_WEIGHT * (pause - self.usual_pause)
             self.longest_pause = max(self.longest_pause, pause)
         if self.is_starting:
-            self._attempt_event_at = now
+            self._attempt_first_event_at = now
         self.is_starting = False
         self.progress_at = now
         self.next_check = 0.0
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -32,8 +32,8 @@
     def mean_tokens(self, mean_answer_tokens: float) -> float:
         """Return the mean number of tokens held while the request runs.
 
-        That is the prompt and half of the expected answer, which is the
-        mean of the caller's hint and the usual answer, up to the maximum.
+        That is the prompt and half of the expected answer: the mean answer,
+        averaged with the caller's hint if there is one, up to the maximum.
         """
         answer = mean_answer_tokens
         if self.answer_hint:
@@ -51,7 +51,7 @@
     :ivar path: the path without its query.
     :ivar timeout_seconds: how long the caller waits, ``None`` if not given.
     :ivar arrived: loop time when its headers had been read.
-    :ivar last_event: id of the last event that the caller has, or -1.
+    :ivar last_event_id: id of the last event that the caller has, or -1.
     """
 
     id: str
@@ -64,8 +64,8 @@
     body: bytes = attrs.field(repr=False)
     timeout_seconds: float | None
     arrived: float
-    size: TokenCounts | None = None
-    last_event: int = -1
+    token_counts: TokenCounts | None = None
+    last_event_id: int = -1
 
 
 def fingerprint_of(
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -60,17 +60,19 @@
         budget = self._context.budget(service.name)
         budget.earn()
         sends = budget.track_sends()
-        size = request.size or requests.TokenCounts(0, 0)
+        token_counts = request.token_counts or requests.TokenCounts(0, 0)
         stream = live.LiveStream(
             request=request,
             service=service,
             profile=service.profile,
             max_pause=admitted.route.gap or admitted.route.objective,
             objective=admitted.route.objective,
-            tokens=size.mean_tokens(service.profile.mean_answer_tokens),
+            tokens=token_counts.mean_tokens(
+                service.profile.mean_answer_tokens
+            ),
             usage=self._context.usage,
             sends=sends,
-            last_event=request.last_event,
+            last_event_id=request.last_event_id,
             team=admitted.team,
         )
         self._monitor.add(stream)
@@ -136,7 +138,7 @@
         """Return a path, waiting briefly if there is none yet."""
         path = None
         with anyio.CancelScope() as scope:
-            self._stream.wait(scope)
+            self._stream.note_waiting(scope)
             path = await self._paths.find(has_started=self._sink.has_started)
         await self._refuse_if_quarantined()
         if path is not None:
@@ -173,11 +175,11 @@
             "path_chosen",
             self._request.id,
             path=str(path),
-            after=self._stream.last_event,
+            after=self._stream.last_event_id,
             tokens=int(self._stream.tokens),
             refusals=self._refusals,
             waited=round(anyio.current_time() - self._request.arrived, 3),
-            held_back=self._paths.held_back(),
+            held_back=self._paths.unavailable_addresses(),
             config=self._admitted.config_version,
         )
         try:
@@ -185,7 +187,7 @@
                 self._stream.begin(path, scope)
                 self._context.heads.begin(path.head.name, self._stream)
                 self._stream.sends.send()
-                self._stream.can_resume = lambda: (
+                self._stream.check_may_resume = lambda: (
                     self._route.is_resumable
                     and self._runs_left(path.head.name) > 0
                 )
@@ -198,7 +200,7 @@
                     path,
                     self._deadline,
                 ).run()
-                self._note_end(path)
+                self._note_completed(path)
                 return None
         except errors.CrowdeckError as error:
             self._note_send(error)
@@ -229,7 +231,7 @@
         else:
             sends.fail_to_send()
 
-    def _note_end(self, path: chain.ChainPath) -> None:
+    def _note_completed(self, path: chain.ChainPath) -> None:
         stream = self._stream
         self._context.quarantine.note_served(stream.fingerprint)
         self._context.retry_advisor.note_end()
@@ -244,7 +246,7 @@
             head=path.head.name,
             first_event=round(first, 4),
             longest_pause=round(stream.longest_pause, 4),
-            last_event=stream.last_event,
+            last_event=stream.last_event_id,
             seconds=round(now - arrived, 3),
             attempts=len(self._ran_on) + 1,
         )
@@ -267,7 +269,7 @@
             culprit=error.culprit,
             reason=error.message,
             verdict=str(error.verdict),
-            after=self._stream.last_event,
+            after=self._stream.last_event_id,
             content=str(self._stream.fingerprint),
             has_begun=not self._stream.is_starting,
         )
@@ -292,7 +294,7 @@
         if error.code is errors.Code.STALLED:
             return
         if await self._monitor.has_ended(head):
-            self._context.note_end(head)
+            self._context.note_instance_ended(head)
 
     def _note_failed(self, head: chain.Upstream) -> None:
         if self._context.heads.fail(head.name):
@@ -354,7 +356,7 @@
     def _may_resume(self) -> bool:
         if not self._route.is_resumable:
             return False
-        if self._stream.has_events and self._stream.last_event < 0:
+        if self._stream.has_events and self._stream.last_event_id < 0:
             # Its events have no ids, so it cannot be resumed after one.
             return False
         return self._runs_left() > 0
@@ -379,6 +381,6 @@
             error.message,
             verdict=verdict,
             retry_after=error.retry_after
-            or self._context.retry_advisor.estimate_delay(),
+            or self._context.retry_advisor.record_refusal(),
             culprit=error.culprit,
         )
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -100,14 +100,16 @@
 
 
 def make_config(
-    version: int = 1, listed: tuple[routes.Route, ...] | None = None
+    version: int = 1, config_routes: tuple[routes.Route, ...] | None = None
 ) -> routes.FleetConfig:
     """Return a config with a route of each kind and one team."""
-    if listed is None:
-        listed = tuple(make_route(repeat) for repeat in routes.RepeatPolicy)
+    if config_routes is None:
+        config_routes = tuple(
+            make_route(repeat) for repeat in routes.RepeatPolicy
+        )
     return routes.FleetConfig(
         version=version,
-        routes=listed,
+        routes=config_routes,
         services=(
             routes.Service(MODEL, 100, PROFILE),
             routes.Service(PLAIN, 100),
@@ -162,7 +164,7 @@
         self,
         fleet: chain_fleet.ChainFleet | None = None,
         name: str = "",
-        began: float = float("-inf"),
+        started_at: float = float("-inf"),
     ) -> None:
         self.fleet = fleet or chain_fleet.ChainFleet()
         self.name = name
@@ -179,7 +181,7 @@
             usage=self.usage,
             planner=hops.HopPlanner(self.usage),
             budget_settings=contexts.RetryBudgetSettings(0.2, 100.0, 10.0),
-            began=began,
+            started_at=started_at,
             name=name,
             # Entries with the same seed would act in lockstep.
             rng=random.Random(name or 1),
@@ -187,13 +189,19 @@
         )
         self.config = make_config()
         self.holder = relays.ConfigHolder(lambda _: self.config, "main")
-        self.age = 0.0
+        self.config_age_seconds = 0.0
         self.monitor = stalls.StallMonitor(self.context)
         self.relay = relays.Relay(
-            self.context, self.holder, self.monitor, lambda: self.age, 3.5
+            self.context,
+            self.holder,
+            self.monitor,
+            lambda: self.config_age_seconds,
+            3.5,
         )
         # A restarted entry must not reuse the ids of its former run.
-        self._prefix = f"{name}r" if began < 0.0 else f"{name}@{began:.3f}r"
+        self._prefix = (
+            f"{name}r" if started_at < 0.0 else f"{name}@{started_at:.3f}r"
+        )
         self._ids = 0
 
     def install(self, config: routes.FleetConfig) -> None:
@@ -210,11 +218,11 @@
         return target
 
     def list_instance(self, listed: chain.Upstream) -> None:
-        """Deliver an instance's entry as the store would."""
-        entry = listed.incarnation.id
-        self.listed[entry] = listed
+        """Deliver an instance's listing as the store would."""
+        incarnation_id = listed.incarnation.id
+        self.listed[incarnation_id] = listed
         self.registry.on_changed(
-            (stores.StoredObject("upstreams", entry, 1, b"{}"),), ()
+            (stores.StoredObject("upstreams", incarnation_id, 1, b"{}"),), ()
         )
 
     def add_model(self, copies: int = 2, parts: int = 4) -> None:
@@ -248,7 +256,7 @@
             body=b"",
             timeout_seconds=20.0,
             arrived=anyio.current_time(),
-            size=requests.TokenCounts(700, 400, 100),
+            token_counts=requests.TokenCounts(700, 400, 100),
         )
         return attrs.evolve(request, **changes)
 
