--- a/src/crowdeck/entry/keys.py
+++ b/src/crowdeck/entry/keys.py
@@ -71,7 +71,7 @@
             nonce=claims_module.new_nonce(),
             sidecars=tuple(stage.instance for stage in stages),
             incarnations=tuple(stage.incarnation for stage in stages),
-            expires=self._wall_clock() + claims_module.EXPIRE_SECONDS,
+            expires=self._wall_clock() + claims_module.CLAIM_TTL_SECONDS,
         )
         holder = await self._claims.claim(own, replaces)
         if holder.nonce == own.nonce:
--- a/src/crowdeck/entry/service_calls.py
+++ b/src/crowdeck/entry/service_calls.py
@@ -286,7 +286,7 @@
             nonce=claims_module.new_nonce(),
             sidecars=tuple(one.name for one in targets),
             incarnations=tuple(one.incarnation for one in targets),
-            expires=self._wall_clock() + claims_module.EXPIRE_SECONDS,
+            expires=self._wall_clock() + claims_module.CLAIM_TTL_SECONDS,
         )
 
     async def _run_claimed(
--- a/src/crowdeck/state/claims.py
+++ b/src/crowdeck/state/claims.py
@@ -31,7 +31,7 @@
 # Claims on one shard are gathered for this long before they are written.
 LINGER_SECONDS = 0.01
 # How long a caller may repeat a request under the same key.
-EXPIRE_SECONDS = 900.0
+CLAIM_TTL_SECONDS = 900.0
 MAX_WRITE_ATTEMPTS = 12
 # The platform limits values to one megabyte. A shard near that limit refuses
 # new keys, since no request may run without a written claim.
