--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -181,7 +181,7 @@
 
     async def _write(self) -> None:
         record = self._record
-        version = self._versions.get(self._name, stores.CREATE)
+        version = self._versions.get(self._name, stores.NO_VERSION)
         try:
             self._versions[self._name] = await self._store.put(
                 KIND, self._name, encode(record), version
@@ -235,7 +235,7 @@
             )
 
     def _apply(self, stored: stores.StoredObject) -> None:
-        if self._versions.get(stored.name, stores.CREATE) > stored.version:
+        if self._versions.get(stored.name, stores.NO_VERSION) > stored.version:
             # A peer's mirror may be older than this entry's own write.
             return
         self._versions[stored.name] = stored.version
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -75,7 +75,7 @@
         :raises CrowdeckError: ``STORE_CONFLICT`` if it has another version.
         """
         metadata: Json = {names.NAME: name}
-        if expected == stores.CREATE:
+        if expected == stores.NO_VERSION:
             method, path = "POST", _path(kind)
         else:
             method, path = "PUT", _path(kind, name)
--- a/src/crowdeck/settings/editor.py
+++ b/src/crowdeck/settings/editor.py
@@ -34,7 +34,7 @@
     text: str
 
 
-EMPTY = SettingsRevision(stores.CREATE, 0, "", "")
+EMPTY = SettingsRevision(stores.NO_VERSION, 0, "", "")
 
 
 class SettingsEditor:
@@ -142,7 +142,7 @@
     ) -> None:
         try:
             await self._store.put(
-                HISTORY_KIND, str(generation), value, stores.CREATE
+                HISTORY_KIND, str(generation), value, stores.NO_VERSION
             )
         except errors.CrowdeckError as error:
             # The change itself is stored. A retry may find its history
--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -74,7 +74,7 @@
         """Write an object if its version is the expected one."""
         await self._travel("put")
         held = self._objects.get((kind, name))
-        version = held.version if held is not None else stores.CREATE
+        version = held.version if held is not None else stores.NO_VERSION
         if version != expected:
             raise errors.CrowdeckError(
                 errors.Code.STORE_CONFLICT,
--- a/src/crowdeck/standin/store_http.py
+++ b/src/crowdeck/standin/store_http.py
@@ -78,7 +78,7 @@
     async def _create(self, request: requests.Request) -> responses.Response:
         body = orjson.loads(await request.body())
         name = str(body[names.METADATA][names.NAME])
-        return await self._store_body(request, name, body, stores.CREATE)
+        return await self._store_body(request, name, body, stores.NO_VERSION)
 
     async def _store_body(
         self, request: requests.Request, name: str, body: Json, expected: int
--- a/src/crowdeck/state/claims.py
+++ b/src/crowdeck/state/claims.py
@@ -226,7 +226,7 @@
                     "too many idempotency keys are in use",
                     retry_after=60.0,
                 )
-            version = found.version if found is not None else stores.CREATE
+            version = found.version if found is not None else stores.NO_VERSION
             try:
                 await self._store.put(KIND, name, value, version)
                 if self._observe_epoch():
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -114,7 +114,7 @@
         self._is_written_here = False
         # The version of the previous object when it was closed.
         self._closed_version = 0
-        self._version = stores.CREATE
+        self._version = stores.NO_VERSION
         self._record: LeaseRecord | None = None
         self._record_seen_at = 0.0
         self._held_until = 0.0
@@ -290,7 +290,7 @@
         )
         self._index += 1
         self._is_written_here = False
-        self._record, self._version = None, stores.CREATE
+        self._record, self._version = None, stores.NO_VERSION
         logs.change(
             "lease_passed_on",
             duty=self._duty,
@@ -304,7 +304,7 @@
         name = self._object_name(self._index + 1)
         value = orjson.dumps(attrs.asdict(LeaseRecord("", 0, self._last_memo)))
         try:
-            await self._store.put(KIND, name, value, stores.CREATE)
+            await self._store.put(KIND, name, value, stores.NO_VERSION)
         except errors.CrowdeckError as error:
             if error.code is not errors.Code.STORE_CONFLICT:
                 raise
@@ -389,10 +389,10 @@
             found = await self._store.get(KIND, self._object_name(self._index))
         is_new, self._is_outdated = self._is_outdated, False
         if found is None and not self._has_existed:
-            self._record, self._version = None, stores.CREATE
+            self._record, self._version = None, stores.NO_VERSION
             return
         self._has_existed = True
-        version = found.version if found else stores.CREATE
+        version = found.version if found else stores.NO_VERSION
         if is_new or version != self._version or self._record is None:
             self._version = version
             self._record = self._parse(found.value if found else b"")
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -13,7 +13,7 @@
 
 from crowdeck import instance as instances
 
-CREATE = 0
+NO_VERSION = 0
 
 
 def write_json(value: object) -> bytes:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -844,6 +844,8 @@
         with anyio.move_on_after(5.0):
             await lease.run()
         assert not lease.is_held
-        assert isinstance(errors.Code.STORE_DOWN, str) and stores.CREATE == 0
+        assert (
+            isinstance(errors.Code.STORE_DOWN, str) and stores.NO_VERSION == 0
+        )
 
     virtual.run(body)
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -649,7 +649,7 @@
     def test_writes_are_conditional(self) -> None:
         answer = an_object("a", 5, {"x": 1})
         store, calls = make_store([(200, answer), (200, answer)])
-        virtual.run(store.put, "k", "a", b'{"x":1}', stores.CREATE)
+        virtual.run(store.put, "k", "a", b'{"x":1}', stores.NO_VERSION)
         virtual.run(store.put, "k", "a", b'{"x":1}', 4)
         created, replaced = calls.asked
         assert created[:2] == ("POST", "/api/objects/k")
