--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -188,7 +188,7 @@
         body = stores.read_json(content)
         objects = tuple(
             stores.StoredObject(
-                kind, str(name), int(version), stores.write_json(value)
+                kind, str(name), int(version), stores.encode_json(value)
             )
             for name, version, value in body["objects"]
         )
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -218,7 +218,7 @@
             kind,
             str(metadata[names.NAME]),
             int(metadata[names.REVISION]),
-            stores.write_json(body.get(names.SPECIFICATION)),
+            stores.encode_json(body.get(names.SPECIFICATION)),
         )
     except _DECODE_ERRORS as error:
         raise _store_down("an object of the store is malformed") from error
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -16,7 +16,7 @@
 NO_VERSION = 0
 
 
-def write_json(value: object) -> bytes:
+def encode_json(value: object) -> bytes:
     """Return an object's value as a JSON text."""
     try:
         return orjson.dumps(value)
