--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -185,7 +185,7 @@
 
 def _decode(kind: str, content: bytes) -> stores.PeerChanges:
     try:
-        body = stores.read_json(content)
+        body = stores.decode_json(content)
         objects = tuple(
             stores.StoredObject(
                 kind, str(name), int(version), stores.encode_json(value)
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -285,7 +285,7 @@
 
 def _decode_body(response: upstream.ServiceResponse) -> Json:
     try:
-        body = stores.read_json(response.body)
+        body = stores.decode_json(response.body)
     except (ValueError, RecursionError) as error:
         raise _store_down("the store's answer is malformed") from error
     if not isinstance(body, dict):
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -26,7 +26,7 @@
         return json.dumps(value).encode("ascii")
 
 
-def read_json(content: bytes) -> typing.Any:
+def decode_json(content: bytes) -> typing.Any:
     """Parse a JSON text that holds the values of many objects.
 
     One value that the strict parser refuses, such as a lone surrogate or
