--- a/src/crowdeck/quarantine/attribution.py
+++ b/src/crowdeck/quarantine/attribution.py
@@ -54,7 +54,7 @@
         return self.unbegun | self.begun
 
 
-def unexplained_ends(
+def without_served_suspects(
     ends: typing.Iterable[evidence.InstanceEnd],
     served_at: typing.Mapping[fingerprint.Fingerprint, float],
 ) -> list[UnexplainedEnd]:
--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -310,7 +310,9 @@
             for served in valid.served:
                 before = served_at.get(served.request, served.at)
                 served_at[served.request] = max(before, served.at)
-        unexplained = attribution.unexplained_ends(ends.values(), served_at)
+        unexplained = attribution.without_served_suspects(
+            ends.values(), served_at
+        )
         self._suspects = attribution.count_ends(unexplained)
         self._last_end = max((one.at for one in ends.values()), default=0.0)
         settled = attribution.drop_unsettled(unexplained, now - SETTLE_SECONDS)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -47,7 +47,7 @@
         fingerprint.Fingerprint(one): at for one, at in served.items()
     }
     found = attribution.find_culprits(
-        attribution.unexplained_ends(ends, served_at)
+        attribution.without_served_suspects(ends, served_at)
     )
     return "".join(sorted(map(str, found)))
 
@@ -101,7 +101,7 @@
 
     def test_recent_ends_do_not_count_against_begun_requests(self) -> None:
         ends = [end(str(at), begun="b", at=float(at)) for at in range(3)]
-        cases = attribution.unexplained_ends(ends, {})
+        cases = attribution.without_served_suspects(ends, {})
         assert (
             attribution.find_culprits(attribution.drop_unsettled(cases, 1.5))
             == {}
