--- a/src/crowdeck/quarantine/attribution.py
+++ b/src/crowdeck/quarantine/attribution.py
@@ -29,7 +29,7 @@
 # That protects requests that many callers send alike, which are present at
 # every end. A request that crashes only a new release of the engines is found
 # this much later.
-SERVED_SECONDS = 30.0
+SERVED_EXEMPTION_SECONDS = 30.0
 
 
 Requests = frozenset[fingerprint.Fingerprint]
@@ -72,7 +72,7 @@
         return frozenset(
             one
             for one in suspects
-            if served_at.get(one, never) + SERVED_SECONDS < at
+            if served_at.get(one, never) + SERVED_EXEMPTION_SECONDS < at
         )
 
     return [
--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -281,7 +281,7 @@
         return self._own != before
 
     def _prune_served(self, now: float) -> None:
-        since = now - attribution.SERVED_SECONDS
+        since = now - attribution.SERVED_EXEMPTION_SECONDS
         while self._served:
             oldest = next(iter(self._served))
             is_full = len(self._served) > MAX_SERVED
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -89,7 +89,7 @@
         # Many callers send h, so it is present at every end.
         ends = [end(str(at), "hc", at=float(at)) for at in range(10, 16)]
         assert blamed(*ends, h=9.0) == "c"
-        long_ago = 9.0 - attribution.SERVED_SECONDS
+        long_ago = 9.0 - attribution.SERVED_EXEMPTION_SECONDS
         assert blamed(*ends, h=long_ago) == "ch"
 
     def test_two_causes_at_once_are_both_found(self) -> None:
@@ -285,7 +285,7 @@
             clock = Clock()
             one = tracker_after(2, clock)
             # Also if this entry's clock is behind that of the others.
-            clock.now -= 2 * attribution.SERVED_SECONDS
+            clock.now -= 2 * attribution.SERVED_EXEMPTION_SECONDS
             one.note_served(CAUSE)
             assert one.is_empty
             before = one.own.served
