--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -28,7 +28,7 @@
 # An end is held against a request for this long. It bounds how many instances
 # a request can crash in an hour, and how long a request stays refused that a
 # new release of the engines can run.
-KEEP_SECONDS = 3600.0
+EVIDENCE_TTL_SECONDS = 3600.0
 # An attempt whose first event came longer ago than this is not a suspect: a
 # request that crashes its engine does so soon after it has begun.
 HEALTHY_SECONDS = 0.5
@@ -148,7 +148,7 @@
             errors.Code.QUARANTINED,
             f"{ended} instances crashed when they began this request",
             verdict=verdict,
-            retry_after=KEEP_SECONDS,
+            retry_after=EVIDENCE_TTL_SECONDS,
         )
 
     def note_connection_lost(
@@ -267,7 +267,9 @@
     def _valid(self, reported: evidence.Evidence) -> evidence.Evidence:
         """Return the evidence that is neither outdated nor from the future."""
         now = self._clock()
-        return reported.between(now - KEEP_SECONDS, now + CLOCK_SKEW_SECONDS)
+        return reported.between(
+            now - EVIDENCE_TTL_SECONDS, now + CLOCK_SKEW_SECONDS
+        )
 
     def _record_served_suspects(self) -> bool:
         """Add served suspects to the evidence; return whether it changed."""
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -255,7 +255,7 @@
         def body() -> None:
             clock = Clock()
             one = tracker_after(3, clock)
-            clock.now += trackers.KEEP_SECONDS - 1.0
+            clock.now += trackers.EVIDENCE_TTL_SECONDS - 1.0
             assert one.is_quarantined(CAUSE)
             clock.now += trackers.REVIEW_SECONDS + 2.0
             assert not one.is_quarantined(CAUSE)
