--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -31,7 +31,7 @@
 EVIDENCE_TTL_SECONDS = 3600.0
 # An attempt whose first event came longer ago than this is not a suspect: a
 # request that crashes its engine does so soon after it has begun.
-HEALTHY_SECONDS = 0.5
+MAX_SUSPECT_EVENT_AGE_SECONDS = 0.5
 # A lost connection counts if the end of its instance becomes known within this
 # time; an entry in the store is removed after three missed heartbeats.
 PENDING_SECONDS = 8.0
@@ -68,7 +68,7 @@
         """Whether it may have crashed the instance."""
         return (
             self.seconds_since_first_event is None
-            or self.seconds_since_first_event < HEALTHY_SECONDS
+            or self.seconds_since_first_event < MAX_SUSPECT_EVENT_AGE_SECONDS
         )
 
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -211,7 +211,7 @@
     def test_attempt_with_an_earlier_event_is_no_suspect(self) -> None:
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
-            seconds = trackers.HEALTHY_SECONDS + 0.01
+            seconds = trackers.MAX_SUSPECT_EVENT_AGE_SECONDS + 0.01
             one.note_connection_lost(
                 "e", trackers.AttemptRecord(CAUSE, seconds)
             )
