--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -34,7 +34,7 @@
 MAX_SUSPECT_EVENT_AGE_SECONDS = 0.5
 # A lost connection counts if the end of its instance becomes known within this
 # time; an entry in the store is removed after three missed heartbeats.
-PENDING_SECONDS = 8.0
+LOST_ATTEMPT_TTL_SECONDS = 8.0
 # A cancelled attempt counts if its instance ends within this time.
 CANCELLED_SECONDS = 1.0
 # The evidence of the other entries arrives within this time after an end.
@@ -158,7 +158,7 @@
 
         It counts once the instance is known to have ended.
         """
-        self._add_pending(instance, attempt_record, PENDING_SECONDS)
+        self._add_pending(instance, attempt_record, LOST_ATTEMPT_TTL_SECONDS)
 
     def note_cancelled(
         self, instance: str, attempt_record: AttemptRecord
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -224,7 +224,7 @@
         async def body() -> None:
             one = trackers.QuarantineTracker(Clock())
             one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, None))
-            await anyio.sleep(trackers.PENDING_SECONDS + 0.1)
+            await anyio.sleep(trackers.LOST_ATTEMPT_TTL_SECONDS + 0.1)
             one.note_end("e")
             assert one.is_empty
 
