--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -105,7 +105,7 @@
         return self._own
 
     @property
-    def is_empty(self) -> bool:
+    def has_no_suspects(self) -> bool:
         """Whether no request is a suspect."""
         return not self._suspects
 
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -171,7 +171,7 @@
         :raises CrowdeckError: ``QUARANTINED``.
         """
         quarantine = self._context.quarantine
-        if quarantine.is_empty or not quarantine.is_quarantined(
+        if quarantine.has_no_suspects or not quarantine.is_quarantined(
             self._fingerprint
         ):
             return
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -153,7 +153,7 @@
         :raises CrowdeckError: ``QUARANTINED``.
         """
         quarantine = self._context.quarantine
-        if quarantine.is_empty or not quarantine.is_quarantined(
+        if quarantine.has_no_suspects or not quarantine.is_quarantined(
             self._stream.fingerprint
         ):
             return
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -403,7 +403,7 @@
             await anyio.sleep(2.0)
             assert entries.fleet.crashes
             assert all(
-                entries[number].context.quarantine.is_empty
+                entries[number].context.quarantine.has_no_suspects
                 for number in range(3)
             )
 
@@ -419,7 +419,7 @@
             name = entries.fleet.upstreams[0].listed.name
             attempt_record = trackers.AttemptRecord(known, None)
             entry.context.quarantine.note_connection_lost(name, attempt_record)
-            assert entry.context.quarantine.is_empty
+            assert entry.context.quarantine.has_no_suspects
             entry.registry.on_changed((), (name,))
             assert entry.context.quarantine.is_suspect(known)
 
@@ -447,7 +447,7 @@
             entries.start_request(0, entries_system.REPEATABLE, b"lost")
             await anyio.sleep(2.0)
             assert entries[0].registry.avoided() == ()
-            assert entries[0].context.quarantine.is_empty
+            assert entries[0].context.quarantine.has_no_suspects
 
         entries_system.play(work, count=1)
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -196,7 +196,7 @@
                 one.note_connection_lost(
                     f"e{number}", trackers.AttemptRecord(CAUSE, None)
                 )
-            assert one.is_empty
+            assert one.has_no_suspects
 
         run_in_virtual_time(body)
 
@@ -204,7 +204,7 @@
         def body() -> None:
             one = trackers.QuarantineTracker(Clock())
             one.note_end("e")
-            assert one.is_empty and not one.own
+            assert one.has_no_suspects and not one.own
 
         run_in_virtual_time(body)
 
@@ -216,7 +216,7 @@
                 "e", trackers.AttemptRecord(CAUSE, seconds)
             )
             one.note_end("e")
-            assert one.is_empty
+            assert one.has_no_suspects
 
         run_in_virtual_time(body)
 
@@ -226,7 +226,7 @@
             one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, None))
             await anyio.sleep(trackers.LOST_ATTEMPT_TTL_SECONDS + 0.1)
             one.note_end("e")
-            assert one.is_empty
+            assert one.has_no_suspects
 
         virtual.run(body)
 
@@ -247,7 +247,7 @@
             one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, None))
             one.forget("e")
             one.note_end("e")
-            assert one.is_empty
+            assert one.has_no_suspects
 
         run_in_virtual_time(body)
 
@@ -274,7 +274,7 @@
                     (evidence.ServedRequest(CAUSE, late),),
                 ),
             )
-            assert one.is_empty
+            assert one.has_no_suspects
             lose(one, 3)
             assert one.is_quarantined(CAUSE)
 
@@ -287,7 +287,7 @@
             # Also if this entry's clock is behind that of the others.
             clock.now -= 2 * attribution.SERVED_EXEMPTION_SECONDS
             one.note_served(CAUSE)
-            assert one.is_empty
+            assert one.has_no_suspects
             before = one.own.served
             one.note_served(CAUSE)
             assert one.own.served == before
