--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -64,7 +64,9 @@
         self.registry.set_services_source(
             lambda: frozenset(one.name for one in self.holder.services)
         )
-        self.registry.set_store_failure_source(lambda: self._health.failed_at)
+        self.registry.set_store_failure_source(
+            lambda: self._health.disrupted_at
+        )
         self._store = store
         revocation = float(config.fleet["revocation_ms"]) / 1000.0
         self._config_mirror = self._mirror(
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -64,7 +64,7 @@
         return self._lost_at is not None
 
     @property
-    def failed_at(self) -> float | None:
+    def disrupted_at(self) -> float | None:
         """Loop time of the last restore, or failure here or at a peer."""
         return self._failed_at
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -437,7 +437,7 @@
             registry = registries.UpstreamRegistry(
                 lambda one: listed[one.name]
             )
-            registry.set_store_failure_source(lambda: health.failed_at)
+            registry.set_store_failure_source(lambda: health.disrupted_at)
             mirror = mirrors.Mirror(
                 store, "upstreams", registry, 0.8, health=health
             )
