--- a/src/crowdeck/state/claims.py
+++ b/src/crowdeck/state/claims.py
@@ -30,14 +30,15 @@
 SHARD_COUNT = 16
 # Claims on one shard are gathered for this long before they are written.
 LINGER_SECONDS = 0.01
-# How long a caller may repeat a request under the same key.
+# How long a key stays claimed, so that its caller may repeat the request.
 CLAIM_TTL_SECONDS = 900.0
 MAX_WRITE_ATTEMPTS = 12
 # The platform limits values to one megabyte. A shard near that limit refuses
 # new keys, since no request may run without a written claim.
 MAX_SHARD_BYTES = 900_000
 # Claims written within this time are written again after the store has been
-# restored from a backup. Longer than the age of any backup.
+# restored from a backup. Has to exceed the age of the backup: an older claim
+# that the backup lacks is lost.
 REWRITE_WINDOW_SECONDS = 60.0
 # Interval at which entries check whether the store has been restored.
 EPOCH_CHECK_SECONDS = 0.2
@@ -94,9 +95,12 @@
 
 
 def digest_key(team: str, service: str, key: str) -> str:
-    """Return the digest under which a caller's key is stored."""
-    named = f"{team}\0{service}\0{key}"
-    return xxhash.xxh3_128_hexdigest(named.encode())
+    """Return the digest under which a caller's key is stored.
+
+    Request fingerprints are made in the same way, of other texts.
+    """
+    qualified_key = f"{team}\0{service}\0{key}"
+    return xxhash.xxh3_128_hexdigest(qualified_key.encode())
 
 
 def new_nonce() -> str:
@@ -134,7 +138,7 @@
         self._queues: dict[int, list[_PendingClaim]] = {}
         self._writing: set[int] = set()
         self._epoch: int | None = None
-        self._settled_at = 0.0
+        self._settles_at = 0.0
         self._recent_claims: dict[str, _RecentClaim] = {}
         self._outdated: set[int] = set()
 
@@ -201,8 +205,9 @@
             self._wake_pending(shard)
 
     def _wake_pending(self, shard: int) -> None:
-        # Wake the callers that queued during the write without marking
-        # them done: the first one to run writes the next batch.
+        # Wake the callers that queued during the write. ``done`` is replaced
+        # first, so they find it unset, and the first one to run writes the
+        # next batch.
         for pending in self._queues.get(shard, ()):
             event, pending.done = pending.done, anyio.Event()
             event.set()
@@ -254,7 +259,7 @@
             if held.setdefault(one.key, one).nonce != one.nonce:
                 counters.COUNTERS.add("claims.lost")
                 logs.change("claim_lost", request=one.request)
-        is_settled = self._clock.now() >= self._settled_at
+        is_settled = self._clock.now() >= self._settles_at
         for pending in batch:
             key = pending.claim.key
             pending.holder = pending.error = None
@@ -266,8 +271,6 @@
             pending.holder = held.setdefault(key, pending.claim)
         return Shard(tuple(held.values()))
 
-    # Restored store.
-
     def _observe_epoch(self) -> bool:
         """Note the store's epoch and return whether it has changed."""
         epoch = self._store.epoch
@@ -277,7 +280,7 @@
         if previous is None and not epoch:
             # The store has never been restored.
             return False
-        self._settled_at = self._clock.now() + SETTLE_SECONDS
+        self._settles_at = self._clock.now() + SETTLE_SECONDS
         if previous is None:
             return False
         self._outdated = set(map(_shard_of, self._recent_claims))
@@ -320,7 +323,7 @@
             errors.Code.STORE_DOWN,
             "the store was restored from a backup, and it is not known yet "
             "whether this key is in use",
-            retry_after=self._settled_at - self._clock.now(),
+            retry_after=self._settles_at - self._clock.now(),
         )
 
 
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -24,11 +24,13 @@
 # The holder retries this soon while the store does not answer, so that it
 # renews the lease before it expires if the outage is short.
 HOLDER_RETRY_SECONDS = 0.5
-# Terms of one epoch of the store, more than an epoch has versions. Terms of
-# the next epoch are all higher, even if the store has lost the latest ones.
+# Size of the range of terms reserved for each epoch of the store. Has to
+# exceed the number of versions in an epoch, so that the terms of a later epoch
+# are higher even if the store has lost the latest ones.
 TERMS_PER_EPOCH = 2**40
-# The holder stops this long before others may take over, so that an action
-# under way can arrive. Clocks need not agree, only run at the same rate.
+# The holder stops this long before others may take over, so that a request
+# that it has already sent arrives before the next holder acts. Clocks need not
+# agree, only run at the same rate.
 SAFETY_MARGIN_SECONDS = 0.7
 # Holder of a lease that cannot be read; no process has this name.
 UNREADABLE_HOLDER = "?"
@@ -103,8 +105,9 @@
         # Whether the lease was last read in an earlier epoch.
         self._is_outdated = False
         self._has_failed = False
-        # Loop time before which only its holder may write the lease.
-        self._free_at = 0.0
+        # Event-loop time before which this process may not take the lease
+        # unless it holds it.
+        self._earliest_take_at = 0.0
         # Index of the current object.
         self._index = 0
         # Whether the lease has been found or written in this epoch. If its
@@ -126,7 +129,7 @@
         # The memo of the last lease that could be read.
         self._last_memo: tuple[str, ...] = ()
         self._memo_changed = anyio.Event()
-        self._taken = anyio.Event()
+        self._first_held = anyio.Event()
 
     @property
     def is_held(self) -> bool:
@@ -148,7 +151,7 @@
 
     async def wait_held(self) -> None:
         """Wait until this process holds the lease for the first time."""
-        await self._taken.wait()
+        await self._first_held.wait()
 
     def set_memo(self, memo: tuple[str, ...]) -> None:
         """Set the memo for the next holder, and renew the lease at once.
@@ -204,8 +207,8 @@
         return self._record is not None and bool(self._record.successor)
 
     @property
-    def _is_corrupted(self) -> bool:
-        """Whether the current object cannot hold the lease."""
+    def _must_move_on(self) -> bool:
+        """Whether the lease cannot stay in the current object."""
         if self._record is None or self._index >= LAST_OBJECT_INDEX:
             return False
         return self._is_closed or self._record.holder == UNREADABLE_HOLDER
@@ -217,12 +220,12 @@
             is_needed = self._record is None or self._is_outdated
             allow_stale = not (is_needed or self.is_held)
             await self._refresh(allow_stale=allow_stale)
-            if allow_stale and self._is_corrupted:
+            if allow_stale and self._must_move_on:
                 # A stale answer may be from before the object was created.
                 await self._refresh()
         while True:
             may_take = self._may_take
-            if not self._is_corrupted and not (
+            if not self._must_move_on and not (
                 may_take and await self._has_next()
             ):
                 break
@@ -237,12 +240,12 @@
     async def _take(self) -> None:
         """Take the lease in the current object, or move it there."""
         if not self._may_take:
-            # It expired while the next object was being read.
+            # The lease held here expired while the next object was read.
             return
         if not self.is_held and not self._is_mine:
             self._memo = self._record.memo if self._record else ()
-        is_written_back = self.is_held and self._index == 0
-        term = self._highest_term if is_written_back else self._next_term()
+        keeps_term = self.is_held and self._index == 0
+        term = self._highest_term if keeps_term else self._next_term()
         await self._write(LeaseRecord(self._holder, term, self._memo))
 
     @property
@@ -251,7 +254,7 @@
         if self.is_held:
             return not self._is_written_here
         now = anyio.current_time()
-        return now >= self._free_at and self._is_free(now)
+        return now >= self._earliest_take_at and self._is_free(now)
 
     def _is_free(self, now: float) -> bool:
         record = self._record
@@ -285,8 +288,8 @@
         if not self._is_closed:
             await self._close()
         self._closed_version = max(self._closed_version, self._version)
-        self._free_at = max(
-            self._free_at, anyio.current_time() + LEASE_SECONDS
+        self._earliest_take_at = max(
+            self._earliest_take_at, anyio.current_time() + LEASE_SECONDS
         )
         self._index += 1
         self._is_written_here = False
@@ -324,8 +327,10 @@
     def _next_term(self) -> int:
         stored = self._record.term if self._record else 0
         epoch_base = (self._epoch or 0) * TERMS_PER_EPOCH
-        is_unread = self._record and self._record.holder == UNREADABLE_HOLDER
-        if stored <= epoch_base or is_unread:
+        is_unreadable = (
+            self._record and self._record.holder == UNREADABLE_HOLDER
+        )
+        if stored <= epoch_base or is_unreadable:
             # There may be terms that were overwritten unread, by another
             # writer or by a write that raced with a restore. No term exceeds
             # the version that it was written over.
@@ -351,7 +356,7 @@
         if self.is_held:
             self._record = None
             await self._read_back()
-            if self._is_corrupted:
+            if self._must_move_on:
                 # Nobody else can hold the lease before it expires here, so
                 # it is moved.
                 return
@@ -365,7 +370,7 @@
         previous, self._epoch = self._epoch, epoch
         if previous is None and self._is_new_fleet:
             return False
-        self._free_at = anyio.current_time() + LEASE_SECONDS
+        self._earliest_take_at = anyio.current_time() + LEASE_SECONDS
         if previous is None:
             return False
         self._is_outdated = True
@@ -387,13 +392,13 @@
         while self._observe_epoch():
             # The value may still be from the previous epoch.
             found = await self._store.get(KIND, self._object_name(self._index))
-        is_new, self._is_outdated = self._is_outdated, False
+        was_outdated, self._is_outdated = self._is_outdated, False
         if found is None and not self._has_existed:
             self._record, self._version = None, stores.NO_VERSION
             return
         self._has_existed = True
         version = found.version if found else stores.NO_VERSION
-        if is_new or version != self._version or self._record is None:
+        if was_outdated or version != self._version or self._record is None:
             self._version = version
             self._record = self._parse(found.value if found else b"")
             self._record_seen_at = anyio.current_time()
@@ -457,7 +462,7 @@
         if self.is_held != self._was_held:
             self._was_held = self.is_held
             if self.is_held:
-                self._taken.set()
+                self._first_held.set()
             event = "lease_taken" if self.is_held else "lease_lost"
             logs.change(event, duty=self._duty, term=self.term)
 
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -18,13 +18,13 @@
 
 
 Linger = typing.Callable[[], float]
-# Pause before the next question to a peer that gave no answer or an old one.
+# Delay before the next call after a peer failed to answer or its copy was old.
 PEER_RETRY_SECONDS = 0.05
-# Age of the proof, in watches, above which a call does not wait for changes.
-# A proof gets one watch old, or older after a suspension or an outage.
-MAX_PROOF_AGE_WATCHES = 2.0
-# Seconds added to the watch of a peer's copy, which is proved once in each
-# watch of the peer. A watch of the same length would end just before that.
+# A call does not wait for changes if the copy was last confirmed current more
+# than this many watch timeouts ago, as after a suspension or an outage.
+MAX_CONFIRMED_AGE_WATCHES = 2.0
+# Added to the timeout of a watch at a peer, so that the peer's own watch ends
+# first and confirms its copy.
 PEER_WATCH_SLACK_SECONDS = 0.2
 
 
@@ -88,8 +88,8 @@
         next, in which changes are gathered. Each answered watch is charged
         for, and many objects of a fleet change at once.
     :param wait: seconds that one watch waits for a change. An answered
-        watch proves that the copy was current when the watch was sent,
-        so this also limits the age of the proof.
+        watch confirms that the copy was current when the watch was sent,
+        so this also limits how long ago the copy was confirmed.
     :param health: the store's health, shared by the mirrors of a process.
     :param peers: chooses the peers that are asked instead of the store.
     """
@@ -116,7 +116,7 @@
         self._must_list = True
         self._must_ask_store = False
         self._has_failed = False
-        self._proof_changed = anyio.Event()
+        self._confirmed = anyio.Event()
 
     @property
     def kind(self) -> str:
@@ -134,7 +134,7 @@
         return self._current_at is not None
 
     def age(self) -> float:
-        """Return the seconds since the copy was last proved current."""
+        """Return the seconds since the copy was last confirmed current."""
         if self._current_at is None:
             return float("inf")
         return anyio.current_time() - self._current_at
@@ -162,8 +162,8 @@
     ) -> stores.PeerChanges:
         """Return what changed after a position, for another process.
 
-        Returns once something has changed, once the copy has been proved
-        current as of the question, or after ``wait`` seconds.
+        Returns once something has changed, once the copy has been confirmed
+        current as of this call, or after ``wait`` seconds.
 
         :raises CrowdeckError: ``STORE_DOWN`` while the store is lost or its
             current epoch is not known here, ``STORE_HISTORY`` when the
@@ -174,11 +174,12 @@
             self._health.watch_scope(),
             anyio.move_on_after(wait),
         ):
-            while not self._has_news(after, asked_at):
-                await self._proof_changed.wait()
+            while not self._can_reply(after, asked_at):
+                await self._confirmed.wait()
         if self._health.is_lost or self._current_at is None:
             raise errors.CrowdeckError(
-                errors.Code.STORE_DOWN, "this process has lost the store too"
+                errors.Code.STORE_DOWN,
+                "this process has no current copy of the store either",
             )
         if after.epoch > self.position.epoch:
             self._health.observe_epoch(after.epoch)
@@ -195,7 +196,7 @@
             )
         return stores.PeerChanges(changes, asked_at - self._current_at)
 
-    def _has_news(self, after: stores.Position, asked_at: float) -> bool:
+    def _can_reply(self, after: stores.Position, asked_at: float) -> bool:
         if self._health.is_lost:
             return True
         if self._current_at is None:
@@ -222,8 +223,8 @@
             logs.change(
                 "store_asked_instead", kind=self._kind, reason=error.message
             )
-            # Do not wait for changes: the store may take a whole watch to
-            # report that it no longer has the position.
+            # The next call does not wait for changes: the store might report
+            # an unknown position only when the watch times out.
             self._must_ask_store = self._has_failed = True
             return
         if answer is not None:
@@ -237,8 +238,8 @@
     async def _call_store(self) -> None:
         """Call the store once and apply its answer."""
         # The first call after a failure or a suspension does not wait for
-        # changes, so that its answer proves the copy at once.
-        is_stale = self.age() > MAX_PROOF_AGE_WATCHES * self._wait
+        # changes, so that its answer confirms the copy at once.
+        is_stale = self.age() > MAX_CONFIRMED_AGE_WATCHES * self._wait
         wait = 0.0 if self._has_failed or is_stale else self._wait
         sent_at = anyio.current_time()
         if self._must_list:
@@ -276,8 +277,8 @@
     def _set_current(self, at: float) -> None:
         previous = self._current_at
         self._current_at = at if previous is None else max(previous, at)
-        self._proof_changed.set()
-        self._proof_changed = anyio.Event()
+        self._confirmed.set()
+        self._confirmed = anyio.Event()
 
     async def _handle_failure(
         self, error: errors.CrowdeckError, is_probe: bool
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -13,6 +13,7 @@
 
 from crowdeck import instance as instances
 
+# Expected version of an object that does not exist.
 NO_VERSION = 0
 
 
@@ -21,8 +22,9 @@
     try:
         return orjson.dumps(value)
     except TypeError:
-        # orjson refuses lone surrogates and long integers. They concern
-        # only those who read this object.
+        # orjson refuses lone surrogates and long integers. The standard
+        # encoder accepts them; the object's readers decide whether the value
+        # is valid.
         return json.dumps(value).encode("ascii")
 
 
@@ -104,9 +106,10 @@
 
     :ivar age: seconds from when the peer's copy was known to be current
         until the question arrived; negative if the copy became current
-        while the question waited. The time of asking less this age is a
-        time at which the asker is current. It compares no two clocks, and
-        errs on the old side since a question arrives after it was sent.
+        while the question waited. Subtracted from the time at which the
+        question was sent, it gives a time at which the asker's copy was
+        current. Clocks of two processes are not compared, and the result is
+        never too recent, since a question arrives after it was sent.
     """
 
     changes: Changes
@@ -145,7 +148,8 @@
     ) -> int:
         """Write an object if its version is ``expected``.
 
-        :param expected: the version read before, or ``CREATE``.
+        :param expected: the version read before, or ``NO_VERSION`` to create
+            the object.
         :return: the new version.
         :raises CrowdeckError: ``STORE_CONFLICT`` when another wrote first.
         """
--- a/src/crowdeck/state/replica.py
+++ b/src/crowdeck/state/replica.py
@@ -26,8 +26,8 @@
 
     def __init__(self) -> None:
         self._objects: dict[str, stores.StoredObject] = {}
-        self._learned_at: dict[str, int] = {}
-        self._removed: dict[str, int] = {}
+        self._learned_versions: dict[str, int] = {}
+        self._removed_versions: dict[str, int] = {}
         self._history_start = 0
         self._version = 0
         self._epoch = 0
@@ -40,8 +40,8 @@
     def reset(self, listing: stores.Changes) -> None:
         """Replace the copy by a listing of the whole kind."""
         self._objects = {one.name: one for one in listing.objects}
-        self._learned_at = dict.fromkeys(self._objects, listing.version)
-        self._removed.clear()
+        self._learned_versions = dict.fromkeys(self._objects, listing.version)
+        self._removed_versions.clear()
         self._history_start = self._version = listing.version
         self._epoch = listing.epoch
 
@@ -50,18 +50,18 @@
         self._version = max(self._version, changes.version)
         for one in changes.objects:
             self._objects[one.name] = one
-            self._learned_at[one.name] = self._version
-            self._removed.pop(one.name, None)
+            self._learned_versions[one.name] = self._version
+            self._removed_versions.pop(one.name, None)
         for name in changes.removed:
             self._objects.pop(name, None)
-            self._learned_at.pop(name, None)
+            self._learned_versions.pop(name, None)
             # Reinserted so that the newest removals come last.
-            self._removed.pop(name, None)
-            self._removed[name] = self._version
-        while len(self._removed) > MAX_REMOVALS:
-            oldest = next(iter(self._removed))
+            self._removed_versions.pop(name, None)
+            self._removed_versions[name] = self._version
+        while len(self._removed_versions) > MAX_REMOVALS:
+            oldest = next(iter(self._removed_versions))
             self._history_start = max(
-                self._history_start, self._removed.pop(oldest)
+                self._history_start, self._removed_versions.pop(oldest)
             )
 
     def changes_since(self, after: stores.Position) -> stores.Changes | None:
@@ -73,12 +73,12 @@
             tuple(
                 one
                 for name, one in self._objects.items()
-                if self._learned_at[name] > after.version
+                if self._learned_versions[name] > after.version
             ),
             tuple(
                 name
-                for name, learned_at in self._removed.items()
-                if learned_at > after.version
+                for name, learned_version in self._removed_versions.items()
+                if learned_version > after.version
             ),
             self._epoch,
         )
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -39,13 +39,13 @@
     """The store's health, shared by all its callers in one process.
 
     A store that stops answering may keep its connections open, and a watch
-    then waits for its whole time although the store has recovered. So when
+    then blocks until its timeout even after the store has recovered. So when
     one call fails, all watches are cancelled. Then one caller at a time
     probes the store, and all others go on once a probe succeeds.
     """
 
     def __init__(self) -> None:
-        self._failed_at: float | None = None
+        self._disrupted_at: float | None = None
         self._own_failed_at = float("-inf")
         self._lost_at: float | None = None
         self._failures = 0
@@ -65,12 +65,15 @@
 
     @property
     def disrupted_at(self) -> float | None:
-        """Loop time of the last restore, or failure here or at a peer."""
-        return self._failed_at
+        """Event-loop time of the store's last disruption.
+
+        That is a restore of the store, or a failed call here or at a peer.
+        """
+        return self._disrupted_at
 
     @property
     def own_failed_at(self) -> float:
-        """Loop time at which this process's own call last failed."""
+        """Event-loop time at which this process's own call last failed."""
         return self._own_failed_at
 
     async def acquire(self) -> CallPermit:
@@ -140,7 +143,7 @@
         Objects that are missing soon after may have expired during the
         outage, even if this process could reach the store throughout.
         """
-        self._failed_at = anyio.current_time()
+        self._disrupted_at = anyio.current_time()
 
     def observe_epoch(self, epoch: int) -> None:
         """Note an epoch that the store or a peer has reported.
@@ -156,7 +159,7 @@
         logs.change("store_restored", epoch=epoch, before=previous)
         counters.COUNTERS.add("store.restored")
         # The latest writes of instances may be missing until repeated.
-        self._failed_at = anyio.current_time()
+        self._disrupted_at = anyio.current_time()
         for scope in self._watches:
             scope.cancel()
 
@@ -180,7 +183,7 @@
         since most failures are a cut connection rather than an outage.
         """
         now = anyio.current_time()
-        self._failed_at = self._own_failed_at = now
+        self._disrupted_at = self._own_failed_at = now
         self._failures += 1
         if self._lost_at is None:
             self._lost_at = self._next_probe_at = now
@@ -190,8 +193,8 @@
         if was_probe:
             self._next_probe_at = now + self._probe_interval()
             self._end_probe()
-        # Let the other callers probe first, so that a kind whose calls
-        # always fail does not keep them waiting.
+        # Let the other callers probe first, so that a caller whose calls
+        # always fail does not starve them.
         await anyio.lowlevel.checkpoint()
 
     def _may_probe(self, ticket: object) -> bool:
