--- a/src/crowdeck/quarantine/attribution.py
+++ b/src/crowdeck/quarantine/attribution.py
@@ -19,14 +19,13 @@
 from crowdeck.quarantine import evidence
 from crowdeck.quarantine import fingerprint
 
-# Ends at which a request is quarantined. Two may be a coincidence: a stream
-# that is moved from an instance that ended may meet the next one.
-ENDS_TO_BLAME = 3
-# Requests that were present at the same ends cannot be told apart. One more
-# end decides, unless the innocent one is served first.
-ENDS_TO_BLAME_TIED = ENDS_TO_BLAME + 1
+# Number of ends at which a request must have been present to be quarantined.
+QUARANTINE_THRESHOLD = 3
+# The same for requests that rank equally. One more end may tell them apart; if
+# not, all of them are quarantined. One that is served meanwhile is cleared.
+QUARANTINE_THRESHOLD_TIED = QUARANTINE_THRESHOLD + 1
 # Ends within this time after a request was served are not held against it.
-# That protects requests that many callers send alike, which are present at
+# That protects identical requests sent by many callers, which are present at
 # every end. A request that crashes only a new release of the engines is found
 # this much later.
 SERVED_EXEMPTION_SECONDS = 30.0
@@ -110,52 +109,54 @@
 
 def find_culprits(
     unexplained: list[UnexplainedEnd],
-    threshold: int = ENDS_TO_BLAME,
-    threshold_tied: int = ENDS_TO_BLAME_TIED,
+    threshold: int = QUARANTINE_THRESHOLD,
+    threshold_tied: int = QUARANTINE_THRESHOLD_TIED,
 ) -> dict[fingerprint.Fingerprint, int]:
     """Return the requests to quarantine.
 
     :return: the number of ends attributed to each of them.
     """
     found: dict[fingerprint.Fingerprint, int] = {}
-    left = unexplained
+    remaining = unexplained
     while True:
-        ranks = _rank(left)
-        first = max(
+        ranks = _rank(remaining)
+        top_suspect = max(
             ranks, key=lambda one: (ranks[one], str(one)), default=None
         )
-        if first is None or ranks[first][0] < threshold:
+        if top_suspect is None or ranks[top_suspect][0] < threshold:
             return found
-        tied = _tied(first, ranks, left)
-        ends = ranks[first][0]
+        tied = _tied(top_suspect, ranks, remaining)
+        ends = ranks[top_suspect][0]
         if len(tied) == 1 or ends >= threshold_tied:
             found |= dict.fromkeys(tied, ends)
-        # These ends are explained, so no other request is blamed for them.
-        left = [end for end in left if not end.suspects & tied]
+        # These ends are explained, so they count for no other request.
+        remaining = [end for end in remaining if not end.suspects & tied]
 
 
 def _tied(
-    first: fingerprint.Fingerprint,
+    top_suspect: fingerprint.Fingerprint,
     ranks: dict[fingerprint.Fingerprint, tuple[int, int]],
     unexplained: list[UnexplainedEnd],
 ) -> Requests:
-    """Return the suspects that share an end and the rank with ``first``.
+    """Return the suspects that share an end and the rank with a suspect.
 
-    The result includes ``first``.
+    The result includes ``top_suspect``.
     """
     present = frozenset[fingerprint.Fingerprint]().union(
-        *(end.suspects for end in unexplained if first in end.suspects)
+        *(end.suspects for end in unexplained if top_suspect in end.suspects)
+    )
+    return frozenset(
+        one for one in present if ranks[one] == ranks[top_suspect]
     )
-    return frozenset(one for one in present if ranks[one] == ranks[first])
 
 
 def _rank(
     unexplained: list[UnexplainedEnd],
 ) -> dict[fingerprint.Fingerprint, tuple[int, int]]:
-    """Return for each suspect its ends, and how many of them had no event.
+    """Return, for each suspect, its ends and those before its first event.
 
-    The cause ends its engine before its first event, while an innocent
-    request mostly had one at some of the ends.
+    Both are counts. The cause ends its engine before its first event, while
+    other requests mostly had one at some of the ends.
     """
     without = collections.Counter(
         one for end in unexplained for one in end.unbegun
--- a/src/crowdeck/quarantine/evidence.py
+++ b/src/crowdeck/quarantine/evidence.py
@@ -15,8 +15,8 @@
 # bound the size of its record in the store.
 MAX_ENDS = 32
 MAX_SERVED = 32
-# Suspects reported per end, those at the most ends first, then those without
-# an event.
+# Suspects reported per end: those at the most ends first, then those that had
+# not produced an event.
 MAX_SUSPECTS = 24
 
 Rank = typing.Callable[[fingerprint.Fingerprint], int]
@@ -97,18 +97,22 @@
 
         :param rank: returns the number of known ends of a request.
         """
-        held = {one.instance: one for one in self.ends}
-        if end.instance in held:
-            end = held[end.instance].merged_with(end)
-        held[end.instance] = _truncated(end, rank)
-        return attrs.evolve(self, ends=tuple(held.values())[-MAX_ENDS:])
+        by_instance = {one.instance: one for one in self.ends}
+        if end.instance in by_instance:
+            end = by_instance[end.instance].merged_with(end)
+        by_instance[end.instance] = _truncated(end, rank)
+        return attrs.evolve(self, ends=tuple(by_instance.values())[-MAX_ENDS:])
 
     def with_served(self, served: ServedRequest) -> "Evidence":
         """Return the evidence with a served request added."""
-        held = {one.request: one for one in self.served}
-        before = held.get(served.request, served)
-        held[served.request] = max(before, served, key=lambda one: one.at)
-        return attrs.evolve(self, served=tuple(held.values())[-MAX_SERVED:])
+        by_request = {one.request: one for one in self.served}
+        before = by_request.get(served.request, served)
+        by_request[served.request] = max(
+            before, served, key=lambda one: one.at
+        )
+        return attrs.evolve(
+            self, served=tuple(by_request.values())[-MAX_SERVED:]
+        )
 
 
 def _truncated(end: InstanceEnd, rank: Rank) -> InstanceEnd:
--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -26,17 +26,18 @@
 from crowdeck import verdict as verdicts
 
 # An end is held against a request for this long. It bounds how many instances
-# a request can crash in an hour, and how long a request stays refused that a
-# new release of the engines can run.
+# a request can crash in an hour, and also how long a request stays refused
+# after the engines have been fixed.
 EVIDENCE_TTL_SECONDS = 3600.0
 # An attempt whose first event came longer ago than this is not a suspect: a
 # request that crashes its engine does so soon after it has begun.
 MAX_SUSPECT_EVENT_AGE_SECONDS = 0.5
 # A lost connection counts if the end of its instance becomes known within this
-# time; an entry in the store is removed after three missed heartbeats.
+# time; the instance's record is removed from the store some heartbeats after
+# its end.
 LOST_ATTEMPT_TTL_SECONDS = 8.0
 # A cancelled attempt counts if its instance ends within this time.
-CANCELLED_SECONDS = 1.0
+CANCELLED_ATTEMPT_TTL_SECONDS = 1.0
 # The evidence of the other entries arrives within this time after an end.
 # Until then only requests that had not begun count as suspects of that end.
 SETTLE_SECONDS = 0.5
@@ -48,7 +49,7 @@
 # Interval at which outdated evidence is dropped.
 REVIEW_SECONDS = 60.0
 
-Clock = typing.Callable[[], float]
+WallClock = typing.Callable[[], float]
 Listener = typing.Callable[[], None]
 
 
@@ -73,9 +74,9 @@
 
 
 @attrs.frozen
-class _Pending:
+class _PendingAttempt:
     attempt_record: AttemptRecord
-    until: float
+    expires_at: float
 
 
 class QuarantineTracker:
@@ -84,11 +85,11 @@
     :param clock: returns the wall-clock time in seconds.
     """
 
-    def __init__(self, clock: Clock = time.time) -> None:
+    def __init__(self, clock: WallClock = time.time) -> None:
         self._clock = clock
         self._own = evidence.Evidence()
         self._others: dict[str, evidence.Evidence] = {}
-        self._pending: dict[str, list[_Pending]] = {}
+        self._pending: dict[str, list[_PendingAttempt]] = {}
         self._culprits: dict[fingerprint.Fingerprint, int] = {}
         self._suspects: collections.Counter[fingerprint.Fingerprint] = (
             collections.Counter()
@@ -146,7 +147,7 @@
         ended = self._culprits.get(request, 0)
         return errors.CrowdeckError(
             errors.Code.QUARANTINED,
-            f"{ended} instances crashed when they began this request",
+            f"{ended} instances crashed while running this request",
             verdict=verdict,
             retry_after=EVIDENCE_TTL_SECONDS,
         )
@@ -164,14 +165,16 @@
         self, instance: str, attempt_record: AttemptRecord
     ) -> None:
         """Note an attempt that its caller cancelled."""
-        self._add_pending(instance, attempt_record, CANCELLED_SECONDS)
+        self._add_pending(
+            instance, attempt_record, CANCELLED_ATTEMPT_TTL_SECONDS
+        )
 
     def note_end(self, instance: str) -> None:
         """Note that an instance has ended unexpectedly."""
         now = anyio.current_time()
         pending = self._pending.pop(instance, ())
         attempt_records = [
-            one.attempt_record for one in pending if one.until >= now
+            one.attempt_record for one in pending if one.expires_at >= now
         ]
         self._add_end(instance, attempt_records)
 
@@ -187,7 +190,7 @@
         self._served[request] = now
         self._prune_served(now)
         if request in self._suspects and self._record_served_suspects():
-            self._publish()
+            self._publish_and_review()
 
     def set_peer_evidence(
         self, entry: str, reported: evidence.Evidence
@@ -204,7 +207,7 @@
         self._others[entry] = reported
         self._review()
         if self._record_served_suspects():
-            self._publish()
+            self._publish_and_review()
 
     def merge_own_evidence(self, reported: evidence.Evidence) -> None:
         """Add the evidence of an earlier process of this entry."""
@@ -229,14 +232,14 @@
         if not attempt_record.is_suspect:
             return
         self._prune_pending()
-        until = anyio.current_time() + seconds
+        expires_at = anyio.current_time() + seconds
         attempts = self._pending.setdefault(instance, [])
-        attempts.append(_Pending(attempt_record, until))
+        attempts.append(_PendingAttempt(attempt_record, expires_at))
 
     def _prune_pending(self) -> None:
         now = anyio.current_time()
         for instance, attempts in list(self._pending.items()):
-            if attempts[-1].until < now:
+            if attempts[-1].expires_at < now:
                 del self._pending[instance]
 
     def _add_end(
@@ -262,7 +265,7 @@
         )
         self._review()
         self._record_served_suspects()
-        self._publish()
+        self._publish_and_review()
 
     def _valid(self, reported: evidence.Evidence) -> evidence.Evidence:
         """Return the evidence that is neither outdated nor from the future."""
@@ -294,7 +297,7 @@
     def _rank(self, request: fingerprint.Fingerprint) -> int:
         return self._suspects[request]
 
-    def _publish(self) -> None:
+    def _publish_and_review(self) -> None:
         for listener in self._own_listeners:
             listener()
         self._review()
@@ -307,8 +310,8 @@
         for one in (self._own, *self._others.values()):
             valid = self._valid(one)
             for end in valid.ends:
-                held = ends.get(end.instance)
-                ends[end.instance] = held.merged_with(end) if held else end
+                known = ends.get(end.instance)
+                ends[end.instance] = known.merged_with(end) if known else end
             for served in valid.served:
                 before = served_at.get(served.request, served.at)
                 served_at[served.request] = max(before, served.at)
