--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -59,8 +59,8 @@
             holders: list[str] = []
 
             async def claim(number: int) -> None:
-                made = make_claim("key", f"nonce-{number}")
-                held = await ledgers[number].claim(made)
+                own_claim = make_claim("key", f"nonce-{number}")
+                held = await ledgers[number].claim(own_claim)
                 holders.append(held.nonce)
 
             async with anyio.create_task_group() as tasks:
@@ -71,7 +71,7 @@
 
         virtual.run(check)
 
-    def test_replacement_needs_the_standing_nonce(self) -> None:
+    def test_replacement_needs_the_current_nonce(self) -> None:
         async def check() -> None:
             ledger = make_ledger(stores.StandinStore())
             await ledger.claim(make_claim("key", "first"))
@@ -150,7 +150,7 @@
         )
     )
     def test_key_has_one_holder_despite_store_faults(
-        self, events: list[tuple[float, str]]
+        self, faults: list[tuple[float, str]]
     ) -> None:
         async def check() -> None:
             store = stores.StandinStore()
@@ -158,27 +158,27 @@
 
             async def claim(number: int) -> None:
                 await anyio.sleep(0.01 * number)
-                made = make_claim("key", f"nonce-{number}")
+                own_claim = make_claim("key", f"nonce-{number}")
                 try:
-                    held = await make_ledger(store).claim(made)
+                    held = await make_ledger(store).claim(own_claim)
                 except errors.CrowdeckError as error:
                     assert error.verdict.is_retry_safe
                     return
-                if held.nonce == made.nonce:
+                if held.nonce == own_claim.nonce:
                     winners.append(held.nonce)
 
-            async def cause(at: float, event: str) -> None:
-                await anyio.sleep(at)
-                if event == "lose":
+            async def inject_fault(delay: float, fault: str) -> None:
+                await anyio.sleep(delay)
+                if fault == "lose":
                     store.lost_replies += 1
                 else:
-                    store.is_down = event == "down"
+                    store.is_down = fault == "down"
 
             async with anyio.create_task_group() as tasks:
                 for number in range(8):
                     tasks.start_soon(claim, number)
-                for at, event in events:
-                    tasks.start_soon(cause, at, event)
+                for delay, fault in faults:
+                    tasks.start_soon(inject_fault, delay, fault)
             assert len(winners) <= 1
 
         virtual.run(check)
@@ -247,9 +247,9 @@
         async def check() -> None:
             store = stores.StandinStore()
             store.restore(store.back_up())
-            fresh = make_ledger(store)
+            new_ledger = make_ledger(store)
             with pytest.raises(errors.CrowdeckError):
-                await fresh.claim(make_claim("key", "first"))
+                await new_ledger.claim(make_claim("key", "first"))
 
         virtual.run(check)
 
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -26,11 +26,12 @@
 BODY = b"ends whoever begins it"
 # Interval at which callers send it.
 PAUSE_SECONDS = 0.4
-# All entries know of it this long after the third instance has ended.
-KNOWN_SECONDS = 3.0
-# How often it may still be sent to an instance after that.
+# All entries have received the evidence this long after the third end.
+EXCHANGE_SECONDS = 3.0
+# How often the request may still be sent to an instance after that.
 MAX_SENDS = 3
-MAX_ENDS = 3
+# How many instances it may crash.
+MAX_CRASHES = 3
 
 
 async def wait_for_ends(
@@ -50,8 +51,8 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
-            third = entries.fleet.crashes[MAX_ENDS - 1].at
-            late = entries.arrivals(BODY, third + KNOWN_SECONDS)
+            third = entries.fleet.crashes[MAX_CRASHES - 1].at
+            late = entries.arrivals(BODY, third + EXCHANGE_SECONDS)
             assert late <= MAX_SENDS
 
         entries_system.play(work)
@@ -61,7 +62,7 @@
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
             await anyio.sleep(3.0)
-            third = entries.fleet.crashes[MAX_ENDS - 1].at
+            third = entries.fleet.crashes[MAX_CRASHES - 1].at
             others = entries.outcomes_beside(third + 1.0)
             assert len(others) > 20
             assert [one for one in others if not one.was_served] == []
@@ -79,17 +80,17 @@
             entries.fleet.crashing_bodies.add(BODY)
             entries.start_request(0, repeat, BODY)
             await anyio.sleep(10.0)
-            assert len(entries.fleet.crashes) <= MAX_ENDS
+            assert len(entries.fleet.crashes) <= MAX_CRASHES
 
         entries_system.play(work, count=1)
 
-    def test_instances_that_restart_under_their_ids(self) -> None:
+    def test_instances_that_keep_their_ids_count_once_per_crash(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.keeps_ids = True
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
-            assert len(entries.fleet.crashes) <= MAX_ENDS + 1
-            third = entries.fleet.crashes[MAX_ENDS - 1].at
+            assert len(entries.fleet.crashes) <= MAX_CRASHES + 1
+            third = entries.fleet.crashes[MAX_CRASHES - 1].at
             others = entries.outcomes_beside(third + 1.0)
             assert [one for one in others if not one.was_served] == []
 
@@ -113,13 +114,13 @@
             before = budget.remaining
             entries.start_request(0, entries_system.STREAM, BODY)
             await anyio.sleep(3.0)
-            assert len(entries.fleet.crashes) == MAX_ENDS
+            assert len(entries.fleet.crashes) == MAX_CRASHES
             error = entries.outcomes_of(BODY)[0].caller.error
             assert error is not None
             assert error.code is errors.Code.QUARANTINED
             assert error.verdict is verdicts.Verdict.MAY_HAVE_RUN
             # Two retries, less what the request itself added.
-            assert round(before - budget.remaining) == MAX_ENDS - 1
+            assert round(before - budget.remaining) == MAX_CRASHES - 1
 
         entries_system.play(work, count=1)
 
@@ -129,8 +130,10 @@
             entries.start_request(0, entries_system.REPEATABLE, BODY)
             await anyio.sleep(1.0)
             request = entries.outcomes_of(BODY)[0].request
-            content = requests.fingerprint_of(request, "kiosks")
-            assert entries[0].context.quarantine.is_suspect(content)
+            request_fingerprint = requests.fingerprint_of(request, "kiosks")
+            assert entries[0].context.quarantine.is_suspect(
+                request_fingerprint
+            )
 
         entries_system.play(work, count=1)
 
@@ -143,8 +146,8 @@
                 await entry.ask(request)
             name = entries.fleet.runs_of(request.id)[0].upstream
             entry.registry.avoid(name, "nobody listens", is_gone=True)
-            content = requests.fingerprint_of(request, "kiosks")
-            assert entry.context.quarantine.is_suspect(content)
+            request_fingerprint = requests.fingerprint_of(request, "kiosks")
+            assert entry.context.quarantine.is_suspect(request_fingerprint)
 
         entries_system.play(work, count=1)
 
@@ -154,16 +157,16 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             quarantine = entries[0].context.quarantine
-            content = entries[0].request(entries_system.STREAM, body=BODY)
-            known = requests.fingerprint_of(content, "kiosks")
+            request = entries[0].request(entries_system.STREAM, body=BODY)
+            request_fingerprint = requests.fingerprint_of(request, "kiosks")
             for one in entries.fleet.upstreams:
                 one.hanging_streams = 1
             entries.start_request(0, entries_system.STREAM, BODY)
             await anyio.sleep(0.05)
-            for number in range(MAX_ENDS):
+            for number in range(MAX_CRASHES):
                 name = f"gone-{number}"
                 quarantine.note_connection_lost(
-                    name, trackers.AttemptRecord(known, None)
+                    name, trackers.AttemptRecord(request_fingerprint, None)
                 )
                 quarantine.note_end(name)
             # Long before the caller's own timeout.
@@ -178,11 +181,11 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
-            third = entries.fleet.crashes[MAX_ENDS - 1].at
+            third = entries.fleet.crashes[MAX_CRASHES - 1].at
             refused = [
                 one
                 for one in entries.outcomes_of(BODY)
-                if one.sent_at > third + KNOWN_SECONDS
+                if one.sent_at > third + EXCHANGE_SECONDS
             ]
             assert len(refused) > 20
             for one in refused:
@@ -203,7 +206,7 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
-            assert len(entries.fleet.crashes) <= MAX_ENDS + 2
+            assert len(entries.fleet.crashes) <= MAX_CRASHES + 2
 
         entries_system.play(work, count=count)
 
@@ -226,7 +229,7 @@
             entries.store.is_down = True
             await entries.send_repeatedly(3.0, BODY, PAUSE_SECONDS)
             entries.store.is_down = False
-            await anyio.sleep(KNOWN_SECONDS)
+            await anyio.sleep(EXCHANGE_SECONDS)
             since = anyio.current_time()
             await entries.send_repeatedly(10.0, BODY, PAUSE_SECONDS)
             assert entries.arrivals(BODY, since) == 0
@@ -243,7 +246,7 @@
 
         entries_system.play(work)
 
-    def test_two_crashing_requests_at_once(self) -> None:
+    def test_two_crashing_requests_are_both_quarantined(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             others = [BODY + b"1", BODY + b"2"]
             entries.fleet.crashing_bodies.update(others)
@@ -253,29 +256,29 @@
                         entries.send_repeatedly, 15.0, one, PAUSE_SECONDS
                     )
                     await anyio.sleep(0.05)
-            since = entries.fleet.crashes[-1].at + KNOWN_SECONDS
+            since = entries.fleet.crashes[-1].at + EXCHANGE_SECONDS
             assert since < 10.0
-            assert len(entries.fleet.crashes) <= 2 * MAX_ENDS + 3
+            assert len(entries.fleet.crashes) <= 2 * MAX_CRASHES + 3
 
         entries_system.play(work)
 
-    def test_call_of_a_plain_service(self) -> None:
+    def test_call_is_not_sent_once_three_instances_have_ended(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(
                 30.0, BODY, PAUSE_SECONDS, entries_system.REPEATABLE
             )
-            third = entries.fleet.crashes[MAX_ENDS - 1].at
-            late = entries.arrivals(BODY, third + KNOWN_SECONDS)
+            third = entries.fleet.crashes[MAX_CRASHES - 1].at
+            late = entries.arrivals(BODY, third + EXCHANGE_SECONDS)
             assert late <= MAX_SENDS
 
         entries_system.play(work)
 
 
-class TestInnocentRequests:
+class TestOtherRequests:
     """Requests that ran at the same engines and are not the cause."""
 
-    def test_none_is_blamed_when_first_engines_are_crowded(self) -> None:
+    def test_none_is_quarantined_when_first_engines_are_crowded(self) -> None:
         # All streams of a zone begin at one first engine, where streams that
         # were cut a moment before meet the cause again.
         async def work(entries: entries_system.Entries) -> None:
@@ -300,11 +303,13 @@
 
         entries_system.play(work, count=12)
 
-    def test_request_that_many_callers_send_alike_is_served(self) -> None:
+    def test_identical_requests_of_many_callers_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            alike = b"how do I top up"
+            common_body = b"how do I top up"
             for number in range(20):
-                entries.start_request(number, entries_system.STREAM, alike)
+                entries.start_request(
+                    number, entries_system.STREAM, common_body
+                )
                 await anyio.sleep(0.1)
             entries.fleet.crashing_bodies.add(BODY)
             async with anyio.create_task_group() as tasks:
@@ -312,13 +317,15 @@
                     entries.send_repeatedly, 6.0, BODY, PAUSE_SECONDS
                 )
                 for number in range(120):
-                    entries.start_request(number, entries_system.STREAM, alike)
+                    entries.start_request(
+                        number, entries_system.STREAM, common_body
+                    )
                     await anyio.sleep(0.05)
             await anyio.sleep(8.0)
-            outcomes = entries.outcomes_of(alike)
+            outcomes = entries.outcomes_of(common_body)
             assert len(outcomes) == 140
             assert sum(one.was_served for one in outcomes) >= 138
-            assert len(entries.fleet.crashes) <= MAX_ENDS + 2
+            assert len(entries.fleet.crashes) <= MAX_CRASHES + 2
 
         entries_system.play(work, count=6)
 
@@ -328,10 +335,10 @@
         # Another entry sent the cause, and its evidence arrives 0.2 s after
         # the third engine has ended.
         async def work(entries: entries_system.Entries) -> None:
-            beside = b"beside"
-            entries.fleet.crashing_bodies.add(beside)
-            entries.start_request(0, entries_system.STREAM, beside)
-            await wait_for_ends(entries, MAX_ENDS)
+            other_body = b"beside"
+            entries.fleet.crashing_bodies.add(other_body)
+            entries.start_request(0, entries_system.STREAM, other_body)
+            await wait_for_ends(entries, MAX_CRASHES)
             entries.fleet.crashing_bodies.clear()
             await anyio.sleep(0.2)
             cause = frozenset({fingerprint.Fingerprint("cause")})
@@ -347,7 +354,7 @@
                 ),
             )
             await anyio.sleep(3.0)
-            assert entries.outcomes_of(beside)[0].was_served
+            assert entries.outcomes_of(other_body)[0].was_served
 
         entries_system.play(work, count=1)
 
@@ -384,14 +391,14 @@
     ) -> bool:
         """Whether a request is not quarantined after three ends."""
         quarantine = entries[0].context.quarantine
-        content = requests.fingerprint_of(request, "kiosks")
-        for number in range(MAX_ENDS):
+        request_fingerprint = requests.fingerprint_of(request, "kiosks")
+        for number in range(MAX_CRASHES):
             name = f"gone-{number}"
             quarantine.note_connection_lost(
-                name, trackers.AttemptRecord(content, None)
+                name, trackers.AttemptRecord(request_fingerprint, None)
             )
             quarantine.note_end(name)
-        return not quarantine.is_quarantined(content)
+        return not quarantine.is_quarantined(request_fingerprint)
 
     def test_planned_ends_are_no_evidence(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -413,22 +420,22 @@
         # A silent engine, whose store entry is removed later.
         async def work(entries: entries_system.Entries) -> None:
             entry = entries[0]
-            content = entries_system.STREAM
-            request = entry.request(content, body=BODY)
-            known = requests.fingerprint_of(request, "kiosks")
+            repeat = entries_system.STREAM
+            request = entry.request(repeat, body=BODY)
+            request_fingerprint = requests.fingerprint_of(request, "kiosks")
             name = entries.fleet.upstreams[0].listed.name
-            attempt_record = trackers.AttemptRecord(known, None)
+            attempt_record = trackers.AttemptRecord(request_fingerprint, None)
             entry.context.quarantine.note_connection_lost(name, attempt_record)
             assert entry.context.quarantine.has_no_suspects
             entry.registry.on_changed((), (name,))
-            assert entry.context.quarantine.is_suspect(known)
+            assert entry.context.quarantine.is_suspect(request_fingerprint)
 
         entries_system.play(work, count=1)
 
     def test_service_without_reports_does_not_count_as_ended(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # Plain services have no reports; one that lost a response still runs.
+        # HTTP services have no reports; one that lost a response still runs.
         async def work(entries: entries_system.Entries) -> None:
             report = entries.fleet.report
 
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -18,10 +18,10 @@
 class TestFingerprint:
     """When two requests have the same fingerprint."""
 
-    @pytest.mark.parametrize("place", range(len(PARTS)))
-    def test_depends_on_each_part(self, place: int) -> None:
+    @pytest.mark.parametrize("index", range(len(PARTS)))
+    def test_depends_on_each_part(self, index: int) -> None:
         other = list(PARTS)
-        other[place] = b"other" if place == 4 else "other"
+        other[index] = b"other" if index == 4 else "other"
         assert fingerprint.of_request(*other) != fingerprint.of_request(*PARTS)
 
     def test_does_not_depend_on_id_key_or_headers(self) -> None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -42,7 +42,7 @@
     )
 
 
-def blamed(*ends: evidence.InstanceEnd, **served: float) -> str:
+def culprits(*ends: evidence.InstanceEnd, **served: float) -> str:
     served_at = {
         fingerprint.Fingerprint(one): at for one, at in served.items()
     }
@@ -53,15 +53,17 @@
 
 
 class TestAttribution:
-    """Which requests are blamed, by the merged evidence of all entries."""
+    """Which requests are culprits, by the merged evidence of all entries."""
 
-    def test_two_ends_blame_nobody(self) -> None:
-        assert blamed(end("1", "c"), end("2", "c")) == ""
+    def test_two_ends_quarantine_nothing(self) -> None:
+        assert culprits(end("1", "c"), end("2", "c")) == ""
 
-    def test_three_ends_blame_a_request(self) -> None:
-        assert blamed(end("1", "c"), end("2", "c"), end("3", "c")) == "c"
+    def test_three_ends_quarantine_a_request(self) -> None:
+        assert culprits(end("1", "c"), end("2", "c"), end("3", "c")) == "c"
 
-    def test_requests_that_ran_beside_the_cause_are_not_blamed(self) -> None:
+    def test_requests_that_ran_beside_the_cause_are_not_quarantined(
+        self,
+    ) -> None:
         # b was retried twice and met the cause again.
         ends = [
             end("1", "cab"),
@@ -69,55 +71,59 @@
             end("3", "cb"),
             end("4", "c"),
         ]
-        assert blamed(*ends) == "c"
+        assert culprits(*ends) == "c"
 
-    def test_requests_without_an_event_are_blamed_first(self) -> None:
+    def test_requests_without_an_event_are_quarantined_first(self) -> None:
         ends = [end("1", "cb"), end("2", "c", "b"), end("3", "cb")]
-        assert blamed(*ends) == "c"
+        assert culprits(*ends) == "c"
 
-    def test_simultaneous_ends_blame_nobody(self) -> None:
+    def test_simultaneous_ends_quarantine_nothing(self) -> None:
         # A rack fails: each engine had requests of its own.
         ends = [end(str(number), "abc"[number % 3]) for number in range(6)]
-        assert blamed(*ends) == ""
+        assert culprits(*ends) == ""
 
-    def test_request_served_since_is_not_blamed(self) -> None:
+    def test_request_served_since_is_not_quarantined(self) -> None:
         ends = [end(str(at), "h", at=float(at)) for at in range(5)]
-        assert blamed(*ends) == "h"
-        assert blamed(*ends, h=3.0) == ""
+        assert culprits(*ends) == "h"
+        assert culprits(*ends, h=3.0) == ""
 
-    def test_request_served_just_before_is_not_blamed(self) -> None:
+    def test_request_served_just_before_is_not_quarantined(self) -> None:
         # Many callers send h, so it is present at every end.
         ends = [end(str(at), "hc", at=float(at)) for at in range(10, 16)]
-        assert blamed(*ends, h=9.0) == "c"
+        assert culprits(*ends, h=9.0) == "c"
         long_ago = 9.0 - attribution.SERVED_EXEMPTION_SECONDS
-        assert blamed(*ends, h=long_ago) == "ch"
+        assert culprits(*ends, h=long_ago) == "ch"
 
     def test_two_causes_at_once_are_both_found(self) -> None:
         ends = [
             *(end(f"c{number}", "cxyz"[:number]) for number in (1, 2, 3)),
             *(end(f"d{number}", "duvw"[:number]) for number in (1, 2, 3)),
         ]
-        assert blamed(*ends) == "cd"
+        assert culprits(*ends) == "cd"
 
     def test_recent_ends_do_not_count_against_begun_requests(self) -> None:
         ends = [end(str(at), begun="b", at=float(at)) for at in range(3)]
-        cases = attribution.without_served_suspects(ends, {})
+        unexplained = attribution.without_served_suspects(ends, {})
         assert (
-            attribution.find_culprits(attribution.drop_unsettled(cases, 1.5))
+            attribution.find_culprits(
+                attribution.drop_unsettled(unexplained, 1.5)
+            )
             == {}
         )
         assert (
-            attribution.find_culprits(attribution.drop_unsettled(cases, 2.5))
+            attribution.find_culprits(
+                attribution.drop_unsettled(unexplained, 2.5)
+            )
             != {}
         )
 
-    def test_tie_is_decided_one_end_later(self) -> None:
+    def test_tied_requests_are_quarantined_one_end_later(self) -> None:
         ends = [end(str(number), "cb") for number in range(4)]
-        assert blamed(*ends[:3]) == ""
-        assert blamed(*ends[:3], end("4", "c")) == "c"
-        assert blamed(*ends) == "bc"
+        assert culprits(*ends[:3]) == ""
+        assert culprits(*ends[:3], end("4", "c")) == "c"
+        assert culprits(*ends) == "bc"
 
-    def test_ends_of_a_tie_blame_no_other_request(self) -> None:
+    def test_ends_explained_by_a_tie_count_for_no_other_request(self) -> None:
         # x was present at three ends, one of them together with b.
         ends = [
             end("1", "c"),
@@ -128,7 +134,7 @@
             end("6", "x"),
             end("7", "x"),
         ]
-        assert blamed(*ends) == "bc"
+        assert culprits(*ends) == "bc"
 
     def test_false_positives_are_rare(self) -> None:
         # Each end has the cause and four of 60 others. Half of the others are
@@ -145,7 +151,7 @@
                 begun = {one for one in sorted(lost) if rng.random() < 0.5}
                 unbegun = "c" + "".join(lost - begun)
                 ends.append(end(str(number), unbegun, "".join(begun)))
-            found = blamed(*ends)
+            found = culprits(*ends)
             assert "c" in found
             wrong += found != "c"
         assert wrong <= 2
@@ -162,13 +168,13 @@
 
 
 def tracker_after(ends: int, clock: Clock) -> trackers.QuarantineTracker:
-    one = trackers.QuarantineTracker(clock)
+    tracker = trackers.QuarantineTracker(clock)
     for number in range(ends):
-        one.note_connection_lost(
+        tracker.note_connection_lost(
             f"e{number}", trackers.AttemptRecord(CAUSE, None)
         )
-        one.note_end(f"e{number}")
-    return one
+        tracker.note_end(f"e{number}")
+    return tracker
 
 
 def run_in_virtual_time(body):  # type: ignore[no-untyped-def]
@@ -183,114 +189,122 @@
 
     def test_third_end_quarantines_a_request(self) -> None:
         def body() -> None:
-            one = tracker_after(2, Clock())
-            assert one.is_suspect(CAUSE) and not one.is_quarantined(CAUSE)
+            tracker = tracker_after(2, Clock())
+            assert tracker.is_suspect(CAUSE) and not tracker.is_quarantined(
+                CAUSE
+            )
             assert tracker_after(3, Clock()).is_quarantined(CAUSE)
 
         run_in_virtual_time(body)
 
     def test_lost_connection_alone_is_no_evidence(self) -> None:
         def body() -> None:
-            one = trackers.QuarantineTracker(Clock())
+            tracker = trackers.QuarantineTracker(Clock())
             for number in range(5):
-                one.note_connection_lost(
+                tracker.note_connection_lost(
                     f"e{number}", trackers.AttemptRecord(CAUSE, None)
                 )
-            assert one.has_no_suspects
+            assert tracker.has_no_suspects
 
         run_in_virtual_time(body)
 
     def test_end_without_a_lost_attempt_is_no_evidence(self) -> None:
         def body() -> None:
-            one = trackers.QuarantineTracker(Clock())
-            one.note_end("e")
-            assert one.has_no_suspects and not one.own
+            tracker = trackers.QuarantineTracker(Clock())
+            tracker.note_end("e")
+            assert tracker.has_no_suspects and not tracker.own
 
         run_in_virtual_time(body)
 
     def test_attempt_with_an_earlier_event_is_no_suspect(self) -> None:
         def body() -> None:
-            one = trackers.QuarantineTracker(Clock())
+            tracker = trackers.QuarantineTracker(Clock())
             seconds = trackers.MAX_SUSPECT_EVENT_AGE_SECONDS + 0.01
-            one.note_connection_lost(
+            tracker.note_connection_lost(
                 "e", trackers.AttemptRecord(CAUSE, seconds)
             )
-            one.note_end("e")
-            assert one.has_no_suspects
+            tracker.note_end("e")
+            assert tracker.has_no_suspects
 
         run_in_virtual_time(body)
 
     def test_late_end_is_unrelated_to_a_lost_connection(self) -> None:
         async def body() -> None:
-            one = trackers.QuarantineTracker(Clock())
-            one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, None))
+            tracker = trackers.QuarantineTracker(Clock())
+            tracker.note_connection_lost(
+                "e", trackers.AttemptRecord(CAUSE, None)
+            )
             await anyio.sleep(trackers.LOST_ATTEMPT_TTL_SECONDS + 0.1)
-            one.note_end("e")
-            assert one.has_no_suspects
+            tracker.note_end("e")
+            assert tracker.has_no_suspects
 
         virtual.run(body)
 
     def test_cancelled_attempt_counts_if_the_end_comes_soon(self) -> None:
         async def body() -> None:
             for seconds, is_suspect in ((0.1, True), (1.1, False)):
-                one = trackers.QuarantineTracker(Clock())
-                one.note_cancelled("e", trackers.AttemptRecord(CAUSE, None))
+                tracker = trackers.QuarantineTracker(Clock())
+                tracker.note_cancelled(
+                    "e", trackers.AttemptRecord(CAUSE, None)
+                )
                 await anyio.sleep(seconds)
-                one.note_end("e")
-                assert one.is_suspect(CAUSE) is is_suspect
+                tracker.note_end("e")
+                assert tracker.is_suspect(CAUSE) is is_suspect
 
         virtual.run(body)
 
     def test_planned_end_is_no_evidence(self) -> None:
         def body() -> None:
-            one = trackers.QuarantineTracker(Clock())
-            one.note_connection_lost("e", trackers.AttemptRecord(CAUSE, None))
-            one.forget("e")
-            one.note_end("e")
-            assert one.has_no_suspects
+            tracker = trackers.QuarantineTracker(Clock())
+            tracker.note_connection_lost(
+                "e", trackers.AttemptRecord(CAUSE, None)
+            )
+            tracker.forget("e")
+            tracker.note_end("e")
+            assert tracker.has_no_suspects
 
         run_in_virtual_time(body)
 
     def test_quarantine_ends_after_an_hour(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = tracker_after(3, clock)
+            tracker = tracker_after(3, clock)
             clock.now += trackers.EVIDENCE_TTL_SECONDS - 1.0
-            assert one.is_quarantined(CAUSE)
+            assert tracker.is_quarantined(CAUSE)
             clock.now += trackers.REVIEW_SECONDS + 2.0
-            assert not one.is_quarantined(CAUSE)
+            assert not tracker.is_quarantined(CAUSE)
 
         run_in_virtual_time(body)
 
     def test_evidence_from_the_future_is_ignored(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = trackers.QuarantineTracker(clock)
-            late = clock.now + 2 * trackers.CLOCK_SKEW_SECONDS
-            one.set_peer_evidence(
+            tracker = trackers.QuarantineTracker(clock)
+            future = clock.now + 2 * trackers.CLOCK_SKEW_SECONDS
+            tracker.set_peer_evidence(
                 "malformed",
                 evidence.Evidence(
-                    tuple(end(str(it), "c", at=late) for it in range(3)),
-                    (evidence.ServedRequest(CAUSE, late),),
+                    tuple(end(str(it), "c", at=future) for it in range(3)),
+                    (evidence.ServedRequest(CAUSE, future),),
                 ),
             )
-            assert one.has_no_suspects
-            lose(one, 3)
-            assert one.is_quarantined(CAUSE)
+            assert tracker.has_no_suspects
+            report_crashes(tracker, 3)
+            assert tracker.is_quarantined(CAUSE)
 
         run_in_virtual_time(body)
 
     def test_serving_a_request_clears_it(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = tracker_after(2, clock)
+            tracker = tracker_after(2, clock)
             # Also if this entry's clock is behind that of the others.
             clock.now -= 2 * attribution.SERVED_EXEMPTION_SECONDS
-            one.note_served(CAUSE)
-            assert one.has_no_suspects
-            before = one.own.served
-            one.note_served(CAUSE)
-            assert one.own.served == before
+            tracker.note_served(CAUSE)
+            assert tracker.has_no_suspects
+            before = tracker.own.served
+            tracker.note_served(CAUSE)
+            assert tracker.own.served == before
 
         run_in_virtual_time(body)
 
@@ -311,7 +325,7 @@
     def test_evidence_of_entries_is_added_up(self) -> None:
         def body() -> None:
             clock = Clock()
-            one, other = (
+            tracker, other = (
                 tracker_after(1, clock),
                 trackers.QuarantineTracker(clock),
             )
@@ -320,8 +334,8 @@
                     name, trackers.AttemptRecord(CAUSE, None)
                 )
                 other.note_end(name)
-            one.set_peer_evidence("other", other.own)
-            assert one.is_quarantined(CAUSE)
+            tracker.set_peer_evidence("other", other.own)
+            assert tracker.is_quarantined(CAUSE)
             assert not other.is_quarantined(CAUSE)
 
         run_in_virtual_time(body)
@@ -329,65 +343,67 @@
     def test_request_served_here_is_cleared_for_other_entries(self) -> None:
         def body() -> None:
             clock = Clock()
-            one, other = (
+            tracker, other = (
                 trackers.QuarantineTracker(clock),
                 tracker_after(3, clock),
             )
-            one.note_served(CAUSE)
-            assert not one.own
-            one.set_peer_evidence("other", other.own)
-            assert not one.is_quarantined(CAUSE)
-            other.set_peer_evidence("one", one.own)
+            tracker.note_served(CAUSE)
+            assert not tracker.own
+            tracker.set_peer_evidence("other", other.own)
+            assert not tracker.is_quarantined(CAUSE)
+            other.set_peer_evidence("one", tracker.own)
             assert not other.is_quarantined(CAUSE)
 
         run_in_virtual_time(body)
 
-    def test_begun_request_is_blamed_once_evidence_has_settled(self) -> None:
+    def test_begun_request_is_quarantined_once_evidence_has_settled(
+        self,
+    ) -> None:
         def body() -> None:
             clock = Clock()
-            one = trackers.QuarantineTracker(clock)
+            tracker = trackers.QuarantineTracker(clock)
             for number in range(3):
-                one.note_connection_lost(
+                tracker.note_connection_lost(
                     f"e{number}", trackers.AttemptRecord(CAUSE, 0.1)
                 )
-                one.note_end(f"e{number}")
-            assert not one.is_quarantined(CAUSE)
+                tracker.note_end(f"e{number}")
+            assert not tracker.is_quarantined(CAUSE)
             clock.now += trackers.SETTLE_SECONDS + 0.01
-            assert one.is_quarantined(CAUSE)
+            assert tracker.is_quarantined(CAUSE)
 
         run_in_virtual_time(body)
 
     def test_seconds_to_settle(self) -> None:
         def body() -> None:
             clock = Clock()
-            one = tracker_after(3, clock)
-            assert one.seconds_to_settle() == trackers.SETTLE_SECONDS
+            tracker = tracker_after(3, clock)
+            assert tracker.seconds_to_settle() == trackers.SETTLE_SECONDS
             clock.now += trackers.SETTLE_SECONDS
-            assert one.seconds_to_settle() == 0.0
+            assert tracker.seconds_to_settle() == 0.0
             clock.now -= 100.0
-            assert one.seconds_to_settle() == trackers.SETTLE_SECONDS
+            assert tracker.seconds_to_settle() == trackers.SETTLE_SECONDS
 
         run_in_virtual_time(body)
 
     def test_end_reported_by_two_entries_counts_once(self) -> None:
         def body() -> None:
             clock = Clock()
-            one, other = tracker_after(2, clock), tracker_after(2, clock)
-            one.set_peer_evidence("other", other.own)
-            assert not one.is_quarantined(CAUSE)
+            tracker, other = tracker_after(2, clock), tracker_after(2, clock)
+            tracker.set_peer_evidence("other", other.own)
+            assert not tracker.is_quarantined(CAUSE)
 
         run_in_virtual_time(body)
 
     def test_listeners_are_notified_once(self) -> None:
         def body() -> None:
             notified = collections.Counter[str]()
-            one = trackers.QuarantineTracker(Clock())
-            one.subscribe(lambda: notified.update(["culprit"]))
+            tracker = trackers.QuarantineTracker(Clock())
+            tracker.subscribe(lambda: notified.update(["culprit"]))
             for number in range(5):
-                one.note_connection_lost(
+                tracker.note_connection_lost(
                     f"e{number}", trackers.AttemptRecord(CAUSE, None)
                 )
-                one.note_end(f"e{number}")
+                tracker.note_end(f"e{number}")
             assert notified["culprit"] == 1
 
         run_in_virtual_time(body)
@@ -451,104 +467,106 @@
 class TestExchange:
     """Exchange of evidence between entries, through their records."""
 
-    def play(self, count, body):  # type: ignore[no-untyped-def]
+    def run_with_entries(self, count, body):  # type: ignore[no-untyped-def]
         async def run() -> None:
             store = standin_store.StandinStore()
             async with anyio.create_task_group() as tasks:
-                made = [
+                peers = [
                     start_entry(store, f"entry-{number}", tasks)
                     for number in range(count)
                 ]
                 await anyio.sleep(4.0)
-                await body(store, made, tasks)
+                await body(store, peers, tasks)
                 tasks.cancel_scope.cancel()
 
         virtual.run(run)
 
     def test_reaches_all_entries_within_half_a_second(self) -> None:
-        async def body(store, made, tasks):  # type: ignore[no-untyped-def]
+        async def body(store, peers, tasks):  # type: ignore[no-untyped-def]
             for number in range(3):
-                made[number].note_connection_lost(
+                peers[number].note_connection_lost(
                     f"e{number}", trackers.AttemptRecord(CAUSE, None)
                 )
-                made[number].note_end(f"e{number}")
+                peers[number].note_end(f"e{number}")
                 await anyio.sleep(0.01)
             await anyio.sleep(0.5)
-            assert all(one.is_quarantined(CAUSE) for one in made)
+            assert all(one.is_quarantined(CAUSE) for one in peers)
 
-        self.play(6, body)
+        self.run_with_entries(6, body)
 
     def test_reaches_a_new_entry_with_its_first_listing(self) -> None:
-        async def body(store, made, tasks):  # type: ignore[no-untyped-def]
-            lose(made[0], 3)
+        async def body(store, peers, tasks):  # type: ignore[no-untyped-def]
+            report_crashes(peers[0], 3)
             await anyio.sleep(0.5)
-            fresh = start_entry(store, "fresh", tasks)
+            new_tracker = start_entry(store, "fresh", tasks)
             await anyio.sleep(0.1)
-            assert fresh.is_quarantined(CAUSE)
+            assert new_tracker.is_quarantined(CAUSE)
 
-        self.play(2, body)
+        self.run_with_entries(2, body)
 
     def test_survives_a_restart(self) -> None:
-        async def body(store, made, tasks):  # type: ignore[no-untyped-def]
-            lose(made[0], 2)
+        async def body(store, peers, tasks):  # type: ignore[no-untyped-def]
+            report_crashes(peers[0], 2)
             await anyio.sleep(0.5)
-            again = start_entry(store, "entry-0", tasks)
+            restarted = start_entry(store, "entry-0", tasks)
             await anyio.sleep(0.5)
-            lose(again, 1, "later")
+            report_crashes(restarted, 1, "later")
             await anyio.sleep(0.5)
-            assert again.is_quarantined(CAUSE)
-            assert made[1].is_quarantined(CAUSE)
+            assert restarted.is_quarantined(CAUSE)
+            assert peers[1].is_quarantined(CAUSE)
 
-        self.play(2, body)
+        self.run_with_entries(2, body)
 
     def test_is_exchanged_after_an_outage(self) -> None:
-        async def body(store, made, tasks):  # type: ignore[no-untyped-def]
+        async def body(store, peers, tasks):  # type: ignore[no-untyped-def]
             store.is_down = True
-            lose(made[0], 1, "a")
-            lose(made[1], 2, "b")
+            report_crashes(peers[0], 1, "a")
+            report_crashes(peers[1], 2, "b")
             await anyio.sleep(6.0)
-            assert not made[0].is_quarantined(CAUSE)
+            assert not peers[0].is_quarantined(CAUSE)
             store.is_down = False
             await anyio.sleep(2.5)
-            assert all(one.is_quarantined(CAUSE) for one in made)
+            assert all(one.is_quarantined(CAUSE) for one in peers)
 
-        self.play(3, body)
+        self.run_with_entries(3, body)
 
     def test_survives_a_lost_response(self) -> None:
-        async def body(store, made, tasks):  # type: ignore[no-untyped-def]
+        async def body(store, peers, tasks):  # type: ignore[no-untyped-def]
             store.lost_replies = 1
-            lose(made[0], 3)
+            report_crashes(peers[0], 3)
             await anyio.sleep(3.0)
-            assert made[1].is_quarantined(CAUSE)
+            assert peers[1].is_quarantined(CAUSE)
 
-        self.play(2, body)
+        self.run_with_entries(2, body)
 
     def test_malformed_records_are_skipped(self) -> None:
-        async def body(store, made, tasks):  # type: ignore[no-untyped-def]
+        async def body(store, peers, tasks):  # type: ignore[no-untyped-def]
             store.write(rosters.KIND, "entry-9", b'{"evidence": [7]}')
             store.write(rosters.KIND, "entry-8", b'"nothing"')
-            lose(made[0], 3)
+            report_crashes(peers[0], 3)
             await anyio.sleep(3.5)
-            assert made[1].is_quarantined(CAUSE)
+            assert peers[1].is_quarantined(CAUSE)
 
-        self.play(2, body)
+        self.run_with_entries(2, body)
 
     def test_nothing_is_written_without_new_evidence(self) -> None:
-        async def body(store, made, tasks):  # type: ignore[no-untyped-def]
+        async def body(store, peers, tasks):  # type: ignore[no-untyped-def]
             before = store.calls["put"]
             await anyio.sleep(60.0)
             assert store.calls["put"] == before
 
-        self.play(2, body)
+        self.run_with_entries(2, body)
 
 
-def lose(one: trackers.QuarantineTracker, count: int, name: str = "e") -> None:
-    """Have instances end while they run the cause, as seen by one entry."""
+def report_crashes(
+    tracker: trackers.QuarantineTracker, count: int, name: str = "e"
+) -> None:
+    """Report to one entry that instances crashed while running the cause."""
     for number in range(count):
-        one.note_connection_lost(
+        tracker.note_connection_lost(
             f"{name}{number}", trackers.AttemptRecord(CAUSE, None)
         )
-        one.note_end(f"{name}{number}")
+        tracker.note_end(f"{name}{number}")
 
 
 def start_entry(
@@ -557,8 +575,8 @@
     tasks: anyio.abc.TaskGroup,
 ) -> trackers.QuarantineTracker:
     """Start an entry's roster; return its tracker."""
-    one = trackers.QuarantineTracker(anyio.current_time)
-    roster = rosters.Roster(store, name, rosters.EntryRecord("a"), one)
+    tracker = trackers.QuarantineTracker(anyio.current_time)
+    roster = rosters.Roster(store, name, rosters.EntryRecord("a"), tracker)
     mirror = mirrors.Mirror(
         store,
         rosters.KIND,
@@ -568,4 +586,4 @@
     )
     tasks.start_soon(roster.run)
     tasks.start_soon(mirror.run)
-    return one
+    return tracker
--- a/tests/test_restored_lease.py
+++ b/tests/test_restored_lease.py
@@ -27,7 +27,7 @@
 class TestLease:
     """The holder of a lease after a restore of the store."""
 
-    def play(
+    def run_with_candidates(
         self,
         work: typing.Callable[
             [standin_store.StandinStore, list[leases.Lease]],
@@ -55,7 +55,7 @@
         ) -> None:
             held = candidates[0]
             term = held.term
-            # At each phase of the renewal interval.
+            # Start the outage at each phase of the renewal interval.
             for number in range(31):
                 backup = store.back_up()
                 await anyio.sleep(4.0 + 0.05 * number)
@@ -65,7 +65,7 @@
                 store.is_down = False
                 await _check_held(held, term, 6.0)
 
-        self.play(work)
+        self.run_with_candidates(work)
 
     def test_holder_keeps_it_when_restored_during_a_read(
         self,
@@ -90,7 +90,7 @@
 
         virtual.run(body)
 
-    def test_renewal_at_a_reassigned_version_holds_nothing(
+    def test_renewal_at_a_reassigned_version_does_not_hold_it(
         self,
     ) -> None:
         # The holder is cut off until its lease expires, then renews it at a
@@ -133,29 +133,33 @@
             store: standin_store.StandinStore, candidates: list[leases.Lease]
         ) -> None:
             store.restore(standin_store.StandinStore().back_up())
-            fresh = leases.Lease(store, "duty", "fresh", is_new_fleet=False)
+            new_lease = leases.Lease(
+                store, "duty", "fresh", is_new_fleet=False
+            )
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(fresh.run)
+                tasks.start_soon(new_lease.run)
                 for _ in range(1_000):
                     await anyio.sleep(0.01)
                     assert candidates[0].is_held
-                    assert not fresh.is_held
+                    assert not new_lease.is_held
                 tasks.cancel_scope.cancel()
 
-        self.play(work)
+        self.run_with_candidates(work)
 
     def test_new_process_waits_until_nobody_can_hold_it(
         self,
     ) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            fresh = leases.Lease(store, "duty", "fresh", is_new_fleet=False)
+            new_lease = leases.Lease(
+                store, "duty", "fresh", is_new_fleet=False
+            )
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(fresh.run)
+                tasks.start_soon(new_lease.run)
                 await anyio.sleep(leases.LEASE_SECONDS - 0.1)
-                assert not fresh.is_held
+                assert not new_lease.is_held
                 await anyio.sleep(leases.RENEW_SECONDS + 0.2)
-                assert fresh.is_held
+                assert new_lease.is_held
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -168,13 +172,13 @@
             empty = store.back_up()
             connection = HookedConnection(store)
             lease = leases.Lease(connection, "duty", "run")
-            given = 0
+            first_term = 0
 
             def replace_holder(version: int) -> None:
-                nonlocal given
+                nonlocal first_term
                 store.restore(empty)
-                given = leases.TERMS_PER_EPOCH + 1
-                value = f'{{"holder":"another","term":{given}}}'.encode()
+                first_term = leases.TERMS_PER_EPOCH + 1
+                value = f'{{"holder":"another","term":{first_term}}}'.encode()
                 while store.write(leases.KIND, "duty", value) < version:
                     pass
 
@@ -187,7 +191,7 @@
                 connection.is_cut = False
                 await anyio.sleep(3 * leases.LEASE_SECONDS)
                 assert lease.is_held
-                assert lease.term > given > 0
+                assert lease.term > first_term > 0
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -268,14 +272,14 @@
     async def run(self) -> None:
         async with anyio.create_task_group() as tasks:
             for _ in range(3):
-                tasks.start_soon(self._live)
+                tasks.start_soon(self._run_candidates)
             while True:
                 await anyio.sleep(self._rng.uniform(0.2, 4.0))
                 connection = self._rng.choice(self._connections)
                 connection.is_cut = not connection.is_cut
                 self._store.lost_replies = self._rng.choice((0, 0, 1, 2))
 
-    async def _live(self) -> None:
+    async def _run_candidates(self) -> None:
         while True:
             self._count += 1
             connection = zone_system.StoreConnection(self._store)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -91,7 +91,7 @@
 
         zone_system.play(14, work)
 
-    def test_peer_that_missed_the_restore_is_not_believed(self) -> None:
+    def test_peer_that_missed_the_restore_is_not_trusted(self) -> None:
         # The peer that all ask is cut off unnoticed, and answers from its
         # copy until its own watch fails.
         async def work(zone: zone_system.Zone) -> None:
@@ -110,8 +110,9 @@
         zone_system.play(5, work)
 
     def test_long_watches_do_not_delay_changes(self) -> None:
-        # A watch lasts ten seconds. The first entry is told of the new epoch
-        # by a question, and then knows no changes of the previous one.
+        # A watch lasts ten seconds. The first entry learns of the new epoch
+        # from a peer's question, and must not answer it before it knows that
+        # epoch.
         async def work(zone: zone_system.Zone) -> None:
             await anyio.sleep(10.0)
             for _ in range(5):
@@ -135,7 +136,7 @@
             for _ in range(4):
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(_inject_faults, zone, rng)
-                    await _play_restores(zone, rng)
+                    await _write_and_restore(zone, rng)
                     tasks.cancel_scope.cancel()
                 zone.reconnect()
                 # A peer that did not answer is not asked for some seconds.
@@ -145,7 +146,9 @@
         zone_system.play(4, work)
 
 
-async def _play_restores(zone: zone_system.Zone, rng: random.Random) -> None:
+async def _write_and_restore(
+    zone: zone_system.Zone, rng: random.Random
+) -> None:
     """Write at random, and restore the store from earlier backups."""
     backups = [zone.store.back_up()]
     written_at: dict[int, float] = {}
@@ -163,7 +166,7 @@
 
 
 def _check_ages(zone: zone_system.Zone, written_at: dict[int, float]) -> None:
-    """Check that no copy lacks a write from before it was proved current."""
+    """Check that no copy lacks a write from before its confirmation."""
     if not written_at:
         return
     newest = max(written_at)
@@ -178,8 +181,8 @@
     """Cut entries off, silence them, and stop and restart them."""
     while True:
         number = rng.randrange(len(zone.entries))
-        fault = rng.choice(("is_silent", "is_down", "cut", "store", "anew"))
-        if fault == "anew":
+        fault = rng.choice(("is_silent", "is_down", "cut", "store", "restart"))
+        if fault == "restart":
             zone.restart(number)
         else:
             entry = zone[number]
@@ -201,9 +204,11 @@
         # version has been assigned to another write.
         async def body() -> None:
             store = standin_store.StandinStore()
-            sight = zone_system.RecordingFollower()
+            follower = zone_system.RecordingFollower()
             connection = zone_system.StoreConnection(store)
-            mirror = mirrors.Mirror(connection, zone_system.KIND, sight, 0.8)
+            mirror = mirrors.Mirror(
+                connection, zone_system.KIND, follower, 0.8
+            )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 backup = store.back_up()
@@ -216,7 +221,7 @@
                 store.write(zone_system.KIND, "second", b"2")
                 connection.is_cut = False
                 await anyio.sleep(IN_FORCE_SECONDS)
-                assert sight.values == {"first": b"1", "second": b"2"}
+                assert follower.values == {"first": b"1", "second": b"2"}
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -296,8 +301,8 @@
         """Wait until every entry knows all records."""
         await anyio.sleep(IN_FORCE_SECONDS)
 
-    def find_cause(self, name: str) -> None:
-        """Have an entry see one request end three engines."""
+    def report_crashes(self, name: str) -> None:
+        """Report three crashes during the same request to one entry."""
         quarantine = self.trackers[name]
         for number in range(3):
             quarantine.note_connection_lost(
@@ -306,7 +311,7 @@
             quarantine.note_end(f"e{number}")
 
 
-def play_fleet(
+def run_with_fleet(
     work: typing.Callable[[_Fleet], typing.Awaitable[None]],
 ) -> None:
     """Run a test's work with three entries that know one another."""
@@ -334,12 +339,12 @@
             names = sorted(one.name for one in listing.objects)
             assert names == ["entry-0", "entry-1", "entry-2"]
 
-        play_fleet(work)
+        run_with_fleet(work)
 
-    def test_findings_since_the_backup_are_written_again(self) -> None:
+    def test_evidence_since_the_backup_is_written_again(self) -> None:
         async def work(fleet: _Fleet) -> None:
             backup = fleet.store.back_up()
-            fleet.find_cause("entry-0")
+            fleet.report_crashes("entry-0")
             await fleet.settle()
             fleet.store.restore(backup)
             await fleet.settle()
@@ -349,13 +354,13 @@
                 one.is_quarantined(CAUSE) for one in fleet.trackers.values()
             )
 
-        play_fleet(work)
+        run_with_fleet(work)
 
-    def test_older_record_revokes_nothing(self) -> None:
+    def test_older_record_does_not_end_a_quarantine(self) -> None:
         # The entry that found the cause has stopped and cannot repeat it.
         async def work(fleet: _Fleet) -> None:
             backup = fleet.store.back_up()
-            fleet.find_cause("entry-0")
+            fleet.report_crashes("entry-0")
             await fleet.settle()
             fleet.stop("entry-0")
             fleet.store.restore(backup)
@@ -364,7 +369,7 @@
                 one.is_quarantined(CAUSE) for one in fleet.trackers.values()
             )
 
-        play_fleet(work)
+        run_with_fleet(work)
 
     def test_new_records_with_lower_versions_are_applied(self) -> None:
         async def work(fleet: _Fleet) -> None:
@@ -379,7 +384,7 @@
             first = [one.ranking()[0].name for one in fleet.rosters.values()]
             assert set(first) == {"late"}
 
-        play_fleet(work)
+        run_with_fleet(work)
 
     def test_unchanged_records_cost_no_write(self) -> None:
         async def work(fleet: _Fleet) -> None:
@@ -387,7 +392,7 @@
             await fleet.settle()
             assert fleet.store.calls["put"] == puts == 3
 
-        play_fleet(work)
+        run_with_fleet(work)
 
 
 class TestUpstreamRegistry:
@@ -405,7 +410,7 @@
             assert system.registry.usable(one.service) == ()
             await anyio.sleep(registries.LAST_WORK_SECONDS)
             assert system.registry.usable_while_leaving(one.service) == ()
-            # An entry that it writes later is believed.
+            # An entry that it writes later is trusted.
             system.list_instance(one)
             assert system.registry.usable(one.service) == (one,)
 
@@ -416,14 +421,14 @@
             system = fleet_system.FleetSystem()
             one = attrs.evolve(fleet_system.upstream("a"), is_leaving=True)
             system.add(one)
-            again = attrs.evolve(
+            new_run = attrs.evolve(
                 one, name="a#7", started_ms=7, is_leaving=False
             )
-            again = attrs.evolve(again, instance_id="a")
-            system.listed["a"] = again
+            new_run = attrs.evolve(new_run, instance_id="a")
+            system.listed["a"] = new_run
             entry = stores.StoredObject("upstreams", "a", 2, b"{}")
             system.registry.on_listed((entry,))
-            assert system.registry.usable(one.service) == (again,)
+            assert system.registry.usable(one.service) == (new_run,)
 
         virtual.run(body)
 
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -28,8 +28,8 @@
 from tests import zone_system
 
 CORRUPTED = (b"7", b'"mine"', b"{}", b'{"holder":"x","term":"y"}', b"[]")
-# How long a process may take to hold a lease that it found corrupted: the
-# time until it expires, and one interval between reads.
+# Longest time from finding the lease corrupted to holding it: the time until
+# it expires, and one interval between reads.
 MAX_TAKEOVER_SECONDS = leases.LEASE_SECONDS + leases.RENEW_SECONDS
 
 
@@ -48,7 +48,7 @@
                 store.write(leases.KIND, "duty", corrupted)
                 await _check_holder(candidates, pause, holder=candidates[0])
 
-        _play(work)
+        _run_with_candidates(work)
 
     def test_keeps_it_when_all_its_objects_are_corrupted(self) -> None:
         # Each round uses up one object.
@@ -61,7 +61,7 @@
                 await _check_holder(candidates, 3.7, holder=candidates[0])
             assert len(await _object_names(store)) <= leases.LAST_OBJECT_INDEX
 
-        _play(work)
+        _run_with_candidates(work)
 
     def test_keeps_it_when_its_object_is_removed(self) -> None:
         # No other process may take it before its holder notices.
@@ -73,7 +73,7 @@
                     store.remove(leases.KIND, name)
                 await _check_holder(candidates, 9.1, holder=candidates[0])
 
-        _play(work)
+        _run_with_candidates(work)
 
     def test_keeps_it_when_no_longer_a_candidate(self) -> None:
         async def body() -> None:
@@ -99,7 +99,7 @@
             await anyio.sleep(leases.RENEW_SECONDS + 0.1)
             assert not any(one.is_held for one in candidates)
 
-        _play(work)
+        _run_with_candidates(work)
 
     def test_passes_its_memo_to_the_next_holder(self) -> None:
         async def work(
@@ -117,42 +117,46 @@
             held = next(one for one in candidates if one.is_held)
             assert held.memo == ("e0@3",)
 
-        _play(work)
+        _run_with_candidates(work)
 
 
 class TestTakeover:
     """Another process takes a corrupted lease whose holder has died."""
 
     @pytest.mark.parametrize("pause", [0.05, 0.7, 1.5, 4.4])
-    @pytest.mark.parametrize("before", [0.0, 1.0, 4.0, 4.4])
-    def test_takes_it_in_time(self, pause: float, before: float) -> None:
+    @pytest.mark.parametrize("delay_before_corruption", [0.0, 1.0, 4.0, 4.4])
+    def test_takes_it_in_time(
+        self, pause: float, delay_before_corruption: float
+    ) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            gone = leases.Lease(store, "duty", "gone")
+            dead_holder = leases.Lease(store, "duty", "gone")
             candidates = [
                 leases.Lease(store, "duty", f"run-{number}")
                 for number in range(2)
             ]
             async with anyio.create_task_group() as tasks:
-                with anyio.CancelScope() as life:
+                with anyio.CancelScope() as holder_scope:
                     async with anyio.create_task_group() as inner:
-                        inner.start_soon(gone.run)
+                        inner.start_soon(dead_holder.run)
                         await anyio.sleep(0.1)
                         for candidate in candidates:
                             tasks.start_soon(candidate.run)
                         await anyio.sleep(3.0)
-                        life.cancel()
-                await anyio.sleep(before)
-                term = gone.term
+                        holder_scope.cancel()
+                await anyio.sleep(delay_before_corruption)
+                term = dead_holder.term
                 tasks.start_soon(_corrupt, store, pause)
                 with anyio.fail_after(
                     leases.RENEW_SECONDS + MAX_TAKEOVER_SECONDS
                 ):
                     while not any(one.is_held for one in candidates):
-                        await _check_holder([gone, *candidates], 0.01)
+                        await _check_holder([dead_holder, *candidates], 0.01)
                 held = next(one for one in candidates if one.is_held)
                 assert held.term > term
-                await _check_holder([gone, *candidates], 20.0, holder=held)
+                await _check_holder(
+                    [dead_holder, *candidates], 20.0, holder=held
+                )
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -193,15 +197,17 @@
             store.write(leases.KIND, "duty", b"7")
             await _check_holder(candidates, 3.0, holder=candidates[0])
             store.write(leases.KIND, "duty", old.value)
-            fresh = leases.Lease(store, "duty", "fresh", is_new_fleet=False)
+            new_lease = leases.Lease(
+                store, "duty", "fresh", is_new_fleet=False
+            )
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(fresh.run)
+                tasks.start_soon(new_lease.run)
                 await _check_holder(
-                    [*candidates, fresh], 20.0, holder=candidates[0]
+                    [*candidates, new_lease], 20.0, holder=candidates[0]
                 )
                 tasks.cancel_scope.cancel()
 
-        _play(work)
+        _run_with_candidates(work)
 
     def test_stale_reads_do_not_move_it_again(self) -> None:
         # Stale answers do not contain the next object for seconds. The lease
@@ -227,10 +233,10 @@
 
         virtual.run(body)
 
-    def test_closed_object_counts_only_with_its_successor(self) -> None:
+    def test_overwritten_closed_object_has_at_most_one_holder(self) -> None:
         # Two writes race with a restore: one closes the object, the other
-        # overwrites it with a free lease. A slow process has read that one,
-        # and that there is no next object.
+        # overwrites it with a free lease. A slow process has already read the
+        # free lease and found no next object.
         async def work(
             store: standin_store.StandinStore,
             one: _DelayedProcess,
@@ -246,16 +252,15 @@
             slow.start()
             await anyio.sleep(1.0)
             one.resume()
-            await _check_holder(one.candidates(slow), 10.0)
+            await _check_holder(one.leases_with(slow), 10.0)
             assert one.lease.is_held
             slow.resume()
-            await _check_holder(one.candidates(slow), 10.0)
+            await _check_holder(one.leases_with(slow), 10.0)
 
-        _play_delayed(work)
+        _run_with_delayed_processes(work)
 
-    def test_slow_process_finds_it_closed(self) -> None:
-        # The slow process has read an expired lease, and that there is no
-        # next object.
+    def test_slow_process_does_not_take_a_closed_object(self) -> None:
+        # The slow process has read an expired lease and found no next object.
         async def work(
             store: standin_store.StandinStore,
             one: _DelayedProcess,
@@ -270,12 +275,12 @@
             slow.start()
             await anyio.sleep(MAX_TAKEOVER_SECONDS)
             one.resume()
-            await _check_holder(one.candidates(slow), 10.0)
+            await _check_holder(one.leases_with(slow), 10.0)
             assert one.lease.is_held
             slow.resume()
-            await _check_holder(one.candidates(slow), 10.0, holder=one.lease)
+            await _check_holder(one.leases_with(slow), 10.0, holder=one.lease)
 
-        _play_delayed(work)
+        _run_with_delayed_processes(work)
 
     def test_term_follows_one_that_was_overwritten_unread(self) -> None:
         async def work(
@@ -292,16 +297,16 @@
             for _ in range(5):
                 store.write("other", "o", b"1")
             # No term exceeds the version that it was written over.
-            unread = found.version + 5
-            value = f'{{"holder":"unseen","term":{unread}}}'.encode()
+            unread_term = found.version + 5
+            value = f'{{"holder":"unseen","term":{unread_term}}}'.encode()
             store.write(leases.KIND, "duty", value)
             store.write(leases.KIND, "duty", b"7")
             one.resume()
             await anyio.sleep(2 * MAX_TAKEOVER_SECONDS)
             assert one.lease.is_held
-            assert one.lease.term > unread
+            assert one.lease.term > unread_term
 
-        _play_delayed(work)
+        _run_with_delayed_processes(work)
 
     def test_does_not_take_a_lease_that_expired_meanwhile(self) -> None:
         async def work(
@@ -321,7 +326,7 @@
             await anyio.sleep(MAX_TAKEOVER_SECONDS)
             assert one.lease.is_held
 
-        _play_delayed(work)
+        _run_with_delayed_processes(work)
 
     def test_receives_the_memo_of_the_last_holder(self) -> None:
         async def work(
@@ -338,7 +343,7 @@
             assert one.lease.is_held
             assert one.lease.memo == ("e0@3",)
 
-        _play_delayed(work)
+        _run_with_delayed_processes(work)
 
 
 class TestLastObject:
@@ -364,7 +369,7 @@
                 term = held[0].term
             assert await _object_names(store) == ["duty", "duty.1"]
 
-        _play(work)
+        _run_with_candidates(work)
 
     def test_term_follows_one_that_was_overwritten_unread(
         self, monkeypatch: pytest.MonkeyPatch
@@ -374,15 +379,15 @@
         async def work(
             store: standin_store.StandinStore, candidates: list[leases.Lease]
         ) -> None:
-            unread = candidates[0].term + 1
-            value = f'{{"holder":"unseen","term":{unread}}}'.encode()
+            unread_term = candidates[0].term + 1
+            value = f'{{"holder":"unseen","term":{unread_term}}}'.encode()
             store.write(leases.KIND, "duty", value)
             store.write(leases.KIND, "duty", b"7")
             await _check_holder(candidates, 2 * MAX_TAKEOVER_SECONDS)
             held = next(one for one in candidates if one.is_held)
-            assert held.term > unread
+            assert held.term > unread_term
 
-        _play(work)
+        _run_with_candidates(work)
 
 
 class TestRestoredStore:
@@ -402,7 +407,7 @@
             store.restore(backups[-int(age * 10) - 1])
             await _check_holder(candidates, 20.0, holder=candidates[0])
 
-        _play(work)
+        _run_with_candidates(work)
 
     def test_one_process_takes_it_without_its_holder(self) -> None:
         async def work(
@@ -418,10 +423,10 @@
             await anyio.sleep(1.0)
             store.restore(backup)
             one.start()
-            await _check_holder(one.candidates(slow), 20.0)
+            await _check_holder(one.leases_with(slow), 20.0)
             assert one.lease.is_held or slow.lease.is_held
 
-        _play_delayed(work)
+        _run_with_delayed_processes(work)
 
     def test_object_with_a_successor_is_not_written_back(self) -> None:
         async def work(
@@ -438,7 +443,7 @@
             assert found is not None
             assert orjson.loads(found.value)["successor"] == "duty.1"
 
-        _play_delayed(work)
+        _run_with_delayed_processes(work)
 
     def test_terms_do_not_exceed_versions(self) -> None:
         # The term after a corrupted lease follows from the version.
@@ -459,7 +464,7 @@
             latest = store.write("other", "o", b"2")
             assert one.lease.term <= leases.TERMS_PER_EPOCH + latest
 
-        _play_delayed(work)
+        _run_with_delayed_processes(work)
 
     def test_restore_during_a_move_leaves_one_object(self) -> None:
         async def work(
@@ -478,11 +483,11 @@
             await _check_holder([one.lease], 10.0, holder=one.lease)
             assert await _object_names(store) == ["duty"]
 
-        _play_delayed(work)
+        _run_with_delayed_processes(work)
 
 
-class TestAnyOrder:
-    """Random overwrites, cuts, lost replies, deaths and restores."""
+class TestRandomFaults:
+    """Random overwrites, disconnections, lost replies and restores."""
 
     @hypothesis.given(strategies.integers(0, 2**32))
     @hypothesis.settings(max_examples=60, deadline=None, derandomize=True)
@@ -513,7 +518,7 @@
         virtual.run(body)
 
 
-def _play(
+def _run_with_candidates(
     work: typing.Callable[
         [standin_store.StandinStore, list[leases.Lease]],
         typing.Awaitable[None],
@@ -607,7 +612,7 @@
         """Start to compete for the lease."""
         self._tasks.start_soon(self.lease.run)
 
-    def candidates(self, other: "_DelayedProcess") -> list[leases.Lease]:
+    def leases_with(self, other: "_DelayedProcess") -> list[leases.Lease]:
         """Return the leases of this process and another."""
         return [self.lease, other.lease]
 
@@ -644,7 +649,7 @@
             await self._resumed.wait()
 
 
-def _play_delayed(
+def _run_with_delayed_processes(
     work: typing.Callable[
         [standin_store.StandinStore, _DelayedProcess, _DelayedProcess],
         typing.Awaitable[None],
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -103,9 +103,7 @@
         virtual.run(body)
 
     @pytest.mark.parametrize("after_report", [True, False])
-    def test_holder_that_expired_gives_no_order(
-        self, after_report: bool
-    ) -> None:
+    def test_expired_holder_sends_no_order(self, after_report: bool) -> None:
         # It is suspended while an engine reports its layers, or just before.
         async def body() -> None:
             system = fleet_system.FleetSystem()
@@ -125,7 +123,7 @@
                     await orders.suspended.wait()
                 store.is_down = True
                 await anyio.sleep(3.0)
-                assert orders.given_late == 0
+                assert orders.late_order_count == 0
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -138,7 +136,7 @@
         self._fleet = fleet
         self._after_report = after_report
         self.suspended = anyio.Event()
-        self.given_late = 0
+        self.late_order_count = 0
 
     async def report(self, upstream: typing.Any) -> typing.Any:
         if not self._after_report:
@@ -149,7 +147,7 @@
         return report
 
     async def place(self, move: plan.Move, *arguments: int) -> bool:
-        self.given_late += self.suspended.is_set()
+        self.late_order_count += self.suspended.is_set()
         return bool(await self._fleet.place(move, *arguments))
 
     def _suspend_once(self) -> None:
@@ -168,7 +166,7 @@
         pass
 
 
-class TestCopy:
+class TestMirror:
     """The mirrored config, and the API keys that it makes valid."""
 
     @pytest.mark.parametrize("seconds", SUSPENSIONS_SECONDS)
@@ -186,7 +184,7 @@
 
         virtual.run(body)
 
-    def test_earlier_answer_does_not_prove_the_copy_current(self) -> None:
+    def test_earlier_answer_does_not_confirm_the_copy_as_current(self) -> None:
         # The watch was answered before the suspension, and the answer is
         # read after it.
         async def body() -> None:
@@ -213,12 +211,12 @@
             system = fleet_system.FleetSystem()
             system.install(system.config)
             system.add_model()
-            proved_at = anyio.current_time()
+            confirmed_at = anyio.current_time()
             relay = relays.Relay(
                 system.context,
                 system.holder,
                 system.monitor,
-                lambda: anyio.current_time() - proved_at,
+                lambda: anyio.current_time() - confirmed_at,
                 3.5,
             )
             suspend(seconds)
@@ -302,7 +300,7 @@
 class TestPeer:
     """A peer's answer that arrives during a suspension."""
 
-    def test_proves_nothing_later_than_the_question(self) -> None:
+    def test_peer_answer_confirms_only_up_to_the_question(self) -> None:
         class PeerReplica:
             async def watch(
                 self, kind: str, after: stores.Position, wait: float
