--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -185,10 +185,10 @@
 
 def _decode(kind: str, content: bytes) -> stores.PeerChanges:
     try:
-        body = stores.read_json(content)
+        body = stores.decode_json(content)
         objects = tuple(
             stores.StoredObject(
-                kind, str(name), int(version), stores.write_json(value)
+                kind, str(name), int(version), stores.encode_json(value)
             )
             for name, version, value in body["objects"]
         )
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -75,7 +75,7 @@
         :raises CrowdeckError: ``STORE_CONFLICT`` if it has another version.
         """
         metadata: Json = {names.NAME: name}
-        if expected == stores.CREATE:
+        if expected == stores.NO_VERSION:
             method, path = "POST", _path(kind)
         else:
             method, path = "PUT", _path(kind, name)
@@ -218,7 +218,7 @@
             kind,
             str(metadata[names.NAME]),
             int(metadata[names.REVISION]),
-            stores.write_json(body.get(names.SPECIFICATION)),
+            stores.encode_json(body.get(names.SPECIFICATION)),
         )
     except _DECODE_ERRORS as error:
         raise _store_down("an object of the store is malformed") from error
@@ -285,7 +285,7 @@
 
 def _decode_body(response: upstream.ServiceResponse) -> Json:
     try:
-        body = stores.read_json(response.body)
+        body = stores.decode_json(response.body)
     except (ValueError, RecursionError) as error:
         raise _store_down("the store's answer is malformed") from error
     if not isinstance(body, dict):
--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -26,17 +26,18 @@
 from crowdeck import verdict as verdicts
 
 # An end is held against a request for this long. It bounds how many instances
-# a request can crash in an hour, and how long a request stays refused that a
-# new release of the engines can run.
-KEEP_SECONDS = 3600.0
+# a request can crash in an hour, and also how long a request stays refused
+# after the engines have been fixed.
+EVIDENCE_TTL_SECONDS = 3600.0
 # An attempt whose first event came longer ago than this is not a suspect: a
 # request that crashes its engine does so soon after it has begun.
-HEALTHY_SECONDS = 0.5
+MAX_SUSPECT_EVENT_AGE_SECONDS = 0.5
 # A lost connection counts if the end of its instance becomes known within this
-# time; an entry in the store is removed after three missed heartbeats.
-PENDING_SECONDS = 8.0
+# time; the instance's record is removed from the store some heartbeats after
+# its end.
+LOST_ATTEMPT_TTL_SECONDS = 8.0
 # A cancelled attempt counts if its instance ends within this time.
-CANCELLED_SECONDS = 1.0
+CANCELLED_ATTEMPT_TTL_SECONDS = 1.0
 # The evidence of the other entries arrives within this time after an end.
 # Until then only requests that had not begun count as suspects of that end.
 SETTLE_SECONDS = 0.5
@@ -48,7 +49,7 @@
 # Interval at which outdated evidence is dropped.
 REVIEW_SECONDS = 60.0
 
-Clock = typing.Callable[[], float]
+WallClock = typing.Callable[[], float]
 Listener = typing.Callable[[], None]
 
 
@@ -68,14 +69,14 @@
         """Whether it may have crashed the instance."""
         return (
             self.seconds_since_first_event is None
-            or self.seconds_since_first_event < HEALTHY_SECONDS
+            or self.seconds_since_first_event < MAX_SUSPECT_EVENT_AGE_SECONDS
         )
 
 
 @attrs.frozen
-class _Pending:
+class _PendingAttempt:
     attempt_record: AttemptRecord
-    until: float
+    expires_at: float
 
 
 class QuarantineTracker:
@@ -84,11 +85,11 @@
     :param clock: returns the wall-clock time in seconds.
     """
 
-    def __init__(self, clock: Clock = time.time) -> None:
+    def __init__(self, clock: WallClock = time.time) -> None:
         self._clock = clock
         self._own = evidence.Evidence()
         self._others: dict[str, evidence.Evidence] = {}
-        self._pending: dict[str, list[_Pending]] = {}
+        self._pending: dict[str, list[_PendingAttempt]] = {}
         self._culprits: dict[fingerprint.Fingerprint, int] = {}
         self._suspects: collections.Counter[fingerprint.Fingerprint] = (
             collections.Counter()
@@ -105,7 +106,7 @@
         return self._own
 
     @property
-    def is_empty(self) -> bool:
+    def has_no_suspects(self) -> bool:
         """Whether no request is a suspect."""
         return not self._suspects
 
@@ -146,9 +147,9 @@
         ended = self._culprits.get(request, 0)
         return errors.CrowdeckError(
             errors.Code.QUARANTINED,
-            f"{ended} instances crashed when they began this request",
+            f"{ended} instances crashed while running this request",
             verdict=verdict,
-            retry_after=KEEP_SECONDS,
+            retry_after=EVIDENCE_TTL_SECONDS,
         )
 
     def note_connection_lost(
@@ -158,20 +159,22 @@
 
         It counts once the instance is known to have ended.
         """
-        self._add_pending(instance, attempt_record, PENDING_SECONDS)
+        self._add_pending(instance, attempt_record, LOST_ATTEMPT_TTL_SECONDS)
 
     def note_cancelled(
         self, instance: str, attempt_record: AttemptRecord
     ) -> None:
         """Note an attempt that its caller cancelled."""
-        self._add_pending(instance, attempt_record, CANCELLED_SECONDS)
+        self._add_pending(
+            instance, attempt_record, CANCELLED_ATTEMPT_TTL_SECONDS
+        )
 
     def note_end(self, instance: str) -> None:
         """Note that an instance has ended unexpectedly."""
         now = anyio.current_time()
         pending = self._pending.pop(instance, ())
         attempt_records = [
-            one.attempt_record for one in pending if one.until >= now
+            one.attempt_record for one in pending if one.expires_at >= now
         ]
         self._add_end(instance, attempt_records)
 
@@ -187,7 +190,7 @@
         self._served[request] = now
         self._prune_served(now)
         if request in self._suspects and self._record_served_suspects():
-            self._publish()
+            self._publish_and_review()
 
     def set_peer_evidence(
         self, entry: str, reported: evidence.Evidence
@@ -204,7 +207,7 @@
         self._others[entry] = reported
         self._review()
         if self._record_served_suspects():
-            self._publish()
+            self._publish_and_review()
 
     def merge_own_evidence(self, reported: evidence.Evidence) -> None:
         """Add the evidence of an earlier process of this entry."""
@@ -229,14 +232,14 @@
         if not attempt_record.is_suspect:
             return
         self._prune_pending()
-        until = anyio.current_time() + seconds
+        expires_at = anyio.current_time() + seconds
         attempts = self._pending.setdefault(instance, [])
-        attempts.append(_Pending(attempt_record, until))
+        attempts.append(_PendingAttempt(attempt_record, expires_at))
 
     def _prune_pending(self) -> None:
         now = anyio.current_time()
         for instance, attempts in list(self._pending.items()):
-            if attempts[-1].until < now:
+            if attempts[-1].expires_at < now:
                 del self._pending[instance]
 
     def _add_end(
@@ -262,12 +265,14 @@
         )
         self._review()
         self._record_served_suspects()
-        self._publish()
+        self._publish_and_review()
 
     def _valid(self, reported: evidence.Evidence) -> evidence.Evidence:
         """Return the evidence that is neither outdated nor from the future."""
         now = self._clock()
-        return reported.between(now - KEEP_SECONDS, now + CLOCK_SKEW_SECONDS)
+        return reported.between(
+            now - EVIDENCE_TTL_SECONDS, now + CLOCK_SKEW_SECONDS
+        )
 
     def _record_served_suspects(self) -> bool:
         """Add served suspects to the evidence; return whether it changed."""
@@ -281,7 +286,7 @@
         return self._own != before
 
     def _prune_served(self, now: float) -> None:
-        since = now - attribution.SERVED_SECONDS
+        since = now - attribution.SERVED_EXEMPTION_SECONDS
         while self._served:
             oldest = next(iter(self._served))
             is_full = len(self._served) > MAX_SERVED
@@ -292,7 +297,7 @@
     def _rank(self, request: fingerprint.Fingerprint) -> int:
         return self._suspects[request]
 
-    def _publish(self) -> None:
+    def _publish_and_review(self) -> None:
         for listener in self._own_listeners:
             listener()
         self._review()
@@ -305,12 +310,14 @@
         for one in (self._own, *self._others.values()):
             valid = self._valid(one)
             for end in valid.ends:
-                held = ends.get(end.instance)
-                ends[end.instance] = held.merged_with(end) if held else end
+                known = ends.get(end.instance)
+                ends[end.instance] = known.merged_with(end) if known else end
             for served in valid.served:
                 before = served_at.get(served.request, served.at)
                 served_at[served.request] = max(before, served.at)
-        unexplained = attribution.unexplained_ends(ends.values(), served_at)
+        unexplained = attribution.without_served_suspects(
+            ends.values(), served_at
+        )
         self._suspects = attribution.count_ends(unexplained)
         self._last_end = max((one.at for one in ends.values()), default=0.0)
         settled = attribution.drop_unsettled(unexplained, now - SETTLE_SECONDS)
