--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -584,7 +584,7 @@
     return f"id: {number}\ndata: {request_id}:{number}\n\n".encode()
 
 
-def cut(layer_count: int, parts: int) -> list[pipeline.LayerRange]:
+def split_layers(layer_count: int, parts: int) -> list[pipeline.LayerRange]:
     """Return ``layer_count`` layers in ``parts`` ranges."""
     bounds = [layer_count * part // parts for part in range(parts + 1)]
     return [
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -274,7 +274,7 @@
 
     def _add_copy(self, zone: str, copy: int, parts: int) -> None:
         layers = fleet_system.PROFILE.layer_count
-        for part, span in enumerate(chain_fleet.cut(layers, parts)):
+        for part, span in enumerate(chain_fleet.split_layers(layers, parts)):
             self._add(
                 fleet_system.upstream(
                     f"{zone}-{copy}-{part}",
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -221,7 +221,7 @@
         """Add engines that hold the model, ``copies`` times in each zone."""
         for zone in ZONES:
             for copy in range(copies):
-                ranges = chain_fleet.cut(PROFILE.layer_count, parts)
+                ranges = chain_fleet.split_layers(PROFILE.layer_count, parts)
                 for part, layers in enumerate(ranges):
                     self.add(
                         upstream(
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -693,7 +693,7 @@
 
     def test_second_failure_is_led_around_when_no_run_is_left(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            for part, layers in enumerate(chain_fleet.cut(80, 4)):
+            for part, layers in enumerate(chain_fleet.split_layers(80, 4)):
                 system.add(
                     fleet_system.upstream(
                         f"pikine-{part}",
