--- a/src/crowdeck/standin/chain_answer.py
+++ b/src/crowdeck/standin/chain_answer.py
@@ -4,7 +4,7 @@
 # SPDX-License-Identifier: Apache-2.0
 
 
-"""An answer of a stand-in for upstreams that chain their stages themselves."""
+"""Answers of stand-in upstreams that chain their own stages."""
 
 import typing
 
@@ -15,7 +15,7 @@
 
 
 class StandinAnswer:
-    """An answer of a stand-in upstream."""
+    """The answer to one request; implements ``relay.interfaces.Answer``."""
 
     def __init__(
         self,
@@ -39,19 +39,19 @@
         self._pieces = pieces
 
     def belongs_to(self, request: requests.CallerRequest) -> bool:
-        """Whether it answers ``request``."""
+        """Whether this is the answer to ``request``."""
         return self._request_id == request.id
 
     def event_id(self, event: bytes) -> int | None:
-        """Return an event's id."""
-        first = event.split(b"\n")[0]
-        return int(first[4:]) if first.startswith(b"id: ") else None
+        """Return the id of an event, or ``None`` if it has none."""
+        first_line = event.split(b"\n")[0]
+        return int(first_line[4:]) if first_line.startswith(b"id: ") else None
 
     async def chunks(self) -> typing.AsyncIterator[bytes]:
         """Yield the body."""
-        async for piece in self._pieces:
-            yield piece
+        async for chunk in self._pieces:
+            yield chunk
 
     async def read(self, limit: int) -> bytes:
         """Return the body."""
-        return b"".join([piece async for piece in self.chunks()])
+        return b"".join([chunk async for chunk in self.chunks()])
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -3,12 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A stand-in for upstreams that chain their stages themselves.
+"""Stand-ins for upstreams that chain their own stages.
 
-It serves the relay in process, over ``relay.interfaces.Upstreams``, and keeps
-what a test asks afterwards: what ran where, and how often. Streams are
-event N of request R as ``id: N``, ``data: R:N``, so that a missing, doubled
-or foreign event shows.
+They serve the relay in process, over ``relay.interfaces.Upstreams``, and
+record where and how often each request ran. Event N of request R has
+``id: N`` and ``data: R:N``, so that missing, repeated or misrouted events
+are detected.
 """
 
 import collections
@@ -32,48 +32,47 @@
 from crowdeck.standin import repeats
 from crowdeck import verdict as verdicts
 
-# Engines cut what waits for a dead or silent one after this long.
+# Engines end a stream that has waited this long for a dead or silent engine.
 STALL_SECONDS = 2.0
 POLL_SECONDS = 0.005
-# A first engine that is to go on through one that says nothing refuses
-# after this long; 70 to 100 ms were seen.
+# Time after which a head engine refuses a new path through an unresponsive
+# engine.
 UNRESPONSIVE_HOP_SECONDS = 0.085
-# A connection, a question and an answer: each needs the loop of whoever
-# asks to run once more, which a single pause would hide.
+# A call takes several turns of the caller's event loop; a single sleep would
+# hide races between them.
 DIAL_STEPS = 4
 DIAL_STEP_SECONDS = 0.0003
-# An engine falls over this long after it began a request that ends it;
-# 0.06 to 0.12 s were seen.
+# Time from the start of a crashing request to the crash.
 CRASH_DELAY_SECONDS = 0.1
 
 
 @attrs.define(eq=False)
 class StandinUpstream:
-    """One upstream instance and what a test makes of it.
+    """One upstream instance, with the faults that a test injects.
 
     :ivar is_dead: refuses connections.
-    :ivar is_unresponsive: does not answer, nor does it refuse.
-    :ivar is_suspended: takes connections, and reads what came by them once it
-        goes on, also what was given up meanwhile.
-    :ivar rejected_requests: how many of the next requests it refuses,
-        none of which has run.
-    :ivar lost_answers: how many of the next answers it loses after running.
-    :ivar break_stream_after: breaks a stream off after so many events, once.
-    :ivar breaks_every_stream: breaks off every stream so, not only one.
-    :ivar hanging_streams: how many of the next streams it accepts and never
-        answers.
-    :ivar failed_calls: how many of the next calls it answers with 500.
-    :ivar misattributed_answers: how many of the next answers carry the id of
+    :ivar is_unresponsive: neither answers nor refuses.
+    :ivar is_suspended: accepts connections but reads requests only after it
+        is resumed, including those that the caller has given up.
+    :ivar rejected_requests: number of next requests to refuse without running
+        them.
+    :ivar lost_answers: number of next answers to lose after the request ran.
+    :ivar break_stream_after: break one stream after this many events.
+    :ivar breaks_every_stream: break every stream, not only one.
+    :ivar hanging_streams: number of next streams to accept and never answer.
+    :ivar failed_calls: number of next calls to answer with status 500.
+    :ivar misattributed_answers: number of next answers to send with the id of
         another request.
-    :ivar reset_connections: how many of the next connections it resets.
-    :ivar refuses_repaths: refuses every other path, and does not say why.
-    :ivar backoff: asks those whom it turns away for so many seconds of rest.
-    :ivar announces_leaving: says in its answers that it leaves.
-    :ivar limit: names this limit in its answers, in requests a second.
-    :ivar tells_load: tells in its answers how many requests it runs.
-    :ivar running: requests that it runs.
-    :ivar loaded_at: the loop's time when all layers that it tells serve.
-    :ivar kept: those that serve before that, too.
+    :ivar reset_connections: number of next connections to reset.
+    :ivar refuses_repaths: refuses every new path without naming a culprit.
+    :ivar backoff: seconds of backoff that rejections ask for.
+    :ivar announces_leaving: answers say that the instance is leaving.
+    :ivar limit: limit that answers announce, in requests per second.
+    :ivar tells_load: answers report the load.
+    :ivar running: number of requests in progress.
+    :ivar seconds: time that a call takes.
+    :ivar loaded_at: event loop time at which all listed layers can serve.
+    :ivar kept_layers: layers that can serve before that.
     """
 
     listed: chain.Upstream
@@ -98,28 +97,28 @@
     seconds: float = 0.02
     late_orders: list[plan.Move] = attrs.field(factory=list)
     loaded_at: float = float("-inf")
-    kept: pipeline.LayerRange | None = None
+    kept_layers: pipeline.LayerRange | None = None
 
     @property
     def is_loading(self) -> bool:
-        """Whether it loads layers."""
+        """Whether it is still loading layers."""
         return anyio.current_time() < self.loaded_at
 
     @property
     def answers(self) -> bool:
-        """Whether it answers at all."""
+        """Whether it answers requests."""
         return not self.is_dead and not self.is_unresponsive
 
     @property
     def backpressure(self) -> pressures.Backpressure:
-        """What it says in an answer that turns nobody away."""
+        """Backpressure that an answer to an accepted request announces."""
         return pressures.Backpressure(
             limit=self.limit, is_leaving=self.announces_leaving
         )
 
     @property
     def load(self) -> interfaces.Load | None:
-        """The load that it tells, if it does."""
+        """The load that answers report, or ``None``."""
         if not self.tells_load:
             return None
         return interfaces.Load(self.running, 0, self.listed.slots)
@@ -127,7 +126,7 @@
 
 @attrs.frozen
 class Run:
-    """One time that an upstream ran a request."""
+    """One run of a request at an upstream."""
 
     upstream: str
     request: str
@@ -140,7 +139,7 @@
 
 @attrs.frozen
 class EngineCrash:
-    """One time that a request ended the upstream which had begun it."""
+    """One crash of an upstream, caused by a request that it ran."""
 
     target: StandinUpstream
     upstream: str
@@ -149,17 +148,15 @@
 
 
 class ChainFleet:
-    """Upstreams by address, in one process.
-
-    A request whose body is one of ``crashing_bodies`` ends each upstream that
-    begins it; ``crashes`` keeps which and when.
-
-    ``accounts`` has what each service got, by its name.
-
-    While ``is_cut_off`` nothing passes between them and whoever asks, and
-    nothing is lost either: as on a link that is full.
-
-    New layers take their share of ``load_seconds``.
+    """Stand-in upstreams by address, in one process.
+
+    :ivar crashing_bodies: a request with one of these bodies crashes each
+        upstream that begins it.
+    :ivar crashes: the crashes so far.
+    :ivar accounts: arrivals by service name.
+    :ivar is_cut_off: messages are delayed but not lost, as on a congested
+        link.
+    :ivar load_seconds: time to load all layers; fewer load in proportion.
     """
 
     def __init__(self, layer_count: int = 80) -> None:
@@ -196,7 +193,7 @@
         return self._upstreams[str(address)]
 
     def runs_of(self, request_id: str) -> list[Run]:
-        """Return when and where a request ran."""
+        """Return the runs of a request."""
         return [run for run in self.runs if run.request == request_id]
 
     @contextlib.asynccontextmanager
@@ -210,13 +207,13 @@
         """Send a request."""
         target = await self._dial(upstream, timeouts.connect)
         await self._arrive(target, request)
-        is_other = target.listed.incarnation.id != upstream.incarnation.id
-        if is_other or target.rejected_requests:
+        is_replaced = target.listed.incarnation.id != upstream.incarnation.id
+        if is_replaced or target.rejected_requests:
             target.rejected_requests = max(0, target.rejected_requests - 1)
             self.rejected[target.listed.name] += 1
             yield self._rejection(target, request, 503, "")
             return
-        culprit = self._misfit(dispatch.path)
+        culprit = self._find_misplaced_hop(dispatch.path)
         if culprit is not None:
             self.rejected[target.listed.name] += 1
             yield self._rejection(target, request, 421, culprit)
@@ -240,13 +237,13 @@
                 await self._work(target, request)
             if target.lost_answers:
                 target.lost_answers -= 1
-                raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
+                raise _upstream_lost(verdicts.Verdict.MAY_HAVE_RUN)
             yield self._answer(target, request, dispatch)
         finally:
             target.running -= 1
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
-        """Return what an engine says of itself."""
+        """Return an engine's report."""
         target = await self._dial(upstream, 0.25)
         stalls = [
             chain.Stall(request, str(hop.upstream.address))
@@ -274,15 +271,15 @@
     async def repath(
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
     ) -> interfaces.RepathOutcome:
-        """Have a running request go on along another path."""
+        """Move a running request to another path."""
         await self._dial(head, 0.25)
         if request_id not in self._paths:
             return interfaces.RepathOutcome(is_done=False, is_known=False)
         if self.at(head.address).refuses_repaths:
             return interfaces.RepathOutcome(is_done=False, is_known=True)
         for hop in path.hops:
-            part = self._upstreams.get(str(hop.upstream.address))
-            if part is not None and part.is_unresponsive:
+            engine = self._upstreams.get(str(hop.upstream.address))
+            if engine is not None and engine.is_unresponsive:
                 await anyio.sleep(UNRESPONSIVE_HOP_SECONDS)
                 return interfaces.RepathOutcome(
                     False, True, str(hop.upstream.address)
@@ -298,7 +295,10 @@
     async def place(
         self, move: plan.Move, expected_orders: int, fencing_token: int
     ) -> bool:
-        """Give an order, as ``placement.controller.OrderClient`` has it."""
+        """Order layers; implements ``placement.controller.OrderClient``.
+
+        Returns whether the order was accepted.
+        """
         target = await self._dial(move.upstream, 0.25)
         if target.orders_taken != expected_orders or target.is_loading:
             return False
@@ -306,10 +306,10 @@
         return True
 
     def carry_out(self, target: StandinUpstream, move: plan.Move) -> None:
-        """Hold other layers from now on."""
+        """Replace the layers of an engine."""
         target.orders_taken += 1
-        target.kept = _common(target.listed.layers, move.layers)
-        count = _count(move.layers) - _count(target.kept)
+        target.kept_layers = _intersect(target.listed.layers, move.layers)
+        count = _size(move.layers) - _size(target.kept_layers)
         seconds = self.load_seconds * count / self._layer_count
         target.loaded_at = anyio.current_time() + seconds
         target.listed = attrs.evolve(target.listed, layers=move.layers)
@@ -323,41 +323,46 @@
         else:
             for _ in range(DIAL_STEPS):
                 await anyio.sleep(DIAL_STEP_SECONDS)
-                await self._await_link()
+                await self._wait_for_link()
         if target is None or target.is_dead:
             raise errors.InstanceGone("the upstream was lost")
         if target.is_unresponsive:
-            raise _lost(verdicts.Verdict.NOT_RUN)
+            raise _upstream_lost(verdicts.Verdict.NOT_RUN)
         if target.reset_connections:
             target.reset_connections -= 1
-            raise _lost(verdicts.Verdict.NOT_RUN)
+            raise _upstream_lost(verdicts.Verdict.NOT_RUN)
         return target
 
     async def _arrive(
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
-        """Count a request once its instance reads it."""
+        """Wait until the instance reads a request, and record its arrival."""
         if target.is_suspended:
             self._unread.append((target, request.id))
             while target.is_suspended:
                 await anyio.sleep(POLL_SECONDS)
             return
-        self._note_arrival(target, request.id)
+        self._record_arrival(target, request.id)
 
     def thaw(self, target: StandinUpstream) -> None:
-        """Have a frozen instance go on."""
+        """Resume a suspended instance; it reads all pending requests."""
         target.is_suspended = False
-        for one, request_id in self._unread:
-            if one is target:
-                self._note_arrival(one, request_id)
+        for unread_target, request_id in self._unread:
+            if unread_target is target:
+                self._record_arrival(unread_target, request_id)
         self._unread = [pair for pair in self._unread if pair[0] is not target]
 
-    def _note_arrival(self, target: StandinUpstream, request_id: str) -> None:
+    def _record_arrival(
+        self, target: StandinUpstream, request_id: str
+    ) -> None:
         account = self.accounts[target.listed.service]
         account.note_arrival(request_id, anyio.current_time())
 
-    def _misfit(self, path: chain.ChainPath | None) -> str | None:
-        """Return the address of an engine that lacks its part."""
+    def _find_misplaced_hop(self, path: chain.ChainPath | None) -> str | None:
+        """Return the address of an engine that does not hold its layers.
+
+        ``None`` if the path is valid.
+        """
         if path is None:
             return None
         position = 0
@@ -371,7 +376,9 @@
         target = self._upstreams.get(str(hop.upstream.address))
         if target is None or target.is_dead or target.listed.layers is None:
             return False
-        held = target.kept if target.is_loading else target.listed.layers
+        held = (
+            target.kept_layers if target.is_loading else target.listed.layers
+        )
         if held is None:
             return False
         return held.first <= hop.layers.first and hop.layers.end <= held.end
@@ -402,7 +409,7 @@
         return chain_answer.StandinAnswer(
             status,
             request_id,
-            _one(request.id.encode()),
+            _single_piece(request.id.encode()),
             backpressure=target.backpressure,
             load=target.load,
         )
@@ -411,7 +418,7 @@
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
         await anyio.sleep(target.seconds)
-        await self._fall_over(target, request)
+        await self._maybe_crash(target, request)
         if target.is_unresponsive:
             await anyio.sleep_forever()
 
@@ -425,38 +432,38 @@
         if target.hanging_streams:
             target.hanging_streams -= 1
             await anyio.sleep_forever()
-        await self._fall_over(target, request)
+        await self._maybe_crash(target, request)
         for number in range(dispatch.last_event + 1, self.events):
             await anyio.sleep(self.event_seconds)
-            await self._await_path(target, request.id)
-            await self._await_link()
+            await self._wait_for_path(target, request.id)
+            await self._wait_for_link()
             if target.break_stream_after == sent:
                 if not target.breaks_every_stream:
                     target.break_stream_after = -1
                 yield event(request.id, number)[:5]
-                raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
+                raise _upstream_lost(verdicts.Verdict.MAY_HAVE_RUN)
             yield event(request.id, number)
             sent += 1
 
-    async def _fall_over(
+    async def _maybe_crash(
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
-        """End an upstream that has begun a request which ends it."""
+        """Crash the upstream if the request is a crashing one."""
         if request.body not in self.crashing_bodies:
             return
         await anyio.sleep(CRASH_DELAY_SECONDS)
         if not target.is_dead:
             target.is_dead = True
             now = anyio.current_time()
-            fall = EngineCrash(target, target.listed.name, request.body, now)
-            self.crashes.append(fall)
-        raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
+            crash = EngineCrash(target, target.listed.name, request.body, now)
+            self.crashes.append(crash)
+        raise _upstream_lost(verdicts.Verdict.MAY_HAVE_RUN)
 
-    async def _await_link(self) -> None:
+    async def _wait_for_link(self) -> None:
         while self.is_cut_off:
             await anyio.sleep(POLL_SECONDS)
 
-    async def _await_path(
+    async def _wait_for_path(
         self, target: StandinUpstream, request_id: str
     ) -> None:
         waited = 0.0
@@ -464,7 +471,7 @@
             if target.is_unresponsive:
                 await anyio.sleep_forever()
             if target.is_dead or waited > STALL_SECONDS:
-                raise _lost(verdicts.Verdict.MAY_HAVE_RUN)
+                raise _upstream_lost(verdicts.Verdict.MAY_HAVE_RUN)
             path = self._paths[request_id]
             if all(self.at(hop.upstream.address).answers for hop in path.hops):
                 return
@@ -478,21 +485,23 @@
         status: int,
         culprit: str,
     ) -> chain_answer.StandinAnswer:
-        told = pressures.NONE
+        answer_backpressure = pressures.NONE
         if status == 503:
-            told = attrs.evolve(target.backpressure, backoff=target.backoff)
+            answer_backpressure = attrs.evolve(
+                target.backpressure, backoff=target.backoff
+            )
         return chain_answer.StandinAnswer(
             status,
             request.id,
-            _one(b""),
+            _single_piece(b""),
             has_not_run=True,
             culprit=culprit,
-            backpressure=told,
+            backpressure=answer_backpressure,
         )
 
 
 class CallKind(enum.Enum):
-    """What an instance may be sent."""
+    """The kind of a message to an instance."""
 
     REQUEST = "request"
     QUESTION = "question"
@@ -501,10 +510,11 @@
 
 @attrs.frozen
 class Arrival:
-    """One time that an entry sent an instance anything.
+    """One message from an entry to an instance.
 
-    :ivar arrived: the loop's time when the entry asked; a caller's request
-        had come to it then.
+    :ivar at: event loop time at which it was sent.
+    :ivar arrived: event loop time at which the caller's request had reached
+        the entry; 0 for other messages.
     """
 
     upstream: str
@@ -514,9 +524,9 @@
 
 
 class FleetClient:
-    """One entry's way to a fleet; implements ``relay.interfaces.Upstreams``.
+    """One entry's client; implements ``relay.interfaces.Upstreams``.
 
-    :ivar arrivals: all that the entry sent.
+    :ivar arrivals: every message that the entry sent.
     """
 
     def __init__(self, fleet: ChainFleet) -> None:
@@ -525,7 +535,7 @@
         self._listeners: list[interfaces.NoticeListener] = []
 
     def subscribe(self, listener: interfaces.NoticeListener) -> None:
-        """Call ``listener`` with what each answer tells of its sender."""
+        """Call ``listener`` with the notice in each answer."""
         self._listeners.append(listener)
 
     @contextlib.asynccontextmanager
@@ -537,42 +547,44 @@
         timeouts: http.Timeouts,
     ) -> typing.AsyncIterator[interfaces.Answer]:
         """Send a request."""
-        self._note(upstream, CallKind.REQUEST, request.arrived)
+        self._record(upstream, CallKind.REQUEST, request.arrived)
         async with self._fleet.open(
             upstream, request, dispatch, timeouts
         ) as answer:
-            self._tell(
+            self._notify(
                 upstream, interfaces.Notice(answer.backpressure, answer.load)
             )
             yield answer
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
-        """Return what an engine says of itself."""
-        self._note(upstream, CallKind.QUESTION)
+        """Return an engine's report."""
+        self._record(upstream, CallKind.QUESTION)
         report = await self._fleet.report(upstream)
-        self._tell_other(upstream)
+        self._notify_backpressure(upstream)
         return report
 
     async def repath(
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
     ) -> interfaces.RepathOutcome:
-        """Have a running request go on along another path."""
-        self._note(head, CallKind.ORDER)
+        """Move a running request to another path."""
+        self._record(head, CallKind.ORDER)
         outcome = await self._fleet.repath(head, request_id, path)
-        self._tell_other(head)
+        self._notify_backpressure(head)
         return outcome
 
-    def _note(
+    def _record(
         self, upstream: chain.Upstream, what: CallKind, arrived: float = 0.0
     ) -> None:
         now = anyio.current_time()
         self.arrivals.append(Arrival(upstream.name, what, now, arrived))
 
-    def _tell_other(self, upstream: chain.Upstream) -> None:
-        told = self._fleet.at(upstream.address).backpressure
-        self._tell(upstream, interfaces.Notice(told, answers_request=False))
+    def _notify_backpressure(self, upstream: chain.Upstream) -> None:
+        current = self._fleet.at(upstream.address).backpressure
+        self._notify(
+            upstream, interfaces.Notice(current, answers_request=False)
+        )
 
-    def _tell(
+    def _notify(
         self, upstream: chain.Upstream, notice: interfaces.Notice
     ) -> None:
         for listener in self._listeners:
@@ -580,38 +592,38 @@
 
 
 def event(request_id: str, number: int) -> bytes:
-    """Return the bytes of one event."""
+    """Return one event as it is sent."""
     return f"id: {number}\ndata: {request_id}:{number}\n\n".encode()
 
 
-def split_layers(layer_count: int, parts: int) -> list[pipeline.LayerRange]:
+def split_layers(layer_count: int, count: int) -> list[pipeline.LayerRange]:
     """Return ``layer_count`` layers in ``parts`` ranges."""
-    bounds = [layer_count * part // parts for part in range(parts + 1)]
+    bounds = [layer_count * index // count for index in range(count + 1)]
     return [
         pipeline.LayerRange(first, end)
         for first, end in zip(bounds, bounds[1:], strict=False)
     ]
 
 
-def _count(layers: pipeline.LayerRange | None) -> int:
+def _size(layers: pipeline.LayerRange | None) -> int:
     return layers.end - layers.first if layers else 0
 
 
-def _common(
-    one: pipeline.LayerRange | None, other: pipeline.LayerRange
+def _intersect(
+    held: pipeline.LayerRange | None, wanted: pipeline.LayerRange
 ) -> pipeline.LayerRange | None:
-    """Return the layers that are in both ranges."""
-    if one is None:
+    """Return the layers in both ranges, or ``None`` if there are none."""
+    if held is None:
         return None
-    first, end = max(one.first, other.first), min(one.end, other.end)
+    first, end = max(held.first, wanted.first), min(held.end, wanted.end)
     return pipeline.LayerRange(first, end) if first < end else None
 
 
-async def _one(piece: bytes) -> typing.AsyncIterator[bytes]:
+async def _single_piece(piece: bytes) -> typing.AsyncIterator[bytes]:
     yield piece
 
 
-def _lost(verdict: verdicts.Verdict) -> errors.CrowdeckError:
+def _upstream_lost(verdict: verdicts.Verdict) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.UPSTREAM_LOST, "the upstream was lost", verdict=verdict
     )
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The HTTP side of stand-in upstreams that chain their stages themselves.
+"""Stand-in upstreams that chain their own stages, served over HTTP.
 
-Each instance has a port of its own and speaks the platform's published
-protocol, so that a whole entry can be run against it.
+Each instance listens on its own port and speaks the platform's protocol, so
+that a complete entry can run against it.
 """
 
 import typing
@@ -41,7 +41,7 @@
 
 
 class UpstreamApp:
-    """One instance's ASGI application."""
+    """The ASGI application of one instance."""
 
     def __init__(
         self, fleet: chain_fleet.ChainFleet, address: instances.Address
@@ -62,7 +62,7 @@
             else:
                 await self._serve(scope, body, send)
         except errors.CrowdeckError:
-            # It fell over: what began is left without its end.
+            # The instance was lost, so the response stays incomplete.
             return
 
     @property
@@ -76,13 +76,13 @@
             names.BUSY: report.is_busy,
             names.LAYERS: _layers(report.layers),
             names.STALLED: [
-                {names.ID: one.request, names.ADDRESS: one.address}
-                for one in report.stalls
+                {names.ID: stall.request, names.ADDRESS: stall.address}
+                for stall in report.stalls
             ],
-            **_born(report.started_ms),
+            **_start_time_fields(report.started_ms),
         }
-        head = _notice(self._target.backpressure, None)
-        await _answer(send, 200, orjson.dumps(content), head)
+        headers = _backpressure_headers(self._target.backpressure, None)
+        await _answer(send, 200, orjson.dumps(content), headers)
 
     async def _order(self, order: Json, send: Send) -> None:
         if order[names.OPERATION] == names.REPATH:
@@ -116,7 +116,7 @@
             body,
             anyio.current_time(),
         )
-        assert request is not None, "the system sends an id"
+        assert request is not None, "the request has no id"
         hops = headers.get(names.HOPS, b"").decode()
         dispatch = interfaces.Dispatch(
             team=headers.get(names.TEAM, b"").decode(),
@@ -132,33 +132,37 @@
         async with self._fleet.open(
             listed, request, dispatch, CALL_TIMEOUTS
         ) as answer:
-            head = [(names.REQUEST_ID, request.id.encode())]
-            head += _notice(answer.backpressure, answer.load)
+            response_headers = [(names.REQUEST_ID, request.id.encode())]
+            response_headers += _backpressure_headers(
+                answer.backpressure, answer.load
+            )
             if answer.has_not_run:
-                head.append((names.NOT_EXECUTED, b"1"))
-                head.append((names.CULPRIT, answer.culprit.encode()))
+                response_headers.append((names.NOT_EXECUTED, b"1"))
+                response_headers.append(
+                    (names.CULPRIT, answer.culprit.encode())
+                )
             if answer.is_signed:
-                head.append((names.SIGNATURE, b"stand-in"))
-            await _start(send, answer.status, head)
+                response_headers.append((names.SIGNATURE, b"stand-in"))
+            await _start(send, answer.status, response_headers)
             async for piece in answer.chunks():
                 await _write(send, piece)
         await send({"type": "http.response.body", "body": b""})
 
     def _path(self, text: str) -> chain.ChainPath:
-        found = []
-        for part in text.split(","):
-            address, _, layers = part.partition("=")
+        hops = []
+        for hop in text.split(","):
+            address, _, layers = hop.partition("=")
             first, _, end = layers.partition("-")
             listed = self._fleet.at(address).listed
-            span = pipeline.LayerRange(int(first), int(end))
-            found.append(chain.Hop(listed, span))
-        return chain.ChainPath(tuple(found))
+            layer_range = pipeline.LayerRange(int(first), int(end))
+            hops.append(chain.Hop(listed, layer_range))
+        return chain.ChainPath(tuple(hops))
 
 
 async def heartbeat(
     fleet: chain_fleet.ChainFleet, store: standin_store.StandinStore
 ) -> None:
-    """Write each living instance's entry to the store, until cancelled."""
+    """Write each responsive instance's entry to the store periodically."""
     while True:
         for target in fleet.upstreams:
             if target.answers:
@@ -169,7 +173,7 @@
 def write_entry(
     listed: chain.Upstream, store: standin_store.StandinStore
 ) -> None:
-    """Write an instance's entry, if it changed."""
+    """Write an instance's entry to the store if it has changed."""
     content = {
         names.SERVICE: listed.service,
         names.ADDRESS: str(listed.address),
@@ -178,7 +182,7 @@
         names.STATE: names.STATE_DRAINING if listed.is_leaving else "ready",
         names.CARD: listed.card,
         names.LAYERS: _layers(listed.layers),
-        **_born(listed.started_ms),
+        **_start_time_fields(listed.started_ms),
     }
     entry = listed.incarnation.id
     store.write_if_new(names.UPSTREAM_KIND, entry, orjson.dumps(content))
@@ -192,23 +196,22 @@
     port: int = 0,
     advertised_address: instances.Address | None = None,
 ) -> chain.Upstream:
-    """Serve an instance; returns it with its address.
+    """Serve an instance and return it with its address.
 
-    :param port: where it listens, 0 for any free port.
-    :param advertised_address: the address under which it is listed, where a
-        proxy stands in between.
+    :param port: port to listen on; 0 for any free one.
+    :param advertised_address: address to list instead, such as a proxy's.
     """
-    app = _Deferred()
+    app = _DeferredApp()
     port = await tasks.start(http_server.serve_http, app, HOST, port)
     address = advertised_address or instances.Address(HOST, port)
-    placed = attrs.evolve(listed, address=address)
-    fleet.add(placed)
-    app.app = UpstreamApp(fleet, placed.address)
-    return placed
+    bound = attrs.evolve(listed, address=address)
+    fleet.add(bound)
+    app.app = UpstreamApp(fleet, bound.address)
+    return bound
 
 
-class _Deferred:
-    """An application that is known only once its port is."""
+class _DeferredApp:
+    """An application that is set once the port is known."""
 
     app: UpstreamApp
 
@@ -218,8 +221,8 @@
         await self.app(scope, receive, send)
 
 
-def _born(started_ms: int) -> Json:
-    """Return what an instance tells of its start, if it does."""
+def _start_time_fields(started_ms: int) -> Json:
+    """Return the field with the start time, if it is known."""
     return {names.BORN: started_ms} if started_ms else {}
 
 
@@ -230,42 +233,45 @@
 
 
 async def _read(receive: Receive) -> bytes:
-    pieces = []
+    chunks = []
     while True:
         message = await receive()
-        pieces.append(message.get("body", b""))
+        chunks.append(message.get("body", b""))
         if not message.get("more_body"):
-            return b"".join(pieces)
+            return b"".join(chunks)
 
 
-def _notice(
+def _backpressure_headers(
     backpressure: pressures.Backpressure, load: interfaces.Load | None
 ) -> http.RawHeaders:
-    """Return the headers in which an instance tells what it can bear."""
-    found: http.RawHeaders = []
+    """Return the response headers for load and backpressure."""
+    headers: http.RawHeaders = []
     if load is not None:
-        told = f"{load.running},{load.waiting},{load.slots}"
-        found.append((names.LOAD, told.encode()))
+        load_text = f"{load.running},{load.waiting},{load.slots}"
+        headers.append((names.LOAD, load_text.encode()))
     if backpressure.limit is not None:
-        found.append((names.LIMIT, str(backpressure.limit).encode()))
+        headers.append((names.LIMIT, str(backpressure.limit).encode()))
     if backpressure.backoff:
         seconds = str(backpressure.backoff).encode()
-        found.append((names.RETRY_AFTER, seconds))
+        headers.append((names.RETRY_AFTER, seconds))
     if backpressure.is_leaving:
-        found.append((names.LEAVING, b"1"))
-    return found
+        headers.append((names.LEAVING, b"1"))
+    return headers
 
 
 async def _answer(
-    send: Send, status: int, body: bytes, head: http.RawHeaders | None = None
+    send: Send,
+    status: int,
+    body: bytes,
+    headers: http.RawHeaders | None = None,
 ) -> None:
-    await _start(send, status, head or [])
+    await _start(send, status, headers or [])
     await send({"type": "http.response.body", "body": body})
 
 
-async def _start(send: Send, status: int, head: http.RawHeaders) -> None:
+async def _start(send: Send, status: int, headers: http.RawHeaders) -> None:
     await send(
-        {"type": "http.response.start", "status": status, "headers": head}
+        {"type": "http.response.start", "status": status, "headers": headers}
     )
 
 
