--- a/src/crowdeck/standin/cluster.py
+++ b/src/crowdeck/standin/cluster.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A whole small system in one process, over real TCP on loopback.
+"""A small system in one process, over TCP on loopback.
 
-The demo and the end-to-end tests run it: a store, engines in three
-availability zones, plain services, a sidecar beside each, and entries.
-Every process of the system is the very one that ``crowdeckd`` runs.
+The demo and the end-to-end tests use it. It has a store, engines in three
+availability zones, plain services, their sidecars, and entries. Entries and
+sidecars run the same code as ``crowdeckd``.
 """
 
 import contextlib
@@ -65,9 +65,9 @@
 
 @attrs.frozen
 class ClusterOptions:
-    """How large the small system is.
+    """Size and settings of a cluster.
 
-    :ivar replicas: engines that hold each stage's layers.
+    :ivar replicas: number of engines for each stage.
     :ivar batch_seconds: time of one engine batch.
     """
 
@@ -80,7 +80,7 @@
 
 @attrs.define(eq=False)
 class Member:
-    """One process of the system within the small cluster."""
+    """One entry or sidecar of the cluster."""
 
     name: str
     process: processes.Process
@@ -90,7 +90,7 @@
 
 
 class Cluster:
-    """Use it as an asynchronous context manager."""
+    """A running system; an async context manager."""
 
     def __init__(self, options: ClusterOptions | None = None) -> None:
         self._options = options or ClusterOptions()
@@ -126,7 +126,7 @@
 
     @property
     def urls(self) -> list[str]:
-        """Base URLs of the entries that live."""
+        """Base URLs of the running entries."""
         return [
             f"http://{HOST}:{member.running.http_port}"
             for member in self.entries.values()
@@ -135,24 +135,24 @@
 
     @property
     def store_url(self) -> str:
-        """Base URL of the platform's stand-in."""
+        """Base URL of the platform stand-in."""
         return self._store_url
 
     def stage_names(self, stage: int) -> list[str]:
-        """Return the sidecars that hold a stage's layers."""
+        """Return the names of a stage's sidecars."""
         return [
             f"engine-{stage}-{replica}"
             for replica in range(self._options.replicas)
         ]
 
     def kill(self, name: str) -> None:
-        """End a process at once, as a crash would: links just close."""
+        """End a process without draining it, as a crash would."""
         member = self.sidecars.get(name) or self.entries[name]
         member.is_alive = False
         member.scope.cancel()
 
     def unlist(self, name: str) -> None:
-        """Take an instance off the platform's list."""
+        """Remove an instance from the platform's list."""
         self.store.remove_instance(name)
 
     async def _serve(self, app: typing.Any) -> int:
@@ -187,7 +187,7 @@
     async def _start_engine(
         self, name: str, offer: pipeline.Offer, zone: str, replica: int
     ) -> None:
-        # Each further replica is of a slower kind of accelerator.
+        # Each replica has a slower accelerator than the one before.
         speed = engines.EngineSpeed(
             batch_seconds=self._options.batch_seconds * (1 + replica)
         )
@@ -199,27 +199,31 @@
         )
 
     async def _start_sidecar(self, name: str, zone: str, line: str) -> None:
-        text = self._daemon("sidecar", name, zone) + f"[sidecar]\n{line}\n"
+        text = (
+            self._daemon_config("sidecar", name, zone) + f"[sidecar]\n{line}\n"
+        )
         member = await self._start(name, text)
         self.sidecars[name] = member
-        self._list(member, instances.Role.SIDECAR, zone)
+        self._add_to_instance_list(member, instances.Role.SIDECAR, zone)
 
     async def _start_entry(self, name: str, index: int) -> None:
         zone = ZONES[index % len(ZONES)]
-        text = self._daemon("entry", name, zone)
+        text = self._daemon_config("entry", name, zone)
         text += f"[entry]\nhttp_host = {HOST}\n"
         member = await self._start(name, text)
         self.entries[name] = member
-        self._list(member, instances.Role.ENTRY, zone)
+        self._add_to_instance_list(member, instances.Role.ENTRY, zone)
 
-    def _daemon(self, role: str, name: str, zone: str) -> str:
+    def _daemon_config(self, role: str, name: str, zone: str) -> str:
         return (
             f"[crowdeckd]\nrole = {role}\nname = {name}\n"
             f"availability_zone = {zone}\nhost = {HOST}\n"
             f"[platform]\nurl = {self._store_url}\n"
         )
 
-    def _list(self, member: Member, role: instances.Role, zone: str) -> None:
+    def _add_to_instance_list(
+        self, member: Member, role: instances.Role, zone: str
+    ) -> None:
         self.store.add_instance(
             instances.Instance(
                 name=member.name,
@@ -238,14 +242,17 @@
 
     async def _wait_ready(self) -> None:
         """Wait until each entry has a link to each sidecar."""
-        wanted = len(self.sidecars)
+        expected_count = len(self.sidecars)
         for member in self.entries.values():
             entry = member.running.part
-            while not self._is_ready(entry, wanted):
+            while not self._is_ready(entry, expected_count):
                 await anyio.sleep(0.02)
 
-    def _is_ready(self, entry: typing.Any, wanted: int) -> bool:
-        return len(entry.fleet.usable) == wanted and entry.settings.has_tree
+    def _is_ready(self, entry: typing.Any, expected_count: int) -> bool:
+        return (
+            len(entry.fleet.usable) == expected_count
+            and entry.settings.has_tree
+        )
 
 
 async def _run(
--- a/src/crowdeck/standin/engine.py
+++ b/src/crowdeck/standin/engine.py
@@ -22,13 +22,13 @@
 
 @attrs.frozen
 class EngineSpeed:
-    """How long the stand-in's device takes.
+    """Simulated speed of a device.
 
-    :ivar batch_seconds: for each batch, whatever is in it.
-    :ivar token_seconds: for each sequence that a batch takes one on.
-    :ivar prefill_token_seconds: for each token of a longer input, which
-        devices take many of at once.
-    :ivar batch_limit: sequences that fit into one batch.
+    :ivar batch_seconds: fixed time of a batch.
+    :ivar token_seconds: additional time for each sequence in a batch.
+    :ivar prefill_token_seconds: additional time for each token of an input
+        of more than one token.
+    :ivar batch_limit: most sequences in one batch.
     """
 
     batch_seconds: float = 0.001
@@ -42,24 +42,24 @@
 
     @property
     def tokens_per_second(self) -> float:
-        """Decode steps a second, in full batches: the device's bound."""
+        """Most decode steps per second, reached with full batches."""
         return self.batch_limit / self.step_seconds(self.batch_limit)
 
 
 @attrs.define
 class Sequence:
-    """One sequence's KV cache: the layers' numbers for each token."""
+    """The KV cache of one sequence: the layer states of each token."""
 
     states: list[models.LayerStates]
 
     @property
     def context(self) -> int:
-        """Tokens of context held."""
+        """Number of tokens in the cache."""
         return len(self.states)
 
 
 @attrs.define(eq=False)
-class _Queued:
+class _QueuedStep:
     """A step that waits for the device."""
 
     step: upstream.EngineStep
@@ -70,10 +70,10 @@
 class StandinEngine:
     """Implements :class:`crowdeck.upstream.Engine` in memory.
 
-    Tests make it fail by setting ``failure``; every step then raises it.
-    ``begun`` says when each sequence began, in monotonic seconds.
-    ``runs`` counts, per sequence and context, how often each was run: it
-    is the tests' own record, kept outside the code under test.
+    :ivar failure: if set, steps and KV transfers raise it.
+    :ivar runs: how often each sequence was run at each context length.
+    :ivar begun: monotonic time in seconds at which each sequence began.
+    :ivar slowness: factor on the time of every batch.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         self._sequences: collections.OrderedDict[str, Sequence] = (
             collections.OrderedDict()
         )
-        self._queue: collections.deque[_Queued] = collections.deque()
+        self._queue: collections.deque[_QueuedStep] = collections.deque()
         self._is_busy = False
         self.failure: errors.CrowdeckError | None = None
         self.runs: collections.Counter[tuple[str, int]] = collections.Counter()
@@ -111,20 +111,21 @@
     ) -> tuple[upstream.EngineOutput, ...]:
         """Run one batch."""
         self._raise_failure()
-        entered = [_Queued(step) for step in steps]
-        self._queue.extend(entered)
+        queued = [_QueuedStep(step) for step in steps]
+        self._queue.extend(queued)
         if not self._is_busy:
-            # Whoever finds the device idle drives it for all who come
-            # meanwhile, as continuous batching does; it must not stop
-            # in between because its own caller has left.
+            # The first caller runs batches for all that arrive meanwhile, as
+            # continuous batching does. Its cancellation must not stop the
+            # others' batches.
             with anyio.CancelScope(shield=True):
                 await self._drive_device()
-        for one in entered:
-            await one.done.wait()
+        for queued_step in queued:
+            await queued_step.done.wait()
         self._raise_failure()
         return tuple(
-            one.output or upstream.EngineOutput(one.step.sequence)
-            for one in entered
+            queued_step.output
+            or upstream.EngineOutput(queued_step.step.sequence)
+            for queued_step in queued
         )
 
     async def _drive_device(self) -> None:
@@ -135,11 +136,13 @@
                 self._queue.popleft()
                 for _ in range(min(limit, len(self._queue)))
             ]
-            seconds = self._seconds(tuple(one.step for one in batch))
+            seconds = self._batch_duration(
+                tuple(queued_step.step for queued_step in batch)
+            )
             await anyio.sleep(seconds * self.slowness)
-            for one in batch:
-                one.output = self._run(one.step)
-                one.done.set()
+            for queued_step in batch:
+                queued_step.output = self._run(queued_step.step)
+                queued_step.done.set()
         self._is_busy = False
 
     async def cancel(self, sequence: str) -> None:
@@ -151,24 +154,24 @@
         self._raise_failure()
         held = self._sequences.get(sequence)
         if held is None:
-            raise _failed(f"no sequence {sequence}")
+            raise _engine_error(f"no sequence {sequence}")
         return typing.cast(bytes, msgpack.packb(held.states))
 
     async def import_kv(self, sequence: str, kv: bytes) -> None:
-        """Take a sequence's KV cache."""
+        """Store a sequence's KV cache."""
         self._raise_failure()
         try:
-            states = [tuple(one) for one in msgpack.unpackb(kv)]
+            states = [tuple(state) for state in msgpack.unpackb(kv)]
         except (ValueError, TypeError) as error:
-            raise _failed("the KV cache could not be read") from error
-        self._keep(sequence, Sequence(states))
+            raise _engine_error("the KV cache could not be decoded") from error
+        self._store_sequence(sequence, Sequence(states))
 
     def _raise_failure(self) -> None:
         if self.failure is not None:
             raise self.failure
 
-    def _seconds(self, steps: tuple[upstream.EngineStep, ...]) -> float:
-        counts = [self._count(step) for step in steps]
+    def _batch_duration(self, steps: tuple[upstream.EngineStep, ...]) -> float:
+        counts = [self._token_count(step) for step in steps]
         prefilled = sum(count for count in counts if count > 1)
         return (
             self._speed.batch_seconds
@@ -176,7 +179,7 @@
             + prefilled * self._speed.prefill_token_seconds
         )
 
-    def _count(self, step: upstream.EngineStep) -> int:
+    def _token_count(self, step: upstream.EngineStep) -> int:
         words = len(step.prompt.split())
         return words + len(step.tokens) + step.count
 
@@ -189,14 +192,14 @@
             )
         self.begun.setdefault(step.sequence, time.monotonic())
         del sequence.states[step.context :]
-        self._keep(step.sequence, sequence)
+        self._store_sequence(step.sequence, sequence)
         outputs = [
             self._run_token(step.sequence, sequence, hidden)
             for hidden in self._inputs(step)
         ]
         if not outputs:
             return upstream.EngineOutput(
-                sequence=step.sequence, error="nothing to run"
+                sequence=step.sequence, error="the step has no input"
             )
         return self._output(step, outputs)
 
@@ -206,18 +209,18 @@
             return [self._model.embed(token) for token in tokens]
         size = models.HIDDEN_SIZE
         return [
-            int.from_bytes(step.hidden[at : at + size], "little")
-            for at in range(0, len(step.hidden), size)
+            int.from_bytes(step.hidden[offset : offset + size], "little")
+            for offset in range(0, len(step.hidden), size)
         ]
 
     def _run_token(self, name: str, sequence: Sequence, hidden: int) -> int:
         layers = self._offer.layers
         if sequence.states:
-            before = sequence.states[-1]
+            previous = sequence.states[-1]
         else:
-            before = (0,) * (layers.end - layers.first)
+            previous = (0,) * (layers.end - layers.first)
         states, output = self._model.run_layers(
-            layers.first, layers.end, before, hidden
+            layers.first, layers.end, previous, hidden
         )
         self.runs[name, sequence.context] += 1
         sequence.states.append(states)
@@ -242,14 +245,14 @@
             sequence=step.sequence, hidden=hidden, count=len(outputs)
         )
 
-    def _keep(self, name: str, sequence: Sequence) -> None:
+    def _store_sequence(self, name: str, sequence: Sequence) -> None:
         self._sequences[name] = sequence
         self._sequences.move_to_end(name)
         while len(self._sequences) > self._sequence_limit:
             self._sequences.popitem(last=False)
 
 
-def _failed(message: str) -> errors.CrowdeckError:
+def _engine_error(message: str) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.UPSTREAM_FAILED,
         message,
--- a/src/crowdeck/standin/engine_http.py
+++ b/src/crowdeck/standin/engine_http.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The engine stand-in's HTTP side, as ``docs/ENGINE.md`` describes it."""
+"""The stand-in engine over HTTP; the protocol is in ``docs/ENGINE.md``."""
 
 import typing
 
--- a/src/crowdeck/standin/model.py
+++ b/src/crowdeck/standin/model.py
@@ -3,13 +3,14 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A stand-in for a model: small, exact, and easy to check.
-
-Each layer keeps one number per token of context, made from all numbers
-before it, and passes one number on. A layer that is skipped, run twice,
-run out of order or run over another request's context changes every
-token after it, so comparing an answer with :func:`StandinModel.answer`
-proves that each layer ran exactly once, in order.
+"""A deterministic stand-in for a model.
+
+Each layer keeps one number per token of context, hashed from its input and
+the number for the token before, and passes one number on. Skipping,
+repeating or reordering a layer, or running it on another request's context,
+changes all following tokens. An answer that equals
+:meth:`StandinModel.answer` therefore shows that each layer ran exactly once
+and in order.
 """
 
 import attrs
@@ -23,7 +24,7 @@
     "lost lot map boundary title stands clear of any charge on this date"
 ).split()
 VOCABULARY_SIZE = 4096
-# One token in this many ends an answer by the model's own choice.
+# On average one token in this many ends the answer.
 STOP_ODDS = 997
 FINISH_STOP = "stop"
 
@@ -39,7 +40,7 @@
 
 @attrs.frozen
 class Choice:
-    """The token that a last layer's output stands for."""
+    """The token chosen from the last layer's output."""
 
     token: int
     text: str
@@ -48,9 +49,9 @@
 
 @attrs.frozen
 class StandinModel:
-    """A model of ``layer_count`` layers, named ``name``.
+    """A model of ``layer_count`` layers.
 
-    Two models, versions or adapters of other names give other answers.
+    Its answers depend on ``name``.
     """
 
     name: str
@@ -64,7 +65,7 @@
         )
 
     def embed(self, token: int) -> int:
-        """Return the number that enters the first layer."""
+        """Return the input of the first layer for a token."""
         return _mix(xxhash.xxh3_64_intdigest(self.name.encode()), token)
 
     def run_layers(
@@ -72,8 +73,8 @@
     ) -> tuple[LayerStates, int]:
         """Run layers ``first`` to ``end - 1`` for one token.
 
-        :param states: the layers' numbers of the token before.
-        :return: their numbers for this token, and the output.
+        :param states: the layers' states for the previous token.
+        :return: their states for this token, and the output.
         """
         updated = []
         for offset, layer in enumerate(range(first, end)):
@@ -83,14 +84,14 @@
         return tuple(updated), hidden
 
     def choose(self, hidden: int) -> Choice:
-        """Return the token for the last layer's output."""
+        """Choose the token for the last layer's output."""
         token = hidden % VOCABULARY_SIZE
         word = WORDS[token % len(WORDS)]
         is_last = hidden % STOP_ODDS == 0
         return Choice(token, word + " ", FINISH_STOP if is_last else "")
 
     def answer(self, prompt: str, max_tokens: int) -> list[Choice]:
-        """Return the right answer, computed in one place."""
+        """Return the correct answer, computed without any pipeline."""
         states: LayerStates = (0,) * self.layer_count
         hidden = 0
         for token in self.tokenize(prompt):
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The specifications: promises hold, and each protection is needed."""
+"""Checks that the specifications hold and need each protection."""
 
 import pytest
 
@@ -12,21 +12,31 @@
 
 
 class TestSpecifications:
-    """Every reachable state, whole and without each protection."""
+    """Model checks with all protections and without each of them."""
 
-    @pytest.mark.parametrize("one", check.ALL, ids=lambda one: one.name)
-    def test_promises_hold_and_protections_matter(
-        self, one: model.Specification
+    @pytest.mark.parametrize(
+        "specification",
+        check.ALL,
+        ids=lambda specification: specification.name,
+    )
+    def test_properties_hold_and_each_protection_is_needed(
+        self, specification: model.Specification
     ) -> None:
-        reports = list(check.check_one(one))
-        assert len(reports) == 1 + len(one.protections)
+        reports = list(check.check_one(specification))
+        assert len(reports) == 1 + len(specification.protections)
         for report in reports:
             assert report.is_as_expected, report.line
 
     def test_a_removed_protection_is_reported_as_broken(self) -> None:
-        """The check itself can fail: a report must not pass blindly."""
-        one = check.ALL[1]
-        broken = check.Report(one.name, "", model.check(one, frozenset()))
+        """Guards against a report that passes whatever was found."""
+        specification = check.ALL[1]
+        broken = check.Report(
+            specification.name, "", model.check(specification, frozenset())
+        )
         assert not broken.is_as_expected
-        whole = model.check(one, frozenset(one.protections))
-        assert not check.Report(one.name, "anything", whole).is_as_expected
+        complete = model.check(
+            specification, frozenset(specification.protections)
+        )
+        assert not check.Report(
+            specification.name, "anything", complete
+        ).is_as_expected
