--- a/src/crowdeck/standin/network.py
+++ b/src/crowdeck/standin/network.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Links in memory, with scripted faults, for tests in virtual time.
+"""In-memory links with injected faults, for tests in virtual time.
 
-A program that embeds crowdeck's parts can use it to cause the failures
-of a real network on purpose: cut links, frozen processes, lost replies.
+Programs that embed crowdeck can use it to test their handling of network
+failures: broken links, suspended processes and lost replies.
 """
 
 from collections import abc
@@ -22,16 +22,16 @@
 from crowdeck.wire import messages
 from crowdeck.wire import questions
 
-DEFAULT_DELAY = 0.0005
+DEFAULT_DELAY_SECONDS = 0.0005
 
 
 class Fault(typing.Protocol):
-    """Decides what happens to one message on its way."""
+    """Decides how one message is delivered."""
 
     def __call__(
         self, source: str, target: str, message: typing.Any
     ) -> abc.Iterable[float]:
-        """Return the extra delay of each copy to deliver, none to lose."""
+        """Return the extra delay of each copy; none loses the message."""
         ...
 
 
@@ -43,16 +43,16 @@
 
 
 class MemoryNetwork:
-    """All links between the processes of one test."""
+    """The links between the processes of one test."""
 
     def __init__(
-        self, tasks: anyio.abc.TaskGroup, delay: float = DEFAULT_DELAY
+        self, tasks: anyio.abc.TaskGroup, delay: float = DEFAULT_DELAY_SECONDS
     ) -> None:
         self._tasks = tasks
         self._delay = delay
         self._nodes: dict[instances.Address, MemoryTransport] = {}
         self._frozen: dict[str, anyio.Event] = {}
-        self._cut: set[frozenset[str]] = set()
+        self._cut_links: set[frozenset[str]] = set()
         self.fault: Fault = no_fault
 
     @property
@@ -71,35 +71,37 @@
         greeting: messages.Greeting,
         handler: link.Handler,
     ) -> "MemoryTransport":
-        """Bring a process onto the network."""
+        """Add a process to the network."""
         node = MemoryTransport(self, greeting, handler, self._tasks)
         self._nodes[address] = node
         return node
 
     def kill(self, name: str) -> None:
-        """End a process: its links close and its address goes silent."""
+        """End a process: close its links and remove its address."""
         for address, node in list(self._nodes.items()):
             if node.greeting.instance == name:
                 del self._nodes[address]
                 node.close_all()
 
-    def cut(self, one: str, other: str) -> None:
-        """Close and bar the links between two processes."""
-        self._cut.add(frozenset((one, other)))
+    def cut(self, first: str, second: str) -> None:
+        """Close the links between two processes and prevent new ones."""
+        self._cut_links.add(frozenset((first, second)))
         for node in self._nodes.values():
-            if node.greeting.instance in (one, other):
-                node.close_to(other if node.greeting.instance == one else one)
+            if node.greeting.instance in (first, second):
+                node.close_to(
+                    second if node.greeting.instance == first else first
+                )
 
-    def reconnect(self, one: str, other: str) -> None:
+    def reconnect(self, first: str, second: str) -> None:
         """Allow links between two processes again."""
-        self._cut.discard(frozenset((one, other)))
+        self._cut_links.discard(frozenset((first, second)))
 
     def freeze(self, name: str) -> None:
-        """Stop a process from receiving, its links still open."""
+        """Suspend delivery to and from a process; its links stay open."""
         self._frozen.setdefault(name, anyio.Event())
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on; what was sent to it arrives."""
+        """Resume a frozen process and deliver its pending messages."""
         event = self._frozen.pop(name, None)
         if event is not None:
             event.set()
@@ -107,16 +109,16 @@
     def find(
         self, source: str, address: instances.Address
     ) -> "MemoryTransport | None":
-        """Return who listens at ``address`` for ``source``."""
+        """Return the process at ``address`` if ``source`` can reach it."""
         node = self._nodes.get(address)
         if node is None:
             return None
-        if frozenset((source, node.greeting.instance)) in self._cut:
+        if frozenset((source, node.greeting.instance)) in self._cut_links:
             return None
         return node
 
     async def travel(self, source: str, target: str, delay: float) -> None:
-        """Wait as long as a message from source to target takes."""
+        """Wait until a message from source to target is delivered."""
         await anyio.sleep(delay)
         for name in (source, target):
             while name in self._frozen:
@@ -124,7 +126,7 @@
 
 
 class MemoryPeer:
-    """The far end of a link in memory."""
+    """The far end of an in-memory link."""
 
     def __init__(
         self,
@@ -143,7 +145,7 @@
 
     @property
     def greeting(self) -> messages.Greeting:
-        """What the far end said of itself."""
+        """The greeting of the far end."""
         return self._far.greeting
 
     @property
@@ -152,16 +154,16 @@
         return not self._closed.is_set()
 
     def send(self, record: messages.Record) -> None:
-        """Send a record, once for each copy that the fault lets through."""
+        """Send each copy of a record that the fault returns."""
         if not self.is_open:
             return
-        for extra in self._network.fault(*self._names, record):
-            self._sender.send_nowait((record, extra))
+        for extra_delay in self._network.fault(*self._names, record):
+            self._sender.send_nowait((record, extra_delay))
 
     async def ask(
         self, question: questions.Question, timeout: float
     ) -> questions.Reply:
-        """Ask a question; each way of the exchange can be lost."""
+        """Ask a question; the question or its reply can be lost."""
         source, target = self._names
         lost = errors.LinkLost(
             f"no reply from {target}", was_sent=self.is_open, culprit=target
@@ -192,11 +194,11 @@
             self.twin.close()
 
     async def pump(self) -> None:
-        """Carry this end's records to the far end's handler, in order."""
+        """Deliver this end's records to the far end's handler, in order."""
         source, target = self._names
         with contextlib.closing(self._receiver):
-            async for record, extra in self._receiver:
-                delay = self._network.delay + extra
+            async for record, extra_delay in self._receiver:
+                delay = self._network.delay + extra_delay
                 await self._network.travel(source, target, delay)
                 if self.twin is not None and self.twin.is_open:
                     self._far.handler.on_record(self.twin, record)
@@ -216,44 +218,44 @@
         tasks: anyio.abc.TaskGroup,
     ) -> None:
         source, target = self._names
-        arrived = False
-        for extra in self._network.fault(source, target, question):
-            delay = self._network.delay + extra
+        was_delivered = False
+        for extra_delay in self._network.fault(source, target, question):
+            delay = self._network.delay + extra_delay
             await self._network.travel(source, target, delay)
-            # The far end works on even if the asker is gone by then.
+            # The far end handles the question even if the asker gives up.
             done = anyio.Event()
-            box: list[questions.Reply] = []
-            self._far.tasks.start_soon(self._serve, question, box, done)
-            arrived = True
-        if not arrived:
+            result: list[questions.Reply] = []
+            self._far.tasks.start_soon(self._serve, question, result, done)
+            was_delivered = True
+        if not was_delivered:
             await anyio.sleep_forever()
         await done.wait()
-        for extra in self._network.fault(target, source, box[0]):
-            delay = self._network.delay + extra
+        for extra_delay in self._network.fault(target, source, result[0]):
+            delay = self._network.delay + extra_delay
             await self._network.travel(target, source, delay)
-            replies.append(box[0])
+            replies.append(result[0])
             tasks.cancel_scope.cancel()
 
     async def _serve(
         self,
         question: questions.Question,
-        box: list[questions.Reply],
+        result: list[questions.Reply],
         done: anyio.Event,
     ) -> None:
         if self.twin is None or not self.twin.is_open:
-            # It was under way when the link, or the process, ended.
+            # The link or the process ended while the question was in transit.
             return
         try:
-            box.append(
+            result.append(
                 await self._far.handler.on_question(self.twin, question)
             )
         except errors.CrowdeckError as error:
-            box.append(questions.Refused.of(error))
+            result.append(questions.Refused.of(error))
         done.set()
 
 
 class MemoryTransport:
-    """One process's place on a memory network."""
+    """One process on a memory network."""
 
     def __init__(
         self,
@@ -269,28 +271,31 @@
         self.tasks = tasks
 
     async def dial(self, address: instances.Address) -> MemoryPeer:
-        """Open a link to whoever is at ``address``."""
+        """Open a link to the process at ``address``.
+
+        :raises LinkLost: if no process can be reached there.
+        """
         await anyio.sleep(self._network.delay)
         far = self._network.find(self.greeting.instance, address)
         if far is None:
             raise errors.LinkLost(
-                f"nobody at {address}", was_sent=False, culprit=""
+                f"no process at {address}", was_sent=False, culprit=""
             )
         near_peer = MemoryPeer(self._network, self, far)
         far_peer = MemoryPeer(self._network, far, self)
         near_peer.twin, far_peer.twin = far_peer, near_peer
-        far.adopt(far_peer)
-        self.adopt(near_peer)
+        far.add_peer(far_peer)
+        self.add_peer(near_peer)
         return near_peer
 
-    def adopt(self, peer: MemoryPeer) -> None:
-        """Take a new link and start carrying its records."""
+    def add_peer(self, peer: MemoryPeer) -> None:
+        """Register a new link and start delivering its records."""
         self._peers.append(peer)
         self.handler.on_opened(peer)
         self.tasks.start_soon(peer.pump)
 
     def forget(self, peer: MemoryPeer) -> None:
-        """Drop a closed link and tell the handler."""
+        """Remove a closed link and notify the handler."""
         if peer in self._peers:
             self._peers.remove(peer)
             self.handler.on_closed(peer)
@@ -301,7 +306,7 @@
             peer.close()
 
     def close_to(self, name: str) -> None:
-        """Close the links to one other process."""
+        """Close the links to another process."""
         for peer in list(self._peers):
             if peer.greeting.instance == name:
                 peer.close()
--- a/src/crowdeck/standin/repeats.py
+++ b/src/crowdeck/standin/repeats.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Counts, at a service, how often requests arrive there again."""
+"""Counts repeated arrivals of requests at a service."""
 
 import bisect
 import collections
@@ -13,10 +13,10 @@
 
 @attrs.frozen
 class Allowance:
-    """How many repeats a service takes in any window.
+    """The repeats that a service allows in any window.
 
-    :ivar ratio: repeats for each request.
-    :ivar slack: repeats on top.
+    :ivar ratio: allowed repeats per request.
+    :ivar slack: additional allowed repeats.
     :ivar window: length of the sliding window in seconds.
     """
 
@@ -27,9 +27,9 @@
 
 @attrs.frozen
 class Peak:
-    """The window in which most repeats came for what it allows.
+    """The repeats in one window and how many it allows.
 
-    :ivar since: when the window begins, in the time of the arrivals.
+    :ivar since: start of the window, on the clock of the arrivals.
     """
 
     since: float
@@ -38,17 +38,17 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether more came than are allowed."""
+        """Whether there are more repeats than allowed."""
         return self.repeats > self.allowed
 
 
 @attrs.define
 class RepeatAccount:
-    """What one service got, whichever entry sent it.
+    """The requests and arrivals of one service, from all entries.
 
-    Every arrival of a request beyond its first is a repeat, also one that
-    is turned away. Requests count where callers sent them, whether or not
-    they arrived.
+    Every arrival of a request after its first is a repeat, even if it is
+    rejected. Requests are counted when callers send them, whether or not
+    they arrive.
     """
 
     _requests: list[float] = attrs.field(factory=list)
@@ -58,48 +58,50 @@
 
     @property
     def arrivals(self) -> dict[str, list[float]]:
-        """When each request arrived."""
+        """Times of arrival by request."""
         return dict(self._arrivals)
 
     def note_request(self, at: float) -> None:
-        """Count a request of a caller, in the order of time."""
+        """Count a caller's request; call it in order of time."""
         self._requests.append(at)
 
     def note_arrival(self, request: str, at: float) -> None:
-        """Count an arrival, in the order of time."""
+        """Count an arrival; call it in order of time."""
         self._arrivals[request].append(at)
 
     def repeats(self) -> list[float]:
-        """Return when requests arrived again."""
+        """Return the times of all repeats, sorted."""
         return sorted(
             at for times in self._arrivals.values() for at in times[1:]
         )
 
     def peak(self, allowance: Allowance) -> Peak:
-        """Return the window with most repeats over what it allows."""
+        """Return the window that exceeds its allowance by most."""
         return max(
             self.peaks(allowance), key=lambda one: one.repeats - one.allowed
         )
 
     def peaks(self, allowance: Allowance) -> list[Peak]:
-        """Return all windows that begin or end with a repeat, and one more."""
+        """Return all windows that start or end at a repeat, or start at 0."""
         repeats = self.repeats()
         window = allowance.window
         starts = {*repeats, *(at - window for at in repeats), 0.0}
-        return [self._peak(one, repeats, allowance) for one in starts]
+        return [
+            self._measure_window(start, repeats, allowance) for start in starts
+        ]
 
-    def _peak(
+    def _measure_window(
         self, since: float, repeats: list[float], allowance: Allowance
     ) -> Peak:
         window = allowance.window
         requests = max(
-            _count(self._requests, since - back, window)
-            for back in (0.0, window / 2, window)
+            _count_in_window(self._requests, since - offset, window)
+            for offset in (0.0, window / 2, window)
         )
         allowed = allowance.ratio * requests + allowance.slack
-        return Peak(since, _count(repeats, since, window), allowed)
+        return Peak(since, _count_in_window(repeats, since, window), allowed)
 
 
-def _count(times: list[float], since: float, seconds: float) -> int:
+def _count_in_window(times: list[float], since: float, seconds: float) -> int:
     first = bisect.bisect_left(times, since)
     return bisect.bisect_right(times, since + seconds) - first
--- a/src/crowdeck/standin/serve.py
+++ b/src/crowdeck/standin/serve.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Runs stand-ins as a process of their own, for load tests.
+"""Runs stand-ins in a separate process, for load tests.
 
-``python -m crowdeck.standin.serve SPEC`` takes a JSON object that says
-what to serve and prints one JSON line with the ports once all listen.
+``python -m crowdeck.standin.serve SPEC`` takes a JSON object with the
+stand-ins to serve. It prints one JSON line with their ports once all listen.
 """
 
 import json
@@ -31,7 +31,7 @@
 
 
 def build_engine(spec: Spec) -> engines.StandinEngine:
-    """Return the engine that a spec describes."""
+    """Build the engine that a spec describes."""
     offer = pipeline.Offer(
         model=spec["model"],
         version=spec["version"],
--- a/src/crowdeck/standin/service.py
+++ b/src/crowdeck/standin/service.py
@@ -17,10 +17,9 @@
 
 
 class StandinService:
-    """Counts how often each thing was really done.
+    """Serves receipts and lots, and counts their side effects.
 
-    ``runs`` is the tests' own record of side effects, kept outside the
-    code under test.
+    :ivar runs: how often each receipt and lot was served.
     """
 
     def __init__(self, delay: float = 0.0) -> None:
--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -15,14 +15,14 @@
 from crowdeck.state import objects as stores
 from crowdeck import verdict as verdicts
 
-# How long a client waits beyond the time that a watch may take.
+# A client's timeout beyond the wait of a watch.
 REPLY_TIMEOUT_SECONDS = 0.5
-DEFAULT_DELAY = 0.002
+DEFAULT_DELAY_SECONDS = 0.002
 
 
 @attrs.frozen
 class Backup:
-    """What a store held at one moment."""
+    """The contents of a store at one time."""
 
     objects: dict[tuple[str, str], stores.StoredObject]
     removals: tuple[tuple[int, str, str], ...]
@@ -33,18 +33,21 @@
 class StandinStore:
     """Implements ``ObjectStore`` and ``InstanceList`` in memory.
 
-    Tests set ``is_down``, ``lost_replies`` (how many of the next writes
-    take effect while their reply is lost) and ``delay``. ``calls`` counts
-    what the platform would charge for. After :meth:`stop_answering`
-    nothing that waits, or comes before :meth:`resume_answering`, is
-    answered: such calls fail with the client's timeout.
+    After :meth:`stop_answering`, pending calls and those made before
+    :meth:`resume_answering` fail with the client's timeout.
+
+    :ivar delay: time of each call in seconds.
+    :ivar is_down: calls fail with ``STORE_DOWN``.
+    :ivar lost_replies: number of next writes that take effect but whose reply
+        is lost.
+    :ivar calls: number of calls by method, as the platform charges them.
     """
 
-    def __init__(self, delay: float = DEFAULT_DELAY) -> None:
+    def __init__(self, delay: float = DEFAULT_DELAY_SECONDS) -> None:
         self._objects: dict[tuple[str, str], stores.StoredObject] = {}
         self._instances: dict[str, instances.Instance] = {}
         self._removals: list[tuple[int, str, str]] = []
-        self._forgotten = 0
+        self._forgotten_version = 0
         self._version = 0
         self._epoch = 0
         self._list_version = 0
@@ -58,21 +61,21 @@
 
     @property
     def epoch(self) -> int:
-        """How often the store came back from a copy."""
+        """How often the store was restored from a backup."""
         return self._epoch
 
     async def get(
         self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         """Return an object."""
-        await self._travel("get")
+        await self._simulate_call("get")
         return self._objects.get((kind, name))
 
     async def put(
         self, kind: str, name: str, value: bytes, expected: int
     ) -> int:
-        """Write an object if its version is the expected one."""
-        await self._travel("put")
+        """Write an object if it has the expected version."""
+        await self._simulate_call("put")
         held = self._objects.get((kind, name))
         version = held.version if held is not None else stores.CREATE
         if version != expected:
@@ -93,10 +96,10 @@
     async def watch(
         self, kind: str, after: stores.Position, wait: float
     ) -> stores.Changes:
-        """Return what was written after a position."""
+        """Return the changes after a position; wait for them if none."""
         silences = self._silences
         began = anyio.current_time()
-        await self._travel("watch", wait)
+        await self._simulate_call("watch", wait)
         self._raise_if_forgotten(after)
         with anyio.move_on_after(wait):
             while not self._has_changed(kind, after.version):
@@ -104,7 +107,7 @@
                 self._raise_if_down()
         if silences != self._silences:
             await anyio.sleep_until(began + wait + REPLY_TIMEOUT_SECONDS)
-            raise _no_answer()
+            raise _store_down()
         self._raise_if_down()
         self._raise_if_forgotten(after)
         return stores.Changes(
@@ -116,93 +119,93 @@
 
     async def list(self, kind: str) -> stores.Changes:
         """Return every object of a kind."""
-        await self._travel("list")
+        await self._simulate_call("list")
         return stores.Changes(
             self._version, self._written(kind, 0), epoch=self._epoch
         )
 
     async def list_instances(self, known: str = "") -> stores.Listing | None:
-        """Return the listed instances, unless nothing changed."""
-        await self._travel("list")
+        """Return the instances, or ``None`` if ``known`` is current."""
+        await self._simulate_call("list")
         etag = str(self._list_version)
         if known == etag:
             return None
         return stores.Listing(etag, tuple(self._instances.values()))
 
     def add_instance(self, listed: instances.Instance) -> None:
-        """List an instance, or change how it is listed."""
+        """Add an instance to the list, or replace it."""
         self._instances[listed.name] = listed
         self._list_version += 1
 
     def listed(self, name: str) -> instances.Instance | None:
-        """Return how an instance is listed now."""
+        """Return a listed instance, or ``None``."""
         return self._instances.get(name)
 
     def remove_instance(self, name: str) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         self._instances.pop(name, None)
         self._list_version += 1
 
     def write(self, kind: str, name: str, value: bytes) -> int:
-        """Write an object as the operator or an upstream does."""
+        """Write an object without a version check."""
         self._version += 1
         self._objects[kind, name] = stores.StoredObject(
             kind, name, self._version, value
         )
-        self._tell()
+        self._notify_watchers()
         return self._version
 
     def write_if_new(self, kind: str, name: str, value: bytes) -> None:
-        """Write an object unless it holds that value already."""
+        """Write an object if its value differs."""
         held = self._objects.get((kind, name))
         if held is None or held.value != value:
             self.write(kind, name, value)
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove an object, if it is there."""
+        """Remove an object if it exists."""
         if self._objects.pop((kind, name), None) is None:
             return
         self._version += 1
         self._removals.append((self._version, kind, name))
-        self._tell()
+        self._notify_watchers()
 
     def forget_history(self) -> None:
-        """Drop what watches go on from; listings stay possible."""
-        self._forgotten = self._version
+        """Drop the history of changes; watches must list again."""
+        self._forgotten_version = self._version
         self._removals.clear()
-        self._tell()
+        self._notify_watchers()
 
     def back_up(self) -> Backup:
-        """Return a copy of all objects, to :meth:`restore` later."""
+        """Return a copy of the contents for :meth:`restore`."""
         return Backup(
             dict(self._objects),
             tuple(self._removals),
-            self._forgotten,
+            self._forgotten_version,
             self._version,
         )
 
     def restore(self, backup: Backup) -> None:
-        """Go back to a copy: what was written since then is lost.
+        """Restore a backup; later writes are lost.
 
-        Versions go back as well and are given out again.
+        Versions are restored as well and are issued again.
         """
         self._objects = dict(backup.objects)
         self._removals = list(backup.removals)
-        self._forgotten = backup.forgotten
+        self._forgotten_version = backup.forgotten
         self._version = backup.version
         self._epoch += 1
-        self._tell()
+        self._notify_watchers()
 
     def stop_answering(self) -> None:
-        """Answer nothing any more, watches under way included."""
+        """Stop answering calls, including pending watches."""
         self._is_silent = True
         self._silences += 1
 
     def resume_answering(self) -> None:
-        """Answer what comes from now on."""
+        """Answer new calls again."""
         self._is_silent = False
 
-    def _tell(self) -> None:
+    def _notify_watchers(self) -> None:
         self._changed.set()
         self._changed = anyio.Event()
 
@@ -212,8 +215,8 @@
     def _removed(self, kind: str, after: int) -> tuple[str, ...]:
         return tuple(
             name
-            for version, its_kind, name in self._removals
-            if its_kind == kind
+            for version, removed_kind, name in self._removals
+            if removed_kind == kind
             and version > after
             and (kind, name) not in self._objects
         )
@@ -222,21 +225,21 @@
         self, kind: str, after: int
     ) -> tuple[stores.StoredObject, ...]:
         return tuple(
-            one
-            for one in self._objects.values()
-            if one.kind == kind and one.version > after
+            stored
+            for stored in self._objects.values()
+            if stored.kind == kind and stored.version > after
         )
 
-    async def _travel(self, call: str, wait: float = 0.0) -> None:
+    async def _simulate_call(self, call: str, wait: float = 0.0) -> None:
         self.calls[call] += 1
         if self._is_silent:
             await anyio.sleep(wait + REPLY_TIMEOUT_SECONDS)
-            raise _no_answer()
+            raise _store_down()
         await anyio.sleep(self.delay)
         self._raise_if_down()
 
     def _raise_if_forgotten(self, after: stores.Position) -> None:
-        is_kept = self._forgotten <= after.version <= self._version
+        is_kept = self._forgotten_version <= after.version <= self._version
         if after.epoch != self._epoch or not is_kept:
             raise errors.CrowdeckError(
                 errors.Code.STORE_HISTORY, "the history is gone"
@@ -244,10 +247,10 @@
 
     def _raise_if_down(self) -> None:
         if self.is_down:
-            raise _no_answer()
+            raise _store_down()
 
 
-def _no_answer() -> errors.CrowdeckError:
+def _store_down() -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.STORE_DOWN, "the store does not answer", retry_after=1.0
     )
--- a/src/crowdeck/standin/store_http.py
+++ b/src/crowdeck/standin/store_http.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The store stand-in's HTTP side, as ``docs/STORE.md`` describes it."""
+"""The stand-in store over HTTP; the protocol is in ``docs/STORE.md``."""
 
 import typing
 
@@ -22,7 +22,7 @@
 from crowdeck.standin import store as standin_store
 from crowdeck.state import objects as stores
 
-STATUS = {
+STATUS_BY_CODE = {
     errors.Code.STORE_CONFLICT: 409,
     errors.Code.STORE_DOWN: 503,
     errors.Code.STORE_HISTORY: 410,
@@ -35,8 +35,8 @@
 class StoreApp:
     """Serves one stand-in store over HTTP.
 
-    ``/instances`` is no part of the protocol: benches tell the stand-in
-    there which instances it is to list.
+    ``/instances`` is not part of the protocol: benchmarks use it to change
+    the instance list.
     """
 
     def __init__(self, store: standin_store.StandinStore) -> None:
@@ -57,16 +57,18 @@
                 routing.Route(listed_path, self._remove, methods=["DELETE"]),
             ],
             exception_handlers={errors.CrowdeckError: _refuse},
-            middleware=[middleware.Middleware(_TellEpoch, self._store)],
+            middleware=[
+                middleware.Middleware(_EpochHeaderMiddleware, self._store)
+            ],
         )
 
     async def _get(self, request: requests.Request) -> responses.Response:
-        found = await self._store.get(
+        stored = await self._store.get(
             request.path_params["kind"], request.path_params["name"]
         )
-        if found is None:
+        if stored is None:
             return responses.Response(status_code=404)
-        return _json(_object(found))
+        return _json(_object(stored))
 
     async def _put(self, request: requests.Request) -> responses.Response:
         body = orjson.loads(await request.body())
@@ -96,8 +98,8 @@
         query = request.query_params
         if names.WATCH in query:
             wait = int(query.get(names.WAIT_MS, "0")) / 1000.0
-            # As the platform's, it takes any version that it has for one
-            # of its present epoch.
+            # A watch names no epoch. Like the platform, the stand-in takes
+            # its version as one of the current epoch.
             after = stores.Position(int(query[names.WATCH]), self._store.epoch)
             changes = await self._store.watch(kind, after, wait)
             return _json(_events(changes))
@@ -116,11 +118,11 @@
             tuple(
                 stores.StoredObject(
                     names.INSTANCE_KIND,
-                    one.name,
+                    instance.name,
                     etag,
-                    orjson.dumps(attrs.asdict(one)),
+                    orjson.dumps(attrs.asdict(instance)),
                 )
-                for one in listing.instances
+                for instance in listing.instances
             ),
         )
 
@@ -142,8 +144,8 @@
         return responses.Response(status_code=204)
 
 
-class _TellEpoch:
-    """Names the store's epoch in each answer, refusals included."""
+class _EpochHeaderMiddleware:
+    """Adds the store's epoch to each response, including errors."""
 
     def __init__(
         self, app: types.ASGIApp, store: standin_store.StandinStore
@@ -154,13 +156,13 @@
     async def __call__(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
-        async def tell(message: types.Message) -> None:
+        async def send_with_epoch(message: types.Message) -> None:
             if message["type"] == "http.response.start":
-                told = str(self._store.epoch).encode()
-                message["headers"].append((names.EPOCH, told))
+                value = str(self._store.epoch).encode()
+                message["headers"].append((names.EPOCH, value))
             await send(message)
 
-        await self._app(scope, receive, tell)
+        await self._app(scope, receive, send_with_epoch)
 
 
 def _object(stored: stores.StoredObject) -> Json:
@@ -175,7 +177,7 @@
 
 def _listing(changes: stores.Changes) -> Json:
     return {
-        names.ITEMS: [_object(one) for one in changes.objects],
+        names.ITEMS: [_object(stored) for stored in changes.objects],
         names.MORE: False,
         names.AT_REVISION: changes.version,
     }
@@ -183,12 +185,12 @@
 
 def _events(changes: stores.Changes) -> Json:
     events = [
-        {names.REMOVED: False, names.OBJECT: _object(one)}
-        for one in changes.objects
+        {names.REMOVED: False, names.OBJECT: _object(stored)}
+        for stored in changes.objects
     ]
     for name in changes.removed:
-        gone = stores.StoredObject("", name, changes.version, b"null")
-        events.append({names.REMOVED: True, names.OBJECT: _object(gone)})
+        tombstone = stores.StoredObject("", name, changes.version, b"null")
+        events.append({names.REMOVED: True, names.OBJECT: _object(tombstone)})
     return {names.EVENTS: events, names.AT_REVISION: changes.version}
 
 
@@ -203,5 +205,5 @@
 ) -> responses.Response:
     assert isinstance(error, errors.CrowdeckError)
     return responses.PlainTextResponse(
-        error.message, STATUS.get(error.code, 500)
+        error.message, STATUS_BY_CODE.get(error.code, 500)
     )
