--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -229,7 +229,7 @@
         """Add engines that hold ``copies`` of the model in each zone."""
         for zone in ZONES:
             for copy in range(copies):
-                ranges = chain_fleet.cut(PROFILE.layer_count, parts)
+                ranges = chain_fleet.split_layers(PROFILE.layer_count, parts)
                 for part, layers in enumerate(ranges):
                     self.add(
                         upstream(
