--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -79,9 +79,9 @@
     def note(target: typing.Any, move: typing.Any) -> None:
         nonlocal loaded
         carry_out(target, move)
-        kept = target.kept
+        kept_layers = target.kept_layers
         loaded += move.layers.end - move.layers.first
-        loaded -= kept.end - kept.first if kept else 0
+        loaded -= kept_layers.end - kept_layers.first if kept_layers else 0
 
     system.fleet.carry_out = note  # type: ignore[method-assign]
 
@@ -112,7 +112,7 @@
                         system.list_instance(target.listed)
                     held = target.listed.layers
                     if target.is_loading:
-                        held = target.kept
+                        held = target.kept_layers
                     live.append(attrs.evolve(target.listed, layers=held))
             if 0 in chain.coverage(live, PROFILE.layer_count):
                 unserved += STEP_SECONDS
