--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -203,7 +203,7 @@
 
     def _plan(self) -> messages.Opening:
         # Only a new answer may be refused because paths are slow.
-        limit = self._request.gap_limit if self._epoch < 0 else 0.0
+        limit = self._request.gap_limit_seconds if self._epoch < 0 else 0.0
         path = self._parts.planner.choose(
             self._request.model,
             frozenset(self._avoided),
--- a/src/crowdeck/entry/keys.py
+++ b/src/crowdeck/entry/keys.py
@@ -59,7 +59,7 @@
         path = self._planner.choose(
             model_request.model,
             adapter=model_request.adapter,
-            gap_limit=model_request.gap_limit,
+            gap_limit_seconds=model_request.gap_limit_seconds,
         )
         stages = (path.head, path.tail)
         own = claims_module.Claim(
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -107,7 +107,7 @@
             gap = tree.number(place, "token_gap_seconds")
             factor = self._admission.share_factor(team)
             self._model_request = attrs.evolve(
-                self._model_request, gap_limit=gap * factor
+                self._model_request, gap_limit_seconds=gap * factor
             )
             if self._resume is not None:
                 # The first connection has taken the session's turn.
--- a/src/crowdeck/entry/model_request.py
+++ b/src/crowdeck/entry/model_request.py
@@ -27,7 +27,7 @@
     seconds_left: float
     priority: int
     window: int
-    gap_limit: float = 0.0
+    gap_limit_seconds: float = 0.0
 
 
 @attrs.frozen
--- a/src/crowdeck/routing/planner.py
+++ b/src/crowdeck/routing/planner.py
@@ -87,7 +87,7 @@
         model: str,
         avoid: frozenset[str] = frozenset(),
         adapter: str = "",
-        gap_limit: float = 0.0,
+        gap_limit_seconds: float = 0.0,
     ) -> pipeline.Path:
         """Return a path for a new attempt.
 
@@ -111,7 +111,7 @@
                 retry_after=1.0,
             )
         best = min(complete_paths, key=lambda one: one.seconds)
-        self._check_gap(best, gap_limit)
+        self._check_gap(best, gap_limit_seconds)
         first = best.stages[0].offer
         return pipeline.Path(
             model=first.model,
@@ -137,21 +137,21 @@
         found = [self._fleet.find(stage.instance) for stage in path.stages]
         return [view for view in found if view is not None]
 
-    def _check_gap(self, best: _Partial, gap_limit: float) -> None:
-        if not gap_limit:
+    def _check_gap(self, best: _Partial, gap_limit_seconds: float) -> None:
+        if not gap_limit_seconds:
             return
         gap = GAP_P95_FACTOR * max(
             policies.congestion_seconds(one.view, one.offer)
             for one in best.stages
         )
-        if gap > gap_limit:
+        if gap > gap_limit_seconds:
             counters.COUNTERS.add("planner.overloaded")
             # Capacity becomes free as streams end. The jitter spreads the
             # retries of requests that were refused together.
             raise errors.CrowdeckError(
                 errors.Code.OVERLOADED,
                 f"the predicted time between tokens is {gap:.2f} s, over "
-                f"the limit of {gap_limit:g} s",
+                f"the limit of {gap_limit_seconds:g} s",
                 retry_after=self._random.uniform(1.0, 3.0),
             )
 
