--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -111,7 +111,9 @@
             )
             if self._resume is not None:
                 # The first connection has taken the session's turn.
-                return await self._drive(sink).run(self._resume.as_resume())
+                return await self._drive(sink).run(
+                    self._resume.to_resume_point()
+                )
             return await self._run_in_turn(sink)
 
     async def _run_in_turn(self, sink: "_Collector | _Streamer") -> str:
--- a/src/crowdeck/entry/openai.py
+++ b/src/crowdeck/entry/openai.py
@@ -136,7 +136,7 @@
             raise _bad_request("'Last-Event-ID' is not one that was given out")
         return cls(parts[0], parts[1], parts[2], int(parts[3]))
 
-    def as_resume(self) -> model_requests.ResumePoint:
+    def to_resume_point(self) -> model_requests.ResumePoint:
         """Return the point to resume at, which is after this event."""
         return model_requests.ResumePoint(
             position=self.position + 1, head=self.head, tail=self.tail
