--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -54,7 +54,7 @@
         sink = _Collector(texts)
         finish = await self._run(sink)
         self._context.span.end("answered")
-        whole = openai.whole_answer(
+        whole = openai.completion_response(
             self._model_request.request,
             self._body,
             "".join(texts),
--- a/src/crowdeck/entry/openai.py
+++ b/src/crowdeck/entry/openai.py
@@ -208,7 +208,7 @@
         return {**self._common_fields, "choices": [choice]}
 
 
-def whole_answer(
+def completion_response(
     request: str, body: CompletionBody, text: str, count: int, finish: str
 ) -> dict[str, typing.Any]:
     """Return the answer to a request that is not streamed."""
