--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -79,7 +79,7 @@
         """Return the imported KV cache that waits for a request."""
         return self._imports.get(request)
 
-    def hold_import(self, question: questions.ImportKv, sequence: str) -> None:
+    def add_import(self, question: questions.ImportKv, sequence: str) -> None:
         """Keep an imported KV cache for the warm opening that follows."""
         self._imports[question.request] = attempts.PendingImport(
             sequence=sequence,
--- a/src/crowdeck/sidecar/kv_transfer.py
+++ b/src/crowdeck/sidecar/kv_transfer.py
@@ -85,6 +85,6 @@
         """Import a KV cache for the warm opening that follows."""
         sequence = f"{question.request}.import"
         await self._engine.import_kv(sequence, question.kv)
-        self._stage.registry.hold_import(question, sequence)
+        self._stage.registry.add_import(question, sequence)
         counters.COUNTERS.add("stage.moved_in")
         return questions.Done()
