--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -88,7 +88,9 @@
             imported_at=self._clock.now(),
         )
 
-    def current(self, request: str, epoch: int) -> attempts.Attempt | None:
+    def find_current(
+        self, request: str, epoch: int
+    ) -> attempts.Attempt | None:
         """Return an attempt if this is its latest epoch."""
         attempt = self._attempts.get(request)
         if attempt is None or attempt.epoch != epoch:
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -135,7 +135,7 @@
 
     def on_credit(self, peer: link.Peer, record: messages.Credit) -> None:
         """Raise the limit on positions that may be generated."""
-        attempt = self._registry.current(record.request, record.epoch)
+        attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or attempt.source is not peer:
             return
         attempt.upto = max(attempt.upto, record.upto)
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -128,7 +128,7 @@
             counters.COUNTERS.add(f"stage.refused.{error.code.lower()}")
             # A repeat on the same link is dropped. The same epoch on another
             # link comes from a second driver, which has to be told.
-            held = self._registry.current(opening.request, opening.epoch)
+            held = self._registry.find_current(opening.request, opening.epoch)
             if held is None or held.source is not peer:
                 peer.send(
                     self._registry.failure(
@@ -214,7 +214,7 @@
 
     def on_step(self, peer: link.Peer, record: messages.Step) -> None:
         """Run one position of a running attempt."""
-        attempt = self._registry.current(record.request, record.epoch)
+        attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or attempt.is_head or attempt.is_moved:
             counters.COUNTERS.add("stage.refused.stale_record")
             return
@@ -319,7 +319,7 @@
 
     def on_token(self, peer: link.Peer, record: messages.Token) -> None:
         """Receive a token from the tail."""
-        attempt = self._registry.current(record.request, record.epoch)
+        attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or not attempt.is_head or not attempt.is_running:
             counters.COUNTERS.add("stage.refused.stale_record")
             return
@@ -329,7 +329,7 @@
 
     def on_failure(self, peer: link.Peer, record: messages.Failure) -> None:
         """Report a later stage's failure towards the entry."""
-        attempt = self._registry.current(record.request, record.epoch)
+        attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or attempt.forward is not peer:
             return
         error = errors.CrowdeckError(
@@ -342,7 +342,7 @@
 
     def on_cancel(self, peer: link.Peer, record: messages.Cancel) -> None:
         """Stop an attempt here and at the stages after it."""
-        attempt = self._registry.current(record.request, record.epoch)
+        attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or attempt.source is not peer:
             return
         if attempt.is_head and attempt.finish:
