--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -110,10 +110,10 @@
         attempt.span.end(error.code)
         counters.COUNTERS.add(f"stage.failed.{error.code.lower()}")
         self.send_source(
-            attempt, self.failure(attempt.request, attempt.epoch, error)
+            attempt, self.make_failure(attempt.request, attempt.epoch, error)
         )
 
-    def failure(
+    def make_failure(
         self, request: str, epoch: int, error: errors.CrowdeckError
     ) -> messages.Failure:
         """Return the record that reports an error."""
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -177,7 +177,7 @@
         attempt.touched_at = self._clock.now()
         if former is not None and former is not peer:
             former.send(
-                self._registry.failure(
+                self._registry.make_failure(
                     attempt.request,
                     attempt.epoch,
                     errors.CrowdeckError(
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -131,7 +131,7 @@
             held = self._registry.find_current(opening.request, opening.epoch)
             if held is None or held.source is not peer:
                 peer.send(
-                    self._registry.failure(
+                    self._registry.make_failure(
                         opening.request, opening.epoch, error
                     )
                 )
