--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -109,7 +109,7 @@
         attempt.touched_at = self._clock.now()
         attempt.span.end(error.code)
         counters.COUNTERS.add(f"stage.failed.{error.code.lower()}")
-        self.send_source(
+        self.send_to_source(
             attempt, self.make_failure(attempt.request, attempt.epoch, error)
         )
 
@@ -126,7 +126,7 @@
             culprit=error.culprit or self._instance,
         )
 
-    def send_source(
+    def send_to_source(
         self, attempt: attempts.Attempt, record: messages.Record
     ) -> None:
         """Send a record towards the entry, if its link is open."""
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -75,7 +75,7 @@
         finish = record.finish
         if not finish and len(attempt.pieces) >= attempt.opening.max_tokens:
             finish = FINISH_LENGTH
-        self._registry.send_source(
+        self._registry.send_to_source(
             attempt,
             messages.Answer(
                 request=attempt.request,
@@ -122,7 +122,7 @@
 
     def _send_end(self, attempt: attempts.Attempt) -> None:
         pairs = [(piece.token, piece.text) for piece in attempt.pieces]
-        self._registry.send_source(
+        self._registry.send_to_source(
             attempt,
             messages.AnswerEnd(
                 request=attempt.request,
