--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -133,7 +133,7 @@
         if attempt.source is not None:
             attempt.source.send(record)
 
-    def send_forward(
+    def send_to_next(
         self, attempt: attempts.Attempt, record: messages.Record
     ) -> None:
         """Send a record to the next stage, if there is one."""
@@ -195,7 +195,7 @@
 
     def _sweep_head(self, attempt: attempts.Attempt, now: float) -> None:
         if attempt.is_running and now > attempt.deadline:
-            self.send_forward(
+            self.send_to_next(
                 attempt, messages.Cancel(attempt.request, attempt.epoch)
             )
             self.fail(
@@ -208,7 +208,7 @@
             )
         is_old = now - attempt.touched_at > KEEP_SECONDS
         if is_old and (attempt.source is None or not attempt.is_running):
-            self.send_forward(
+            self.send_to_next(
                 attempt, messages.Cancel(attempt.request, attempt.epoch)
             )
             self.drop(attempt, "expired")
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -115,7 +115,7 @@
         attempt.span.end("finished")
         self._gate.finish(attempt.request)
         self._send_end(attempt)
-        self._registry.send_forward(
+        self._registry.send_to_next(
             attempt, messages.Cancel(attempt.request, attempt.epoch)
         )
         self._tasks.start_soon(self._registry.cancel_engine, attempt.sequence)
--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -84,7 +84,7 @@
         remaining = {one.instance for one in opening.path.stages}
         forward = earlier.forward
         if forward is not None and forward.greeting.instance not in remaining:
-            self._registry.send_forward(
+            self._registry.send_to_next(
                 earlier, messages.Cancel(earlier.request, earlier.epoch)
             )
         if keeps_kv:
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -350,7 +350,7 @@
         if not attempt.is_moved:
             # After a move, the later stages need their KV caches for the
             # next attempt.
-            self._registry.send_forward(attempt, record)
+            self._registry.send_to_next(attempt, record)
         self._registry.drop(attempt, "cancelled")
 
 
