--- a/src/crowdeck/sidecar/kv_transfer.py
+++ b/src/crowdeck/sidecar/kv_transfer.py
@@ -49,7 +49,7 @@
                 errors.Code.CACHE_GONE, "no such attempt runs here"
             )
         attempt.is_moved = True
-        await self._stage.wait_boundary(question.request)
+        await self._stage.wait_until_idle(question.request)
         self._require_boundary(attempt)
         kv = await self._engine.export_kv(attempt.sequence)
         moved = questions.MovedOut(
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -169,7 +169,7 @@
             case questions.Open():
                 stage = self._require_stage()
                 if question.opening.warm_position >= 0:
-                    await stage.wait_boundary(question.opening.request)
+                    await stage.wait_until_idle(question.opening.request)
                 stage.open(peer, question.opening)
                 return questions.Done()
             case questions.Attach():
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -96,7 +96,7 @@
             step, lambda result: self._on_prefilled(attempt, result)
         )
 
-    async def wait_boundary(self, request: str) -> None:
+    async def wait_until_idle(self, request: str) -> None:
         """Wait for a limited time until the engine has no step of a request.
 
         A warm opening may arrive while a stage still runs a step of the
@@ -117,7 +117,7 @@
     async def _prefill_warm(
         self, peer: link.Peer, record: messages.Prefill
     ) -> None:
-        await self.wait_boundary(record.opening.request)
+        await self.wait_until_idle(record.opening.request)
         self._prefill(peer, record)
 
     def _prefill(self, peer: link.Peer, record: messages.Prefill) -> None:
