--- a/src/crowdeck/sidecar/attempt.py
+++ b/src/crowdeck/sidecar/attempt.py
@@ -26,7 +26,8 @@
     :ivar context: tokens of context the engine holds for it.
     :ivar pieces: the answer so far, at the head and at the tail.
     :ivar upto: positions below this one may be generated.
-    :ivar is_held: whether the next step waits for the caller's credit.
+    :ivar is_waiting_for_credit: whether the next step waits for the caller's
+        credit.
     :ivar is_moved: whether its KV cache was handed to another stage.
     :ivar is_in_engine: whether the engine has a step of it.
     :ivar finish: the finish reason, empty while the answer runs.
@@ -44,7 +45,7 @@
     context: int = 0
     pieces: list[messages.Piece] = attrs.field(factory=list)
     upto: int = 0
-    is_held: bool = False
+    is_waiting_for_credit: bool = False
     is_moved: bool = False
     is_failed: bool = False
     is_in_engine: bool = False
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -94,12 +94,12 @@
         elif attempt.is_moved:
             pass
         elif attempt.next_position >= attempt.upto:
-            attempt.is_held = True
+            attempt.is_waiting_for_credit = True
         else:
             self._start_next_position(attempt)
 
     def _start_next_position(self, attempt: attempts.Attempt) -> None:
-        attempt.is_held = False
+        attempt.is_waiting_for_credit = False
         self._decode(
             attempt,
             upstream.EngineStep(
@@ -139,7 +139,10 @@
         if attempt is None or attempt.source is not peer:
             return
         attempt.upto = max(attempt.upto, record.upto)
-        can_continue = attempt.is_held and attempt.next_position < attempt.upto
+        can_continue = (
+            attempt.is_waiting_for_credit
+            and attempt.next_position < attempt.upto
+        )
         if can_continue and attempt.is_running and not attempt.is_moved:
             self._start_next_position(attempt)
 
@@ -189,7 +192,10 @@
             )
 
     async def _resume_soon(self, attempt: attempts.Attempt) -> None:
-        can_continue = attempt.is_held and attempt.next_position < attempt.upto
+        can_continue = (
+            attempt.is_waiting_for_credit
+            and attempt.next_position < attempt.upto
+        )
         if can_continue and attempt.is_running:
             self._start_next_position(attempt)
 
