--- a/src/crowdeck/sidecar/attempt.py
+++ b/src/crowdeck/sidecar/attempt.py
@@ -25,7 +25,7 @@
     :ivar next_position: the only position this stage will run next.
     :ivar context: tokens of context the engine holds for it.
     :ivar pieces: the answer so far, at the head and at the tail.
-    :ivar upto: positions below this one may be generated.
+    :ivar credit_limit: positions below this one may be generated.
     :ivar is_waiting_for_credit: whether the next step waits for the caller's
         credit.
     :ivar is_moved: whether its KV cache was handed to another stage.
@@ -44,7 +44,7 @@
     next_position: int = 0
     context: int = 0
     pieces: list[messages.Piece] = attrs.field(factory=list)
-    upto: int = 0
+    credit_limit: int = 0
     is_waiting_for_credit: bool = False
     is_moved: bool = False
     is_failed: bool = False
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -93,7 +93,7 @@
             self._finish(attempt, finish)
         elif attempt.is_moved:
             pass
-        elif attempt.next_position >= attempt.upto:
+        elif attempt.next_position >= attempt.credit_limit:
             attempt.is_waiting_for_credit = True
         else:
             self._start_next_position(attempt)
@@ -138,10 +138,10 @@
         attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or attempt.source is not peer:
             return
-        attempt.upto = max(attempt.upto, record.upto)
+        attempt.credit_limit = max(attempt.credit_limit, record.upto)
         can_continue = (
             attempt.is_waiting_for_credit
-            and attempt.next_position < attempt.upto
+            and attempt.next_position < attempt.credit_limit
         )
         if can_continue and attempt.is_running and not attempt.is_moved:
             self._start_next_position(attempt)
@@ -163,7 +163,7 @@
             )
         if attempt.is_head:
             self._change_source(attempt, peer)
-            attempt.upto = question.position + question.window
+            attempt.credit_limit = question.position + question.window
             self._tasks.start_soon(self._resume_soon, attempt)
         return questions.Attached(
             epoch=attempt.epoch,
@@ -194,7 +194,7 @@
     async def _resume_soon(self, attempt: attempts.Attempt) -> None:
         can_continue = (
             attempt.is_waiting_for_credit
-            and attempt.next_position < attempt.upto
+            and attempt.next_position < attempt.credit_limit
         )
         if can_continue and attempt.is_running:
             self._start_next_position(attempt)
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -90,7 +90,7 @@
                 errors.Code.WRONG_LAYER,
                 f"{self._instance} is not the head of this path",
             )
-        attempt.upto = attempt.next_position + opening.window
+        attempt.credit_limit = attempt.next_position + opening.window
         step = openings.first_step(attempt)
         self._batcher.prefill(
             step, lambda result: self._on_prefilled(attempt, result)
