--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -281,7 +281,7 @@
             "incarnation": self.incarnation,
             "is_leaving": self.is_leaving,
             "running": self.running,
-            "sessions": self._turns.sessions,
+            "sessions": self._turns.session_count,
             "counters": counters.COUNTERS.as_dict(),
         }
 
--- a/src/crowdeck/sidecar/turns.py
+++ b/src/crowdeck/sidecar/turns.py
@@ -60,7 +60,7 @@
         self._is_leaving = False
 
     @property
-    def sessions(self) -> int:
+    def session_count(self) -> int:
         """Number of sessions that are known here."""
         return len(self._sessions)
 
