--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -58,7 +58,7 @@
         return sum(one.is_running for one in self._attempts.values())
 
     @property
-    def all(self) -> tuple[attempts.Attempt, ...]:
+    def all_attempts(self) -> tuple[attempts.Attempt, ...]:
         """All attempts, including ended ones."""
         return tuple(self._attempts.values())
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -289,7 +289,9 @@
                 def intrude() -> None:
                     head = _stage_of(system, 0)
                     own = next(
-                        one for one in head.registry.all if one.is_running
+                        one
+                        for one in head.registry.all_attempts
+                        if one.is_running
                     )
                     foreign = attrs.evolve(own.opening, epoch=5, team="x")
                     try:
@@ -426,7 +428,10 @@
                     await system.make_driver(request, caller).run()
                 head = system.sidecar(caller.location[0])
                 assert head._stage is not None
-                made = max(len(one.pieces) for one in head._stage.registry.all)
+                made = max(
+                    len(one.pieces)
+                    for one in head._stage.registry.all_attempts
+                )
                 assert len(caller.pieces) < made <= len(caller.pieces) + 16
 
         virtual.run(check)
@@ -661,7 +666,7 @@
     for name in system.engines:
         stage = system.sidecar(name)._stage
         assert stage is not None
-        for attempt in stage.registry.all:
+        for attempt in stage.registry.all_attempts:
             if attempt.is_tail and attempt.epoch == epoch:
                 return stage, attempt
     raise AssertionError(f"no tail runs epoch {epoch}")
