--- a/tests/system.py
+++ b/tests/system.py
@@ -68,12 +68,12 @@
         self.seconds_per_piece = seconds_per_piece
         self.pieces: list[tuple[int, str]] = []
         self.location = ("", "")
-        self.at: dict[int, typing.Callable[[], None]] = {}
+        self.on_position: dict[int, typing.Callable[[], None]] = {}
 
     async def put(self, position: int, piece: messages.Piece) -> None:
         self.pieces.append((position, piece.text))
-        if position in self.at:
-            self.at.pop(position)()
+        if position in self.on_position:
+            self.on_position.pop(position)()
         if self.seconds_per_piece:
             await anyio.sleep(self.seconds_per_piece)
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -86,7 +86,7 @@
                 def kill() -> None:
                     system.kill(_running_sidecar(system, stage))
 
-                caller.at[position] = kill
+                caller.on_position[position] = kill
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
@@ -110,7 +110,7 @@
                     ):
                         system.kill(name)
 
-                caller.at[length - 1] = kill
+                caller.on_position[length - 1] = kill
                 finish = await system.answer(PROMPT, caller, length)
                 assert caller.texts == system.expected(PROMPT, length)
                 assert finish == "length"
@@ -122,7 +122,9 @@
             async with systems.System() as system:
                 prompt, length = _prompt_that_stops(system)
                 caller = systems.Caller()
-                caller.at[length - 1] = lambda: system.kill(caller.location[0])
+                caller.on_position[length - 1] = lambda: system.kill(
+                    caller.location[0]
+                )
                 finish = await system.answer(prompt, caller, 400)
                 assert caller.texts == system.expected(prompt, 400)
                 assert finish == "stop"
@@ -144,7 +146,7 @@
                     for name in killed:
                         system.kill(name)
 
-                caller.at[5] = kill
+                caller.on_position[5] = kill
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
@@ -161,7 +163,7 @@
                     frozen.append(_running_sidecar(system, stage))
                     system.network.freeze(frozen[0])
 
-                caller.at[5] = freeze
+                caller.on_position[5] = freeze
                 started = anyio.current_time()
                 await system.answer(PROMPT, caller)
                 assert anyio.current_time() - started < 4.0
@@ -184,7 +186,7 @@
                     )
                     system.network.cut(*ends)
 
-                caller.at[5] = cut
+                caller.on_position[5] = cut
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
@@ -201,7 +203,7 @@
                         errors.Code.UPSTREAM_LOST
                     )
 
-                caller.at[5] = fail
+                caller.on_position[5] = fail
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
@@ -299,7 +301,7 @@
                     except errors.CrowdeckError as error:
                         refused.append(error.code)
 
-                caller.at[5] = intrude
+                caller.on_position[5] = intrude
                 await system.answer(PROMPT, caller)
                 assert refused == [errors.Code.FORBIDDEN]
                 assert caller.texts == system.expected(PROMPT, 20)
@@ -351,7 +353,7 @@
                     left.append(_running_sidecar(system, stage))
                     system.sidecar(left[0]).begin_drain(30.0)
 
-                caller.at[position] = leave
+                caller.on_position[position] = leave
                 await system.answer(PROMPT, caller, count=400)
                 assert caller.texts == system.expected(PROMPT, 400)
                 # Nothing is computed twice: the prompt runs through each
@@ -381,7 +383,7 @@
                         _running_sidecar(system, stage)
                     ).begin_drain(30.0)
 
-                caller.at[3] = leave
+                caller.on_position[3] = leave
                 await system.answer(PROMPT, caller, count=12)
                 assert caller.texts == system.expected(PROMPT, 12)
                 names = [
@@ -397,7 +399,9 @@
         async def check() -> None:
             async with systems.System(replicas=1) as system:
                 caller = systems.Caller()
-                caller.at[5] = lambda: system.sidecar("s1-0").begin_drain(30.0)
+                caller.on_position[5] = lambda: system.sidecar(
+                    "s1-0"
+                ).begin_drain(30.0)
                 await system.answer(PROMPT, caller, count=400)
                 assert caller.texts == system.expected(PROMPT, 400)
 
@@ -607,8 +611,10 @@
                     late.append(step)
                     tail.on_step(_NO_PEER, step)
 
-                caller.at[3] = lambda: system.kill(_running_sidecar(system, 1))
-                caller.at[8] = inject
+                caller.on_position[3] = lambda: system.kill(
+                    _running_sidecar(system, 1)
+                )
+                caller.on_position[8] = inject
                 await system.answer(PROMPT, caller)
                 assert late
                 assert caller.texts == system.expected(PROMPT, 20)
@@ -708,5 +714,5 @@
             system.kill("e0")
             tasks.cancel_scope.cancel()
 
-        caller.at[position] = kill
+        caller.on_position[position] = kill
         await system.make_driver(request, caller).run()
