--- a/tests/system.py
+++ b/tests/system.py
@@ -338,7 +338,7 @@
         """Do nothing: the directory is always up to date."""
 
 
-def may_have_run(code: errors.Code) -> errors.CrowdeckError:
+def make_error(code: errors.Code) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         code, "made by a test", verdict=verdicts.Verdict.MAY_HAVE_RUN
     )
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -199,7 +199,7 @@
 
                 def fail() -> None:
                     name = _running_sidecar(system, 1)
-                    system.engines[name].failure = systems.may_have_run(
+                    system.engines[name].failure = systems.make_error(
                         errors.Code.UPSTREAM_LOST
                     )
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -66,7 +66,7 @@
     def test_call_whose_answer_was_lost_is_not_retried(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                system.service.failure = systems.may_have_run(
+                system.service.failure = systems.make_error(
                     errors.Code.UPSTREAM_LOST
                 )
                 with pytest.raises(errors.CrowdeckError) as caught:
