--- a/src/crowdeck/entry/arrival_watch.py
+++ b/src/crowdeck/entry/arrival_watch.py
@@ -14,13 +14,13 @@
 from crowdeck import timers
 from crowdeck import verdict as verdicts
 
-# Silence after which a path's stages are probed, and the same in token gaps
-# of the answer. The longer one applies, up to a maximum, so that a loaded
-# system is not flooded with probes.
+# A path's stages are probed after this much silence, or after this many
+# average token gaps, whichever is longer, but at most after the maximum. The
+# longer one is used so that a loaded system is not flooded with probes.
 PROBE_AFTER_SECONDS = 0.4
 PROBE_AFTER_GAPS = 5.0
 MAX_PROBE_AFTER_SECONDS = 2.0
-GAP_SMOOTHING = 0.2
+GAP_EWMA_WEIGHT = 0.2
 
 
 class ArrivalWatch:
@@ -39,7 +39,7 @@
         """Update the answer's average gap between tokens."""
         if self._token_at:
             gap = at - self._token_at
-            self._gap_seconds += GAP_SMOOTHING * (gap - self._gap_seconds)
+            self._gap_seconds += GAP_EWMA_WEIGHT * (gap - self._gap_seconds)
         self._token_at = at
 
     async def next(
--- a/src/crowdeck/entry/delivery.py
+++ b/src/crowdeck/entry/delivery.py
@@ -45,8 +45,8 @@
     @property
     def is_complete(self) -> bool:
         """Whether the last token has arrived, perhaps without the end."""
-        is_longest = len(self._pieces) >= self._request.max_tokens
-        return bool(self.finish) or is_longest
+        is_at_token_limit = len(self._pieces) >= self._request.max_tokens
+        return bool(self.finish) or is_at_token_limit
 
     async def take(self, answer: messages.Answer, epoch: int) -> bool:
         """Deliver a token if it is the next one of an attempt.
@@ -80,11 +80,11 @@
 
         :raises CrowdeckError: ``WRONG_ANSWER`` if they do not match.
         """
-        is_complete = (
+        matches = (
             end.count == self._digest.count
             and end.digest == self._digest.value
         )
-        if is_complete:
+        if matches:
             return
         counters.COUNTERS.add("entry.answer_not_whole")
         raise errors.CrowdeckError(
--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -44,16 +44,16 @@
 # was reported. The first token has to wait for the prefill.
 FIRST_TOKEN_TIMEOUT_SECONDS = 30.0
 TOKEN_TIMEOUT_SECONDS = 2.0
-# The first token of a further attempt, whose caller has read a part of the
-# answer and waits for the next token.
+# Timeout for the first token of an attempt that continues an answer, which
+# the caller is already reading.
 REPLAY_TIMEOUT_SECONDS = 5.0
-# The first token of a resumed answer. Its path is not known here, so its
-# stages are not probed.
+# Timeout for the first token of a resumed answer. Its path is not known
+# here, so its stages are not probed.
 RESUME_TIMEOUT_SECONDS = 4.0
 # How long an answer is kept running after its caller has disconnected.
 RECONNECT_GRACE_SECONDS = 5.0
 # Room beyond the window, for an end, failures and changes of stages.
-INBOX_SLACK = 16
+INBOX_SLACK_RECORDS = 16
 
 # Errors that are not retried: another entry drives the request, the answer
 # is no longer kept, or its digest does not match what the caller has read.
@@ -79,7 +79,7 @@
 
 @attrs.frozen
 class DriverDependencies:
-    """What all request drivers of an entry share."""
+    """Dependencies shared by all request drivers of an entry."""
 
     fleet: fleets.Fleet
     planner: planners.Planner
@@ -95,18 +95,18 @@
 
     def __init__(
         self,
-        parts: DriverDependencies,
+        dependencies: DriverDependencies,
         request: model_requests.ModelRequest,
         sink: sinks.AnswerSink,
         span: traces.OpenSpan,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._request = request
         self._sink = sink
         self._span = span
-        self._deadline = parts.clock.now() + request.seconds_left
-        self._budget = parts.budgets.get(request.team, request.model)
-        self._backoff = retry.Backoff(parts.randomness)
+        self._deadline = dependencies.clock.now() + request.seconds_left
+        self._budget = dependencies.budgets.get(request.team, request.model)
+        self._backoff = retry.Backoff(dependencies.randomness)
         self._avoided: set[str] = set()
         self._delivery = deliveries.Delivery(request, sink)
         self._epoch = -1
@@ -135,8 +135,8 @@
         self._budget.earn()
         with contextlib.ExitStack() as stack:
             self._open_inbox(stack)
-            self._parts.fleet.subscribe(self)
-            stack.callback(self._parts.fleet.unsubscribe, self)
+            self._dependencies.fleet.subscribe(self)
+            stack.callback(self._dependencies.fleet.unsubscribe, self)
             stack.callback(self._set_path, None)
             stack.callback(self._cancel)
             try:
@@ -162,18 +162,18 @@
 
     def _open_inbox(self, stack: contextlib.ExitStack) -> None:
         request = self._request.request
-        if self._parts.answers.is_open(request):
+        if self._dependencies.answers.is_open(request):
             raise errors.CrowdeckError(
                 errors.Code.KEY_IN_USE,
                 "this request is being answered on another connection",
                 retry_after=1.0,
             )
-        limit = self._request.window + INBOX_SLACK
-        self._inbox = self._parts.answers.open(request, limit)
+        limit = self._request.window + INBOX_SLACK_RECORDS
+        self._inbox = self._dependencies.answers.open(request, limit)
         self._arrivals = arrival_watch.ArrivalWatch(
-            self._parts.fleet, self._parts.clock, self._inbox
+            self._dependencies.fleet, self._dependencies.clock, self._inbox
         )
-        stack.callback(self._parts.answers.close, request)
+        stack.callback(self._dependencies.answers.close, request)
 
     async def _run_attempts(
         self,
@@ -204,7 +204,7 @@
     def _plan(self) -> messages.Opening:
         # Only a new answer may be refused because paths are slow.
         limit = self._request.gap_limit_seconds if self._epoch < 0 else 0.0
-        path = self._parts.planner.choose(
+        path = self._dependencies.planner.choose(
             self._request.model,
             frozenset(self._avoided),
             self._request.adapter,
@@ -223,7 +223,7 @@
             prompt=request.prompt,
             delivered=self._delivery.pieces,
             max_tokens=request.max_tokens,
-            seconds_left=self._deadline - self._parts.clock.now(),
+            seconds_left=self._deadline - self._dependencies.clock.now(),
             priority=request.priority,
             traceparent=self._span.traceparent,
             window=request.window,
@@ -231,8 +231,10 @@
 
     async def _recover(self, error: errors.CrowdeckError) -> None:
         """Prepare for another attempt, or raise ``error``."""
-        is_refused = error.code == errors.Code.OVERLOADED and not error.culprit
-        if error.code in _NOT_RETRIED or is_refused:
+        is_overloaded = (
+            error.code == errors.Code.OVERLOADED and not error.culprit
+        )
+        if error.code in _NOT_RETRIED or is_overloaded:
             raise error
         self._cancel()
         if error.culprit:
@@ -246,7 +248,7 @@
             error,
             is_repeatable=True,
             budget=self._budget,
-            clock=self._parts.clock,
+            clock=self._dependencies.clock,
             deadline=self._deadline,
         )
         if not may_retry:
@@ -279,11 +281,11 @@
         return await self._consume(FIRST_TOKEN_TIMEOUT_SECONDS)
 
     def _set_path(self, path: pipeline.Path | None) -> None:
-        """Count this request on a path instead of the previous one."""
+        """Release the previous path and acquire the new one in the planner."""
         if self._path is not None:
-            self._parts.planner.release(self._path)
+            self._dependencies.planner.release(self._path)
         if path is not None:
-            self._parts.planner.acquire(path)
+            self._dependencies.planner.acquire(path)
         self._path = path
 
     def _cancel_former(self) -> None:
@@ -294,7 +296,7 @@
             peer.send(messages.Cancel(self._request.request, epoch))
 
     def _require_head(self, path: pipeline.Path) -> link.Peer:
-        view = self._parts.fleet.find(path.head.instance)
+        view = self._dependencies.fleet.find(path.head.instance)
         if view is None or view.peer is None:
             raise errors.LinkLost(
                 f"no link to {path.head.instance}",
@@ -328,7 +330,7 @@
         self._sink.set_location(attached.epoch, resume.head, resume.tail)
         for piece in attached.pieces:
             await self._delivery.put(piece)
-            self._give_credit()
+            self._grant_credit()
         if attached.finish:
             return attached.finish
         if attached.is_running:
@@ -340,7 +342,7 @@
         )
 
     async def _attach(self, name: str) -> questions.Attached | None:
-        view = self._parts.fleet.find(name)
+        view = self._dependencies.fleet.find(name)
         if view is None or view.peer is None:
             return None
         assert self._inbox is not None
@@ -389,12 +391,12 @@
 
     async def _take(self, answer: messages.Answer) -> bool:
         """Deliver a token if it is the next one of this attempt."""
-        received_at = self._parts.clock.now()
+        received_at = self._dependencies.clock.now()
         if not await self._delivery.take(answer, self._epoch):
             return False
         assert self._arrivals is not None
         self._arrivals.note_token(received_at)
-        self._give_credit()
+        self._grant_credit()
         return True
 
     def _take_end(self, end: messages.AnswerEnd) -> str:
@@ -404,7 +406,7 @@
         self._span.note("tokens", end.count)
         return end.finish
 
-    def _give_credit(self) -> None:
+    def _grant_credit(self) -> None:
         window = self._request.window
         count = len(self._delivery)
         is_due = count % max(1, window // 2) == 0
@@ -422,7 +424,7 @@
         the last event's id. Meanwhile the head generates at most one window.
         """
         if self._head is not None:
-            self._parts.tasks.start_soon(
+            self._dependencies.tasks.start_soon(
                 self._cancel_unless_resumed, self._head, self._epoch
             )
             self._head = None
@@ -432,9 +434,9 @@
     ) -> None:
         await anyio.sleep(RECONNECT_GRACE_SECONDS)
         request = self._request.request
-        # Once another entry has attached, the head ignores this one. So only
-        # a caller that has resumed at this entry has to be looked for.
-        if not self._parts.answers.is_open(request):
+        # Once another entry has attached, the head ignores this one. So it
+        # is enough to check whether the caller has resumed at this entry.
+        if not self._dependencies.answers.is_open(request):
             head.send(messages.Cancel(request, epoch))
 
     def _cancel(self) -> None:
@@ -467,8 +469,8 @@
         """
         if self._path is None or not len(self._delivery):
             return None
-        path = self._parts.planner.replace(self._path, leaving)
-        view = self._parts.fleet.find(leaving)
+        path = self._dependencies.planner.replace(self._path, leaving)
+        view = self._dependencies.fleet.find(leaving)
         if path is None or view is None or view.peer is None:
             return None
         index = [one.instance for one in self._path.stages].index(leaving)
@@ -487,7 +489,7 @@
                 verdict=_MAY_HAVE_RUN,
                 culprit=leaving,
             )
-        await self._catch_up(reply.position)
+        await self._receive_until(reply.position)
         if index == 0:
             self._former_head = (view.peer, self._epoch)
         return attrs.evolve(
@@ -496,7 +498,7 @@
             warm_context=reply.context,
         )
 
-    async def _catch_up(self, position: int) -> None:
+    async def _receive_until(self, position: int) -> None:
         """Receive the tokens that were sent before the stage paused."""
         while len(self._delivery) < position:
             arrival = await self._next(TOKEN_TIMEOUT_SECONDS)
--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -73,7 +73,7 @@
         limits: Limits,
     ) -> None:
         self._settings = settings
-        self._drive_parts = driver_dependencies
+        self._driver_dependencies = driver_dependencies
         self._calls = calls
         self._keys = answer_keys
         self._turns = session_turns
@@ -87,29 +87,37 @@
         return applications.Starlette(
             routes=[
                 routing.Route(
-                    "/v1/chat/completions", self._chat, methods=post
+                    "/v1/chat/completions", self._handle_chat, methods=post
                 ),
-                routing.Route("/v1/completions", self._complete, methods=post),
-                routing.Route("/v1/models", self._models),
-                routing.Route("/healthz", self._health),
-                routing.Route("/readyz", self._ready),
+                routing.Route(
+                    "/v1/completions", self._handle_completion, methods=post
+                ),
+                routing.Route("/v1/models", self._handle_models),
+                routing.Route("/healthz", self._handle_health),
+                routing.Route("/readyz", self._handle_readiness),
                 routing.Route(
                     "/services/{service}/{path:path}",
-                    self._service,
+                    self._handle_service_call,
                     methods=METHODS,
                 ),
             ],
-            exception_handlers={errors.CrowdeckError: _refuse},
+            exception_handlers={errors.CrowdeckError: _handle_error},
         )
 
-    async def _health(self, request: requests.Request) -> responses.Response:
+    async def _handle_health(
+        self, request: requests.Request
+    ) -> responses.Response:
+        """Check that this entry has settings and is not leaving."""
         is_ready = self._settings.has_tree and not self._admission.is_leaving
         return responses.PlainTextResponse(
             "ready" if is_ready else "not ready", 200 if is_ready else 503
         )
 
-    async def _ready(self, request: requests.Request) -> responses.Response:
-        usable = len(self._drive_parts.fleet.usable)
+    async def _handle_readiness(
+        self, request: requests.Request
+    ) -> responses.Response:
+        """Check that this entry has settings and a usable sidecar."""
+        usable = len(self._driver_dependencies.fleet.usable)
         is_ready = self._settings.has_tree and usable > 0
         body = {
             "usable": usable,
@@ -122,13 +130,15 @@
             media_type="application/json",
         )
 
-    async def _models(self, request: requests.Request) -> responses.Response:
+    async def _handle_models(
+        self, request: requests.Request
+    ) -> responses.Response:
         context = self._context(request, "models")
         context.span.end()
         place = context.caller.place()
         names = [
             name
-            for name in self._drive_parts.planner.models
+            for name in self._driver_dependencies.planner.models
             if context.tree.allows_model(place, name)
         ]
         listed = [
@@ -137,15 +147,19 @@
         ]
         return replies.json_response({"object": "list", "data": listed})
 
-    async def _chat(self, request: requests.Request) -> responses.Response:
-        return await self._model(request, is_chat=True)
+    async def _handle_chat(
+        self, request: requests.Request
+    ) -> responses.Response:
+        return await self._handle_model_request(request, is_chat=True)
 
-    async def _complete(self, request: requests.Request) -> responses.Response:
-        return await self._model(request, is_chat=False)
+    async def _handle_completion(
+        self, request: requests.Request
+    ) -> responses.Response:
+        return await self._handle_model_request(request, is_chat=False)
 
     # Model requests.
 
-    async def _model(
+    async def _handle_model_request(
         self, request: requests.Request, is_chat: bool
     ) -> responses.Response:
         context = self._context(request, "entry")
@@ -155,7 +169,7 @@
             resume = openai.EventId.parse(event) if event else None
             model_request = self._model_request(context, body, resume)
             answer = model_answer.ModelAnswer(
-                self._drive_parts,
+                self._driver_dependencies,
                 self._keys,
                 self._turns,
                 self._admission,
@@ -183,11 +197,11 @@
             )
         limit = tree.integer(place, "max_tokens")
         if resume is not None:
-            name = resume.request
+            request_id = resume.request
         else:
-            name = uuid.uuid4().hex
+            request_id = uuid.uuid4().hex
         return model_requests.ModelRequest(
-            request=name,
+            request=request_id,
             team=context.caller.team,
             session=context.caller.session,
             model=body.model,
@@ -201,7 +215,9 @@
 
     # Plain services.
 
-    async def _service(self, request: requests.Request) -> responses.Response:
+    async def _handle_service_call(
+        self, request: requests.Request
+    ) -> responses.Response:
         context = self._context(request, "entry")
         with _end_span_on_error(context.span):
             call = await self._service_call(request, context)
@@ -239,7 +255,7 @@
             for name, value in request.headers.items()
             if name not in ENTRY_HEADERS
         )
-        now = self._drive_parts.clock.now()
+        now = self._driver_dependencies.clock.now()
         return service_calls.ServiceCall(
             request=uuid.uuid4().hex,
             team=context.caller.team,
@@ -283,7 +299,9 @@
         )
         place = caller.place()
         limit = tree.number(place, "deadline_seconds")
-        requested_seconds = _number(request, "x-deadline-seconds", limit)
+        requested_seconds = _number_header(
+            request, "x-deadline-seconds", limit
+        )
         span = self._tracer.begin(
             name,
             request.headers.get("traceparent", ""),
@@ -293,7 +311,7 @@
         return context_module.RequestContext(
             caller=caller,
             tree=tree,
-            sequence=int(_number(request, "x-session-sequence", -1)),
+            sequence=int(_number_header(request, "x-session-sequence", -1)),
             seconds_left=min(max(requested_seconds, 0.0), limit),
             key=request.headers.get("idempotency-key", ""),
             span=span,
@@ -323,7 +341,9 @@
         raise
 
 
-def _number(request: requests.Request, header: str, default: float) -> float:
+def _number_header(
+    request: requests.Request, header: str, default: float
+) -> float:
     text = request.headers.get(header)
     if text is None:
         return default
@@ -331,11 +351,11 @@
         return float(text)
     except ValueError:
         raise errors.CrowdeckError(
-            errors.Code.BAD_REQUEST, f"'{header}' has to be a number"
+            errors.Code.BAD_REQUEST, f"'{header}' must be a number"
         ) from None
 
 
-async def _refuse(
+async def _handle_error(
     request: requests.Request, error: Exception
 ) -> responses.Response:
     assert isinstance(error, errors.CrowdeckError)
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        parts: driver.DriverDependencies,
+        dependencies: driver.DriverDependencies,
         answer_keys: keys.AnswerKeys,
         session_turns: turns.SessionTurns,
         admission: admissions.Admission,
@@ -39,7 +39,7 @@
         model_request: model_requests.ModelRequest,
         resume: openai.EventId | None,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._keys = answer_keys
         self._turns = session_turns
         self._admission = admission
@@ -54,14 +54,14 @@
         sink = _Collector(texts)
         finish = await self._run(sink)
         self._context.span.end("answered")
-        whole = openai.completion_response(
+        response = openai.completion_response(
             self._model_request.request,
             self._body,
             "".join(texts),
             len(texts),
             finish,
         )
-        return replies.json_response(whole)
+        return replies.json_response(response)
 
     async def __call__(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
@@ -118,7 +118,7 @@
 
     async def _run_in_turn(self, sink: "_Collector | _Streamer") -> str:
         session = self._context.session_name
-        deadline = self._parts.clock.now() + self._context.seconds_left
+        deadline = self._dependencies.clock.now() + self._context.seconds_left
         async with self._turns.hold(
             session,
             self._model_request.request,
@@ -134,9 +134,11 @@
         key = self._context.key
         claimed = await self._keys.claim(self._model_request, key)
         while claimed.resume is not None:
-            first = attrs.evolve(self._model_request, request=claimed.request)
+            claimed_request = attrs.evolve(
+                self._model_request, request=claimed.request
+            )
             drive = driver.RequestDriver(
-                self._parts, first, sink, self._context.span
+                self._dependencies, claimed_request, sink, self._context.span
             )
             try:
                 return await drive.run(claimed.resume)
@@ -152,7 +154,7 @@
 
     def _drive(self, sink: "_Collector | _Streamer") -> driver.RequestDriver:
         return driver.RequestDriver(
-            self._parts, self._model_request, sink, self._context.span
+            self._dependencies, self._model_request, sink, self._context.span
         )
 
 
--- a/src/crowdeck/entry/model_request.py
+++ b/src/crowdeck/entry/model_request.py
@@ -13,8 +13,8 @@
     """One request for a model's answer.
 
     :ivar seconds_left: time to its deadline when it was received.
-    :ivar gap_limit: seconds between tokens above which a new answer is
-        refused rather than begun; 0 for never.
+    :ivar gap_limit_seconds: time between tokens above which a new answer
+        is refused rather than begun; 0 for never.
     """
 
     request: str
@@ -36,7 +36,7 @@
 
     :ivar position: the first position that the caller does not have.
     :ivar head: instance that keeps the answer.
-    :ivar tail: instance that has its tokens too.
+    :ivar tail: last stage of its path, which keeps its tokens as well.
     """
 
     position: int
--- a/src/crowdeck/entry/openai.py
+++ b/src/crowdeck/entry/openai.py
@@ -41,7 +41,7 @@
         raise _bad_request("the body is not a JSON object")
     model = body.get("model")
     if not isinstance(model, str) or not model:
-        raise _bad_request("'model' has to be a model's name")
+        raise _bad_request("'model' must be a non-empty string")
     prompt = _chat_prompt(body) if is_chat else _plain_prompt(body)
     if not prompt.strip():
         raise _bad_request("the prompt is empty")
@@ -59,29 +59,29 @@
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int) or value < 1:
-        raise _bad_request("'max_tokens' has to be a whole number above 0")
+        raise _bad_request("'max_tokens' must be a positive integer")
     return value
 
 
 def _plain_prompt(body: dict[str, typing.Any]) -> str:
     prompt = body.get("prompt")
     if not isinstance(prompt, str):
-        raise _bad_request("'prompt' has to be text")
+        raise _bad_request("'prompt' must be a string")
     return prompt
 
 
 def _chat_prompt(body: dict[str, typing.Any]) -> str:
     turns = body.get("messages")
     if not isinstance(turns, list) or not turns:
-        raise _bad_request("'messages' has to be a list that is not empty")
+        raise _bad_request("'messages' must be a non-empty list")
     lines = []
     has_text = False
     for turn in turns:
         if not isinstance(turn, dict):
-            raise _bad_request("each of 'messages' has to be an object")
+            raise _bad_request("each of 'messages' must be an object")
         role = turn.get("role")
         if not isinstance(role, str):
-            raise _bad_request("each of 'messages' has to have a 'role'")
+            raise _bad_request("each of 'messages' must have a 'role'")
         content = _content(turn.get("content"))
         has_text = has_text or bool(content.strip())
         lines.append(f"{role}: {content}")
@@ -92,7 +92,9 @@
     if isinstance(content, str):
         return content
     if not isinstance(content, list):
-        raise _bad_request("'content' has to be text or a list of text parts")
+        raise _bad_request(
+            "'content' must be a string or a list of text parts"
+        )
     texts = []
     for part in content:
         if not isinstance(part, dict) or part.get("type") != "text":
@@ -133,7 +135,7 @@
         """
         parts = text.split(EVENT_ID_SEPARATOR)
         if len(parts) != 4 or not parts[3].isdecimal():
-            raise _bad_request("'Last-Event-ID' is not one that was given out")
+            raise _bad_request("'Last-Event-ID' is malformed")
         return cls(parts[0], parts[1], parts[2], int(parts[3]))
 
     def to_resume_point(self) -> model_requests.ResumePoint:
--- a/src/crowdeck/entry/service_calls.py
+++ b/src/crowdeck/entry/service_calls.py
@@ -33,7 +33,7 @@
 OUTCOME_TIMEOUT_SECONDS = 5.0
 # How long a second caller with the same key waits for the first one's call
 # to begin before sealing it.
-BEGIN_SECONDS = 0.5
+BEGIN_TIMEOUT_SECONDS = 0.5
 # Number of sidecars at which a claimed call may be tried.
 MAX_SIDECARS_PER_CLAIM = 2
 
@@ -63,7 +63,10 @@
 
     @property
     def fingerprint(self) -> str:
-        """Digest of the request, to detect reuse of its key for another."""
+        """Digest of method, path and body.
+
+        It detects reuse of the key for a different request.
+        """
         parts = (self.method, self.path, self.body.hex())
         return claims_module.digest_key(*parts)
 
@@ -133,14 +136,14 @@
 
     def _pick(self, service: str, avoided: set[str]) -> _Target:
         targets = self._candidates(service)
-        fresh = [one for one in targets if one.name not in avoided]
+        preferred = [one for one in targets if one.name not in avoided]
         if not targets:
             raise errors.CrowdeckError(
                 errors.Code.NO_PATH,
                 f"no live instance serves {service}",
                 retry_after=1.0,
             )
-        return (fresh or targets)[0]
+        return (preferred or targets)[0]
 
     def _candidates(self, service: str) -> list[_Target]:
         """Return the sidecars of a service, the least loaded first."""
@@ -319,18 +322,18 @@
             try:
                 reply = await self._collect_or_seal(held_call, target)
             except errors.LinkLost as lost:
-                raise _spent_error(lost.message) from None
+                raise _key_spent_error(lost.message) from None
             except errors.CrowdeckError as error:
                 if error.verdict is _NOT_RUN:
                     continue
-                raise _spent_error(error.message) from None
+                raise _key_spent_error(error.message) from None
             return _require_called(reply)
         return None
 
     async def _collect_or_seal(
         self, call: ServiceCall, target: _Target
     ) -> questions.Reply:
-        begin_by = self._clock.now() + BEGIN_SECONDS
+        begin_by = self._clock.now() + BEGIN_TIMEOUT_SECONDS
         while True:
             reply = await self._collect(call, target)
             if not _is_gone(reply):
@@ -373,7 +376,7 @@
     )
 
 
-def _spent_error(reason: str) -> errors.CrowdeckError:
+def _key_spent_error(reason: str) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.KEY_SPENT,
         f"the key's call may have run, its answer is unavailable: {reason}",
--- a/src/crowdeck/entry/turns.py
+++ b/src/crowdeck/entry/turns.py
@@ -3,7 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Takes and holds the turns of sessions for an entry's requests."""
+"""Serializes the requests of each session.
+
+A request holds its session's turn while it runs. The session's home, a
+sidecar picked by rendezvous hashing, grants the turns one at a time.
+"""
 
 import contextlib
 import typing
@@ -19,10 +23,10 @@
 from crowdeck import timers
 from crowdeck.wire import questions
 
-END_TIMEOUT_SECONDS = 1.0
+TURN_REQUEST_TIMEOUT_SECONDS = 1.0
 # Processes may disagree on a session's home for this long after a sidecar's
 # state has changed.
-RECENT_SECONDS = 10.0
+HOME_CONVERGENCE_SECONDS = 10.0
 RETRY_SECONDS = 0.2
 
 
@@ -78,7 +82,7 @@
         for held in tuple(self._held.values()):
             home, _ = self._home(held.session)
             if home is not None and home.name != held.home:
-                self._tasks.start_soon(self._take_again, held)
+                self._tasks.start_soon(self._retake_at_new_home, held)
 
     def _home(self, session: str) -> tuple[fleets.SidecarView | None, bool]:
         """Return a session's home, and whether others may see another one."""
@@ -87,7 +91,7 @@
         is_moved = False
         for name in rendezvous.rank(session, views):
             view = views[name]
-            is_recent = now - view.changed_at < RECENT_SECONDS
+            is_recent = now - view.changed_at < HOME_CONVERGENCE_SECONDS
             is_moved = is_moved or (is_recent and self._has_history(view))
             if view.is_usable:
                 return view, is_moved
@@ -134,11 +138,13 @@
                 raise reply.as_error()
             return
 
-    async def _take_again(self, held: _HeldTurn) -> None:
+    async def _retake_at_new_home(self, held: _HeldTurn) -> None:
         counters.COUNTERS.add("turns.came_forward")
         try:
             await self._take(
-                held, self._clock.now() + END_TIMEOUT_SECONDS, is_holding=True
+                held,
+                self._clock.now() + TURN_REQUEST_TIMEOUT_SECONDS,
+                is_holding=True,
             )
         except errors.CrowdeckError:
             # The request goes on, and the session's next turn waits until
@@ -151,6 +157,6 @@
             return
         question = questions.EndTurn(held.session, held.request)
         try:
-            await view.peer.ask(question, END_TIMEOUT_SECONDS)
+            await view.peer.ask(question, TURN_REQUEST_TIMEOUT_SECONDS)
         except errors.LinkLost:
             counters.COUNTERS.add("turns.end_lost")
--- a/src/crowdeck/routing/planner.py
+++ b/src/crowdeck/routing/planner.py
@@ -92,7 +92,7 @@
         """Return a path for a new attempt.
 
         :param avoid: instances not to use.
-        :param gap_limit: longest predicted time between tokens in seconds;
+        :param gap_limit_seconds: longest predicted time between tokens;
             0 for any.
         :raises CrowdeckError: ``NO_PATH`` when none covers every layer,
             ``OVERLOADED`` when all would be too slow.
