--- a/src/crowdeck/sidecar/attempt.py
+++ b/src/crowdeck/sidecar/attempt.py
@@ -18,7 +18,7 @@
 class Attempt:
     """One attempt of a request, as one stage keeps it.
 
-    :ivar sequence: name of its KV cache on the engine.
+    :ivar sequence: id of its sequence, and so of its KV cache, on the engine.
     :ivar source: link on which it arrived: the entry's for the head, the
         previous stage's for the others; ``None`` once that link is gone.
     :ivar forward: link to the next stage, or from the tail to the head.
--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -24,10 +24,10 @@
 from crowdeck.wire import questions
 
 # How long a stage without a predecessor keeps its KV cache for the next
-# attempt. This exceeds the time in which a failure is detected.
-ORPHAN_SECONDS = 5.0
+# attempt. Must exceed the time in which a failure is detected.
+ORPHAN_TTL_SECONDS = 5.0
 # How long an answer is kept for a caller whose entry has died.
-KEEP_SECONDS = 60.0
+ANSWER_TTL_SECONDS = 60.0
 MAX_ATTEMPTS = 10_000
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
@@ -158,7 +158,7 @@
             counters.COUNTERS.add("engine.cancel_failed")
 
     def on_closed(self, peer: link.Peer) -> None:
-        """Fail the attempts that send to a lost link, keep those from it."""
+        """Fail attempts that send on a lost link; keep those it delivered."""
         for attempt in tuple(self._attempts.values()):
             if attempt.forward is peer:
                 attempt.forward = None
@@ -189,7 +189,7 @@
 
     def _drop_imports(self, now: float) -> None:
         for request, held in tuple(self._imports.items()):
-            if now - held.imported_at > ORPHAN_SECONDS:
+            if now - held.imported_at > ORPHAN_TTL_SECONDS:
                 del self._imports[request]
                 self._tasks.start_soon(self.cancel_engine, held.sequence)
 
@@ -206,7 +206,7 @@
                     verdict=_MAY_HAVE_RUN,
                 ),
             )
-        is_old = now - attempt.touched_at > KEEP_SECONDS
+        is_old = now - attempt.touched_at > ANSWER_TTL_SECONDS
         if is_old and (attempt.source is None or not attempt.is_running):
             self.send_to_next(
                 attempt, messages.Cancel(attempt.request, attempt.epoch)
@@ -219,8 +219,8 @@
         is_orphan = (
             attempt.source is None or attempt.is_failed or attempt.is_moved
         )
-        is_old = now - attempt.touched_at > ORPHAN_SECONDS
-        is_late = now > attempt.deadline + ORPHAN_SECONDS
+        is_old = now - attempt.touched_at > ORPHAN_TTL_SECONDS
+        is_late = now > attempt.deadline + ORPHAN_TTL_SECONDS
         if (is_orphan and is_old) or is_late:
             self.drop(attempt, "expired")
 
--- a/src/crowdeck/sidecar/batcher.py
+++ b/src/crowdeck/sidecar/batcher.py
@@ -63,7 +63,7 @@
     def token_seconds(self) -> float:
         """Seconds that each further sequence adds to a batch."""
         spread = self._count * self._squares - self._sizes**2
-        # Batches of nearly the same size do not determine the slope.
+        # Batch sizes of a smaller variance do not determine the slope.
         if spread <= 0.05 * self._count**2:
             return 0.0
         slope = self._count * self._products - self._sizes * self._seconds
@@ -182,7 +182,7 @@
 
 
 def _check_result(step: upstream.EngineStep, result: Result) -> Result:
-    """Return a result, or the error of one that failed or is misaddressed."""
+    """Return a result, or an error if it failed or has another sequence."""
     if isinstance(result, errors.CrowdeckError):
         return result
     if result.sequence != step.sequence:
--- a/src/crowdeck/sidecar/calls.py
+++ b/src/crowdeck/sidecar/calls.py
@@ -26,13 +26,13 @@
 from crowdeck import verdict as verdicts
 from crowdeck.wire import questions
 
-# Longer than any caller waits before it repeats a request with its key.
-KEEP_SECONDS = 300.0
+# How long an answer is kept for callers that repeat their request.
+ANSWER_TTL_SECONDS = 300.0
 # Total size of the kept answers, of which the oldest are dropped first.
 MAX_KEPT_BYTES = 64 * 1024 * 1024
 MAX_COMPANIONS = 16
 
-_COMPANION = re.compile(r'<([^>]+)>\s*;\s*rel="?companion"?')
+_COMPANION_LINK = re.compile(r'<([^>]+)>\s*;\s*rel="?companion"?')
 
 
 @attrs.define(eq=False)
@@ -98,11 +98,11 @@
         record = self._records.get(question.request)
         if record is None:
             raise _gone_error()
-        return await self._wait(record, question.team, KEEP_SECONDS)
+        return await self._wait(record, question.team, ANSWER_TTL_SECONDS)
 
     async def sweep(self) -> None:
         """Drop the answers that are too old or exceed the total size."""
-        limit = self._clock.now() - KEEP_SECONDS
+        limit = self._clock.now() - ANSWER_TTL_SECONDS
         total = sum(record.size for record in self._records.values())
         for request, record in tuple(self._records.items()):
             is_old = record.begun_at < limit
@@ -151,7 +151,7 @@
         if record.reply is None:
             raise errors.CrowdeckError(
                 errors.Code.DEADLINE,
-                "the call has not ended by its deadline",
+                "the call did not end in time",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
         if isinstance(record.reply, errors.CrowdeckError):
@@ -222,7 +222,9 @@
     ) -> tuple[questions.Companion, ...]:
         paths = _companion_paths(response.headers)
         if len(paths) > MAX_COMPANIONS:
-            raise _missing_error(f"more than {MAX_COMPANIONS} companions")
+            raise _companion_missing_error(
+                f"more than {MAX_COMPANIONS} companions"
+            )
         found = []
         for path in paths:
             found.append(await self._fetch_companion(call, service, path))
@@ -241,9 +243,9 @@
         try:
             response = await service.call(request)
         except errors.CrowdeckError as error:
-            raise _missing_error(f"{path}: {error.code}") from error
+            raise _companion_missing_error(f"{path}: {error.code}") from error
         if response.status != 200:
-            raise _missing_error(f"{path}: status {response.status}")
+            raise _companion_missing_error(f"{path}: status {response.status}")
         return questions.Companion(
             path=path,
             content_type=_header(response.headers, "content-type"),
@@ -255,11 +257,12 @@
     paths: list[str] = []
     for header in headers:
         if header.name == "link":
-            paths.extend(_COMPANION.findall(header.value))
+            paths.extend(_COMPANION_LINK.findall(header.value))
     return paths
 
 
 def _header(headers: tuple[http_header.Header, ...], name: str) -> str:
+    """Return a header's value, by default a generic content type."""
     for header in headers:
         if header.name == name:
             return header.value
@@ -274,7 +277,7 @@
     )
 
 
-def _missing_error(message: str) -> errors.CrowdeckError:
+def _companion_missing_error(message: str) -> errors.CrowdeckError:
     # The call itself has run; only its companions are missing.
     return errors.CrowdeckError(
         errors.Code.COMPANION_MISSING, message, verdict=verdicts.Verdict.RAN
--- a/src/crowdeck/sidecar/gate.py
+++ b/src/crowdeck/sidecar/gate.py
@@ -20,7 +20,6 @@
 from crowdeck import verdict as verdicts
 
 # A record has to outlive every message that may still arrive for its request.
-# This is twice the longest deadline.
 RECORD_TTL_SECONDS = 600.0
 # Bounds the memory that records take.
 MAX_RECORDS = 200_000
@@ -31,7 +30,7 @@
     touched_at: float
     admitted_epoch: int = -1
     sealed_epoch: int = -1
-    is_done: bool = False
+    has_ended: bool = False
 
 
 class Gate:
@@ -87,7 +86,7 @@
             )
         if self._is_leaving and is_new_work:
             raise errors.CrowdeckError(
-                errors.Code.LEAVING, "this upstream is leaving", retry_after=0
+                errors.Code.LEAVING, "this sidecar is leaving", retry_after=0
             )
         self._touch(request).admitted_epoch = epoch
 
@@ -95,7 +94,7 @@
         """Record that the request's latest attempt has ended."""
         record = self._records.get(request)
         if record is not None:
-            record.is_done = True
+            record.has_ended = True
 
     def withdraw(self, request: str, epoch: int) -> None:
         """Undo the admission of an attempt that never reached the upstream.
@@ -120,7 +119,7 @@
         record.sealed_epoch = max(record.sealed_epoch, epoch)
         if record.admitted_epoch < 0:
             return verdicts.Verdict.NOT_RUN
-        if record.is_done:
+        if record.has_ended:
             return verdicts.Verdict.RAN
         return verdicts.Verdict.MAY_HAVE_RUN
 
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -164,7 +164,7 @@
         if attempt.is_head:
             self._change_source(attempt, peer)
             attempt.credit_limit = question.position + question.window
-            self._tasks.start_soon(self._resume_soon, attempt)
+            self._tasks.start_soon(self._resume_after_reply, attempt)
         return questions.Attached(
             epoch=attempt.epoch,
             pieces=tuple(attempt.pieces[question.position :]),
@@ -191,7 +191,8 @@
                 )
             )
 
-    async def _resume_soon(self, attempt: attempts.Attempt) -> None:
+    async def _resume_after_reply(self, attempt: attempts.Attempt) -> None:
+        # Runs as a task, so that the reply to Attach is sent first.
         can_continue = (
             attempt.is_waiting_for_credit
             and attempt.next_position < attempt.credit_limit
--- a/src/crowdeck/sidecar/kv_transfer.py
+++ b/src/crowdeck/sidecar/kv_transfer.py
@@ -41,7 +41,7 @@
         """Send a request's KV cache to the stage that replaces this one.
 
         :raises CrowdeckError: if it could not be sent; the next attempt then
-            has to be opened cold.
+            has to prefill the whole context.
         """
         attempt = self._stage.registry.find(question.request)
         if attempt is None or attempt.epoch != question.epoch:
@@ -50,7 +50,7 @@
             )
         attempt.is_moved = True
         await self._stage.wait_until_idle(question.request)
-        self._require_boundary(attempt)
+        self._require_paused(attempt)
         kv = await self._engine.export_kv(attempt.sequence)
         moved = questions.MovedOut(
             position=attempt.next_position, context=attempt.context
@@ -59,7 +59,7 @@
         counters.COUNTERS.add("stage.moved_out")
         return moved
 
-    def _require_boundary(self, attempt: attempts.Attempt) -> None:
+    def _require_paused(self, attempt: attempts.Attempt) -> None:
         if attempt.is_in_engine or not attempt.is_running:
             raise errors.CrowdeckError(
                 errors.Code.STALLED, "the attempt has ended or did not pause"
--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -59,7 +59,7 @@
         self._gate.admit(
             opening.request, opening.epoch, is_new_work=not is_warm
         )
-        attempt = self._make(peer, opening, index)
+        attempt = self._make_attempt(peer, opening, index)
         if earlier is not None:
             self._replace(earlier, opening, keeps_kv=is_warm)
         if is_warm:
@@ -76,7 +76,7 @@
         opening: messages.Opening,
         keeps_kv: bool,
     ) -> None:
-        """End an earlier attempt, also at a next stage off the new path.
+        """End an earlier attempt, also at a next stage the new path omits.
 
         Stages on both paths receive the new opening. A ``Cancel`` would race
         with it and drop the KV cache that a warm opening needs.
@@ -92,7 +92,7 @@
         else:
             self._registry.drop(earlier, "replaced")
 
-    def _make(
+    def _make_attempt(
         self, peer: link.Peer, opening: messages.Opening, index: int
     ) -> attempts.Attempt:
         now = self._clock.now()
@@ -130,17 +130,17 @@
         self, earlier: attempts.Attempt | None, opening: messages.Opening
     ) -> str:
         """Return the engine sequence that a warm opening continues."""
-        held = self._registry.find_import(opening.request)
-        if held is not None and held.team == opening.team:
-            if held.context == opening.warm_context:
-                return held.sequence
-        is_held = (
+        pending_import = self._registry.find_import(opening.request)
+        if pending_import is not None and pending_import.team == opening.team:
+            if pending_import.context == opening.warm_context:
+                return pending_import.sequence
+        has_usable_cache = (
             earlier is not None
             and not earlier.is_in_engine
             and earlier.context >= opening.warm_context
             and earlier.opening.team == opening.team
         )
-        if earlier is None or not is_held:
+        if earlier is None or not has_usable_cache:
             raise errors.CrowdeckError(
                 errors.Code.CACHE_GONE,
                 f"{self._instance} does not hold this KV cache",
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -30,7 +30,8 @@
 from crowdeck.wire import questions
 
 IDLE_POLL_SECONDS = 0.05
-# Interval of load reports. Each goes to one entry whose last report differs.
+# Interval of load reports. Each is sent to one entry, whose last report had
+# another number of running attempts and calls.
 REPORT_SECONDS = 0.25
 
 
@@ -69,10 +70,12 @@
         self._batcher: batchers.Batcher | None = None
         self._stage: stages.Stage | None = None
         self._kv_transfers: kv_transfer.KvTransfers | None = None
-        self._stopped = anyio.Event()
+        self._drained = anyio.Event()
         self._peers: set[link.Peer] = set()
+        # For each entry, the number running at its last report, and the
+        # count of reports sent from which it may get the next one.
         self._reported: dict[str, tuple[int, int]] = {}
-        self._tick = 0
+        self._reports_sent = 0
 
     @property
     def incarnation(self) -> int:
@@ -191,9 +194,9 @@
                 self._turns.end(question)
                 return questions.Done()
             case _:
-                return await self._on_rare_question(question)
+                return await self._on_control_question(question)
 
-    async def _on_rare_question(
+    async def _on_control_question(
         self, question: questions.Question
     ) -> questions.Reply:
         match question:
@@ -238,12 +241,12 @@
                 await anyio.sleep(IDLE_POLL_SECONDS)
         is_idle = self.running == 0
         logs.change("drained", instance=self._name, is_idle=is_idle)
-        self._stopped.set()
+        self._drained.set()
         return is_idle
 
     async def wait_drained(self) -> None:
         """Return once a planned stop has ended."""
-        await self._stopped.wait()
+        await self._drained.wait()
 
     @property
     def _entry_peers(self) -> list[link.Peer]:
@@ -256,7 +259,7 @@
     async def _report(self) -> None:
         """Report the load to one entry, in turn, if it has changed.
 
-        Only one report is sent per tick: with more entries, reports get
+        Only one report is sent per interval: with more entries, reports get
         older but do not cost more.
         """
         load = self._load()
@@ -264,12 +267,15 @@
             self._entry_peers, key=lambda one: one.greeting.instance
         ):
             reported = self._reported.get(peer.greeting.instance, (-1, 0))
-            if reported[0] != load.running and self._tick >= reported[1]:
+            if (
+                reported[0] != load.running
+                and self._reports_sent >= reported[1]
+            ):
                 peer.send(load)
-                self._tick += 1
+                self._reports_sent += 1
                 self._reported[peer.greeting.instance] = (
                     load.running,
-                    self._tick + len(self._peers) // 2,
+                    self._reports_sent + len(self._peers) // 2,
                 )
                 return
 
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -31,8 +31,8 @@
 from crowdeck.wire import messages
 
 SWEEP_SECONDS = 0.25
-BOUNDARY_TIMEOUT_SECONDS = 2.0
-BOUNDARY_POLL_SECONDS = 0.002
+IDLE_TIMEOUT_SECONDS = 2.0
+IDLE_POLL_SECONDS = 0.002
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
@@ -103,9 +103,9 @@
         previous attempt. Refusing it would cost a replay.
         """
         attempt = self._registry.find(request)
-        with anyio.move_on_after(BOUNDARY_TIMEOUT_SECONDS):
+        with anyio.move_on_after(IDLE_TIMEOUT_SECONDS):
             while attempt is not None and attempt.is_in_engine:
-                await anyio.sleep(BOUNDARY_POLL_SECONDS)
+                await anyio.sleep(IDLE_POLL_SECONDS)
 
     def on_prefill(self, peer: link.Peer, record: messages.Prefill) -> None:
         """Begin an attempt as a later stage."""
@@ -128,8 +128,10 @@
             counters.COUNTERS.add(f"stage.refused.{error.code.lower()}")
             # A repeat on the same link is dropped. The same epoch on another
             # link comes from a second driver, which has to be told.
-            held = self._registry.find_current(opening.request, opening.epoch)
-            if held is None or held.source is not peer:
+            current = self._registry.find_current(
+                opening.request, opening.epoch
+            )
+            if current is None or current.source is not peer:
                 peer.send(
                     self._registry.make_failure(
                         opening.request, opening.epoch, error
@@ -161,19 +163,19 @@
         output = self._take_result(attempt, result)
         if output is None:
             return
-        before = attempt.context
+        context_before = attempt.context
         attempt.context += output.count
         position = attempt.next_position
         attempt.next_position += 1
         self._tasks.start_soon(
-            self._forward_first, attempt, position, before, output
+            self._forward_first, attempt, position, context_before, output
         )
 
     async def _forward_first(
         self,
         attempt: attempts.Attempt,
         position: int,
-        before: int,
+        context_before: int,
         output: upstream.EngineOutput,
     ) -> None:
         """Connect to the next stage and send it the first result."""
@@ -192,7 +194,7 @@
             messages.Prefill(
                 opening=attempt.opening,
                 next_layer=attempt.end_layer,
-                context=before,
+                context=context_before,
                 count=output.count,
                 hidden=output.hidden,
             )
--- a/src/crowdeck/sidecar/turns.py
+++ b/src/crowdeck/sidecar/turns.py
@@ -22,18 +22,18 @@
 from crowdeck.wire import link
 from crowdeck.wire import questions
 
-# How long a moved session waits for entries that hold its turn. This is twice
-# the heartbeat timeout within which an entry notices a lost home.
-SETTLE_SECONDS = 3.0
+# How long a moved session waits for entries that hold its turn. Must
+# exceed the time within which an entry notices a lost home.
+HOLDER_RECLAIM_SECONDS = 3.0
 # How long a turn is kept for a holder whose entry is lost, as its caller may
 # reconnect at another entry.
-GRACE_SECONDS = 5.0
+LOST_HOLDER_GRACE_SECONDS = 5.0
 # Sessions that are idle for this long are dropped with their numbering.
-IDLE_SECONDS = 900.0
+SESSION_TTL_SECONDS = 900.0
 
 
 @attrs.define(eq=False)
-class _Waiter:
+class _TurnRequest:
     question: questions.TakeTurn
     peer: link.Peer
     granted: anyio.Event = attrs.field(factory=anyio.Event)
@@ -43,10 +43,10 @@
 class _Session:
     touched_at: float
     settled_at: float
-    holder: _Waiter | None = None
+    holder: _TurnRequest | None = None
     lost_at: float | None = None
     last_sequence: int = -1
-    waiting: collections.deque[_Waiter] = attrs.field(
+    waiting: collections.deque[_TurnRequest] = attrs.field(
         factory=collections.deque
     )
 
@@ -86,10 +86,10 @@
         if self._is_leaving:
             raise _leaving_error()
         session = self._session(question)
-        waiter = _Waiter(question, peer)
+        waiter = _TurnRequest(question, peer)
         if self._take_again(session, waiter):
             return
-        self._require_fresh(session, question)
+        self._require_unused_number(session, question)
         session.waiting.append(waiter)
         self._grant(session)
         try:
@@ -137,26 +137,31 @@
         now = self._clock.now()
         for name, session in tuple(self._sessions.items()):
             lost_at = session.lost_at
-            if lost_at is not None and now - lost_at > GRACE_SECONDS:
+            if (
+                lost_at is not None
+                and now - lost_at > LOST_HOLDER_GRACE_SECONDS
+            ):
                 counters.COUNTERS.add("turns.holder_lost")
                 session.holder = None
                 session.lost_at = None
             self._grant(session)
             is_idle = session.holder is None and not session.waiting
-            if is_idle and now - session.touched_at > IDLE_SECONDS:
+            if is_idle and now - session.touched_at > SESSION_TTL_SECONDS:
                 del self._sessions[name]
 
     def _session(self, question: questions.TakeTurn) -> _Session:
         now = self._clock.now()
         session = self._sessions.get(question.session)
         if session is None:
-            settled_at = now + (SETTLE_SECONDS if question.is_moved else 0.0)
+            settled_at = now + (
+                HOLDER_RECLAIM_SECONDS if question.is_moved else 0.0
+            )
             session = _Session(touched_at=now, settled_at=settled_at)
             self._sessions[question.session] = session
         session.touched_at = now
         return session
 
-    def _take_again(self, session: _Session, waiter: _Waiter) -> bool:
+    def _take_again(self, session: _Session, waiter: _TurnRequest) -> bool:
         """Let a holder take its turn again, and return whether it did."""
         holder = session.holder
         request = waiter.question.request
@@ -172,7 +177,7 @@
             return True
         return False
 
-    def _require_fresh(
+    def _require_unused_number(
         self, session: _Session, question: questions.TakeTurn
     ) -> None:
         is_used = 0 <= question.sequence <= session.last_sequence
@@ -198,7 +203,7 @@
         waiter.granted.set()
         counters.COUNTERS.add("turns.granted")
 
-    def _next_waiter(self, session: _Session) -> _Waiter | None:
+    def _next_waiter(self, session: _Session) -> _TurnRequest | None:
         """Return the waiting request to grant next, ``None`` for none yet.
 
         Numbered turns are granted in the order of their numbers, and wait
@@ -222,5 +227,5 @@
     )
 
 
-def _is_numbered(waiter: _Waiter) -> bool:
+def _is_numbered(waiter: _TurnRequest) -> bool:
     return waiter.question.sequence >= 0
