--- a/tests/system.py
+++ b/tests/system.py
@@ -115,7 +115,7 @@
         self.service = CountingService()
         self.engines: dict[str, engines.StandinEngine] = {}
         self.nodes: dict[str, Node] = {}
-        self.requests = 0
+        self.request_count = 0
         self._ports = iter(range(1, 10_000))
         self._stack = contextlib.AsyncExitStack()
 
@@ -195,9 +195,9 @@
     def request(
         self, prompt: str, count: int = 20, **changes: typing.Any
     ) -> model_requests.ModelRequest:
-        self.requests += 1
+        self.request_count += 1
         request = model_requests.ModelRequest(
-            request=f"req{self.requests}",
+            request=f"req{self.request_count}",
             team="kiosks",
             session="",
             model=MODEL,
@@ -236,9 +236,9 @@
         is_repeatable: bool = False,
         seconds: float = 10.0,
     ) -> service_calls.ServiceCall:
-        self.requests += 1
+        self.request_count += 1
         return service_calls.ServiceCall(
-            request=f"call{self.requests}",
+            request=f"call{self.request_count}",
             team="kiosks",
             service="records",
             contract=contracts.Contract(is_repeatable=is_repeatable),
@@ -262,7 +262,7 @@
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as tasks:
                 timer_service = timers.TimerService()
-                resolver = _Book(self.store)
+                resolver = _Directory(self.store)
                 sidecar = sidecars.Sidecar(
                     name=name,
                     engine=engine,
@@ -325,7 +325,7 @@
         return self.network.join(address, greeting, handler)
 
 
-class _Book:
+class _Directory:
     """A directory that is always up to date."""
 
     def __init__(self, store: stores.StandinStore) -> None:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -73,12 +73,12 @@
         virtual.run(check)
 
 
-class TestDeaths:
+class TestCrashes:
     """Processes die in the middle of an answer."""
 
     @pytest.mark.parametrize("stage", [0, 1, 2])
     @pytest.mark.parametrize("position", [0, 1, 7, 18])
-    def test_stage_dies(self, stage: int, position: int) -> None:
+    def test_stage_crashes(self, stage: int, position: int) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 caller = systems.Caller()
@@ -92,10 +92,10 @@
 
         virtual.run(check)
 
-    @pytest.mark.parametrize("dies", ["head", "tail", "both"])
+    @pytest.mark.parametrize("killed", ["head", "tail", "both"])
     @pytest.mark.parametrize("length", [20, 1])
-    def test_death_after_the_last_token_adds_no_token(
-        self, dies: str, length: int
+    def test_crash_after_the_last_token_adds_no_token(
+        self, killed: str, length: int
     ) -> None:
         """A further attempt must not generate tokens past the end."""
 
@@ -106,7 +106,7 @@
                 def kill() -> None:
                     head, tail = caller.location
                     for name in {"head": {head}, "tail": {tail}}.get(
-                        dies, {head, tail}
+                        killed, {head, tail}
                     ):
                         system.kill(name)
 
@@ -117,7 +117,7 @@
 
         virtual.run(check)
 
-    def test_death_after_a_stop_token_adds_no_token(self) -> None:
+    def test_crash_after_a_stop_token_adds_no_token(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 prompt, length = _prompt_that_stops(system)
@@ -223,8 +223,8 @@
         virtual.run(check)
 
 
-class TestEntryDeath:
-    """The entry dies, and its caller resumes at another one."""
+class TestEntryCrash:
+    """The entry crashes, and its caller resumes at another one."""
 
     @pytest.mark.parametrize("position", [0, 6, 19])
     def test_answer_is_resumed_at_another_entry(self, position: int) -> None:
@@ -232,7 +232,7 @@
             async with systems.System() as system:
                 first, second = systems.Caller(), systems.Caller()
                 request = system.request(PROMPT)
-                await _break_at(system, request, first, position)
+                await _run_until_entry_killed(system, request, first, position)
                 resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
@@ -244,12 +244,12 @@
 
         virtual.run(check)
 
-    def test_head_dies_as_well(self) -> None:
+    def test_head_crashes_as_well(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 first, second = systems.Caller(), systems.Caller()
                 request = system.request(PROMPT)
-                await _break_at(system, request, first, 6)
+                await _run_until_entry_killed(system, request, first, 6)
                 system.kill(first.location[0])
                 resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
@@ -266,15 +266,15 @@
             async with systems.System() as system:
                 first, second = systems.Caller(), systems.Caller()
                 request = system.request(PROMPT)
-                await _break_at(system, request, first, 6)
-                foreign = system.request(
+                await _run_until_entry_killed(system, request, first, 6)
+                other_request = system.request(
                     PROMPT, request=request.request, team="others"
                 )
                 resume = model_requests.ResumePoint(0, *first.location)
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await system.make_driver(foreign, second, entry=1).run(
-                        resume
-                    )
+                    await system.make_driver(
+                        other_request, second, entry=1
+                    ).run(resume)
                 assert caught.value.code == errors.Code.ANSWER_GONE
                 assert not second.pieces
 
@@ -288,27 +288,29 @@
                 caller = systems.Caller()
                 refused: list[errors.Code] = []
 
-                def intrude() -> None:
+                def open_for_other_team() -> None:
                     head = _stage_of(system, 0)
                     own = next(
                         one
                         for one in head.registry.all_attempts
                         if one.is_running
                     )
-                    foreign = attrs.evolve(own.opening, epoch=5, team="x")
+                    other_opening = attrs.evolve(
+                        own.opening, epoch=5, team="x"
+                    )
                     try:
-                        head.open(_NO_PEER, foreign)
+                        head.open(_NO_PEER, other_opening)
                     except errors.CrowdeckError as error:
                         refused.append(error.code)
 
-                caller.on_position[5] = intrude
+                caller.on_position[5] = open_for_other_team
                 await system.answer(PROMPT, caller)
                 assert refused == [errors.Code.FORBIDDEN]
                 assert caller.texts == system.expected(PROMPT, 20)
 
         virtual.run(check)
 
-    def test_former_entry_is_told_that_it_was_superseded(self) -> None:
+    def test_previous_entry_is_superseded(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 first, second = systems.Caller(0.05), systems.Caller()
@@ -432,11 +434,15 @@
                     await system.make_driver(request, caller).run()
                 head = system.sidecar(caller.location[0])
                 assert head._stage is not None
-                made = max(
+                generated_count = max(
                     len(one.pieces)
                     for one in head._stage.registry.all_attempts
                 )
-                assert len(caller.pieces) < made <= len(caller.pieces) + 16
+                assert (
+                    len(caller.pieces)
+                    < generated_count
+                    <= len(caller.pieces) + 16
+                )
 
         virtual.run(check)
 
@@ -488,7 +494,7 @@
         virtual.run(check)
 
 
-class TestForeignRecords:
+class TestInvalidRecords:
     """Records that are late, duplicated, misdirected or altered."""
 
     def test_duplicate_records_change_nothing(self) -> None:
@@ -567,25 +573,25 @@
 
         async def check() -> None:
             async with systems.System() as system:
-                crossed: list[messages.Step] = []
+                skipped: list[messages.Step] = []
 
-                def cross(record: messages.Record) -> messages.Record:
+                def skip_stage(record: messages.Record) -> messages.Record:
                     is_first = (
                         isinstance(record, messages.Step)
                         and record.position == 4
                         and record.next_layer == 2
                     )
-                    if is_first and not crossed:
+                    if is_first and not skipped:
                         assert isinstance(record, messages.Step)
-                        crossed.append(record)
+                        skipped.append(record)
                         _stage_of(system, 2).on_step(_NO_PEER, record)
                         return messages.Cancel("nobody", 0)
                     return record
 
-                _alter_records(system, cross)
+                _alter_records(system, skip_stage)
                 caller = systems.Caller()
                 await system.answer(PROMPT, caller)
-                assert crossed
+                assert skipped
                 assert caller.texts == system.expected(PROMPT, 20)
 
         virtual.run(check)
@@ -701,7 +707,7 @@
         handler.on_record = on_record
 
 
-async def _break_at(
+async def _run_until_entry_killed(
     system: systems.System,
     request: model_requests.ModelRequest,
     caller: systems.Caller,
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Calls of plain services run at most once and have true verdicts."""
+"""Calls of plain services run at most once and have correct verdicts."""
 
 import typing
 
@@ -156,14 +156,14 @@
                     await system.entry().calls.call(service_call)
                 except errors.CrowdeckError as error:
                     raised.append(error)
-                # The whole time is spent on waiting for a reply, and the
-                # call is not sent again.
+                # The entry waits for the reply until the deadline instead of
+                # sending the call again.
                 assert sum(system.service.runs.values()) <= 1
                 assert raised
 
         virtual.run(check)
 
-    def test_cut_link_is_sealed_as_not_run(self) -> None:
+    def test_lost_call_is_sealed_and_retried(self) -> None:
         async def check() -> None:
             async with systems.System(services=1) as system:
                 system.network.fault = lose_first(questions.Call)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -3,10 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The programs over TCP, as callers and operators use them.
-
-No test here depends on timing.
-"""
+"""The programs over TCP, as callers and operators use them."""
 
 import contextlib
 import io
@@ -35,14 +32,14 @@
 def run(check: typing.Any, options: clusters.ClusterOptions = FAST) -> None:
     """Run a check on a cluster of its own."""
 
-    async def whole() -> None:
+    async def run_check() -> None:
         async with clusters.Cluster(options) as cluster:
             await check(cluster)
 
-    anyio.run(whole)
+    anyio.run(run_check)
 
 
-async def ask(
+async def send_request(
     cluster: clusters.Cluster,
     method: str,
     path: str,
@@ -65,7 +62,7 @@
         )
 
 
-def chat(prompt: str, **more: typing.Any) -> bytes:
+def chat_body(prompt: str, **more: typing.Any) -> bytes:
     """Return a chat request's body."""
     body = {
         "model": clusters.MODEL,
@@ -145,7 +142,7 @@
 
     def test_stream_resumes_at_the_other_entry(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
-            body = chat("draft a reply", stream=True, max_tokens=60)
+            body = chat_body("draft a reply", stream=True, max_tokens=60)
             texts, last = await _read_events(cluster, body, {}, stop_at=20)
             cluster.kill("entry-0")
             more, _ = await _read_events(
@@ -159,11 +156,11 @@
     def test_invalid_event_id_is_refused(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             for event_id in ("nonsense", "a~b~c~-1", "a~b~c~x"):
-                response = await ask(
+                response = await send_request(
                     cluster,
                     "POST",
                     "/v1/chat/completions",
-                    chat("hello", stream=True),
+                    chat_body("hello", stream=True),
                     {"last-event-id": event_id},
                 )
                 assert response.status == 400
@@ -177,7 +174,7 @@
     def test_keyed_call_runs_once(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             answers = [
-                await ask(
+                await send_request(
                     cluster,
                     "POST",
                     "/services/records/receipts/7",
@@ -193,7 +190,7 @@
 
     def test_answer_includes_its_companions(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
-            response = await ask(
+            response = await send_request(
                 cluster, "GET", "/services/maps/lots/12", bearer=SURVEYORS
             )
             assert response.status == 200
@@ -204,7 +201,7 @@
 
     def test_missing_companion_is_an_error(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
-            response = await ask(
+            response = await send_request(
                 cluster, "GET", "/services/maps/lots/torn", bearer=SURVEYORS
             )
             error = orjson.loads(response.content)["error"]
@@ -220,13 +217,13 @@
 
     def test_team_sees_only_its_own_services(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
-            response = await ask(
+            response = await send_request(
                 cluster,
                 "GET",
                 "/services/records/receipts/7",
                 bearer=SURVEYORS,
             )
-            unknown = await ask(cluster, "GET", "/services/nothing/x")
+            unknown = await send_request(cluster, "GET", "/services/nothing/x")
             assert response.status == unknown.status == 404
             assert not cluster.service.runs
 
@@ -235,11 +232,11 @@
     @pytest.mark.parametrize("header", ["", "Bearer x", "Basic a2V5", "x"])
     def test_request_without_a_valid_key_is_refused(self, header: str) -> None:
         async def check(cluster: clusters.Cluster) -> None:
-            response = await ask(
+            response = await send_request(
                 cluster,
                 "POST",
                 "/v1/chat/completions",
-                chat("hello"),
+                chat_body("hello"),
                 bearer=header,
             )
             assert response.status == 401
@@ -249,14 +246,14 @@
 
     def test_large_body_and_many_headers_are_refused(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
-            response = await ask(
+            response = await send_request(
                 cluster,
                 "POST",
                 "/v1/chat/completions",
-                chat("x" * 1_100_000),
+                chat_body("x" * 1_100_000),
             )
             assert response.status == 413
-            response = await ask(
+            response = await send_request(
                 cluster,
                 "GET",
                 "/v1/models",
@@ -276,33 +273,35 @@
             b'{"model": "m", "messages": []}',
             b'{"model": "m", "messages": [1]}',
             b'{"model": "m", "messages": [{"role": "user"}]}',
-            chat("x", max_tokens=-1),
-            chat("x", max_tokens=True),
-            chat(" "),
+            chat_body("x", max_tokens=-1),
+            chat_body("x", max_tokens=True),
+            chat_body(" "),
         ],
     )
     def test_bad_body_is_refused_with_a_code(self, body: bytes) -> None:
         async def check(cluster: clusters.Cluster) -> None:
-            response = await ask(cluster, "POST", "/v1/chat/completions", body)
+            response = await send_request(
+                cluster, "POST", "/v1/chat/completions", body
+            )
             error = orjson.loads(response.content)["error"]
             assert response.status == 400
             assert error["code"] == "BAD_REQUEST"
             assert error["verdict"] == "not_run"
-            fine = await ask(
-                cluster, "POST", "/v1/chat/completions", chat("hello")
+            fine = await send_request(
+                cluster, "POST", "/v1/chat/completions", chat_body("hello")
             )
             assert fine.status == 200
 
         run(check)
 
 
-class TestForeignLinks:
-    """Foreign bytes on the port for peers."""
+class TestMalformedLinks:
+    """Connections to the peer port that do not speak the protocol."""
 
     def test_foreign_bytes_close_only_their_own_link(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             address = cluster.sidecars["engine-0-0"].running.address
-            for noise in (
+            for payload in (
                 b"GET / HTTP/1.1\r\n\r\n",
                 b"\0" * 64,
                 b"\xff" * 4096,
@@ -310,7 +309,7 @@
                 async with await anyio.connect_tcp(
                     address.host, address.port
                 ) as stream:
-                    await stream.send(noise)
+                    await stream.send(payload)
                     with (
                         contextlib.suppress(
                             anyio.EndOfStream, anyio.BrokenResourceError
@@ -318,8 +317,8 @@
                         anyio.move_on_after(3.0),
                     ):
                         await stream.receive()
-            response = await ask(
-                cluster, "POST", "/v1/chat/completions", chat("hello")
+            response = await send_request(
+                cluster, "POST", "/v1/chat/completions", chat_body("hello")
             )
             assert response.status == 200
 
@@ -350,15 +349,22 @@
             assert code == 0
             assert {row["state"] for row in rows} == {"up"}
             assert {row["store_epoch"] for row in rows} == {0}
-            place = ("--team", "kiosks", "--option", "concurrency")
+            option_arguments = ("--team", "kiosks", "--option", "concurrency")
             code, _ = await call(
-                "settings", "set", *place, "--value", "7", "--json"
+                "settings", "set", *option_arguments, "--value", "7", "--json"
             )
             assert code == 0
-            code, found = await call("settings", "get", *place, "--json")
+            code, found = await call(
+                "settings", "get", *option_arguments, "--json"
+            )
             assert (code, found["value"]) == (0, 7)
             code, body = await call(
-                "settings", "set", *place, "--value", "many", "--json"
+                "settings",
+                "set",
+                *option_arguments,
+                "--value",
+                "many",
+                "--json",
             )
             assert code == 2
             assert "whole number" in body["error"]["message"]
@@ -374,11 +380,11 @@
     def test_trace_has_a_span_per_hop(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             trace = "4bf92f3577b34da6a3ce929d0e0e4736"
-            response = await ask(
+            response = await send_request(
                 cluster,
                 "POST",
                 "/v1/chat/completions",
-                chat("hello"),
+                chat_body("hello"),
                 {"traceparent": f"00-{trace}-00f067aa0ba902b7-01"},
             )
             assert response.status == 200
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -90,31 +90,33 @@
     @hypothesis.given(
         strategies.lists(
             strategies.tuples(
-                strategies.sampled_from(["enter", "seal", "finish"]),
+                strategies.sampled_from(["admit", "seal", "finish"]),
                 strategies.integers(0, 3),
             ),
             max_size=12,
         )
     )
     def test_not_run_is_never_followed_by_a_run(
-        self, moves: list[tuple[str, int]]
+        self, operations: list[tuple[str, int]]
     ) -> None:
         gate, _ = make_gate()
-        entered: list[int] = []
-        promised = -1
-        for move, epoch in moves:
+        admitted: list[int] = []
+        highest_not_run_epoch = -1
+        for operation, epoch in operations:
             try:
-                if move == "enter":
+                if operation == "admit":
                     gate.admit("a", epoch, True)
-                    entered.append(epoch)
-                    assert epoch > promised
-                elif move == "seal":
+                    admitted.append(epoch)
+                    assert epoch > highest_not_run_epoch
+                elif operation == "seal":
                     outcome = gate.seal("a", epoch, INCARNATION)
                     if outcome is verdicts.Verdict.NOT_RUN:
-                        assert not entered
-                        promised = max(promised, epoch)
+                        assert not admitted
+                        highest_not_run_epoch = max(
+                            highest_not_run_epoch, epoch
+                        )
                 else:
                     gate.finish("a")
             except errors.CrowdeckError:
                 continue
-        assert entered == sorted(set(entered))
+        assert admitted == sorted(set(admitted))
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -51,8 +51,8 @@
     kind: str
     target: str
     other: str
-    at: float
-    seconds: float
+    delay_seconds: float
+    duration_seconds: float
 
 
 def faults() -> strategies.SearchStrategy[Fault]:
@@ -63,8 +63,8 @@
         ),
         target=strategies.sampled_from(SIDECARS),
         other=strategies.sampled_from(SIDECARS + ENTRIES),
-        at=strategies.floats(0.0, 1.0),
-        seconds=strategies.floats(0.05, 3.0),
+        delay_seconds=strategies.floats(0.0, 1.0),
+        duration_seconds=strategies.floats(0.05, 3.0),
     )
 
 
@@ -77,7 +77,7 @@
     error: errors.CrowdeckError | None = None
 
 
-class Run:
+class ScheduleRun:
     """One run of the system under one schedule."""
 
     def __init__(self, system: systems.System) -> None:
@@ -121,29 +121,29 @@
         self.calls.append(outcome)
 
     async def _inject(self, fault: Fault) -> None:
-        await anyio.sleep(fault.at)
+        await anyio.sleep(fault.delay_seconds)
         system = self.system
         match fault.kind:
             case "kill":
                 system.kill(fault.target)
             case "replace":
                 system.kill(fault.target)
-                await anyio.sleep(fault.seconds)
+                await anyio.sleep(fault.duration_seconds)
                 await self._start_again(fault.target)
             case "freeze":
                 system.network.freeze(fault.target)
-                await anyio.sleep(fault.seconds)
+                await anyio.sleep(fault.duration_seconds)
                 system.network.thaw(fault.target)
             case "cut":
                 system.network.cut(fault.target, fault.other)
-                await anyio.sleep(fault.seconds)
+                await anyio.sleep(fault.duration_seconds)
                 system.network.reconnect(fault.target, fault.other)
             case "leave":
                 if not system.nodes[fault.target].scope.cancel_called:
                     system.sidecar(fault.target).begin_drain(10.0)
             case "store":
                 system.store.is_down = True
-                await anyio.sleep(fault.seconds)
+                await anyio.sleep(fault.duration_seconds)
                 system.store.is_down = False
             case "lose":
                 system.store.lost_replies += 2
@@ -169,7 +169,9 @@
             len(caller.pieces) == len(self.system.expected(prompt, TOKENS))
             for prompt, caller in self.answers.items()
         )
-        assert whole + len(self.failures) >= len(self.answers), "lost"
+        assert whole + len(self.failures) >= len(self.answers), (
+            "an answer neither completed nor failed"
+        )
 
     def _check_calls(self) -> None:
         runs = self.system.service.runs
@@ -177,7 +179,7 @@
         for outcome in self.calls:
             if outcome.error is None:
                 assert outcome.body == f"{outcome.name} run 1".encode()
-        assert len(self.calls) == 2 * CALLS, "a caller was told nothing"
+        assert len(self.calls) == 2 * CALLS, "a call has no outcome"
 
 
 class TestAnyFaults:
@@ -191,7 +193,7 @@
     def test_guarantees_hold(self, schedule: list[Fault], seed: int) -> None:
         async def check() -> None:
             async with systems.System(seed=seed) as system:
-                run = Run(system)
+                run = ScheduleRun(system)
                 await run.play(schedule)
                 run.check_guarantees()
 
@@ -206,7 +208,7 @@
     def test_every_answer_is_complete(self, fault: Fault, seed: int) -> None:
         async def check() -> None:
             async with systems.System(seed=seed) as system:
-                run = Run(system)
+                run = ScheduleRun(system)
                 await run.play([fault])
                 run.check_guarantees()
                 assert not run.failures
@@ -227,7 +229,7 @@
     ) -> None:
         async def check() -> None:
             async with systems.System(seed=seed) as system:
-                run = Run(system)
+                run = ScheduleRun(system)
                 refused: list[str] = []
 
                 async def call(number: int) -> None:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -19,23 +19,27 @@
     def __init__(self, system: systems.System, session: str) -> None:
         self.system = system
         self.session = session
-        self.log: list[str] = []
+        self.order: list[str] = []
         self.running = 0
 
-    async def turn(
-        self, name: str, entry: int = 0, sequence: int = -1, wait: float = 30.0
+    async def run_turn(
+        self,
+        name: str,
+        entry: int = 0,
+        sequence: int = -1,
+        wait_seconds: float = 30.0,
     ) -> None:
-        deadline = anyio.current_time() + wait
+        deadline = anyio.current_time() + wait_seconds
         async with self.system.entry(entry).turns.hold(
             self.session, name, sequence, deadline
         ):
             self.running += 1
             assert self.running == 1, "two turns of a session at once"
-            self.log.append(name)
+            self.order.append(name)
             await anyio.sleep(0.3)
             self.running -= 1
 
-    def home(self) -> str:
+    def home_name(self) -> str:
         for name in self.system.nodes:
             if not name.startswith("e"):
                 turns = self.system.sidecar(name)._turns
@@ -53,9 +57,11 @@
                 session = _Session(system, "kiosks/desk-7")
                 async with anyio.create_task_group() as tasks:
                     for number in range(6):
-                        tasks.start_soon(session.turn, str(number), number % 2)
+                        tasks.start_soon(
+                            session.run_turn, str(number), number % 2
+                        )
                         await anyio.sleep(0.01)
-                assert session.log == [str(number) for number in range(6)]
+                assert session.order == [str(number) for number in range(6)]
 
         virtual.run(check)
 
@@ -65,9 +71,11 @@
                 session = _Session(system, "kiosks/desk-7")
                 async with anyio.create_task_group() as tasks:
                     for number in (0, 3, 1, 2):
-                        tasks.start_soon(session.turn, str(number), 0, number)
+                        tasks.start_soon(
+                            session.run_turn, str(number), 0, number
+                        )
                         await anyio.sleep(0.01)
-                assert session.log == ["0", "1", "2", "3"]
+                assert session.order == ["0", "1", "2", "3"]
 
         virtual.run(check)
 
@@ -75,9 +83,9 @@
         async def check() -> None:
             async with systems.System() as system:
                 session = _Session(system, "kiosks/desk-7")
-                await session.turn("a", 0, 4)
+                await session.run_turn("a", 0, 4)
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await session.turn("b", 1, 4)
+                    await session.run_turn("b", 1, 4)
                 assert caught.value.code == errors.Code.ORDER
                 assert caught.value.verdict.is_retry_safe
 
@@ -90,7 +98,7 @@
                 async with anyio.create_task_group() as tasks:
                     for number in range(20):
                         session = _Session(system, f"kiosks/desk-{number}")
-                        tasks.start_soon(session.turn, "a")
+                        tasks.start_soon(session.run_turn, "a")
                 assert anyio.current_time() - started < 0.5
 
         virtual.run(check)
@@ -100,15 +108,15 @@
             async with systems.System() as system:
                 session = _Session(system, "kiosks/desk-7")
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(session.turn, "a")
+                    tasks.start_soon(session.run_turn, "a")
                     await anyio.sleep(0.05)
                     with pytest.raises(errors.CrowdeckError) as caught:
-                        await session.turn("b", 1, wait=0.1)
+                        await session.run_turn("b", 1, wait_seconds=0.1)
                 assert caught.value.code == errors.Code.ORDER
-                assert session.log == ["a"]
+                assert session.order == ["a"]
                 # The refused request is not granted the next turn.
-                await session.turn("c")
-                assert session.log == ["a", "c"]
+                await session.run_turn("c")
+                assert session.order == ["a", "c"]
 
         virtual.run(check)
 
@@ -122,18 +130,18 @@
             async with systems.System() as system:
                 session = _Session(system, "kiosks/desk-7")
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(session.turn, "a", 0)
+                    tasks.start_soon(session.run_turn, "a", 0)
                     await anyio.sleep(0.1)
-                    home = session.home()
+                    home = session.home_name()
                     if is_planned:
                         system.sidecar(home).begin_drain(10.0)
                     else:
                         system.kill(home)
-                    tasks.start_soon(session.turn, "b", 1)
+                    tasks.start_soon(session.run_turn, "b", 1)
                     await anyio.sleep(0.05)
-                    tasks.start_soon(session.turn, "c", 0)
-                assert session.log[0] == "a"
-                assert sorted(session.log) == ["a", "b", "c"]
+                    tasks.start_soon(session.run_turn, "c", 0)
+                assert session.order[0] == "a"
+                assert sorted(session.order) == ["a", "b", "c"]
 
         virtual.run(check)
 
@@ -142,12 +150,12 @@
             async with systems.System() as system:
                 session = _Session(system, "kiosks/desk-7")
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(session.turn, "a", 0)
+                    tasks.start_soon(session.run_turn, "a", 0)
                     await anyio.sleep(0.1)
                     system.kill("e0")
                     tasks.cancel_scope.cancel()
                 session.running = 0
-                await session.turn("b", 1)
-                assert session.log == ["a", "b"]
+                await session.run_turn("b", 1)
+                assert session.order == ["a", "b"]
 
         virtual.run(check)
