--- a/src/crowdeck/sidecar/attempt.py
+++ b/src/crowdeck/sidecar/attempt.py
@@ -18,15 +18,16 @@
 class Attempt:
     """One attempt of a request, as one stage keeps it.
 
-    :ivar sequence: name of its KV cache on the engine.
+    :ivar sequence: id of its sequence, and so of its KV cache, on the engine.
     :ivar source: link on which it arrived: the entry's for the head, the
         previous stage's for the others; ``None`` once that link is gone.
     :ivar forward: link to the next stage, or from the tail to the head.
     :ivar next_position: the only position this stage will run next.
     :ivar context: tokens of context the engine holds for it.
     :ivar pieces: the answer so far, at the head and at the tail.
-    :ivar upto: positions below this one may be generated.
-    :ivar is_held: whether the next step waits for the caller's credit.
+    :ivar credit_limit: positions below this one may be generated.
+    :ivar is_waiting_for_credit: whether the next step waits for the caller's
+        credit.
     :ivar is_moved: whether its KV cache was handed to another stage.
     :ivar is_in_engine: whether the engine has a step of it.
     :ivar finish: the finish reason, empty while the answer runs.
@@ -43,8 +44,8 @@
     next_position: int = 0
     context: int = 0
     pieces: list[messages.Piece] = attrs.field(factory=list)
-    upto: int = 0
-    is_held: bool = False
+    credit_limit: int = 0
+    is_waiting_for_credit: bool = False
     is_moved: bool = False
     is_failed: bool = False
     is_in_engine: bool = False
--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -24,10 +24,10 @@
 from crowdeck.wire import questions
 
 # How long a stage without a predecessor keeps its KV cache for the next
-# attempt. This exceeds the time in which a failure is detected.
-ORPHAN_SECONDS = 5.0
+# attempt. Must exceed the time in which a failure is detected.
+ORPHAN_TTL_SECONDS = 5.0
 # How long an answer is kept for a caller whose entry has died.
-KEEP_SECONDS = 60.0
+ANSWER_TTL_SECONDS = 60.0
 MAX_ATTEMPTS = 10_000
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
@@ -58,7 +58,7 @@
         return sum(one.is_running for one in self._attempts.values())
 
     @property
-    def all(self) -> tuple[attempts.Attempt, ...]:
+    def all_attempts(self) -> tuple[attempts.Attempt, ...]:
         """All attempts, including ended ones."""
         return tuple(self._attempts.values())
 
@@ -79,7 +79,7 @@
         """Return the imported KV cache that waits for a request."""
         return self._imports.get(request)
 
-    def hold_import(self, question: questions.ImportKv, sequence: str) -> None:
+    def add_import(self, question: questions.ImportKv, sequence: str) -> None:
         """Keep an imported KV cache for the warm opening that follows."""
         self._imports[question.request] = attempts.PendingImport(
             sequence=sequence,
@@ -88,7 +88,9 @@
             imported_at=self._clock.now(),
         )
 
-    def current(self, request: str, epoch: int) -> attempts.Attempt | None:
+    def find_current(
+        self, request: str, epoch: int
+    ) -> attempts.Attempt | None:
         """Return an attempt if this is its latest epoch."""
         attempt = self._attempts.get(request)
         if attempt is None or attempt.epoch != epoch:
@@ -107,11 +109,11 @@
         attempt.touched_at = self._clock.now()
         attempt.span.end(error.code)
         counters.COUNTERS.add(f"stage.failed.{error.code.lower()}")
-        self.send_source(
-            attempt, self.failure(attempt.request, attempt.epoch, error)
+        self.send_to_source(
+            attempt, self.make_failure(attempt.request, attempt.epoch, error)
         )
 
-    def failure(
+    def make_failure(
         self, request: str, epoch: int, error: errors.CrowdeckError
     ) -> messages.Failure:
         """Return the record that reports an error."""
@@ -124,14 +126,14 @@
             culprit=error.culprit or self._instance,
         )
 
-    def send_source(
+    def send_to_source(
         self, attempt: attempts.Attempt, record: messages.Record
     ) -> None:
         """Send a record towards the entry, if its link is open."""
         if attempt.source is not None:
             attempt.source.send(record)
 
-    def send_forward(
+    def send_to_next(
         self, attempt: attempts.Attempt, record: messages.Record
     ) -> None:
         """Send a record to the next stage, if there is one."""
@@ -156,7 +158,7 @@
             counters.COUNTERS.add("engine.cancel_failed")
 
     def on_closed(self, peer: link.Peer) -> None:
-        """Fail the attempts that send to a lost link, keep those from it."""
+        """Fail attempts that send on a lost link; keep those it delivered."""
         for attempt in tuple(self._attempts.values()):
             if attempt.forward is peer:
                 attempt.forward = None
@@ -187,13 +189,13 @@
 
     def _drop_imports(self, now: float) -> None:
         for request, held in tuple(self._imports.items()):
-            if now - held.imported_at > ORPHAN_SECONDS:
+            if now - held.imported_at > ORPHAN_TTL_SECONDS:
                 del self._imports[request]
                 self._tasks.start_soon(self.cancel_engine, held.sequence)
 
     def _sweep_head(self, attempt: attempts.Attempt, now: float) -> None:
         if attempt.is_running and now > attempt.deadline:
-            self.send_forward(
+            self.send_to_next(
                 attempt, messages.Cancel(attempt.request, attempt.epoch)
             )
             self.fail(
@@ -204,9 +206,9 @@
                     verdict=_MAY_HAVE_RUN,
                 ),
             )
-        is_old = now - attempt.touched_at > KEEP_SECONDS
+        is_old = now - attempt.touched_at > ANSWER_TTL_SECONDS
         if is_old and (attempt.source is None or not attempt.is_running):
-            self.send_forward(
+            self.send_to_next(
                 attempt, messages.Cancel(attempt.request, attempt.epoch)
             )
             self.drop(attempt, "expired")
@@ -217,8 +219,8 @@
         is_orphan = (
             attempt.source is None or attempt.is_failed or attempt.is_moved
         )
-        is_old = now - attempt.touched_at > ORPHAN_SECONDS
-        is_late = now > attempt.deadline + ORPHAN_SECONDS
+        is_old = now - attempt.touched_at > ORPHAN_TTL_SECONDS
+        is_late = now > attempt.deadline + ORPHAN_TTL_SECONDS
         if (is_orphan and is_old) or is_late:
             self.drop(attempt, "expired")
 
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -75,7 +75,7 @@
         finish = record.finish
         if not finish and len(attempt.pieces) >= attempt.opening.max_tokens:
             finish = FINISH_LENGTH
-        self._registry.send_source(
+        self._registry.send_to_source(
             attempt,
             messages.Answer(
                 request=attempt.request,
@@ -93,13 +93,13 @@
             self._finish(attempt, finish)
         elif attempt.is_moved:
             pass
-        elif attempt.next_position >= attempt.upto:
-            attempt.is_held = True
+        elif attempt.next_position >= attempt.credit_limit:
+            attempt.is_waiting_for_credit = True
         else:
             self._start_next_position(attempt)
 
     def _start_next_position(self, attempt: attempts.Attempt) -> None:
-        attempt.is_held = False
+        attempt.is_waiting_for_credit = False
         self._decode(
             attempt,
             upstream.EngineStep(
@@ -115,14 +115,14 @@
         attempt.span.end("finished")
         self._gate.finish(attempt.request)
         self._send_end(attempt)
-        self._registry.send_forward(
+        self._registry.send_to_next(
             attempt, messages.Cancel(attempt.request, attempt.epoch)
         )
         self._tasks.start_soon(self._registry.cancel_engine, attempt.sequence)
 
     def _send_end(self, attempt: attempts.Attempt) -> None:
         pairs = [(piece.token, piece.text) for piece in attempt.pieces]
-        self._registry.send_source(
+        self._registry.send_to_source(
             attempt,
             messages.AnswerEnd(
                 request=attempt.request,
@@ -135,11 +135,14 @@
 
     def on_credit(self, peer: link.Peer, record: messages.Credit) -> None:
         """Raise the limit on positions that may be generated."""
-        attempt = self._registry.current(record.request, record.epoch)
+        attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or attempt.source is not peer:
             return
-        attempt.upto = max(attempt.upto, record.upto)
-        can_continue = attempt.is_held and attempt.next_position < attempt.upto
+        attempt.credit_limit = max(attempt.credit_limit, record.upto)
+        can_continue = (
+            attempt.is_waiting_for_credit
+            and attempt.next_position < attempt.credit_limit
+        )
         if can_continue and attempt.is_running and not attempt.is_moved:
             self._start_next_position(attempt)
 
@@ -160,8 +163,8 @@
             )
         if attempt.is_head:
             self._change_source(attempt, peer)
-            attempt.upto = question.position + question.window
-            self._tasks.start_soon(self._resume_soon, attempt)
+            attempt.credit_limit = question.position + question.window
+            self._tasks.start_soon(self._resume_after_reply, attempt)
         return questions.Attached(
             epoch=attempt.epoch,
             pieces=tuple(attempt.pieces[question.position :]),
@@ -177,7 +180,7 @@
         attempt.touched_at = self._clock.now()
         if former is not None and former is not peer:
             former.send(
-                self._registry.failure(
+                self._registry.make_failure(
                     attempt.request,
                     attempt.epoch,
                     errors.CrowdeckError(
@@ -188,8 +191,12 @@
                 )
             )
 
-    async def _resume_soon(self, attempt: attempts.Attempt) -> None:
-        can_continue = attempt.is_held and attempt.next_position < attempt.upto
+    async def _resume_after_reply(self, attempt: attempts.Attempt) -> None:
+        # Runs as a task, so that the reply to Attach is sent first.
+        can_continue = (
+            attempt.is_waiting_for_credit
+            and attempt.next_position < attempt.credit_limit
+        )
         if can_continue and attempt.is_running:
             self._start_next_position(attempt)
 
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -31,8 +31,8 @@
 from crowdeck.wire import messages
 
 SWEEP_SECONDS = 0.25
-BOUNDARY_TIMEOUT_SECONDS = 2.0
-BOUNDARY_POLL_SECONDS = 0.002
+IDLE_TIMEOUT_SECONDS = 2.0
+IDLE_POLL_SECONDS = 0.002
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
@@ -90,22 +90,22 @@
                 errors.Code.WRONG_LAYER,
                 f"{self._instance} is not the head of this path",
             )
-        attempt.upto = attempt.next_position + opening.window
+        attempt.credit_limit = attempt.next_position + opening.window
         step = openings.first_step(attempt)
         self._batcher.prefill(
             step, lambda result: self._on_prefilled(attempt, result)
         )
 
-    async def wait_boundary(self, request: str) -> None:
+    async def wait_until_idle(self, request: str) -> None:
         """Wait for a limited time until the engine has no step of a request.
 
         A warm opening may arrive while a stage still runs a step of the
         previous attempt. Refusing it would cost a replay.
         """
         attempt = self._registry.find(request)
-        with anyio.move_on_after(BOUNDARY_TIMEOUT_SECONDS):
+        with anyio.move_on_after(IDLE_TIMEOUT_SECONDS):
             while attempt is not None and attempt.is_in_engine:
-                await anyio.sleep(BOUNDARY_POLL_SECONDS)
+                await anyio.sleep(IDLE_POLL_SECONDS)
 
     def on_prefill(self, peer: link.Peer, record: messages.Prefill) -> None:
         """Begin an attempt as a later stage."""
@@ -117,7 +117,7 @@
     async def _prefill_warm(
         self, peer: link.Peer, record: messages.Prefill
     ) -> None:
-        await self.wait_boundary(record.opening.request)
+        await self.wait_until_idle(record.opening.request)
         self._prefill(peer, record)
 
     def _prefill(self, peer: link.Peer, record: messages.Prefill) -> None:
@@ -128,10 +128,12 @@
             counters.COUNTERS.add(f"stage.refused.{error.code.lower()}")
             # A repeat on the same link is dropped. The same epoch on another
             # link comes from a second driver, which has to be told.
-            held = self._registry.current(opening.request, opening.epoch)
-            if held is None or held.source is not peer:
+            current = self._registry.find_current(
+                opening.request, opening.epoch
+            )
+            if current is None or current.source is not peer:
                 peer.send(
-                    self._registry.failure(
+                    self._registry.make_failure(
                         opening.request, opening.epoch, error
                     )
                 )
@@ -161,19 +163,19 @@
         output = self._take_result(attempt, result)
         if output is None:
             return
-        before = attempt.context
+        context_before = attempt.context
         attempt.context += output.count
         position = attempt.next_position
         attempt.next_position += 1
         self._tasks.start_soon(
-            self._forward_first, attempt, position, before, output
+            self._forward_first, attempt, position, context_before, output
         )
 
     async def _forward_first(
         self,
         attempt: attempts.Attempt,
         position: int,
-        before: int,
+        context_before: int,
         output: upstream.EngineOutput,
     ) -> None:
         """Connect to the next stage and send it the first result."""
@@ -192,7 +194,7 @@
             messages.Prefill(
                 opening=attempt.opening,
                 next_layer=attempt.end_layer,
-                context=before,
+                context=context_before,
                 count=output.count,
                 hidden=output.hidden,
             )
@@ -214,7 +216,7 @@
 
     def on_step(self, peer: link.Peer, record: messages.Step) -> None:
         """Run one position of a running attempt."""
-        attempt = self._registry.current(record.request, record.epoch)
+        attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or attempt.is_head or attempt.is_moved:
             counters.COUNTERS.add("stage.refused.stale_record")
             return
@@ -319,7 +321,7 @@
 
     def on_token(self, peer: link.Peer, record: messages.Token) -> None:
         """Receive a token from the tail."""
-        attempt = self._registry.current(record.request, record.epoch)
+        attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or not attempt.is_head or not attempt.is_running:
             counters.COUNTERS.add("stage.refused.stale_record")
             return
@@ -329,7 +331,7 @@
 
     def on_failure(self, peer: link.Peer, record: messages.Failure) -> None:
         """Report a later stage's failure towards the entry."""
-        attempt = self._registry.current(record.request, record.epoch)
+        attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or attempt.forward is not peer:
             return
         error = errors.CrowdeckError(
@@ -342,7 +344,7 @@
 
     def on_cancel(self, peer: link.Peer, record: messages.Cancel) -> None:
         """Stop an attempt here and at the stages after it."""
-        attempt = self._registry.current(record.request, record.epoch)
+        attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or attempt.source is not peer:
             return
         if attempt.is_head and attempt.finish:
@@ -350,7 +352,7 @@
         if not attempt.is_moved:
             # After a move, the later stages need their KV caches for the
             # next attempt.
-            self._registry.send_forward(attempt, record)
+            self._registry.send_to_next(attempt, record)
         self._registry.drop(attempt, "cancelled")
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -73,12 +73,12 @@
         virtual.run(check)
 
 
-class TestDeaths:
+class TestCrashes:
     """Processes die in the middle of an answer."""
 
     @pytest.mark.parametrize("stage", [0, 1, 2])
     @pytest.mark.parametrize("position", [0, 1, 7, 18])
-    def test_stage_dies(self, stage: int, position: int) -> None:
+    def test_stage_crashes(self, stage: int, position: int) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 caller = systems.Caller()
@@ -86,16 +86,16 @@
                 def kill() -> None:
                     system.kill(_running_sidecar(system, stage))
 
-                caller.at[position] = kill
+                caller.on_position[position] = kill
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
         virtual.run(check)
 
-    @pytest.mark.parametrize("dies", ["head", "tail", "both"])
+    @pytest.mark.parametrize("killed", ["head", "tail", "both"])
     @pytest.mark.parametrize("length", [20, 1])
-    def test_death_after_the_last_token_adds_no_token(
-        self, dies: str, length: int
+    def test_crash_after_the_last_token_adds_no_token(
+        self, killed: str, length: int
     ) -> None:
         """A further attempt must not generate tokens past the end."""
 
@@ -106,23 +106,25 @@
                 def kill() -> None:
                     head, tail = caller.location
                     for name in {"head": {head}, "tail": {tail}}.get(
-                        dies, {head, tail}
+                        killed, {head, tail}
                     ):
                         system.kill(name)
 
-                caller.at[length - 1] = kill
+                caller.on_position[length - 1] = kill
                 finish = await system.answer(PROMPT, caller, length)
                 assert caller.texts == system.expected(PROMPT, length)
                 assert finish == "length"
 
         virtual.run(check)
 
-    def test_death_after_a_stop_token_adds_no_token(self) -> None:
+    def test_crash_after_a_stop_token_adds_no_token(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 prompt, length = _prompt_that_stops(system)
                 caller = systems.Caller()
-                caller.at[length - 1] = lambda: system.kill(caller.location[0])
+                caller.on_position[length - 1] = lambda: system.kill(
+                    caller.location[0]
+                )
                 finish = await system.answer(prompt, caller, 400)
                 assert caller.texts == system.expected(prompt, 400)
                 assert finish == "stop"
@@ -144,7 +146,7 @@
                     for name in killed:
                         system.kill(name)
 
-                caller.at[5] = kill
+                caller.on_position[5] = kill
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
@@ -161,7 +163,7 @@
                     frozen.append(_running_sidecar(system, stage))
                     system.network.freeze(frozen[0])
 
-                caller.at[5] = freeze
+                caller.on_position[5] = freeze
                 started = anyio.current_time()
                 await system.answer(PROMPT, caller)
                 assert anyio.current_time() - started < 4.0
@@ -184,7 +186,7 @@
                     )
                     system.network.cut(*ends)
 
-                caller.at[5] = cut
+                caller.on_position[5] = cut
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
@@ -197,11 +199,11 @@
 
                 def fail() -> None:
                     name = _running_sidecar(system, 1)
-                    system.engines[name].failure = systems.may_have_run(
+                    system.engines[name].failure = systems.make_error(
                         errors.Code.UPSTREAM_LOST
                     )
 
-                caller.at[5] = fail
+                caller.on_position[5] = fail
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
@@ -221,8 +223,8 @@
         virtual.run(check)
 
 
-class TestEntryDeath:
-    """The entry dies, and its caller resumes at another one."""
+class TestEntryCrash:
+    """The entry crashes, and its caller resumes at another one."""
 
     @pytest.mark.parametrize("position", [0, 6, 19])
     def test_answer_is_resumed_at_another_entry(self, position: int) -> None:
@@ -230,7 +232,7 @@
             async with systems.System() as system:
                 first, second = systems.Caller(), systems.Caller()
                 request = system.request(PROMPT)
-                await _break_at(system, request, first, position)
+                await _run_until_entry_killed(system, request, first, position)
                 resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
@@ -242,12 +244,12 @@
 
         virtual.run(check)
 
-    def test_head_dies_as_well(self) -> None:
+    def test_head_crashes_as_well(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 first, second = systems.Caller(), systems.Caller()
                 request = system.request(PROMPT)
-                await _break_at(system, request, first, 6)
+                await _run_until_entry_killed(system, request, first, 6)
                 system.kill(first.location[0])
                 resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
@@ -264,15 +266,15 @@
             async with systems.System() as system:
                 first, second = systems.Caller(), systems.Caller()
                 request = system.request(PROMPT)
-                await _break_at(system, request, first, 6)
-                foreign = system.request(
+                await _run_until_entry_killed(system, request, first, 6)
+                other_request = system.request(
                     PROMPT, request=request.request, team="others"
                 )
                 resume = model_requests.ResumePoint(0, *first.location)
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await system.make_driver(foreign, second, entry=1).run(
-                        resume
-                    )
+                    await system.make_driver(
+                        other_request, second, entry=1
+                    ).run(resume)
                 assert caught.value.code == errors.Code.ANSWER_GONE
                 assert not second.pieces
 
@@ -286,25 +288,29 @@
                 caller = systems.Caller()
                 refused: list[errors.Code] = []
 
-                def intrude() -> None:
+                def open_for_other_team() -> None:
                     head = _stage_of(system, 0)
                     own = next(
-                        one for one in head.registry.all if one.is_running
+                        one
+                        for one in head.registry.all_attempts
+                        if one.is_running
+                    )
+                    other_opening = attrs.evolve(
+                        own.opening, epoch=5, team="x"
                     )
-                    foreign = attrs.evolve(own.opening, epoch=5, team="x")
                     try:
-                        head.open(_NO_PEER, foreign)
+                        head.open(_NO_PEER, other_opening)
                     except errors.CrowdeckError as error:
                         refused.append(error.code)
 
-                caller.at[5] = intrude
+                caller.on_position[5] = open_for_other_team
                 await system.answer(PROMPT, caller)
                 assert refused == [errors.Code.FORBIDDEN]
                 assert caller.texts == system.expected(PROMPT, 20)
 
         virtual.run(check)
 
-    def test_former_entry_is_told_that_it_was_superseded(self) -> None:
+    def test_previous_entry_is_superseded(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 first, second = systems.Caller(0.05), systems.Caller()
@@ -349,7 +355,7 @@
                     left.append(_running_sidecar(system, stage))
                     system.sidecar(left[0]).begin_drain(30.0)
 
-                caller.at[position] = leave
+                caller.on_position[position] = leave
                 await system.answer(PROMPT, caller, count=400)
                 assert caller.texts == system.expected(PROMPT, 400)
                 # Nothing is computed twice: the prompt runs through each
@@ -379,7 +385,7 @@
                         _running_sidecar(system, stage)
                     ).begin_drain(30.0)
 
-                caller.at[3] = leave
+                caller.on_position[3] = leave
                 await system.answer(PROMPT, caller, count=12)
                 assert caller.texts == system.expected(PROMPT, 12)
                 names = [
@@ -395,7 +401,9 @@
         async def check() -> None:
             async with systems.System(replicas=1) as system:
                 caller = systems.Caller()
-                caller.at[5] = lambda: system.sidecar("s1-0").begin_drain(30.0)
+                caller.on_position[5] = lambda: system.sidecar(
+                    "s1-0"
+                ).begin_drain(30.0)
                 await system.answer(PROMPT, caller, count=400)
                 assert caller.texts == system.expected(PROMPT, 400)
 
@@ -426,8 +434,15 @@
                     await system.make_driver(request, caller).run()
                 head = system.sidecar(caller.location[0])
                 assert head._stage is not None
-                made = max(len(one.pieces) for one in head._stage.registry.all)
-                assert len(caller.pieces) < made <= len(caller.pieces) + 16
+                generated_count = max(
+                    len(one.pieces)
+                    for one in head._stage.registry.all_attempts
+                )
+                assert (
+                    len(caller.pieces)
+                    < generated_count
+                    <= len(caller.pieces) + 16
+                )
 
         virtual.run(check)
 
@@ -479,7 +494,7 @@
         virtual.run(check)
 
 
-class TestForeignRecords:
+class TestInvalidRecords:
     """Records that are late, duplicated, misdirected or altered."""
 
     def test_duplicate_records_change_nothing(self) -> None:
@@ -558,25 +573,25 @@
 
         async def check() -> None:
             async with systems.System() as system:
-                crossed: list[messages.Step] = []
+                skipped: list[messages.Step] = []
 
-                def cross(record: messages.Record) -> messages.Record:
+                def skip_stage(record: messages.Record) -> messages.Record:
                     is_first = (
                         isinstance(record, messages.Step)
                         and record.position == 4
                         and record.next_layer == 2
                     )
-                    if is_first and not crossed:
+                    if is_first and not skipped:
                         assert isinstance(record, messages.Step)
-                        crossed.append(record)
+                        skipped.append(record)
                         _stage_of(system, 2).on_step(_NO_PEER, record)
                         return messages.Cancel("nobody", 0)
                     return record
 
-                _alter_records(system, cross)
+                _alter_records(system, skip_stage)
                 caller = systems.Caller()
                 await system.answer(PROMPT, caller)
-                assert crossed
+                assert skipped
                 assert caller.texts == system.expected(PROMPT, 20)
 
         virtual.run(check)
@@ -602,8 +617,10 @@
                     late.append(step)
                     tail.on_step(_NO_PEER, step)
 
-                caller.at[3] = lambda: system.kill(_running_sidecar(system, 1))
-                caller.at[8] = inject
+                caller.on_position[3] = lambda: system.kill(
+                    _running_sidecar(system, 1)
+                )
+                caller.on_position[8] = inject
                 await system.answer(PROMPT, caller)
                 assert late
                 assert caller.texts == system.expected(PROMPT, 20)
@@ -661,7 +678,7 @@
     for name in system.engines:
         stage = system.sidecar(name)._stage
         assert stage is not None
-        for attempt in stage.registry.all:
+        for attempt in stage.registry.all_attempts:
             if attempt.is_tail and attempt.epoch == epoch:
                 return stage, attempt
     raise AssertionError(f"no tail runs epoch {epoch}")
@@ -690,7 +707,7 @@
         handler.on_record = on_record
 
 
-async def _break_at(
+async def _run_until_entry_killed(
     system: systems.System,
     request: model_requests.ModelRequest,
     caller: systems.Caller,
@@ -703,5 +720,5 @@
             system.kill("e0")
             tasks.cancel_scope.cancel()
 
-        caller.at[position] = kill
+        caller.on_position[position] = kill
         await system.make_driver(request, caller).run()
