--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -367,7 +367,7 @@
                 "--json",
             )
             assert code == 2
-            assert "whole number" in body["error"]["message"]
+            assert "an integer from" in body["error"]["message"]
             code, _ = await call("drain", "engine-0-0", "--json")
             assert code == 0
             code, rows = await call("status", "--json")
