--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -24,7 +24,7 @@
 MAX_AVOID_SECONDS = 5.0
 # An instance that refused a request because it is full gets no work for this
 # long, doubled at each refusal that follows soon after another.
-FULL_SECONDS = 0.4
+REFUSAL_BACKOFF_SECONDS = 0.4
 MAX_FULL_SECONDS = 1.6
 # Refusals further apart than this are unrelated.
 APART_SECONDS = 2.0
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -172,7 +172,7 @@
             culprit.name,
             registries.STALE_SECONDS
             if is_misdirected
-            else registries.FULL_SECONDS,
+            else registries.REFUSAL_BACKOFF_SECONDS,
             f"refused with {answer.status}",
         )
         return errors.CrowdeckError(
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -396,7 +396,7 @@
             pauses = []
             for _ in range(4):
                 registry.pause(
-                    "a", registries.FULL_SECONDS, "refused with 503"
+                    "a", registries.REFUSAL_BACKOFF_SECONDS, "refused with 503"
                 )
                 began = anyio.current_time()
                 while not usable_names(registry):
@@ -404,8 +404,10 @@
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses[-1] >= 3 * pauses[0]
             await anyio.sleep(registries.APART_SECONDS + 0.1)
-            registry.pause("a", registries.FULL_SECONDS, "refused with 503")
-            await anyio.sleep(registries.FULL_SECONDS + 0.05)
+            registry.pause(
+                "a", registries.REFUSAL_BACKOFF_SECONDS, "refused with 503"
+            )
+            await anyio.sleep(registries.REFUSAL_BACKOFF_SECONDS + 0.05)
             assert usable_names(registry) == {"a"}
 
         virtual.run(body)
