--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -25,7 +25,7 @@
 # An instance that refused a request because it is full gets no work for this
 # long, doubled at each refusal that follows soon after another.
 REFUSAL_BACKOFF_SECONDS = 0.4
-MAX_FULL_SECONDS = 1.6
+MAX_REFUSAL_BACKOFF_SECONDS = 1.6
 # Refusals further apart than this are unrelated.
 APART_SECONDS = 2.0
 # A failed engine is probed before it gets work again. A probe without a
@@ -329,7 +329,9 @@
             return
         if now - state.avoided_until > APART_SECONDS:
             state.refusals = 0
-        longer = min(seconds * 2.0**state.refusals, MAX_FULL_SECONDS)
+        longer = min(
+            seconds * 2.0**state.refusals, MAX_REFUSAL_BACKOFF_SECONDS
+        )
         state.refusals += 1
         state.avoided_until = now + max(seconds, longer)
         logs.change(
