--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -27,7 +27,7 @@
 REFUSAL_BACKOFF_SECONDS = 0.4
 MAX_REFUSAL_BACKOFF_SECONDS = 1.6
 # Refusals further apart than this are unrelated.
-APART_SECONDS = 2.0
+REFUSAL_RESET_SECONDS = 2.0
 # A failed engine is probed before it gets work again. A probe without a
 # result, as when this entry's own link is at fault, is repeated after this.
 REPROBE_SECONDS = 0.3
@@ -327,7 +327,7 @@
         now = anyio.current_time()
         if state is None or state.avoided_until > now:
             return
-        if now - state.avoided_until > APART_SECONDS:
+        if now - state.avoided_until > REFUSAL_RESET_SECONDS:
             state.refusals = 0
         longer = min(
             seconds * 2.0**state.refusals, MAX_REFUSAL_BACKOFF_SECONDS
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -403,7 +403,7 @@
                     await anyio.sleep(0.05)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses[-1] >= 3 * pauses[0]
-            await anyio.sleep(registries.APART_SECONDS + 0.1)
+            await anyio.sleep(registries.REFUSAL_RESET_SECONDS + 0.1)
             registry.pause(
                 "a", registries.REFUSAL_BACKOFF_SECONDS, "refused with 503"
             )
