--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -33,7 +33,7 @@
 REPROBE_SECONDS = 0.3
 # An instance that does not hold what its entry says gets no work for this
 # long, within which its entry is updated.
-STALE_SECONDS = 2.0
+STALE_RECORD_BACKOFF_SECONDS = 2.0
 # A leaving instance may get work for two seconds after it announced that. This
 # entry sends it work only for this long, and only where nothing else can
 # serve; the rest allows for a late announcement.
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -170,7 +170,7 @@
         is_misdirected = answer.status == MISDIRECTED_STATUS
         self._context.registry.pause(
             culprit.name,
-            registries.STALE_SECONDS
+            registries.STALE_RECORD_BACKOFF_SECONDS
             if is_misdirected
             else registries.REFUSAL_BACKOFF_SECONDS,
             f"refused with {answer.status}",
