--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -37,7 +37,7 @@
 # A leaving instance may get work for two seconds after it announced that. This
 # entry sends it work only for this long, and only where nothing else can
 # serve; the rest allows for a late announcement.
-LAST_WORK_SECONDS = 1.0
+LEAVING_GRACE_SECONDS = 1.0
 # Instances that live write their entries again within two seconds after an
 # outage of the store. An entry that was removed around an outage is kept for
 # this long, but no longer: instances that left without an announcement may not
@@ -188,7 +188,7 @@
             if state.upstream.service == service
             and state.upstream.is_leaving
             and state.leaving_at is not None
-            and now - state.leaving_at < LAST_WORK_SECONDS
+            and now - state.leaving_at < LEAVING_GRACE_SECONDS
             and not self._backoffs.is_active(state.upstream.name)
             and state.avoided_until <= now
             and not state.needs_probe
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -484,9 +484,9 @@
                 one.name for one in registry.usable_while_leaving(service)
             ] == ["a"]
             # Well before the two seconds after which no work may reach it.
-            await anyio.sleep(registries.LAST_WORK_SECONDS + 0.01)
+            await anyio.sleep(registries.LEAVING_GRACE_SECONDS + 0.01)
             assert registry.usable_while_leaving(service) == ()
-            assert registries.LAST_WORK_SECONDS <= 1.0
+            assert registries.LEAVING_GRACE_SECONDS <= 1.0
 
         virtual.run(body)
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -408,7 +408,7 @@
             old = stores.StoredObject("upstreams", "a", 1, b"{}")
             system.registry.on_listed((old,))
             assert system.registry.usable(one.service) == ()
-            await anyio.sleep(registries.LAST_WORK_SECONDS)
+            await anyio.sleep(registries.LEAVING_GRACE_SECONDS)
             assert system.registry.usable_while_leaving(one.service) == ()
             # An entry that it writes later is trusted.
             system.list_instance(one)
