--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -46,7 +46,7 @@
 # An entry that is removed within this long after a failed call to the store
 # may have lapsed: two seconds until it is written again, and half a second
 # until a watch reports that.
-SUSPECT_SECONDS = 2.5
+LAPSE_SUSPICION_SECONDS = 2.5
 
 Listener = typing.Callable[[], None]
 LapseListener = typing.Callable[[chain.Upstream], None]
@@ -477,7 +477,7 @@
             return
         failed_at = self._store_failed_at()
         now = anyio.current_time()
-        if failed_at is not None and now - failed_at < SUSPECT_SECONDS:
+        if failed_at is not None and now - failed_at < LAPSE_SUSPICION_SECONDS:
             if state.lapsed_at is None:
                 self._lapse(state, now)
             return
