--- a/src/crowdeck/membership/backoffs.py
+++ b/src/crowdeck/membership/backoffs.py
@@ -51,7 +51,7 @@
             return 0.0
         return max(0.0, backoff.until - anyio.current_time())
 
-    def may_probe(self, name: str) -> bool:
+    def claim_probe(self, name: str) -> bool:
         """Whether an instance may be contacted to save a stalled stream.
 
         Once per backoff period; that use is recorded by this call.
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -272,12 +272,12 @@
         """Return the seconds left of an instance's backoff, 0 for none."""
         return self._backoffs.seconds_left(name)
 
-    def may_probe(self, name: str) -> bool:
+    def claim_probe(self, name: str) -> bool:
         """Whether an instance may be contacted to save a stalled stream.
 
         Once per backoff period; that use is recorded by this call.
         """
-        return self._backoffs.may_probe(name)
+        return self._backoffs.claim_probe(name)
 
     def has_ended(self, name: str) -> bool:
         """Whether an instance's process is known to have ended.
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -112,7 +112,7 @@
             if silent:
                 excluded |= silent
                 continue
-            if not self._context.registry.may_probe(path.head.name):
+            if not self._context.registry.claim_probe(path.head.name):
                 self._restart_elsewhere(stream, path)
                 return
             outcome = await self._context.client.repath(
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -75,7 +75,7 @@
         self._context = context
         self._lag_meter = context.lag_meter
         self._prober = probes.Prober(
-            context.client, context.registry.may_probe
+            context.client, context.registry.claim_probe
         )
         self._streams: set[live.LiveStream] = set()
         self._checking: set[live.LiveStream] = set()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -252,8 +252,8 @@
             one = next(iter(system.listed.values()))
             for _ in range(2):
                 system.registry.back_off(one.name, BACKOFF_SECONDS)
-                assert system.registry.may_probe(one.name)
-                assert not system.registry.may_probe(one.name)
+                assert system.registry.claim_probe(one.name)
+                assert not system.registry.claim_probe(one.name)
                 await anyio.sleep(BACKOFF_SECONDS)
 
         play(work)
