--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -164,7 +164,7 @@
                 return peer
         return None
 
-    def seconds_to_next(self) -> float:
+    def seconds_until_retry(self) -> float:
         """Return the seconds until a peer that failed may be asked again."""
         now = anyio.current_time()
         ends = [*self._lost_until.values(), *self._silent_until.values()]
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -64,7 +64,7 @@
         """Return the peer to ask, or ``None`` to ask the store."""
         ...
 
-    def seconds_to_next(self) -> float:
+    def seconds_until_retry(self) -> float:
         """Return the seconds after which :meth:`choose` may find a peer."""
         ...
 
@@ -76,7 +76,7 @@
         """Return ``None``, so that the store is asked."""
         return None
 
-    def seconds_to_next(self) -> float:
+    def seconds_until_retry(self) -> float:
         """Return infinity."""
         return float("inf")
 
@@ -146,7 +146,7 @@
             if peer is not None:
                 await self._ask_peer(peer)
                 continue
-            timeout = self._peers.seconds_to_next()
+            timeout = self._peers.seconds_until_retry()
             async with self._health.permit(timeout) as permit:
                 if permit is store_health.CallPermit.NONE:
                     continue
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -316,7 +316,7 @@
             def choose(self) -> PeerReplica:
                 return PeerReplica()
 
-            def seconds_to_next(self) -> float:
+            def seconds_until_retry(self) -> float:
                 return float("inf")
 
         async def body() -> None:
