--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -82,7 +82,7 @@
 
 
 @attrs.frozen
-class PeerCopy:
+class PeerMirrors:
     """The mirrors of one peer; implements ``PeerReplica``."""
 
     _peer: Peer
@@ -139,10 +139,10 @@
                 return FOLLOWER_RETRY_SECONDS
         return store_health.PROBE_INTERVAL_SECONDS
 
-    def choose(self) -> "PeerCopy | None":
+    def choose(self) -> "PeerMirrors | None":
         """Return the peer to ask, or ``None`` to ask the store."""
         peer = self._first()
-        return PeerCopy(peer, self) if peer is not None else None
+        return PeerMirrors(peer, self) if peer is not None else None
 
     def _first(self) -> Peer | None:
         now = anyio.current_time()
