--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -30,7 +30,7 @@
 
 # An entry reads the store itself for this long after a peer last asked it;
 # several times the longest interval between two watches.
-ASKED_SECONDS = 5.0
+PEER_REQUEST_TTL_SECONDS = 5.0
 # A peer that did not answer is not asked for this long, doubled at each
 # further failure.
 SILENT_SECONDS = 2.0
@@ -147,7 +147,7 @@
     def _first(self) -> Peer | None:
         now = anyio.current_time()
         may_call_store = self._may_call_store(now)
-        if now - self._asked_at < ASKED_SECONDS and may_call_store:
+        if now - self._asked_at < PEER_REQUEST_TTL_SECONDS and may_call_store:
             return None
         lost = 0
         for peer in self._ranking():
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -90,7 +90,7 @@
             assert not zone[3].selector.reads_store
             zone[3].selector.note_peer_request()
             assert zone[3].selector.reads_store
-            await anyio.sleep(peer_selection.ASKED_SECONDS + 0.1)
+            await anyio.sleep(peer_selection.PEER_REQUEST_TTL_SECONDS + 0.1)
             assert not zone[3].selector.reads_store
 
         zone_system.play(5, work)
