--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -60,7 +60,7 @@
         self.peer_selector = peer_selection.PeerSelector(
             config.name, self.roster.ranking, peers, self._health
         )
-        self._health.set_probe_interval(self.peer_selector.pause)
+        self._health.set_probe_interval(self.peer_selector.store_retry_seconds)
         self.registry.set_services_source(
             lambda: frozenset(one.name for one in self.holder.services)
         )
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -129,7 +129,7 @@
         """Whether this entry asks the store itself."""
         return self._first() is None
 
-    def pause(self) -> float:
+    def store_retry_seconds(self) -> float:
         """Return the seconds between two calls to a store that is lost."""
         now = anyio.current_time()
         for peer in self._ranking():
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -165,7 +165,7 @@
         selector = peer_selection.PeerSelector(
             name, lambda: ranking, self, health
         )
-        health.set_probe_interval(selector.pause)
+        health.set_probe_interval(selector.store_retry_seconds)
         follower = RecordingFollower()
         mirror = mirrors.Mirror(
             connection,
