--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -41,7 +41,7 @@
 
 
 Listener = typing.Callable[[], None]
-Age = typing.Callable[[], float]
+AgeSource = typing.Callable[[], float]
 
 
 @attrs.frozen
@@ -92,7 +92,7 @@
         self._listeners: list[Listener] = []
         self._since = float("inf")
         self._is_settled = False
-        self._age: Age = lambda: float("inf")
+        self._age: AgeSource = lambda: float("inf")
         self._rank()
 
     @property
@@ -136,7 +136,7 @@
         """Call ``listener`` after each change of the records."""
         self._listeners.append(listener)
 
-    def set_age_source(self, age: Age) -> None:
+    def set_age_source(self, age: AgeSource) -> None:
         """Set the callable that returns the age of the records in seconds."""
         self._age = age
 
