--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -182,7 +182,7 @@
         self,
         tasks: anyio.abc.TaskGroup,
         view: store_view.StoreView,
-        status: peer_http.Status,
+        status: peer_http.StatusSource,
     ) -> None:
         peers = str(self._config.fleet["peers"])
         if not peers:
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -40,7 +40,7 @@
 _CODES = {status: code for code, status in _STATUS.items()}
 
 
-Status = typing.Callable[[], dict[str, typing.Any]]
+StatusSource = typing.Callable[[], dict[str, typing.Any]]
 
 
 class PeerApp:
@@ -56,7 +56,7 @@
         self,
         copies: dict[str, mirrors.Mirror],
         selector: peer_selection.PeerSelector,
-        status: Status = dict,
+        status: StatusSource = dict,
     ) -> None:
         self._copies = copies
         self._selector = selector
