--- a/src/crowdeck/membership/entries.py
+++ b/src/crowdeck/membership/entries.py
@@ -16,7 +16,7 @@
 Decoder = typing.Callable[[stores.StoredObject], chain.Upstream]
 
 
-class EntryReader:
+class UpstreamRecordReader:
     """Decodes entries, and logs once per entry why it is rejected.
 
     :param decode: turns a stored entry into an instance; raises
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -83,7 +83,7 @@
     """
 
     def __init__(self, decode: entries.Decoder) -> None:
-        self._entries = entries.EntryReader(decode)
+        self._entries = entries.UpstreamRecordReader(decode)
         self._states: dict[str, _UpstreamState] = {}
         # Names of instances by the names of their entries in the store. An
         # entry keeps its name when a process starts again; the instance
