--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -12,7 +12,7 @@
 
 from crowdeck import chain
 from crowdeck.membership import backoffs
-from crowdeck.membership import entries
+from crowdeck.membership import upstream_records
 from crowdeck.membership import leaving_instances
 from crowdeck.observe import counters
 from crowdeck.observe import logs
@@ -82,8 +82,8 @@
     :param decode: turns a stored entry into an instance.
     """
 
-    def __init__(self, decode: entries.Decoder) -> None:
-        self._entries = entries.UpstreamRecordReader(decode)
+    def __init__(self, decode: upstream_records.Decoder) -> None:
+        self._entries = upstream_records.UpstreamRecordReader(decode)
         self._states: dict[str, _UpstreamState] = {}
         # Names of instances by the names of their entries in the store. An
         # entry keeps its name when a process starts again; the instance
