--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -306,7 +306,7 @@
                 tasks.start_soon(part)
 
 
-def play(
+def run_scenario(
     work: typing.Callable[[Entries], typing.Awaitable[None]],
     count: int = 3,
     copies: int = 6,
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -132,7 +132,7 @@
         await scenario(demand)
         await demand.end()
 
-    entries_system.play(
+    entries_system.run_scenario(
         run, count=count, copies=2, are_registered=are_registered
     )
     return made[0]
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -43,7 +43,7 @@
 Work = typing.Callable[[System], typing.Awaitable[None]]
 
 
-def play(work: Work, plain: int = 3) -> None:
+def run_scenario(work: Work, plain: int = 3) -> None:
     """Run ``work`` with engines in two zones and some plain instances."""
 
     async def body() -> None:
@@ -125,7 +125,7 @@
             since = asked_at + SLACK_SECONDS
             assert not sent(system, target.listed, since, until)
 
-        play(work)
+        run_scenario(work)
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
     def test_is_used_again_after_backoff(
@@ -144,7 +144,7 @@
             await send(system, repeat, 2.0)
             assert sent(system, target.listed, since)
 
-        play(work)
+        run_scenario(work)
 
     def test_shorter_backoff_does_not_end_a_longer_one(self) -> None:
         async def work(system: System) -> None:
@@ -156,7 +156,7 @@
             await anyio.sleep(0.2)
             assert system.registry.is_usable(one.name)
 
-        play(work)
+        run_scenario(work)
 
     def test_applies_only_to_the_entry_that_was_asked(self) -> None:
         async def work(system: System) -> None:
@@ -169,7 +169,7 @@
             assert not system.registry.is_usable(first.name)
             assert other.registry.is_usable(first.name)
 
-        play(work)
+        run_scenario(work)
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
     def test_callers_get_retry_after_when_all_back_off(
@@ -193,7 +193,7 @@
             (again,) = await send(system, repeat, 0.01)
             assert again.error is None
 
-        play(work)
+        run_scenario(work)
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE])
     def test_request_waits_for_a_short_backoff(
@@ -205,7 +205,7 @@
             (caller,) = await send(system, repeat, 0.01)
             assert caller.error is None
 
-        play(work)
+        run_scenario(work)
 
     def test_running_stream_is_not_interrupted(self) -> None:
         async def work(system: System) -> None:
@@ -221,7 +221,7 @@
             assert caller.body == whole
             assert not system.fleet.repaths
 
-        play(work)
+        run_scenario(work)
 
     def test_is_contacted_once_for_a_stalled_stream(self) -> None:
         async def work(system: System) -> None:
@@ -245,7 +245,7 @@
             assert len(sent(system, head.listed, since, until)) <= 1
             assert caller.longest_pause < 0.5
 
-        play(work)
+        run_scenario(work)
 
     def test_each_backoff_allows_one_probe(self) -> None:
         async def work(system: System) -> None:
@@ -256,7 +256,7 @@
                 assert not system.registry.claim_probe(one.name)
                 await anyio.sleep(BACKOFF_SECONDS)
 
-        play(work)
+        run_scenario(work)
 
     def test_instance_that_refuses_without_backoff_gets_few_requests(
         self,
@@ -270,7 +270,7 @@
             # At most one in two seconds, after which a failure is forgotten.
             assert len(refused) <= 3
 
-        play(work)
+        run_scenario(work)
 
     def test_leaving_instance_gets_nothing_during_backoff(self) -> None:
         async def work(system: System) -> None:
@@ -280,7 +280,7 @@
             system.registry.back_off(one.name, BACKOFF_SECONDS)
             assert not system.registry.usable_while_leaving(one.service)
 
-        play(work)
+        run_scenario(work)
 
     def test_is_skipped_when_all_instances_are_probed(self) -> None:
         async def work(system: System) -> None:
@@ -298,7 +298,7 @@
             assert len(names) > 2
             assert backing_off.name not in names
 
-        play(work)
+        run_scenario(work)
 
     def test_failed_instance_is_not_probed_during_backoff(self) -> None:
         async def work(system: System) -> None:
@@ -311,7 +311,7 @@
             assert system.client.arrivals
             assert system.registry.is_usable(one.name)
 
-        play(work)
+        run_scenario(work)
 
     def test_does_not_count_as_lost_for_placement(self) -> None:
         async def work(system: System) -> None:
@@ -327,7 +327,7 @@
             assert not asked.arrivals
             assert not watch.is_lost(one.name)
 
-        play(work)
+        run_scenario(work)
 
     def test_gets_no_placement_orders(self) -> None:
         async def work(system: System) -> None:
@@ -351,7 +351,7 @@
                 assert ordered.orders_taken
                 tasks.cancel_scope.cancel()
 
-        play(work)
+        run_scenario(work)
 
     def test_callers_are_served_by_other_instances(self) -> None:
         async def work(system: System) -> None:
@@ -364,7 +364,7 @@
             # At most one after each backoff.
             assert len(refused) <= 3
 
-        play(work)
+        run_scenario(work)
 
 
 class TestShareAfterBackoff:
@@ -407,7 +407,7 @@
             # Its share is one half, give or take a quarter.
             assert 0.25 <= count / whole <= 0.75
 
-        play(work, plain=2)
+        run_scenario(work, plain=2)
 
 
 class TestLeaving:
@@ -430,7 +430,7 @@
             assert not late
             assert all(one.error is None for one in callers)
 
-        play(work)
+        run_scenario(work)
 
     def test_outranks_its_store_entry(self) -> None:
         async def work(system: System) -> None:
@@ -441,7 +441,7 @@
             system.list_instance(attrs.evolve(one, slots=one.slots + 1))
             assert not system.registry.is_usable(one.name)
 
-        play(work)
+        run_scenario(work)
 
     def test_is_dropped_when_its_entry_has_lapsed(self) -> None:
         async def work(system: System) -> None:
@@ -454,7 +454,7 @@
                 it.name for it in system.registry.listed(one.service)
             }
 
-        play(work)
+        run_scenario(work)
 
     def test_stays_leaving_when_its_entry_is_written_again(self) -> None:
         async def work(system: System) -> None:
@@ -469,7 +469,7 @@
                 for it in system.registry.usable_while_leaving(one.service)
             }
 
-        play(work)
+        run_scenario(work)
 
     def test_number_of_remembered_instances_is_bounded(self) -> None:
         async def work(system: System) -> None:
@@ -480,7 +480,7 @@
                 == leaving_instances.MAX_REMEMBERED
             )
 
-        play(work)
+        run_scenario(work)
 
     def test_restarted_instance_is_not_leaving(self) -> None:
         async def work(system: System) -> None:
@@ -497,7 +497,7 @@
             )
             assert system.registry.is_usable(incarnation.name)
 
-        play(work)
+        run_scenario(work)
 
     def test_is_learned_from_a_report_too(self) -> None:
         async def work(system: System) -> None:
@@ -506,7 +506,7 @@
             await system.client.report(one)
             assert not system.registry.is_usable(one.name)
 
-        play(work)
+        run_scenario(work)
 
     def test_no_path_goes_through_it(self) -> None:
         async def work(system: System) -> None:
@@ -521,4 +521,4 @@
                 for one in leaving:
                     assert f"{one.address}=" not in run.path
 
-        play(work)
+        run_scenario(work)
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -44,7 +44,7 @@
 class TestMirror:
     """A mirror of one kind of object, through outages of the store."""
 
-    def play(self, work: object, linger: float = 0.0) -> None:
+    def run_scenario(self, work: object, linger: float = 0.0) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             follower = _Follower()
@@ -73,7 +73,7 @@
             assert follower.values == {"b": b"3"}
             assert follower.listings == 1
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_lists_again_when_the_history_is_lost(self) -> None:
         async def work(
@@ -93,7 +93,7 @@
             assert follower.values == {"b": b"2"}
             assert follower.listings == 2
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_age_grows_only_while_the_store_is_down(self) -> None:
         async def work(
@@ -112,7 +112,7 @@
             await anyio.sleep(2.0)
             assert mirror.age() < 2.0
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_changes_prove_the_copy_only_up_to_the_request(self) -> None:
         async def work(
@@ -127,7 +127,7 @@
             # The watch was sent about a second ago.
             assert mirror.age() > 1.0
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_lingers_between_watches(self) -> None:
         async def work(
@@ -144,13 +144,13 @@
             assert len(follower.values) == 20
             assert store.calls["watch"] - before <= 5
 
-        self.play(work, linger=0.2)
+        self.run_scenario(work, linger=0.2)
 
 
 class TestContact:
     """Several mirrors of one process, while the store does not answer."""
 
-    def play(self, work: object) -> None:
+    def run_scenario(self, work: object) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             health = store_health.StoreHealth()
@@ -184,7 +184,7 @@
             await anyio.sleep(1.5)
             assert slow.values == {"leaving": b"1"}
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_short_silence_between_calls_is_noticed(self) -> None:
         async def work(
@@ -199,7 +199,7 @@
             await anyio.sleep(2.6)
             assert slow.values == {"leaving": b"1"}
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_copy_is_proved_current_soon_after_the_silence(self) -> None:
         # The first watch afterwards must not wait for a change.
@@ -215,7 +215,7 @@
             await anyio.sleep(1.0)
             assert config.age() < 0.9
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_mirrors_share_retries_while_the_store_is_down(self) -> None:
         async def work(
@@ -229,7 +229,7 @@
             await anyio.sleep(3.0)
             assert 5 <= store.calls.total() - before <= 10
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_cancelled_retry_does_not_block_the_others(self) -> None:
         # Otherwise all would wait for ever for the one that was cancelled.
@@ -287,7 +287,7 @@
             await anyio.sleep(1.0)
             assert slow.values == {"leaving": b"1"}
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 def make_registry() -> tuple[registries.UpstreamRegistry, dict[str, object]]:
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -55,7 +55,7 @@
             late = entries.arrivals(BODY, third + EXCHANGE_SECONDS)
             assert late <= MAX_SENDS
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_other_requests_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -67,7 +67,7 @@
             assert len(others) > 20
             assert [one for one in others if not one.was_served] == []
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     @pytest.mark.parametrize(
         "repeat", [entries_system.STREAM, entries_system.REPEATABLE]
@@ -82,7 +82,7 @@
             await anyio.sleep(10.0)
             assert len(entries.fleet.crashes) <= MAX_CRASHES
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_instances_that_keep_their_ids_count_once_per_crash(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -94,7 +94,7 @@
             others = entries.outcomes_beside(third + 1.0)
             assert [one for one in others if not one.was_served] == []
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     @pytest.mark.parametrize("crash_delay_seconds", [0.001, 0.1])
     def test_caller_gets_the_quarantine_error(
@@ -122,7 +122,7 @@
             # Two retries, less what the request itself added.
             assert round(before - budget.remaining) == MAX_CRASHES - 1
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_call_is_a_suspect_as_soon_as_its_instance_ends(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -135,7 +135,7 @@
                 request_fingerprint
             )
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_cancelled_request_is_a_suspect_too(self) -> None:
         # Its engine is found to have ended a moment after the cancellation.
@@ -149,7 +149,7 @@
             request_fingerprint = requests.fingerprint_of(request, "kiosks")
             assert entry.context.quarantine.is_suspect(request_fingerprint)
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_waiting_attempts_are_cancelled(self) -> None:
         # One is at an engine that has not begun it when the third engine
@@ -175,7 +175,7 @@
             assert error is not None
             assert error.code is errors.Code.QUARANTINED
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_is_refused_at_once_as_not_run(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -196,7 +196,7 @@
                 assert error.verdict is verdicts.Verdict.NOT_RUN
                 assert entries.fleet.runs_of(one.request.id) == []
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     @pytest.mark.parametrize("count", [1, 12])
     def test_few_engines_end_with_any_number_of_entries(
@@ -208,7 +208,7 @@
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
             assert len(entries.fleet.crashes) <= MAX_CRASHES + 2
 
-        entries_system.play(work, count=count)
+        entries_system.run_scenario(work, count=count)
 
     def test_restarted_entry_does_not_send_it(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -221,7 +221,7 @@
             await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
             assert len(entries.fleet.crashes) == ends
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_entries_learn_of_it_after_an_outage(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -234,7 +234,7 @@
             await entries.send_repeatedly(10.0, BODY, PAUSE_SECONDS)
             assert entries.arrivals(BODY, since) == 0
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_other_requests_to_its_path_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -244,7 +244,7 @@
             await anyio.sleep(3.0)
             assert entries.outcomes_of(BODY + b"?")[0].was_served
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_two_crashing_requests_are_both_quarantined(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -260,7 +260,7 @@
             assert since < 10.0
             assert len(entries.fleet.crashes) <= 2 * MAX_CRASHES + 3
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_call_is_not_sent_once_three_instances_have_ended(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -272,7 +272,7 @@
             late = entries.arrivals(BODY, third + EXCHANGE_SECONDS)
             assert late <= MAX_SENDS
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
 
 class TestOtherRequests:
@@ -301,7 +301,7 @@
             served = sum(one.was_served for one in others)
             assert served >= len(others) - 4
 
-        entries_system.play(work, count=12)
+        entries_system.run_scenario(work, count=12)
 
     def test_identical_requests_of_many_callers_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -327,7 +327,7 @@
             assert sum(one.was_served for one in outcomes) >= 138
             assert len(entries.fleet.crashes) <= MAX_CRASHES + 2
 
-        entries_system.play(work, count=6)
+        entries_system.run_scenario(work, count=6)
 
     def test_stream_cut_three_times_resumes_once_the_cause_is_known(
         self,
@@ -356,7 +356,7 @@
             await anyio.sleep(3.0)
             assert entries.outcomes_of(other_body)[0].was_served
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     @pytest.mark.parametrize(
         "repeat", [entries_system.STREAM, entries_system.REPEATABLE]
@@ -371,7 +371,7 @@
             assert outcome.was_served
             assert self.is_cleared(entries, outcome.request)
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_stream_with_events_counts_as_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -384,7 +384,7 @@
             assert entries.outcomes_of(b"ran") == []
             assert self.is_cleared(entries, request)
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def is_cleared(
         self, entries: entries_system.Entries, request: requests.CallerRequest
@@ -414,7 +414,7 @@
                 for number in range(3)
             )
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_end_that_becomes_known_later_counts(self) -> None:
         # A silent engine, whose store entry is removed later.
@@ -430,7 +430,7 @@
             entry.registry.on_changed((), (name,))
             assert entry.context.quarantine.is_suspect(request_fingerprint)
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_service_without_reports_does_not_count_as_ended(
         self, monkeypatch: pytest.MonkeyPatch
@@ -456,7 +456,7 @@
             assert entries[0].registry.avoided() == ()
             assert entries[0].context.quarantine.has_no_suspects
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_losses_of_many_engines_quarantine_no_request(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -475,4 +475,4 @@
             ]
             assert errors.Code.QUARANTINED not in codes
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -148,7 +148,9 @@
         await anyio.sleep(2.0)
         await scenario(Traffic(entries, weights))
 
-    entries_system.play(body, count=len(weights), copies=copies, parts=4)
+    entries_system.run_scenario(
+        body, count=len(weights), copies=copies, parts=4
+    )
 
 
 EVEN = (1.0, 1.0, 1.0, 1.0)
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -46,7 +46,7 @@
             assert zone[0].connection.calls > 10
             assert zone[5].connection.calls <= 2
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_few_calls_are_made_during_an_outage(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -56,7 +56,7 @@
             await anyio.sleep(3.0)
             assert (zone.calls - before) / 3.0 < 14
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
 
 class TestFreshness:
@@ -70,7 +70,7 @@
             for entry in zone.entries.values():
                 assert entry.follower.seen[version] - now < 0.02
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_large_changes_are_read_from_the_store(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -82,7 +82,7 @@
             assert zone[3].follower.seen[version] - now < 0.05
             assert zone[3].connection.calls == before + 1
 
-        zone_system.play(5, work)
+        zone_system.run_scenario(5, work)
 
     def test_entry_that_is_asked_reads_the_store_itself(self) -> None:
         # Otherwise two entries could wait for each other.
@@ -93,7 +93,7 @@
             await anyio.sleep(peer_selection.PEER_REQUEST_TTL_SECONDS + 0.1)
             assert not zone[3].selector.reads_store
 
-        zone_system.play(5, work)
+        zone_system.run_scenario(5, work)
 
     def test_copies_are_as_current_as_that_of_the_reader(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -102,7 +102,7 @@
                 < zone_system.WAIT_SECONDS + 0.1
             )
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_killed_reader_is_replaced_at_once(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -117,7 +117,7 @@
             for entry in list(zone.entries.values())[1:]:
                 assert entry.follower.seen[version] - now < 0.1
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_silent_reader_is_replaced_within_a_watch(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -129,7 +129,7 @@
                 + 0.5
             )
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_reader_that_lost_the_store_is_replaced(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -145,7 +145,7 @@
             await anyio.sleep(3.0)
             assert not zone[0].health.is_lost
 
-        zone_system.play(5, work)
+        zone_system.run_scenario(5, work)
 
     def test_readers_that_lost_the_store_call_it_again(self) -> None:
         # Entries that ask each other and hear of the other's loss must not
@@ -160,7 +160,7 @@
             assert not any(zone[number].health.is_lost for number in range(3))
             assert zone.oldest() < zone_system.WAIT_SECONDS + 0.1
 
-        zone_system.play(5, work)
+        zone_system.run_scenario(5, work)
 
     def test_copies_are_current_soon_after_an_outage(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -170,7 +170,7 @@
             await anyio.sleep(1.2)
             assert zone.oldest() < zone_system.WAIT_SECONDS + 0.1
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_entry_without_peers_reads_the_store(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -180,7 +180,7 @@
             assert zone[4].selector.reads_store
             assert zone[4].mirror.age() < zone_system.WAIT_SECONDS + 0.1
 
-        zone_system.play(5, work)
+        zone_system.run_scenario(5, work)
 
     @hypothesis.given(strategies.integers(0, 2**32))
     @hypothesis.settings(max_examples=25, deadline=None, derandomize=True)
@@ -198,7 +198,7 @@
                     await anyio.sleep(0.01)
                 tasks.cancel_scope.cancel()
 
-        zone_system.play(4, work)
+        zone_system.run_scenario(4, work)
 
 
 async def _inject_faults(zone: zone_system.Zone, rng: random.Random) -> None:
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -77,7 +77,7 @@
                 await check_known(zone, f"new-{number}".encode())
 
         for count in (1, 2, 5, 14):
-            zone_system.play(count, work)
+            zone_system.run_scenario(count, work)
 
     def test_restore_costs_two_listings_per_entry_at_most(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -89,7 +89,7 @@
             # One entry watches the store for all of them again.
             assert zone.calls - before <= 10.0 / zone_system.WAIT_SECONDS + 1
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_peer_that_missed_the_restore_is_not_trusted(self) -> None:
         # The peer that all ask is cut off unnoticed, and answers from its
@@ -107,7 +107,7 @@
             await anyio.sleep(IN_FORCE_SECONDS)
             await check_known(zone, b"new")
 
-        zone_system.play(5, work)
+        zone_system.run_scenario(5, work)
 
     def test_long_watches_do_not_delay_changes(self) -> None:
         # A watch lasts ten seconds. The first entry learns of the new epoch
@@ -126,7 +126,7 @@
             assert zone[0].mirror.position.epoch == zone.store.epoch
             await check_known(zone, b"new")
 
-        zone_system.play(5, work, 10.0)
+        zone_system.run_scenario(5, work, 10.0)
 
     @hypothesis.given(strategies.integers(0, 2**32))
     @hypothesis.settings(max_examples=25, deadline=None, derandomize=True)
@@ -143,7 +143,7 @@
                 await anyio.sleep(3.0)
                 await check_known(zone, f"new-{seed}".encode())
 
-        zone_system.play(4, work)
+        zone_system.run_scenario(4, work)
 
 
 async def _write_and_restore(
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -229,7 +229,7 @@
 Work = typing.Callable[[Zone], typing.Awaitable[None]]
 
 
-def play(count: int, work: Work, wait: float = WAIT_SECONDS) -> None:
+def run_scenario(count: int, work: Work, wait: float = WAIT_SECONDS) -> None:
     async def body() -> None:
         zone = Zone(count, wait)
         zone.write()
