--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -25,7 +25,7 @@
 
 # An instance that ended is started again after this long.
 RESTART_SECONDS = 2.0
-LOOK_SECONDS = 0.05
+POLL_INTERVAL_SECONDS = 0.05
 RECORDS_WAIT_SECONDS = 10.0
 STREAM = routes.RepeatPolicy.STREAM
 REPEATABLE = routes.RepeatPolicy.IDEMPOTENT
@@ -186,7 +186,7 @@
         async with anyio.create_task_group() as tasks:
             known = 0
             while True:
-                await anyio.sleep(LOOK_SECONDS)
+                await anyio.sleep(POLL_INTERVAL_SECONDS)
                 for crash in self.fleet.crashes[known:]:
                     tasks.start_soon(self._bring_back, crash.upstream)
                 known = len(self.fleet.crashes)
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -40,7 +40,7 @@
     """Wait until ``count`` instances have ended; return when the last did."""
     with anyio.move_on_after(limit):
         while len(entries.fleet.crashes) < count:
-            await anyio.sleep(entries_system.LOOK_SECONDS)
+            await anyio.sleep(entries_system.POLL_INTERVAL_SECONDS)
     return entries.fleet.crashes[count - 1].at
 
 
