--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -69,7 +69,7 @@
     ) -> None:
         self.fleet = chain_fleet.ChainFleet()
         self.store = standin_store.StandinStore()
-        self.told: list[Outcome] = []
+        self.outcomes: list[Outcome] = []
         self.keeps_ids = False
         self._tasks = tasks
         self._entries: list[fleet_system.FleetSystem] = []
@@ -193,13 +193,13 @@
 
     def outcomes_of(self, body: bytes) -> list[Outcome]:
         """Return the outcomes of a request."""
-        return [one for one in self.told if one.request.body == body]
+        return [one for one in self.outcomes if one.request.body == body]
 
     def outcomes_beside(self, since: float) -> list[Outcome]:
         """Return the outcomes of other callers' requests since a time."""
         return [
             one
-            for one in self.told
+            for one in self.outcomes
             if one.request.body.startswith(b"beside") and one.sent_at >= since
         ]
 
@@ -242,7 +242,7 @@
         sent_at = anyio.current_time()
         caller = await entry.ask(request)
         seconds = anyio.current_time() - sent_at
-        self.told.append(Outcome(caller, request, sent_at, seconds))
+        self.outcomes.append(Outcome(caller, request, sent_at, seconds))
 
     async def _bring_back(self, name: str) -> None:
         await anyio.sleep(RESTART_SECONDS)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -120,7 +120,7 @@
     @property
     def refused(self) -> list[entries_system.Outcome]:
         """The callers that were not served."""
-        return [one for one in self.entries.told if not one.was_served]
+        return [one for one in self.entries.outcomes if not one.was_served]
 
 
 def max_within(times: list[float], seconds: float) -> int:
@@ -262,8 +262,10 @@
                 assert_kept(times, LIMIT)
                 taken += len(times)
             assert taken >= MIN_USED_SHARE * LIMIT * len(limited) * 20.0
-            told = [it for it in traffic.entries.told if it.sent_at >= since]
-            for it in told:
+            outcomes = [
+                it for it in traffic.entries.outcomes if it.sent_at >= since
+            ]
+            for it in outcomes:
                 if it.was_served:
                     continue
                 error = it.caller.error
@@ -366,7 +368,7 @@
     ) -> None:
         rng = random.Random(seed)
         limit = 4.0
-        told: list[tuple[float, float, fleet_system.Caller]] = []
+        outcomes: list[tuple[float, float, fleet_system.Caller]] = []
 
         async def scenario(
             system: fleet_system.FleetSystem, found: list[chain.Upstream]
@@ -378,7 +380,7 @@
                 began = anyio.current_time()
                 caller = await system.ask(system.request(IDEMPOTENT))
                 took = anyio.current_time() - began
-                told.append((began, took, caller))
+                outcomes.append((began, took, caller))
 
             async with anyio.create_task_group() as tasks:
                 while anyio.current_time() < 23.0:
@@ -386,7 +388,7 @@
                     await anyio.sleep(rng.expovariate(30.0))
 
         self.simulate(scenario, count, objective)
-        late = [one for one in told if one[0] >= 3.0]
+        late = [one for one in outcomes if one[0] >= 3.0]
         refused = [one for one in late if one[2].error is not None]
         assert refused
         assert max(took for _, took, _ in refused) < 0.01
