--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -104,7 +104,7 @@
         self._scopes.append(self._begin(entry))
         return entry
 
-    def stop(self, number: int) -> None:
+    def restart(self, number: int) -> None:
         """Replace an entry by a new process that has no state."""
         entry = self._entries[number]
         self._scopes[number].cancel()
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -216,7 +216,7 @@
             await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
             ends = len(entries.fleet.crashes)
             for number in range(3):
-                entries.stop(number)
+                entries.restart(number)
             await anyio.sleep(0.5)
             await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
             assert len(entries.fleet.crashes) == ends
