--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -134,7 +134,7 @@
         ):
             await anyio.sleep(0.001)
 
-    def lose(self, count: int) -> None:
+    def crash_busiest(self, count: int) -> None:
         """End the busiest instances; they are started again later."""
         now = anyio.current_time()
         living = [one for one in self.fleet.upstreams if one.answers]
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -378,7 +378,7 @@
             entries.fleet.event_seconds = 0.1
             entries.start_request(0, entries_system.STREAM, b"ran")
             await anyio.sleep(1.2)
-            entries.lose(1)
+            entries.crash_busiest(1)
             await anyio.sleep(0.4)
             request = entries[0].request(entries_system.STREAM, body=b"ran")
             assert entries.outcomes_of(b"ran") == []
@@ -465,7 +465,7 @@
                     number, entries_system.STREAM, b"beside-%d" % number
                 )
                 if number % 8 == 7:
-                    entries.lose(2)
+                    entries.crash_busiest(2)
                 await anyio.sleep(0.1)
             await anyio.sleep(8.0)
             codes = [
