--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -149,7 +149,7 @@
             )
             self.fleet.crashes.append(crash)
 
-    def tell_all_leaving(self) -> None:
+    def list_all_as_leaving(self) -> None:
         """List every engine as leaving."""
         for listed in list(self._listed.values()):
             if listed.card:
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -403,7 +403,7 @@
     def test_planned_ends_are_no_evidence(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            entries.tell_all_leaving()
+            entries.list_all_as_leaving()
             for number in range(6):
                 entries.start_request(number, entries_system.STREAM, BODY)
                 await anyio.sleep(0.1)
