--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -181,7 +181,7 @@
             number += 1
             await anyio.sleep(pause)
 
-    async def bring_back(self) -> None:
+    async def restart_crashed(self) -> None:
         """Start instances that ended again, under another name."""
         async with anyio.create_task_group() as tasks:
             known = 0
@@ -321,7 +321,7 @@
             entries = Entries(
                 tasks, count, copies, parts, are_registered=are_registered
             )
-            tasks.start_soon(entries.bring_back)
+            tasks.start_soon(entries.restart_crashed)
             await work(entries)
             tasks.cancel_scope.cancel()
 
