--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -195,7 +195,7 @@
         """Return the outcomes of a request."""
         return [one for one in self.outcomes if one.request.body == body]
 
-    def outcomes_beside(self, since: float) -> list[Outcome]:
+    def outcomes_of_others(self, since: float) -> list[Outcome]:
         """Return the outcomes of other callers' requests since a time."""
         return [
             one
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -63,7 +63,7 @@
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
             await anyio.sleep(3.0)
             third = entries.fleet.crashes[MAX_CRASHES - 1].at
-            others = entries.outcomes_beside(third + 1.0)
+            others = entries.outcomes_of_others(third + 1.0)
             assert len(others) > 20
             assert [one for one in others if not one.was_served] == []
 
@@ -91,7 +91,7 @@
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
             assert len(entries.fleet.crashes) <= MAX_CRASHES + 1
             third = entries.fleet.crashes[MAX_CRASHES - 1].at
-            others = entries.outcomes_beside(third + 1.0)
+            others = entries.outcomes_of_others(third + 1.0)
             assert [one for one in others if not one.was_served] == []
 
         entries_system.run_scenario(work)
@@ -293,7 +293,7 @@
                     )
                     await anyio.sleep(0.03)
             await anyio.sleep(8.0)
-            others = entries.outcomes_beside(0.0)
+            others = entries.outcomes_of_others(0.0)
             codes = {
                 one.caller.error.code for one in others if one.caller.error
             }
@@ -470,7 +470,7 @@
             await anyio.sleep(8.0)
             codes = [
                 one.caller.error.code
-                for one in entries.outcomes_beside(0.0)
+                for one in entries.outcomes_of_others(0.0)
                 if one.caller.error
             ]
             assert errors.Code.QUARANTINED not in codes
