--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -68,7 +68,7 @@
             now = anyio.current_time()
             await anyio.sleep(0.5)
             for entry in zone.entries.values():
-                assert entry.follower.seen[version] - now < 0.02
+                assert entry.follower.first_seen_at[version] - now < 0.02
 
         zone_system.run_scenario(14, work)
 
@@ -79,7 +79,7 @@
             version = zone.write()
             now = anyio.current_time()
             await anyio.sleep(0.5)
-            assert zone[3].follower.seen[version] - now < 0.05
+            assert zone[3].follower.first_seen_at[version] - now < 0.05
             assert zone[3].connection.calls == before + 1
 
         zone_system.run_scenario(5, work)
@@ -115,7 +115,7 @@
             now = anyio.current_time()
             await anyio.sleep(0.2)
             for entry in list(zone.entries.values())[1:]:
-                assert entry.follower.seen[version] - now < 0.1
+                assert entry.follower.first_seen_at[version] - now < 0.1
 
         zone_system.run_scenario(14, work)
 
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -30,7 +30,7 @@
     """Records the objects that it was given, and when each version came."""
 
     def __init__(self) -> None:
-        self.seen: dict[int, float] = {}
+        self.first_seen_at: dict[int, float] = {}
         self.values: dict[str, bytes] = {}
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
@@ -43,7 +43,7 @@
         removed: tuple[str, ...],
     ) -> None:
         for one in objects:
-            self.seen.setdefault(one.version, anyio.current_time())
+            self.first_seen_at.setdefault(one.version, anyio.current_time())
             self.values[one.name] = one.value
         for name in removed:
             self.values.pop(name, None)
