--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -158,7 +158,7 @@
                 zone[number].connection.is_cut = False
             await anyio.sleep(4.0)
             assert not any(zone[number].health.is_lost for number in range(3))
-            assert zone.oldest() < zone_system.WAIT_SECONDS + 0.1
+            assert zone.max_age() < zone_system.WAIT_SECONDS + 0.1
 
         zone_system.run_scenario(5, work)
 
@@ -168,7 +168,7 @@
             await anyio.sleep(5.0)
             zone.store.is_down = False
             await anyio.sleep(1.2)
-            assert zone.oldest() < zone_system.WAIT_SECONDS + 0.1
+            assert zone.max_age() < zone_system.WAIT_SECONDS + 0.1
 
         zone_system.run_scenario(14, work)
 
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -213,7 +213,7 @@
     def write(self) -> int:
         return self.store.write(KIND, "main", b"{}")
 
-    def oldest(self) -> float:
+    def max_age(self) -> float:
         """Return the greatest age of a copy among reachable entries."""
         return max(
             one.mirror.age()
@@ -245,8 +245,8 @@
 async def oldest_over(zone: Zone, seconds: float) -> float:
     """Return the greatest age of a copy over a time span."""
     ends = anyio.current_time() + seconds
-    oldest = 0.0
+    max_age = 0.0
     while anyio.current_time() < ends:
-        oldest = max(oldest, zone.oldest())
+        max_age = max(max_age, zone.max_age())
         await anyio.sleep(0.01)
-    return oldest
+    return max_age
