--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -98,7 +98,7 @@
     def test_copies_are_as_current_as_that_of_the_reader(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
             assert (
-                await zone_system.oldest_over(zone, 5.0)
+                await zone_system.max_age_over(zone, 5.0)
                 < zone_system.WAIT_SECONDS + 0.1
             )
 
@@ -108,7 +108,7 @@
         async def work(zone: zone_system.Zone) -> None:
             zone[0].is_down = True
             assert (
-                await zone_system.oldest_over(zone, 4.0)
+                await zone_system.max_age_over(zone, 4.0)
                 < 2 * zone_system.WAIT_SECONDS
             )
             version = zone.write()
@@ -123,7 +123,7 @@
         async def work(zone: zone_system.Zone) -> None:
             zone[0].is_silent = True
             assert (
-                await zone_system.oldest_over(zone, 8.0)
+                await zone_system.max_age_over(zone, 8.0)
                 < zone_system.WAIT_SECONDS
                 + zone_system.TIMEOUT_SLACK_SECONDS
                 + 0.5
@@ -135,7 +135,7 @@
         async def work(zone: zone_system.Zone) -> None:
             zone[0].connection.is_cut = True
             assert (
-                await zone_system.oldest_over(zone, 6.0)
+                await zone_system.max_age_over(zone, 6.0)
                 < 2.2 * zone_system.WAIT_SECONDS
             )
             # The reader itself learns of changes from its peers.
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -242,7 +242,7 @@
     virtual.run(body)
 
 
-async def oldest_over(zone: Zone, seconds: float) -> float:
+async def max_age_over(zone: Zone, seconds: float) -> float:
     """Return the greatest age of a copy over a time span."""
     ends = anyio.current_time() + seconds
     max_age = 0.0
