--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -138,7 +138,7 @@
                     tasks.start_soon(_inject_faults, zone, rng)
                     await _write_and_restore(zone, rng)
                     tasks.cancel_scope.cancel()
-                zone.reconnect()
+                zone.end_faults()
                 # A peer that did not answer is not asked for some seconds.
                 await anyio.sleep(3.0)
                 await check_known(zone, f"new-{seed}".encode())
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -151,7 +151,7 @@
         entry = self.entries[name] = self._entry(name, self._ranking)
         self._tasks.start_soon(self._run_entry, entry)
 
-    def reconnect(self) -> None:
+    def end_faults(self) -> None:
         """End all faults."""
         self.store.is_down = False
         for entry in self.entries.values():
