--- a/src/crowdeck/membership/backoffs.py
+++ b/src/crowdeck/membership/backoffs.py
@@ -52,9 +52,10 @@
         return max(0.0, backoff.until - anyio.current_time())
 
     def claim_probe(self, name: str) -> bool:
-        """Whether an instance may be contacted to save a stalled stream.
+        """Claim the single probe that is allowed in a backoff period.
 
-        Once per backoff period; that use is recorded by this call.
+        :return: whether the instance may be contacted to save a stalled
+            stream, which it always may outside a backoff period.
         """
         if not self.is_active(name):
             return True
--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -34,13 +34,13 @@
 # Heartbeats a second to all sidecars together, so that control traffic does
 # not grow with the fleet.
 HEARTBEATS_PER_SECOND = 2.0
-MIN_HEARTBEAT_SECONDS = 0.25
+MIN_HEARTBEAT_INTERVAL_SECONDS = 0.25
 HEARTBEAT_TIMEOUT_SECONDS = 1.0
-# A probe is a heartbeat out of turn, sent to a sidecar that holds up an
+# A probe is an unscheduled heartbeat, sent to a sidecar that holds up an
 # answer. The timeout is longer than a TCP retransmission and a garbage
 # collection pause, and short enough to find a frozen stage within a second.
 PROBE_TIMEOUT_SECONDS = 0.6
-MIN_PROBE_SECONDS = 0.2
+MIN_PROBE_INTERVAL_SECONDS = 0.2
 # Interval of the probes while a long call or turn is awaited.
 PROBE_INTERVAL_SECONDS = 0.5
 BACKOFF_SECONDS = (0.1, 0.2, 0.4, 0.8, 1.6)
@@ -70,7 +70,7 @@
     :ivar changed_at: monotonic seconds of the last change of state.
     :ivar changes: number of changes of state.
     :ivar own_inflight: this entry's attempts and calls in progress there.
-    :ivar own_inflight_reported: the same, at the time of the last report.
+    :ivar own_inflight_at_report: the same, at the time of the last report.
     :ivar times_chosen: how often it was chosen as a stage.
     :ivar reported_at: monotonic seconds of its last report.
     :ivar is_probed: whether a probe is in progress.
@@ -83,7 +83,7 @@
     load: messages.Load | None = None
     changes: int = 0
     own_inflight: int = 0
-    own_inflight_reported: int = 0
+    own_inflight_at_report: int = 0
     times_chosen: int = 0
     reported_at: float = 0.0
     is_probed: bool = False
@@ -109,7 +109,7 @@
         reported = self.load.running if self.load is not None else 0
         return max(
             self.own_inflight,
-            reported + self.own_inflight - self.own_inflight_reported,
+            reported + self.own_inflight - self.own_inflight_at_report,
         )
 
     @property
@@ -166,7 +166,10 @@
         self._observers.remove(observer)
 
     async def follow(self) -> None:
-        """Watch newly listed sidecars; drop unlisted ones that are down."""
+        """Watch newly listed sidecars; drop unlisted ones that are down.
+
+        Compares with the list once, and returns.
+        """
         listed = {one.name: one for one in self._directory.sidecars}
         for name in tuple(self._views):
             if name not in listed and self._is_unreachable(name):
@@ -211,15 +214,15 @@
                 with anyio.move_on_after(self._heartbeat_interval()):
                     await peer.wait_closed()
         finally:
-            # Ends all waits for what was sent on this link, on both sides.
+            # Fails all pending calls on this link, at both ends.
             peer.close()
 
     def _heartbeat_interval(self) -> float:
         """Return the seconds until a sidecar's next heartbeat."""
         seconds = len(self._views) / HEARTBEATS_PER_SECOND
-        return max(MIN_HEARTBEAT_SECONDS, seconds) * self._random.uniform(
-            0.8, 1.2
-        )
+        return max(
+            MIN_HEARTBEAT_INTERVAL_SECONDS, seconds
+        ) * self._random.uniform(0.8, 1.2)
 
     async def ask_with_probes(
         self, peer: link.Peer, question: questions.Question, timeout: float
@@ -259,7 +262,7 @@
 
     def _is_probe_due(self, view: SidecarView) -> bool:
         age = self._clock.now() - view.reported_at
-        return not view.is_probed and age > MIN_PROBE_SECONDS
+        return not view.is_probed and age > MIN_PROBE_INTERVAL_SECONDS
 
     async def _probe(self, view: SidecarView) -> None:
         peer = view.peer
@@ -292,7 +295,7 @@
             )
         is_leaving = reply.is_leaving or view.instance.is_leaving
         view.load = reply
-        view.own_inflight_reported = view.own_inflight
+        view.own_inflight_at_report = view.own_inflight
         view.reported_at = self._clock.now()
         self._change(view, State.LEAVING if is_leaving else State.UP)
 
--- a/src/crowdeck/membership/leaving_instances.py
+++ b/src/crowdeck/membership/leaving_instances.py
@@ -14,7 +14,7 @@
 class LeavingInstances:
     """Names of leaving instances, with the time of each announcement.
 
-    A name stays remembered even if the instance's store entry is removed and
+    A name stays remembered even if the instance's record is removed and
     written again, which happens around outages of the store.
     """
 
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -5,8 +5,7 @@
 
 """Watches of the store through another entry, over HTTP.
 
-Cap'n Proto, as used between sidecars, is not needed for a few requests a
-second, and an entry without sidecars does not load it.
+Uses JSON, so that an entry without sidecars does not load Cap'n Proto.
 """
 
 import typing
@@ -25,19 +24,19 @@
 WATCH_PATH = "/watch/"
 STATUS_PATH = "/status"
 _JSON_HEADER = (b"content-type", b"application/json")
-CONNECT_SECONDS = 0.25
+CONNECT_TIMEOUT_SECONDS = 0.25
 # Added to the wait of a watch: the round trip, and the delay of a busy entry.
 RESPONSE_SLACK_SECONDS = 0.4
-# Larger changes are read from the store: the other entries of a zone would
-# fill the link of the entry that they all ask.
+# Larger changes are read from the store: serving them to all entries of a
+# zone would saturate this entry's link.
 MAX_RESPONSE_BYTES = 64 * 1024
 
-_STATUS = {
+_STATUS_BY_CODE = {
     errors.Code.STORE_HISTORY: 410,
     errors.Code.TOO_LARGE: 413,
     errors.Code.STORE_DOWN: 503,
 }
-_CODES = {status: code for code, status in _STATUS.items()}
+_CODE_BY_STATUS = {status: code for code, status in _STATUS_BY_CODE.items()}
 
 
 StatusSource = typing.Callable[[], dict[str, typing.Any]]
@@ -46,21 +45,21 @@
 class PeerApp:
     """Serves watches and the status of this entry, as an ASGI application.
 
-    :param copies: this entry's mirrors, by kind.
+    :param mirrors_by_kind: this entry's mirrors.
     :param selector: is notified of each watch, since an entry that is asked
         has to read the store itself.
-    :param status: returns this entry's status for operators.
+    :param status_source: returns this entry's status for operators.
     """
 
     def __init__(
         self,
-        copies: dict[str, mirrors.Mirror],
+        mirrors_by_kind: dict[str, mirrors.Mirror],
         selector: peer_selection.PeerSelector,
-        status: StatusSource = dict,
+        status_source: StatusSource = dict,
     ) -> None:
-        self._copies = copies
+        self._mirrors_by_kind = mirrors_by_kind
         self._selector = selector
-        self._status = status
+        self._status_source = status_source
 
     async def __call__(
         self,
@@ -70,19 +69,19 @@
     ) -> None:
         """Respond to one request."""
         if scope["path"] == STATUS_PATH:
-            await _respond(send, 200, orjson.dumps(self._status()))
+            await _respond(send, 200, orjson.dumps(self._status_source()))
             return
         kind = str(scope["path"]).removeprefix(WATCH_PATH)
-        copy = self._copies.get(kind)
-        if copy is None:
+        mirror = self._mirrors_by_kind.get(kind)
+        if mirror is None:
             await _respond(send, 404, b"")
             return
         self._selector.note_peer_request()
         try:
             query = _parse_query(scope["query_string"])
-            body = await read_changes(copy, query.after, query.wait)
+            body = await read_changes(mirror, query.after, query.wait)
         except errors.CrowdeckError as error:
-            await _respond(send, _STATUS.get(error.code, 400), b"")
+            await _respond(send, _STATUS_BY_CODE.get(error.code, 400), b"")
             return
         await _respond(send, 200, body)
 
@@ -106,7 +105,7 @@
         )
         url = f"http://{peer.address}{WATCH_PATH}{kind}?{query}"
         timeouts = http.Timeouts(
-            CONNECT_SECONDS, wait + RESPONSE_SLACK_SECONDS
+            CONNECT_TIMEOUT_SECONDS, wait + RESPONSE_SLACK_SECONDS
         )
         async with self._client.open(
             "GET", url, [], b"", timeouts
@@ -115,7 +114,7 @@
             status = response.status
         if status != 200:
             raise errors.CrowdeckError(
-                _CODES.get(status, errors.Code.UPSTREAM_FAILED),
+                _CODE_BY_STATUS.get(status, errors.Code.UPSTREAM_FAILED),
                 f"{peer.name} responded with status {status}",
             )
         peer_changes = _decode(kind, body)
@@ -150,7 +149,7 @@
 
 
 async def read_changes(
-    copy: mirrors.Mirror, after: stores.Position, wait: float
+    mirror: mirrors.Mirror, after: stores.Position, wait: float
 ) -> bytes:
     """Return the encoded changes after a position.
 
@@ -158,7 +157,7 @@
     :raises CrowdeckError: ``STORE_DOWN``, ``STORE_HISTORY`` or ``TOO_LARGE``,
         as in ``PeerClient.watch``.
     """
-    peer_changes = await copy.changes_since(after, wait)
+    peer_changes = await mirror.changes_since(after, wait)
     size = sum(len(one.value) for one in peer_changes.changes.objects)
     if size > MAX_RESPONSE_BYTES:
         raise errors.CrowdeckError(
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -12,7 +12,8 @@
 
 There is no election: an entry reads the store itself for as long as others
 ask it. If a peer does not answer or has lost the store, the entry asks the
-store at once, and the next peer of the ranking after that.
+next one of the ranking, or the store if it is next itself, if several peers
+have lost the store, or if no peer is left.
 """
 
 import contextlib
@@ -33,11 +34,10 @@
 PEER_REQUEST_TTL_SECONDS = 5.0
 # A peer that did not answer is not asked for this long, doubled at each
 # further failure.
-SILENT_SECONDS = 2.0
-MAX_SILENT_SECONDS = 60.0
-# A peer that has lost the store is asked again after this long; it says so at
-# once, which costs little.
-LOST_SECONDS = 0.5
+UNRESPONSIVE_BACKOFF_SECONDS = 2.0
+MAX_UNRESPONSIVE_BACKOFF_SECONDS = 60.0
+# A peer that has lost the store is asked again after this long.
+STORE_LOST_RETRY_SECONDS = 0.5
 # With this many peers that have lost the store, the store itself is taken to
 # be down, and an entry calls it directly instead of asking further peers.
 LOST_PEERS_LIMIT = 3
@@ -77,7 +77,8 @@
 
 Ranking = typing.Callable[[], tuple[Peer, ...]]
 
-# Errors after which the peer is still healthy, but the store has to be asked.
+# Errors of a healthy peer that cannot serve the watch; the store is asked
+# instead.
 _STORE_NEEDED = (errors.Code.STORE_HISTORY, errors.Code.TOO_LARGE)
 
 
@@ -127,7 +128,7 @@
     @property
     def reads_store(self) -> bool:
         """Whether this entry asks the store itself."""
-        return self._first() is None
+        return self._choose_peer() is None
 
     def store_retry_seconds(self) -> float:
         """Return the seconds between two calls to a store that is lost."""
@@ -141,10 +142,10 @@
 
     def choose(self) -> "PeerMirrors | None":
         """Return the peer to ask, or ``None`` to ask the store."""
-        peer = self._first()
+        peer = self._choose_peer()
         return PeerMirrors(peer, self) if peer is not None else None
 
-    def _first(self) -> Peer | None:
+    def _choose_peer(self) -> Peer | None:
         now = anyio.current_time()
         may_call_store = self._may_call_store(now)
         if now - self._asked_at < PEER_REQUEST_TTL_SECONDS and may_call_store:
@@ -169,7 +170,8 @@
         now = anyio.current_time()
         ends = [*self._lost_until.values(), *self._silent_until.values()]
         return min(
-            (end - now for end in ends if end > now), default=LOST_SECONDS
+            (end - now for end in ends if end > now),
+            default=STORE_LOST_RETRY_SECONDS,
         )
 
     def note_peer_request(self) -> None:
@@ -228,13 +230,13 @@
         counters.COUNTERS.add("peers.failed")
         now = anyio.current_time()
         if error.code is errors.Code.STORE_DOWN:
-            self._lost_until[peer.name] = now + LOST_SECONDS
+            self._lost_until[peer.name] = now + STORE_LOST_RETRY_SECONDS
             self._health.note_peer_failure()
         elif self._silent_until.get(peer.name, 0.0) <= now:
             silences = self._silence_counts.get(peer.name, 0)
             self._silence_counts[peer.name] = silences + 1
-            seconds = SILENT_SECONDS * 2.0 ** min(silences, 10)
-            pause = min(seconds, MAX_SILENT_SECONDS)
+            seconds = UNRESPONSIVE_BACKOFF_SECONDS * 2.0 ** min(silences, 10)
+            pause = min(seconds, MAX_UNRESPONSIVE_BACKOFF_SECONDS)
             self._silent_until[peer.name] = now + pause
         if peer.name not in self._failed_peers:
             self._failed_peers.add(peer.name)
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -27,8 +27,8 @@
 LIST_TIMEOUT_SECONDS = 2.0
 # Each change of an upstream ends the watches of all entries. The more entries
 # there are, the longer each waits for further changes before its next watch,
-# which bounds the calls of all together. The maximum is well below the two
-# seconds for which an upstream that is leaving may still get work.
+# which slows the growth of their calls together. The maximum is well below the
+# two seconds for which an upstream that is leaving may still get work.
 LINGER_SECONDS_PER_ENTRY = 0.04
 MIN_LINGER_SECONDS = 0.2
 MAX_LINGER_SECONDS = 0.6
@@ -60,7 +60,7 @@
 
 
 class Roster:
-    """All entries that were ever started, as a follower of their mirror.
+    """All entries that ever registered, from the mirror of their records.
 
     Entries that were shut down stay listed: a share of a limit that is
     computed from too many entries is too small, which is safe. Implements
@@ -169,8 +169,8 @@
             self._must_write = anyio.Event()
             await self.register()
             await self._must_write.wait()
-            # Other streams through the same instance fail a moment later; one
-            # write covers them all.
+            # Batches evidence of further streams that fail with the same
+            # instance.
             await anyio.sleep(WRITE_DELAY_SECONDS)
 
     def _publish_evidence(self) -> None:
@@ -271,8 +271,7 @@
     def _rank(self) -> None:
         """Rank the entries of this zone by capacity, then by a hash.
 
-        The hash spreads the load over entries with similar names, which may
-        share a rack.
+        The hash makes the order of equal entries independent of their names.
         """
         here = [
             (
--- a/src/crowdeck/membership/upstream_records.py
+++ b/src/crowdeck/membership/upstream_records.py
@@ -4,7 +4,7 @@
 # SPDX-License-Identifier: Apache-2.0
 
 
-"""Decoding of upstream instances' store entries, which may be malformed."""
+"""Decoding of upstream instances' records, which may be malformed."""
 
 import typing
 
@@ -17,10 +17,10 @@
 
 
 class UpstreamRecordReader:
-    """Decodes entries, and logs once per entry why it is rejected.
+    """Decodes records, and logs once per record why it is rejected.
 
-    :param decode: turns a stored entry into an instance; raises
-        ``CrowdeckError`` if the entry is malformed.
+    :param decode: turns a stored record into an instance; raises
+        ``CrowdeckError`` if the record is malformed.
     """
 
     def __init__(self, decode: Decoder) -> None:
@@ -30,9 +30,9 @@
     def read(
         self, stored: stores.StoredObject, previous: chain.Upstream | None
     ) -> chain.Upstream | None:
-        """Return the instance that an entry describes, or ``None``.
+        """Return the instance that a record describes, or ``None``.
 
-        :param previous: the instance that the entry described before, if
+        :param previous: the instance that the record described before, if
             there was one.
         """
         try:
@@ -52,7 +52,7 @@
         return upstream
 
     def forget(self, name: str) -> None:
-        """Drop what is remembered of an entry that was removed."""
+        """Forget why a record was rejected, once it was removed."""
         self._rejected.pop(name, None)
 
     def _reject(self, name: str, reason: str) -> None:
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -12,8 +12,8 @@
 
 from crowdeck import chain
 from crowdeck.membership import backoffs
-from crowdeck.membership import upstream_records
 from crowdeck.membership import leaving_instances
+from crowdeck.membership import upstream_records
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 from crowdeck.state import objects as stores
@@ -26,26 +26,25 @@
 # long, doubled at each refusal that follows soon after another.
 REFUSAL_BACKOFF_SECONDS = 0.4
 MAX_REFUSAL_BACKOFF_SECONDS = 1.6
-# Refusals further apart than this are unrelated.
+# A refusal this long after the end of the last pause counts as the first.
 REFUSAL_RESET_SECONDS = 2.0
 # A failed engine is probed before it gets work again. A probe without a
 # result, as when this entry's own link is at fault, is repeated after this.
 REPROBE_SECONDS = 0.3
-# An instance that does not hold what its entry says gets no work for this
-# long, within which its entry is updated.
+# An instance that does not hold what its record says gets no work for this
+# long, within which the record is updated.
 STALE_RECORD_BACKOFF_SECONDS = 2.0
-# A leaving instance may get work for two seconds after it announced that. This
-# entry sends it work only for this long, and only where nothing else can
-# serve; the rest allows for a late announcement.
+# A leaving instance gets new work for this long at most, and only where no
+# other can serve. Shorter than the two seconds after its announcement in which
+# it may get work, as the announcement may arrive late.
 LEAVING_GRACE_SECONDS = 1.0
-# Instances that live write their entries again within two seconds after an
-# outage of the store. An entry that was removed around an outage is kept for
-# this long, but no longer: instances that left without an announcement may not
-# get work two seconds later.
+# How long an instance stays listed after its record was removed around an
+# outage of the store. Less than the two seconds after which an instance that
+# left unannounced must get no work.
 LAPSE_SECONDS = 1.8
-# An entry that is removed within this long after a failed call to the store
-# may have lapsed: two seconds until it is written again, and half a second
-# until a watch reports that.
+# A removal that is reported within this long after a failed call to the store
+# may be due to the outage. Instances write their records again within two
+# seconds, and a watch reports that within another half second.
 LAPSE_SUSPICION_SECONDS = 2.5
 
 Listener = typing.Callable[[], None]
@@ -77,18 +76,18 @@
 class UpstreamRegistry:
     """The listed upstream instances, and which of them may get work.
 
-    It is a follower of the mirror of the instances' entries.
+    Implements ``ChangeListener`` for the mirror of the instances' records.
 
-    :param decode: turns a stored entry into an instance.
+    :param decode: turns a stored record into an instance.
     """
 
     def __init__(self, decode: upstream_records.Decoder) -> None:
-        self._entries = upstream_records.UpstreamRecordReader(decode)
+        self._record_reader = upstream_records.UpstreamRecordReader(decode)
         self._states: dict[str, _UpstreamState] = {}
-        # Names of instances by the names of their entries in the store. An
-        # entry keeps its name when a process starts again; the instance
+        # Names of instances by the names of their records in the store. A
+        # record keeps its name when a process starts again; the instance
         # gets another one.
-        self._name_by_entry: dict[str, str] = {}
+        self._name_by_record: dict[str, str] = {}
         self._leaving = leaving_instances.LeavingInstances()
         self._backoffs = backoffs.Backoffs()
         self._end_listeners: list[EndListener] = []
@@ -120,9 +119,10 @@
         self._listeners.append(listener)
 
     def subscribe_lapses(self, listener: LapseListener) -> None:
-        """Call ``listener`` for each engine whose entry may have lapsed.
+        """Call ``listener`` for each engine whose record may have lapsed.
 
-        It gets no new work until :meth:`note_healthy` is called for it.
+        The engine gets no new work until :meth:`note_healthy` is called for
+        it or its record is written again.
         """
         self._lapse_listeners.append(listener)
 
@@ -247,8 +247,8 @@
     def note_leaving(self, name: str) -> None:
         """Note that an instance announced in a response that it is leaving.
 
-        This holds whatever its entry in the store says: some instances never
-        write it there, and an outdated entry may arrive later.
+        This holds whatever its record in the store says: some instances never
+        write it there, and an outdated record may arrive later.
         """
         if not self._leaving.note(name):
             return
@@ -273,16 +273,17 @@
         return self._backoffs.seconds_left(name)
 
     def claim_probe(self, name: str) -> bool:
-        """Whether an instance may be contacted to save a stalled stream.
+        """Claim the single probe that is allowed in a backoff period.
 
-        Once per backoff period; that use is recorded by this call.
+        :return: whether the instance may be contacted to save a stalled
+            stream, which it always may outside a backoff period.
         """
         return self._backoffs.claim_probe(name)
 
     def has_ended(self, name: str) -> bool:
         """Whether an instance's process is known to have ended.
 
-        That is, its entry was removed, or nothing listens at its address. An
+        That is, its record was removed, or nothing listens at its address. An
         instance that is leaving, is full, resets connections or does not
         answer may still execute what it was sent.
         """
@@ -329,11 +330,11 @@
             return
         if now - state.avoided_until > REFUSAL_RESET_SECONDS:
             state.refusals = 0
-        longer = min(
+        doubled_seconds = min(
             seconds * 2.0**state.refusals, MAX_REFUSAL_BACKOFF_SECONDS
         )
         state.refusals += 1
-        state.avoided_until = now + max(seconds, longer)
+        state.avoided_until = now + max(seconds, doubled_seconds)
         logs.change(
             "upstream_paused",
             upstream=name,
@@ -358,7 +359,7 @@
         self._notify()
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
-        """Apply a listing of all entries.
+        """Apply a listing of all records.
 
         A store that was restored from a backup may list an instance in a state
         before it was leaving; it counts as leaving all the same.
@@ -367,7 +368,7 @@
         for one in objects:
             self._apply(one, allow_stale=True)
         for name in [
-            name for name in self._name_by_entry if name not in present
+            name for name in self._name_by_record if name not in present
         ]:
             self._remove(name)
         self._notify()
@@ -377,7 +378,7 @@
         objects: tuple[stores.StoredObject, ...],
         removed: tuple[str, ...],
     ) -> None:
-        """Apply changed and removed entries."""
+        """Apply changed and removed records."""
         for one in objects:
             self._apply(one)
         for name in removed:
@@ -387,17 +388,17 @@
     def _apply(
         self, stored: stores.StoredObject, *, allow_stale: bool = False
     ) -> None:
-        state = self._states.get(self._name_by_entry.get(stored.name, ""))
+        state = self._states.get(self._name_by_record.get(stored.name, ""))
         previous = state.upstream if state is not None else None
-        upstream = self._entries.read(stored, previous)
+        upstream = self._record_reader.read(stored, previous)
         if upstream is None:
-            # What the entry said before may no longer hold.
-            self._remove_entry(stored.name)
+            # What the record said before may no longer hold.
+            self._remove_record(stored.name)
             return
         if state is not None and upstream.incarnation.is_before(
             state.upstream.incarnation
         ):
-            # An outdated entry that arrived late.
+            # An outdated record that arrived late.
             return
         if state is not None and state.upstream.name != upstream.name:
             self._drop(state.upstream, "upstream_started_again")
@@ -407,7 +408,7 @@
         if upstream.name in self._leaving:
             upstream = attrs.evolve(upstream, is_leaving=True)
         if state is None:
-            self._name_by_entry[stored.name] = upstream.name
+            self._name_by_record[stored.name] = upstream.name
             new_state = _UpstreamState(upstream, stored.version)
             new_state.leaving_at = self._leaving.since(upstream.name)
             self._states[upstream.name] = new_state
@@ -434,10 +435,10 @@
     def _drop_replaced(self, newest: chain.Upstream) -> None:
         """Drop all other instances at the address of the newest one.
 
-        The entry of a crashed instance may stay for a while after another one
+        The record of a crashed instance may stay for a while after another one
         has taken its address, which refuses what is meant for the former.
 
-        Entries of services that the config does not name replace no other:
+        Records of services that the config does not name replace no other:
         they come from another writer.
         """
         services = self._services()
@@ -455,9 +456,9 @@
         """Forget an instance that has ended."""
         state = self._states.pop(upstream.name)
         self._backoffs.forget(upstream.name)
-        entry = upstream.incarnation.id
-        if self._name_by_entry.get(entry) == upstream.name:
-            del self._name_by_entry[entry]
+        record_name = upstream.incarnation.id
+        if self._name_by_record.get(record_name) == upstream.name:
+            del self._name_by_record[record_name]
         self._log(event, upstream, 0)
         if not state.is_gone:
             self._notify_end(upstream)
@@ -466,13 +467,13 @@
         for listener in self._end_listeners:
             listener(upstream)
 
-    def _remove(self, entry: str) -> None:
-        self._entries.forget(entry)
-        self._remove_entry(entry)
+    def _remove(self, record_name: str) -> None:
+        self._record_reader.forget(record_name)
+        self._remove_record(record_name)
 
-    def _remove_entry(self, entry: str) -> None:
-        """Handle an entry that was removed or is malformed."""
-        state = self._states.get(self._name_by_entry.get(entry, ""))
+    def _remove_record(self, record_name: str) -> None:
+        """Handle a record that was removed or is malformed."""
+        state = self._states.get(self._name_by_record.get(record_name, ""))
         if state is None:
             return
         failed_at = self._store_failed_at()
@@ -484,6 +485,11 @@
         self._drop(state.upstream, "upstream_gone")
 
     def _lapse(self, state: _UpstreamState, now: float) -> None:
+        """Keep an instance whose record may only be missing due to an outage.
+
+        An engine gets no work until it has answered a probe or its record is
+        written again.
+        """
         state.lapsed_at = now
         self._log("upstream_lapsed", state.upstream, 0)
         if not state.upstream.card:
