--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -94,7 +94,7 @@
         """Start another entry, which knows all listed instances."""
         name = f"entry-{len(self._entries)}"
         now = anyio.current_time()
-        # Entries at the start count as long running.
+        # Entries started at time 0 count as having run for ever.
         began = now if now else float("-inf")
         entry = fleet_system.FleetSystem(self.fleet, name, began)
         entry.install(entry.config)
@@ -137,12 +137,12 @@
     def crash_busiest(self, count: int) -> None:
         """End the busiest instances; they are started again later."""
         now = anyio.current_time()
-        living = [one for one in self.fleet.upstreams if one.answers]
+        running = [one for one in self.fleet.upstreams if one.answers]
         busy = collections.Counter(
             run.upstream for run in self.fleet.runs if now - run.at < 1.0
         )
-        living.sort(key=lambda one: -busy[one.listed.name])
-        for target in living[:count]:
+        running.sort(key=lambda one: -busy[one.listed.name])
+        for target in running[:count]:
             target.is_dead = True
             crash = chain_fleet.EngineCrash(
                 target, target.listed.name, b"", now
@@ -153,12 +153,12 @@
         """List every engine as leaving."""
         for listed in list(self._listed.values()):
             if listed.card:
-                self._tell(attrs.evolve(listed, is_leaving=True))
+                self._list_instance(attrs.evolve(listed, is_leaving=True))
 
     def start_request(
         self, number: int, repeat: routes.RepeatPolicy, body: bytes
     ) -> None:
-        """Send a request to an entry; its outcome is added to ``told``."""
+        """Send a request to an entry; its outcome is added to ``outcomes``."""
         request = self[number].request(repeat, body=body)
         self._tasks.start_soon(self._ask, self[number], request)
 
@@ -188,7 +188,7 @@
             while True:
                 await anyio.sleep(POLL_INTERVAL_SECONDS)
                 for crash in self.fleet.crashes[known:]:
-                    tasks.start_soon(self._bring_back, crash.upstream)
+                    tasks.start_soon(self._restart, crash.upstream)
                 known = len(self.fleet.crashes)
 
     def outcomes_of(self, body: bytes) -> list[Outcome]:
@@ -232,8 +232,8 @@
         roster.set_age_source(mirror.age)
         entry.context.use_roster(roster)
         scope = anyio.CancelScope()
-        parts = (entry.monitor.run, roster.run, mirror.run)
-        self._tasks.start_soon(_run_all, scope, parts)
+        runners = (entry.monitor.run, roster.run, mirror.run)
+        self._tasks.start_soon(_run_all, scope, runners)
         return scope
 
     async def _ask(
@@ -244,7 +244,7 @@
         seconds = anyio.current_time() - sent_at
         self.outcomes.append(Outcome(caller, request, sent_at, seconds))
 
-    async def _bring_back(self, name: str) -> None:
+    async def _restart(self, name: str) -> None:
         await anyio.sleep(RESTART_SECONDS)
         target = self.fleet.at(self._listed[name].address)
         self._starts += 1
@@ -262,7 +262,7 @@
         target.listed = fresh
         target.is_dead = False
         del self._listed[name]
-        self._tell(fresh)
+        self._list_instance(fresh)
 
     def _add_fleet(self, copies: int, parts: int) -> None:
         for zone in fleet_system.ZONES:
@@ -288,9 +288,9 @@
 
     def _add(self, listed: chain.Upstream) -> None:
         self.fleet.add(listed)
-        self._tell(listed)
+        self._list_instance(listed)
 
-    def _tell(self, listed: chain.Upstream) -> None:
+    def _list_instance(self, listed: chain.Upstream) -> None:
         self._listed[listed.name] = listed
         for entry in self._entries:
             entry.list_instance(listed)
@@ -298,12 +298,12 @@
 
 async def _run_all(
     scope: anyio.CancelScope,
-    parts: tuple[typing.Callable[[], typing.Awaitable[None]], ...],
+    runners: tuple[typing.Callable[[], typing.Awaitable[None]], ...],
 ) -> None:
     with scope:
         async with anyio.create_task_group() as tasks:
-            for part in parts:
-                tasks.start_soon(part)
+            for runner in runners:
+                tasks.start_soon(runner)
 
 
 def run_scenario(
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -267,7 +267,7 @@
             target.rejected_requests = 1000
             callers = await send(system, ONCE, 5.0)
             refused = [one for one in callers if one.error is not None]
-            # At most one in two seconds, after which a failure is forgotten.
+            # At most one every two seconds, the half-life of the failure rate.
             assert len(refused) <= 3
 
         run_scenario(work)
@@ -286,14 +286,14 @@
         async def work(system: System) -> None:
             lost, backing_off, *_ = system.listed.values()
             asked = chain_fleet.FleetClient(system.fleet)
-            watch = failure_detector.FailureDetector(
+            detector = failure_detector.FailureDetector(
                 system.registry, asked, lambda: system.config.services
             )
             system.fleet.at(lost.address).is_dead = True
             system.registry.avoid(lost.name, "silent")
             system.registry.back_off(backing_off.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
-                await watch.check()
+                await detector.check()
             names = {one.upstream for one in asked.arrivals}
             assert len(names) > 2
             assert backing_off.name not in names
@@ -317,15 +317,15 @@
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             asked = chain_fleet.FleetClient(system.fleet)
-            watch = failure_detector.FailureDetector(
+            detector = failure_detector.FailureDetector(
                 system.registry, asked, lambda: system.config.services
             )
             system.registry.avoid(one.name, "silent")
             system.registry.back_off(one.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
-                await watch.check()
+                await detector.check()
             assert not asked.arrivals
-            assert not watch.is_lost(one.name)
+            assert not detector.is_lost(one.name)
 
         run_scenario(work)
 
@@ -336,14 +336,14 @@
                 system.list_instance(target.listed)
             ordered = system.fleet.upstreams[0]
             system.registry.back_off(ordered.listed.name, 8.0)
-            duty = controllers.PlacementController(
+            controller = controllers.PlacementController(
                 typing.cast(leases.Lease, test_placement._Lease()),
                 system.registry,
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
             )
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(duty.run)
+                tasks.start_soon(controller.run)
                 await anyio.sleep(6.0)
                 assert not ordered.orders_taken
                 assert any(one.orders_taken for one in system.fleet.upstreams)
@@ -396,16 +396,15 @@
                 tasks.start_soon(call, system, 8.0)
                 while target.rejected_requests:
                     await anyio.sleep(0.001)
-                over = anyio.current_time() + BACKOFF_SECONDS
-            first = sent(system, target.listed, over - 0.002)[0]
-            assert first.at <= over + 1.0
-            since, until = over + 1.0, over + 3.0
+                backoff_ends_at = anyio.current_time() + BACKOFF_SECONDS
+            first = sent(system, target.listed, backoff_ends_at - 0.002)[0]
+            assert first.at <= backoff_ends_at + 1.0
+            since, until = backoff_ends_at + 1.0, backoff_ends_at + 3.0
             count = len(sent(system, target.listed, since, until))
-            whole = sum(
+            total = sum(
                 since <= one.at < until for one in system.client.arrivals
             )
-            # Its share is one half, give or take a quarter.
-            assert 0.25 <= count / whole <= 0.75
+            assert 0.25 <= count / total <= 0.75
 
         run_scenario(work, plain=2)
 
@@ -432,7 +431,7 @@
 
         run_scenario(work)
 
-    def test_outranks_its_store_entry(self) -> None:
+    def test_overrides_its_store_record(self) -> None:
         async def work(system: System) -> None:
             one = next(iter(system.listed.values()))
             system.registry.note_leaving(one.name)
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -114,7 +114,9 @@
 
         self.run_scenario(work)
 
-    def test_changes_prove_the_copy_only_up_to_the_request(self) -> None:
+    def test_mirror_is_only_as_current_as_the_time_of_its_request(
+        self,
+    ) -> None:
         async def work(
             store: standin_store.StandinStore,
             follower: _Follower,
@@ -147,7 +149,7 @@
         self.run_scenario(work, linger=0.2)
 
 
-class TestContact:
+class TestStoreHealth:
     """Several mirrors of one process, while the store does not answer."""
 
     def run_scenario(self, work: object) -> None:
@@ -236,7 +238,7 @@
         async def body() -> None:
             health = store_health.StoreHealth()
             await health.record_failure("lost", was_probe=False)
-            had_turn: list[store_health.CallPermit] = []
+            permits: list[store_health.CallPermit] = []
 
             async def hang(scope: anyio.CancelScope) -> None:
                 with scope:
@@ -245,7 +247,7 @@
 
             async def wait() -> None:
                 async with health.permit() as permit:
-                    had_turn.append(permit)
+                    permits.append(permit)
                     health.record_success()
 
             scope = anyio.CancelScope()
@@ -254,12 +256,12 @@
                 await anyio.sleep(0.1)
                 tasks.start_soon(wait)
                 await anyio.sleep(0.1)
-                assert had_turn == []
+                assert permits == []
                 scope.cancel()
                 with anyio.fail_after(1.0):
-                    while not had_turn:
+                    while not permits:
                         await anyio.sleep(0.01)
-            assert had_turn == [store_health.CallPermit.PROBE]
+            assert permits == [store_health.CallPermit.PROBE]
             assert not health.is_lost
 
         virtual.run(body)
@@ -425,12 +427,12 @@
         async def body() -> None:
             registry, listed = make_registry()
             registry.set_store_failure_source(anyio.current_time)
-            asked: list[str] = []
-            registry.subscribe_lapses(lambda one: asked.append(one.name))
+            lapsed: list[str] = []
+            registry.subscribe_lapses(lambda one: lapsed.append(one.name))
             apply_entry(registry, listed, "a")
             apply_entry(registry, listed, "b")
             registry.on_listed(())
-            assert asked == ["a", "b"]
+            assert lapsed == ["a", "b"]
             assert usable_names(registry) == set()
             registry.note_healthy("a")
             assert usable_names(registry) == {"a"}
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -5,8 +5,8 @@
 
 """Malformed data in the store, from other writers or damage.
 
-An entry that is malformed names no engine. The other entries stay valid, and
-no task that reads them fails.
+A malformed record describes no engine. The other records stay in use, and no
+task that reads them fails.
 """
 
 import typing
@@ -51,7 +51,7 @@
     | strategies.text(max_size=5)
     | strategies.sampled_from(["", "10.0.0.1:99999", "host:1", "1e400", "-1"])
 )
-ANYTHING = strategies.recursive(
+JSON_VALUES = strategies.recursive(
     SCALARS,
     lambda inner: (
         strategies.lists(inner, max_size=3)
@@ -82,7 +82,7 @@
             if choice == 0:
                 continue
             if choice == 1:
-                body[name] = draw(ANYTHING)
+                body[name] = draw(JSON_VALUES)
             else:
                 body[name] = draw(mutated(value))
         return body
@@ -106,7 +106,9 @@
     """Decoders raise nothing but the errors that callers handle."""
 
     @SETTINGS
-    @hypothesis.given(ANYTHING | mutated(ENTRY), strategies.text(max_size=9))
+    @hypothesis.given(
+        JSON_VALUES | mutated(ENTRY), strategies.text(max_size=9)
+    )
     def test_entries(self, body: typing.Any, name: str) -> None:
         try:
             found = upstreams.decode(stored(to_bytes(body), name))
@@ -122,7 +124,7 @@
         assert found.service == body[names.SERVICE]
 
     @SETTINGS
-    @hypothesis.given(ANYTHING | mutated(REPORT))
+    @hypothesis.given(JSON_VALUES | mutated(REPORT))
     def test_reports(self, body: typing.Any) -> None:
         try:
             found = upstreams.decode_report(to_bytes(body))
@@ -132,7 +134,7 @@
         assert found.running >= 0 and found.slowdown > 0
 
     @SETTINGS
-    @hypothesis.given(ANYTHING | mutated(test_platform_formats.CONFIG))
+    @hypothesis.given(JSON_VALUES | mutated(test_platform_formats.CONFIG))
     def test_configs(self, body: typing.Any) -> None:
         try:
             config.decode(to_bytes(body))
@@ -141,7 +143,7 @@
 
     @SETTINGS
     @hypothesis.given(
-        ANYTHING
+        JSON_VALUES
         | mutated(
             {
                 "version": 3,
@@ -159,7 +161,7 @@
 
     @SETTINGS
     @hypothesis.given(
-        ANYTHING
+        JSON_VALUES
         | mutated(
             {
                 "availability_zone": "a",
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -28,7 +28,7 @@
 
 
 def stored_entry(version: int, **changes: object) -> stores.StoredObject:
-    """Return the entry of an engine ``e``."""
+    """Return the record of an engine ``e``."""
     body = {
         names.SERVICE: fleet_system.MODEL,
         names.ADDRESS: ADDRESS,
@@ -46,7 +46,7 @@
     return orjson.dumps({names.ORDERS_TAKEN: 0, **changes})
 
 
-class Registry:
+class RecordingRegistry:
     """An upstream registry that records the ends it has reported."""
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         self.ends: list[str] = []
         self.registry.subscribe_ends(lambda one: self.ends.append(one.name))
 
-    def take(self, *entries: stores.StoredObject) -> None:
+    def apply(self, *entries: stores.StoredObject) -> None:
         self.registry.on_changed(entries, ())
 
     @property
@@ -75,7 +75,7 @@
     return run
 
 
-class TestLife:
+class TestIncarnation:
     """Distinction of successive processes of an instance."""
 
     def test_each_process_has_a_name_of_its_own(self) -> None:
@@ -95,11 +95,11 @@
 
     @virtual_time
     async def test_resets_what_was_known_before(self) -> None:
-        one = Registry()
-        one.take(stored_entry(1, born=100))
+        one = RecordingRegistry()
+        one.apply(stored_entry(1, born=100))
         one.registry.avoid("e#100", "failed", is_gone=True)
         assert one.usable == []
-        one.take(stored_entry(2, born=200, layers=None))
+        one.apply(stored_entry(2, born=200, layers=None))
         assert [it.name for it in one.usable] == ["e#200"]
         assert one.usable[0].layers is None
         assert one.usable[0].incarnation.id == "e"
@@ -108,45 +108,45 @@
 
     @virtual_time
     async def test_end_of_the_earlier_process_is_reported_once(self) -> None:
-        one = Registry()
-        one.take(stored_entry(1, born=100))
-        one.take(stored_entry(2, born=200))
+        one = RecordingRegistry()
+        one.apply(stored_entry(1, born=100))
+        one.apply(stored_entry(2, born=200))
         assert one.ends == ["e#100"]
         one.registry.on_changed((), ("e",))
         assert one.ends == ["e#100", "e#200"]
 
     @virtual_time
     async def test_outdated_entry_changes_nothing(self) -> None:
-        one = Registry()
-        one.take(stored_entry(2, born=200))
-        one.take(stored_entry(1, born=100, state=names.STATE_DRAINING))
+        one = RecordingRegistry()
+        one.apply(stored_entry(2, born=200))
+        one.apply(stored_entry(1, born=100, state=names.STATE_DRAINING))
         assert [it.name for it in one.usable] == ["e#200"]
         assert one.ends == []
 
     @virtual_time
-    async def test_removal_that_was_missed(self) -> None:
-        # The next listing holds only the entry of the new process.
-        one = Registry()
-        one.take(stored_entry(1, born=100))
+    async def test_missed_removal_is_noticed_at_the_next_listing(self) -> None:
+        # The next listing holds only the record of the new process.
+        one = RecordingRegistry()
+        one.apply(stored_entry(1, born=100))
         one.registry.on_listed((stored_entry(7, born=200),))
         assert [it.name for it in one.usable] == ["e#200"]
         assert one.ends == ["e#100"]
 
     @virtual_time
     async def test_end_known_already_is_not_reported_again(self) -> None:
-        one = Registry()
-        one.take(stored_entry(1, born=100))
-        one.registry.avoid("e#100", "nobody listens", is_gone=True)
-        one.take(stored_entry(2, born=200))
+        one = RecordingRegistry()
+        one.apply(stored_entry(1, born=100))
+        one.registry.avoid("e#100", "connection refused", is_gone=True)
+        one.apply(stored_entry(2, born=200))
         assert one.ends == ["e#100"]
 
     @virtual_time
     async def test_end_is_reported_while_the_instance_is_avoided(self) -> None:
-        one = Registry()
-        one.take(stored_entry(1, born=100))
+        one = RecordingRegistry()
+        one.apply(stored_entry(1, born=100))
         one.registry.avoid("e#100", "silent")
         assert one.ends == []
-        one.registry.avoid("e#100", "nobody listens", is_gone=True)
+        one.registry.avoid("e#100", "connection refused", is_gone=True)
         assert one.ends == ["e#100"]
 
     @hypothesis.settings(
@@ -164,7 +164,7 @@
         self, steps: list[int | str]
     ) -> None:
         async def body() -> None:
-            one = Registry()
+            one = RecordingRegistry()
             newest = 0
             for version, step in enumerate(steps, 1):
                 if step == "gone":
@@ -173,7 +173,7 @@
                     assert one.usable == []
                     continue
                 assert isinstance(step, int)
-                one.take(stored_entry(version, born=step))
+                one.apply(stored_entry(version, born=step))
                 newest = max(newest, step)
                 assert [it.started_ms for it in one.usable] == [newest]
             assert len(one.ends) == len(set(one.ends)) or "gone" in steps
@@ -222,42 +222,42 @@
     @virtual_time
     async def test_unknown_service_replaces_no_instance(self) -> None:
         # The entry has the address of a healthy engine.
-        one = Registry()
+        one = RecordingRegistry()
         one.registry.set_services_source(
             lambda: frozenset({fleet_system.MODEL})
         )
-        one.take(stored_entry(1))
-        foreign = stored_entry(9, service="nobody's")
-        one.take(attrs.evolve(foreign, name="foreign"))
+        one.apply(stored_entry(1))
+        foreign = stored_entry(9, service="unknown")
+        one.apply(attrs.evolve(foreign, name="foreign"))
         assert [it.name for it in one.usable] == ["e"]
-        # An entry of a known service replaces the one at its address.
-        one.take(attrs.evolve(stored_entry(10), name="next"))
+        # A record of a known service replaces the one at its address.
+        one.apply(attrs.evolve(stored_entry(10), name="next"))
         assert [it.name for it in one.usable] == ["next"]
 
     @virtual_time
     async def test_only_its_own_engine_is_dropped(self) -> None:
-        one = Registry()
+        one = RecordingRegistry()
         other = attrs.evolve(
             stored_entry(1, address="10.0.0.2:8000"), name="other"
         )
-        one.take(stored_entry(1), other)
-        one.take(stored_entry(2, address=7))
+        one.apply(stored_entry(1), other)
+        one.apply(stored_entry(2, address=7))
         assert [it.name for it in one.usable] == ["other"]
 
     @virtual_time
     async def test_engine_is_used_again_once_the_entry_is_valid(self) -> None:
-        one = Registry()
-        one.take(stored_entry(1))
-        one.take(stored_entry(2, slots="many"))
+        one = RecordingRegistry()
+        one.apply(stored_entry(1))
+        one.apply(stored_entry(2, slots="many"))
         assert one.usable == []
-        one.take(stored_entry(3))
+        one.apply(stored_entry(3))
         assert [it.name for it in one.usable] == ["e"]
 
     @virtual_time
-    async def test_start_time_that_was_removed(self) -> None:
-        one = Registry()
-        one.take(stored_entry(1, born=100))
-        one.take(stored_entry(2))
+    async def test_entry_that_lost_its_start_time_is_rejected(self) -> None:
+        one = RecordingRegistry()
+        one.apply(stored_entry(1, born=100))
+        one.apply(stored_entry(2))
         assert one.usable == []
 
     def test_address_and_layers_are_decoded(self) -> None:
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -35,7 +35,7 @@
 HOST = "127.0.0.1"
 
 
-class TestCalls:
+class TestStoreCalls:
     """The number of calls to the store."""
 
     def test_one_entry_calls_for_all_of_its_zone(self) -> None:
@@ -184,7 +184,7 @@
 
     @hypothesis.given(strategies.integers(0, 2**32))
     @hypothesis.settings(max_examples=25, deadline=None, derandomize=True)
-    def test_copies_are_as_current_as_they_claim(self, seed: int) -> None:
+    def test_reported_age_is_never_too_low(self, seed: int) -> None:
         # Otherwise a revoked key would stay valid at an entry.
         async def work(zone: zone_system.Zone) -> None:
             rng = random.Random(seed)
@@ -225,7 +225,7 @@
 
 
 class TestReplica:
-    """What a copy can tell peers."""
+    """Changes that a replica returns to peers."""
 
     def test_returns_changes_after_a_version(self) -> None:
         replica = replicas.Replica()
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -131,7 +131,9 @@
         )
         self._ranking = ranking
         self._tasks: anyio.abc.TaskGroup | None = None
-        self.entries = {name: self._entry(name, ranking) for name in names}
+        self.entries = {
+            name: self._make_entry(name, ranking) for name in names
+        }
 
     async def run(self) -> None:
         """Run all entries until cancelled."""
@@ -144,11 +146,11 @@
             await entry.mirror.run()
 
     def restart(self, number: int) -> None:
-        """Replace an entry by a new one of the same name without a copy."""
+        """Replace an entry by a new one of this name with an empty mirror."""
         assert self._tasks is not None
         name = f"entry-{number}"
         self.entries[name].scope.cancel()
-        entry = self.entries[name] = self._entry(name, self._ranking)
+        entry = self.entries[name] = self._make_entry(name, self._ranking)
         self._tasks.start_soon(self._run_entry, entry)
 
     def end_faults(self) -> None:
@@ -157,7 +159,7 @@
         for entry in self.entries.values():
             entry.is_silent = entry.is_down = entry.connection.is_cut = False
 
-    def _entry(
+    def _make_entry(
         self, name: str, ranking: tuple[peer_selection.Peer, ...]
     ) -> Entry:
         connection = StoreConnection(self.store)
@@ -214,7 +216,7 @@
         return self.store.write(KIND, "main", b"{}")
 
     def max_age(self) -> float:
-        """Return the greatest age of a copy among reachable entries."""
+        """Return the greatest age of a mirror among reachable entries."""
         return max(
             one.mirror.age()
             for one in self.entries.values()
@@ -243,7 +245,7 @@
 
 
 async def max_age_over(zone: Zone, seconds: float) -> float:
-    """Return the greatest age of a copy over a time span."""
+    """Return the greatest age of a mirror over a time span."""
     ends = anyio.current_time() + seconds
     max_age = 0.0
     while anyio.current_time() < ends:
