--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -227,7 +227,7 @@
             target.limit = LIMIT
             announced_at = anyio.current_time()
             await traffic.send(5.0, PER_SECOND, STREAM)
-            traffic.entries.stop(0)
+            traffic.entries.restart(0)
             await traffic.send(10.0, PER_SECOND, STREAM)
             # The new process sends a few requests before it knows the limit.
             times = traffic.bounded_arrivals(target, announced_at)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -35,7 +35,7 @@
 
 def _restart_all(demand: repeats_system.Demand, count: int) -> None:
     for number in range(count):
-        demand.entries.stop(number)
+        demand.entries.restart(number)
 
 
 class TestRestartedEntries:
@@ -59,7 +59,7 @@
         async def body(demand: repeats_system.Demand) -> None:
             await _spend_all(demand)
             for number in range(10):
-                demand.entries.stop(number % count)
+                demand.entries.restart(number % count)
                 await demand.ask(1.0)
             await demand.ask(5.0)
 
