--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -44,7 +44,7 @@
 class TestMirror:
     """A mirror of one kind of object, through outages of the store."""
 
-    def play(self, work: object, linger: float = 0.0) -> None:
+    def run_scenario(self, work: object, linger: float = 0.0) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             follower = _Follower()
@@ -73,7 +73,7 @@
             assert follower.values == {"b": b"3"}
             assert follower.listings == 1
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_lists_again_when_the_history_is_lost(self) -> None:
         async def work(
@@ -93,7 +93,7 @@
             assert follower.values == {"b": b"2"}
             assert follower.listings == 2
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_age_grows_only_while_the_store_is_down(self) -> None:
         async def work(
@@ -112,9 +112,11 @@
             await anyio.sleep(2.0)
             assert mirror.age() < 2.0
 
-        self.play(work)
+        self.run_scenario(work)
 
-    def test_changes_prove_the_copy_only_up_to_the_request(self) -> None:
+    def test_mirror_is_only_as_current_as_the_time_of_its_request(
+        self,
+    ) -> None:
         async def work(
             store: standin_store.StandinStore,
             follower: _Follower,
@@ -127,7 +129,7 @@
             # The watch was sent about a second ago.
             assert mirror.age() > 1.0
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_lingers_between_watches(self) -> None:
         async def work(
@@ -144,13 +146,13 @@
             assert len(follower.values) == 20
             assert store.calls["watch"] - before <= 5
 
-        self.play(work, linger=0.2)
+        self.run_scenario(work, linger=0.2)
 
 
-class TestContact:
+class TestStoreHealth:
     """Several mirrors of one process, while the store does not answer."""
 
-    def play(self, work: object) -> None:
+    def run_scenario(self, work: object) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             health = store_health.StoreHealth()
@@ -184,7 +186,7 @@
             await anyio.sleep(1.5)
             assert slow.values == {"leaving": b"1"}
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_short_silence_between_calls_is_noticed(self) -> None:
         async def work(
@@ -199,7 +201,7 @@
             await anyio.sleep(2.6)
             assert slow.values == {"leaving": b"1"}
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_copy_is_proved_current_soon_after_the_silence(self) -> None:
         # The first watch afterwards must not wait for a change.
@@ -215,7 +217,7 @@
             await anyio.sleep(1.0)
             assert config.age() < 0.9
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_mirrors_share_retries_while_the_store_is_down(self) -> None:
         async def work(
@@ -229,14 +231,14 @@
             await anyio.sleep(3.0)
             assert 5 <= store.calls.total() - before <= 10
 
-        self.play(work)
+        self.run_scenario(work)
 
     def test_cancelled_retry_does_not_block_the_others(self) -> None:
         # Otherwise all would wait for ever for the one that was cancelled.
         async def body() -> None:
             health = store_health.StoreHealth()
             await health.record_failure("lost", was_probe=False)
-            had_turn: list[store_health.CallPermit] = []
+            permits: list[store_health.CallPermit] = []
 
             async def hang(scope: anyio.CancelScope) -> None:
                 with scope:
@@ -245,7 +247,7 @@
 
             async def wait() -> None:
                 async with health.permit() as permit:
-                    had_turn.append(permit)
+                    permits.append(permit)
                     health.record_success()
 
             scope = anyio.CancelScope()
@@ -254,12 +256,12 @@
                 await anyio.sleep(0.1)
                 tasks.start_soon(wait)
                 await anyio.sleep(0.1)
-                assert had_turn == []
+                assert permits == []
                 scope.cancel()
                 with anyio.fail_after(1.0):
-                    while not had_turn:
+                    while not permits:
                         await anyio.sleep(0.01)
-            assert had_turn == [store_health.CallPermit.PROBE]
+            assert permits == [store_health.CallPermit.PROBE]
             assert not health.is_lost
 
         virtual.run(body)
@@ -287,7 +289,7 @@
             await anyio.sleep(1.0)
             assert slow.values == {"leaving": b"1"}
 
-        self.play(work)
+        self.run_scenario(work)
 
 
 def make_registry() -> tuple[registries.UpstreamRegistry, dict[str, object]]:
@@ -396,16 +398,18 @@
             pauses = []
             for _ in range(4):
                 registry.pause(
-                    "a", registries.FULL_SECONDS, "refused with 503"
+                    "a", registries.REFUSAL_BACKOFF_SECONDS, "refused with 503"
                 )
                 began = anyio.current_time()
                 while not usable_names(registry):
                     await anyio.sleep(0.05)
                 pauses.append(round(anyio.current_time() - began, 2))
             assert pauses[-1] >= 3 * pauses[0]
-            await anyio.sleep(registries.APART_SECONDS + 0.1)
-            registry.pause("a", registries.FULL_SECONDS, "refused with 503")
-            await anyio.sleep(registries.FULL_SECONDS + 0.05)
+            await anyio.sleep(registries.REFUSAL_RESET_SECONDS + 0.1)
+            registry.pause(
+                "a", registries.REFUSAL_BACKOFF_SECONDS, "refused with 503"
+            )
+            await anyio.sleep(registries.REFUSAL_BACKOFF_SECONDS + 0.05)
             assert usable_names(registry) == {"a"}
 
         virtual.run(body)
@@ -423,12 +427,12 @@
         async def body() -> None:
             registry, listed = make_registry()
             registry.set_store_failure_source(anyio.current_time)
-            asked: list[str] = []
-            registry.subscribe_lapses(lambda one: asked.append(one.name))
+            lapsed: list[str] = []
+            registry.subscribe_lapses(lambda one: lapsed.append(one.name))
             apply_entry(registry, listed, "a")
             apply_entry(registry, listed, "b")
             registry.on_listed(())
-            assert asked == ["a", "b"]
+            assert lapsed == ["a", "b"]
             assert usable_names(registry) == set()
             registry.note_healthy("a")
             assert usable_names(registry) == {"a"}
@@ -482,9 +486,9 @@
                 one.name for one in registry.usable_while_leaving(service)
             ] == ["a"]
             # Well before the two seconds after which no work may reach it.
-            await anyio.sleep(registries.LAST_WORK_SECONDS + 0.01)
+            await anyio.sleep(registries.LEAVING_GRACE_SECONDS + 0.01)
             assert registry.usable_while_leaving(service) == ()
-            assert registries.LAST_WORK_SECONDS <= 1.0
+            assert registries.LEAVING_GRACE_SECONDS <= 1.0
 
         virtual.run(body)
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -120,7 +120,7 @@
     @property
     def refused(self) -> list[entries_system.Outcome]:
         """The callers that were not served."""
-        return [one for one in self.entries.told if not one.was_served]
+        return [one for one in self.entries.outcomes if not one.was_served]
 
 
 def max_within(times: list[float], seconds: float) -> int:
@@ -148,7 +148,9 @@
         await anyio.sleep(2.0)
         await scenario(Traffic(entries, weights))
 
-    entries_system.play(body, count=len(weights), copies=copies, parts=4)
+    entries_system.run_scenario(
+        body, count=len(weights), copies=copies, parts=4
+    )
 
 
 EVEN = (1.0, 1.0, 1.0, 1.0)
@@ -225,7 +227,7 @@
             target.limit = LIMIT
             announced_at = anyio.current_time()
             await traffic.send(5.0, PER_SECOND, STREAM)
-            traffic.entries.stop(0)
+            traffic.entries.restart(0)
             await traffic.send(10.0, PER_SECOND, STREAM)
             # The new process sends a few requests before it knows the limit.
             times = traffic.bounded_arrivals(target, announced_at)
@@ -260,8 +262,10 @@
                 assert_kept(times, LIMIT)
                 taken += len(times)
             assert taken >= MIN_USED_SHARE * LIMIT * len(limited) * 20.0
-            told = [it for it in traffic.entries.told if it.sent_at >= since]
-            for it in told:
+            outcomes = [
+                it for it in traffic.entries.outcomes if it.sent_at >= since
+            ]
+            for it in outcomes:
                 if it.was_served:
                     continue
                 error = it.caller.error
@@ -364,7 +368,7 @@
     ) -> None:
         rng = random.Random(seed)
         limit = 4.0
-        told: list[tuple[float, float, fleet_system.Caller]] = []
+        outcomes: list[tuple[float, float, fleet_system.Caller]] = []
 
         async def scenario(
             system: fleet_system.FleetSystem, found: list[chain.Upstream]
@@ -376,7 +380,7 @@
                 began = anyio.current_time()
                 caller = await system.ask(system.request(IDEMPOTENT))
                 took = anyio.current_time() - began
-                told.append((began, took, caller))
+                outcomes.append((began, took, caller))
 
             async with anyio.create_task_group() as tasks:
                 while anyio.current_time() < 23.0:
@@ -384,7 +388,7 @@
                     await anyio.sleep(rng.expovariate(30.0))
 
         self.simulate(scenario, count, objective)
-        late = [one for one in told if one[0] >= 3.0]
+        late = [one for one in outcomes if one[0] >= 3.0]
         refused = [one for one in late if one[2].error is not None]
         assert refused
         assert max(took for _, took, _ in refused) < 0.01
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -35,7 +35,7 @@
 HOST = "127.0.0.1"
 
 
-class TestCalls:
+class TestStoreCalls:
     """The number of calls to the store."""
 
     def test_one_entry_calls_for_all_of_its_zone(self) -> None:
@@ -46,7 +46,7 @@
             assert zone[0].connection.calls > 10
             assert zone[5].connection.calls <= 2
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_few_calls_are_made_during_an_outage(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -56,7 +56,7 @@
             await anyio.sleep(3.0)
             assert (zone.calls - before) / 3.0 < 14
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
 
 class TestFreshness:
@@ -68,9 +68,9 @@
             now = anyio.current_time()
             await anyio.sleep(0.5)
             for entry in zone.entries.values():
-                assert entry.follower.seen[version] - now < 0.02
+                assert entry.follower.first_seen_at[version] - now < 0.02
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_large_changes_are_read_from_the_store(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -79,10 +79,10 @@
             version = zone.write()
             now = anyio.current_time()
             await anyio.sleep(0.5)
-            assert zone[3].follower.seen[version] - now < 0.05
+            assert zone[3].follower.first_seen_at[version] - now < 0.05
             assert zone[3].connection.calls == before + 1
 
-        zone_system.play(5, work)
+        zone_system.run_scenario(5, work)
 
     def test_entry_that_is_asked_reads_the_store_itself(self) -> None:
         # Otherwise two entries could wait for each other.
@@ -90,52 +90,52 @@
             assert not zone[3].selector.reads_store
             zone[3].selector.note_peer_request()
             assert zone[3].selector.reads_store
-            await anyio.sleep(peer_selection.ASKED_SECONDS + 0.1)
+            await anyio.sleep(peer_selection.PEER_REQUEST_TTL_SECONDS + 0.1)
             assert not zone[3].selector.reads_store
 
-        zone_system.play(5, work)
+        zone_system.run_scenario(5, work)
 
     def test_copies_are_as_current_as_that_of_the_reader(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
             assert (
-                await zone_system.oldest_over(zone, 5.0)
+                await zone_system.max_age_over(zone, 5.0)
                 < zone_system.WAIT_SECONDS + 0.1
             )
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_killed_reader_is_replaced_at_once(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
             zone[0].is_down = True
             assert (
-                await zone_system.oldest_over(zone, 4.0)
+                await zone_system.max_age_over(zone, 4.0)
                 < 2 * zone_system.WAIT_SECONDS
             )
             version = zone.write()
             now = anyio.current_time()
             await anyio.sleep(0.2)
             for entry in list(zone.entries.values())[1:]:
-                assert entry.follower.seen[version] - now < 0.1
+                assert entry.follower.first_seen_at[version] - now < 0.1
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_silent_reader_is_replaced_within_a_watch(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
             zone[0].is_silent = True
             assert (
-                await zone_system.oldest_over(zone, 8.0)
+                await zone_system.max_age_over(zone, 8.0)
                 < zone_system.WAIT_SECONDS
                 + zone_system.TIMEOUT_SLACK_SECONDS
                 + 0.5
             )
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_reader_that_lost_the_store_is_replaced(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
             zone[0].connection.is_cut = True
             assert (
-                await zone_system.oldest_over(zone, 6.0)
+                await zone_system.max_age_over(zone, 6.0)
                 < 2.2 * zone_system.WAIT_SECONDS
             )
             # The reader itself learns of changes from its peers.
@@ -145,7 +145,7 @@
             await anyio.sleep(3.0)
             assert not zone[0].health.is_lost
 
-        zone_system.play(5, work)
+        zone_system.run_scenario(5, work)
 
     def test_readers_that_lost_the_store_call_it_again(self) -> None:
         # Entries that ask each other and hear of the other's loss must not
@@ -158,9 +158,9 @@
                 zone[number].connection.is_cut = False
             await anyio.sleep(4.0)
             assert not any(zone[number].health.is_lost for number in range(3))
-            assert zone.oldest() < zone_system.WAIT_SECONDS + 0.1
+            assert zone.max_age() < zone_system.WAIT_SECONDS + 0.1
 
-        zone_system.play(5, work)
+        zone_system.run_scenario(5, work)
 
     def test_copies_are_current_soon_after_an_outage(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -168,9 +168,9 @@
             await anyio.sleep(5.0)
             zone.store.is_down = False
             await anyio.sleep(1.2)
-            assert zone.oldest() < zone_system.WAIT_SECONDS + 0.1
+            assert zone.max_age() < zone_system.WAIT_SECONDS + 0.1
 
-        zone_system.play(14, work)
+        zone_system.run_scenario(14, work)
 
     def test_entry_without_peers_reads_the_store(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
@@ -180,11 +180,11 @@
             assert zone[4].selector.reads_store
             assert zone[4].mirror.age() < zone_system.WAIT_SECONDS + 0.1
 
-        zone_system.play(5, work)
+        zone_system.run_scenario(5, work)
 
     @hypothesis.given(strategies.integers(0, 2**32))
     @hypothesis.settings(max_examples=25, deadline=None, derandomize=True)
-    def test_copies_are_as_current_as_they_claim(self, seed: int) -> None:
+    def test_reported_age_is_never_too_low(self, seed: int) -> None:
         # Otherwise a revoked key would stay valid at an entry.
         async def work(zone: zone_system.Zone) -> None:
             rng = random.Random(seed)
@@ -198,7 +198,7 @@
                     await anyio.sleep(0.01)
                 tasks.cancel_scope.cancel()
 
-        zone_system.play(4, work)
+        zone_system.run_scenario(4, work)
 
 
 async def _inject_faults(zone: zone_system.Zone, rng: random.Random) -> None:
@@ -225,7 +225,7 @@
 
 
 class TestReplica:
-    """What a copy can tell peers."""
+    """Changes that a replica returns to peers."""
 
     def test_returns_changes_after_a_version(self) -> None:
         replica = replicas.Replica()
