--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -18,7 +18,7 @@
 from crowdeck import pipeline
 
 
-class Binding(enum.StrEnum):
+class LimitingResource(enum.StrEnum):
     """The resource that limits a bound."""
 
     MISSING = "layers that no engine holds"
@@ -41,7 +41,7 @@
     concurrent_requests: float
     answer_seconds: float
     per_second: float
-    binding: Binding
+    binding: LimitingResource
     bottleneck: pipeline.LayerRange
 
 
@@ -73,7 +73,7 @@
 
     memory, at_memory = _find_bottleneck(holders, profile, request_capacity)
     if memory <= 0.0:
-        return Bound(0.0, 0.0, 0.0, Binding.MISSING, at_memory)
+        return Bound(0.0, 0.0, 0.0, LimitingResource.MISSING, at_memory)
     slots = float(
         sum(
             one.slots for one in holders if one.layers and not one.layers.first
@@ -81,11 +81,11 @@
     )
     concurrent_requests, binding, bottleneck = (
         memory,
-        Binding.MEMORY,
+        LimitingResource.MEMORY,
         at_memory,
     )
     if slots < memory:
-        concurrent_requests, binding = slots, Binding.SLOTS
+        concurrent_requests, binding = slots, LimitingResource.SLOTS
         bottleneck = pipeline.LayerRange(0, 1)
     seconds = _answer_seconds(
         holders, profile, concurrent_requests, mean_tokens
@@ -93,7 +93,11 @@
     per_second = concurrent_requests / seconds
     prefill, at_prefill = _find_bottleneck(holders, profile, prefill_rate)
     if prefill < per_second:
-        per_second, binding, bottleneck = prefill, Binding.PREFILL, at_prefill
+        per_second, binding, bottleneck = (
+            prefill,
+            LimitingResource.PREFILL,
+            at_prefill,
+        )
     return Bound(concurrent_requests, seconds, per_second, binding, bottleneck)
 
 
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -35,7 +35,7 @@
             engine("c", 70, 80),
         ]
         found = bound.bound(engines, PROFILE)
-        assert found.binding is bound.Binding.MEMORY
+        assert found.binding is bound.LimitingResource.MEMORY
         assert found.bottleneck == pipeline.LayerRange(30, 70)
         mean_tokens = (
             PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
@@ -64,7 +64,7 @@
             engine("c", 60, 80),
         ]
         found = bound.bound(engines, PROFILE)
-        assert found.binding is bound.Binding.MISSING
+        assert found.binding is bound.LimitingResource.MISSING
         assert found.bottleneck == pipeline.LayerRange(30, 35)
         assert found.per_second == 0.0
 
@@ -72,14 +72,17 @@
         engines = [engine("a", 0, 30, slots=3), engine("b", 30, 60)]
         engines.append(engine("c", 60, 80))
         found = bound.bound(engines, PROFILE)
-        assert found.binding is bound.Binding.SLOTS
+        assert found.binding is bound.LimitingResource.SLOTS
         assert found.concurrent_requests == 3.0
 
     def test_is_limited_by_the_prefill_of_long_prompts(self) -> None:
         profile = attrs.evolve(PROFILE, prefill_tokens_per_second=1000.0)
         engines = [engine("a", 0, 30), engine("b", 30, 60)]
         engines.append(engine("c", 60, 80))
-        assert bound.bound(engines, profile).binding is bound.Binding.PREFILL
+        assert (
+            bound.bound(engines, profile).binding
+            is bound.LimitingResource.PREFILL
+        )
 
     def test_planned_paths_reach_the_memory_bound(self) -> None:
         engines = [
