--- a/src/crowdeck/routing/rate_limits.py
+++ b/src/crowdeck/routing/rate_limits.py
@@ -27,7 +27,7 @@
 # Burst of all entries together: what an instance takes in this time, and
 # some requests more.
 BURST_SECONDS = 1.0
-BURST_EXTRA = 2.5
+BURST_EXTRA_REQUESTS = 2.5
 # Half-life of what was seen of other entries' requests.
 HALF_LIFE_SECONDS = 5.0
 # Assumed while the number of entries is unknown.
@@ -227,7 +227,7 @@
         now = anyio.current_time()
         seconds = min(MAX_REFILL_SECONDS, now - limit.refilled_at)
         limit.refilled_at = now
-        burst = limit.per_second * BURST_SECONDS + BURST_EXTRA
+        burst = limit.per_second * BURST_SECONDS + BURST_EXTRA_REQUESTS
         capacity = max(1.0, burst / self._entries)
         limit.level = min(capacity, limit.level + seconds * self._rate(limit))
         kept = _decay(now - limit.own_updated_at)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -594,7 +594,10 @@
             limits.note(one, 10.0, None)
             await anyio.sleep(3600.0)
             sent = await self.count(limits, one, 0.01, 0.0005)
-            burst = 10.0 * rate_limits.BURST_SECONDS + rate_limits.BURST_EXTRA
+            burst = (
+                10.0 * rate_limits.BURST_SECONDS
+                + rate_limits.BURST_EXTRA_REQUESTS
+            )
             assert sent <= burst
 
         self.simulate(scenario)
