--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -64,7 +64,7 @@
         context: contexts.RelayContext,
         monitor: StreamMonitor,
         stream: live.LiveStream,
-        admitted: tables.Admitted,
+        admitted: tables.AdmittedRequest,
         sink: requests.Sink,
         path: chain.ChainPath,
         deadline: float,
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -73,7 +73,7 @@
     async def serve(
         self,
         request: requests.CallerRequest,
-        admitted: tables.Admitted,
+        admitted: tables.AdmittedRequest,
         service: routes.Service,
         sink: requests.Sink,
     ) -> None:
@@ -112,7 +112,7 @@
         monitor: attempts.StreamMonitor,
         balancer: balance.Balancer,
         request: requests.CallerRequest,
-        admitted: tables.Admitted,
+        admitted: tables.AdmittedRequest,
         service: routes.Service,
         sends: budgets.SendTracker,
     ) -> None:
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -218,7 +218,7 @@
 
     def _admit(
         self, table: tables.RouteTable, request: requests.CallerRequest
-    ) -> tables.Admitted:
+    ) -> tables.AdmittedRequest:
         age = self._age()
         is_valid = age <= self._max_config_age
         try:
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -47,7 +47,7 @@
     async def serve(
         self,
         request: requests.CallerRequest,
-        admitted: tables.Admitted,
+        admitted: tables.AdmittedRequest,
         service: routes.Service,
         sink: requests.Sink,
     ) -> None:
@@ -86,7 +86,7 @@
     def _create_run(
         self,
         stream: live.LiveStream,
-        admitted: tables.Admitted,
+        admitted: tables.AdmittedRequest,
         sink: requests.Sink,
     ) -> "_StreamRun":
         return _StreamRun(self._context, self._monitor, stream, admitted, sink)
@@ -100,7 +100,7 @@
         context: contexts.RelayContext,
         monitor: attempts.StreamMonitor,
         stream: live.LiveStream,
-        admitted: tables.Admitted,
+        admitted: tables.AdmittedRequest,
         sink: requests.Sink,
     ) -> None:
         self._context = context
--- a/src/crowdeck/routing/routes.py
+++ b/src/crowdeck/routing/routes.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Admitted:
+class AdmittedRequest:
     """The route, team and priority of one request.
 
     :ivar team: name of the team, empty on a route that needs no key.
@@ -60,7 +60,7 @@
                 return route
         return None
 
-    def admit(self, host: str, path: str, key: str) -> Admitted:
+    def admit(self, host: str, path: str, key: str) -> AdmittedRequest:
         """Return the route, team and priority of a request.
 
         :param host: host name without a port, in lower case.
@@ -83,7 +83,7 @@
         if team is not None and team.priority is not None:
             priority = team.priority
         name = team.name if team is not None else ""
-        return Admitted(route, name, priority, self.version)
+        return AdmittedRequest(route, name, priority, self.version)
 
 
 def pick_service(route: routes.Route, rng: random.Random) -> str:
