--- a/src/crowdeck/routing/subset.py
+++ b/src/crowdeck/routing/subset.py
@@ -14,7 +14,7 @@
 # Larger fleets are split, as the time to choose a path grows with the number
 # of engines. Of these an entry uses at most so many of its own availability
 # zone, enough for several copies of each layer, and of all others.
-MAX_UNSPLIT_ENGINES = 150
+SUBSET_THRESHOLD_ENGINES = 150
 MAX_OWN_ZONE_ENGINES = 100
 MAX_OTHER_ZONE_ENGINES = 50
 
@@ -35,7 +35,7 @@
         self, engines: typing.Sequence[chain.Upstream]
     ) -> typing.Sequence[chain.Upstream]:
         """Return the engines to choose a path from."""
-        if len(engines) <= MAX_UNSPLIT_ENGINES:
+        if len(engines) <= SUBSET_THRESHOLD_ENGINES:
             return engines
         if len(self._scores) > 2 * len(engines):
             # Drops the scores of engines that went; names are not reused.
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -18,7 +18,7 @@
     """The engines that one entry uses of a fleet."""
 
     def test_a_small_fleet_is_used_whole(self) -> None:
-        fleet = paths.a_fleet(subsets.MAX_UNSPLIT_ENGINES)
+        fleet = paths.a_fleet(subsets.SUBSET_THRESHOLD_ENGINES)
         assert subsets.EngineSubset("entry-0", ZONE).pick(fleet) == fleet
 
     def test_a_subset_holds_every_layer(self) -> None:
