--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -332,7 +332,7 @@
         waited = anyio.current_time() - stream.progress_at
         return (
             waited > LATE_SHARE * stream.objective
-            and not heads.has_slow_alternative(name, stream.objective)
+            and not heads.is_another_engine_slow(name, stream.objective)
         )
 
     def _abandon_hung(
--- a/src/crowdeck/routing/heads.py
+++ b/src/crowdeck/routing/heads.py
@@ -172,7 +172,7 @@
             for other, record in self._records.items()
         )
 
-    def has_slow_alternative(self, name: str, seconds: float) -> bool:
+    def is_another_engine_slow(self, name: str, seconds: float) -> bool:
         """Whether streams at another engine take over ``seconds`` to begin."""
         return any(
             other != name and self.first_event_seconds(other) > seconds
