--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -139,7 +139,7 @@
         event: events.Event,
     ) -> None:
         stream = self._stream
-        self._context.heads.first_event(self._path.head.name, stream)
+        self._context.heads.note_first_event(self._path.head.name, stream)
         stream.note_event()
         if event.id is not None:
             if event.id <= stream.last_event_id:
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -185,7 +185,7 @@
         try:
             with anyio.CancelScope() as scope:
                 self._stream.begin(path, scope)
-                self._context.heads.begin(path.head.name, self._stream)
+                self._context.heads.note_begun(path.head.name, self._stream)
                 self._stream.sends.send()
                 self._stream.check_may_resume = lambda: (
                     self._route.is_resumable
@@ -212,7 +212,7 @@
             raise
         finally:
             self._stream.end()
-            self._context.heads.end(path.head.name, self._stream)
+            self._context.heads.note_ended(path.head.name, self._stream)
         self._stream.sends.give_up()
         return errors.CrowdeckError(
             errors.Code.STALLED,
@@ -297,7 +297,7 @@
             self._context.note_instance_ended(head)
 
     def _note_failed(self, head: chain.Upstream) -> None:
-        if self._context.heads.fail(head.name):
+        if self._context.heads.note_failure(head.name):
             counters.COUNTERS.add("upstream.barred")
             logs.change(
                 "upstream_barred",
--- a/src/crowdeck/routing/heads.py
+++ b/src/crowdeck/routing/heads.py
@@ -71,14 +71,14 @@
         """Return the number of engines with a record."""
         return len(self._records)
 
-    def begin(self, name: str, attempt: typing.Hashable) -> None:
+    def note_begun(self, name: str, attempt: typing.Hashable) -> None:
         """Record that an attempt at a stream was sent to an engine."""
         if len(self._records) > MAX_RECORDS:
             self._drop_stale()
         record = self._records.setdefault(name, _Record())
         record.waiting[attempt] = anyio.current_time()
 
-    def first_event(self, name: str, attempt: typing.Hashable) -> None:
+    def note_first_event(self, name: str, attempt: typing.Hashable) -> None:
         """Record an attempt's first event."""
         record = self._records.get(name)
         began = record.waiting.pop(attempt, None) if record else None
@@ -98,14 +98,14 @@
         if now - record.barred_until > RECOVERY_SECONDS:
             record.bar_count = 0
 
-    def end(self, name: str, attempt: typing.Hashable) -> None:
+    def note_ended(self, name: str, attempt: typing.Hashable) -> None:
         """Record that an attempt has ended, whatever its outcome."""
         record = self._records.get(name)
         if record is None:
             return
         record.waiting.pop(attempt, None)
 
-    def fail(self, name: str) -> bool:
+    def note_failure(self, name: str) -> bool:
         """Record a failed stream; return whether this bars the engine."""
         record = self._records.setdefault(name, _Record())
         failure_rate = self._failure_rate(record)
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -430,9 +430,9 @@
             assert records.is_barred("h")
             await anyio.sleep(1.1)
             assert not records.is_barred("h")
-            records.begin("h", 1)
+            records.note_begun("h", 1)
             assert records.is_barred("h")
-            records.first_event("h", 1)
+            records.note_first_event("h", 1)
             assert not records.is_barred("h")
 
         run_scenario(work)
@@ -441,10 +441,10 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             records = heads.HeadRecords()
             for number in range(10 * heads.MAX_RECORDS):
-                records.begin(f"e{number}", number)
+                records.note_begun(f"e{number}", number)
                 await anyio.sleep(0.1)
-                records.first_event(f"e{number}", number)
-                records.end(f"e{number}", number)
+                records.note_first_event(f"e{number}", number)
+                records.note_ended(f"e{number}", number)
             assert len(records) <= heads.MAX_RECORDS + 1
 
         run_scenario(work)
@@ -452,12 +452,12 @@
     def test_engine_that_fails_its_streams_is_barred(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             records = system.context.heads
-            assert not records.fail("h")
-            records.begin("h", 1)
-            records.first_event("h", 1)
+            assert not records.note_failure("h")
+            records.note_begun("h", 1)
+            records.note_first_event("h", 1)
             # A single failure does not bar an engine.
             assert not records.is_barred("h")
-            barred = [records.fail("h") for _ in range(3)]
+            barred = [records.note_failure("h") for _ in range(3)]
             assert any(barred)
             assert records.is_barred("h")
 
@@ -473,7 +473,7 @@
                 if one.listed.availability_zone == fleet_system.ZONES[0]
             ]
             for name in own:
-                records.begin(name, name)
+                records.note_begun(name, name)
             await anyio.sleep(0.6)
             request = system.request(STREAM)
             await system.ask(request)
