--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -289,7 +289,7 @@
             with anyio.fail_after(seconds):
                 answer = await self._exchange(upstream)
         except TimeoutError:
-            self._sends.give_up()
+            self._sends.note_abandoned()
             self._balancer.note_failure(upstream)
             raise errors.CrowdeckError(
                 errors.Code.DEADLINE,
@@ -330,11 +330,11 @@
             self._context.connect_seconds, self._seconds_left()
         )
         self._sent += 1
-        self._sends.send()
+        self._sends.note_sent()
         async with self._context.client.open(
             upstream, self._request, dispatch, timeouts
         ) as answer:
-            self._sends.arrive()
+            self._sends.note_arrived()
             return await self._read(upstream, answer)
 
     async def _read(
@@ -371,11 +371,11 @@
         if error.verdict is not verdicts.Verdict.NOT_RUN:
             self._verdict = verdicts.Verdict.MAY_HAVE_RUN
             self._balancer.note_failure(upstream)
-            self._sends.arrive()
+            self._sends.note_arrived()
         elif error.code is errors.Code.UPSTREAM_LOST:
             # There was no connection, so the request was not sent.
             self._sent -= 1
-            self._sends.fail_to_send()
+            self._sends.note_send_failed()
             self._context.registry.avoid(upstream.name, error.message)
         elif not self._context.registry.backoff_seconds_left(upstream.name):
             # An instance that refuses has no calls in progress and would
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -186,7 +186,7 @@
             with anyio.CancelScope() as scope:
                 self._stream.begin(path, scope)
                 self._context.heads.note_begun(path.head.name, self._stream)
-                self._stream.sends.send()
+                self._stream.sends.note_sent()
                 self._stream.check_may_resume = lambda: (
                     self._route.is_resumable
                     and self._runs_left(path.head.name) > 0
@@ -213,7 +213,7 @@
         finally:
             self._stream.end()
             self._context.heads.note_ended(path.head.name, self._stream)
-        self._stream.sends.give_up()
+        self._stream.sends.note_abandoned()
         return errors.CrowdeckError(
             errors.Code.STALLED,
             self._stream.abandon_reason or "abandoned",
@@ -225,11 +225,11 @@
         """Tell the retry budget whether a failed attempt had arrived."""
         sends = self._stream.sends
         if error.code is not errors.Code.UPSTREAM_LOST:
-            sends.give_up()
+            sends.note_abandoned()
         elif error.verdict is _MAY_HAVE_RUN:
-            sends.arrive()
+            sends.note_arrived()
         else:
-            sends.fail_to_send()
+            sends.note_send_failed()
 
     def _note_completed(self, path: chain.ChainPath) -> None:
         stream = self._stream
--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -149,24 +149,24 @@
             for ahead in range(1, BUCKETS_AHEAD + 1)
         ]
 
-    def send(self) -> float:
+    def note_sent(self) -> float:
         """Count a repeat as in flight; return until when it counts ahead."""
         self.changes += 1
         until = anyio.current_time() + self._window
         self._in_flight.append(until)
         return until
 
-    def arrive(self, until: float) -> None:
+    def note_arrived(self, until: float) -> None:
         """Count a repeat in flight as arrived now."""
-        self.cancel(until)
+        self.note_cancelled(until)
         self._arrived.add()
 
-    def abandon(self, until: float) -> None:
+    def note_abandoned(self, until: float) -> None:
         """Count a repeat as in flight for one more window, then as arrived."""
-        self.cancel(until)
+        self.note_cancelled(until)
         self._abandoned.append(anyio.current_time() + self._window)
 
-    def cancel(self, until: float) -> None:
+    def note_cancelled(self, until: float) -> None:
         """Stop counting a repeat in flight."""
         self.changes += 1
         del self._in_flight[bisect.bisect_left(self._in_flight, until)]
@@ -365,14 +365,14 @@
             return True
         if self._budget.remaining < 1.0:
             return False
-        self._reserved_until = self._repeats.send()
+        self._reserved_until = self._repeats.note_sent()
         return True
 
-    def send(self) -> None:
+    def note_sent(self) -> None:
         """Record that the request is sent, for the first time or again."""
         self._is_sent = True
 
-    def arrive(self) -> None:
+    def note_arrived(self) -> None:
         """Record that the last send has arrived."""
         if not self._is_sent:
             return
@@ -381,15 +381,15 @@
         if until is None:
             return
         if self._abandoned_until > anyio.current_time():
-            self._repeats.abandon(until)
+            self._repeats.note_abandoned(until)
         else:
-            self._repeats.arrive(until)
+            self._repeats.note_arrived(until)
 
-    def fail_to_send(self) -> None:
+    def note_send_failed(self) -> None:
         """Record that the last send failed before any connection was made."""
         self._is_sent = False
 
-    def give_up(self) -> None:
+    def note_abandoned(self) -> None:
         """Record that the last send is abandoned; it may still arrive."""
         if not self._is_sent:
             return
@@ -397,14 +397,14 @@
         self._abandoned_until = anyio.current_time() + self._window
         until = self._take_reservation()
         if until is not None:
-            self._repeats.abandon(until)
+            self._repeats.note_abandoned(until)
 
     def close(self) -> None:
         """Abandon the last send and release an unused reservation."""
-        self.give_up()
+        self.note_abandoned()
         until = self._take_reservation()
         if until is not None:
-            self._repeats.cancel(until)
+            self._repeats.note_cancelled(until)
 
     def _take_reservation(self) -> float | None:
         until, self._reserved_until = self._reserved_until, None
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -275,8 +275,8 @@
     with contextlib.closing(budget.track_sends()) as sends:
         if not sends.reserve():
             return False
-        sends.send()
-        sends.arrive()
+        sends.note_sent()
+        sends.note_arrived()
         return True
 
 
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -206,10 +206,10 @@
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
             tracker = budget.track_sends()
             assert tracker.reserve()
-            tracker.send()
+            tracker.note_sent()
             await anyio.sleep(5 * WINDOW)
             assert budget.remaining < 1.0
-            tracker.arrive()
+            tracker.note_arrived()
             await anyio.sleep(WINDOW - BUCKET_SECONDS)
             assert budget.remaining < 1.0
             await anyio.sleep(2 * BUCKET_SECONDS)
@@ -236,8 +236,8 @@
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
             with contextlib.closing(budget.track_sends()) as tracker:
                 assert tracker.reserve()
-                tracker.send()
-                tracker.give_up()
+                tracker.note_sent()
+                tracker.note_abandoned()
             for _ in range(2 * budgets.WINDOW_BUCKETS - 1):
                 await anyio.sleep(BUCKET_SECONDS)
                 assert budget.remaining < 1.0
@@ -251,8 +251,8 @@
             budget = _budget(slack=2.0 / budgets.STEADY_SHARE)
             with contextlib.closing(budget.track_sends()) as tracker:
                 assert tracker.reserve()
-                tracker.send()
-                tracker.give_up()
+                tracker.note_sent()
+                tracker.note_abandoned()
             assert fleet_system.spend_retry(budget)
             await anyio.sleep(WINDOW / 2)
             assert budget.remaining < 1.0
@@ -266,11 +266,11 @@
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
             with contextlib.closing(budget.track_sends()) as tracker:
-                tracker.send()
-                tracker.give_up()
+                tracker.note_sent()
+                tracker.note_abandoned()
                 assert tracker.reserve()
-                tracker.send()
-                tracker.arrive()
+                tracker.note_sent()
+                tracker.note_arrived()
             await anyio.sleep(2 * WINDOW - BUCKET_SECONDS)
             assert budget.remaining < 1.0
             await anyio.sleep(2 * BUCKET_SECONDS)
@@ -283,7 +283,7 @@
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
             with contextlib.closing(budget.track_sends()) as tracker:
                 assert tracker.reserve()
-                tracker.send()
+                tracker.note_sent()
             await anyio.sleep(2 * WINDOW - BUCKET_SECONDS)
             assert budget.remaining < 1.0
 
@@ -305,12 +305,12 @@
             with contextlib.closing(budget.track_sends()) as tracker:
                 for _ in range(3):
                     assert tracker.reserve()
-                    tracker.send()
-                    tracker.fail_to_send()
+                    tracker.note_sent()
+                    tracker.note_send_failed()
                 assert budget.remaining >= 1.0
                 assert tracker.reserve()
-                tracker.send()
-                tracker.arrive()
+                tracker.note_sent()
+                tracker.note_arrived()
                 assert tracker.reserve()
                 assert budget.remaining < 1.0
             assert budget.remaining >= 1.0
@@ -322,11 +322,11 @@
             budget = _budget()
             before = budget.remaining
             with contextlib.closing(budget.track_sends()) as tracker:
-                tracker.send()
-                tracker.arrive()
+                tracker.note_sent()
+                tracker.note_arrived()
             with contextlib.closing(budget.track_sends()) as tracker:
-                tracker.send()
-                tracker.give_up()
+                tracker.note_sent()
+                tracker.note_abandoned()
             assert budget.remaining == before
 
         virtual.run(body)
@@ -389,7 +389,7 @@
             tracker = budget.track_sends()
             if not tracker.reserve():
                 break
-            tracker.send()
+            tracker.note_sent()
             tasks.start_soon(self._arrive, tracker, step.arrival_delay)
 
     async def _arrive(
@@ -400,7 +400,7 @@
         self.account.note_arrival(request, anyio.current_time())
         await anyio.sleep(arrival_delay)
         self.account.note_arrival(request, anyio.current_time())
-        tracker.arrive()
+        tracker.note_arrived()
 
 
 class TestAllEntriesTogether:
