--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -244,7 +244,7 @@
 def _bound_row(
     model: _Model, zone: str, engines: list[chain.Upstream]
 ) -> dict[str, commands.Data]:
-    capacity = bounds.bound(engines, model.profile)
+    capacity = bounds.compute_bound(engines, model.profile)
     return {
         "service": model.service.name,
         "zone": zone,
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -48,7 +48,7 @@
 LayerCapacity = typing.Callable[[chain.Upstream, pipeline.LayerRange], float]
 
 
-def bound(
+def compute_bound(
     engines: typing.Iterable[chain.Upstream], profile: chain.EngineProfile
 ) -> Bound:
     """Return the bound of the engines of one model."""
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -34,7 +34,7 @@
             engine("b", 30, 70),
             engine("c", 70, 80),
         ]
-        found = bound.bound(engines, PROFILE)
+        found = bound.compute_bound(engines, PROFILE)
         assert found.binding is bound.LimitingResource.MEMORY
         assert found.bottleneck == pipeline.LayerRange(30, 70)
         mean_tokens = (
@@ -51,9 +51,9 @@
             engine("b", 30, 70),
             engine("c", 70, 80),
         ]
-        single = bound.bound(engines, PROFILE).concurrent_requests
+        single = bound.compute_bound(engines, PROFILE).concurrent_requests
         engines.append(engine("d", 30, 70))
-        assert bound.bound(
+        assert bound.compute_bound(
             engines, PROFILE
         ).concurrent_requests == pytest.approx(2 * single)
 
@@ -63,7 +63,7 @@
             engine("b", 35, 60),
             engine("c", 60, 80),
         ]
-        found = bound.bound(engines, PROFILE)
+        found = bound.compute_bound(engines, PROFILE)
         assert found.binding is bound.LimitingResource.MISSING
         assert found.bottleneck == pipeline.LayerRange(30, 35)
         assert found.per_second == 0.0
@@ -71,7 +71,7 @@
     def test_is_limited_by_the_slots_of_first_engines(self) -> None:
         engines = [engine("a", 0, 30, slots=3), engine("b", 30, 60)]
         engines.append(engine("c", 60, 80))
-        found = bound.bound(engines, PROFILE)
+        found = bound.compute_bound(engines, PROFILE)
         assert found.binding is bound.LimitingResource.SLOTS
         assert found.concurrent_requests == 3.0
 
@@ -80,7 +80,7 @@
         engines = [engine("a", 0, 30), engine("b", 30, 60)]
         engines.append(engine("c", 60, 80))
         assert (
-            bound.bound(engines, profile).binding
+            bound.compute_bound(engines, profile).binding
             is bound.LimitingResource.PREFILL
         )
 
@@ -101,5 +101,5 @@
         while (path := planner.plan(engines, request)) is not None:
             usage.add_request(path, mean_tokens)
             count += 1
-        found = bound.bound(engines, PROFILE).concurrent_requests
+        found = bound.compute_bound(engines, PROFILE).concurrent_requests
         assert found - 2 < count <= found
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -266,7 +266,7 @@
 
 def concurrent_requests(fleet: list[chain.Upstream]) -> float:
     """Return how many concurrent requests a placement has memory for."""
-    return bound.bound(fleet, SMALL).concurrent_requests
+    return bound.compute_bound(fleet, SMALL).concurrent_requests
 
 
 def all_placements(
