--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -208,7 +208,9 @@
             stream.objective,
         )
         chosen = self._context.subset.pick(usable)
-        return self._context.planner.detour(chosen, wanted, path, excluded)
+        return self._context.planner.replace_failed_hops(
+            chosen, wanted, path, excluded
+        )
 
     def _log(
         self,
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -128,7 +128,7 @@
             total += self._cost(hop.upstream, hop.layers.first, request)
         return total
 
-    def detour(
+    def replace_failed_hops(
         self,
         engines: typing.Sequence[chain.Upstream],
         request: PathRequest,
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -187,7 +187,7 @@
             return
         lost = path.hops[1 + failed % (len(path.hops) - 1)].upstream
         rest = [one for one in fleet if one.name != lost.name]
-        other = planner.detour(rest, REQUEST, path, {lost.name})
+        other = planner.replace_failed_hops(rest, REQUEST, path, {lost.name})
         if other is None:
             return
         assert_each_layer_once(other)
