--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -67,7 +67,7 @@
     tokens: float
     zone: str
     objective: float = 0.5
-    may_begin: typing.Callable[[chain.Upstream], bool] = _accept_any
+    may_be_head: typing.Callable[[chain.Upstream], bool] = _accept_any
 
 
 class HopPlanner:
@@ -276,7 +276,7 @@
                 continue
             if layers.end > request.profile.layer_count:
                 continue
-            if not request.may_begin(engine):
+            if not request.may_be_head(engine):
                 continue
             cost = self._head_cost(engine, request)
             yield cheapest.PartialPath(
