--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -66,7 +66,7 @@
     profile: chain.EngineProfile
     tokens: float
     zone: str
-    objective: float = 0.5
+    objective_seconds: float = 0.5
     may_be_head: typing.Callable[[chain.Upstream], bool] = _accept_any
 
 
@@ -290,7 +290,7 @@
         cost = self._cost(engine, 0, request)
         if engine.availability_zone != request.zone:
             cost += OTHER_ZONE_HEAD_MS
-        return cost + self._heads.cost(engine.name, request.objective)
+        return cost + self._heads.cost(engine.name, request.objective_seconds)
 
     def _holders(
         self,
