--- a/src/crowdeck/routing/heads.py
+++ b/src/crowdeck/routing/heads.py
@@ -179,7 +179,7 @@
             for other in self._records
         )
 
-    def cost(self, name: str, objective: float) -> float:
+    def cost(self, name: str, objective_seconds: float) -> float:
         """Return the cost of an engine by its record, in ms a token.
 
         :param objective: seconds within which a first event is in time.
@@ -189,7 +189,9 @@
             return 0.0
         if self.is_barred(name):
             return BARRED_MS
-        lateness = self.first_event_seconds(name) / max(objective, 1e-3)
+        lateness = self.first_event_seconds(name) / max(
+            objective_seconds, 1e-3
+        )
         return LATE_MS * lateness + FAILURE_MS * self._failure_rate(record)
 
     def _failure_rate(self, record: _Record) -> float:
