--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -16,7 +16,7 @@
 from tests import fleet_system
 
 ALLOWANCE = repeats.Allowance(ratio=0.2, slack=100.0, window=10.0)
-CALM_SECONDS = 24.0
+FAILURE_FREE_SECONDS = 24.0
 FAILURES = 10**6
 # Longer than any attempt of these requests.
 LAST_SECONDS = 3.0
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -15,7 +15,7 @@
 from crowdeck import route as routes
 from tests import repeats_system
 
-CALM = repeats_system.CALM_SECONDS
+CALM = repeats_system.FAILURE_FREE_SECONDS
 # Requests a second at which the slack is a small part of the budget.
 HIGH_RATE = 240.0
 # Requests a second at which the slack is most of the budget.
