--- a/src/crowdeck/routing/balance.py
+++ b/src/crowdeck/routing/balance.py
@@ -17,13 +17,12 @@
 LOAD_REPORT_TTL_SECONDS = 0.5
 # Weight of the newest answer in the moving averages.
 EWMA_WEIGHT = 0.2
-# Costs are in requests per slot. Added for an instance of another zone,
-# which is farther away and whose traffic is billed.
+# Cost, in requests per slot, of using an instance in another zone.
 CROSS_ZONE_COST = 0.3
 # Added for an instance that fails every call.
 FAILURE_COST = 3.0
 # Added for each second of mean latency.
-LATENCY_COST = 4.0
+LATENCY_COST_PER_SECOND = 4.0
 # Half-life of the failure rate, so that an instance which recovered is
 # tried again.
 FAILURE_HALF_LIFE_SECONDS = 2.0
@@ -50,7 +49,7 @@
 
 @attrs.define
 class _Record:
-    seconds: float = 0.0
+    mean_latency_seconds: float = 0.0
     failure_rate: float = 0.0
     outcome_at: float = 0.0
     load: float = 0.0
@@ -102,7 +101,9 @@
     ) -> None:
         """Record the latency of an answer and whether it was a failure."""
         record = self._record(upstream)
-        record.seconds += EWMA_WEIGHT * (seconds - record.seconds)
+        record.mean_latency_seconds += EWMA_WEIGHT * (
+            seconds - record.mean_latency_seconds
+        )
         self._add_outcome(record, 1.0 if has_failed else 0.0)
 
     def note_failure(self, upstream: chain.Upstream) -> None:
@@ -132,7 +133,7 @@
         own_requests = self._usage.own_requests(upstream)
         cost = max(own_requests, reported) / max(1, upstream.slots)
         cost += FAILURE_COST * self._failure_rate(record)
-        cost += LATENCY_COST * record.seconds
+        cost += LATENCY_COST_PER_SECOND * record.mean_latency_seconds
         if upstream.availability_zone != self._zone:
             cost += CROSS_ZONE_COST
         return cost
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -19,7 +19,7 @@
 
 
 class LimitingResource(enum.StrEnum):
-    """The resource that limits a bound."""
+    """The resource that limits throughput."""
 
     MISSING = "layers that no engine holds"
     MEMORY = "memory for requests"
@@ -71,9 +71,13 @@
         rate = profile.prefill_tokens_per_second / factor / layer_share
         return rate / max(1.0, profile.mean_prompt_tokens)
 
-    memory, at_memory = _find_bottleneck(holders, profile, request_capacity)
+    memory, memory_bottleneck = _find_bottleneck(
+        holders, profile, request_capacity
+    )
     if memory <= 0.0:
-        return Bound(0.0, 0.0, 0.0, LimitingResource.MISSING, at_memory)
+        return Bound(
+            0.0, 0.0, 0.0, LimitingResource.MISSING, memory_bottleneck
+        )
     slots = float(
         sum(
             one.slots for one in holders if one.layers and not one.layers.first
@@ -82,7 +86,7 @@
     concurrent_requests, binding, bottleneck = (
         memory,
         LimitingResource.MEMORY,
-        at_memory,
+        memory_bottleneck,
     )
     if slots < memory:
         concurrent_requests, binding = slots, LimitingResource.SLOTS
@@ -91,12 +95,14 @@
         holders, profile, concurrent_requests, mean_tokens
     )
     per_second = concurrent_requests / seconds
-    prefill, at_prefill = _find_bottleneck(holders, profile, prefill_rate)
+    prefill, prefill_bottleneck = _find_bottleneck(
+        holders, profile, prefill_rate
+    )
     if prefill < per_second:
         per_second, binding, bottleneck = (
             prefill,
             LimitingResource.PREFILL,
-            at_prefill,
+            prefill_bottleneck,
         )
     return Bound(concurrent_requests, seconds, per_second, binding, bottleneck)
 
@@ -106,7 +112,7 @@
     profile: chain.EngineProfile,
     capacity_of: LayerCapacity,
 ) -> tuple[float, pipeline.LayerRange]:
-    """Return the least capacity of any layer, and the first such layers."""
+    """Return the least capacity of a layer and the first range that has it."""
     capacities = [0.0] * profile.layer_count
     for engine in engines:
         assert engine.layers is not None
@@ -126,13 +132,13 @@
     concurrent_requests: float,
     mean_tokens: float,
 ) -> float:
-    """Return how long the tokens of a mean answer take.
+    """Return the seconds that an answer of mean length takes.
 
     The requests of a layer are spread evenly over its engines. Transfers
     between stages are left out, which keeps the result a bound.
     """
-    context = profile.context_ms * mean_tokens / 1000.0
-    total = 0.0
+    context_cost_ms = profile.context_ms * mean_tokens / 1000.0
+    token_ms = 0.0
     for layer in range(profile.layer_count):
         holders = [
             one
@@ -141,12 +147,16 @@
             and one.layers.first <= layer < one.layers.end
         ]
         batch_size = concurrent_requests / len(holders)
-        step = profile.step_ms + batch_size * (profile.sequence_ms + context)
+        batch_ms = profile.step_ms + batch_size * (
+            profile.sequence_ms + context_cost_ms
+        )
         factors = [
             _accelerator_type(one, profile).step_factor for one in holders
         ]
-        total += step * sum(factors) / len(factors) / profile.layer_count
-    return max(1e-3, total * max(1.0, profile.mean_answer_tokens) / 1000.0)
+        token_ms += (
+            batch_ms * sum(factors) / len(factors) / profile.layer_count
+        )
+    return max(1e-3, token_ms * max(1.0, profile.mean_answer_tokens) / 1000.0)
 
 
 def _accelerator_type(
--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -20,15 +20,15 @@
 STEADY_SHARE = 0.8
 RESTART_SHARE = 1.0 - STEADY_SHARE
 
-# Buckets per window. In the bucket in which a window begins, repeats count
+# Buckets per window. In the bucket in which a window begins, retries count
 # and requests earn nothing.
 WINDOW_BUCKETS = 40
 
-# A repeat in flight may arrive in a window that begins this many buckets
-# from now. Further ahead, few requests would be left to earn it.
+# Windows that begin up to this many buckets from now must also cover the
+# retries in flight.
 BUCKETS_AHEAD = WINDOW_BUCKETS // 2
 
-# Repeats that a process left in flight count for this many windows after its
+# Retries that a process left in flight count for this many windows after its
 # end.
 RESTART_WINDOWS = 1.0 + BUCKETS_AHEAD / WINDOW_BUCKETS
 
@@ -97,10 +97,12 @@
 
 @attrs.frozen
 class _CacheKey:
-    """What the number of remaining repeats depends on.
+    """Key of the cached number of remaining retries.
+
+    It leaves out requests and time within a bucket.
 
     :ivar bucket: number of the current bucket.
-    :ivar changes: repeats counted as sent, arrived, abandoned or cancelled.
+    :ivar changes: retries counted as sent, arrived, abandoned or cancelled.
     """
 
     bucket: int
@@ -110,32 +112,32 @@
 
 
 class _Arrivals:
-    """Repeats that arrived within a window, and those in flight.
+    """Retries that arrived within a window, and those in flight.
 
-    :ivar changes: repeats counted as sent, arrived, abandoned or cancelled.
-    :param window: length of the window in seconds.
+    :ivar changes: retries counted as sent, arrived, abandoned or cancelled.
+    :param window_seconds: length of the window.
     """
 
-    def __init__(self, window: float) -> None:
+    def __init__(self, window_seconds: float) -> None:
         self.changes = 0
-        self._window = window
-        self._bucket_seconds = window / WINDOW_BUCKETS
+        self._window_seconds = window_seconds
+        self._bucket_seconds = window_seconds / WINDOW_BUCKETS
         self._arrived = _BucketCounter(
             self._bucket_seconds, WINDOW_BUCKETS + 1
         )
-        # Until when they count against windows to come, ascending.
+        # Times until which the retries count in future windows, ascending.
         self._in_flight: list[float] = []
         self._abandoned: list[float] = []
 
     def newest_first(self) -> list[int]:
-        """Return the repeats since each bucket, the newest first."""
+        """Return the retries since each bucket, the newest first."""
         self._settle_abandoned()
         in_flight = len(self._in_flight) + len(self._abandoned)
         arrived = itertools.accumulate(self._arrived.newest_first())
         return [in_flight + count for count in arrived]
 
     def counts_ahead(self) -> list[int]:
-        """Return the repeats in flight that count in each coming window."""
+        """Return the retries that may still arrive in each future window."""
         if not self._in_flight and not self._abandoned:
             return [0] * BUCKETS_AHEAD
         present = math.floor(anyio.current_time() / self._bucket_seconds)
@@ -150,29 +152,32 @@
         ]
 
     def note_sent(self) -> float:
-        """Count a repeat as in flight; return until when it counts ahead."""
+        """Count a retry as in flight.
+
+        Return the time until which it counts in future windows.
+        """
         self.changes += 1
-        until = anyio.current_time() + self._window
+        until = anyio.current_time() + self._window_seconds
         self._in_flight.append(until)
         return until
 
     def note_arrived(self, until: float) -> None:
-        """Count a repeat in flight as arrived now."""
+        """Count a retry in flight as arrived now."""
         self.note_cancelled(until)
         self._arrived.add()
 
     def note_abandoned(self, until: float) -> None:
-        """Count a repeat as in flight for one more window, then as arrived."""
+        """Count a retry as in flight for one more window, then as arrived."""
         self.note_cancelled(until)
-        self._abandoned.append(anyio.current_time() + self._window)
+        self._abandoned.append(anyio.current_time() + self._window_seconds)
 
     def note_cancelled(self, until: float) -> None:
-        """Stop counting a repeat in flight."""
+        """Stop counting a retry in flight."""
         self.changes += 1
         del self._in_flight[bisect.bisect_left(self._in_flight, until)]
 
     def _settle_abandoned(self) -> None:
-        """Count abandoned repeats as arrived once their time is over."""
+        """Count abandoned retries as arrived once their time is over."""
         now = anyio.current_time()
         closed = bisect.bisect_right(self._abandoned, now)
         for until in self._abandoned[:closed]:
@@ -188,12 +193,12 @@
 class SharedRetryBudget:
     """This entry's share of a service's retry budget in a sliding window.
 
-    All entries together may repeat ``ratio`` of the requests, and ``slack``
+    All entries together may retry ``ratio`` of the requests, and ``slack``
     more, in any window. Entries do not coordinate, and callers move between
     them, so each entry keeps to its share in every window that contains the
-    present. A window's repeats are earned by the requests of the window
+    present. A window's retries are earned by the requests of the window
     before it: those of all entries come from the same time, and no request
-    earns twice. A repeat in flight may arrive in a later window, so it must
+    earns twice. A retry in flight may arrive in a later window, so it must
     also be covered by what requests so far earn there.
 
     An entry has a part of the slack from when the others count it. What its
@@ -204,9 +209,9 @@
     processes spend one after the other, and becomes ``STEADY_SHARE`` once
     nothing that they left in flight still counts.
 
-    :param ratio: repeats allowed for each request.
-    :param slack: repeats allowed on top, by all entries together.
-    :param window: length of the sliding window in seconds.
+    :param ratio: retries allowed for each request.
+    :param slack: retries allowed on top, by all entries together.
+    :param window_seconds: length of the sliding window.
     :param began: loop time at which this process was started.
     :param membership: the entries that share the slack.
     """
@@ -215,31 +220,33 @@
         self,
         ratio: float,
         slack: float,
-        window: float,
+        window_seconds: float,
         began: float = float("-inf"),
         membership: Membership = FixedMembership(),
     ) -> None:
         self._ratio = ratio
         self._slack = slack
-        self._window = window
+        self._window_seconds = window_seconds
         self._began = began
         self._membership = membership
-        self._repeats = _Arrivals(window)
+        self._retries = _Arrivals(window_seconds)
         self._cache_key: _CacheKey | None = None
         self._remaining = 0.0
         self._requests = _BucketCounter(
-            window / WINDOW_BUCKETS, 2 * WINDOW_BUCKETS
+            window_seconds / WINDOW_BUCKETS, 2 * WINDOW_BUCKETS
         )
 
     @property
     def remaining(self) -> float:
-        """Repeats that may be made now.
+        """Retries that may be made now.
 
         Cached, because waiting streams ask many times a second.
         """
         cache_key = _CacheKey(
-            math.floor(anyio.current_time() * WINDOW_BUCKETS / self._window),
-            self._repeats.changes,
+            math.floor(
+                anyio.current_time() * WINDOW_BUCKETS / self._window_seconds
+            ),
+            self._retries.changes,
             self._membership.entries,
             self._membership.is_settled,
         )
@@ -250,9 +257,9 @@
 
     @property
     def remaining_share(self) -> float:
-        """The part of the allowed repeats that remains, 0 to 1.
+        """The part of the allowed retries that remains, 0 to 1.
 
-        It is 0 while less than one repeat remains.
+        It is 0 while less than one retry remains.
         """
         remaining = self.remaining
         if remaining < 1.0:
@@ -272,7 +279,7 @@
 
     def track_sends(self) -> "SendTracker":
         """Return a tracker of one request's sends, for the caller to close."""
-        return SendTracker(self, self._repeats, self._window)
+        return SendTracker(self, self._retries, self._window_seconds)
 
     def _cumulative_requests(self) -> list[int]:
         """Return the sums of the newest buckets, from none to all of them."""
@@ -284,10 +291,10 @@
         earned = [*self._earned(cumulative), *self._earned_ahead(cumulative)]
         share = self._share_since(self._began)
         slack = self._slack_share()
-        spent = [*self._repeats.newest_first(), *self._repeats.counts_ahead()]
+        spent = [*self._retries.newest_first(), *self._retries.counts_ahead()]
         return min(
-            share * allowed + slack - repeats
-            for allowed, repeats in zip(earned, spent, strict=True)
+            share * allowed + slack - retries
+            for allowed, retries in zip(earned, spent, strict=True)
         )
 
     def _earned(self, cumulative: list[int]) -> list[float]:
@@ -328,44 +335,47 @@
     def _share_since(self, since: float) -> float:
         """Return the part of a share that may be spent this long after."""
         age = max(0.0, anyio.current_time() - since)
-        if age >= RESTART_WINDOWS * self._window:
+        if age >= RESTART_WINDOWS * self._window_seconds:
             return STEADY_SHARE
-        return RESTART_SHARE * min(1.0, age / self._window)
+        return RESTART_SHARE * min(1.0, age / self._window_seconds)
 
 
 class SendTracker:
     """Tracks how often one request is sent, and which sends have arrived.
 
-    A repeat counts from its reservation until one window after its arrival,
+    A retry counts from its reservation until one window after its arrival,
     since it may wait for a path, a connection or an unresponsive instance.
     A send that was given up without an answer may arrive after later ones,
     so for one window those count as if they had been given up too.
 
-    :param budget: the budget in which repeats are reserved.
-    :param repeats: where they are counted.
-    :param window: length of the budget's window in seconds.
+    :param budget: the budget in which retries are reserved.
+    :param retries: where they are counted.
+    :param window_seconds: length of the budget's window.
     """
 
     def __init__(
-        self, budget: SharedRetryBudget, repeats: _Arrivals, window: float
+        self,
+        budget: SharedRetryBudget,
+        retries: _Arrivals,
+        window_seconds: float,
     ) -> None:
         self._budget = budget
-        self._repeats = repeats
-        self._window = window
+        self._retries = retries
+        self._window_seconds = window_seconds
         self._reserved_until: float | None = None
         self._is_sent = False
         self._abandoned_until = float("-inf")
 
     def reserve(self) -> bool:
-        """Reserve a repeat; false where the budget is spent.
+        """Reserve a retry; false where the budget is spent.
 
-        An unused reservation is kept for the next repeat.
+        An unused reservation is kept for the next retry.
         """
         if self._reserved_until is not None:
             return True
         if self._budget.remaining < 1.0:
             return False
-        self._reserved_until = self._repeats.note_sent()
+        self._reserved_until = self._retries.note_sent()
         return True
 
     def note_sent(self) -> None:
@@ -381,9 +391,9 @@
         if until is None:
             return
         if self._abandoned_until > anyio.current_time():
-            self._repeats.note_abandoned(until)
+            self._retries.note_abandoned(until)
         else:
-            self._repeats.note_arrived(until)
+            self._retries.note_arrived(until)
 
     def note_send_failed(self) -> None:
         """Record that the last send failed before any connection was made."""
@@ -394,17 +404,17 @@
         if not self._is_sent:
             return
         self._is_sent = False
-        self._abandoned_until = anyio.current_time() + self._window
+        self._abandoned_until = anyio.current_time() + self._window_seconds
         until = self._take_reservation()
         if until is not None:
-            self._repeats.note_abandoned(until)
+            self._retries.note_abandoned(until)
 
     def close(self) -> None:
         """Abandon the last send and release an unused reservation."""
         self.note_abandoned()
         until = self._take_reservation()
         if until is not None:
-            self._repeats.note_cancelled(until)
+            self._retries.note_cancelled(until)
 
     def _take_reservation(self) -> float | None:
         until, self._reserved_until = self._reserved_until, None
--- a/src/crowdeck/routing/cheapest.py
+++ b/src/crowdeck/routing/cheapest.py
@@ -23,7 +23,10 @@
 
 @attrs.frozen
 class PartialPath:
-    """A path up to the end of one engine's layers."""
+    """A path up to the end of one engine's layers.
+
+    :ivar cost: in ms a token.
+    """
 
     cost: float
     hop_count: int
@@ -46,16 +49,16 @@
 
 
 CrossingCost = typing.Callable[[str, str], float]
-_NEVER = float("inf")
+_UNREACHABLE = float("inf")
 
 
 class CheapestPathSearch:
-    """Best-first search for the cheapest path over the holders of layers.
+    """Best-first (A*) search for the cheapest path over the holders of layers.
 
-    A partial path is ranked by its cost so far and the least that the
-    remaining layers cost: each at the cheapest engine that holds it, without
-    hops and crossings. This avoids looking at most engines of a large fleet,
-    as an entry relays nothing while it searches.
+    A partial path is ranked by its cost so far plus a lower bound on the cost
+    of the remaining layers: each at the cheapest engine that holds it, without
+    hops and crossings. This avoids expanding most engines of a large fleet,
+    since the search blocks the event loop.
 
     :param crossing: cost of going from one zone to another, in ms a token;
         infinite where that is not possible.
@@ -66,27 +69,31 @@
     ) -> None:
         self._holders = holders
         self._crossing = crossing
-        self._last = layer_count
-        self._least_remaining = _least_costs(holders, self._last)
+        self._layer_count = layer_count
+        self._least_remaining = _least_costs(holders, self._layer_count)
         self._queue: list[tuple[float, int, PartialPath]] = []
         self._best: dict[tuple[int, str], float] = {}
         self._holders_by_layer: dict[int, list[Holder]] = {}
         self._order = itertools.count()
         self._zones = {one.zone for one in holders}
         # Cost of the cheapest whole path found so far.
-        self._best_total = _NEVER
+        self._best_total = _UNREACHABLE
 
     def offer(self, partial: PartialPath) -> None:
-        """Add a partial path, unless one that ends alike is cheaper."""
+        """Add a partial path that may lead to the cheapest path.
+
+        It is dropped if one to the same layer and zone costs no more, or if
+        its lower bound is no less than the cost of a complete path.
+        """
         end = partial.hop.layers.end
         state = (end, partial.hop.upstream.availability_zone)
         least = partial.cost + self._least_remaining[end]
         if least >= self._best_total or partial.cost >= self._best.get(
-            state, _NEVER
+            state, _UNREACHABLE
         ):
             return
         self._best[state] = partial.cost
-        if end == self._last:
+        if end == self._layer_count:
             self._best_total = partial.cost
         heapq.heappush(self._queue, (least, next(self._order), partial))
 
@@ -98,7 +105,7 @@
             zone = partial.hop.upstream.availability_zone
             if partial.cost > self._best[end, zone]:
                 continue
-            if end == self._last:
+            if end == self._layer_count:
                 return _build_path(partial)
             if partial.hop_count < MAX_HOPS:
                 self._extend(partial, end, zone)
@@ -119,7 +126,7 @@
             )
             if cost + least_remaining[end] >= self._best_total:
                 continue
-            if cost < best.get((end, holder.zone), _NEVER):
+            if cost < best.get((end, holder.zone), _UNREACHABLE):
                 hop = chain.Hop(
                     holder.engine, pipeline.LayerRange(position, end)
                 )
@@ -136,16 +143,16 @@
         return found
 
 
-def _least_costs(holders: list[Holder], last: int) -> list[float]:
-    """Return the least cost of the layers from each one on, in ms."""
-    least = [float("inf")] * last
+def _least_costs(holders: list[Holder], layer_count: int) -> list[float]:
+    """Return a lower bound on the cost from each layer on, in ms a token."""
+    least = [float("inf")] * layer_count
     for holder in holders:
         token_ms = holder.token_ms
-        for layer in range(holder.first, min(holder.end, last)):
+        for layer in range(holder.first, min(holder.end, layer_count)):
             if token_ms < least[layer]:
                 least[layer] = token_ms
-    remaining = [0.0] * (last + 1)
-    for layer in reversed(range(last)):
+    remaining = [0.0] * (layer_count + 1)
+    for layer in reversed(range(layer_count)):
         remaining[layer] = remaining[layer + 1] + least[layer]
     return remaining
 
--- a/src/crowdeck/routing/heads.py
+++ b/src/crowdeck/routing/heads.py
@@ -19,25 +19,23 @@
 # Half-life of the averages, about the time in which the streams that filled
 # an engine have ended.
 HALF_LIFE_SECONDS = 2.0
-# An engine is barred when this share of its recent streams failed: two
-# failures in a row are enough, one is not.
-BARRED_SHARE = 0.4
+# An engine is barred at this failure rate, which two failures in quick
+# succession reach.
+BARRED_FAILURE_RATE = 0.4
 # Duration of the first bar, doubled each further time. After it the engine
 # gets one stream at a time until one has begun.
 BARRED_SECONDS = 1.0
 MAX_BARRED_SECONDS = 8.0
 # Earlier bars no longer count once an engine serves this long after the last.
 RECOVERY_SECONDS = 10.0
-# Cost of a first event that takes its whole objective, in ms a token. At half
-# of the objective it equals the cost of a first engine in another zone.
+# Cost of a first event that takes its whole objective, in ms a token.
 LATE_MS = 16.0
-# Cost of an engine that fails every stream; a single failure costs less than
-# a first engine in another zone.
+# Cost of an engine that fails every stream, in ms a token.
 FAILURE_MS = 20.0
 # A barred engine is chosen only where there is no other.
 BARRED_MS = 10_000.0
-# Above this number stale records are dropped: each start of an engine has a
-# name of its own.
+# Above this number stale records are dropped: an engine gets a new name
+# each time it starts.
 MAX_RECORDS = 200
 
 
@@ -46,7 +44,10 @@
     """What is known of one engine.
 
     :ivar failure_rate: moving average of the share of failed streams.
-    :ivar bar_count: how often it was barred since it last served for long.
+    :ivar bar_count: number of bars since it last recovered; sets the length
+        of the next one.
+    :ivar needs_probe: whether no stream has had its first event since the
+        engine was barred.
     :ivar waiting: start times of attempts without an event, by the
         attempt's key, oldest first.
     """
@@ -57,7 +58,7 @@
     outcome_at: float = float("-inf")
     barred_until: float = float("-inf")
     bar_count: int = 0
-    is_probing: bool = False
+    needs_probe: bool = False
     waiting: dict[typing.Hashable, float] = attrs.field(factory=dict)
 
 
@@ -85,16 +86,16 @@
         if record is None or began is None:
             return
         now = anyio.current_time()
-        before = record.first_event_seconds * _decay(
+        average_seconds = record.first_event_seconds * _decay(
             now - record.first_event_at
         )
-        record.first_event_seconds = before + EWMA_WEIGHT * (
-            now - began - before
+        record.first_event_seconds = average_seconds + EWMA_WEIGHT * (
+            now - began - average_seconds
         )
         record.first_event_at = now
         record.failure_rate = self._failure_rate(record) * (1.0 - EWMA_WEIGHT)
         record.outcome_at = now
-        record.is_probing = False
+        record.needs_probe = False
         if now - record.barred_until > RECOVERY_SECONDS:
             record.bar_count = 0
 
@@ -111,7 +112,10 @@
         failure_rate = self._failure_rate(record)
         record.failure_rate = failure_rate + EWMA_WEIGHT * (1.0 - failure_rate)
         record.outcome_at = anyio.current_time()
-        if record.failure_rate < BARRED_SHARE and not record.is_probing:
+        if (
+            record.failure_rate < BARRED_FAILURE_RATE
+            and not record.needs_probe
+        ):
             return False
         return self.bar(name)
 
@@ -127,13 +131,13 @@
         seconds = BARRED_SECONDS * 2.0**record.bar_count
         record.barred_until = now + min(seconds, MAX_BARRED_SECONDS)
         record.bar_count += 1
-        record.is_probing = True
+        record.needs_probe = True
         return True
 
     def is_barred(self, name: str) -> bool:
         """Whether an engine gets no new stream now."""
         record = self._records.get(name)
-        if record is None or not record.is_probing:
+        if record is None or not record.needs_probe:
             return False
         if anyio.current_time() < record.barred_until:
             return True
@@ -182,7 +186,7 @@
     def cost(self, name: str, objective_seconds: float) -> float:
         """Return the cost of an engine by its record, in ms a token.
 
-        :param objective: seconds within which a first event is in time.
+        :param objective_seconds: time within which a first event is in time.
         """
         record = self._records.get(name)
         if record is None:
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -15,17 +15,18 @@
 from crowdeck.routing import heads as head_records
 
 # Relative increase of an engine's cost when its cache is full. It grows with
-# the square of the utilization, so that load spreads before that.
+# the square of the utilization, so that load moves to other engines
+# before the cache is full.
 FULL_CACHE_FACTOR = 2.0
-# A crossing between zones delays each token, and its prompt holds up others
-# on the shared link, so the transfer time of prompts counts many times.
+# Cost of crossing an idle link between zones, in ms a token: a constant, and
+# the weight of the transfer time, as a prompt delays others on the link.
 CROSSING_MS = 0.5
-LINK_FACTOR = 50.0
+TRANSFER_TIME_WEIGHT = 50.0
 # Utilization above which a link between zones counts as full; other traffic
 # on it is unknown here.
 MAX_LINK_UTILIZATION = 0.7
 # Added for a first engine in another zone, as each event then crosses a link
-# to the entry: it is used when the own zone's engines are about half full.
+# to the entry.
 OTHER_ZONE_HEAD_MS = 8.0
 
 
@@ -43,7 +44,7 @@
         ...
 
     def zone_link_utilization(
-        self, one: str, other: str, profile: chain.EngineProfile
+        self, zone: str, other_zone: str, profile: chain.EngineProfile
     ) -> float:
         """Return the used share of the link between two zones."""
         ...
@@ -55,12 +56,12 @@
 
 @attrs.frozen
 class PathRequest:
-    """What a path is requested for.
+    """The request that a path is planned for.
 
     :ivar tokens: mean tokens that the request holds while it runs.
     :ivar zone: the availability zone of the entry.
-    :ivar objective: seconds within which the first event is in time.
-    :ivar may_begin: whether an engine may be the first of the path.
+    :ivar objective_seconds: time within which the first event is in time.
+    :ivar may_be_head: whether an engine may be the first of the path.
     """
 
     profile: chain.EngineProfile
@@ -105,7 +106,7 @@
         search = cheapest.CheapestPathSearch(
             holders,
             request.profile.layer_count,
-            lambda before, after: self._crossing(before, after, request),
+            lambda before, after: self._crossing_ms(before, after, request),
         )
         if head is not None:
             search.offer(cheapest.PartialPath(0.0, 1, head, None))
@@ -124,7 +125,7 @@
                 previous.upstream.availability_zone,
                 hop.upstream.availability_zone,
             )
-            total += cheapest.HOP_MS + self._crossing(*zones, request)
+            total += cheapest.HOP_MS + self._crossing_ms(*zones, request)
             total += self._cost(hop.upstream, hop.layers.first, request)
         return total
 
@@ -133,21 +134,22 @@
         engines: typing.Sequence[chain.Upstream],
         request: PathRequest,
         path: chain.ChainPath,
-        refused: typing.Container[str],
+        excluded: typing.Container[str],
     ) -> chain.ChainPath | None:
-        """Return a path that replaces only the hops that failed.
+        """Return a path that replaces the hops at excluded engines.
 
         The other hops keep their KV cache of the request; only new ones
-        have to compute it again.
+        have to compute it again. Where single hops cannot be replaced, all
+        but the first are planned anew. ``None`` if there is no such path.
 
         :param path: the path in use; its first hop stays.
-        :param refused: names of engines to leave out.
+        :param excluded: names of engines to leave out.
         """
         self._clear_caches()
         kept = {
             hop.upstream.name
             for hop in path.hops
-            if hop.upstream.name not in refused
+            if hop.upstream.name not in excluded
         }
         candidates = [one for one in engines if one.name not in kept]
         new_hops: list[chain.Hop] = []
@@ -209,7 +211,9 @@
     ) -> chain.Upstream | None:
         def cost(engine: chain.Upstream) -> float:
             assert engine.layers is not None
-            crossing = self._crossing(zone, engine.availability_zone, request)
+            crossing = self._crossing_ms(
+                zone, engine.availability_zone, request
+            )
             length = engine.layers.end - position
             total = (
                 self._cost(engine, position, request)
@@ -229,7 +233,7 @@
             return None
         return best
 
-    def _crossing(
+    def _crossing_ms(
         self, before: str, after: str, request: PathRequest
     ) -> float:
         """Return the cost of going from zone to zone, in ms a token.
@@ -241,12 +245,12 @@
             return 0.0
         cost = self._crossings.get((before, after))
         if cost is None:
-            load = self._usage.zone_link_utilization(
+            utilization = self._usage.zone_link_utilization(
                 before, after, request.profile
             )
             cost = float("inf")
-            if load <= MAX_LINK_UTILIZATION:
-                cost = _crossing(request.profile) * (1.0 + load)
+            if utilization <= MAX_LINK_UTILIZATION:
+                cost = _idle_crossing_ms(request.profile) * (1.0 + utilization)
             self._crossings[before, after] = cost
         return cost
 
@@ -341,14 +345,16 @@
     ) -> float:
         """Return the cost of a token if an engine ran all layers, in ms."""
         profile = request.profile
-        card = profile.cards.get(engine.card)
-        factor = card.step_factor if card else 1.0
-        context = request.tokens / 1000.0 * profile.context_ms
+        accelerator_type = profile.cards.get(engine.card)
+        factor = accelerator_type.step_factor if accelerator_type else 1.0
+        context_cost_ms = request.tokens / 1000.0 * profile.context_ms
         sequences = 1.0 + self._usage.sequences(engine)
-        step = profile.step_ms + sequences * (profile.sequence_ms + context)
+        batch_ms = profile.step_ms + sequences * (
+            profile.sequence_ms + context_cost_ms
+        )
         utilization = self._utilization(engine, request)
         return (
-            step
+            batch_ms
             * factor
             * (1.0 + FULL_CACHE_FACTOR * utilization * utilization)
         )
@@ -365,13 +371,13 @@
         return utilization
 
 
-def _crossing(profile: chain.EngineProfile) -> float:
+def _idle_crossing_ms(profile: chain.EngineProfile) -> float:
     """Return the cost of crossing an idle link, in ms a token."""
     if not profile.zone_link_bytes_per_second:
         return CROSSING_MS
     token_ms = (
         1000.0 * profile.activation_bytes / profile.zone_link_bytes_per_second
     )
-    answer = max(1.0, profile.mean_answer_tokens)
-    tokens = 1.0 + profile.mean_prompt_tokens / answer
-    return CROSSING_MS + LINK_FACTOR * token_ms * tokens
+    answer_tokens = max(1.0, profile.mean_answer_tokens)
+    transfers_per_token = 1.0 + profile.mean_prompt_tokens / answer_tokens
+    return CROSSING_MS + TRANSFER_TIME_WEIGHT * token_ms * transfers_per_token
--- a/src/crowdeck/routing/planner.py
+++ b/src/crowdeck/routing/planner.py
@@ -25,8 +25,8 @@
 # Largest relative jitter: reports are too old to tell costs apart that differ
 # by less. See docs/decisions/0007.
 COST_JITTER = 0.1
-# Ratio of the 95th percentile of token gaps, which is promised, to their mean,
-# which is predicted.
+# Ratio of the 95th percentile of token gaps, to which limits apply, to the
+# predicted mean.
 GAP_P95_FACTOR = 1.4
 
 
@@ -36,11 +36,11 @@
 
     view: fleets.SidecarView
     offer: pipeline.Offer
-    seconds: float
+    cost: float
 
     @property
     def ref(self) -> pipeline.StageRef:
-        """The sidecar's present run as a stage."""
+        """Reference to the sidecar's current incarnation as a stage."""
         return pipeline.StageRef(
             instance=self.view.name,
             incarnation=self.view.incarnation,
@@ -53,7 +53,7 @@
 class _Partial:
     """The cheapest path found up to a stage."""
 
-    seconds: float
+    cost: float
     stages: tuple[Candidate, ...]
 
 
@@ -110,7 +110,7 @@
                 f"no live stages cover all layers of {model}",
                 retry_after=1.0,
             )
-        best = min(complete_paths, key=lambda one: one.seconds)
+        best = min(complete_paths, key=lambda one: one.cost)
         self._check_gap(best, gap_limit_seconds)
         first = best.stages[0].offer
         return pipeline.Path(
@@ -176,7 +176,7 @@
         ]
         if not replacements:
             return None
-        chosen = min(replacements, key=lambda one: one.seconds)
+        chosen = min(replacements, key=lambda one: one.cost)
         return attrs.evolve(
             path,
             stages=tuple(
@@ -209,42 +209,46 @@
         Candidates are visited by first layer, so all partial paths that a
         candidate can extend are known when it is reached.
         """
-        best: dict[int, dict[str, _Partial]] = {}
+        partials_by_end: dict[int, dict[str, _Partial]] = {}
         for candidate in sorted(group, key=lambda one: one.ref.first_layer):
-            partial = self._extend_to(candidate, best)
+            partial = self._extend_to(candidate, partials_by_end)
             if partial is not None:
-                by_last_stage = best.setdefault(candidate.ref.end_layer, {})
+                by_last_stage = partials_by_end.setdefault(
+                    candidate.ref.end_layer, {}
+                )
                 by_last_stage[candidate.view.name] = partial
-        complete = best.get(group[0].offer.layer_count, {})
+        complete = partials_by_end.get(group[0].offer.layer_count, {})
         paths = [
             self._add_return_link(partial) for partial in complete.values()
         ]
-        return min(paths, key=lambda one: one.seconds, default=None)
+        return min(paths, key=lambda one: one.cost, default=None)
 
     def _extend_to(
-        self, candidate: Candidate, best: dict[int, dict[str, _Partial]]
+        self,
+        candidate: Candidate,
+        partials_by_end: dict[int, dict[str, _Partial]],
     ) -> _Partial | None:
         first = candidate.ref.first_layer
         if first == 0:
-            seconds = candidate.seconds + self._entry_link_seconds(candidate)
-            return _Partial(seconds, (candidate,))
+            cost = candidate.cost + self._entry_link_seconds(candidate)
+            return _Partial(cost, (candidate,))
         extended = [
             _Partial(
-                partial.seconds
+                partial.cost
                 + self._link_seconds(partial.stages[-1], candidate)
-                + candidate.seconds,
+                + candidate.cost,
                 (*partial.stages, candidate),
             )
-            for partial in best.get(first, {}).values()
+            for partial in partials_by_end.get(first, {}).values()
         ]
-        return min(extended, key=lambda one: one.seconds, default=None)
+        return min(extended, key=lambda one: one.cost, default=None)
 
     def _add_return_link(self, partial: _Partial) -> _Partial:
         """Add the link by which a token returns from the tail to the head."""
         return_seconds = self._link_seconds(
             partial.stages[-1], partial.stages[0]
         )
-        return _Partial(partial.seconds + return_seconds, partial.stages)
+        return _Partial(partial.cost + return_seconds, partial.stages)
 
     def _entry_link_seconds(self, candidate: Candidate) -> float:
         zone = candidate.view.instance.availability_zone
--- a/src/crowdeck/routing/policies.py
+++ b/src/crowdeck/routing/policies.py
@@ -5,8 +5,8 @@
 
 """Policies that estimate what a stage costs a request.
 
-``crowdeck`` predicts times; the other two are common simple policies, kept
-for comparison.
+``crowdeck`` predicts times; ``round_robin`` and ``least_load`` are simple
+baselines.
 """
 
 from __future__ import annotations
@@ -34,7 +34,10 @@
     """Estimates the cost of a stage; the cheapest path is taken."""
 
     def cost(self, view: fleets.SidecarView, offer: pipeline.Offer) -> float:
-        """Return the cost of another answer at a stage, in seconds."""
+        """Return the cost of another answer at a stage.
+
+        Costs are comparable only within a policy.
+        """
         ...
 
 
@@ -59,13 +62,13 @@
 
 
 class PredictedTime:
-    """Queue, step and congestion, from reported times and live counts."""
+    """Predicts queueing and step times from reports and the current load."""
 
     def cost(self, view: fleets.SidecarView, offer: pipeline.Offer) -> float:
         """Return the predicted time of a position at a stage."""
         size = min(view.inflight + 1, offer.batch_limit)
-        alone = QUEUE_FACTOR * step_seconds(view, size / 2)
-        return alone + congestion_seconds(view, offer)
+        latency_seconds = QUEUE_FACTOR * step_seconds(view, size / 2)
+        return latency_seconds + congestion_seconds(view, offer)
 
 
 class RoundRobin:
--- a/src/crowdeck/routing/rate_limits.py
+++ b/src/crowdeck/routing/rate_limits.py
@@ -15,11 +15,11 @@
 from crowdeck import chain
 from crowdeck.observe import logs
 
-# Share of a limit that all entries together use. The rest allows for what
-# entries do not know of one another.
+# Share of a limit that all entries together use. The rest is a margin
+# for entries' outdated views of each other.
 USED_SHARE = 0.85
-# All entries together send at least this many requests a second, as a limit
-# that was lifted is only learned from an answer.
+# All entries together send at least this many requests a second, so that
+# answers can tell them when a limit is lifted.
 MIN_PER_SECOND = 0.25
 # An idle entry accumulates tokens for this long at most, so that many idle
 # entries do not all send at once.
@@ -32,8 +32,8 @@
 HALF_LIFE_SECONDS = 5.0
 # Assumed while the number of entries is unknown.
 ASSUMED_ENTRIES = 10
-# Weight of an even split between entries, in requests: most answers to short
-# calls show no other request in progress.
+# Weight of an even split between entries, in requests. It keeps shares
+# stable while answers show few requests in progress.
 EVEN_SHARE_WEIGHT = 6.0
 # One request, less the rounding errors of adding small amounts.
 READY_LEVEL = 1.0 - 1e-9
@@ -100,13 +100,13 @@
     all entries have equal shares.
 
     :param usage: this entry's requests in progress.
-    :param rng: sets the initial level, so that entries which learn of a
+    :param randomness: sets the initial level, so that entries which learn of a
         limit together do not send together.
     """
 
-    def __init__(self, usage: Usage, rng: random.Random) -> None:
+    def __init__(self, usage: Usage, randomness: random.Random) -> None:
         self._usage = usage
-        self._rng = rng
+        self._random = randomness
         self._entries = 1
         self._limits: dict[str, _Limit] = {}
 
@@ -213,7 +213,7 @@
         )
         limit = _Limit(
             per_second,
-            self._rng.random(),
+            self._random.random(),
             now,
             own_requests,
             now,
--- a/src/crowdeck/routing/rendezvous.py
+++ b/src/crowdeck/routing/rendezvous.py
@@ -5,7 +5,7 @@
 
 """Weighted rendezvous hashing of keys to members.
 
-Unlike a hash ring it has no points to configure and follows the weights
+Unlike a hash ring it needs no virtual nodes and follows the weights
 exactly, and when a member goes only its own keys move. See
 ``docs/decisions/0006``.
 """
@@ -34,14 +34,14 @@
 ) -> list[str]:
     """Return members by their score for ``key``, the highest first.
 
-    >>> rank("desk-7", ["a", "b", "c"]) == rank("desk-7", ["c", "b", "a"])
+    >>> rank("key", ["a", "b", "c"]) == rank("key", ["c", "b", "a"])
     True
     """
-    given = weights or {}
+    weight_by_member = weights or {}
     return sorted(
         members,
         key=lambda member: (
-            -score(key, member, given.get(member, 1.0)),
+            -score(key, member, weight_by_member.get(member, 1.0)),
             member,
         ),
     )
--- a/src/crowdeck/routing/retry.py
+++ b/src/crowdeck/routing/retry.py
@@ -15,7 +15,7 @@
 # requests fail.
 BUDGET_RATIO = 0.1
 # Initial and largest balance, which lets teams with few requests retry.
-BUDGET_FLOOR = 10.0
+BUDGET_CAPACITY = 10.0
 BACKOFF_BASE_SECONDS = 0.02
 BACKOFF_LIMIT_SECONDS = 1.0
 
@@ -24,11 +24,11 @@
     """A balance of retries, of which each request earns a fraction."""
 
     def __init__(
-        self, ratio: float = BUDGET_RATIO, floor: float = BUDGET_FLOOR
+        self, ratio: float = BUDGET_RATIO, capacity: float = BUDGET_CAPACITY
     ) -> None:
         self._ratio = ratio
-        self._limit = floor
-        self._tokens = floor
+        self._capacity = capacity
+        self._tokens = capacity
 
     @property
     def tokens(self) -> float:
@@ -37,7 +37,7 @@
 
     def earn(self) -> None:
         """Count a request that is not a retry."""
-        self._tokens = min(self._limit, self._tokens + self._ratio)
+        self._tokens = min(self._capacity, self._tokens + self._ratio)
 
     def spend(self) -> bool:
         """Take one retry; false when the budget is spent."""
@@ -84,7 +84,7 @@
     """Decide whether a failed request is tried again.
 
     A request that did not run may be retried, and one that may have run
-    if the contract allows to repeat it. A retry is taken from ``budget``.
+    if it is repeatable. A retry is taken from ``budget``.
     """
     is_allowed = error.verdict is verdicts.Verdict.NOT_RUN or (
         is_repeatable and error.verdict is verdicts.Verdict.MAY_HAVE_RUN
--- a/src/crowdeck/routing/routes.py
+++ b/src/crowdeck/routing/routes.py
@@ -77,7 +77,7 @@
         needs_key = bool(self._config.teams) and not route.is_anonymous
         if needs_key and team is None:
             raise errors.CrowdeckError(
-                errors.Code.UNAUTHORIZED, "send a key that a team holds"
+                errors.Code.UNAUTHORIZED, "the API key is missing or unknown"
             )
         priority = route.priority
         if team is not None and team.priority is not None:
@@ -86,9 +86,9 @@
         return AdmittedRequest(route, name, priority, self.version)
 
 
-def pick_service(route: routes.Route, rng: random.Random) -> str:
+def pick_service(route: routes.Route, randomness: random.Random) -> str:
     """Draw a service by the route's traffic shares."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
-    return rng.choices(route.shares, weights)[0].service
+    return randomness.choices(route.shares, weights)[0].service
--- a/src/crowdeck/routing/subset.py
+++ b/src/crowdeck/routing/subset.py
@@ -11,9 +11,9 @@
 from crowdeck import chain
 from crowdeck.routing import rendezvous
 
-# Larger fleets are split, as the time to choose a path grows with the number
-# of engines. Of these an entry uses at most so many of its own availability
-# zone, enough for several copies of each layer, and of all others.
+# Larger fleets are reduced to a subset, as the time to choose a path grows
+# with the number of engines. The subset has at most these numbers of engines
+# of the own availability zone and of all other zones.
 SUBSET_THRESHOLD_ENGINES = 150
 MAX_OWN_ZONE_ENGINES = 100
 MAX_OTHER_ZONE_ENGINES = 50
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -12,27 +12,25 @@
 
 from crowdeck import chain
 
-# A load report counts for this long, in which about half of the requests that
-# it covers end.
+# A load report counts for this long.
 LOAD_REPORT_TTL_SECONDS = 1.5
-# Crossings between zones are counted over this time, about that of
-# transferring a prompt over a busy link.
+# Crossings between zones are counted over this time.
 LINK_WINDOW_SECONDS = 1.0
 # The load that an engine had when this entry started falls to zero over this
-# time, about the duration of a stream.
+# time.
 EXISTING_LOAD_SECONDS = 2.5
 
 
 @attrs.frozen
 class _ExistingLoad:
     token_layers: float
-    at: float
+    recorded_at: float
 
 
 @attrs.frozen
 class _LoadReport:
     running: int
-    at: float
+    recorded_at: float
 
 
 class InFlight:
@@ -57,7 +55,7 @@
         self._all_entries = 1
 
     def set_entry_count(self, entries: int, all_entries: int = 0) -> None:
-        """Set the number of entries that are assumed to send as much.
+        """Set the numbers of entries assumed to send as much as this one.
 
         :param entries: entries of this availability zone.
         :param all_entries: entries of all zones.
@@ -129,11 +127,11 @@
         return used / max(1.0, token_capacity)
 
     def _existing_token_layers(self, name: str) -> float:
-        """Return what is left of the load that an engine had before."""
+        """Return what remains of an engine's load at this entry's start."""
         existing = self._existing.get(name)
         if existing is None:
             return 0.0
-        age = anyio.current_time() - existing.at
+        age = anyio.current_time() - existing.recorded_at
         if age >= EXISTING_LOAD_SECONDS:
             del self._existing[name]
             return 0.0
@@ -187,13 +185,11 @@
         if not self._own_requests[head]:
             del self._own_requests[head]
 
-    def _estimate(
-        self, own_requests: collections.Counter[str] | None
-    ) -> float:
-        if not own_requests:
+    def _estimate(self, own_by_head: collections.Counter[str] | None) -> float:
+        if not own_by_head:
             return 0.0
         return sum(
-            count * self._scale(head) for head, count in own_requests.items()
+            count * self._scale(head) for head, count in own_by_head.items()
         )
 
     def _scale(self, head: str) -> float:
@@ -211,4 +207,4 @@
 
 
 def _is_expired(report: _LoadReport, now: float) -> bool:
-    return now - report.at > LOAD_REPORT_TTL_SECONDS
+    return now - report.recorded_at > LOAD_REPORT_TTL_SECONDS
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -19,7 +19,7 @@
 FAILURE_FREE_SECONDS = 24.0
 FAILURES = 10**6
 # Longer than any attempt of these requests.
-LAST_SECONDS = 3.0
+LAST_ATTEMPT_SECONDS = 3.0
 # A stream that breaks does so after its first event.
 STREAM_EVENTS = 3
 SERVICES = {
@@ -92,9 +92,9 @@
         for one in self._instances():
             self.entries.fleet.thaw(one)
 
-    async def end(self) -> None:
+    async def wait_until_ended(self) -> None:
         """Wait until the last attempts have ended."""
-        await anyio.sleep(LAST_SECONDS)
+        await anyio.sleep(LAST_ATTEMPT_SECONDS)
 
     def _instances(self) -> list[chain_fleet.StandinUpstream]:
         return [
@@ -130,7 +130,7 @@
         demand = Demand(entries, kind)
         made.append(demand)
         await scenario(demand)
-        await demand.end()
+        await demand.wait_until_ended()
 
     entries_system.play(
         run, count=count, copies=2, are_registered=are_registered
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -132,16 +132,16 @@
             path = planner.plan(fleet, REQUEST)
             usable = [one for one in fleet if has_capacity(one, usage)]
             costs = [planner.cost(it, REQUEST) for it in all_paths(usable)]
-            sound = [cost for cost in costs if cost < float("inf")]
-            assert (path is None) == (not sound)
+            finite_costs = [cost for cost in costs if cost < float("inf")]
+            assert (path is None) == (not finite_costs)
             if path is not None:
-                assert planner.cost(path, REQUEST) <= min(sound) + 1e-9
+                assert planner.cost(path, REQUEST) <= min(finite_costs) + 1e-9
 
         virtual.run(body)
 
-    def test_a_large_fleet_is_not_searched_whole(self) -> None:
-        # An entry relays nothing while it plans a path, so the search must
-        # not expand every engine.
+    def test_expands_few_engines_of_a_large_fleet(self) -> None:
+        # Planning blocks the event loop, so the search must not expand every
+        # engine.
         async def body() -> None:
             fleet = paths.a_fleet(130)
             usage = usages.InFlight()
@@ -176,7 +176,7 @@
 
     @hypothesis.given(RANGES, strategies.integers(0, 24))
     @hypothesis.settings(max_examples=200, deadline=None)
-    def test_detour_replaces_only_failed_hops(
+    def test_replaces_the_failed_hop(
         self, ranges: list[tuple[int, int, str]], failed: int
     ) -> None:
         fleet = engines([(0, 40, "plateau"), (40, 40, "plateau"), *ranges])
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -30,18 +30,19 @@
 # From three seconds after an instance announced its limit, requests in any
 # window must stay below limit * seconds * factor + extra.
 GRACE_SECONDS = 3.0
+# An entry's requests count from this long after its first answer.
 LEARNED_SECONDS = 0.5
 WINDOW_SECONDS = 4.0
 BOUND_FACTOR = 1.5
 BOUND_EXTRA = 5
 # Least part of a limit that has to be used.
 MIN_USED_SHARE = 0.7
-PER_SECOND = 30.0
-LIMIT = 3.2
+REQUESTS_PER_SECOND = 30.0
+LIMIT_PER_SECOND = 3.2
 # Streams wait no longer for a first engine, and calls wait less.
 LONGEST_WAIT_SECONDS = paths.QUEUE_WAIT_SECONDS + 0.1
 # Makes a stream take two seconds.
-EVENTS = 100
+STREAM_EVENTS = 100
 
 
 class Traffic:
@@ -98,7 +99,7 @@
     def bounded_arrivals(
         self, target: chain_fleet.StandinUpstream, announced_at: float
     ) -> list[float]:
-        """Return the arrivals that a limit announced then has to bound.
+        """Return the arrivals that must keep to a limit announced at a time.
 
         Only requests of entries that have learned of it count.
         """
@@ -144,7 +145,7 @@
     copies: int = 2,
 ) -> None:
     async def body(entries: entries_system.Entries) -> None:
-        entries.fleet.events = EVENTS
+        entries.fleet.events = STREAM_EVENTS
         await anyio.sleep(2.0)
         await scenario(Traffic(entries, weights))
 
@@ -165,14 +166,14 @@
         self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
         async def scenario(traffic: Traffic) -> None:
-            await traffic.send(4.0, PER_SECOND, repeat)
+            await traffic.send(4.0, REQUESTS_PER_SECOND, repeat)
             target = traffic.busiest()
-            target.limit = LIMIT
+            target.limit = LIMIT_PER_SECOND
             announced_at = anyio.current_time()
-            await traffic.send(20.0, PER_SECOND, repeat)
+            await traffic.send(20.0, REQUESTS_PER_SECOND, repeat)
             times = traffic.bounded_arrivals(target, announced_at)
-            assert_kept(times, LIMIT)
-            assert len(times) >= MIN_USED_SHARE * LIMIT * 17.0
+            assert_kept(times, LIMIT_PER_SECOND)
+            assert len(times) >= MIN_USED_SHARE * LIMIT_PER_SECOND * 17.0
             assert not traffic.refused
 
         simulate(scenario, weights)
@@ -182,15 +183,15 @@
         self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
         async def scenario(traffic: Traffic) -> None:
-            await traffic.send(4.0, PER_SECOND, repeat)
+            await traffic.send(4.0, REQUESTS_PER_SECOND, repeat)
             target = traffic.busiest()
             before = len(traffic.arrivals(target, anyio.current_time() - 3.0))
-            target.limit = LIMIT
-            await traffic.send(8.0, PER_SECOND, repeat)
+            target.limit = LIMIT_PER_SECOND
+            await traffic.send(8.0, REQUESTS_PER_SECOND, repeat)
             target.limit = None
-            await traffic.send(4.0, PER_SECOND, repeat)
+            await traffic.send(4.0, REQUESTS_PER_SECOND, repeat)
             since = anyio.current_time()
-            await traffic.send(3.0, PER_SECOND, repeat)
+            await traffic.send(3.0, REQUESTS_PER_SECOND, repeat)
             assert len(traffic.arrivals(target, since)) >= before / 2
             assert not traffic.refused
 
@@ -205,13 +206,13 @@
         rest = (1.0 - share) / 69
 
         async def scenario(traffic: Traffic) -> None:
-            await traffic.send(3.0, PER_SECOND, STREAM)
+            await traffic.send(3.0, REQUESTS_PER_SECOND, STREAM)
             target = traffic.busiest()
-            target.limit = LIMIT
+            target.limit = LIMIT_PER_SECOND
             announced_at = anyio.current_time()
-            await traffic.send(15.0, PER_SECOND, STREAM)
+            await traffic.send(15.0, REQUESTS_PER_SECOND, STREAM)
             times = traffic.bounded_arrivals(target, announced_at)
-            assert_kept(times, LIMIT)
+            assert_kept(times, LIMIT_PER_SECOND)
             assert times
 
         simulate(scenario, (share, *[rest] * 69))
@@ -220,22 +221,24 @@
         self,
     ) -> None:
         async def scenario(traffic: Traffic) -> None:
-            await traffic.send(4.0, PER_SECOND, STREAM)
+            await traffic.send(4.0, REQUESTS_PER_SECOND, STREAM)
             target = traffic.busiest()
-            target.limit = LIMIT
+            target.limit = LIMIT_PER_SECOND
             announced_at = anyio.current_time()
-            await traffic.send(5.0, PER_SECOND, STREAM)
+            await traffic.send(5.0, REQUESTS_PER_SECOND, STREAM)
             traffic.entries.stop(0)
-            await traffic.send(10.0, PER_SECOND, STREAM)
+            await traffic.send(10.0, REQUESTS_PER_SECOND, STREAM)
             # The new process sends a few requests before it knows the limit.
             times = traffic.bounded_arrivals(target, announced_at)
-            allowed = BOUND_FACTOR * LIMIT * WINDOW_SECONDS + BOUND_EXTRA
+            allowed = (
+                BOUND_FACTOR * LIMIT_PER_SECOND * WINDOW_SECONDS + BOUND_EXTRA
+            )
             assert max_within(times, WINDOW_SECONDS) <= allowed + 3
 
         simulate(scenario, EVEN)
 
 
-class TestWholeService:
+class TestAllInstancesLimited:
     """All instances of a service announce limits."""
 
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
@@ -247,27 +250,32 @@
             limited = [
                 target
                 for target in traffic.fleet.upstreams
-                if _may_begin(target, repeat)
+                if _can_receive(target, repeat)
             ]
             for target in limited:
-                target.limit = LIMIT
-            await traffic.send(3.0, PER_SECOND, repeat)
+                target.limit = LIMIT_PER_SECOND
+            await traffic.send(3.0, REQUESTS_PER_SECOND, repeat)
             since = anyio.current_time()
-            await traffic.send(20.0, PER_SECOND, repeat)
+            await traffic.send(20.0, REQUESTS_PER_SECOND, repeat)
             taken = 0
             for target in limited:
                 times = traffic.arrivals(target, since)
-                assert_kept(times, LIMIT)
+                assert_kept(times, LIMIT_PER_SECOND)
                 taken += len(times)
-            assert taken >= MIN_USED_SHARE * LIMIT * len(limited) * 20.0
-            told = [it for it in traffic.entries.told if it.sent_at >= since]
-            for it in told:
+            assert (
+                taken
+                >= MIN_USED_SHARE * LIMIT_PER_SECOND * len(limited) * 20.0
+            )
+            outcomes = [
+                it for it in traffic.entries.told if it.sent_at >= since
+            ]
+            for it in outcomes:
                 if it.was_served:
                     continue
                 error = it.caller.error
                 assert error is not None
                 assert error.verdict is verdicts.Verdict.NOT_RUN
-                # Refused no later than others were served in time.
+                # A refusal takes no longer than the longest wait.
                 assert it.seconds <= LONGEST_WAIT_SECONDS
                 assert error.retry_after is not None
                 assert 0.0 < error.retry_after <= 6.0
@@ -275,7 +283,7 @@
         simulate(scenario, weights)
 
 
-def _may_begin(
+def _can_receive(
     target: chain_fleet.StandinUpstream, repeat: routes.RepeatPolicy
 ) -> bool:
     layers = target.listed.layers
@@ -289,36 +297,36 @@
 
     def test_resumed_streams_keep_the_limit(self) -> None:
         async def scenario(traffic: Traffic) -> None:
-            await traffic.send(3.0, PER_SECOND, STREAM)
+            await traffic.send(3.0, REQUESTS_PER_SECOND, STREAM)
             target = traffic.busiest()
-            target.limit = LIMIT
+            target.limit = LIMIT_PER_SECOND
             announced_at = anyio.current_time()
-            await traffic.send(4.0, PER_SECOND, STREAM)
+            await traffic.send(4.0, REQUESTS_PER_SECOND, STREAM)
             others = [
                 it
                 for it in traffic.fleet.upstreams
-                if _may_begin(it, STREAM) and it is not target
+                if _can_receive(it, STREAM) and it is not target
             ]
             # All streams of one engine have to be resumed at another.
             others[0].is_dead = True
-            await traffic.send(6.0, PER_SECOND, STREAM)
+            await traffic.send(6.0, REQUESTS_PER_SECOND, STREAM)
             times = traffic.bounded_arrivals(target, announced_at)
-            assert_kept(times, LIMIT)
+            assert_kept(times, LIMIT_PER_SECOND)
 
         simulate(scenario, EVEN)
 
     def test_retried_calls_keep_the_limit(self) -> None:
         async def scenario(traffic: Traffic) -> None:
-            await traffic.send(3.0, PER_SECOND, IDEMPOTENT)
+            await traffic.send(3.0, REQUESTS_PER_SECOND, IDEMPOTENT)
             target = traffic.busiest()
-            target.limit = LIMIT
+            target.limit = LIMIT_PER_SECOND
             announced_at = anyio.current_time()
             for it in traffic.fleet.upstreams:
                 if it is not target:
                     it.failed_calls = 1000
-            await traffic.send(10.0, PER_SECOND, IDEMPOTENT)
+            await traffic.send(10.0, REQUESTS_PER_SECOND, IDEMPOTENT)
             times = traffic.bounded_arrivals(target, announced_at)
-            assert_kept(times, LIMIT)
+            assert_kept(times, LIMIT_PER_SECOND)
 
         simulate(scenario, EVEN)
 
@@ -359,12 +367,12 @@
     @pytest.mark.parametrize("seed", range(5))
     @pytest.mark.parametrize("objective", [0.5, 2.0])
     @pytest.mark.parametrize("count", [1, 2, 5])
-    def test_refused_calls_are_refused_at_once(
+    def test_calls_over_the_limit_are_refused_at_once(
         self, count: int, objective: float, seed: int
     ) -> None:
         rng = random.Random(seed)
         limit = 4.0
-        told: list[tuple[float, float, fleet_system.Caller]] = []
+        outcomes: list[tuple[float, float, fleet_system.Caller]] = []
 
         async def scenario(
             system: fleet_system.FleetSystem, found: list[chain.Upstream]
@@ -376,7 +384,7 @@
                 began = anyio.current_time()
                 caller = await system.ask(system.request(IDEMPOTENT))
                 took = anyio.current_time() - began
-                told.append((began, took, caller))
+                outcomes.append((began, took, caller))
 
             async with anyio.create_task_group() as tasks:
                 while anyio.current_time() < 23.0:
@@ -384,7 +392,7 @@
                     await anyio.sleep(rng.expovariate(30.0))
 
         self.simulate(scenario, count, objective)
-        late = [one for one in told if one[0] >= 3.0]
+        late = [one for one in outcomes if one[0] >= 3.0]
         refused = [one for one in late if one[2].error is not None]
         assert refused
         assert max(took for _, took, _ in refused) < 0.01
@@ -433,8 +441,8 @@
         self.simulate(scenario, 1)
 
 
-class TestContext:
-    """What an entry learns of limits from answers, and drops."""
+class TestLearnedLimits:
+    """Limits that an entry learns from answers, and forgets."""
 
     def simulate(
         self,
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -15,7 +15,7 @@
 from crowdeck import route as routes
 from tests import repeats_system
 
-CALM = repeats_system.FAILURE_FREE_SECONDS
+FAILURE_FREE_SECONDS = repeats_system.FAILURE_FREE_SECONDS
 # Requests a second at which the slack is a small part of the budget.
 HIGH_RATE = 240.0
 # Requests a second at which the slack is most of the budget.
@@ -29,7 +29,7 @@
 
 async def _spend_all(demand: repeats_system.Demand) -> None:
     """Use up the budget after a time without failures."""
-    await demand.ask(CALM, fails=False)
+    await demand.ask(FAILURE_FREE_SECONDS, fails=False)
     await demand.ask(3.0)
 
 
@@ -88,7 +88,7 @@
         self, count: int, kind: routes.RepeatPolicy
     ) -> None:
         async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(CALM, fails=False)
+            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
             demand.entries.store.is_down = True
             _restart_all(demand, count)
             await demand.ask(15.0)
@@ -103,7 +103,7 @@
         async def body(demand: repeats_system.Demand) -> None:
             await demand.entries.wait_until_registered()
             demand.entries.store.is_down = True
-            await demand.ask(CALM, fails=False)
+            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
             await demand.ask(12.0)
 
         peak = repeats_system.simulate(body, count, are_registered=False).peak
@@ -128,7 +128,7 @@
     def test_join_during_a_store_outage(self, count: int) -> None:
         # A new entry registers in the store before it takes a share.
         async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(CALM, fails=False)
+            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
             demand.entries.store.is_down = True
             for _ in range(count):
                 demand.entries.start()
@@ -141,7 +141,7 @@
     def test_while_those_there_are_cut_off(self, count: int) -> None:
         # Entries that are cut off from the store do not count the new one.
         async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(CALM, fails=False)
+            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
             for number in range(count):
                 demand.entries.cut_off(number)
             for _ in range(max(1, count // 4)):
@@ -178,7 +178,7 @@
     @pytest.mark.parametrize("count", (1, 5))
     def test_late_arrivals_count_with_new_repeats(self, count: int) -> None:
         async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(CALM, fails=False)
+            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
             demand.freeze()
             await demand.ask(8.0)
             demand.thaw()
@@ -191,7 +191,9 @@
     def test_late_arrivals_count_after_callers_moved(self, count: int) -> None:
         async def body(demand: repeats_system.Demand) -> None:
             others = range(1, count)
-            await demand.ask(CALM, HIGH_RATE, fails=False, among=[0])
+            await demand.ask(
+                FAILURE_FREE_SECONDS, HIGH_RATE, fails=False, among=[0]
+            )
             demand.freeze()
             await demand.ask(2.0, HIGH_RATE, among=[0])
             await demand.ask(6.0, HIGH_RATE, among=others)
@@ -204,7 +206,7 @@
     @pytest.mark.parametrize("count", (1, 5))
     def test_late_arrivals_count_after_restarts(self, count: int) -> None:
         async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(CALM, fails=False)
+            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
             demand.freeze()
             await demand.ask(3.0)
             _restart_all(demand, count)
@@ -225,7 +227,7 @@
         self, count: int, kind: routes.RepeatPolicy
     ) -> None:
         async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(CALM, fails=False)
+            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
             await demand.ask(12.0)
 
         peak = repeats_system.simulate(body, count, kind).peak
@@ -233,7 +235,7 @@
 
     def test_a_restarted_entry_repeats_soon(self) -> None:
         async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(CALM, fails=False)
+            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
             _restart_all(demand, 5)
             await anyio.sleep(2.0)
             await demand.ask(3.0)
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -21,8 +21,8 @@
 
 RATIO = 0.2
 SLACK = 100.0
-WINDOW = 10.0
-BUCKET_SECONDS = WINDOW / budgets.WINDOW_BUCKETS
+WINDOW_SECONDS = 10.0
+BUCKET_SECONDS = WINDOW_SECONDS / budgets.WINDOW_BUCKETS
 
 
 @attrs.define
@@ -40,7 +40,7 @@
     membership: budgets.Membership | None = None,
 ) -> budgets.SharedRetryBudget:
     return budgets.SharedRetryBudget(
-        RATIO, slack, WINDOW, began, membership or Members()
+        RATIO, slack, WINDOW_SECONDS, began, membership or Members()
     )
 
 
@@ -64,7 +64,7 @@
     """An entry's part of the slack."""
 
     @pytest.mark.parametrize("entries, spent", [(1, 80), (5, 16), (70, 1)])
-    def test_is_shared_among_those_known(
+    def test_is_shared_among_known_entries(
         self, entries: int, spent: int
     ) -> None:
         async def body() -> None:
@@ -105,7 +105,7 @@
             budget = _budget(began=anyio.current_time())
             assert not _spend_all(budget)
             spent: list[int] = []
-            full_at = 30.0 + budgets.RESTART_WINDOWS * WINDOW
+            full_at = 30.0 + budgets.RESTART_WINDOWS * WINDOW_SECONDS
             while anyio.current_time() < full_at - 2 * BUCKET_SECONDS:
                 await anyio.sleep(BUCKET_SECONDS)
                 spent.append(_spend_all(budget))
@@ -125,7 +125,7 @@
         # Its predecessor may have ended with all of its share in flight.
         async def body() -> None:
             budget = _budget(began=anyio.current_time())
-            await anyio.sleep(1.5 * WINDOW - BUCKET_SECONDS)
+            await anyio.sleep(1.5 * WINDOW_SECONDS - BUCKET_SECONDS)
             assert _spend_all(budget) <= budgets.RESTART_SHARE * SLACK + 0.001
 
         virtual.run(body)
@@ -144,7 +144,7 @@
             budget = _budget(membership=members)
             assert _spend_all(budget) == 80
             members.entries = 10
-            await anyio.sleep(WINDOW + BUCKET_SECONDS)
+            await anyio.sleep(WINDOW_SECONDS + BUCKET_SECONDS)
             assert _spend_all(budget) == 8
 
         virtual.run(body)
@@ -156,9 +156,9 @@
     def test_earns_nothing_in_its_own_window(self) -> None:
         async def body() -> None:
             budget = _budget(slack=0.0)
-            await _earn_for(budget, WINDOW)
+            await _earn_for(budget, WINDOW_SECONDS)
             assert not _spend_all(budget)
-            await _earn_for(budget, WINDOW + BUCKET_SECONDS)
+            await _earn_for(budget, WINDOW_SECONDS + BUCKET_SECONDS)
             spent = _spend_all(budget)
             requests = 10 * (budgets.WINDOW_BUCKETS - 1)
             assert spent == int(budgets.STEADY_SHARE * RATIO * requests)
@@ -168,8 +168,8 @@
     def test_earns_nothing_after_the_next_window(self) -> None:
         async def body() -> None:
             budget = _budget(slack=0.0)
-            await _earn_for(budget, 3 * WINDOW)
-            await anyio.sleep(WINDOW)
+            await _earn_for(budget, 3 * WINDOW_SECONDS)
+            await anyio.sleep(WINDOW_SECONDS)
             assert not _spend_all(budget)
 
         virtual.run(body)
@@ -179,7 +179,7 @@
         async def body() -> None:
             budget = _budget(slack=0.0)
             await anyio.sleep(BUCKET_SECONDS / 2)
-            await _earn_for(budget, 3 * WINDOW)
+            await _earn_for(budget, 3 * WINDOW_SECONDS)
             requests = 10 * (budgets.WINDOW_BUCKETS - 1)
             assert budget.remaining <= budgets.STEADY_SHARE * RATIO * requests
 
@@ -190,7 +190,7 @@
             budget = _budget()
             await anyio.sleep(BUCKET_SECONDS / 2)
             assert _spend_all(budget) == 80
-            await anyio.sleep(WINDOW)
+            await anyio.sleep(WINDOW_SECONDS)
             assert not _spend_all(budget)
             await anyio.sleep(BUCKET_SECONDS)
             assert _spend_all(budget) == 80
@@ -207,10 +207,10 @@
             tracker = budget.track_sends()
             assert tracker.reserve()
             tracker.note_sent()
-            await anyio.sleep(5 * WINDOW)
+            await anyio.sleep(5 * WINDOW_SECONDS)
             assert budget.remaining < 1.0
             tracker.note_arrived()
-            await anyio.sleep(WINDOW - BUCKET_SECONDS)
+            await anyio.sleep(WINDOW_SECONDS - BUCKET_SECONDS)
             assert budget.remaining < 1.0
             await anyio.sleep(2 * BUCKET_SECONDS)
             assert budget.remaining >= 1.0
@@ -222,7 +222,7 @@
         # first half of this window no longer earn.
         async def body() -> None:
             budget = _budget(slack=0.0)
-            await _earn_for(budget, 3 * WINDOW)
+            await _earn_for(budget, 3 * WINDOW_SECONDS)
             trackers = [budget.track_sends() for _ in range(200)]
             sent = sum(1 for one in trackers if one.reserve())
             requests = 10 * (budgets.WINDOW_BUCKETS - budgets.BUCKETS_AHEAD)
@@ -254,7 +254,7 @@
                 tracker.note_sent()
                 tracker.note_abandoned()
             assert fleet_system.spend_retry(budget)
-            await anyio.sleep(WINDOW / 2)
+            await anyio.sleep(WINDOW_SECONDS / 2)
             assert budget.remaining < 1.0
 
         virtual.run(body)
@@ -271,7 +271,7 @@
                 assert tracker.reserve()
                 tracker.note_sent()
                 tracker.note_arrived()
-            await anyio.sleep(2 * WINDOW - BUCKET_SECONDS)
+            await anyio.sleep(2 * WINDOW_SECONDS - BUCKET_SECONDS)
             assert budget.remaining < 1.0
             await anyio.sleep(2 * BUCKET_SECONDS)
             assert budget.remaining >= 1.0
@@ -284,7 +284,7 @@
             with contextlib.closing(budget.track_sends()) as tracker:
                 assert tracker.reserve()
                 tracker.note_sent()
-            await anyio.sleep(2 * WINDOW - BUCKET_SECONDS)
+            await anyio.sleep(2 * WINDOW_SECONDS - BUCKET_SECONDS)
             assert budget.remaining < 1.0
 
         virtual.run(body)
@@ -362,7 +362,7 @@
 )
 
 
-class Service:
+class Entries:
     """Entries that send a service all repeats that their budgets allow."""
 
     def __init__(self, count: int) -> None:
@@ -373,7 +373,7 @@
         self._number = 0
         self.account = repeats.RepeatAccount()
 
-    async def take(self, step: Step, tasks: anyio.abc.TaskGroup) -> None:
+    async def execute(self, step: Step, tasks: anyio.abc.TaskGroup) -> None:
         """Execute one step."""
         await anyio.sleep(step.pause)
         at = step.entry % len(self._budgets)
@@ -415,12 +415,12 @@
         self, count: int, plan: list[Step]
     ) -> None:
         async def body() -> repeats.Peak:
-            service = Service(count)
+            entries = Entries(count)
             async with anyio.create_task_group() as tasks:
                 for step in plan:
-                    await service.take(step, tasks)
-            allowance = repeats.Allowance(RATIO, SLACK, WINDOW)
-            return service.account.peak(allowance)
+                    await entries.execute(step, tasks)
+            allowance = repeats.Allowance(RATIO, SLACK, WINDOW_SECONDS)
+            return entries.account.peak(allowance)
 
         peak = virtual.run(body)
         assert not peak.is_over, peak
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -7,7 +7,7 @@
 
 Twice as many requests arrive as the limits allow. At least three quarters of
 the limits must be used, however callers are spread over entries, and no
-instance may receive more than its limit bounds.
+instance may receive more requests in a window than ``BOUND``.
 """
 
 import collections
@@ -25,12 +25,12 @@
 from tests import virtual
 
 INSTANCES = 8
-LIMIT = 3.2
+LIMIT_PER_SECOND = 3.2
 DEMAND_FACTOR = 2.0
 MIN_SERVED_SHARE = 0.75
 # Requests that an instance may receive in any window, from COUNTED_FROM on.
 WINDOW_SECONDS = 4.0
-BOUND = 1.5 * WINDOW_SECONDS * LIMIT + 5.0
+BOUND = 1.5 * WINDOW_SECONDS * LIMIT_PER_SECOND + 5.0
 ANNOUNCED_AT = 5.0
 COUNTED_FROM = 8.0
 SIMULATED_SECONDS = 60.0
@@ -61,7 +61,7 @@
     entries: list[_Entry]
     weights: list[float]
     seconds: float
-    tells_load: bool
+    reports_load: bool
     rng: random.Random
     upstreams: list[chain.Upstream]
     received: dict[str, list[float]]
@@ -80,7 +80,7 @@
 
     def _arrive(self) -> None:
         now = anyio.current_time()
-        rate = DEMAND_FACTOR * LIMIT * INSTANCES
+        rate = DEMAND_FACTOR * LIMIT_PER_SECOND * INSTANCES
         self._at(now + self.rng.expovariate(rate), self._arrive)
         (entry,) = self.rng.choices(self.entries, self.weights)
         free = [one for one in self.upstreams if entry.limits.allows(one)]
@@ -107,13 +107,13 @@
     def _answer(self, entry: _Entry, upstream: chain.Upstream) -> None:
         if anyio.current_time() >= ANNOUNCED_AT:
             load = sum(one.own_requests(upstream) for one in self.entries)
-            reported = load if self.tells_load else None
-            entry.limits.note(upstream, LIMIT, reported)
+            reported = load if self.reports_load else None
+            entry.limits.note(upstream, LIMIT_PER_SECOND, reported)
             entry.learned_at.setdefault(upstream.name, anyio.current_time())
 
 
 def simulate(
-    entries: int, spread: str, seconds: float, tells_load: bool
+    entries: int, spread: str, seconds: float, reports_load: bool
 ) -> _Service:
     """Simulate a service and return it."""
     rng = random.Random(1)
@@ -134,7 +134,7 @@
         [_Entry(entries, random.Random(n)) for n in range(entries)],
         [busiest, *[rest] * (entries - 1)],
         seconds,
-        tells_load,
+        reports_load,
         rng,
         upstreams,
         {one.name: [] for one in upstreams},
@@ -148,7 +148,7 @@
 class TestLimits:
     """Limits that all instances of a service announce are used and kept."""
 
-    @pytest.mark.parametrize("tells_load", [True, False])
+    @pytest.mark.parametrize("reports_load", [True, False])
     @pytest.mark.parametrize(
         "seconds", [SHORT_CALL_SECONDS, LONG_CALL_SECONDS]
     )
@@ -163,14 +163,16 @@
         ],
     )
     def test_are_used(
-        self, entries: int, spread: str, seconds: float, tells_load: bool
+        self, entries: int, spread: str, seconds: float, reports_load: bool
     ) -> None:
-        service = simulate(entries, spread, seconds, tells_load)
+        service = simulate(entries, spread, seconds, reports_load)
         served = sum(len(times) for times in service.received.values())
-        allowed = LIMIT * INSTANCES * (SIMULATED_SECONDS - COUNTED_FROM)
+        allowed = (
+            LIMIT_PER_SECOND * INSTANCES * (SIMULATED_SECONDS - COUNTED_FROM)
+        )
         assert served >= MIN_SERVED_SHARE * allowed, f"{served / allowed:.2f}"
 
-    @pytest.mark.parametrize("tells_load", [True, False])
+    @pytest.mark.parametrize("reports_load", [True, False])
     @pytest.mark.parametrize(
         "seconds", [SHORT_CALL_SECONDS, LONG_CALL_SECONDS]
     )
@@ -185,9 +187,9 @@
         ],
     )
     def test_are_kept(
-        self, entries: int, spread: str, seconds: float, tells_load: bool
+        self, entries: int, spread: str, seconds: float, reports_load: bool
     ) -> None:
-        service = simulate(entries, spread, seconds, tells_load)
+        service = simulate(entries, spread, seconds, reports_load)
         for times in service.bounded.values():
             first = 0
             for last, at in enumerate(times):
