--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -18,8 +18,8 @@
 from crowdeck import pipeline
 
 
-class Binding(enum.StrEnum):
-    """The resource that limits a bound."""
+class LimitingResource(enum.StrEnum):
+    """The resource that limits throughput."""
 
     MISSING = "layers that no engine holds"
     MEMORY = "memory for requests"
@@ -41,14 +41,14 @@
     concurrent_requests: float
     answer_seconds: float
     per_second: float
-    binding: Binding
+    binding: LimitingResource
     bottleneck: pipeline.LayerRange
 
 
 LayerCapacity = typing.Callable[[chain.Upstream, pipeline.LayerRange], float]
 
 
-def bound(
+def compute_bound(
     engines: typing.Iterable[chain.Upstream], profile: chain.EngineProfile
 ) -> Bound:
     """Return the bound of the engines of one model."""
@@ -71,9 +71,13 @@
         rate = profile.prefill_tokens_per_second / factor / layer_share
         return rate / max(1.0, profile.mean_prompt_tokens)
 
-    memory, at_memory = _find_bottleneck(holders, profile, request_capacity)
+    memory, memory_bottleneck = _find_bottleneck(
+        holders, profile, request_capacity
+    )
     if memory <= 0.0:
-        return Bound(0.0, 0.0, 0.0, Binding.MISSING, at_memory)
+        return Bound(
+            0.0, 0.0, 0.0, LimitingResource.MISSING, memory_bottleneck
+        )
     slots = float(
         sum(
             one.slots for one in holders if one.layers and not one.layers.first
@@ -81,19 +85,25 @@
     )
     concurrent_requests, binding, bottleneck = (
         memory,
-        Binding.MEMORY,
-        at_memory,
+        LimitingResource.MEMORY,
+        memory_bottleneck,
     )
     if slots < memory:
-        concurrent_requests, binding = slots, Binding.SLOTS
+        concurrent_requests, binding = slots, LimitingResource.SLOTS
         bottleneck = pipeline.LayerRange(0, 1)
     seconds = _answer_seconds(
         holders, profile, concurrent_requests, mean_tokens
     )
     per_second = concurrent_requests / seconds
-    prefill, at_prefill = _find_bottleneck(holders, profile, prefill_rate)
+    prefill, prefill_bottleneck = _find_bottleneck(
+        holders, profile, prefill_rate
+    )
     if prefill < per_second:
-        per_second, binding, bottleneck = prefill, Binding.PREFILL, at_prefill
+        per_second, binding, bottleneck = (
+            prefill,
+            LimitingResource.PREFILL,
+            prefill_bottleneck,
+        )
     return Bound(concurrent_requests, seconds, per_second, binding, bottleneck)
 
 
@@ -102,7 +112,7 @@
     profile: chain.EngineProfile,
     capacity_of: LayerCapacity,
 ) -> tuple[float, pipeline.LayerRange]:
-    """Return the least capacity of any layer, and the first such layers."""
+    """Return the least capacity of a layer and the first range that has it."""
     capacities = [0.0] * profile.layer_count
     for engine in engines:
         assert engine.layers is not None
@@ -122,13 +132,13 @@
     concurrent_requests: float,
     mean_tokens: float,
 ) -> float:
-    """Return how long the tokens of a mean answer take.
+    """Return the seconds that an answer of mean length takes.
 
     The requests of a layer are spread evenly over its engines. Transfers
     between stages are left out, which keeps the result a bound.
     """
-    context = profile.context_ms * mean_tokens / 1000.0
-    total = 0.0
+    context_cost_ms = profile.context_ms * mean_tokens / 1000.0
+    token_ms = 0.0
     for layer in range(profile.layer_count):
         holders = [
             one
@@ -137,12 +147,16 @@
             and one.layers.first <= layer < one.layers.end
         ]
         batch_size = concurrent_requests / len(holders)
-        step = profile.step_ms + batch_size * (profile.sequence_ms + context)
+        batch_ms = profile.step_ms + batch_size * (
+            profile.sequence_ms + context_cost_ms
+        )
         factors = [
             _accelerator_type(one, profile).step_factor for one in holders
         ]
-        total += step * sum(factors) / len(factors) / profile.layer_count
-    return max(1e-3, total * max(1.0, profile.mean_answer_tokens) / 1000.0)
+        token_ms += (
+            batch_ms * sum(factors) / len(factors) / profile.layer_count
+        )
+    return max(1e-3, token_ms * max(1.0, profile.mean_answer_tokens) / 1000.0)
 
 
 def _accelerator_type(
--- a/src/crowdeck/routing/routes.py
+++ b/src/crowdeck/routing/routes.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Admitted:
+class AdmittedRequest:
     """The route, team and priority of one request.
 
     :ivar team: name of the team, empty on a route that needs no key.
@@ -60,7 +60,7 @@
                 return route
         return None
 
-    def admit(self, host: str, path: str, key: str) -> Admitted:
+    def admit(self, host: str, path: str, key: str) -> AdmittedRequest:
         """Return the route, team and priority of a request.
 
         :param host: host name without a port, in lower case.
@@ -77,18 +77,18 @@
         needs_key = bool(self._config.teams) and not route.is_anonymous
         if needs_key and team is None:
             raise errors.CrowdeckError(
-                errors.Code.UNAUTHORIZED, "send a key that a team holds"
+                errors.Code.UNAUTHORIZED, "the API key is missing or unknown"
             )
         priority = route.priority
         if team is not None and team.priority is not None:
             priority = team.priority
         name = team.name if team is not None else ""
-        return Admitted(route, name, priority, self.version)
+        return AdmittedRequest(route, name, priority, self.version)
 
 
-def pick_service(route: routes.Route, rng: random.Random) -> str:
+def pick_service(route: routes.Route, randomness: random.Random) -> str:
     """Draw a service by the route's traffic shares."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
-    return rng.choices(route.shares, weights)[0].service
+    return randomness.choices(route.shares, weights)[0].service
