--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -70,7 +70,7 @@
 
 
 @attrs.frozen
-class Window:
+class ScoredRange:
     """A range of layers for one engine, and its gain in the score."""
 
     layers: pipeline.LayerRange
@@ -126,9 +126,9 @@
 
     def best_window(
         self, engine: chain.Upstream, most_layers: int
-    ) -> Window | None:
+    ) -> ScoredRange | None:
         """Return the range for an engine that improves the score most."""
-        best: Window | None = None
+        best: ScoredRange | None = None
         for count in range(
             1, min(most_layers, len(self._capacities_by_layer)) + 1
         ):
@@ -136,7 +136,7 @@
             first, gain = _best_run(gains, count)
             if best is None or gain > best.gain + 1e-9:
                 layers = pipeline.LayerRange(first, first + count)
-                best = Window(layers, gain)
+                best = ScoredRange(layers, gain)
         return best
 
     def _capacity(self, engine: chain.Upstream, count: int) -> float:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -94,7 +94,7 @@
 
         def count_searches(
             rooms: capacity.LayerCapacity, engine: chain.Upstream, most: int
-        ) -> capacity.Window | None:
+        ) -> capacity.ScoredRange | None:
             nonlocal searches
             searches += 1
             return best_window(rooms, engine, most)
