--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -124,7 +124,7 @@
             capacities.remove(token_capacity)
             self._capacities_by_layer[layer] = tuple(capacities)
 
-    def best_window(
+    def best_range(
         self, engine: chain.Upstream, most_layers: int
     ) -> ScoredRange | None:
         """Return the range for an engine that improves the score most."""
--- a/src/crowdeck/placement/initial_layout.py
+++ b/src/crowdeck/placement/initial_layout.py
@@ -124,7 +124,7 @@
             if held is not None:
                 layer_capacity.drop(engine, held)
             max_layers = self._layer_limit(engine, self._min_capacity)
-            window = layer_capacity.best_window(engine, max_layers)
+            window = layer_capacity.best_range(engine, max_layers)
             if window is None:
                 continue
             layer_capacity.add(engine, window.layers)
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -351,11 +351,11 @@
         the range within the tier is taken.
         """
         max_layers = most_layers(engine, self._profile)
-        anywhere = self._capacity.best_window(engine, max_layers)
+        anywhere = self._capacity.best_range(engine, max_layers)
         tier = self._tier(engine)
         if anywhere is None or tier is None or self._capacity.has_gap:
             return anywhere.layers if anywhere else None
-        in_tier = tier.best_window(engine, max_layers)
+        in_tier = tier.best_range(engine, max_layers)
         if in_tier is None or not self._is_small:
             return (in_tier or anywhere).layers
         return min(
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -90,14 +90,14 @@
         # The search blocks the event loop, so its time must not grow with the
         # square of the engines, nor with the layers that each can hold.
         searches = 0
-        best_window = capacity.LayerCapacity.best_window
+        best_range = capacity.LayerCapacity.best_range
 
         def count_searches(
             rooms: capacity.LayerCapacity, engine: chain.Upstream, most: int
         ) -> capacity.ScoredRange | None:
             nonlocal searches
             searches += 1
-            return best_window(rooms, engine, most)
+            return best_range(rooms, engine, most)
 
         monkeypatch.setattr(
             capacity.LayerCapacity, "best_window", count_searches
@@ -115,7 +115,7 @@
         rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
         rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 30))
         rooms.add(an_engine(1, "wide"), pipeline.LayerRange(36, 80))
-        window = rooms.best_window(an_engine(2, "narrow"), 8)
+        window = rooms.best_range(an_engine(2, "narrow"), 8)
         assert window is not None
         assert window.layers.first <= 30
         assert window.layers.end >= 36
@@ -126,7 +126,7 @@
         rooms.add(an_engine(1, "wide"), pipeline.LayerRange(40, 80))
         rooms.add(an_engine(2, "middle"), pipeline.LayerRange(0, 10))
         rooms.add(an_engine(3, "middle"), pipeline.LayerRange(70, 80))
-        window = rooms.best_window(an_engine(4, "middle"), 12)
+        window = rooms.best_range(an_engine(4, "middle"), 12)
         assert window is not None
         assert window.layers.first >= 10
         assert window.layers.end <= 70
