--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -231,7 +231,7 @@
         )
         steps = await _run_in_parts(parts)
         if steps and await self._order_rearrangement(steps):
-            delay.note_round(anyio.current_time())
+            delay.note_rearrangement(anyio.current_time())
             logs.change(
                 "layers_rearranged",
                 service=service.name,
--- a/src/crowdeck/placement/rearrangement_delay.py
+++ b/src/crowdeck/placement/rearrangement_delay.py
@@ -65,6 +65,6 @@
         self._missing = frozenset()
         self.due = float("-inf")
 
-    def note_round(self, now: float) -> None:
+    def note_rearrangement(self, now: float) -> None:
         """Note that a rearrangement was ordered."""
         self._rounds.append(now)
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -771,7 +771,7 @@
         while now < 4 * rearrangement_delay.WINDOW_SECONDS:
             now += 0.5
             if known.is_expired(now, is_told, (7,)):
-                known.note_round(now)
+                known.note_rearrangement(now)
                 known.reset()
                 rounds.append(now)
         for first in rounds:
