--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -632,7 +632,7 @@
                 )
                 await anyio.sleep(12.0)
                 assert simulation.is_whole
-            assert rounds <= rearrangement_delay.MAX_ROUNDS_PER_HOUR
+            assert rounds <= rearrangement_delay.MAX_REARRANGEMENTS_PER_HOUR
 
         run_with_orders(work)
 
@@ -780,7 +780,9 @@
                 for at in rounds
                 if first <= at < first + rearrangement_delay.WINDOW_SECONDS
             ]
-            assert len(within) <= rearrangement_delay.MAX_ROUNDS_PER_HOUR
+            assert (
+                len(within) <= rearrangement_delay.MAX_REARRANGEMENTS_PER_HOUR
+            )
         assert rounds[-1] > 3 * rearrangement_delay.WINDOW_SECONDS
 
 
