--- a/src/crowdeck/placement/rearrangement.py
+++ b/src/crowdeck/placement/rearrangement.py
@@ -80,7 +80,7 @@
         if one.name in layout
     ]
     guaranteed_layers = {one.name: one.layers for one in guaranteed}
-    return _order_steps(moves, _Handover(engines, layout, guaranteed_layers))
+    return _sort_steps(moves, _Handover(engines, layout, guaranteed_layers))
 
 
 def _member(
@@ -165,7 +165,7 @@
         return frozenset(names)
 
 
-def _order_steps(moves: list[plan.Move], handover: _Handover) -> list[Step]:
+def _sort_steps(moves: list[plan.Move], handover: _Handover) -> list[Step]:
     """Return the possible steps, takers of a layer before its givers.
 
     Steps that wait for one another, as in an exchange of layers, come last and
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -471,7 +471,7 @@
             second.name: pipeline.LayerRange(0, 20),
         }
         guaranteed = {one.name: one.layers for one in engines}
-        steps = rearrangement._order_steps(
+        steps = rearrangement._sort_steps(
             [plan.Move(one, layout[one.name]) for one in engines],
             rearrangement._Handover(engines, layout, guaranteed),
         )
@@ -491,7 +491,7 @@
         guaranteed = {
             one.name: one.layers for one in engines if one.name != "e4"
         }
-        steps = rearrangement._order_steps(
+        steps = rearrangement._sort_steps(
             [
                 plan.Move(one, layout[one.name])
                 for one in engines
