--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -337,7 +337,7 @@
             ordered = system.fleet.upstreams[0]
             system.registry.back_off(ordered.listed.name, 8.0)
             duty = controllers.PlacementController(
-                typing.cast(leases.Lease, test_placement._Lease()),
+                typing.cast(leases.Lease, test_placement.FakeLease()),
                 system.registry,
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -111,7 +111,7 @@
         async def body() -> None:
             system = fleet_system.FleetSystem()
             controller = controllers.PlacementController(
-                typing.cast(leases.Lease, test_placement._Lease()),
+                typing.cast(leases.Lease, test_placement.FakeLease()),
                 system.registry,
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
@@ -175,7 +175,7 @@
         async def body() -> None:
             system = fleet_system.FleetSystem()
             controller = controllers.PlacementController(
-                typing.cast(leases.Lease, test_placement._Lease()),
+                typing.cast(leases.Lease, test_placement.FakeLease()),
                 system.registry,
                 SlowOrderClient(system.fleet),
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -352,7 +352,7 @@
         )
 
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             longest = 0.0
             seen = anyio.current_time()
@@ -366,7 +366,7 @@
         run_with_controller(work, count=120)
 
 
-class _Lease:
+class FakeLease:
     """A lease that a test grants."""
 
     def __init__(self) -> None:
@@ -380,13 +380,13 @@
 
 def run_with_controller(
     work: typing.Callable[
-        [fleet_system.FleetSystem, _Lease], typing.Awaitable[None]
+        [fleet_system.FleetSystem, FakeLease], typing.Awaitable[None]
     ],
     count: int = 5,
 ) -> None:
     async def body() -> None:
         system = fleet_system.FleetSystem()
-        lease = _Lease()
+        lease = FakeLease()
         listed = (
             routes.Service(fleet_system.MODEL, 100, PROFILE),
             # The plan of a second model must not disturb the first one.
@@ -423,7 +423,7 @@
 
     def test_first_plan_waits_until_the_fleet_is_listed(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(0.6)
             system.add(fleet_system.upstream("late", "plateau", None, "large"))
@@ -442,7 +442,7 @@
 
     def test_without_the_lease_nothing_is_ordered(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             lease.is_held = False
             await anyio.sleep(5.0)
@@ -455,7 +455,7 @@
 
     def test_restarted_engine_gets_layers_again(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -473,7 +473,7 @@
 
     def test_new_engine_gets_layers_after_the_delay(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -488,7 +488,7 @@
 
     def test_new_engine_takes_the_layers_of_one_that_leaves(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -517,7 +517,7 @@
 
     def test_late_order_is_refused(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -532,7 +532,7 @@
 
     def test_redundant_engine_replaces_a_lost_one(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -550,7 +550,7 @@
         self,
     ) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             place = system.fleet.place
             lost = 1
@@ -584,7 +584,7 @@
         listed = fleet_system.upstream("b", "plateau", (0, 24), "large")
         system.add(listed)
         controller = controllers.PlacementController(
-            typing.cast(leases.Lease, _Lease()),
+            typing.cast(leases.Lease, FakeLease()),
             system.registry,
             system.fleet,
             lambda: (),
@@ -595,7 +595,7 @@
 
     def test_next_controller_does_not_rely_on_orders_in_doubt(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             lease.memo = ("b@0",)
             # Their memory is full, so none of them can grow into the gap.
@@ -618,7 +618,7 @@
 
     def test_neighbours_grow_while_another_order_is_in_doubt(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             lease.memo = ("b@0",)
             wide = ("plateau", (0, 24), "large")
@@ -649,7 +649,7 @@
         # Only one of them failed a request. The others must be probed before
         # their entries expire.
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -665,7 +665,7 @@
     def test_a_fleet_that_is_silent_as_a_whole_is_not_lost(self) -> None:
         # The network of this process is the likely cause.
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
@@ -686,7 +686,7 @@
 
     def test_one_failed_request_moves_nothing(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
             tell_all(system)
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -99,7 +99,7 @@
             )
         )
         self.system.fleet.load_seconds = profile.load_seconds
-        self.lease = test_placement._Lease()
+        self.lease = test_placement.FakeLease()
         for one in engines:
             self.system.add(one)
 
