--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -122,7 +122,7 @@
                     system.add(one)
                 tasks.start_soon(controller.run)
                 await anyio.sleep(controllers.LIST_QUIET_SECONDS + 1.0)
-                test_placement.tell_all(system)
+                test_placement.deliver_heartbeats(system)
                 counted = _count_coverage(monkeypatch)
                 for one in fleet[HELD:]:
                     system.add(one)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -410,7 +410,7 @@
     virtual.run(body)
 
 
-def tell_all(system: fleet_system.FleetSystem) -> None:
+def deliver_heartbeats(system: fleet_system.FleetSystem) -> None:
     """List every engine with the layers it holds, as heartbeats do."""
     for one in list(system.listed.values()):
         target = system.fleet.at(one.address)
@@ -458,13 +458,13 @@
             system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(0.1)
             one = system.listed["e1"]
             target = system.fleet.at(one.address)
             target.listed = attrs.evolve(target.listed, layers=None)
             target.orders_taken = 0
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 1.0)
             assert target.orders_taken == 1
             assert target.listed.layers is not None
@@ -476,7 +476,7 @@
             system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(0.1)
             new = system.add(
                 fleet_system.upstream("new", "plateau", None, "large")
@@ -491,7 +491,7 @@
             system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(0.1)
             new = system.add(
                 fleet_system.upstream("new", "plateau", None, "large")
@@ -520,7 +520,7 @@
             system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             target = system.fleet.at(system.listed["e1"].address)
             assert target.orders_taken == 1
             late = plan.Move(target.listed, pipeline.LayerRange(0, 3))
@@ -535,11 +535,11 @@
             system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             system.fleet.at(system.listed["e0"].address).is_dead = True
             system.registry.avoid("e0", "refused")
             await anyio.sleep(1.5)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(0.1)
             live = [one for one in system.listed.values() if one.name != "e0"]
             assert min(chain.coverage(live, PROFILE.layer_count)) >= 1
@@ -571,7 +571,7 @@
                 while not lease.memo:
                     await anyio.sleep(0.01)
             assert lease.memo == ("e0@0",)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 2.0)
             # A newer order with the same count makes the late one invalid.
             assert system.fleet.at(system.listed["e0"].address).orders_taken
@@ -631,7 +631,7 @@
                 system.add(one)
             moved = system.fleet.at(system.listed["a"].address)
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             counts = chain.coverage(
                 system.listed.values(), PROFILE.layer_count
             )
@@ -652,7 +652,7 @@
             system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             lost = {"e0", "e1", "e2"}
             for name in lost:
                 system.fleet.at(system.listed[name].address).is_dead = True
@@ -668,7 +668,7 @@
             system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             for one in list(system.listed.values()):
                 system.fleet.at(one.address).is_unresponsive = True
             system.registry.avoid("e0", "refused")
@@ -689,7 +689,7 @@
             system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(0.1)
             system.registry.avoid("e0", "a connection broke")
             await anyio.sleep(2.0)
