--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -23,7 +23,7 @@
 NEED_SHARE = 0.5
 # Probability that an engine is unavailable: lost, being replaced or loading.
 LOSS_PROBABILITY = 0.1
-# Share of requests taken for served where a layer has no capacity, as another
+# Share of requests counted as served where a layer has no capacity, as another
 # availability zone may serve them. Bounds the penalty for having none.
 MIN_SERVED_SHARE = 0.02
 # Outweighs every other term: a model with an unheld layer serves nothing.
@@ -31,29 +31,29 @@
 # Resolution and range of the score table. The capacity of a layer is given in
 # multiples of the need; beyond the range more capacity gains nothing.
 _STEPS_PER_NEED = 32
-_MAX_NEEDS = 12
+_MAX_RELATIVE_CAPACITY = 12
 # Bound on cached layer scores; they take a few MB.
 _MAX_CACHED_SCORES = 20_000
 
 
-def _score(capacity_in_needs: float) -> float:
-    """Return the score of capacity for so many times the need.
+def _score(relative_capacity: float) -> float:
+    """Return the score of a capacity in multiples of the need.
 
     This is the logarithm of the share of requests that find capacity. A
     request needs it at every layer, so the shares multiply.
     """
-    return math.log(MIN_SERVED_SHARE + 1.0 - math.exp(-capacity_in_needs))
+    return math.log(MIN_SERVED_SHARE + 1.0 - math.exp(-relative_capacity))
 
 
 _SCORES = tuple(
     _score(step / _STEPS_PER_NEED)
-    for step in range(_STEPS_PER_NEED * _MAX_NEEDS + 1)
+    for step in range(_STEPS_PER_NEED * _MAX_RELATIVE_CAPACITY + 1)
 )
 
 
-def _lookup_score(capacity_in_needs: float) -> float:
+def _lookup_score(relative_capacity: float) -> float:
     return _SCORES[
-        min(int(capacity_in_needs * _STEPS_PER_NEED + 0.5), len(_SCORES) - 1)
+        min(int(relative_capacity * _STEPS_PER_NEED + 0.5), len(_SCORES) - 1)
     ]
 
 
@@ -107,21 +107,21 @@
 
     def add(self, engine: chain.Upstream, layers: pipeline.LayerRange) -> None:
         """Add the capacity of an engine that holds ``layers``."""
-        token_capacity = self._capacity(engine, layers.end - layers.first)
+        relative_capacity = self._capacity(engine, layers.end - layers.first)
         for layer in range(layers.first, layers.end):
             self._capacities_by_layer[layer] = (
                 *self._capacities_by_layer[layer],
-                token_capacity,
+                relative_capacity,
             )
 
     def drop(
         self, engine: chain.Upstream, layers: pipeline.LayerRange
     ) -> None:
         """Remove the capacity that :meth:`add` added."""
-        token_capacity = self._capacity(engine, layers.end - layers.first)
+        relative_capacity = self._capacity(engine, layers.end - layers.first)
         for layer in range(layers.first, layers.end):
             capacities = list(self._capacities_by_layer[layer])
-            capacities.remove(token_capacity)
+            capacities.remove(relative_capacity)
             self._capacities_by_layer[layer] = tuple(capacities)
 
     def best_range(
@@ -140,20 +140,23 @@
         return best
 
     def _capacity(self, engine: chain.Upstream, count: int) -> float:
-        """Return an engine's capacity with so many layers, in needs."""
-        token_capacity = (
+        """Return an engine's relative capacity with ``count`` layers.
+
+        This is its token capacity in multiples of the need, up to a maximum.
+        """
+        relative_capacity = (
             self._profile.token_capacity(engine.card, count) / self._need
         )
-        return min(max(0.0, token_capacity), float(_MAX_NEEDS))
+        return min(max(0.0, relative_capacity), float(_MAX_RELATIVE_CAPACITY))
 
-    def _gains(self, token_capacity: float) -> list[float]:
-        """Return the gain at each layer of an engine with such capacity."""
+    def _gains(self, relative_capacity: float) -> list[float]:
+        """Return the gain at each layer of an engine with this capacity."""
         known_gains: dict[tuple[float, ...], float] = {}
         gains = []
         for capacities in self._capacities_by_layer:
             gain = known_gains.get(capacities)
             if gain is None:
-                gain = self._layer_score((*capacities, token_capacity))
+                gain = self._layer_score((*capacities, relative_capacity))
                 gain -= self._layer_score(capacities)
                 known_gains[capacities] = gain
             gains.append(gain)
@@ -173,15 +176,15 @@
 
     This is the expected score when at most one holder is unavailable.
 
-    :param capacities: capacity of each holder, in needs.
+    :param capacities: capacity of each holder, in multiples of the need.
     """
     if not capacities:
         return UNHELD_LAYER_SCORE
     total = sum(capacities)
     losses = LOSS_PROBABILITY * len(capacities)
     score = max(0.0, 1.0 - losses) * _lookup_score(total)
-    for token_capacity in capacities:
-        score += LOSS_PROBABILITY * _lookup_score(total - token_capacity)
+    for relative_capacity in capacities:
+        score += LOSS_PROBABILITY * _lookup_score(total - relative_capacity)
     return score
 
 
--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -72,7 +72,7 @@
 
 
 class _Outcome(enum.Enum):
-    """How far an order came."""
+    """Result of an attempt to send an order."""
 
     NOT_SENT = "not sent"
     SENT = "sent"
@@ -128,7 +128,7 @@
         self._services = services
         self._pending: dict[str, _Pending] = {}
         self._in_doubt: dict[str, _InDoubtOrder] = {}
-        self._term = 0
+        self._adopted_term = 0
         self._failure_detector = failure_detector.FailureDetector(
             registry, orders, services
         )
@@ -219,15 +219,19 @@
         if not missing or len(missing) == profile.layer_count:
             delay.reset()
             return
-        is_told = self._are_leaving(service.name, missing)
+        is_announced = self._are_leaving(service.name, missing)
         if (
-            not delay.is_expired(now, is_told, missing)
+            not delay.is_expired(now, is_announced, missing)
             or not self._lease.is_held
         ):
             return
         guaranteed = [self._guaranteed(one) for one in engines]
         parts = rearrangement.find_steps(
-            engines, profile, self._can_be_ordered, guaranteed, not is_told
+            engines,
+            profile,
+            self._can_be_ordered,
+            guaranteed,
+            not is_announced,
         )
         steps = await _run_in_parts(parts)
         if steps and await self._order_rearrangement(steps):
@@ -238,7 +242,7 @@
                 missing=len(missing),
                 engines=len(steps),
                 term=self._lease.term,
-                is_told=is_told,
+                is_told=is_announced,
             )
 
     def _are_leaving(self, service: str, missing: list[int]) -> bool:
@@ -250,8 +254,8 @@
         return not left
 
     def _can_be_ordered(self, upstream: chain.Upstream) -> bool:
-        resting = self._registry.backoff_seconds_left(upstream.name)
-        return self._is_idle(upstream) and not resting
+        backoff_seconds = self._registry.backoff_seconds_left(upstream.name)
+        return self._is_idle(upstream) and not backoff_seconds
 
     async def _order_rearrangement(
         self, steps: list[rearrangement.Step]
@@ -262,7 +266,9 @@
         theirs.
         """
         limiter = anyio.CapacityLimiter(MAX_CONCURRENT_ORDERS)
-        is_done = {step.move.upstream.name: anyio.Event() for step in steps}
+        done_events = {
+            step.move.upstream.name: anyio.Event() for step in steps
+        }
         accepted: set[str] = set()
         sent: set[str] = set()
 
@@ -270,7 +276,7 @@
             name = step.move.upstream.name
             try:
                 for other in step.after:
-                    await is_done[other].wait()
+                    await done_events[other].wait()
                 if not step.after <= accepted:
                     # The next reconciliation plans again.
                     return
@@ -280,7 +286,7 @@
                 if outcome is _Outcome.TAKEN:
                     accepted.add(name)
             finally:
-                is_done[name].set()
+                done_events[name].set()
 
         async with anyio.create_task_group() as tasks:
             for step in steps:
@@ -358,16 +364,16 @@
 
     def _adopt_in_doubt(self) -> None:
         """Take over the previous holder's orders in doubt, once per term."""
-        if self._lease.term == self._term:
+        if self._lease.term == self._adopted_term:
             return
-        self._term = self._lease.term
+        self._adopted_term = self._lease.term
         until = anyio.current_time() + LATE_ORDER_SECONDS
         for note in self._lease.memo:
             name, _, count = note.rpartition("@")
             if name and name not in self._in_doubt:
                 self._in_doubt[name] = _InDoubtOrder(int(count), until)
 
-    def _note_in_doubt(self) -> None:
+    def _store_in_doubt(self) -> None:
         self._lease.set_memo(
             tuple(
                 f"{name}@{order.expected}"
@@ -387,11 +393,11 @@
             )
             if is_done or pending.until <= now:
                 del self._pending[name]
-        over = [n for n, one in self._in_doubt.items() if one.until <= now]
-        for name in over:
+        expired = [n for n, one in self._in_doubt.items() if one.until <= now]
+        for name in expired:
             del self._in_doubt[name]
-        if over:
-            self._note_in_doubt()
+        if expired:
+            self._store_in_doubt()
 
     async def _order_limited(
         self, move: plan.Move, limiter: anyio.CapacityLimiter
@@ -413,8 +419,8 @@
             self._registry.avoid(name, f"no report: {error.message}")
             return _Outcome.NOT_SENT
         if report.is_busy or report.layers != move.upstream.layers:
-            # It is carrying out another order, or its entry is outdated. Plan
-            # again from its report.
+            # It is carrying out another order, or its listing is outdated.
+            # Plan again from its report.
             self._expect_reported(move.upstream, report)
             return _Outcome.NOT_SENT
         if not self._lease.is_held:
@@ -448,7 +454,7 @@
     def _mark_in_doubt(self, name: str, expected: int, reason: str) -> None:
         until = anyio.current_time() + LATE_ORDER_SECONDS
         self._in_doubt[name] = _InDoubtOrder(expected, until)
-        self._note_in_doubt()
+        self._store_in_doubt()
         logs.change(
             "order_in_doubt",
             upstream=name,
@@ -462,7 +468,7 @@
         order = self._in_doubt.get(name)
         if order is not None and orders_taken > order.expected:
             del self._in_doubt[name]
-            self._note_in_doubt()
+            self._store_in_doubt()
 
     def _expect(self, move: plan.Move, seconds: float) -> None:
         self._pending[move.upstream.name] = _Pending(
--- a/src/crowdeck/placement/exposure.py
+++ b/src/crowdeck/placement/exposure.py
@@ -21,11 +21,12 @@
     profile: chain.EngineProfile,
     need: float,
 ) -> float:
-    """Return the mean of milliseconds per token times engines on the path.
+    """Return the mean product of milliseconds per token and path length.
 
-    Paths are filled in the order in which routing prefers them, fastest first,
-    until they hold ``need`` tokens. The result is infinite if they cannot.
-    Crossings between availability zones cost nothing here.
+    The length of a path is its number of engines. Paths are filled in the
+    order in which routing prefers them, fastest first, until they hold
+    ``need`` tokens. The result is infinite if they cannot. Crossings between
+    availability zones cost nothing here.
     """
     free_tokens = {
         one.name: min(_token_capacity(one, profile), need)
--- a/src/crowdeck/placement/initial_layout.py
+++ b/src/crowdeck/placement/initial_layout.py
@@ -16,14 +16,14 @@
 # copies with more free memory. Each start is improved; the best one is taken.
 START_CAPACITY_FACTORS = (0.0, 0.5, 1.0, 2.0, 4.0)
 # Passes over all engines that improve a starting layout.
-MAX_SWEEPS = 4
+MAX_PASSES = 4
 # Larger groups get one start and one pass: the search time grows with the
 # square of the number of engines, and the search blocks the event loop.
 MAX_SEARCHED_ENGINES = 24
 # Bound on the layers that all engines may hold in total, for the same reason.
 MAX_SEARCHED_LAYERS = 500
 LARGE_START_CAPACITY_FACTORS = (1.0,)
-LARGE_MAX_SWEEPS = 1
+LARGE_MAX_PASSES = 1
 
 Layout = dict[str, pipeline.LayerRange]
 LayerLimit = typing.Callable[[chain.Upstream, float], int]
@@ -67,12 +67,12 @@
             if is_large
             else START_CAPACITY_FACTORS
         )
-        sweeps = LARGE_MAX_SWEEPS if is_large else MAX_SWEEPS
+        passes = LARGE_MAX_PASSES if is_large else MAX_PASSES
         best: Layout = {}
         best_score = float("-inf")
         for start in starts:
             layout = self._start_layout(ordered, start * self._need)
-            score = self._improve(ordered, layout, sweeps)
+            score = self._improve(ordered, layout, passes)
             if score > best_score + 1e-9:
                 best, best_score = layout, score
         return best
@@ -96,7 +96,7 @@
         return layout
 
     def _improve(
-        self, engines: list[chain.Upstream], layout: Layout, sweeps: int
+        self, engines: list[chain.Upstream], layout: Layout, passes: int
     ) -> float:
         """Move each engine in turn to the range that improves the score most.
 
@@ -106,12 +106,12 @@
         for engine in engines:
             if engine.name in layout:
                 layer_capacity.add(engine, layout[engine.name])
-        for _ in range(sweeps):
-            if not self._sweep(layer_capacity, engines, layout):
+        for _ in range(passes):
+            if not self._improve_once(layer_capacity, engines, layout):
                 break
         return layer_capacity.score
 
-    def _sweep(
+    def _improve_once(
         self,
         layer_capacity: capacity.LayerCapacity,
         engines: list[chain.Upstream],
@@ -124,10 +124,10 @@
             if held is not None:
                 layer_capacity.drop(engine, held)
             max_layers = self._layer_limit(engine, self._min_capacity)
-            window = layer_capacity.best_range(engine, max_layers)
-            if window is None:
+            best = layer_capacity.best_range(engine, max_layers)
+            if best is None:
                 continue
-            layer_capacity.add(engine, window.layers)
-            layout[engine.name] = window.layers
-            has_moved = has_moved or window.layers != held
+            layer_capacity.add(engine, best.layers)
+            layout[engine.name] = best.layers
+            has_moved = has_moved or best.layers != held
         return has_moved
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -116,7 +116,7 @@
 
 
 def _is_missing(layers: pipeline.LayerRange, counts: list[int]) -> bool:
-    """Whether no engine of any availability zone holds one of the layers.
+    """Whether any of the layers is held in no availability zone.
 
     Nothing is served then. If only one zone lacks a layer, its requests go to
     other zones, and interrupting streams would cost more.
@@ -216,10 +216,10 @@
     groups.
     """
     sample = _groups(engines, profile)[0]
-    # The empty batch lets other tasks run between the two layouts.
     tiered = [
         move for moves in _tiered_moves(sample, profile) for move in moves
     ]
+    # The empty batch lets other tasks run between the two layouts.
     yield []
     together = _group_moves(sample, profile)
     is_tiered = _exposure(tiered, profile) < _exposure(together, profile)
--- a/src/crowdeck/placement/rearrangement_delay.py
+++ b/src/crowdeck/placement/rearrangement_delay.py
@@ -12,10 +12,10 @@
 # An engine that ended may restart and load the missing layers itself, so that
 # no other engine has to change. Covers a restart and one heartbeat.
 RESTART_GRACE_SECONDS = 2.3
-# Engines that come and go in turn would cause a rearrangement each time. After
-# this many rounds in the window each delay is twice the one before, up to the
-# maximum. That keeps the rounds of an hour below the bound.
-UNDELAYED_ROUNDS = 10
+# Engines that stop and restart repeatedly would cause a rearrangement each
+# time. After this many rearrangements in the window each delay is twice the
+# one before, up to the maximum. That bounds the rearrangements of an hour.
+REARRANGEMENTS_BEFORE_BACKOFF = 10
 MAX_DELAY_SECONDS = 300.0
 WINDOW_SECONDS = 3600.0
 MAX_REARRANGEMENTS_PER_HOUR = 30
@@ -32,31 +32,33 @@
     due: float = float("-inf")
     _since: float = 0.0
     _missing: frozenset[int] = frozenset()
-    _rounds: list[float] = attrs.field(factory=list)
+    _ordered_at: list[float] = attrs.field(factory=list)
 
     def is_expired(
-        self, now: float, is_told: bool, missing: typing.Iterable[int]
+        self, now: float, is_announced: bool, missing: typing.Iterable[int]
     ) -> bool:
         """Whether the delay for the layers that are missing now is over.
 
         :param missing: the layers that no engine holds. The delay starts again
             when another layer goes missing.
-        :param is_told: whether their holders announced that they leave. There
-            is no restart to wait for then.
+        :param is_announced: whether their holders announced that they leave.
+            There is no restart to wait for then.
         """
         found = frozenset(missing)
         if not found <= self._missing:
             self._since = now
         self._missing = found
-        self._rounds = [at for at in self._rounds if now - at < WINDOW_SECONDS]
-        wait = 0.0 if is_told else RESTART_GRACE_SECONDS
+        self._ordered_at = [
+            at for at in self._ordered_at if now - at < WINDOW_SECONDS
+        ]
+        wait = 0.0 if is_announced else RESTART_GRACE_SECONDS
         began = self._since
-        beyond = len(self._rounds) - UNDELAYED_ROUNDS
+        beyond = len(self._ordered_at) - REARRANGEMENTS_BEFORE_BACKOFF
         if beyond >= 0:
             wait = min(
                 MAX_DELAY_SECONDS, RESTART_GRACE_SECONDS * 2.0 ** (beyond + 1)
             )
-            began = max(began, self._rounds[-1])
+            began = max(began, self._ordered_at[-1])
         self.due = began + wait
         return now >= self.due
 
@@ -67,4 +69,4 @@
 
     def note_rearrangement(self, now: float) -> None:
         """Note that a rearrangement was ordered."""
-        self._rounds.append(now)
+        self._ordered_at.append(now)
--- a/src/crowdeck/placement/relayout.py
+++ b/src/crowdeck/placement/relayout.py
@@ -18,9 +18,8 @@
 from crowdeck import pipeline
 
 # Factors on the least loading found, spent on free memory for requests and on
-# a smaller largest load, which decides when the model is served again. Layouts
-# should load at most 1.3 times the optimum. The second factor is smaller
-# because the search is not exact for more engines.
+# a smaller largest load, which decides when the model is served again. The
+# search is exact only for small groups, so larger groups get less slack.
 EXACT_SLACK = 1.25
 LOAD_SLACK = 1.13
 # No layout is searched that loads more than this many times the layer count.
@@ -29,9 +28,8 @@
 MAX_UNCONSTRAINED = 4
 # Up to this many engines are all unconstrained, which makes the search exact.
 MAX_EXACT_ENGINES = 4
-# Ranges that one search tries, about 1 to 2 microseconds each. Beyond these
-# the best layout so far is used, or the search starts again with fewer
-# unconstrained engines.
+# Maximum number of ranges that one search tries. Beyond it the best layout so
+# far is used, or the search starts again with fewer unconstrained engines.
 MAX_TRIES = 250_000
 # Ranges that are tried before other tasks may run.
 YIELD_TRIES = 10_000
@@ -408,9 +406,9 @@
             if held.first <= first < held.end:
                 yield pipeline.LayerRange(first, held.end), 0
             return
-        most_end = min(self._layer_count, first + member.max_layers)
-        for end in range(first + 1, most_end + 1):
-            if held.first < end < min(held.end, most_end):
+        max_end = min(self._layer_count, first + member.max_layers)
+        for end in range(first + 1, max_end + 1):
+            if held.first < end < min(held.end, max_end):
                 # Held layers need no loading, so take all of them.
                 continue
             layers = pipeline.LayerRange(first, end)
@@ -439,8 +437,8 @@
         for number, member in enumerate(self.unconstrained):
             if placed >> number & 1:
                 continue
-            end_most = min(self._layer_count, first + member.max_layers)
-            for end in range(first + 1, end_most + 1):
+            max_end = min(self._layer_count, first + member.max_layers)
+            for end in range(first + 1, max_end + 1):
                 layers = pipeline.LayerRange(first, end)
                 load = end - first - _overlap(member.held, layers)
                 if load > max_load:
--- a/src/crowdeck/placement/tiers.py
+++ b/src/crowdeck/placement/tiers.py
@@ -20,7 +20,7 @@
 # Cards belong to one band if their step takes at most this many times that of
 # the fastest of them. Separating more similar cards costs capacity for
 # nothing.
-MAX_PACE_RATIO = 1.5
+MAX_STEP_RATIO = 1.5
 
 LayerLimit = typing.Callable[[chain.Upstream, float], int]
 _Group = list[chain.Upstream]
@@ -57,13 +57,13 @@
 ) -> list[_Group]:
     """Split engines into bands of similar speed, fastest first."""
 
-    def pace(engine: chain.Upstream) -> float:
+    def factor(engine: chain.Upstream) -> float:
         card = profile.cards.get(engine.card)
         return card.step_factor if card else 1.0
 
     bands: list[_Group] = []
-    for engine in sorted(engines, key=lambda one: (pace(one), one.name)):
-        if bands and pace(engine) <= MAX_PACE_RATIO * pace(bands[-1][0]):
+    for engine in sorted(engines, key=lambda one: (factor(one), one.name)):
+        if bands and factor(engine) <= MAX_STEP_RATIO * factor(bands[-1][0]):
             bands[-1].append(engine)
         else:
             bands.append([engine])
