--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -28,7 +28,7 @@
 CARDS = ("wide",) * 2 + ("middle",) * 4 + ("narrow",) * 4
 
 
-def an_engine(number: int, card: str) -> chain.Upstream:
+def make_engine(number: int, card: str) -> chain.Upstream:
     return fleet_system.upstream(f"e{number}", "plateau", None, card)
 
 
@@ -36,15 +36,15 @@
     fleet: list[chain.Upstream], layout: initial_layout.Layout
 ) -> list[float]:
     """Return the token capacity at each layer."""
-    rooms = [0.0] * MIXED.layer_count
+    capacities = [0.0] * MIXED.layer_count
     for one in fleet:
         layers = layout[one.name]
         token_capacity = MIXED.token_capacity(
             one.card, layers.end - layers.first
         )
         for layer in range(layers.first, layers.end):
-            rooms[layer] += token_capacity
-    return rooms
+            capacities[layer] += token_capacity
+    return capacities
 
 
 class TestInitialLayout:
@@ -63,19 +63,19 @@
     def test_no_layer_limits_the_capacity(self) -> None:
         # If every engine keeps the same capacity, some layers have two copies
         # and the others limit every path to the capacity of one engine.
-        fleet = [an_engine(at, card) for at, card in enumerate(CARDS)]
-        rooms = capacity_by_layer(fleet, self.layout(fleet))
-        assert min(rooms) >= 2.0 * capacity.needed_tokens(MIXED)
+        fleet = [make_engine(at, card) for at, card in enumerate(CARDS)]
+        capacities = capacity_by_layer(fleet, self.layout(fleet))
+        assert min(capacities) >= 2.0 * capacity.needed_tokens(MIXED)
 
     def test_spare_memory_holds_more_copies(self) -> None:
-        fleet = [an_engine(at, card) for at, card in enumerate(CARDS)]
+        fleet = [make_engine(at, card) for at, card in enumerate(CARDS)]
         layout = self.layout(fleet)
         held = sum(one.end - one.first for one in layout.values())
         assert held >= 1.4 * MIXED.layer_count
 
     def test_coverage_comes_before_capacity(self) -> None:
         # Cards that hold the model once, with the minimum capacity.
-        fleet = [an_engine(at, "narrow") for at in range(10)]
+        fleet = [make_engine(at, "narrow") for at in range(10)]
         assert min(capacity_by_layer(fleet, self.layout(fleet))) > 0.0
 
     @pytest.mark.parametrize(
@@ -93,48 +93,62 @@
         best_range = capacity.LayerCapacity.best_range
 
         def count_searches(
-            rooms: capacity.LayerCapacity, engine: chain.Upstream, most: int
+            layer_capacity: capacity.LayerCapacity,
+            engine: chain.Upstream,
+            max_layers: int,
         ) -> capacity.ScoredRange | None:
             nonlocal searches
             searches += 1
-            return best_range(rooms, engine, most)
+            return best_range(layer_capacity, engine, max_layers)
 
         monkeypatch.setattr(
-            capacity.LayerCapacity, "best_window", count_searches
+            capacity.LayerCapacity, "best_range", count_searches
         )
-        fleet = [an_engine(at, cards[at % len(cards)]) for at in range(count)]
-        rooms = capacity_by_layer(fleet, self.layout(fleet))
+        fleet = [
+            make_engine(at, cards[at % len(cards)]) for at in range(count)
+        ]
+        capacities = capacity_by_layer(fleet, self.layout(fleet))
         assert searches <= len(fleet)
-        assert min(rooms) >= 4.0 * capacity.needed_tokens(MIXED)
+        assert min(capacities) >= 4.0 * capacity.needed_tokens(MIXED)
 
 
 class TestLayerCapacity:
     """The range that is chosen for one more engine."""
 
     def test_a_missing_layer_comes_first(self) -> None:
-        rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
-        rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 30))
-        rooms.add(an_engine(1, "wide"), pipeline.LayerRange(36, 80))
-        window = rooms.best_range(an_engine(2, "narrow"), 8)
-        assert window is not None
-        assert window.layers.first <= 30
-        assert window.layers.end >= 36
+        layer_capacity = capacity.LayerCapacity(
+            MIXED, capacity.needed_tokens(MIXED)
+        )
+        layer_capacity.add(make_engine(0, "wide"), pipeline.LayerRange(0, 30))
+        layer_capacity.add(make_engine(1, "wide"), pipeline.LayerRange(36, 80))
+        best = layer_capacity.best_range(make_engine(2, "narrow"), 8)
+        assert best is not None
+        assert best.layers.first <= 30
+        assert best.layers.end >= 36
 
     def test_layers_with_least_capacity_come_next(self) -> None:
-        rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
-        rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
-        rooms.add(an_engine(1, "wide"), pipeline.LayerRange(40, 80))
-        rooms.add(an_engine(2, "middle"), pipeline.LayerRange(0, 10))
-        rooms.add(an_engine(3, "middle"), pipeline.LayerRange(70, 80))
-        window = rooms.best_range(an_engine(4, "middle"), 12)
-        assert window is not None
-        assert window.layers.first >= 10
-        assert window.layers.end <= 70
+        layer_capacity = capacity.LayerCapacity(
+            MIXED, capacity.needed_tokens(MIXED)
+        )
+        layer_capacity.add(make_engine(0, "wide"), pipeline.LayerRange(0, 40))
+        layer_capacity.add(make_engine(1, "wide"), pipeline.LayerRange(40, 80))
+        layer_capacity.add(
+            make_engine(2, "middle"), pipeline.LayerRange(0, 10)
+        )
+        layer_capacity.add(
+            make_engine(3, "middle"), pipeline.LayerRange(70, 80)
+        )
+        best = layer_capacity.best_range(make_engine(4, "middle"), 12)
+        assert best is not None
+        assert best.layers.first >= 10
+        assert best.layers.end <= 70
 
     def test_drop_reverts_add(self) -> None:
-        rooms = capacity.LayerCapacity(MIXED, capacity.needed_tokens(MIXED))
-        before = rooms.score
-        rooms.add(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
-        assert rooms.score > before
-        rooms.drop(an_engine(0, "wide"), pipeline.LayerRange(0, 40))
-        assert rooms.score == before
+        layer_capacity = capacity.LayerCapacity(
+            MIXED, capacity.needed_tokens(MIXED)
+        )
+        before = layer_capacity.score
+        layer_capacity.add(make_engine(0, "wide"), pipeline.LayerRange(0, 40))
+        assert layer_capacity.score > before
+        layer_capacity.drop(make_engine(0, "wide"), pipeline.LayerRange(0, 40))
+        assert layer_capacity.score == before
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -29,26 +29,26 @@
 from tests import virtual
 
 # Large enough for several batches in each availability zone.
-COUNT = 300
-HELD = 20
+ENGINE_COUNT = 300
+PLACED_ENGINE_COUNT = 20
 ZONES = ("a", "b", "c")
 PROFILE = fleet_system.PROFILE
-# CPU time of each step of a call on a slow entry, steps of a call, and
-# timeout.
+# A call on a slow entry: CPU time of each step, number of steps, and timeout.
 CALL_STEP_SECONDS = 0.0008
 CALL_STEPS = 4
 CALL_TIMEOUT_SECONDS = 0.5
 MAX_ORDER_SECONDS = 10.0
 
 
-def a_fleet() -> list[chain.Upstream]:
+def make_fleet() -> list[chain.Upstream]:
     """Return a fleet whose first engines hold one copy of the model."""
     found = [
         fleet_system.upstream(f"e{number}", ZONES[number % 3], None, "large")
-        for number in range(COUNT)
+        for number in range(ENGINE_COUNT)
     ]
     for number, layers in enumerate(
-        pipeline.LayerRange(4 * one, 4 * one + 4) for one in range(HELD)
+        pipeline.LayerRange(4 * one, 4 * one + 4)
+        for one in range(PLACED_ENGINE_COUNT)
     ):
         found[number] = attrs.evolve(found[number], layers=layers)
     return found
@@ -58,12 +58,12 @@
     """Batches of a plan for many empty engines."""
 
     def test_batches_are_bounded(self) -> None:
-        batches = list(plan.iter_moves(a_fleet(), PROFILE, lambda _: True))
-        assert sum(map(len, batches)) == COUNT - HELD
+        batches = list(plan.iter_moves(make_fleet(), PROFILE, lambda _: True))
+        assert sum(map(len, batches)) == ENGINE_COUNT - PLACED_ENGINE_COUNT
         assert max(map(len, batches)) <= plan.MAX_GROUP_SIZE
 
     def test_each_batch_of_many_engines_holds_the_model(self) -> None:
-        for batch in plan.iter_moves(a_fleet(), PROFILE, lambda _: True):
+        for batch in plan.iter_moves(make_fleet(), PROFILE, lambda _: True):
             if batch:
                 placed = [
                     attrs.evolve(one.upstream, layers=one.layers)
@@ -72,17 +72,17 @@
                 assert 0 not in chain.coverage(placed, PROFILE.layer_count)
 
     def test_batches_of_few_engines_are_bounded(self) -> None:
-        fleet = [one for one in a_fleet() if one.layers is not None]
-        fleet += a_fleet()[-9 * plan.FILL_BATCH_SIZE :]
+        fleet = [one for one in make_fleet() if one.layers is not None]
+        fleet += make_fleet()[-9 * plan.FILL_BATCH_SIZE :]
         batches = list(plan.iter_moves(fleet, PROFILE, lambda _: True))
         assert sum(map(len, batches)) == 9 * plan.FILL_BATCH_SIZE
         assert max(map(len, batches)) <= plan.FILL_BATCH_SIZE
 
     def test_all_moves_together_complete_the_plan(self) -> None:
-        fleet = a_fleet()
+        fleet = make_fleet()
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
         named = {one.upstream.name: one.layers for one in moves}
-        assert len(named) == COUNT - HELD
+        assert len(named) == ENGINE_COUNT - PLACED_ENGINE_COUNT
         held = [
             attrs.evolve(one, layers=named.get(one.name, one.layers))
             for one in fleet
@@ -92,7 +92,7 @@
     def test_coverage_is_counted_once_for_all_moves(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        fleet = a_fleet()
+        fleet = make_fleet()
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
         counted = _count_coverage(monkeypatch)
         gaps = plan.CoverageGaps(fleet, PROFILE)
@@ -116,19 +116,19 @@
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
             )
-            fleet = [attrs.evolve(one, layers=None) for one in a_fleet()]
+            fleet = [attrs.evolve(one, layers=None) for one in make_fleet()]
             async with anyio.create_task_group() as tasks:
-                for one in fleet[:HELD]:
+                for one in fleet[:PLACED_ENGINE_COUNT]:
                     system.add(one)
                 tasks.start_soon(controller.run)
                 await anyio.sleep(controllers.LIST_QUIET_SECONDS + 1.0)
                 test_placement.deliver_heartbeats(system)
                 counted = _count_coverage(monkeypatch)
-                for one in fleet[HELD:]:
+                for one in fleet[PLACED_ENGINE_COUNT:]:
                     system.add(one)
                 await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS / 2)
                 # Coverage is not counted once per empty engine.
-                assert len(counted) < COUNT
+                assert len(counted) < ENGINE_COUNT
                 await anyio.sleep(6.0)
                 for one in system.listed.values():
                     assert system.fleet.at(one.address).orders_taken
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -70,7 +70,7 @@
     raise AssertionError("the plan does not settle")
 
 
-def capacity(fleet: list[chain.Upstream]) -> int:
+def max_held_layers(fleet: list[chain.Upstream]) -> int:
     return sum(
         plan.fitting_layer_count(
             one, PROFILE, plan.MIN_CONCURRENT_REQUESTS * 900.0
@@ -89,7 +89,7 @@
     ) -> None:
         fleet = settle(engines(cards))
         counts = chain.coverage(fleet, PROFILE.layer_count)
-        if capacity(fleet) >= 2 * PROFILE.layer_count:
+        if max_held_layers(fleet) >= 2 * PROFILE.layer_count:
             assert min(counts) >= 1
 
     @hypothesis.given(CARDS)
@@ -118,12 +118,12 @@
             if not moves:
                 break
             # Layers are given up before others are loaded.
-            given = {
+            moving = {
                 move.upstream.name
                 for move in moves
                 if move.upstream.layers is not None
             }
-            rest = [one for one in fleet if one.name not in given]
+            rest = [one for one in fleet if one.name not in moving]
             during = chain.coverage(rest, PROFILE.layer_count)
             for held, left in zip(before, during, strict=True):
                 assert held == 0 or left > 0
@@ -184,7 +184,6 @@
 
     def test_layers_in_doubt_do_not_make_others_redundant(self) -> None:
         # An order to b was not answered, so b may still give up its layers.
-        # Found by spec/orders.py.
         fleet = [
             fleet_system.upstream("a", "plateau", (0, 24), "large"),
             fleet_system.upstream("b", "plateau", (0, 24), "large"),
@@ -367,7 +366,7 @@
 
 
 class FakeLease:
-    """A lease that a test grants."""
+    """A lease that is held unless a test takes it away."""
 
     def __init__(self) -> None:
         self.is_held = True
@@ -729,14 +728,14 @@
             first = leases.Lease(store, "duty", "first")
             second = leases.Lease(store, "duty", "second")
             async with anyio.create_task_group() as tasks:
-                with anyio.CancelScope() as life:
+                with anyio.CancelScope() as first_scope:
                     async with anyio.create_task_group() as inner:
                         inner.start_soon(first.run)
                         await anyio.sleep(1.0)
                         first.set_memo(("e0@3",))
                         # A memo is written before the next renewal.
                         await anyio.sleep(0.1)
-                        life.cancel()
+                        first_scope.cancel()
                 tasks.start_soon(second.run)
                 await anyio.sleep(leases.LEASE_SECONDS + 2.0)
                 assert second.is_held
@@ -751,12 +750,12 @@
             first = leases.Lease(store, "duty", "first")
             second = leases.Lease(store, "duty", "second")
             async with anyio.create_task_group() as tasks:
-                with anyio.CancelScope() as life:
+                with anyio.CancelScope() as first_scope:
                     async with anyio.create_task_group() as inner:
                         inner.start_soon(first.run)
                         await anyio.sleep(1.0)
                         assert first.is_held
-                        life.cancel()
+                        first_scope.cancel()
                 tasks.start_soon(second.run)
                 await anyio.sleep(2.0)
                 assert not second.is_held
@@ -834,7 +833,7 @@
         virtual.run(body)
 
 
-def test_store_error_is_no_lease() -> None:
+def test_unreachable_store_grants_no_lease() -> None:
     """A store that cannot be reached grants nothing."""
 
     async def body() -> None:
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -150,7 +150,7 @@
         }
 
     @property
-    def is_whole(self) -> bool:
+    def is_model_held(self) -> bool:
         """Whether the engines that are not leaving hold every layer."""
         engines = (
             self.system.fleet.at(self.system.listed[name].address).listed
@@ -163,7 +163,7 @@
         return sum(one.orders_taken for one in self.system.fleet.upstreams)
 
 
-def four() -> list[chain.Upstream]:
+def four_engines() -> list[chain.Upstream]:
     """Return four engines that hold a quarter of the model each."""
     return [
         fleet_system.upstream(
@@ -173,9 +173,9 @@
     ]
 
 
-def large_four() -> list[chain.Upstream]:
+def four_large_engines() -> list[chain.Upstream]:
     """Return four engines, any three of which could hold the model."""
-    return [attrs.evolve(one, card="large") for one in four()]
+    return [attrs.evolve(one, card="large") for one in four_engines()]
 
 
 def loaded(
@@ -195,7 +195,7 @@
 def run_with_controller(
     work: typing.Callable[[Simulation], typing.Awaitable[None]],
     make_simulation: typing.Callable[[], Simulation] = lambda: Simulation(
-        four()
+        four_engines()
     ),
 ) -> None:
     """Run ``work`` with a controller, heartbeats and the store watch."""
@@ -226,7 +226,7 @@
             lose(simulation.system, f"e{lost}")
             await anyio.sleep(RECOVERY_SECONDS)
             after = simulation.held()
-            assert simulation.is_whole
+            assert simulation.is_model_held
             share = max(loaded(before, after)) / PROFILE.layer_count
             ready = began + RECOVERY_SECONDS + PROFILE.load_seconds * share
             await anyio.sleep(ready - anyio.current_time())
@@ -241,10 +241,10 @@
             before = simulation.held()
             end(simulation.system, "e1")
             await anyio.sleep(RECOVERY_SECONDS)
-            assert simulation.is_whole
+            assert simulation.is_model_held
             assert 24 <= sum(loaded(before, simulation.held())) <= 1.3 * 24
 
-        run_with_controller(work, lambda: Simulation(four(), TIGHT))
+        run_with_controller(work, lambda: Simulation(four_engines(), TIGHT))
 
 
 class RecordingOrderClient:
@@ -303,7 +303,7 @@
         typing.Awaitable[None],
     ],
     lost: int = 0,
-    engines: typing.Callable[[], list[chain.Upstream]] = four,
+    engines: typing.Callable[[], list[chain.Upstream]] = four_engines,
     profile: chain.EngineProfile = TIGHT,
 ) -> None:
     """Run ``work`` with heartbeats; it starts controllers itself."""
@@ -335,7 +335,7 @@
             await anyio.sleep(1.0)
             end(simulation.system, f"e{lost}")
             await anyio.sleep(RECOVERY_SECONDS)
-            assert simulation.is_whole
+            assert simulation.is_model_held
             assert any(
                 move.upstream.layers
                 and move.upstream.layers.first < move.layers.first
@@ -362,7 +362,7 @@
                 await anyio.sleep(1.0)
                 if is_late:
                     await orders.carry_out_late()
-            assert simulation.is_whole
+            assert simulation.is_model_held
             assert not orders.unheld
 
         run_with_orders(work, lost_orders)
@@ -387,7 +387,7 @@
             simulation.lease.term += 1
             tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(RECOVERY_SECONDS + 1.0)
-            assert simulation.is_whole
+            assert simulation.is_model_held
             assert not orders.unheld
 
         run_with_orders(work)
@@ -410,7 +410,7 @@
                 fleet_system.upstream("new", "plateau", None, "card")
             )
             await anyio.sleep(10.0)
-            assert simulation.is_whole
+            assert simulation.is_model_held
 
         run_with_orders(work)
 
@@ -424,9 +424,9 @@
                     fleet_system.upstream(f"o{at}", "almadies", None, "card"),
                     layers=one.layers,
                 )
-                for at, one in enumerate(four())
+                for at, one in enumerate(four_engines())
             ]
-            return four() + other
+            return four_engines() + other
 
         async def work(
             simulation: Simulation,
@@ -464,7 +464,7 @@
         self,
     ) -> None:
         # Otherwise neither order would ever be sent.
-        engines = four()[:2]
+        engines = four_engines()[:2]
         first, second = engines
         layout = {
             first.name: pipeline.LayerRange(20, 40),
@@ -478,9 +478,10 @@
         assert [step.after for step in steps] == [frozenset(), frozenset()]
 
     def test_steps_that_wait_for_a_step_left_out_are_left_out(self) -> None:
-        # e3 cannot give up layers 60 to 70, which only e4 holds, in doubt.
+        # e3 cannot give up layers 60 to 70, which only e4 holds
+        # and is not guaranteed to keep.
         engines = [
-            *four(),
+            *four_engines(),
             fleet_system.upstream("e4", "plateau", (60, 70), "card"),
         ]
         layout = {
@@ -526,7 +527,7 @@
                 fleet_system.upstream("back", "plateau", None, "card")
             )
             await anyio.sleep(20.0)
-            assert simulation.is_whole
+            assert simulation.is_model_held
             assert [one.upstream.name for one in orders.sent] == ["back"]
             assert back.listed.layers == pipeline.LayerRange(20, 40)
 
@@ -552,10 +553,12 @@
                 )
                 await anyio.sleep(1.0)
             await anyio.sleep(10.0)
-            assert simulation.is_whole
+            assert simulation.is_model_held
             assert not orders.sent
 
-        run_with_orders(work, profile=fleet_system.PROFILE, engines=large_four)
+        run_with_orders(
+            work, profile=fleet_system.PROFILE, engines=four_large_engines
+        )
 
     def test_leaving_engine_is_not_waited_for(self) -> None:
         async def work(
@@ -567,13 +570,13 @@
             await anyio.sleep(1.0)
             leave_by_store(simulation.system, "e1")
             await anyio.sleep(0.2)
-            assert simulation.is_whole
+            assert simulation.is_model_held
             # The leaving engine still serves, so streams are not interrupted.
             assert not any(one.is_urgent for one in orders.sent)
 
         run_with_orders(work)
 
-    def test_engine_that_comes_and_goes_causes_one_rearrangement(self) -> None:
+    def test_flapping_engine_causes_one_rearrangement(self) -> None:
         async def work(
             simulation: Simulation,
             orders: RecordingOrderClient,
@@ -583,7 +586,7 @@
             await anyio.sleep(1.0)
             end(simulation.system, "e1")
             await anyio.sleep(10.0)
-            assert simulation.is_whole
+            assert simulation.is_model_held
             held = simulation.held()
             for number in range(20):
                 name = f"back{number}"
@@ -597,7 +600,7 @@
 
         run_with_orders(work)
 
-    def test_rounds_are_bounded_if_engines_come_and_go_in_turn(self) -> None:
+    def test_rearrangements_are_bounded_if_engines_flap_in_turn(self) -> None:
         # Any three hold the model; each time another engine is lost.
         async def work(
             simulation: Simulation,
@@ -606,10 +609,10 @@
         ) -> None:
             tasks.start_soon(simulation.controller(orders).run)
             await anyio.sleep(1.0)
-            rounds = 0
+            rearrangements = 0
             began = anyio.current_time()
             while anyio.current_time() < began + 3_600.0:
-                going = sorted(
+                next_lost = sorted(
                     simulation.held(),
                     key=lambda name: (
                         simulation.system.fleet.at(
@@ -619,9 +622,9 @@
                     ),
                 )[0]
                 before = len(orders.sent)
-                end(simulation.system, going)
+                end(simulation.system, next_lost)
                 await anyio.sleep(12.0)
-                rounds += len(orders.sent) > before
+                rearrangements += len(orders.sent) > before
                 simulation.system.add(
                     fleet_system.upstream(
                         f"n{anyio.current_time():.0f}",
@@ -631,13 +634,18 @@
                     )
                 )
                 await anyio.sleep(12.0)
-                assert simulation.is_whole
-            assert rounds <= rearrangement_delay.MAX_REARRANGEMENTS_PER_HOUR
+                assert simulation.is_model_held
+            assert (
+                rearrangements
+                <= rearrangement_delay.MAX_REARRANGEMENTS_PER_HOUR
+            )
 
         run_with_orders(work)
 
 
-def path_of(count: int, layer_count: int, zones: int) -> list[chain.Upstream]:
+def make_chain(
+    count: int, layer_count: int, zones: int
+) -> list[chain.Upstream]:
     """Return engines that hold one copy, with a part of it in each zone."""
     found = []
     for number in range(count):
@@ -697,13 +705,13 @@
             for number in random.Random(lost).sample(range(count), lost):
                 end(simulation.system, f"e{number}")
             await anyio.sleep(RECOVERY_SECONDS)
-            assert simulation.is_whole
+            assert simulation.is_model_held
             counts = loaded(before, simulation.held())
             assert sum(counts) >= lost * layer_count // count
 
         run_with_orders(
             work,
-            engines=lambda: path_of(count, layer_count, 1),
+            engines=lambda: make_chain(count, layer_count, 1),
             profile=profile,
         )
 
@@ -721,10 +729,10 @@
                 if simulation.system.listed[name].availability_zone == "zone2":
                     end(simulation.system, name)
             await anyio.sleep(RECOVERY_SECONDS)
-            assert simulation.is_whole
+            assert simulation.is_model_held
             assert not orders.unheld
 
-        run_with_orders(work, engines=lambda: path_of(12, 80, 3))
+        run_with_orders(work, engines=lambda: make_chain(12, 80, 3))
 
     def test_engines_that_back_off_get_no_orders(self) -> None:
         async def work(
@@ -737,7 +745,7 @@
             simulation.system.registry.back_off("e0", 60.0)
             end(simulation.system, "e1")
             await anyio.sleep(RECOVERY_SECONDS)
-            assert simulation.is_whole
+            assert simulation.is_model_held
             assert "e0" not in {one.upstream.name for one in orders.sent}
 
         run_with_orders(work, profile=PROFILE)
@@ -762,35 +770,37 @@
 class TestRearrangementDelay:
     """The bound on the number of rearrangements."""
 
-    @pytest.mark.parametrize("is_told", (True, False))
-    def test_rounds_per_hour_are_bounded(self, is_told: bool) -> None:
+    @pytest.mark.parametrize("is_announced", (True, False))
+    def test_rearrangements_per_hour_are_bounded(
+        self, is_announced: bool
+    ) -> None:
         # A layer goes missing again after each rearrangement.
         known = rearrangement_delay.RearrangementDelay()
-        rounds: list[float] = []
+        ordered_at: list[float] = []
         now = 0.0
         while now < 4 * rearrangement_delay.WINDOW_SECONDS:
             now += 0.5
-            if known.is_expired(now, is_told, (7,)):
+            if known.is_expired(now, is_announced, (7,)):
                 known.note_rearrangement(now)
                 known.reset()
-                rounds.append(now)
-        for first in rounds:
+                ordered_at.append(now)
+        for first in ordered_at:
             within = [
                 at
-                for at in rounds
+                for at in ordered_at
                 if first <= at < first + rearrangement_delay.WINDOW_SECONDS
             ]
             assert (
                 len(within) <= rearrangement_delay.MAX_REARRANGEMENTS_PER_HOUR
             )
-        assert rounds[-1] > 3 * rearrangement_delay.WINDOW_SECONDS
+        assert ordered_at[-1] > 3 * rearrangement_delay.WINDOW_SECONDS
 
 
 class TestOverSockets:
     """A rearrangement over real sockets, with a whole entry."""
 
-    @pytest.mark.parametrize("way", ("store", "answers", "end"))
-    def test_requests_are_served_again(self, way: str) -> None:
+    @pytest.mark.parametrize("loss", ("store", "answers", "end"))
+    def test_requests_are_served_again(self, loss: str) -> None:
         async def work(running: test_fleet_process.Running) -> None:
             def held() -> list[chain.Upstream]:
                 return [
@@ -805,9 +815,9 @@
                 for one in running.fleet.upstreams
                 if one.listed.layers and counts[one.listed.layers.first] == 1
             )
-            if way == "store":
+            if loss == "store":
                 lost.listed = attrs.evolve(lost.listed, is_leaving=True)
-            elif way == "answers":
+            elif loss == "answers":
                 lost.announces_leaving = True
             else:
                 lost.is_dead = True
--- a/tests/test_relayout.py
+++ b/tests/test_relayout.py
@@ -28,15 +28,15 @@
         for number, one in enumerate(members):
             if placed >> number & 1:
                 continue
-            then = costs[placed | 1 << number]
+            next_row = costs[placed | 1 << number]
             for first in range(layer_count):
                 # Covering more layers is never worse.
                 cost = min(row[first:])
-                end_most = min(layer_count, first + one.max_layers)
-                for end in range(first + 1, end_most + 1):
+                max_end = min(layer_count, first + one.max_layers)
+                for end in range(first + 1, max_end + 1):
                     layers = pipeline.LayerRange(first, end)
                     load = end - first - relayout._overlap(one.held, layers)
-                    then[end] = min(then[end], cost + load)
+                    next_row[end] = min(next_row[end], cost + load)
     least = min(row[layer_count] for row in costs)
     return least if least < never else None
 
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -109,12 +109,15 @@
             fleet_system.upstream(f"e{at}", "plateau", None, card)
             for at, card in enumerate(cards)
         ]
-        least = plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(PROFILE)
-        most = sum(
-            plan.fitting_layer_count(one, PROFILE, least) for one in fleet
+        min_token_capacity = (
+            plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(PROFILE)
+        )
+        max_held_layers = sum(
+            plan.fitting_layer_count(one, PROFILE, min_token_capacity)
+            for one in fleet
         )
         fleet = in_tiers(fleet)
-        if most >= 2 * PROFILE.layer_count:
+        if max_held_layers >= 2 * PROFILE.layer_count:
             assert 0 not in chain.coverage(fleet, PROFILE.layer_count)
 
 
