--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -70,7 +70,7 @@
     raise AssertionError("the plan does not settle")
 
 
-def capacity(fleet: list[chain.Upstream]) -> int:
+def max_held_layers(fleet: list[chain.Upstream]) -> int:
     return sum(
         plan.fitting_layer_count(
             one, PROFILE, plan.MIN_CONCURRENT_REQUESTS * 900.0
@@ -89,7 +89,7 @@
     ) -> None:
         fleet = settle(engines(cards))
         counts = chain.coverage(fleet, PROFILE.layer_count)
-        if capacity(fleet) >= 2 * PROFILE.layer_count:
+        if max_held_layers(fleet) >= 2 * PROFILE.layer_count:
             assert min(counts) >= 1
 
     @hypothesis.given(CARDS)
@@ -118,12 +118,12 @@
             if not moves:
                 break
             # Layers are given up before others are loaded.
-            given = {
+            moving = {
                 move.upstream.name
                 for move in moves
                 if move.upstream.layers is not None
             }
-            rest = [one for one in fleet if one.name not in given]
+            rest = [one for one in fleet if one.name not in moving]
             during = chain.coverage(rest, PROFILE.layer_count)
             for held, left in zip(before, during, strict=True):
                 assert held == 0 or left > 0
@@ -184,7 +184,6 @@
 
     def test_layers_in_doubt_do_not_make_others_redundant(self) -> None:
         # An order to b was not answered, so b may still give up its layers.
-        # Found by spec/orders.py.
         fleet = [
             fleet_system.upstream("a", "plateau", (0, 24), "large"),
             fleet_system.upstream("b", "plateau", (0, 24), "large"),
@@ -352,7 +351,7 @@
         )
 
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             longest = 0.0
             seen = anyio.current_time()
@@ -366,8 +365,8 @@
         run_with_controller(work, count=120)
 
 
-class _Lease:
-    """A lease that a test grants."""
+class FakeLease:
+    """A lease that is held unless a test takes it away."""
 
     def __init__(self) -> None:
         self.is_held = True
@@ -380,13 +379,13 @@
 
 def run_with_controller(
     work: typing.Callable[
-        [fleet_system.FleetSystem, _Lease], typing.Awaitable[None]
+        [fleet_system.FleetSystem, FakeLease], typing.Awaitable[None]
     ],
     count: int = 5,
 ) -> None:
     async def body() -> None:
         system = fleet_system.FleetSystem()
-        lease = _Lease()
+        lease = FakeLease()
         listed = (
             routes.Service(fleet_system.MODEL, 100, PROFILE),
             # The plan of a second model must not disturb the first one.
@@ -410,7 +409,7 @@
     virtual.run(body)
 
 
-def tell_all(system: fleet_system.FleetSystem) -> None:
+def deliver_heartbeats(system: fleet_system.FleetSystem) -> None:
     """List every engine with the layers it holds, as heartbeats do."""
     for one in list(system.listed.values()):
         target = system.fleet.at(one.address)
@@ -423,7 +422,7 @@
 
     def test_first_plan_waits_until_the_fleet_is_listed(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(0.6)
             system.add(fleet_system.upstream("late", "plateau", None, "large"))
@@ -442,7 +441,7 @@
 
     def test_without_the_lease_nothing_is_ordered(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             lease.is_held = False
             await anyio.sleep(5.0)
@@ -455,16 +454,16 @@
 
     def test_restarted_engine_gets_layers_again(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(0.1)
             one = system.listed["e1"]
             target = system.fleet.at(one.address)
             target.listed = attrs.evolve(target.listed, layers=None)
             target.orders_taken = 0
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 1.0)
             assert target.orders_taken == 1
             assert target.listed.layers is not None
@@ -473,10 +472,10 @@
 
     def test_new_engine_gets_layers_after_the_delay(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(0.1)
             new = system.add(
                 fleet_system.upstream("new", "plateau", None, "large")
@@ -488,10 +487,10 @@
 
     def test_new_engine_takes_the_layers_of_one_that_leaves(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(0.1)
             new = system.add(
                 fleet_system.upstream("new", "plateau", None, "large")
@@ -517,10 +516,10 @@
 
     def test_late_order_is_refused(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             target = system.fleet.at(system.listed["e1"].address)
             assert target.orders_taken == 1
             late = plan.Move(target.listed, pipeline.LayerRange(0, 3))
@@ -532,14 +531,14 @@
 
     def test_redundant_engine_replaces_a_lost_one(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             system.fleet.at(system.listed["e0"].address).is_dead = True
             system.registry.avoid("e0", "refused")
             await anyio.sleep(1.5)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(0.1)
             live = [one for one in system.listed.values() if one.name != "e0"]
             assert min(chain.coverage(live, PROFILE.layer_count)) >= 1
@@ -550,7 +549,7 @@
         self,
     ) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             place = system.fleet.place
             lost = 1
@@ -571,7 +570,7 @@
                 while not lease.memo:
                     await anyio.sleep(0.01)
             assert lease.memo == ("e0@0",)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS + 2.0)
             # A newer order with the same count makes the late one invalid.
             assert system.fleet.at(system.listed["e0"].address).orders_taken
@@ -584,7 +583,7 @@
         listed = fleet_system.upstream("b", "plateau", (0, 24), "large")
         system.add(listed)
         controller = controllers.PlacementController(
-            typing.cast(leases.Lease, _Lease()),
+            typing.cast(leases.Lease, FakeLease()),
             system.registry,
             system.fleet,
             lambda: (),
@@ -595,7 +594,7 @@
 
     def test_next_controller_does_not_rely_on_orders_in_doubt(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             lease.memo = ("b@0",)
             # Their memory is full, so none of them can grow into the gap.
@@ -618,7 +617,7 @@
 
     def test_neighbours_grow_while_another_order_is_in_doubt(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             lease.memo = ("b@0",)
             wide = ("plateau", (0, 24), "large")
@@ -631,7 +630,7 @@
                 system.add(one)
             moved = system.fleet.at(system.listed["a"].address)
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             counts = chain.coverage(
                 system.listed.values(), PROFILE.layer_count
             )
@@ -649,10 +648,10 @@
         # Only one of them failed a request. The others must be probed before
         # their entries expire.
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             lost = {"e0", "e1", "e2"}
             for name in lost:
                 system.fleet.at(system.listed[name].address).is_dead = True
@@ -665,10 +664,10 @@
     def test_a_fleet_that_is_silent_as_a_whole_is_not_lost(self) -> None:
         # The network of this process is the likely cause.
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             for one in list(system.listed.values()):
                 system.fleet.at(one.address).is_unresponsive = True
             system.registry.avoid("e0", "refused")
@@ -686,10 +685,10 @@
 
     def test_one_failed_request_moves_nothing(self) -> None:
         async def work(
-            system: fleet_system.FleetSystem, lease: _Lease
+            system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             await anyio.sleep(3.0)
-            tell_all(system)
+            deliver_heartbeats(system)
             await anyio.sleep(0.1)
             system.registry.avoid("e0", "a connection broke")
             await anyio.sleep(2.0)
@@ -729,14 +728,14 @@
             first = leases.Lease(store, "duty", "first")
             second = leases.Lease(store, "duty", "second")
             async with anyio.create_task_group() as tasks:
-                with anyio.CancelScope() as life:
+                with anyio.CancelScope() as first_scope:
                     async with anyio.create_task_group() as inner:
                         inner.start_soon(first.run)
                         await anyio.sleep(1.0)
                         first.set_memo(("e0@3",))
                         # A memo is written before the next renewal.
                         await anyio.sleep(0.1)
-                        life.cancel()
+                        first_scope.cancel()
                 tasks.start_soon(second.run)
                 await anyio.sleep(leases.LEASE_SECONDS + 2.0)
                 assert second.is_held
@@ -751,12 +750,12 @@
             first = leases.Lease(store, "duty", "first")
             second = leases.Lease(store, "duty", "second")
             async with anyio.create_task_group() as tasks:
-                with anyio.CancelScope() as life:
+                with anyio.CancelScope() as first_scope:
                     async with anyio.create_task_group() as inner:
                         inner.start_soon(first.run)
                         await anyio.sleep(1.0)
                         assert first.is_held
-                        life.cancel()
+                        first_scope.cancel()
                 tasks.start_soon(second.run)
                 await anyio.sleep(2.0)
                 assert not second.is_held
@@ -834,7 +833,7 @@
         virtual.run(body)
 
 
-def test_store_error_is_no_lease() -> None:
+def test_unreachable_store_grants_no_lease() -> None:
     """A store that cannot be reached grants nothing."""
 
     async def body() -> None:
