--- a/src/crowdeck/observe/explain.py
+++ b/src/crowdeck/observe/explain.py
@@ -209,7 +209,7 @@
             return _refusal_cause(own, end), True
         case "caller_left":
             after = end.fields.get("after")
-            return f"the caller disconnected after {after} s", True
+            return f"the caller left after {after} s", True
         case "call_answered":
             status = int(end.fields.get("status", 0))
             if status >= 500:
--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -18,17 +18,17 @@
 # What happened to a late stream, by event; the first match is reported.
 _REACTIONS = {
     "path_changed": "its path was changed",
-    "attempt_failed": "it was restarted",
-    "stream_silent": "no engine was identified as the cause",
+    "attempt_failed": "it began anew",
+    "stream_silent": "nothing was found at fault",
     # Not an event: set for a ``path_chosen`` after a long wait.
     "held_back": "it waited for instances in need",
 }
 # Shorter waits for a path do not explain a late first event.
 WAITED_SECONDS = 0.1
 IN_TIME = "in time"
-CALLER_LEFT = "the caller disconnected"
-_CALLER_ERROR = "as a caller error"
-UNNAMED = "(not named in the logs)"
+CALLER_LEFT = "the caller left"
+_CALLER_ERROR = "by right"
+UNNAMED = "(the logs do not name it)"
 # Placeholder for a number in a reason until the range of all is known.
 _PLACEHOLDER = "\0"
 _NOT_LOST = frozenset({IN_TIME, CALLER_LEFT})
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -69,10 +69,10 @@
             "late: a pause; its path was changed": 1,
             "refused: NO_PATH, no room": 1,
             "refused: NO_PATH, layers were missing": 1,
-            "refused as a caller error: UNAUTHORIZED": 1,
+            "refused by right: UNAUTHORIZED": 1,
             "refused: OVERLOADED, refused with 503": 1,
             "the upstream itself answered 500": 1,
-            "the caller disconnected": 1,
+            "the caller left": 1,
         }
 
     def test_failed_attempts_are_counted_by_reason(self) -> None:
