--- a/src/crowdeck/__init__.py
+++ b/src/crowdeck/__init__.py
@@ -32,8 +32,8 @@
     from crowdeck.timers import TimerService
     from crowdeck.verdict import Verdict
 
-# The module of each public name. They are imported on first use, as an entry
-# uses none of them and serves no requests while it starts.
+# The module of each public name. They are imported on first use, so that
+# importing this package does not delay the start of a process.
 _MODULES_BY_NAME = {
     "Claim": "crowdeck.state.claims",
     "ClaimsLedger": "crowdeck.state.claims",
--- a/src/crowdeck/http.py
+++ b/src/crowdeck/http.py
@@ -21,7 +21,7 @@
 CONNECTION_LIMIT = 64
 KEEPALIVE_SECONDS = 2.0
 RESPONSE_LIMIT_BYTES = 4 * 1024 * 1024
-# Headers that concern one connection and must not be forwarded.
+# Hop-by-hop headers, and those that each hop sets itself.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
--- a/src/crowdeck/observe/explain.py
+++ b/src/crowdeck/observe/explain.py
@@ -261,8 +261,8 @@
     if missing:
         first = line.fields.get("first_missing")
         return (
-            f"{missing} layers, from layer {first} on, were held by none of "
-            f"{usable} usable engines"
+            f"{missing} layers, the first being layer {first}, were held by "
+            f"none of {usable} usable engines"
         )
     return (
         f"{usable} usable engines held all layers, but every path lacked "
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -308,7 +308,7 @@
 
 def _write_lost(verdict: verdicts.Verdict) -> errors.CrowdeckError:
     if verdict is _NOT_RUN:
-        return _store_down("the store could not be reached")
+        return _store_down("the store did not accept the write")
     return errors.CrowdeckError(
         errors.Code.STORE_UNSURE,
         "the store's reply to a write was lost",
--- a/src/crowdeck/verdict.py
+++ b/src/crowdeck/verdict.py
@@ -15,8 +15,8 @@
 class Verdict(enum.StrEnum):
     """Whether a request may have had an effect.
 
-    ``NOT_RUN`` guarantees that the request did not run and never will. Only
-    a sidecar's gate may give it, or an entry that has sent nothing.
+    ``NOT_RUN`` guarantees that the request did not run and never will. It
+    is given only if the request was not sent or was refused before it ran.
     """
 
     NOT_RUN = "not_run"
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -83,7 +83,7 @@
         )
         full = line(1.0, "no_path", missing_layers=0, **common)
         cause = explain.explain("r1", [missing, end]).cause
-        assert "6 layers, from layer 24 on" in cause
+        assert "6 layers, the first being layer 24," in cause
         cause = explain.explain("r1", [full, end]).cause
         assert "lacked room for 900 tokens" in cause
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -113,7 +113,7 @@
 
 
 class _Echo:
-    """A handler that answers heartbeats and keeps records."""
+    """Answers every question but ``Drain``, which raises; keeps records."""
 
     def __init__(self) -> None:
         self.records: list[messages.Record] = []
