--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -27,7 +27,7 @@
 # Reports and orders are answered at once; a link between availability zones
 # adds less than a millisecond.
 CONNECT_TIMEOUT_SECONDS = 0.25
-EXCHANGE_SECONDS = 0.5
+EXCHANGE_TIMEOUT_SECONDS = 0.5
 _JSON_TYPE = (b"content-type", b"application/json")
 _MISDIRECTED = 421
 _UNAVAILABLE = 503
@@ -235,7 +235,7 @@
             f"http://{upstream.address}{path}",
             headers,
             body,
-            http.Timeouts(CONNECT_TIMEOUT_SECONDS, EXCHANGE_SECONDS),
+            http.Timeouts(CONNECT_TIMEOUT_SECONDS, EXCHANGE_TIMEOUT_SECONDS),
         ) as response:
             self._notify(upstream, response, answers_request=False)
             content = await response.read(http.RESPONSE_LIMIT_BYTES)
