--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -69,7 +69,7 @@
         body=body,
         timeout_seconds=None if timeout_ms is None else timeout_ms / 1000.0,
         arrived=arrived,
-        token_counts=_prompt_size(first_values),
+        token_counts=_token_counts(first_values),
         last_event_id=int(
             _parse_number(first_values.get(names.LAST_EVENT_ID, b"")) or -1
         ),
@@ -149,7 +149,7 @@
     return ""
 
 
-def _prompt_size(
+def _token_counts(
     first_values: dict[bytes, bytes],
 ) -> requests.TokenCounts | None:
     counts = first_values.get(names.TOKEN_COUNTS, b"").split(b",")
