--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -26,7 +26,7 @@
     ValueError,
 )
 
-_REPEATS = {
+_REPEAT_POLICY_BY_KIND = {
     names.KIND_IDEMPOTENT: routes.RepeatPolicy.IDEMPOTENT,
     names.KIND_STREAMING: routes.RepeatPolicy.STREAM,
 }
@@ -54,7 +54,9 @@
 
 
 def _route(body: Json) -> routes.Route:
-    repeat = _REPEATS.get(body[names.ROUTE_KIND], routes.RepeatPolicy.ONCE)
+    repeat = _REPEAT_POLICY_BY_KIND.get(
+        body[names.ROUTE_KIND], routes.RepeatPolicy.ONCE
+    )
     is_resumable = repeat is routes.RepeatPolicy.STREAM and bool(
         body.get(names.RESUMABLE, False)
     )
