--- a/src/crowdeck/platform/fields.py
+++ b/src/crowdeck/platform/fields.py
@@ -84,7 +84,7 @@
     return value
 
 
-def object_list(body: Json, name: str) -> list[Json]:
+def list_field(body: Json, name: str) -> list[Json]:
     """Return a list field, empty if it is missing.
 
     :raises TypeError: if it is not a list.
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -78,7 +78,7 @@
                     fields.text(one, names.ID),
                     fields.text(one, names.ADDRESS),
                 )
-                for one in fields.object_list(body, names.STALLED)
+                for one in fields.list_field(body, names.STALLED)
             ),
             started_ms=_start_time_ms(body),
         )
