--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -135,7 +135,7 @@
                 # Objects of later pages may be newer. A watch from here may
                 # repeat changes but misses none.
                 version = _decode_version(body)
-            if not body.get(names.MORE) or not found:
+            if not body.get(names.HAS_MORE) or not found:
                 break
             query = {names.AFTER_NAME: found[-1].name}
         return stores.Changes(version or 0, tuple(found), epoch=epoch or 0)
--- a/src/crowdeck/standin/store_http.py
+++ b/src/crowdeck/standin/store_http.py
@@ -178,7 +178,7 @@
 def _listing(changes: stores.Changes) -> Json:
     return {
         names.ITEMS: [_object(stored) for stored in changes.objects],
-        names.MORE: False,
+        names.HAS_MORE: False,
         names.AT_REVISION: changes.version,
     }
 
