--- a/src/crowdeck/platform/names.py
+++ b/src/crowdeck/platform/names.py
@@ -51,7 +51,7 @@
 REMOVED = "tombstone"
 WATCH = "watch"
 WAIT_MS = "wait_ms"
-STALE = "serializable"
+ALLOW_STALE = "serializable"
 
 # Kinds of objects.
 CONFIG_KIND = "config"
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -59,7 +59,7 @@
         self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         """Return an object, or ``None`` if there is none of this name."""
-        query: Query | None = {names.STALE: 1} if allow_stale else None
+        query: Query | None = {names.ALLOW_STALE: 1} if allow_stale else None
         response = await self._read(_path(kind, name, query))
         if response.status == 404:
             return None
