--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -267,7 +267,7 @@
 def _decode_version(body: Json) -> int:
     """Return the store's version in an answer."""
     try:
-        return int(body[names.AT_REVISION])
+        return int(body[names.STORE_REVISION])
     except _DECODE_ERRORS as error:
         raise _store_down("the store's answer has no version") from error
 
--- a/src/crowdeck/standin/store_http.py
+++ b/src/crowdeck/standin/store_http.py
@@ -179,7 +179,7 @@
     return {
         names.ITEMS: [_object(stored) for stored in changes.objects],
         names.HAS_MORE: False,
-        names.AT_REVISION: changes.version,
+        names.STORE_REVISION: changes.version,
     }
 
 
@@ -191,7 +191,7 @@
     for name in changes.removed:
         tombstone = stores.StoredObject("", name, changes.version, b"null")
         events.append({names.REMOVED: True, names.OBJECT: _object(tombstone)})
-    return {names.EVENTS: events, names.AT_REVISION: changes.version}
+    return {names.EVENTS: events, names.STORE_REVISION: changes.version}
 
 
 def _json(body: Json) -> responses.Response:
