--- a/src/crowdeck/platform/names.py
+++ b/src/crowdeck/platform/names.py
@@ -67,7 +67,9 @@
 STATE = "state"
 STATE_READY = "ready"
 STATE_DRAINING = "draining"
-CARD = "route_kind"  # in an entry or a report: the accelerator's kind
+ACCELERATOR_TYPE = (
+    "route_kind"  # in an entry or a report: the accelerator's kind
+)
 LAYERS = "layers"  # a range in entries and reports, a count in profiles
 FIRST_LAYER = "from"
 END_LAYER = "target_version"  # in a layer range: its exclusive end
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -50,7 +50,7 @@
             availability_zone=fields.text(body, names.ZONE, ""),
             slots=fields.integer(body, names.SLOTS, 1),
             is_leaving=_state(body) == names.STATE_DRAINING,
-            card=fields.text(body, names.CARD, ""),
+            card=fields.text(body, names.ACCELERATOR_TYPE, ""),
             layers=_layers(body),
         )
     except _DECODE_ERRORS as error:
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -180,7 +180,7 @@
         names.ZONE: listed.availability_zone,
         names.SLOTS: listed.slots,
         names.STATE: names.STATE_DRAINING if listed.is_leaving else "ready",
-        names.CARD: listed.card,
+        names.ACCELERATOR_TYPE: listed.card,
         names.LAYERS: _layers(listed.layers),
         **_start_time_fields(listed.started_ms),
     }
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -35,7 +35,7 @@
         names.ZONE: "plateau",
         names.SLOTS: 6,
         names.STATE: names.STATE_READY,
-        names.CARD: "large",
+        names.ACCELERATOR_TYPE: "large",
         names.LAYERS: {names.FIRST_LAYER: 0, names.END_LAYER: 80},
         **changes,
     }
