--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -103,7 +103,7 @@
         return None
     models = body.get(names.MODELS) or [{}]
     usual = body.get(names.USUAL) or {}
-    cards = (_card(one) for one in body.get(names.CARDS) or ())
+    cards = (_card(one) for one in body.get(names.ACCELERATOR_TYPES) or ())
     return chain.EngineProfile(
         layer_count=int(body[names.LAYERS]),
         layer_mb=float(body[names.LAYER_MB]),
