--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -126,7 +126,7 @@
 def _card(body: Json) -> chain.AcceleratorType:
     return chain.AcceleratorType(
         name=str(body[names.NAME]),
-        memory_mb=float(body[names.CARD_MB]),
+        memory_mb=float(body[names.MEMORY_MB]),
         step_factor=float(body[names.CARD_STEP]),
         prefill_factor=float(body[names.CARD_READ]),
     )
