--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -128,7 +128,7 @@
         name=str(body[names.NAME]),
         memory_mb=float(body[names.MEMORY_MB]),
         step_factor=float(body[names.STEP_FACTOR]),
-        prefill_factor=float(body[names.CARD_READ]),
+        prefill_factor=float(body[names.PREFILL_FACTOR]),
     )
 
 
