--- a/src/crowdeck/platform/names.py
+++ b/src/crowdeck/platform/names.py
@@ -83,7 +83,7 @@
 SLOWDOWN = "pace"  # in a report: above 1 while slow
 STALLED = "stalled"
 ID = "id"
-BORN = "born"  # milliseconds since 1970, in entries and reports
+STARTED_MS = "born"  # milliseconds since 1970, in entries and reports
 
 # Orders.
 OPERATION = "operation"
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -99,9 +99,9 @@
 
     :raises TypeError: if it is null.
     """
-    if names.BORN in body and body[names.BORN] is None:
+    if names.STARTED_MS in body and body[names.STARTED_MS] is None:
         raise TypeError("the start time is null")
-    return fields.integer(body, names.BORN, 0)
+    return fields.integer(body, names.STARTED_MS, 0)
 
 
 def _layers(body: fields.Json) -> pipeline.LayerRange | None:
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -223,7 +223,7 @@
 
 def _start_time_fields(started_ms: int) -> Json:
     """Return the field with the start time, if it is known."""
-    return {names.BORN: started_ms} if started_ms else {}
+    return {names.STARTED_MS: started_ms} if started_ms else {}
 
 
 def _layers(layers: pipeline.LayerRange | None) -> Json | None:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -68,7 +68,7 @@
     names.RUNNING: 1,
     names.CACHE_USED: 10,
     names.STALLED: [{names.ID: "r", names.ADDRESS: "10.0.0.1:1"}],
-    names.BORN: 5,
+    names.STARTED_MS: 5,
 }
 
 
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -85,7 +85,7 @@
     """Runs of an instance in the adapter to the platform."""
 
     def test_reports_are_requested_by_instance_id(self) -> None:
-        fixed = ask({names.ORDERS_TAKEN: 0, names.BORN: 7}, a_run(7))
+        fixed = ask({names.ORDERS_TAKEN: 0, names.STARTED_MS: 7}, a_run(7))
         assert (names.EXPECTED_INSTANCE, b"e") in fixed.sent[0]
 
     def test_requests_are_sent_by_instance_id(self) -> None:
@@ -105,9 +105,9 @@
 
     def test_report_of_a_later_run_means_the_instance_is_gone(self) -> None:
         with pytest.raises(errors.InstanceGone):
-            ask({names.ORDERS_TAKEN: 0, names.BORN: 8}, a_run(7))
+            ask({names.ORDERS_TAKEN: 0, names.STARTED_MS: 8}, a_run(7))
 
-    @pytest.mark.parametrize("born", [{names.BORN: 6}, {}])
+    @pytest.mark.parametrize("born", [{names.STARTED_MS: 6}, {}])
     def test_report_of_an_earlier_or_unknown_run_is_malformed(
         self, born: dict[str, object]
     ) -> None:
