--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -147,7 +147,8 @@
         header_bytes=int(body.get(names.HEADER_BYTES, default.header_bytes)),
         body_bytes=int(body.get(names.BODY_BYTES, default.body_bytes)),
         header_seconds=float(
-            body.get(names.HEADER_MS, default.header_seconds * 1000) / 1000
+            body.get(names.HEADER_TIMEOUT_MS, default.header_seconds * 1000)
+            / 1000
         ),
         idle_seconds=float(
             body.get(names.IDLE_MS, default.idle_seconds * 1000) / 1000
--- a/src/crowdeck/platform/names.py
+++ b/src/crowdeck/platform/names.py
@@ -119,7 +119,7 @@
 WEIGHT = "weight"
 HEADER_BYTES = "max_header_bytes"
 BODY_BYTES = "max_body_bytes"
-HEADER_MS = "header_timeout_ms"
+HEADER_TIMEOUT_MS = "header_timeout_ms"
 IDLE_MS = "idle_timeout_ms"
 CONNECTIONS = "connection_limit"
 
