--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -151,7 +151,7 @@
             / 1000
         ),
         idle_seconds=float(
-            body.get(names.IDLE_MS, default.idle_seconds * 1000) / 1000
+            body.get(names.IDLE_TIMEOUT_MS, default.idle_seconds * 1000) / 1000
         ),
     )
 
--- a/src/crowdeck/platform/names.py
+++ b/src/crowdeck/platform/names.py
@@ -120,7 +120,7 @@
 HEADER_BYTES = "max_header_bytes"
 BODY_BYTES = "max_body_bytes"
 HEADER_TIMEOUT_MS = "header_timeout_ms"
-IDLE_MS = "idle_timeout_ms"
+IDLE_TIMEOUT_MS = "idle_timeout_ms"
 CONNECTIONS = "connection_limit"
 
 # A service's engine profile.
