--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -111,7 +111,7 @@
         step_ms=float(body[names.STEP_MS]),
         sequence_ms=float(body[names.SEQUENCE_MS]),
         context_ms=float(body[names.CONTEXT_MS]),
-        prefill_tokens_per_second=float(body[names.READ_RATE]),
+        prefill_tokens_per_second=float(body[names.PREFILL_TOKENS_PER_SECOND]),
         activation_bytes=float(body[names.ACTIVATION_BYTES]),
         zone_link_bytes_per_second=float(body[names.PIPE_MBPS]) * 1e6 / 8,
         load_seconds=float(models[0].get(names.LOAD_SECONDS, 0.0)),
