--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -113,7 +113,7 @@
         context_ms=float(body[names.CONTEXT_MS]),
         prefill_tokens_per_second=float(body[names.PREFILL_TOKENS_PER_SECOND]),
         activation_bytes=float(body[names.ACTIVATION_BYTES]),
-        zone_link_bytes_per_second=float(body[names.PIPE_MBPS]) * 1e6 / 8,
+        zone_link_bytes_per_second=float(body[names.ZONE_LINK_MBPS]) * 1e6 / 8,
         load_seconds=float(models[0].get(names.LOAD_SECONDS, 0.0)),
         concurrent_loads=int(body.get(names.LOADS_AT_ONCE) or 1),
         slots=int(body[names.SLOTS]),
