--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -115,7 +115,7 @@
         activation_bytes=float(body[names.ACTIVATION_BYTES]),
         zone_link_bytes_per_second=float(body[names.ZONE_LINK_MBPS]) * 1e6 / 8,
         load_seconds=float(models[0].get(names.LOAD_SECONDS, 0.0)),
-        concurrent_loads=int(body.get(names.LOADS_AT_ONCE) or 1),
+        concurrent_loads=int(body.get(names.CONCURRENT_LOADS) or 1),
         slots=int(body[names.SLOTS]),
         mean_prompt_tokens=float(usual.get(names.USUAL_PROMPT, 0.0)),
         mean_answer_tokens=float(usual.get(names.USUAL_ANSWER, 0.0)),
