--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -102,7 +102,7 @@
     if not body.get(names.LAYERS):
         return None
     models = body.get(names.MODELS) or [{}]
-    usual = body.get(names.USUAL) or {}
+    usual = body.get(names.MEAN_LENGTHS) or {}
     cards = (_card(one) for one in body.get(names.ACCELERATOR_TYPES) or ())
     return chain.EngineProfile(
         layer_count=int(body[names.LAYERS]),
