--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -118,7 +118,7 @@
         concurrent_loads=int(body.get(names.CONCURRENT_LOADS) or 1),
         slots=int(body[names.SLOTS]),
         mean_prompt_tokens=float(usual.get(names.MEAN_PROMPT_TOKENS, 0.0)),
-        mean_answer_tokens=float(usual.get(names.USUAL_ANSWER, 0.0)),
+        mean_answer_tokens=float(usual.get(names.MEAN_ANSWER_TOKENS, 0.0)),
         cards={one.name: one for one in cards},
     )
 
