--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -135,11 +135,11 @@
     ) -> responses.Response:
         context = self._context(request, "models")
         context.span.end()
-        place = context.caller.place()
+        settings_scope = context.caller.settings_scope()
         names = [
             name
             for name in self._driver_dependencies.planner.models
-            if context.tree.allows_model(place, name)
+            if context.tree.allows_model(settings_scope, name)
         ]
         listed = [
             {"id": name, "object": "model", "created": 0, "owned_by": "-"}
@@ -188,14 +188,14 @@
         body: openai.CompletionBody,
         resume: openai.EventId | None,
     ) -> model_requests.ModelRequest:
-        place = context.caller.place(body.model)
+        settings_scope = context.caller.settings_scope(body.model)
         tree = context.tree
-        if not tree.allows_model(place, body.model):
+        if not tree.allows_model(settings_scope, body.model):
             raise errors.CrowdeckError(
                 errors.Code.FORBIDDEN,
                 f"your team may not use model {body.model}",
             )
-        limit = tree.integer(place, "max_tokens")
+        limit = tree.integer(settings_scope, "max_tokens")
         if resume is not None:
             request_id = resume.request
         else:
@@ -209,8 +209,8 @@
             prompt=body.prompt,
             max_tokens=min(body.max_tokens or limit, limit),
             seconds_left=context.seconds_left,
-            priority=tree.integer(place, "priority"),
-            window=tree.integer(place, "window"),
+            priority=tree.integer(settings_scope, "priority"),
+            window=tree.integer(settings_scope, "window"),
         )
 
     # Plain services.
@@ -221,8 +221,8 @@
         context = self._context(request, "entry")
         with _end_span_on_error(context.span):
             call = await self._service_call(request, context)
-            place = context.caller.place(call.service)
-            limit = context.tree.integer(place, "concurrency")
+            settings_scope = context.caller.settings_scope(call.service)
+            limit = context.tree.integer(settings_scope, "concurrency")
             session = context.session_name
             if not call.contract.is_ordered:
                 session = ""
@@ -273,8 +273,8 @@
     def _contract(
         self, context: context_module.RequestContext, service: str
     ) -> contracts.Contract:
-        place = context.caller.place(service)
-        allowed = context.tree.names(place, "services")
+        settings_scope = context.caller.settings_scope(service)
+        allowed = context.tree.names(settings_scope, "services")
         contract = context.tree.services.get(service)
         # Other teams must not learn whether a service exists.
         if contract is None or not allowed & {service, "*"}:
@@ -297,8 +297,8 @@
         caller = teams.authenticate(
             tree, request.headers.get("authorization", ""), session
         )
-        place = caller.place()
-        limit = tree.number(place, "deadline_seconds")
+        settings_scope = caller.settings_scope()
+        limit = tree.number(settings_scope, "deadline_seconds")
         requested_seconds = _number_header(
             request, "x-deadline-seconds", limit
         )
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -98,13 +98,13 @@
                 await replies.error_response(error)(scope, receive, send)
 
     async def _run(self, sink: "_Collector | _Streamer") -> str:
-        place = self._context.caller.place(self._body.model)
+        settings_scope = self._context.caller.settings_scope(self._body.model)
         tree = self._context.tree
         team = self._context.caller.team
-        limit = tree.integer(place, "concurrency")
-        weight = tree.number(place, "weight")
+        limit = tree.integer(settings_scope, "concurrency")
+        weight = tree.number(settings_scope, "weight")
         with self._admission.enter(team, limit, weight):
-            gap = tree.number(place, "token_gap_seconds")
+            gap = tree.number(settings_scope, "token_gap_seconds")
             factor = self._admission.share_factor(team)
             self._model_request = attrs.evolve(
                 self._model_request, gap_limit_seconds=gap * factor
--- a/src/crowdeck/team.py
+++ b/src/crowdeck/team.py
@@ -22,7 +22,7 @@
     team: str
     session: str = ""
 
-    def place(self, service: str = "") -> trees.SettingsScope:
+    def settings_scope(self, service: str = "") -> trees.SettingsScope:
         """Return the scope of this caller's settings."""
         session = self.session if service else ""
         return trees.SettingsScope(self.team, service, session)
