--- a/src/crowdeck/availability_zone.py
+++ b/src/crowdeck/availability_zone.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-SAME_ZONE_SECONDS = 0.0001
+SAME_ZONE_DELAY_SECONDS = 0.0001
 OTHER_ZONE_SECONDS = 0.0005
 
 
@@ -44,4 +44,6 @@
         if link is not None:
             return link
         is_same = one == other
-        return ZoneLink(SAME_ZONE_SECONDS if is_same else OTHER_ZONE_SECONDS)
+        return ZoneLink(
+            SAME_ZONE_DELAY_SECONDS if is_same else OTHER_ZONE_SECONDS
+        )
