--- a/src/crowdeck/availability_zone.py
+++ b/src/crowdeck/availability_zone.py
@@ -8,7 +8,7 @@
 import attrs
 
 SAME_ZONE_DELAY_SECONDS = 0.0001
-OTHER_ZONE_SECONDS = 0.0005
+OTHER_ZONE_DELAY_SECONDS = 0.0005
 
 
 @attrs.frozen
@@ -45,5 +45,5 @@
             return link
         is_same = one == other
         return ZoneLink(
-            SAME_ZONE_DELAY_SECONDS if is_same else OTHER_ZONE_SECONDS
+            SAME_ZONE_DELAY_SECONDS if is_same else OTHER_ZONE_DELAY_SECONDS
         )
