--- a/bench/placement.py
+++ b/bench/placement.py
@@ -98,7 +98,7 @@
         token_bytes=described["token_bytes"],
         step_ms=1.02,
         sequence_ms=0.006,
-        context_ms=0.008,
+        context_ms_per_1000_tokens=0.008,
         prefill_tokens_per_second=245_000.0,
         activation_bytes=39_000.0,
         zone_link_bytes_per_second=0.69e9,
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -59,7 +59,7 @@
     token_bytes: float
     step_ms: float
     sequence_ms: float
-    context_ms: float
+    context_ms_per_1000_tokens: float
     prefill_tokens_per_second: float
     activation_bytes: float
     zone_link_bytes_per_second: float
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -110,7 +110,7 @@
         token_bytes=float(body[names.TOKEN_BYTES]),
         step_ms=float(body[names.STEP_MS]),
         sequence_ms=float(body[names.SEQUENCE_MS]),
-        context_ms=float(body[names.CONTEXT_MS]),
+        context_ms_per_1000_tokens=float(body[names.CONTEXT_MS]),
         prefill_tokens_per_second=float(body[names.PREFILL_TOKENS_PER_SECOND]),
         activation_bytes=float(body[names.ACTIVATION_BYTES]),
         zone_link_bytes_per_second=float(body[names.ZONE_LINK_MBPS]) * 1e6 / 8,
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -137,7 +137,7 @@
     The requests of a layer are spread evenly over its engines. Transfers
     between stages are left out, which keeps the result a bound.
     """
-    context_cost_ms = profile.context_ms * mean_tokens / 1000.0
+    context_cost_ms = profile.context_ms_per_1000_tokens * mean_tokens / 1000.0
     token_ms = 0.0
     for layer in range(profile.layer_count):
         holders = [
