--- a/bench/placement.py
+++ b/bench/placement.py
@@ -95,7 +95,7 @@
     profile = chain.EngineProfile(
         layer_count=LAYERS,
         layer_mb=1750.0,
-        token_bytes=described["token_bytes"],
+        kv_bytes_per_token=described["token_bytes"],
         step_ms=1.02,
         sequence_ms=0.006,
         context_ms_per_1000_tokens=0.008,
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -56,7 +56,7 @@
 
     layer_count: int
     layer_mb: float
-    token_bytes: float
+    kv_bytes_per_token: float
     step_ms: float
     sequence_ms: float
     context_ms_per_1000_tokens: float
@@ -73,7 +73,7 @@
     @property
     def token_layer_mb(self) -> float:
         """Memory of one token's KV cache in one layer, in MB."""
-        return self.token_bytes / self.layer_count / 1e6
+        return self.kv_bytes_per_token / self.layer_count / 1e6
 
     def token_capacity(self, card: str, layers: int) -> float:
         """Return how many tokens fit beside ``layers`` layers of weights.
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -107,7 +107,7 @@
     return chain.EngineProfile(
         layer_count=int(body[names.LAYERS]),
         layer_mb=float(body[names.LAYER_MB]),
-        token_bytes=float(body[names.TOKEN_BYTES]),
+        kv_bytes_per_token=float(body[names.TOKEN_BYTES]),
         step_ms=float(body[names.STEP_MS]),
         sequence_ms=float(body[names.SEQUENCE_MS]),
         context_ms_per_1000_tokens=float(body[names.CONTEXT_MS]),
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -18,7 +18,7 @@
 # A model and an availability zone of mixed cards that hold 1.7 copies of it.
 MIXED = attrs.evolve(
     fleet_system.PROFILE,
-    token_bytes=590_000.0,
+    kv_bytes_per_token=590_000.0,
     cards={
         "wide": chain.AcceleratorType("wide", 72_000.0, 2.4, 3.2),
         "middle": chain.AcceleratorType("middle", 21_600.0, 16.0, 8.2),
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -224,7 +224,7 @@
     PROFILE,
     layer_count=6,
     layer_mb=10_000.0,
-    token_bytes=6e6,
+    kv_bytes_per_token=6e6,
     cards={
         "big": chain.AcceleratorType("big", 45_000.0, 1.4, 1.0),
         "middle": chain.AcceleratorType("middle", 32_000.0, 3.0, 3.0),
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -682,7 +682,7 @@
         assert (count - lost) * most >= layer_count
         # Memory for this many layers and a little over four requests.
         per_layer = PROFILE.layer_mb + 4.01 * 858.0 * (
-            PROFILE.token_bytes / layer_count / 1e6
+            PROFILE.kv_bytes_per_token / layer_count / 1e6
         )
         profile = attrs.evolve(
             PROFILE,
