--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -165,7 +165,7 @@
         return self.hops[0].upstream
 
     @property
-    def crossings(self) -> int:
+    def zone_crossings(self) -> int:
         """How often the path goes from one availability zone to another."""
         zones = [hop.upstream.availability_zone for hop in self.hops]
         pairs = zip(zones, zones[1:], strict=False)
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -245,7 +245,7 @@
             if one.name not in self._excluded
         ]
         path = self._plan_over(usable, wanted)
-        if path is None or path.crossings:
+        if path is None or path.zone_crossings:
             leaving = [
                 one
                 for one in registry.usable_while_leaving(self._service)
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -188,7 +188,7 @@
             return False
         if not self._context.may_restart_stream(stream.service.name):
             return False
-        return other is None or other.crossings > path.crossings
+        return other is None or other.zone_crossings > path.zone_crossings
 
     def _find_path(
         self,
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -290,7 +290,7 @@
         self, stream: live.LiveStream, path: chain.ChainPath, found: _Finding
     ) -> bool:
         """Whether a stream's first engine does not work on it."""
-        if not stream.may_resume or path.crossings:
+        if not stream.may_resume or path.zone_crossings:
             return False
         if found.head_report is None or not found.is_sure:
             return False
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -202,7 +202,7 @@
         planner = hops.HopPlanner(usages.InFlight())
         path = planner.plan(fleet, REQUEST)
         assert path is not None
-        assert path.crossings == 0
+        assert path.zone_crossings == 0
         assert path.head.availability_zone == "plateau"
 
     def test_prefers_another_zone_to_crossing_zones(self) -> None:
@@ -212,7 +212,7 @@
         planner = hops.HopPlanner(usages.InFlight())
         path = planner.plan(fleet, REQUEST)
         assert path is not None
-        assert path.crossings == 0
+        assert path.zone_crossings == 0
 
     def test_spreads_over_equal_engines(self) -> None:
         fleet = engines([(0, 40, "plateau")] * 3 + [(40, 40, "plateau")] * 3)
