--- a/src/crowdeck/settings/holder.py
+++ b/src/crowdeck/settings/holder.py
@@ -21,7 +21,7 @@
 WATCH_SECONDS = 20.0
 # Number of change ids that are remembered. Must exceed the number of edits
 # that are lost when the store is restored from a backup.
-MAX_CHANGES = 64
+MAX_REMEMBERED_CHANGES = 64
 
 
 def encode(generation: int, change: str, text: str) -> bytes:
@@ -118,7 +118,7 @@
 
     def _remember_change(self, change: str) -> None:
         self._changes[change] = None
-        while len(self._changes) > MAX_CHANGES:
+        while len(self._changes) > MAX_REMEMBERED_CHANGES:
             oldest = next(iter(self._changes))
             del self._changes[oldest]
 
