--- a/src/crowdeck/observe/counters.py
+++ b/src/crowdeck/observe/counters.py
@@ -17,7 +17,7 @@
 import attrs
 
 
-class StatsdPipe(typing.Protocol):
+class StatsdClient(typing.Protocol):
     """The methods of a statsd client that are used here."""
 
     def incr(self, stat: str, count: int) -> None:
@@ -109,7 +109,7 @@
             lines += _histogram_lines(_prometheus_name(name), histogram)
         return "\n".join(lines) + "\n"
 
-    def flush(self, pipe: StatsdPipe) -> None:
+    def flush(self, pipe: StatsdClient) -> None:
         """Send the changes since the last flush, and all gauges."""
         for name, value in self._counts.items():
             change = value - self._sent[name]
