--- a/src/crowdeck/observe/counters.py
+++ b/src/crowdeck/observe/counters.py
@@ -39,7 +39,7 @@
 
 
 # Upper bounds of the histogram buckets, in seconds.
-BUCKETS = (
+BUCKET_BOUNDS_SECONDS = (
     *(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.35),
     *(0.5, 0.75, 1.0, 1.5, 2.0, 3.5, 5.0, 10.0, 20.0, 45.0),
 )
@@ -53,12 +53,14 @@
     :ivar total: sum of the durations, in seconds.
     """
 
-    counts: list[int] = attrs.field(factory=lambda: [0] * (len(BUCKETS) + 1))
+    counts: list[int] = attrs.field(
+        factory=lambda: [0] * (len(BUCKET_BOUNDS_SECONDS) + 1)
+    )
     total: float = 0.0
 
     def add(self, seconds: float) -> None:
         """Count one duration."""
-        self.counts[bisect.bisect_left(BUCKETS, seconds)] += 1
+        self.counts[bisect.bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
         self.total += seconds
 
 
@@ -130,7 +132,7 @@
 def _histogram_lines(name: str, histogram: Histogram) -> list[str]:
     lines = []
     cumulative = 0
-    bounds = [f"{bound:g}" for bound in BUCKETS] + ["+Inf"]
+    bounds = [f"{bound:g}" for bound in BUCKET_BOUNDS_SECONDS] + ["+Inf"]
     for bound, count in zip(bounds, histogram.counts, strict=True):
         cumulative += count
         lines.append(f'{name}_seconds_bucket{{le="{bound}"}} {cumulative}')
