--- a/src/crowdeck/observe/logs.py
+++ b/src/crowdeck/observe/logs.py
@@ -28,7 +28,7 @@
 # Maximum number of lines per event and second.
 LINES_PER_SECOND = 100
 # Pipe writes up to this size are atomic (PIPE_BUF).
-LINE_BYTES = 4_096
+MAX_LINE_BYTES = 4_096
 
 _KIND = "message_type"
 _TIME = "timestamp"
@@ -100,7 +100,7 @@
         if name not in _OMITTED
     )
     line = orjson.dumps(fields, default=str) + b"\n"
-    if len(line) > LINE_BYTES:
+    if len(line) > MAX_LINE_BYTES:
         header = {name: fields[name] for name in (_TIME, _KIND)}
         line = orjson.dumps({**header, "too_long": len(line)}) + b"\n"
     return line
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -69,7 +69,7 @@
         pipe = _Pipe()
         writer = logs.BoundedWriter(pipe.write)
         writer({"message_type": "crowdeck:x", "path": "a" * 10_000})
-        assert len(pipe.lines[0]) <= logs.LINE_BYTES
+        assert len(pipe.lines[0]) <= logs.MAX_LINE_BYTES
         assert orjson.loads(pipe.lines[0])["too_long"] > 10_000
 
 
