--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -24,7 +24,7 @@
     "held_back": "it waited for instances in need",
 }
 # Shorter waits for a path do not explain a late first event.
-WAITED_SECONDS = 0.1
+MIN_WAIT_SECONDS = 0.1
 IN_TIME = "in time"
 CALLER_LEFT = "the caller left"
 _CALLER_ERROR = "by right"
@@ -134,7 +134,7 @@
             request.shortage = line
         elif line.kind == "path_chosen":
             waited = float(line.fields.get("waited") or 0.0)
-            if line.fields.get("held_back") and waited > WAITED_SECONDS:
+            if line.fields.get("held_back") and waited > MIN_WAIT_SECONDS:
                 request.reactions.add("held_back")
         elif line.kind in _REACTIONS:
             request.reactions.add(line.kind)
