--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -164,7 +164,7 @@
                 for index, found in sorted(spans.items())
             ),
             lost_by_source=dict(sources.most_common()),
-            reroutes=self._reroutes.sums(),
+            reroutes=self._reroutes.summary(),
         )
 
     def _cause(self, request: _Request, end: explain.Line) -> str:
--- a/src/crowdeck/observe/reroutes.py
+++ b/src/crowdeck/observe/reroutes.py
@@ -79,7 +79,7 @@
                 pause = float(line.fields.get("longest_pause") or 0.0)
                 self._longest_pause[request] = pause
 
-    def sums(self) -> Reroutes:
+    def summary(self) -> Reroutes:
         """Return the result over the lines so far."""
         agreed = {
             request: seconds
