--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -21,7 +21,7 @@
 import eliot
 
 # Not every system has a clock that counts time while suspended.
-_BOOT: int = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_BOOT_CLOCK_ID: int = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 TimerCallback = abc.Callable[[], abc.Awaitable[None]]
 
@@ -75,7 +75,7 @@
 
     def now(self) -> float:
         """Return the seconds since boot."""
-        return time.clock_gettime(_BOOT)
+        return time.clock_gettime(_BOOT_CLOCK_ID)
 
 
 class MonotonicClock:
@@ -98,7 +98,7 @@
 
     def time(self) -> float:
         """Return the seconds since boot."""
-        return time.clock_gettime(_BOOT)
+        return time.clock_gettime(_BOOT_CLOCK_ID)
 
 
 class TimerService:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -49,7 +49,7 @@
         real = time.clock_gettime
 
         def boot_time(clock: int) -> float:
-            assert clock == timers._BOOT
+            assert clock == timers._BOOT_CLOCK_ID
             return real(clock) + suspended
 
         async def body() -> None:
