--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -279,7 +279,7 @@
         texts = [*serialize(lines), refusal]
         found = explain.explain("r1", texts)
         assert "wanted rest" in found.cause
-        assert losses.account(texts, test_losses.AIMS, 2.0).causes == {
+        assert losses.account(texts, test_losses.OBJECTIVES, 2.0).causes == {
             "refused: NO_PATH, instances at their limits or in rest": 1,
             # The retry.
             "in time": 1,
@@ -312,7 +312,7 @@
         ]
         for name in ("r1", "r2", "r3"):
             log.append(test_losses.refused(2.0, name, "NO_PATH", "x"))
-        assert losses.account(log, test_losses.AIMS, 2.0).causes == {
+        assert losses.account(log, test_losses.OBJECTIVES, 2.0).causes == {
             "refused: NO_PATH, no instance": 1,
             "refused: NO_PATH, the instances left were in need": 1,
             "refused: NO_PATH, instances at their limits or in rest": 1,
@@ -337,7 +337,7 @@
         assert found.held_back
         assert found.held_back[0] in found.cause
         assert "more is taken in 3.0 s" in found.cause
-        causes = losses.account(texts, test_losses.AIMS, 2.0).causes
+        causes = losses.account(texts, test_losses.OBJECTIVES, 2.0).causes
         assert causes == {
             "refused: NO_PATH, instances at their limits or in rest": 1
         }
@@ -349,7 +349,9 @@
             await system.ask(system.request(STREAM))
 
         run_scenario(work)
-        causes = losses.account(serialize(lines), test_losses.AIMS, 2.0).causes
+        causes = losses.account(
+            serialize(lines), test_losses.OBJECTIVES, 2.0
+        ).causes
         assert causes == {
             "late: its first event; it waited for instances in need": 1
         }
@@ -381,7 +383,7 @@
         refusals: list[str] = []
         run_scenario(work)
         found = losses.account(
-            [*serialize(lines), *refusals], test_losses.AIMS, 2
+            [*serialize(lines), *refusals], test_losses.OBJECTIVES, 2
         )
         assert found.requests == 300
         assert sum(found.causes.values()) == 300
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -471,7 +471,7 @@
             test_losses.line(1.0, "no_path", request="r2", missing_layers=3),
             test_losses.refused(1.0, "r2", "NO_PATH", "no path"),
         ]
-        found = losses.account(log, test_losses.AIMS, 2.0)
+        found = losses.account(log, test_losses.OBJECTIVES, 2.0)
         assert found.causes == {
             "refused: NO_PATH, no engine holds some layers": 1,
             "refused: NO_PATH, layers were missing": 1,
