--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -255,7 +255,7 @@
             raise error
         counters.COUNTERS.add("drive.retried")
         counters.COUNTERS.add(f"drive.retried.{error.code.lower()}")
-        self._span.note(f"retry.{self._epoch + 1}", str(error.code))
+        self._span.set_attribute(f"retry.{self._epoch + 1}", str(error.code))
         await anyio.sleep(self._backoff.next())
 
     async def _attempt(self, opening: messages.Opening) -> str:
@@ -403,7 +403,7 @@
         """Verify the answer's end and return its finish reason."""
         self._delivery.check_end(end)
         self._head = None
-        self._span.note("tokens", end.count)
+        self._span.set_attribute("tokens", end.count)
         return end.finish
 
     def _grant_credit(self) -> None:
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -91,7 +91,7 @@
             await sink.finish(finish)
         except errors.CrowdeckError as error:
             counters.COUNTERS.add(f"entry.failed.{error.code.lower()}")
-            self._context.span.note("error", str(error.code))
+            self._context.span.set_attribute("error", str(error.code))
             if sink.has_begun:
                 await sink.fail(errors.ErrorReport.of(error))
             else:
--- a/src/crowdeck/observe/traces.py
+++ b/src/crowdeck/observe/traces.py
@@ -85,7 +85,7 @@
         """Id of the trace, as 32 hexadecimal digits."""
         return f"{self._span.get_span_context().trace_id:032x}"
 
-    def note(self, name: str, value: str | int | float) -> None:
+    def set_attribute(self, name: str, value: str | int | float) -> None:
         """Set an attribute; must not contain secrets or caller content."""
         self._span.set_attribute(name, value)
 
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -111,7 +111,7 @@
 
     def _finish(self, attempt: attempts.Attempt, finish: str) -> None:
         attempt.finish = finish
-        attempt.span.note("tokens", len(attempt.pieces))
+        attempt.span.set_attribute("tokens", len(attempt.pieces))
         attempt.span.end("finished")
         self._gate.finish(attempt.request)
         self._send_end(attempt)
