--- a/src/crowdeck/observe/explain.py
+++ b/src/crowdeck/observe/explain.py
@@ -135,7 +135,7 @@
 
 
 def explain(
-    request: str, texts: typing.Iterable[str], gap: float = 0.2
+    request: str, texts: typing.Iterable[str], max_pause: float = 0.2
 ) -> Explanation:
     """Collect the lines of a request and determine its cause of failure.
 
@@ -155,7 +155,7 @@
             recent.append(line)
     own.sort(key=lambda line: line.at)
     context = _context(own, recent)
-    cause, has_failed = _find_cause(own, gap)
+    cause, has_failed = _find_cause(own, max_pause)
     return Explanation(
         request, tuple(own), context, cause, has_failed, _held_back(own)
     )
@@ -199,7 +199,7 @@
     return any(str(name) in text for name in names)
 
 
-def _find_cause(own: list[Line], gap: float) -> tuple[str, bool]:
+def _find_cause(own: list[Line], max_pause: float) -> tuple[str, bool]:
     ends = [line for line in own if line.kind in ENDS]
     if not ends:
         return "", bool(own)
@@ -217,7 +217,7 @@
                 return f"{upstream} itself answered {status}", True
             return "", False
         case _:
-            return _stream_cause(own, end, gap)
+            return _stream_cause(own, end, max_pause)
 
 
 def _refusal_cause(own: list[Line], end: Line) -> str:
@@ -270,9 +270,11 @@
     )
 
 
-def _stream_cause(own: list[Line], end: Line, gap: float) -> tuple[str, bool]:
+def _stream_cause(
+    own: list[Line], end: Line, max_pause: float
+) -> tuple[str, bool]:
     pause = float(end.fields.get("longest_pause") or 0.0)
-    if pause <= gap:
+    if pause <= max_pause:
         return "", False
     reasons = [
         f"{line.kind}: {line.fields.get('reason') or _describe_culprits(line)}"
