--- a/src/crowdeck/observe/counters.py
+++ b/src/crowdeck/observe/counters.py
@@ -111,17 +111,17 @@
             lines += _histogram_lines(_prometheus_name(name), histogram)
         return "\n".join(lines) + "\n"
 
-    def flush(self, pipe: StatsdClient) -> None:
+    def flush(self, client: StatsdClient) -> None:
         """Send the changes since the last flush, and all gauges."""
         for name, value in self._counts.items():
             change = value - self._sent[name]
             if change:
-                pipe.incr(name, change)
+                client.incr(name, change)
                 self._sent[name] = value
         for name, level in self._gauges.items():
-            pipe.gauge(name, level)
+            client.gauge(name, level)
         for name, seconds in self._timings:
-            pipe.timing(name, seconds * 1000.0)
+            client.timing(name, seconds * 1000.0)
         self._timings.clear()
 
 
