--- a/src/crowdeck/availability_zone.py
+++ b/src/crowdeck/availability_zone.py
@@ -19,12 +19,12 @@
     :ivar bytes_per_second: bandwidth of one transfer.
     """
 
-    seconds: float
+    delay_seconds: float
     bytes_per_second: float = 1.25e9
 
     def transfer_seconds(self, size: int) -> float:
         """Return the seconds that a transfer of ``size`` bytes takes."""
-        return self.seconds + size / self.bytes_per_second
+        return self.delay_seconds + size / self.bytes_per_second
 
 
 @attrs.frozen
--- a/src/crowdeck/routing/planner.py
+++ b/src/crowdeck/routing/planner.py
@@ -252,10 +252,10 @@
 
     def _entry_link_seconds(self, candidate: Candidate) -> float:
         zone = candidate.view.instance.availability_zone
-        return self._zone_links.between(self._zone, zone).seconds
+        return self._zone_links.between(self._zone, zone).delay_seconds
 
     def _link_seconds(self, one: Candidate, other: Candidate) -> float:
         return self._zone_links.between(
             one.view.instance.availability_zone,
             other.view.instance.availability_zone,
-        ).seconds
+        ).delay_seconds
