--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -24,8 +24,8 @@
 from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 
-# Reports and orders are answered at once; a link between availability zones
-# adds less than a millisecond.
+# Short, as an engine answers reports and orders without waiting for its
+# requests.
 CONNECT_TIMEOUT_SECONDS = 0.25
 EXCHANGE_TIMEOUT_SECONDS = 0.5
 _JSON_TYPE = (b"content-type", b"application/json")
@@ -93,7 +93,13 @@
 
 
 class OrderOutcome(enum.Enum):
-    """The outcome of an order."""
+    """The outcome of an order.
+
+    :ivar BEGUN: the engine accepted it and is carrying it out.
+    :ivar HOLDS: the engine already holds the layers.
+    :ivar REFUSED: the engine did not accept it.
+    :ivar UNKNOWN: the engine may have accepted it.
+    """
 
     BEGUN = "begun"
     HOLDS = "holds"
--- a/src/crowdeck/platform/fields.py
+++ b/src/crowdeck/platform/fields.py
@@ -5,8 +5,8 @@
 
 """Reads fields of JSON objects and checks their types.
 
-Values are not converted: a field of another type was written with another
-meaning.
+Values are not converted: a field of an unexpected type is refused, as its
+meaning is unknown.
 """
 
 import typing
@@ -87,6 +87,8 @@
 def list_field(body: Json, name: str) -> list[Json]:
     """Return a list field, empty if it is missing.
 
+    The items are not checked.
+
     :raises TypeError: if it is not a list.
     """
     value = _find(body, name, [])
--- a/src/crowdeck/platform/names.py
+++ b/src/crowdeck/platform/names.py
@@ -3,11 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Names of headers, paths and fields on the platform's wire.
+"""Names of headers, paths and fields in the platform's HTTP API.
 
-Some names mean different things in different messages; comments state what
-they hold. Other packages use the types of the decoding modules of this
-package.
+A comment gives the meaning of a name that is reused or misleading. Other
+packages use the types that the decoding modules of this package return.
 """
 
 # Headers, in lower case and latin-1 as in ASGI and httpcore.
@@ -26,7 +25,7 @@
 LAST_EVENT_ID = b"last-event-id"
 RETRY_AFTER = b"retry-after"
 LIMIT = b"server-limit"  # requests a second, from all entries together
-LEAVING = b"server-leaving"  # 1 in the answers of an engine that leaves
+LEAVING = b"server-leaving"  # 1 while the instance is shutting down
 EPOCH = b"store-era"  # counts restores of the store from a backup
 AUTHORIZATION = b"authorization"
 KEY_SCHEME = "token "
@@ -134,7 +133,7 @@
 LAYER_MB = "layer_mb"
 ACCELERATOR_TYPES = "kinds"
 MEMORY_MB = "size_mb"
-STEP_FACTOR = "pace"  # in a card: factor on steps
+STEP_FACTOR = "pace"  # in an accelerator type: relative step time
 PREFILL_FACTOR = "read_factor"
 TOKEN_BYTES = "kv_token_bytes"  # noqa: S105
 ACTIVATION_BYTES = "activation_bytes"
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -108,8 +108,9 @@
             _path(kind, query=query), wait + WATCH_SLACK_SECONDS
         )
         epoch = self._epoch_of(response)
-        # The store refuses versions that it does not have, but cannot notice
-        # a version of an earlier epoch that it has used again.
+        # The store refuses versions that it does not have. It cannot detect
+        # a version of an earlier epoch whose number was assigned again after
+        # a restore.
         if response.status == 410 or epoch != after.epoch:
             raise errors.CrowdeckError(
                 errors.Code.STORE_HISTORY,
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -17,7 +17,7 @@
 from crowdeck import verdict as verdicts
 
 _STATES = frozenset({names.STATE_READY, names.STATE_DRAINING})
-# Bounds the memory for counters of layers.
+# Bounds the memory of per-layer counts, whose length engines report.
 MAX_LAYER_COUNT = 65_536
 # Errors of reading a body with missing fields, wrong types or sizes.
 _DECODE_ERRORS = (
@@ -32,8 +32,8 @@
 def decode(stored: stores.StoredObject) -> chain.Upstream:
     """Return the upstream instance that an entry describes.
 
-    :raises CrowdeckError: ``MALFORMED``, also for objects of other writers
-        without the state of an instance.
+    :raises CrowdeckError: ``MALFORMED`` if it is not a valid entry, such as
+        an object of another writer, which has no instance state.
     """
     try:
         body = orjson.loads(stored.value)
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -32,7 +32,7 @@
 from tests import virtual
 
 
-def a_run(started_ms: int) -> chain.Upstream:
+def make_run(started_ms: int) -> chain.Upstream:
     """Return one run of the engine ``e``."""
     incarnation = chain.Incarnation("e", started_ms)
     base = fleet_system.upstream(
@@ -74,7 +74,9 @@
         yield FixedAnswer(self._content)
 
 
-def ask(body: dict[str, object], upstream: chain.Upstream) -> FixedHttp:
+def request_report(
+    body: dict[str, object], upstream: chain.Upstream
+) -> FixedHttp:
     fixed = FixedHttp(body)
     client = engines.UpstreamClient(typing.cast(http.HttpClient, fixed))
     anyio.run(client.report, upstream)
@@ -85,7 +87,9 @@
     """Runs of an instance in the adapter to the platform."""
 
     def test_reports_are_requested_by_instance_id(self) -> None:
-        fixed = ask({names.ORDERS_TAKEN: 0, names.STARTED_MS: 7}, a_run(7))
+        fixed = request_report(
+            {names.ORDERS_TAKEN: 0, names.STARTED_MS: 7}, make_run(7)
+        )
         assert (names.EXPECTED_INSTANCE, b"e") in fixed.sent[0]
 
     def test_requests_are_sent_by_instance_id(self) -> None:
@@ -98,21 +102,25 @@
         virtual.run(body)
         headers = callers.upstream_request_headers(
             typing.cast(typing.Any, requests[0]),
-            a_run(7),
+            make_run(7),
             interfaces.Dispatch("kiosks", 0, 1.0),
         )
         assert (names.EXPECTED_INSTANCE, b"e") in headers
 
     def test_report_of_a_later_run_means_the_instance_is_gone(self) -> None:
         with pytest.raises(errors.InstanceGone):
-            ask({names.ORDERS_TAKEN: 0, names.STARTED_MS: 8}, a_run(7))
+            request_report(
+                {names.ORDERS_TAKEN: 0, names.STARTED_MS: 8}, make_run(7)
+            )
 
-    @pytest.mark.parametrize("born", [{names.STARTED_MS: 6}, {}])
+    @pytest.mark.parametrize("start_fields", [{names.STARTED_MS: 6}, {}])
     def test_report_of_an_earlier_or_unknown_run_is_malformed(
-        self, born: dict[str, object]
+        self, start_fields: dict[str, object]
     ) -> None:
         with pytest.raises(errors.CrowdeckError) as caught:
-            ask({names.ORDERS_TAKEN: 0, **born}, a_run(7))
+            request_report(
+                {names.ORDERS_TAKEN: 0, **start_fields}, make_run(7)
+            )
         assert not isinstance(caught.value, errors.InstanceGone)
 
 
@@ -130,7 +138,7 @@
         async def body() -> None:
             client = typing.cast(interfaces.Upstreams, UnreadableReports())
             prober = probes.Prober(client, lambda _: True)
-            probe = await prober.probe(a_run(7))
+            probe = await prober.probe(make_run(7))
             assert not probe.is_silent
             assert not probe.was_refused
             assert not probe.is_gone
@@ -179,8 +187,8 @@
                     system.context,
                     typing.cast(store_view.StoreView, view),
                 )
-                looks = surveys.POLL_SECONDS * surveys.MAX_POLLS
-                await anyio.sleep(looks + 1.0)
+                survey_seconds = surveys.POLL_SECONDS * surveys.MAX_POLLS
+                await anyio.sleep(survey_seconds + 1.0)
                 assert not process._surveyed.is_set()
                 view.roster.listed.set()
                 await anyio.sleep(0.01)
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -135,7 +135,7 @@
         assert str(found.address) == "10.2.64.3:8080"
         assert not found.is_leaving
 
-    def test_draining_is_leaving(self) -> None:
+    def test_draining_instance_is_leaving(self) -> None:
         body = {**ENTRY, "state": "draining", "layers": None}
         found = upstreams.decode(stored(body))
         assert found.is_leaving
@@ -195,7 +195,7 @@
         assert config.teams[0].priority == 3
         assert config.limits.body_bytes == 1000
 
-    def test_keys_do_not_show_in_text(self) -> None:
+    def test_repr_contains_no_keys(self) -> None:
         config = platform_config.decode(orjson.dumps(CONFIG))
         assert "k1" not in repr(config)
 
@@ -406,14 +406,14 @@
 ) -> list[interfaces.Notice]:
     """Return the notices of an answer to the call that ``ask`` makes."""
     client = client_of(answer)
-    told: list[interfaces.Notice] = []
-    client.subscribe(lambda _, notice: told.append(notice))
+    notices: list[interfaces.Notice] = []
+    client.subscribe(lambda _, notice: notices.append(notice))
     try:
         await ask(client, fleet_system.upstream("i-9"))
     except errors.CrowdeckError:
         # An answer with an error also causes a notice.
-        return told
-    return told
+        return notices
+    return notices
 
 
 async def ask_request(
@@ -463,10 +463,10 @@
     ) -> None:
         async def body() -> None:
             headers = "Server-Limit: 3.2\r\nServer-Leaving: 1\r\n"
-            (told,) = await notices_of(reply(status, headers), ask)
-            assert told.backpressure.limit == 3.2
-            assert told.backpressure.is_leaving
-            assert told.answers_request is answers_request
+            (notice,) = await notices_of(reply(status, headers), ask)
+            assert notice.backpressure.limit == 3.2
+            assert notice.backpressure.is_leaving
+            assert notice.answers_request is answers_request
 
         anyio.run(body)
 
@@ -481,10 +481,10 @@
     def test_only_status_503_asks_to_back_off(self, status: int) -> None:
         async def body() -> None:
             headers = "Retry-After: 3\r\n"
-            (told,) = await notices_of(reply(status, headers), ask_request)
-            assert told.backpressure == backpressure.NONE
-            (told,) = await notices_of(reply(503, headers), ask_request)
-            assert told.backpressure.backoff == 3.0
+            (notice,) = await notices_of(reply(status, headers), ask_request)
+            assert notice.backpressure == backpressure.NONE
+            (notice,) = await notices_of(reply(503, headers), ask_request)
+            assert notice.backpressure.backoff == 3.0
 
         anyio.run(body)
 
@@ -494,18 +494,18 @@
     def test_unreadable_values_are_ignored(self, value: str) -> None:
         async def body() -> None:
             headers = f"Server-Limit: {value}\r\nRetry-After: {value}\r\n"
-            (told,) = await notices_of(reply(503, headers), ask_request)
-            assert told.backpressure == backpressure.NONE
+            (notice,) = await notices_of(reply(503, headers), ask_request)
+            assert notice.backpressure == backpressure.NONE
 
         anyio.run(body)
 
     def test_callers_get_no_backpressure(self) -> None:
-        told = [
+        headers = [
             (b"Server-Limit", b"3"),
             (b"Server-Leaving", b"1"),
             (b"x-other", b"2"),
         ]
-        assert callers.caller_response_headers(told) == [(b"x-other", b"2")]
+        assert callers.caller_response_headers(headers) == [(b"x-other", b"2")]
 
 
 class _RecordedCalls:
@@ -513,7 +513,7 @@
 
     def __init__(self, answers: list[tuple[int, object]]) -> None:
         self._answers = answers
-        self.asked: list[tuple[str, str, object]] = []
+        self.sent: list[tuple[str, str, object]] = []
         self.headers: tuple[header.Header, ...] = ()
         self.epochs: list[str] = []
 
@@ -525,7 +525,7 @@
         body: bytes,
         timeout: float,
     ) -> object:
-        self.asked.append((method, path, orjson.loads(body or b"null")))
+        self.sent.append((method, path, orjson.loads(body or b"null")))
         status, content = self._answers.pop(0)
         if status == 0:
             raise errors.CrowdeckError(
@@ -539,7 +539,7 @@
         return upstream.ServiceResponse(status, headers, orjson.dumps(content))
 
 
-def an_object(name: str, revision: int, value: object) -> dict[str, object]:
+def make_object(name: str, revision: int, value: object) -> dict[str, object]:
     return {
         "metadata": {"name": name, "revision": revision},
         "specification": value,
@@ -560,12 +560,12 @@
 
     def test_listing_continues_after_the_last_name(self) -> None:
         first = {
-            "items": [an_object("a", 1, 1)],
+            "items": [make_object("a", 1, 1)],
             "has_more": True,
             "timestamp": 9,
         }
         second = {
-            "items": [an_object("b", 12, 2)],
+            "items": [make_object("b", 12, 2)],
             "has_more": False,
             "timestamp": 12,
         }
@@ -574,14 +574,14 @@
         # A watch from the first page's revision misses nothing.
         assert changes.version == 9
         assert [one.name for one in changes.objects] == ["a", "b"]
-        assert calls.asked[1][1] == "/api/objects/k?after_revision=a"
+        assert calls.sent[1][1] == "/api/objects/k?after_revision=a"
 
     def test_watch_keeps_each_objects_last_state(self) -> None:
         events = [
-            {"tombstone": False, "object": an_object("a", 4, 1)},
-            {"tombstone": True, "object": an_object("a", 5, None)},
-            {"tombstone": True, "object": an_object("b", 6, None)},
-            {"tombstone": False, "object": an_object("b", 7, 2)},
+            {"tombstone": False, "object": make_object("a", 4, 1)},
+            {"tombstone": True, "object": make_object("a", 5, None)},
+            {"tombstone": True, "object": make_object("b", 6, None)},
+            {"tombstone": False, "object": make_object("b", 7, 2)},
         ]
         store, _ = make_store([(200, {"events": events, "timestamp": 7})])
         changes = virtual.run(store.watch, "k", stores.Position(3), 1.0)
@@ -607,8 +607,8 @@
 
     def test_listing_and_watch_have_their_epoch(self) -> None:
         page = {"items": [], "has_more": False, "timestamp": 9}
-        news = {"events": [], "timestamp": 9}
-        store, calls = make_store([(200, page), (200, news)])
+        watch_body = {"events": [], "timestamp": 9}
+        store, calls = make_store([(200, page), (200, watch_body)])
         calls.headers = (header.Header("store-era", "3"),)
         listing = virtual.run(store.list, "k")
         assert listing.position == stores.Position(9, 3)
@@ -617,7 +617,7 @@
 
     def test_listing_fails_if_pages_have_two_epochs(self) -> None:
         page = {
-            "items": [an_object("a", 1, 1)],
+            "items": [make_object("a", 1, 1)],
             "has_more": True,
             "timestamp": 9,
         }
@@ -647,11 +647,11 @@
         assert store.epoch == 3
 
     def test_writes_are_conditional(self) -> None:
-        answer = an_object("a", 5, {"x": 1})
+        answer = make_object("a", 5, {"x": 1})
         store, calls = make_store([(200, answer), (200, answer)])
         virtual.run(store.put, "k", "a", b'{"x":1}', stores.NO_VERSION)
         virtual.run(store.put, "k", "a", b'{"x":1}', 4)
-        created, replaced = calls.asked
+        created, replaced = calls.sent
         assert created[:2] == ("POST", "/api/objects/k")
         assert replaced[:2] == ("PUT", "/api/objects/k/a")
         assert isinstance(replaced[2], dict)
