--- a/src/crowdeck/__init__.py
+++ b/src/crowdeck/__init__.py
@@ -5,8 +5,8 @@
 
 """crowdeck: a router for model pipelines over mixed accelerators.
 
-Beside its two programs it is a library for coordination. The names exported
-here are its public interface; everything else may change.
+Besides its two programs, it provides a library for coordination. The names
+exported here are its public interface; everything else may change.
 
 >>> import crowdeck
 >>> crowdeck.Verdict.NOT_RUN.is_retry_safe
--- a/src/crowdeck/availability_zone.py
+++ b/src/crowdeck/availability_zone.py
@@ -15,7 +15,7 @@
 class ZoneLink:
     """The link between two availability zones.
 
-    :ivar seconds: one-way delay.
+    :ivar delay_seconds: one-way delay.
     :ivar bytes_per_second: bandwidth of one transfer.
     """
 
@@ -32,7 +32,7 @@
     """All links between availability zones, with defaults.
 
     >>> links = ZoneLinks()
-    >>> links.between("plateau", "plateau").seconds
+    >>> links.between("plateau", "plateau").delay_seconds
     0.0001
     """
 
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -39,10 +39,11 @@
 
     :ivar layer_count: layers of the model.
     :ivar layer_mb: memory of one layer's weights.
-    :ivar token_bytes: memory of one token's KV cache, over all layers.
+    :ivar kv_bytes_per_token: memory of one token's KV cache, over all layers.
     :ivar step_ms: time of one step of a batch.
     :ivar sequence_ms: added to a step by each sequence in the batch.
-    :ivar context_ms: added to a step by 1,000 tokens of context.
+    :ivar context_ms_per_1000_tokens: added to a step by 1,000 tokens of
+        context.
     :ivar prefill_tokens_per_second: prompt tokens processed in a second.
     :ivar activation_bytes: activations of one token between stages.
     :ivar zone_link_bytes_per_second: bandwidth that all transfers between
@@ -195,7 +196,8 @@
     :ivar is_busy: whether an order is being carried out.
     :ivar cache_used: tokens times layers that cannot be evicted.
     :ivar cache_total: tokens times layers that fit.
-    :ivar slowdown: above 1 while slower than the accelerator type is.
+    :ivar slowdown: step time relative to the accelerator type's; above 1 while
+        slower.
     :ivar started_ms: when the engine started, see :class:`Incarnation`.
     """
 
@@ -235,8 +237,8 @@
 ) -> list[Upstream]:
     """Return the engines whose layers are within the model's.
 
-    An engine reports its own layers. One that reports others does not serve
-    this model, whatever its directory entry says.
+    An engine whose layers end beyond the model's serves another model,
+    whatever its directory entry says.
     """
     return [
         one
--- a/src/crowdeck/digest.py
+++ b/src/crowdeck/digest.py
@@ -13,8 +13,8 @@
 class AnswerDigest:
     """Running digest over the tokens and texts of one answer.
 
-    It detects lost, mixed up and duplicated parts, but no forgery, which
-    mutual TLS prevents.
+    It detects lost, reordered and duplicated parts. It is not cryptographic;
+    mutual TLS protects against tampering.
     """
 
     def __init__(self, request: str) -> None:
--- a/src/crowdeck/http.py
+++ b/src/crowdeck/http.py
@@ -151,8 +151,8 @@
             # Callers decide on retries by verdict; the library's own would
             # hide whether a request may have run.
             retries=0,
-            # Shorter than servers' timeouts (5 s in uvicorn): a request
-            # on a connection that the server closes has an unknown outcome.
+            # Shorter than servers' keep-alive timeouts: a request on a
+            # connection that the server closes has an unknown outcome.
             keepalive_expiry=KEEPALIVE_SECONDS,
         )
 
--- a/src/crowdeck/instance.py
+++ b/src/crowdeck/instance.py
@@ -34,8 +34,8 @@
     def parse(cls, text: str) -> "Address":
         """Parse ``IP:PORT``.
 
-        :raises ValueError: for anything else; a host name would be looked
-            up, and connecting to a port out of range raises.
+        :raises ValueError: for anything else, such as a host name or a port
+            out of range.
         """
         host, _, port = text.rpartition(":")
         ipaddress.ip_address(host)
--- a/src/crowdeck/observe/explain.py
+++ b/src/crowdeck/observe/explain.py
@@ -20,8 +20,8 @@
 
 # Causes for operators, by error code.
 _CAUSES = {
-    "NO_PATH": "no engines with room hold all layers, or no instance of the "
-    "service takes work",
+    "NO_PATH": "no engines with free capacity hold all layers, or no instance "
+    "of the service accepts requests",
     "OVERLOADED": "every upstream that was tried refused it",
     "STORE_DOWN": "the entry could not tell whether its config, and so the "
     "caller's key, is still valid",
@@ -140,7 +140,7 @@
     """Collect the lines of a request and determine its cause of failure.
 
     :param texts: log lines of any number of processes, in any order.
-    :param gap: longest pause, in seconds, for which a stream is in time.
+    :param max_pause: longest pause, in seconds, for which a stream is in time.
     """
     own: list[Line] = []
     # Bounded, as the logs may be too long to keep all state changes.
--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Counts from logs the requests that were not served in time, by cause."""
+"""Counts the requests that failed or were late, by cause, from logs."""
 
 import collections
 import typing
@@ -141,8 +141,8 @@
         if line.kind == "attempt_failed":
             self._failed_attempts[self._normalize_reason(line)] += 1
 
-    def account(self, span: float) -> LossReport:
-        """Return the counts, in total and for each ``span`` seconds."""
+    def report(self, span_seconds: float) -> LossReport:
+        """Return the counts, in total and for each ``span_seconds``."""
         causes: collections.Counter[str] = collections.Counter()
         sources: collections.Counter[str] = collections.Counter()
         spans: dict[int, collections.Counter[str]] = {}
@@ -153,14 +153,14 @@
             causes[cause] += 1
             if cause not in _NOT_LOST and _CALLER_ERROR not in cause:
                 sources[_process_name(request.end.source)] += 1
-            index = int((request.end.at - self._start) / span)
+            index = int((request.end.at - self._start) / span_seconds)
             spans.setdefault(index, collections.Counter())[cause] += 1
         return LossReport(
             requests=sum(causes.values()),
             causes=self._fill_ranges(causes),
             turned_away=self._fill_ranges(self._failed_attempts),
             spans=tuple(
-                Span(index * span, self._fill_ranges(found))
+                Span(index * span_seconds, self._fill_ranges(found))
                 for index, found in sorted(spans.items())
             ),
             lost_by_source=dict(sources.most_common()),
@@ -237,7 +237,7 @@
 
 
 def account(
-    texts: typing.Iterable[str], objectives: Objectives, span: float
+    texts: typing.Iterable[str], objectives: Objectives, span_seconds: float
 ) -> LossReport:
     """Return the counts for some log lines; ignores other lines."""
     counter = LossCounter(objectives)
@@ -245,7 +245,7 @@
         line = explain.parse(text)
         if line is not None:
             counter.add(line)
-    return counter.account(span)
+    return counter.report(span_seconds)
 
 
 def _path_shortage(line: explain.Line) -> str:
--- a/src/crowdeck/pipeline.py
+++ b/src/crowdeck/pipeline.py
@@ -17,7 +17,7 @@
 
     def __attrs_post_init__(self) -> None:
         if not 0 <= self.first < self.end:
-            raise ValueError(f"no such layer range: {self.first}..{self.end}")
+            raise ValueError(f"invalid layer range: {self.first}..{self.end}")
 
 
 @attrs.frozen
--- a/src/crowdeck/route.py
+++ b/src/crowdeck/route.py
@@ -13,7 +13,13 @@
 
 
 class RepeatPolicy(enum.StrEnum):
-    """Whether a route's requests may be repeated."""
+    """Whether a route's requests may be repeated.
+
+    :ivar IDEMPOTENT: they may be repeated.
+    :ivar ONCE: they are not repeated if they may have run.
+    :ivar STREAM: they are answered by streams, which are repeated only if
+        the route is resumable.
+    """
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
--- a/src/crowdeck/settings/config.py
+++ b/src/crowdeck/settings/config.py
@@ -205,13 +205,13 @@
         first_line = str(error).splitlines()[0]
         raise errors.ConfigError(f"invalid INI syntax: {first_line}") from None
     _check_sections(parser)
-    read = {
+    values_by_section = {
         name: section.read_all(
             name, dict(parser.items(name)) if name in parser else {}
         )
         for name, section in SECTIONS.items()
     }
-    return _build(read)
+    return _build(values_by_section)
 
 
 def _check_sections(parser: configparser.ConfigParser) -> None:
@@ -231,19 +231,21 @@
         )
 
 
-def _build(read: dict[str, Section]) -> Config:
-    daemon = read[DAEMON]
+def _build(values_by_section: dict[str, Section]) -> Config:
+    daemon = values_by_section[DAEMON]
     _require(DAEMON, DAEMON_OPTIONS, daemon, "role", "name")
     _require(DAEMON, DAEMON_OPTIONS, daemon, "availability_zone", "host")
-    _require(PLATFORM, PLATFORM_OPTIONS, read[PLATFORM], "url")
+    _require(PLATFORM, PLATFORM_OPTIONS, values_by_section[PLATFORM], "url")
     role = instances.Role(str(daemon["role"]))
     _require_ip(DAEMON, "host", str(daemon["host"]))
     if role is instances.Role.ENTRY:
-        _require(ENTRY, ENTRY_OPTIONS, read[ENTRY], "http_host")
-        _require_ip(ENTRY, "http_host", str(read[ENTRY]["http_host"]))
+        _require(ENTRY, ENTRY_OPTIONS, values_by_section[ENTRY], "http_host")
+        _require_ip(
+            ENTRY, "http_host", str(values_by_section[ENTRY]["http_host"])
+        )
     else:
-        _check_upstreams(read[SIDECAR])
-    tls = read[TLS]
+        _check_upstreams(values_by_section[SIDECAR])
+    tls = values_by_section[TLS]
     return Config(
         role=role,
         name=str(daemon["name"]),
@@ -251,14 +253,14 @@
         cluster=str(daemon["cluster"]),
         address=instances.Address(str(daemon["host"]), int(daemon["port"])),
         stop_seconds=float(daemon["stop_seconds"]),
-        platform_url=str(read[PLATFORM]["url"]),
+        platform_url=str(values_by_section[PLATFORM]["url"]),
         tls=TlsFiles(
             str(tls["certificate"]), str(tls["key"]), str(tls["authority"])
         ),
-        entry=read[ENTRY],
-        sidecar=read[SIDECAR],
-        observe=read[OBSERVE],
-        fleet=_read_fleet(read[fleet_options.FLEET]),
+        entry=values_by_section[ENTRY],
+        sidecar=values_by_section[SIDECAR],
+        observe=values_by_section[OBSERVE],
+        fleet=_read_fleet(values_by_section[fleet_options.FLEET]),
     )
 
 
--- a/src/crowdeck/settings/fleet_options.py
+++ b/src/crowdeck/settings/fleet_options.py
@@ -23,7 +23,7 @@
             "link_mbps",
             0.0,
             "bandwidth of the instance's link; the entry with the highest in "
-            "its availability zone answers the others",
+            "its availability zone queries the store for the others",
             0.0,
             1e6,
         ),
@@ -44,8 +44,8 @@
         options.Flag(
             "first_start",
             False,
-            "whether no entry of the fleet can have run before; otherwise a "
-            "free lease is taken only once no earlier holder can remain",
+            "set only if no entry of the fleet has run before; otherwise a "
+            "free lease is taken only after an earlier one must have expired",
         ),
         options.Number(
             "retry_ratio", 0.2, "retries allowed per request", 0.0, 10.0
--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -81,7 +81,7 @@
 class MonotonicClock:
     """Monotonic seconds without time while suspended.
 
-    For the pace of the process's own work.
+    For durations of the process's own work.
     """
 
     def now(self) -> float:
--- a/src/crowdeck/wire/rpc.py
+++ b/src/crowdeck/wire/rpc.py
@@ -30,6 +30,7 @@
 from crowdeck.wire import questions
 from crowdeck.wire import security
 
+# Also limits the wait for the greeting of a peer that connects.
 DIAL_TIMEOUT_SECONDS = 2.0
 # Maximum number of records in one call.
 BATCH_LIMIT = 512
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -56,7 +56,7 @@
             "refused",
         ]
         assert found.has_failed
-        assert "no engines with room" in found.cause
+        assert "no engines with free capacity" in found.cause
         assert "10.0.0.1:1 is silent" in found.cause
 
     def test_context_is_limited_to_its_process_and_engines(self) -> None:
@@ -134,7 +134,9 @@
         log = tmp_path / "entry.log"
         log.write_text("".join(REFUSED))
         assert cli.main(["explain", "r1", str(log)]) == commands.EXIT_OK
-        assert "cause: no engines with room" in capsys.readouterr().out
+        assert (
+            "cause: no engines with free capacity" in capsys.readouterr().out
+        )
         assert cli.main(["explain", "r9", str(log)]) == commands.EXIT_FAILED
         assert "hold nothing of it" in capsys.readouterr().out
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -90,7 +90,7 @@
         assert losses.account(log, OBJECTIVES, 2.0).causes == {"in time": 1}
 
 
-class TestFigures:
+class TestNumberRanges:
     """Reasons that differ only in their numbers are counted together."""
 
     def test_numbers_are_reported_as_a_range(self) -> None:
--- a/tests/test_observe.py
+++ b/tests/test_observe.py
@@ -65,7 +65,7 @@
         writer({"message_type": "crowdeck:refused"})
         assert orjson.loads(pipe.lines[0])["lines"] == {"crowdeck:refused": 1}
 
-    def test_long_line_is_cut_to_an_atomic_pipe_write(self) -> None:
+    def test_long_line_is_replaced_by_its_size(self) -> None:
         pipe = _Pipe()
         writer = logs.BoundedWriter(pipe.write)
         writer({"message_type": "crowdeck:x", "path": "a" * 10_000})
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -151,7 +151,9 @@
 
         virtual.run(check)
 
-    def test_no_work_before_the_settings_are_known(self) -> None:
+    def test_tree_raises_a_retry_safe_error_before_the_first_read(
+        self,
+    ) -> None:
         async def check() -> None:
             holder = holders.SettingsHolder(stores.StandinStore())
             with pytest.raises(errors.CrowdeckError) as caught:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -151,18 +151,20 @@
 ) -> None:
     async def run_check() -> None:
         async with capnp.kj_loop(), anyio.create_task_group() as tasks:
-            far, near = _Echo(), _Echo()
+            server_handler, client_handler = _Echo(), _Echo()
             async with (
-                rpc.RpcTransport(_greeting("far"), far, server_tls) as server,
                 rpc.RpcTransport(
-                    _greeting("near", cluster), near, client_tls
+                    _greeting("far"), server_handler, server_tls
+                ) as server,
+                rpc.RpcTransport(
+                    _greeting("near", cluster), client_handler, client_tls
                 ) as client,
             ):
                 address = await tasks.start(
                     server.serve, instances.Address("127.0.0.1", 0)
                 )
                 with anyio.fail_after(30):
-                    await check(client, address, far)
+                    await check(client, address, server_handler)
             tasks.cancel_scope.cancel()
 
     anyio.run(run_check)
@@ -173,7 +175,9 @@
 
     def test_records_and_questions_arrive(self) -> None:
         async def check(
-            client: rpc.RpcTransport, address: instances.Address, far: _Echo
+            client: rpc.RpcTransport,
+            address: instances.Address,
+            server_handler: _Echo,
         ) -> None:
             peer = await client.dial(address)
             assert peer.greeting.instance == "far"
@@ -182,15 +186,17 @@
             )
             for sample in SAMPLES:
                 peer.send(sample)
-            while len(far.records) < len(SAMPLES):
+            while len(server_handler.records) < len(SAMPLES):
                 await anyio.sleep(0.01)
-            assert far.records == SAMPLES
+            assert server_handler.records == SAMPLES
 
         _with_link(check)
 
     def test_details_of_internal_errors_are_not_sent(self) -> None:
         async def check(
-            client: rpc.RpcTransport, address: instances.Address, far: _Echo
+            client: rpc.RpcTransport,
+            address: instances.Address,
+            server_handler: _Echo,
         ) -> None:
             peer = await client.dial(address)
             reply = await peer.ask(questions.Drain(1.0), 5)
@@ -205,13 +211,15 @@
         self,
     ) -> None:
         async def check(
-            client: rpc.RpcTransport, address: instances.Address, far: _Echo
+            client: rpc.RpcTransport,
+            address: instances.Address,
+            server_handler: _Echo,
         ) -> None:
             before = counters.COUNTERS.get("link.internal_error")
-            far.fault = RuntimeError("secret detail")
+            server_handler.fault = RuntimeError("secret detail")
             peer = await client.dial(address)
             peer.send(SAMPLES[1])
-            await far.closed.wait()
+            await server_handler.closed.wait()
             after = counters.COUNTERS.get("link.internal_error")
             assert after == before + 1
 
@@ -219,7 +227,9 @@
 
     def test_peer_of_another_cluster_is_refused(self) -> None:
         async def check(
-            client: rpc.RpcTransport, address: instances.Address, far: _Echo
+            client: rpc.RpcTransport,
+            address: instances.Address,
+            server_handler: _Echo,
         ) -> None:
             with pytest.raises(errors.LinkLost) as caught:
                 await client.dial(address)
@@ -227,13 +237,15 @@
 
         _with_link(check, cluster="other")
 
-    def test_closed_link_tells_that_nothing_was_sent(self) -> None:
+    def test_question_on_a_closed_link_is_not_sent(self) -> None:
         async def check(
-            client: rpc.RpcTransport, address: instances.Address, far: _Echo
+            client: rpc.RpcTransport,
+            address: instances.Address,
+            server_handler: _Echo,
         ) -> None:
             peer = await client.dial(address)
             peer.close()
-            await far.closed.wait()
+            await server_handler.closed.wait()
             with pytest.raises(errors.LinkLost) as caught:
                 await peer.ask(questions.Heartbeat(1), 5)
             assert not caught.value.was_sent
@@ -251,13 +263,17 @@
         theirs = _security(tmp_path / "theirs")
 
         async def passes(
-            client: rpc.RpcTransport, address: instances.Address, far: _Echo
+            client: rpc.RpcTransport,
+            address: instances.Address,
+            server_handler: _Echo,
         ) -> None:
             peer = await client.dial(address)
             assert peer.greeting.instance == "far"
 
         async def fails(
-            client: rpc.RpcTransport, address: instances.Address, far: _Echo
+            client: rpc.RpcTransport,
+            address: instances.Address,
+            server_handler: _Echo,
         ) -> None:
             with pytest.raises(errors.LinkLost):
                 await client.dial(address)
