--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -95,7 +95,7 @@
     shown = needs[: entry_status.MAX_SHOWN]
     lines = [
         "",
-        "instances that ask for less load:",
+        "instances in need:",
         format_table(sums, tuple(sums[0])),
     ]
     lines += ["", format_table(shown, columns)]
