--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -347,7 +347,9 @@
         profile = request.profile
         accelerator_type = profile.cards.get(engine.card)
         factor = accelerator_type.step_factor if accelerator_type else 1.0
-        context_cost_ms = request.tokens / 1000.0 * profile.context_ms_per_1000_tokens
+        context_cost_ms = (
+            request.tokens / 1000.0 * profile.context_ms_per_1000_tokens
+        )
         sequences = 1.0 + self._usage.sequences(engine)
         batch_ms = profile.step_ms + sequences * (
             profile.sequence_ms + context_cost_ms
