--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Counts from logs the requests that were not served in time, by cause."""
+"""Counts the requests that failed or were late, by cause, from logs."""
 
 import collections
 import typing
@@ -18,17 +18,17 @@
 # What happened to a late stream, by event; the first match is reported.
 _REACTIONS = {
     "path_changed": "its path was changed",
-    "attempt_failed": "it was restarted",
-    "stream_silent": "no engine was identified as the cause",
+    "attempt_failed": "it began anew",
+    "stream_silent": "nothing was found at fault",
     # Not an event: set for a ``path_chosen`` after a long wait.
     "held_back": "it waited for instances in need",
 }
 # Shorter waits for a path do not explain a late first event.
-WAITED_SECONDS = 0.1
+MIN_WAIT_SECONDS = 0.1
 IN_TIME = "in time"
-CALLER_LEFT = "the caller disconnected"
-_CALLER_ERROR = "as a caller error"
-UNNAMED = "(not named in the logs)"
+CALLER_LEFT = "the caller left"
+_CALLER_ERROR = "by right"
+UNNAMED = "(the logs do not name it)"
 # Placeholder for a number in a reason until the range of all is known.
 _PLACEHOLDER = "\0"
 _NOT_LOST = frozenset({IN_TIME, CALLER_LEFT})
@@ -134,15 +134,15 @@
             request.shortage = line
         elif line.kind == "path_chosen":
             waited = float(line.fields.get("waited") or 0.0)
-            if line.fields.get("held_back") and waited > WAITED_SECONDS:
+            if line.fields.get("held_back") and waited > MIN_WAIT_SECONDS:
                 request.reactions.add("held_back")
         elif line.kind in _REACTIONS:
             request.reactions.add(line.kind)
         if line.kind == "attempt_failed":
             self._failed_attempts[self._normalize_reason(line)] += 1
 
-    def account(self, span: float) -> LossReport:
-        """Return the counts, in total and for each ``span`` seconds."""
+    def report(self, span_seconds: float) -> LossReport:
+        """Return the counts, in total and for each ``span_seconds``."""
         causes: collections.Counter[str] = collections.Counter()
         sources: collections.Counter[str] = collections.Counter()
         spans: dict[int, collections.Counter[str]] = {}
@@ -153,18 +153,18 @@
             causes[cause] += 1
             if cause not in _NOT_LOST and _CALLER_ERROR not in cause:
                 sources[_process_name(request.end.source)] += 1
-            index = int((request.end.at - self._start) / span)
+            index = int((request.end.at - self._start) / span_seconds)
             spans.setdefault(index, collections.Counter())[cause] += 1
         return LossReport(
             requests=sum(causes.values()),
             causes=self._fill_ranges(causes),
             turned_away=self._fill_ranges(self._failed_attempts),
             spans=tuple(
-                Span(index * span, self._fill_ranges(found))
+                Span(index * span_seconds, self._fill_ranges(found))
                 for index, found in sorted(spans.items())
             ),
             lost_by_source=dict(sources.most_common()),
-            reroutes=self._reroutes.sums(),
+            reroutes=self._reroutes.summary(),
         )
 
     def _cause(self, request: _Request, end: explain.Line) -> str:
@@ -237,7 +237,7 @@
 
 
 def account(
-    texts: typing.Iterable[str], objectives: Objectives, span: float
+    texts: typing.Iterable[str], objectives: Objectives, span_seconds: float
 ) -> LossReport:
     """Return the counts for some log lines; ignores other lines."""
     counter = LossCounter(objectives)
@@ -245,7 +245,7 @@
         line = explain.parse(text)
         if line is not None:
             counter.add(line)
-    return counter.account(span)
+    return counter.report(span_seconds)
 
 
 def _path_shortage(line: explain.Line) -> str:
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -26,7 +26,7 @@
     ValueError,
 )
 
-_REPEATS = {
+_REPEAT_POLICY_BY_KIND = {
     names.KIND_IDEMPOTENT: routes.RepeatPolicy.IDEMPOTENT,
     names.KIND_STREAMING: routes.RepeatPolicy.STREAM,
 }
@@ -54,7 +54,9 @@
 
 
 def _route(body: Json) -> routes.Route:
-    repeat = _REPEATS.get(body[names.ROUTE_KIND], routes.RepeatPolicy.ONCE)
+    repeat = _REPEAT_POLICY_BY_KIND.get(
+        body[names.ROUTE_KIND], routes.RepeatPolicy.ONCE
+    )
     is_resumable = repeat is routes.RepeatPolicy.STREAM and bool(
         body.get(names.RESUMABLE, False)
     )
@@ -100,23 +102,23 @@
     if not body.get(names.LAYERS):
         return None
     models = body.get(names.MODELS) or [{}]
-    usual = body.get(names.USUAL) or {}
-    cards = (_card(one) for one in body.get(names.CARDS) or ())
+    usual = body.get(names.MEAN_LENGTHS) or {}
+    cards = (_card(one) for one in body.get(names.ACCELERATOR_TYPES) or ())
     return chain.EngineProfile(
         layer_count=int(body[names.LAYERS]),
         layer_mb=float(body[names.LAYER_MB]),
-        token_bytes=float(body[names.TOKEN_BYTES]),
+        kv_bytes_per_token=float(body[names.TOKEN_BYTES]),
         step_ms=float(body[names.STEP_MS]),
         sequence_ms=float(body[names.SEQUENCE_MS]),
-        context_ms=float(body[names.CONTEXT_MS]),
-        prefill_tokens_per_second=float(body[names.READ_RATE]),
+        context_ms_per_1000_tokens=float(body[names.CONTEXT_MS]),
+        prefill_tokens_per_second=float(body[names.PREFILL_TOKENS_PER_SECOND]),
         activation_bytes=float(body[names.ACTIVATION_BYTES]),
-        zone_link_bytes_per_second=float(body[names.PIPE_MBPS]) * 1e6 / 8,
+        zone_link_bytes_per_second=float(body[names.ZONE_LINK_MBPS]) * 1e6 / 8,
         load_seconds=float(models[0].get(names.LOAD_SECONDS, 0.0)),
-        concurrent_loads=int(body.get(names.LOADS_AT_ONCE) or 1),
+        concurrent_loads=int(body.get(names.CONCURRENT_LOADS) or 1),
         slots=int(body[names.SLOTS]),
-        mean_prompt_tokens=float(usual.get(names.USUAL_PROMPT, 0.0)),
-        mean_answer_tokens=float(usual.get(names.USUAL_ANSWER, 0.0)),
+        mean_prompt_tokens=float(usual.get(names.MEAN_PROMPT_TOKENS, 0.0)),
+        mean_answer_tokens=float(usual.get(names.MEAN_ANSWER_TOKENS, 0.0)),
         cards={one.name: one for one in cards},
     )
 
@@ -124,9 +126,9 @@
 def _card(body: Json) -> chain.AcceleratorType:
     return chain.AcceleratorType(
         name=str(body[names.NAME]),
-        memory_mb=float(body[names.CARD_MB]),
-        step_factor=float(body[names.CARD_STEP]),
-        prefill_factor=float(body[names.CARD_READ]),
+        memory_mb=float(body[names.MEMORY_MB]),
+        step_factor=float(body[names.STEP_FACTOR]),
+        prefill_factor=float(body[names.PREFILL_FACTOR]),
     )
 
 
@@ -145,10 +147,11 @@
         header_bytes=int(body.get(names.HEADER_BYTES, default.header_bytes)),
         body_bytes=int(body.get(names.BODY_BYTES, default.body_bytes)),
         header_seconds=float(
-            body.get(names.HEADER_MS, default.header_seconds * 1000) / 1000
+            body.get(names.HEADER_TIMEOUT_MS, default.header_seconds * 1000)
+            / 1000
         ),
         idle_seconds=float(
-            body.get(names.IDLE_MS, default.idle_seconds * 1000) / 1000
+            body.get(names.IDLE_TIMEOUT_MS, default.idle_seconds * 1000) / 1000
         ),
     )
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -56,7 +56,7 @@
             "refused",
         ]
         assert found.has_failed
-        assert "no engines with room" in found.cause
+        assert "no engines with free capacity" in found.cause
         assert "10.0.0.1:1 is silent" in found.cause
 
     def test_context_is_limited_to_its_process_and_engines(self) -> None:
@@ -73,7 +73,7 @@
         found = explain.explain("r1", texts)
         assert found.has_failed
         assert "0.4 s" in found.cause and "10.0.0.9:1" in found.cause
-        assert not explain.explain("r1", texts, gap=0.5).has_failed
+        assert not explain.explain("r1", texts, max_pause=0.5).has_failed
 
     def test_missing_layers_and_missing_room_are_explained(self) -> None:
         end = line(2.0, "refused", request="r1", code="NO_PATH", reason="x")
@@ -83,7 +83,7 @@
         )
         full = line(1.0, "no_path", missing_layers=0, **common)
         cause = explain.explain("r1", [missing, end]).cause
-        assert "6 layers, from layer 24 on" in cause
+        assert "6 layers, the first being layer 24," in cause
         cause = explain.explain("r1", [full, end]).cause
         assert "lacked room for 900 tokens" in cause
 
@@ -134,7 +134,9 @@
         log = tmp_path / "entry.log"
         log.write_text("".join(REFUSED))
         assert cli.main(["explain", "r1", str(log)]) == commands.EXIT_OK
-        assert "cause: no engines with room" in capsys.readouterr().out
+        assert (
+            "cause: no engines with free capacity" in capsys.readouterr().out
+        )
         assert cli.main(["explain", "r9", str(log)]) == commands.EXIT_FAILED
         assert "hold nothing of it" in capsys.readouterr().out
 
