--- a/src/crowdeck/cmd/cli.py
+++ b/src/crowdeck/cmd/cli.py
@@ -202,9 +202,7 @@
 
 def _build_parser() -> argparse.ArgumentParser:
     shared = argparse.ArgumentParser(add_help=False)
-    shared.add_argument(
-        "--json", action="store_true", help="print JSON for programs"
-    )
+    shared.add_argument("--json", action="store_true", help="print JSON")
     parser = argparse.ArgumentParser(
         prog="crowdeck",
         description="Inspect and operate a crowdeck system.",
@@ -249,7 +247,7 @@
         type=float,
         default=0.5,
         metavar="SECONDS",
-        help="longest time to a stream's first event that is in time",
+        help="time to the first event beyond which a stream is late",
     )
     subparser.add_argument(
         "--every",
@@ -309,7 +307,7 @@
 
 
 def _add_log_options(parser: argparse.ArgumentParser) -> None:
-    """Add the log files, and the pause from which a stream is late."""
+    """Add the log file arguments and the threshold for late streams."""
     parser.add_argument(
         "files",
         type=pathlib.Path,
@@ -321,7 +319,7 @@
         type=float,
         default=0.2,
         metavar="SECONDS",
-        help="pause from which a stream counts as late",
+        help="pause between events beyond which a stream is late",
     )
 
 
--- a/src/crowdeck/cmd/daemon.py
+++ b/src/crowdeck/cmd/daemon.py
@@ -53,7 +53,7 @@
         ...
 
     async def stop(self, force: bool = False) -> None:
-        """Begin a planned stop; ``force`` cuts its wait short."""
+        """Let running requests finish, then stop; ``force`` skips the wait."""
         ...
 
 
@@ -128,8 +128,8 @@
         process = fleet_process.FleetProcess(config, listener)
         await _run(process, config, path, hangup)
         return
-    # Cap'n Proto takes memory that an entry without links between
-    # instances does not need.
+    # Imported only here: a fleet entry does not use Cap'n Proto, and loading
+    # it costs memory.
     import capnp
 
     from crowdeck.cmd import process as processes
--- a/src/crowdeck/cmd/demo.py
+++ b/src/crowdeck/cmd/demo.py
@@ -84,7 +84,7 @@
         first = await self._fetch_receipt(0)
         second = await self._fetch_receipt(1)
         runs = self._cluster.service.runs["receipt 81"]
-        _print(f"   {first!r} and {second!r}; the service ran {runs} time")
+        _print(f"   {first!r} and {second!r}; service runs: {runs}")
         if first != second or runs != 1:
             raise DemoFailed("the receipt was not fetched exactly once")
 
@@ -138,8 +138,8 @@
         sys.stdout.write("\n")
         expected = expected_texts(self._cluster.model, prompt)
         if texts != expected:
-            raise DemoFailed("the answer differs from the model's own")
-        _print(f"   {len(texts)} tokens, all equal to the model's own.")
+            raise DemoFailed("the answer differs from the expected tokens")
+        _print(f"   {len(texts)} tokens, all as expected.")
 
     async def _fetch_receipt(self, entry: int) -> str:
         url = self._cluster.urls[entry] + "/services/records/receipts/81"
--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Reads the status of entries whose engines chain their own stages."""
+"""Reads the status of entries whose engines call the next stage."""
 
 import collections
 import typing
@@ -20,7 +20,7 @@
 from crowdeck.state import objects as stores
 
 MAX_STATUS_BYTES = 4 * 1024 * 1024
-# Bounds the memory for replies, which may be some 100 KB each.
+# Bounds the memory for replies, which may be large.
 MAX_CONCURRENT_QUERIES = 16
 # Rows printed for people; JSON output has all.
 MAX_SHOWN = 30
@@ -57,7 +57,7 @@
     if address is None:
         return row | {
             "state": "unknown",
-            "error": "it has registered no address",
+            "error": "the entry has registered no address",
         }
     try:
         status = await _fetch_status(client, address, timeout)
@@ -147,7 +147,7 @@
 def list_unheld(rows: list[Row]) -> list[Row]:
     """Return the layers that no engine holds, one row for each.
 
-    The row is that of the entry which has known it for longest.
+    If several entries report the same layers, the longest time is kept.
     """
     longest: dict[tuple[str, str], Row] = {}
     for row in rows:
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Builds and runs an entry whose engines chain their own stages."""
+"""Builds and runs an entry whose engines call the next stage themselves."""
 
 import contextlib
 import os
@@ -41,8 +41,8 @@
 # Keep it well below the process's limit of open files.
 UPSTREAM_CONNECTIONS = 1_000
 # API keys are accepted for this fraction of the revocation time after the
-# config was last proved current. The remainder covers a watch that stays
-# silent for up to a second before its history is lost.
+# config was last proved current. Less than one, since a watch may stay silent
+# for a while before it reports that changes were lost.
 CONFIG_TRUST_FRACTION = 0.78
 # Load balancers probe once a second and remove an instance after two failed
 # probes; new connections arrive until then.
@@ -50,8 +50,9 @@
 # Part of the grace period that is reserved for closing connections.
 STOP_MARGIN_SECONDS = 1.0
 KEEP_ALIVE_SECONDS = 15
-# Longest wait at start for the config and the engines' reports. After it the
-# entry accepts connections and refuses what it cannot serve yet.
+# Longest wait at start for the config, the survey of the engines and the
+# roster. After it the entry accepts connections and refuses what it cannot
+# serve yet.
 MAX_LEARNING_SECONDS = 0.5
 
 
@@ -101,12 +102,17 @@
             logs.change("stopped", instance=self._config.name)
 
     def reconfigure(self, config: configs.Config) -> None:
-        """Apply a reloaded configuration; only the grace period changes."""
+        """Apply a reloaded configuration.
+
+        After the start only the grace period changes.
+        """
         self._config = config
         logs.change("reconfigured", instance=config.name)
 
     async def stop(self, force: bool = False) -> None:
-        """Refuse new requests, then end once the running ones have finished.
+        """Refuse new requests and let the running ones finish, then end.
+
+        The wait is limited to the grace period.
 
         :param force: end at once.
         """
@@ -198,8 +204,8 @@
     ) -> None:
         await view.holder.wait_known()
         await surveys.Survey(context).run(view.holder.services)
-        # Without the roster the entry would forward requests that are known
-        # to crash engines.
+        # The roster's records carry the quarantine; without them the entry
+        # would forward requests that are known to crash engines.
         await view.roster.wait_listed()
         self._surveyed.set()
 
@@ -243,7 +249,8 @@
         )
         status_server = http_server.build(app, status.host, status.port)
         await tasks.start(_run_server, status_server)
-        # Until then connections wait in the backlog instead of being refused.
+        # Until the survey ends or this time has passed, connections wait in
+        # the listener's backlog instead of being refused.
         with anyio.move_on_after(MAX_LEARNING_SECONDS):
             await self._surveyed.wait()
         address = instances.Address.parse(str(fleet["callers"]))
@@ -270,7 +277,7 @@
     upstreams: engines.UpstreamClient,
     holder: relays.ConfigHolder,
 ) -> None:
-    """Run the placement controller from when the lease is first held."""
+    """Run the placement controller once the lease has been acquired."""
     await lease.wait_held()
     # Only one entry of a fleet runs the placement; the others start faster
     # without its modules.
--- a/src/crowdeck/cmd/http_server.py
+++ b/src/crowdeck/cmd/http_server.py
@@ -19,8 +19,8 @@
 
 STOP_SECONDS = 2
 START_POLL_SECONDS = 0.005
-# How often a server checks whether to exit. uvicorn's 0.1 s wakes an idle
-# process too often.
+# How often a server checks whether to exit. Longer than uvicorn's interval,
+# so that an idle process wakes less often.
 TICK_SECONDS = 0.25
 TICKS_PER_DATE_HEADER = 4
 
@@ -58,7 +58,8 @@
     async def main_loop(self) -> None:
         """Wait until told to exit; update the date header every second."""
         tick = 0
-        # uvicorn updates its headers when the counter is a multiple of ten.
+        # on_tick updates the date header if its argument is a multiple of
+        # ten: it gets 0 once a second, and 1 otherwise.
         while not await self.on_tick(min(1, tick % TICKS_PER_DATE_HEADER)):
             tick += 1
             await anyio.sleep(TICK_SECONDS)
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -168,7 +168,7 @@
     """Add how often the store was restored from a backup.
 
     :param epoch: of the store's latest reply to this command. An instance
-        that has not noticed a restore yet may be in an earlier one.
+        that has not noticed a restore may still report an earlier one.
     """
     data = [{**row, "store_epoch": epoch} for row in status.data]
     label = "unknown" if epoch is None else str(epoch)
--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -104,7 +104,7 @@
         return listing.instances if listing is not None else ()
 
     async def entries(self) -> list[entry_status.Row]:
-        """Return the status of entries whose engines chain their own stages.
+        """Return the status of entries whose engines call the next stage.
 
         :raises CrowdeckError: ``STORE_DOWN`` when they cannot be listed.
         """
--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -70,7 +70,7 @@
 
     @property
     def running(self) -> Running:
-        """The running process; valid once :meth:`run` has reported it."""
+        """The running process; valid once :meth:`run` has reported the start."""
         assert self._running is not None, "the process has not started"
         return self._running
 
@@ -120,7 +120,7 @@
         logs.change("reconfigured", instance=self._config.name)
 
     async def stop(self, force: bool = False) -> None:
-        """Begin a planned stop; ``force`` cuts its wait short."""
+        """Let running requests finish, then stop; ``force`` skips the wait."""
         limit = 0.0 if force else self._config.stop_seconds
         await self.running.part.drain(limit)
 
@@ -266,7 +266,7 @@
 async def _until_ready(
     sidecar: sidecars.Sidecar, transport: link.Transport
 ) -> None:
-    """Start a sidecar; retry while its engine is still loading."""
+    """Start a sidecar; retry if that fails, as while its engine loads."""
     while True:
         try:
             await sidecar.start(transport)
--- a/src/crowdeck/cmd/start.py
+++ b/src/crowdeck/cmd/start.py
@@ -32,8 +32,8 @@
 
 def main(arguments: list[str] | None = None) -> int:
     """Run the daemon and return its exit code."""
-    # The default action would end the process until the daemon has installed
-    # its handler.
+    # Ignored until the daemon installs its handler; the default action would
+    # end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     command_line = sys.argv[1:] if arguments is None else arguments
     listener = open_listener(command_line)
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -22,8 +22,8 @@
 from crowdeck.state import store_health
 
 # The config's watch is renewed after this fraction of the revocation time;
-# each renewal proves the copy current. It is short enough that a silent peer
-# is replaced before the copy's age makes the entry refuse callers.
+# each renewal proves the copy current. It must leave time to replace a silent
+# peer before the copy's age makes the entry refuse callers.
 CONFIG_WAIT_FRACTION = 0.16
 UPSTREAM_WAIT_SECONDS = 10.0
 CONFIG_LINGER_SECONDS = 0.1
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -54,7 +54,7 @@
 
 
 def free_port() -> int:
-    """Return a free port outside the range of outgoing connections."""
+    """Return a free port outside the ephemeral port range."""
     return ports.find_free(1, os.getpid())[0]
 
 
@@ -267,7 +267,7 @@
 
     def test_limit_is_respected_and_callers_get_retry_after(self) -> None:
         async def scenario(running: Running) -> None:
-            # A limit of zero still allows one request in four seconds, to
+            # Even a limit of zero lets an occasional request through, to
             # learn when the limit ends.
             self.plain(running).limit = 0.0
             answers = [
@@ -514,8 +514,8 @@
         assert named in caught.value.message
 
 
-def test_stand_in_entry_is_decoded_to_the_same_upstream() -> None:
-    """The platform adapter decodes the entries that the stand-in writes."""
+def test_stand_in_record_is_decoded_to_the_same_upstream() -> None:
+    """The platform adapter decodes the records that the stand-in writes."""
     listed = fleet_system.upstream("e1", "plateau", (0, 9), "t4")
     store = standin_store.StandinStore()
     chain_http.write_entry(listed, store)
