--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -53,7 +53,7 @@
 # Longest wait at start for the config, the survey of the engines and the
 # roster. After it the entry accepts connections and refuses what it cannot
 # serve yet.
-MAX_LEARNING_SECONDS = 0.5
+MAX_INITIAL_SYNC_SECONDS = 0.5
 
 
 class FleetProcess:
@@ -251,7 +251,7 @@
         await tasks.start(_run_server, status_server)
         # Until the survey ends or this time has passed, connections wait in
         # the listener's backlog instead of being refused.
-        with anyio.move_on_after(MAX_LEARNING_SECONDS):
+        with anyio.move_on_after(MAX_INITIAL_SYNC_SECONDS):
             await self._surveyed.wait()
         address = instances.Address.parse(str(fleet["callers"]))
         self._server = http_server.build(
