--- a/src/crowdeck/cmd/http_server.py
+++ b/src/crowdeck/cmd/http_server.py
@@ -17,7 +17,7 @@
 
 from crowdeck.observe import logs
 
-STOP_SECONDS = 2
+GRACEFUL_SHUTDOWN_SECONDS = 2
 START_POLL_SECONDS = 0.005
 # How often a server checks whether to exit. Longer than uvicorn's interval,
 # so that an idle process wakes less often.
@@ -121,7 +121,7 @@
         app,
         host,
         port,
-        timeout_graceful_shutdown=STOP_SECONDS,
+        timeout_graceful_shutdown=GRACEFUL_SHUTDOWN_SECONDS,
         ssl_certfile=certificate or None,
         ssl_keyfile=key or None,
     )
