--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -71,7 +71,7 @@
         self._listener = listener
         self._surveyed = anyio.Event()
         self._relay: relays.Relay | None = None
-        self._server: http_server.QuietServer | None = None
+        self._server: http_server.EmbeddedServer | None = None
         self._lease: leases.Lease | None = None
         self._stopped = anyio.Event()
         self._is_stopping = False
@@ -294,7 +294,7 @@
 
 
 async def _run_server(
-    server: http_server.QuietServer,
+    server: http_server.EmbeddedServer,
     listener: socket.socket | None = None,
     *,
     task_status: anyio.abc.TaskStatus[int],
--- a/src/crowdeck/cmd/http_server.py
+++ b/src/crowdeck/cmd/http_server.py
@@ -47,7 +47,7 @@
         logger.propagate = False
 
 
-class QuietServer(uvicorn.Server):
+class EmbeddedServer(uvicorn.Server):
     """A uvicorn server that leaves signals to the process."""
 
     @contextlib.contextmanager
@@ -67,10 +67,10 @@
 
 def build(
     app: typing.Any, host: str, port: int, **options: typing.Any
-) -> QuietServer:
+) -> EmbeddedServer:
     """Return a server for an ASGI application, not yet started."""
     _forward_uvicorn_logs()
-    return QuietServer(
+    return EmbeddedServer(
         uvicorn.Config(
             app,
             host=host,
@@ -86,7 +86,7 @@
 
 
 async def run(
-    server: QuietServer,
+    server: EmbeddedServer,
     listener: socket.socket | None = None,
     *,
     task_status: anyio.abc.TaskStatus[int] = anyio.TASK_STATUS_IGNORED,
