--- a/src/crowdeck/cmd/demo.py
+++ b/src/crowdeck/cmd/demo.py
@@ -70,7 +70,7 @@
         """
         await self.show_answer()
         await self.show_receipt()
-        await self.show_stage_death()
+        await self.show_stage_failure()
         await self.show_drain()
 
     async def show_answer(self) -> None:
@@ -88,7 +88,7 @@
         if first != second or runs != 1:
             raise DemoFailed("the receipt was not fetched exactly once")
 
-    async def show_stage_death(self) -> None:
+    async def show_stage_failure(self) -> None:
         """Kill a stage in the middle of an answer."""
         _print(f"\n3. A stage is killed after token {KILL_AFTER_TOKENS}:")
         await self._stream(
