--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -92,7 +92,7 @@
         return []
     needs = entry_status.list_needs(rows)
     columns = ("upstream", "need", "seconds", "per_second", "used", "entry")
-    shown = needs[: entry_status.MAX_SHOWN]
+    shown = needs[: entry_status.MAX_SHOWN_ROWS]
     lines = [
         "",
         "instances that ask for less load:",
--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -23,7 +23,7 @@
 # Bounds the memory for replies, which may be large.
 MAX_CONCURRENT_QUERIES = 16
 # Rows printed for people; JSON output has all.
-MAX_SHOWN = 30
+MAX_SHOWN_ROWS = 30
 
 Row = dict[str, typing.Any]
 
