--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -87,7 +87,7 @@
 
 
 @attrs.define
-class _Group:
+class _BackpressureGroup:
     """The backpressure of one kind in one zone of a service."""
 
     instances: dict[str, float] = attrs.field(factory=dict)
@@ -111,8 +111,8 @@
 
     The use of a limit is summed over all entries that replied.
     """
-    groups: dict[tuple[str, str, str], _Group] = collections.defaultdict(
-        _Group
+    groups: dict[tuple[str, str, str], _BackpressureGroup] = (
+        collections.defaultdict(_BackpressureGroup)
     )
     for row in rows:
         for need in row.get("needs", ()):
