--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -87,7 +87,7 @@
 
 def _need_lines(rows: list[dict[str, Data]]) -> list[str]:
     """Return the lines about the backpressure that instances ask for."""
-    sums = entry_status.sum_needs(rows)
+    sums = entry_status.sum_backpressure(rows)
     if not sums:
         return []
     needs = entry_status.list_needs(rows)
--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -106,7 +106,7 @@
         self.used += float(need.get("used") or 0.0)
 
 
-def sum_needs(rows: list[Row]) -> list[Row]:
+def sum_backpressure(rows: list[Row]) -> list[Row]:
     """Return the needs of instances, summed by service, zone and kind.
 
     The use of a limit is summed over all entries that replied.
