--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -90,7 +90,7 @@
     sums = entry_status.sum_backpressure(rows)
     if not sums:
         return []
-    needs = entry_status.list_needs(rows)
+    needs = entry_status.list_backpressure(rows)
     columns = ("upstream", "need", "seconds", "per_second", "used", "entry")
     shown = needs[: entry_status.MAX_SHOWN_ROWS]
     lines = [
--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -133,7 +133,7 @@
     ]
 
 
-def list_needs(rows: list[Row]) -> list[Row]:
+def list_backpressure(rows: list[Row]) -> list[Row]:
     """Return each instance's needs, as each entry knows them."""
     needs = [
         {"entry": row["instance"], **need}
