--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -69,7 +69,7 @@
         rows,
         "\n".join(
             [format_table(rows, columns), *_unheld_lines(rows)]
-            + _need_lines(rows)
+            + _backpressure_lines(rows)
         ),
         EXIT_UNREACHABLE if lost else EXIT_OK,
     )
@@ -85,7 +85,7 @@
     return ["", "layers that no engine holds:", shown]
 
 
-def _need_lines(rows: list[dict[str, Data]]) -> list[str]:
+def _backpressure_lines(rows: list[dict[str, Data]]) -> list[str]:
     """Return the lines about the backpressure that instances ask for."""
     sums = entry_status.sum_backpressure(rows)
     if not sums:
