--- a/src/crowdeck/cmd/cli.py
+++ b/src/crowdeck/cmd/cli.py
@@ -86,7 +86,7 @@
             options.id, options.files, options.gap
         )
     if options.command == "losses":
-        return inspection.account_losses(
+        return inspection.summarise_losses(
             options.files,
             losses.Objectives(options.first, options.gap),
             options.every,
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -28,7 +28,7 @@
 from crowdeck.state import objects as stores
 
 
-def account_losses(
+def summarise_losses(
     files: list[pathlib.Path], objectives: losses.Objectives, interval: float
 ) -> commands.Result:
     """Summarise from log files which requests were lost, and why.
