--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -187,7 +187,7 @@
     def zones(self) -> list[str]:
         return sorted({engine.availability_zone for engine in self.engines})
 
-    def inside(self, zone: str) -> list[chain.Upstream]:
+    def engines_in(self, zone: str) -> list[chain.Upstream]:
         return [
             engine
             for engine in self.engines
