--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -197,7 +197,7 @@
             incarnation=self._incarnation,
         )
         transport, address = await self._open_transport(stack, tasks, sidecar)
-        await _until_ready(sidecar, transport)
+        await _start_when_ready(sidecar, transport)
         await directory.refresh()
         return Running(address, 0, sidecar)
 
@@ -263,7 +263,7 @@
         )
 
 
-async def _until_ready(
+async def _start_when_ready(
     sidecar: sidecars.Sidecar, transport: link.Transport
 ) -> None:
     """Start a sidecar; retry if that fails, as while its engine loads."""
