--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -151,7 +151,7 @@
         peers = peer_http.HttpPeers(self._open_client(stack, ""))
         view = store_view.StoreView(store, self._config, peers)
         upstreams = self._open_upstreams(stack)
-        context = self._context(upstreams, view)
+        context = self._build_context(upstreams, view)
         monitor = stalls.StallMonitor(context)
         self._relay = relays.Relay(
             context,
@@ -218,7 +218,7 @@
         stack.push_async_callback(client.close)
         return engines.UpstreamClient(client)
 
-    def _context(
+    def _build_context(
         self, upstreams: engines.UpstreamClient, view: store_view.StoreView
     ) -> contexts.RelayContext:
         fleet = self._config.fleet
