--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -194,8 +194,8 @@
         if not peers:
             return
         address = instances.Address.parse(peers)
-        copies = {one.kind: one for one in view.mirrors}
-        app = peer_http.PeerApp(copies, view.peer_selector, status)
+        mirrors_by_kind = {one.kind: one for one in view.mirrors}
+        app = peer_http.PeerApp(mirrors_by_kind, view.peer_selector, status)
         server = http_server.build(app, address.host, address.port)
         await tasks.start(_run_server, server)
 
