--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -478,8 +478,8 @@
     def test_number_of_rows_is_bounded(self) -> None:
         many = [self.need(f"a{number}", 1.0, 0.1) for number in range(300)]
         text = status_of([self.row("e1", many)]).text
-        assert len(text.splitlines()) < entry_status.MAX_SHOWN + 20
-        assert f"and {300 - entry_status.MAX_SHOWN} more" in text
+        assert len(text.splitlines()) < entry_status.MAX_SHOWN_ROWS + 20
+        assert f"and {300 - entry_status.MAX_SHOWN_ROWS} more" in text
 
     def test_entry_that_does_not_answer_is_lost(self) -> None:
         row = {"instance": "e", "role": "entry", "state": "lost"}
