--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -459,7 +459,7 @@
         ]
         found = status_of(rows)
         assert found.exit_code == commands.EXIT_OK
-        assert entry_status.sum_needs(rows) == [
+        assert entry_status.sum_backpressure(rows) == [
             {
                 "service": "s",
                 "zone": "z",
