--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -163,7 +163,7 @@
     limit: float,
     is_waiting: bool,
 ) -> Result:
-    """Begin a planned stop of an instance; optionally wait for it."""
+    """Begin a planned stop of an instance; optionally wait until idle."""
     await operator.ask(name, questions.Drain(limit))
     if not is_waiting:
         return Result({"instance": name}, f"{name} is draining")
--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -70,7 +70,7 @@
 
     @property
     def running(self) -> Running:
-        """The running process; valid once :meth:`run` has reported the start."""
+        """The running process; valid after :meth:`run` reports the start."""
         assert self._running is not None, "the process has not started"
         return self._running
 
