--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -233,8 +233,10 @@
         staying = [one for one in model.engines if not one.is_leaving]
         rows.append(_bound_row(model, "all", staying))
         for zone in model.zones():
-            inside = [one for one in model.inside(zone) if not one.is_leaving]
-            rows.append(_bound_row(model, zone, inside))
+            engines_in = [
+                one for one in model.engines_in(zone) if not one.is_leaving
+            ]
+            rows.append(_bound_row(model, zone, engines_in))
     columns = ("service", "zone", "at once", "a second", "binds", "layers")
     return commands.Result(
         typing.cast(commands.Data, rows), commands.format_table(rows, columns)
@@ -263,7 +265,7 @@
     lines = [f"{model.service.name}: {profile.layer_count} layers"]
     data: list[commands.Data] = []
     for zone in model.zones():
-        engines = model.inside(zone)
+        engines = model.engines_in(zone)
         counts = chain.coverage(engines, profile.layer_count)
         missing = counts.count(0)
         lines.append(f"  {zone}  copies of each layer, {missing} missing:")
