--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -230,8 +230,8 @@
     """Show the maximum throughput of engines, by service and zone."""
     rows: list[dict[str, commands.Data]] = []
     for model in await _list_models(store):
-        staying = [one for one in model.engines if not one.is_leaving]
-        rows.append(_bound_row(model, "all", staying))
+        available = [one for one in model.engines if not one.is_leaving]
+        rows.append(_bound_row(model, "all", available))
         for zone in model.zones():
             engines_in = [
                 one for one in model.engines_in(zone) if not one.is_leaving
