--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -286,14 +286,14 @@
     engine: chain.Upstream, profile: chain.EngineProfile
 ) -> dict[str, commands.Data]:
     held = engine.layers
-    size = held.end - held.first if held else 0
-    token_capacity = profile.token_capacity(engine.card, size)
+    held_layer_count = held.end - held.first if held else 0
+    token_capacity = profile.token_capacity(engine.card, held_layer_count)
     return {
         "engine": str(engine.address),
         "card": engine.card,
         "layers": f"{held.first}-{held.end}" if held else "-",
         "room": int(token_capacity)
-        if size and token_capacity != float("inf")
+        if held_layer_count and token_capacity != float("inf")
         else "-",
         "state": "leaving" if engine.is_leaving else "ready",
     }
