--- a/src/crowdeck/cmd/cli.py
+++ b/src/crowdeck/cmd/cli.py
@@ -51,7 +51,7 @@
 """
 
 Command = collections.abc.Callable[
-    [operators.Operator], collections.abc.Awaitable[commands.Result]
+    [operators.OperatorClient], collections.abc.Awaitable[commands.Result]
 ]
 
 
@@ -111,7 +111,7 @@
     tls = configs.TlsFiles(options.certificate, options.key, options.authority)
     async with (
         capnp.kj_loop(),
-        operators.Operator(
+        operators.OperatorClient(
             options.platform, options.cluster, options.timeout, tls.load()
         ) as operator,
         anyio.create_task_group() as tasks,
--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -58,7 +58,7 @@
             return EXIT_FAILED
 
 
-async def show_status(operator: operators.Operator) -> Result:
+async def show_status(operator: operators.OperatorClient) -> Result:
     """Show the state of every instance."""
     answers = await operator.ask_all(questions.ReadStatus(""))
     rows = [_status_row(answer) for answer in answers]
@@ -113,7 +113,7 @@
     return status
 
 
-async def show_upstreams(operator: operators.Operator) -> Result:
+async def show_upstreams(operator: operators.OperatorClient) -> Result:
     """Show the upstreams that the first reachable entry knows."""
     for answer in await operator.ask_all(questions.ReadStatus("")):
         if isinstance(answer.reply, questions.Status):
@@ -137,7 +137,7 @@
     )
 
 
-async def show_trace(operator: operators.Operator, trace: str) -> Result:
+async def show_trace(operator: operators.OperatorClient, trace: str) -> Result:
     """Show the spans of one trace, from every instance."""
     spans: list[dict[str, Data]] = []
     for answer in await operator.ask_all(questions.ReadSpans(trace)):
@@ -158,7 +158,7 @@
 
 
 async def drain(
-    operator: operators.Operator,
+    operator: operators.OperatorClient,
     name: str,
     limit: float,
     is_waiting: bool,
@@ -179,7 +179,7 @@
     )
 
 
-async def _wait_idle(operator: operators.Operator, name: str) -> int:
+async def _wait_idle(operator: operators.OperatorClient, name: str) -> int:
     while True:
         try:
             reply = await operator.ask(name, questions.ReadStatus(""))
@@ -192,12 +192,12 @@
         await anyio.sleep(DRAIN_POLL_SECONDS)
 
 
-def _open_editor(operator: operators.Operator) -> editors.SettingsEditor:
+def _open_editor(operator: operators.OperatorClient) -> editors.SettingsEditor:
     return editors.SettingsEditor(operator.store)
 
 
 async def get_setting(
-    operator: operators.Operator,
+    operator: operators.OperatorClient,
     scope: trees.SettingsScope,
     option: str,
     show_source: bool,
@@ -215,7 +215,7 @@
 
 
 async def set_setting(
-    operator: operators.Operator,
+    operator: operators.OperatorClient,
     scope: trees.SettingsScope,
     option: str,
     value: str | None,
@@ -228,7 +228,7 @@
 
 
 async def show_diff(
-    operator: operators.Operator, path: pathlib.Path
+    operator: operators.OperatorClient, path: pathlib.Path
 ) -> Result:
     """Show what applying a file would change."""
     current = await _open_editor(operator).read()
@@ -239,7 +239,7 @@
 
 
 async def apply_file(
-    operator: operators.Operator, path: pathlib.Path, change: str
+    operator: operators.OperatorClient, path: pathlib.Path, change: str
 ) -> Result:
     """Make a file the next generation of the settings."""
     editor = _open_editor(operator)
@@ -268,7 +268,9 @@
     )
 
 
-async def show_history(operator: operators.Operator, limit: int) -> Result:
+async def show_history(
+    operator: operators.OperatorClient, limit: int
+) -> Result:
     """Show past generations, newest first."""
     revisions = await _open_editor(operator).history(limit)
     older = [*revisions[1:], editors.EMPTY]
@@ -280,7 +282,9 @@
     return Result([attrs.asdict(one) for one in revisions], "\n".join(lines))
 
 
-async def roll_back(operator: operators.Operator, generation: int) -> Result:
+async def roll_back(
+    operator: operators.OperatorClient, generation: int
+) -> Result:
     """Make an earlier generation's text the next generation."""
     editor = _open_editor(operator)
     text = await editor.text_of(generation)
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -158,7 +158,7 @@
         raise errors.ConfigError(f"{path}: {error}") from None
 
 
-async def show_status(operator: operators.Operator) -> commands.Result:
+async def show_status(operator: operators.OperatorClient) -> commands.Result:
     """Show the state of every instance and the store's epoch."""
     status = await commands.show_status(operator)
     return add_epoch(status, operator.store.epoch)
--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -55,7 +55,7 @@
         )
 
 
-class Operator:
+class OperatorClient:
     """Reads the platform and asks instances; an async context manager.
 
     Use it inside ``capnp.kj_loop()``.
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -409,7 +409,7 @@
 
 
 def status_of(rows: list[entry_status.Row]) -> commands.Result:
-    operator = typing.cast(operators.Operator, _FakeOperator(rows))
+    operator = typing.cast(operators.OperatorClient, _FakeOperator(rows))
     return anyio.run(commands.show_status, operator)
 
 
