--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -66,7 +66,7 @@
         platform_url: str,
         cluster: str,
         timeout: float,
-        security: rpc.TlsContexts,
+        tls: rpc.TlsContexts,
     ) -> None:
         self._timeout = timeout
         self._stack = contextlib.AsyncExitStack()
@@ -82,7 +82,7 @@
             incarnation=instances.new_incarnation(),
         )
         self._transport = rpc.RpcTransport(
-            greeting, _OperatorLinkHandler(), security
+            greeting, _OperatorLinkHandler(), tls
         )
         self._links = links_module.Links(self._directory, self._transport)
 
