--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -71,7 +71,7 @@
         self._timeout = timeout
         self._stack = contextlib.AsyncExitStack()
         self._client = http.HttpClient(platform_url)
-        self._entries = http.HttpClient("")
+        self._entry_client = http.HttpClient("")
         self.store = platform_store.HttpStore(self._client)
         self._directory = directories.Directory(self.store)
         greeting = messages.Greeting(
@@ -88,7 +88,7 @@
 
     async def __aenter__(self) -> "Operator":
         self._stack.push_async_callback(self._client.close)
-        self._stack.push_async_callback(self._entries.close)
+        self._stack.push_async_callback(self._entry_client.close)
         await self._stack.enter_async_context(self._transport)
         return self
 
@@ -109,7 +109,7 @@
         :raises CrowdeckError: ``STORE_DOWN`` when they cannot be listed.
         """
         return await entry_status.read(
-            self.store, self._entries, self._timeout
+            self.store, self._entry_client, self._timeout
         )
 
     async def ask(
