--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -103,7 +103,7 @@
         listing = await self.store.list_instances()
         return listing.instances if listing is not None else ()
 
-    async def entries(self) -> list[entry_status.Row]:
+    async def read_entry_statuses(self) -> list[entry_status.Row]:
         """Return the status of entries whose engines call the next stage.
 
         :raises CrowdeckError: ``STORE_DOWN`` when they cannot be listed.
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -404,7 +404,7 @@
     ) -> list[operators.InstanceReply]:
         return []
 
-    async def entries(self) -> list[entry_status.Row]:
+    async def read_entry_statuses(self) -> list[entry_status.Row]:
         return self._rows
 
 
