--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -60,8 +60,8 @@
 
 async def show_status(operator: operators.OperatorClient) -> Result:
     """Show the state of every instance."""
-    answers = await operator.ask_all(questions.ReadStatus(""))
-    rows = [_status_row(answer) for answer in answers]
+    replies = await operator.ask_all(questions.ReadStatus(""))
+    rows = [_status_row(answer) for answer in replies]
     rows += await operator.read_entry_statuses()
     lost = any(row["state"] == "lost" for row in rows)
     columns = ("instance", "role", "state", "running", "generation")
--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -132,17 +132,17 @@
 
         An instance that fails has its error in the result.
         """
-        answers: list[InstanceReply] = []
+        replies: list[InstanceReply] = []
 
         async def ask_one(name: str) -> None:
             try:
                 reply = await self.ask(name, question)
-                answers.append(InstanceReply(name, reply, None))
+                replies.append(InstanceReply(name, reply, None))
             except errors.CrowdeckError as error:
-                answers.append(InstanceReply(name, None, error))
+                replies.append(InstanceReply(name, None, error))
 
         listed = await self.instances()
         async with anyio.create_task_group() as tasks:
             for one in listed:
                 tasks.start_soon(ask_one, one.name)
-        return sorted(answers, key=lambda answer: answer.name)
+        return sorted(replies, key=lambda answer: answer.name)
