--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -61,7 +61,7 @@
 async def show_status(operator: operators.OperatorClient) -> Result:
     """Show the state of every instance."""
     replies = await operator.ask_all(questions.ReadStatus(""))
-    rows = [_status_row(answer) for answer in replies]
+    rows = [_status_row(instance_reply) for instance_reply in replies]
     rows += await operator.read_entry_statuses()
     lost = any(row["state"] == "lost" for row in rows)
     columns = ("instance", "role", "state", "running", "generation")
@@ -104,20 +104,28 @@
     return lines
 
 
-def _status_row(answer: operators.InstanceReply) -> dict[str, Data]:
-    if not isinstance(answer.reply, questions.Status):
-        reason = answer.error.message if answer.error else "no status"
-        return {"instance": answer.name, "state": "lost", "error": reason}
-    status: dict[str, Data] = json.loads(answer.reply.text)
+def _status_row(instance_reply: operators.InstanceReply) -> dict[str, Data]:
+    if not isinstance(instance_reply.reply, questions.Status):
+        reason = (
+            instance_reply.error.message
+            if instance_reply.error
+            else "no status"
+        )
+        return {
+            "instance": instance_reply.name,
+            "state": "lost",
+            "error": reason,
+        }
+    status: dict[str, Data] = json.loads(instance_reply.reply.text)
     status["state"] = "leaving" if status["is_leaving"] else "up"
     return status
 
 
 async def show_upstreams(operator: operators.OperatorClient) -> Result:
     """Show the upstreams that the first reachable entry knows."""
-    for answer in await operator.ask_all(questions.ReadStatus("")):
-        if isinstance(answer.reply, questions.Status):
-            status = json.loads(answer.reply.text)
+    for instance_reply in await operator.ask_all(questions.ReadStatus("")):
+        if isinstance(instance_reply.reply, questions.Status):
+            status = json.loads(instance_reply.reply.text)
             if "sidecars" in status:
                 rows = status["sidecars"]
                 for row in rows:
@@ -140,9 +148,11 @@
 async def show_trace(operator: operators.OperatorClient, trace: str) -> Result:
     """Show the spans of one trace, from every instance."""
     spans: list[dict[str, Data]] = []
-    for answer in await operator.ask_all(questions.ReadSpans(trace)):
-        if isinstance(answer.reply, questions.Spans):
-            spans.extend(json.loads(span) for span in answer.reply.spans)
+    for instance_reply in await operator.ask_all(questions.ReadSpans(trace)):
+        if isinstance(instance_reply.reply, questions.Spans):
+            spans.extend(
+                json.loads(span) for span in instance_reply.reply.spans
+            )
     spans.sort(key=lambda span: int(span["start_ns"]))
     if not spans:
         return Result([], f"no spans found for trace {trace}", EXIT_FAILED)
--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -145,4 +145,4 @@
         async with anyio.create_task_group() as tasks:
             for one in listed:
                 tasks.start_soon(ask_one, one.name)
-        return sorted(replies, key=lambda answer: answer.name)
+        return sorted(replies, key=lambda instance_reply: instance_reply.name)
