--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -171,11 +171,11 @@
     operator: operators.OperatorClient,
     name: str,
     limit: float,
-    is_waiting: bool,
+    wait_until_idle: bool,
 ) -> Result:
     """Begin a planned stop of an instance; optionally wait until idle."""
     await operator.ask(name, questions.Drain(limit))
-    if not is_waiting:
+    if not wait_until_idle:
         return Result({"instance": name}, f"{name} is draining")
     running = -1
     with anyio.move_on_after(limit):
