--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -170,21 +170,21 @@
 async def drain(
     operator: operators.OperatorClient,
     name: str,
-    limit: float,
+    limit_seconds: float,
     wait_until_idle: bool,
 ) -> Result:
     """Begin a planned stop of an instance; optionally wait until idle."""
-    await operator.ask(name, questions.Drain(limit))
+    await operator.ask(name, questions.Drain(limit_seconds))
     if not wait_until_idle:
         return Result({"instance": name}, f"{name} is draining")
     running = -1
-    with anyio.move_on_after(limit):
+    with anyio.move_on_after(limit_seconds):
         running = await _wait_idle(operator, name)
     if running == 0:
         return Result({"instance": name, "running": 0}, f"{name} is idle")
     return Result(
         {"instance": name, "running": running},
-        f"{name} still runs requests after {limit:g} s",
+        f"{name} still runs requests after {limit_seconds:g} s",
         EXIT_FAILED,
     )
 
