--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -271,10 +271,12 @@
     return _applied_result(revision, difference)
 
 
-def _applied_result(revision: editors.SettingsRevision, shown: str) -> Result:
+def _applied_result(
+    revision: editors.SettingsRevision, summary: str
+) -> Result:
     return Result(
         {"generation": revision.generation, "change": revision.change},
-        f"{shown}\ngeneration {revision.generation} is in force",
+        f"{summary}\ngeneration {revision.generation} is in force",
     )
 
 
