--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -288,9 +288,9 @@
     older = [*revisions[1:], editors.EMPTY]
     lines = []
     for revision, before in zip(revisions, older, strict=False):
-        shown = editors.show_difference(before.text, revision.text)
+        difference = editors.show_difference(before.text, revision.text)
         lines.append(f"generation {revision.generation}  {revision.change}")
-        lines.extend(f"    {line}" for line in shown.splitlines()[2:])
+        lines.extend(f"    {line}" for line in difference.splitlines()[2:])
     return Result([attrs.asdict(one) for one in revisions], "\n".join(lines))
 
 
