--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -287,8 +287,8 @@
     revisions = await _open_editor(operator).history(limit)
     older = [*revisions[1:], editors.EMPTY]
     lines = []
-    for revision, before in zip(revisions, older, strict=False):
-        difference = editors.show_difference(before.text, revision.text)
+    for revision, previous in zip(revisions, older, strict=False):
+        difference = editors.show_difference(previous.text, revision.text)
         lines.append(f"generation {revision.generation}  {revision.change}")
         lines.extend(f"    {line}" for line in difference.splitlines()[2:])
     return Result([attrs.asdict(one) for one in revisions], "\n".join(lines))
