--- a/src/crowdeck/cmd/demo.py
+++ b/src/crowdeck/cmd/demo.py
@@ -125,7 +125,7 @@
         raise DemoFailed(f"no stage {stage} runs the answer")
 
     async def _stream(
-        self, prompt: str, event: object, after_tokens: int
+        self, prompt: str, action: object, after_tokens: int
     ) -> None:
         texts: list[str] = []
         sys.stdout.write("   ")
@@ -133,8 +133,8 @@
             texts.append(text)
             sys.stdout.write(text)
             sys.stdout.flush()
-            if callable(event) and len(texts) == after_tokens:
-                event()
+            if callable(action) and len(texts) == after_tokens:
+                action()
         sys.stdout.write("\n")
         expected = expected_texts(self._cluster.model, prompt)
         if texts != expected:
