--- a/src/crowdeck/cmd/demo.py
+++ b/src/crowdeck/cmd/demo.py
@@ -111,16 +111,16 @@
     def _drain(self) -> None:
         name = self._find_running_sidecar(2)
         sys.stdout.write(f"[{name} drains] ")
-        part = self._cluster.sidecars[name].running.part
-        part.begin_drain(5.0)
+        component = self._cluster.sidecars[name].running.component
+        component.begin_drain(5.0)
 
     def _find_running_sidecar(self, stage: int) -> str:
         """Return the name of the sidecar that runs a stage of the answer."""
         for name in self._cluster.stage_names(stage):
             member = self._cluster.sidecars[name]
-            part = member.running.part
-            assert isinstance(part, sidecars.Sidecar)
-            if member.is_alive and part.running:
+            component = member.running.component
+            assert isinstance(component, sidecars.Sidecar)
+            if member.is_alive and component.running:
                 return name
         raise DemoFailed(f"no stage {stage} runs the answer")
 
--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -46,7 +46,7 @@
 
     address: instances.Address
     http_port: int
-    part: entries.Entry | sidecars.Sidecar
+    component: entries.Entry | sidecars.Sidecar
 
 
 class Process:
@@ -103,7 +103,7 @@
                 address=str(running.address),
             )
             task_status.started(running)
-            await running.part.wait_drained()
+            await running.component.wait_drained()
             logs.change("stopped", instance=self._config.name)
 
     def reconfigure(self, config: configs.Config) -> None:
@@ -114,15 +114,15 @@
         self._config = attrs.evolve(
             self._config, stop_seconds=config.stop_seconds
         )
-        part = self._running.part if self._running else None
-        if isinstance(part, entries.Entry):
-            part.admission.limit = int(config.entry["request_limit"])
+        component = self._running.component if self._running else None
+        if isinstance(component, entries.Entry):
+            component.admission.limit = int(config.entry["request_limit"])
         logs.change("reconfigured", instance=self._config.name)
 
     async def stop(self, force: bool = False) -> None:
         """Let running requests finish, then stop; ``force`` skips the wait."""
         limit = 0.0 if force else self._config.stop_seconds
-        await self.running.part.drain(limit)
+        await self.running.component.drain(limit)
 
     def _greeting(self) -> messages.Greeting:
         return messages.Greeting(
--- a/src/crowdeck/standin/cluster.py
+++ b/src/crowdeck/standin/cluster.py
@@ -244,7 +244,7 @@
         """Wait until each entry has a link to each sidecar."""
         expected_count = len(self.sidecars)
         for member in self.entries.values():
-            entry = member.running.part
+            entry = member.running.component
             while not self._is_ready(entry, expected_count):
                 await anyio.sleep(0.02)
 
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -194,8 +194,12 @@
                 cluster, "GET", "/services/maps/lots/12", bearer=SURVEYORS
             )
             assert response.status == 200
-            for part in (b"lot 12", b"tile 0 of lot 12", b"tile 1 of lot 12"):
-                assert part in response.content
+            for component in (
+                b"lot 12",
+                b"tile 0 of lot 12",
+                b"tile 1 of lot 12",
+            ):
+                assert component in response.content
 
         run(check)
 
@@ -394,7 +398,7 @@
                 *cluster.entries.values(),
                 *cluster.sidecars.values(),
             ):
-                tracer = getattr(member.running.part, "_tracer")
+                tracer = getattr(member.running.component, "_tracer")
                 spans += [json.loads(one) for one in tracer.find(trace)]
             assert {span["name"] for span in spans} == {"entry", "stage"}
             stages = {span["attributes"].get("stage") for span in spans}
