--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Running:
+class RunningProcess:
     """The addresses and the main object of a running process.
 
     :ivar address: where other instances reach it.
@@ -61,7 +61,7 @@
         self._incarnation = instances.new_incarnation()
         self._timers = timers.TimerService()
         self._stop = anyio.Event()
-        self._running: Running | None = None
+        self._running: RunningProcess | None = None
 
     @property
     def is_running(self) -> bool:
@@ -69,7 +69,7 @@
         return self._running is not None
 
     @property
-    def running(self) -> Running:
+    def running(self) -> RunningProcess:
         """The running process; valid after :meth:`run` reports the start."""
         assert self._running is not None, "the process has not started"
         return self._running
@@ -77,7 +77,9 @@
     async def run(
         self,
         *,
-        task_status: anyio.abc.TaskStatus[Running] = anyio.TASK_STATUS_IGNORED,
+        task_status: anyio.abc.TaskStatus[
+            RunningProcess
+        ] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
         """Serve until :meth:`stop` has drained it, or until cancelled."""
         async with contextlib.AsyncExitStack() as stack:
@@ -184,7 +186,7 @@
         tasks: anyio.abc.TaskGroup,
         platform: platform_store.HttpStore,
         tracer: traces.Tracer,
-    ) -> Running:
+    ) -> RunningProcess:
         directory = directories.Directory(platform)
         sidecar = sidecars.Sidecar(
             name=self._config.name,
@@ -199,7 +201,7 @@
         transport, address = await self._open_transport(stack, tasks, sidecar)
         await _start_when_ready(sidecar, transport)
         await directory.refresh()
-        return Running(address, 0, sidecar)
+        return RunningProcess(address, 0, sidecar)
 
     def _open_engine(
         self, stack: contextlib.AsyncExitStack
@@ -223,7 +225,7 @@
         tasks: anyio.abc.TaskGroup,
         platform: platform_store.HttpStore,
         tracer: traces.Tracer,
-    ) -> Running:
+    ) -> RunningProcess:
         answers = answers_module.AnswerInboxes()
         handler = entries.EntryLinkHandler(answers)
         transport, address = await self._open_transport(stack, tasks, handler)
@@ -247,7 +249,7 @@
         )
         await entry.start()
         port = await tasks.start(self._serve_http, entry)
-        return Running(address, port, entry)
+        return RunningProcess(address, port, entry)
 
     async def _serve_http(
         self, entry: entries.Entry, *, task_status: anyio.abc.TaskStatus[int]
--- a/src/crowdeck/standin/cluster.py
+++ b/src/crowdeck/standin/cluster.py
@@ -84,7 +84,7 @@
 
     name: str
     process: processes.Process
-    running: processes.Running
+    running: processes.RunningProcess
     scope: anyio.CancelScope
     is_alive: bool = True
 
@@ -259,7 +259,7 @@
     process: processes.Process,
     scope: anyio.CancelScope,
     *,
-    task_status: anyio.abc.TaskStatus[processes.Running],
+    task_status: anyio.abc.TaskStatus[processes.RunningProcess],
 ) -> None:
     with scope:
         await process.run(task_status=task_status)
