--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -78,7 +78,7 @@
 
 
 @attrs.define
-class Running:
+class RunningEntry:
     """A running entry with its store and upstreams."""
 
     process: fleet_process.FleetProcess
@@ -104,7 +104,7 @@
 
 
 async def run_entry(
-    scenario: typing.Callable[[Running], typing.Awaitable[None]],
+    scenario: typing.Callable[[RunningEntry], typing.Awaitable[None]],
 ) -> None:
     store = standin_store.StandinStore()
     fleet = chain_fleet.ChainFleet()
@@ -143,7 +143,7 @@
         )
         process = fleet_process.FleetProcess(configs.parse(text))
         tasks.start_soon(process.run)
-        running = Running(
+        running = RunningEntry(
             process, fleet, store, f"{HOST}:{callers}", f"{HOST}:{status}"
         )
         await until_serving(running)
@@ -151,7 +151,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def until_serving(running: Running) -> None:
+async def until_serving(running: RunningEntry) -> None:
     """Wait until the layers are placed and a stream is served."""
     with anyio.fail_after(20.0):
         while True:
@@ -164,7 +164,7 @@
                 return
 
 
-async def status_of(running: Running, path: str) -> httpcore.Response:
+async def status_of(running: RunningEntry, path: str) -> httpcore.Response:
     async with httpcore.AsyncConnectionPool() as pool:
         return await pool.request("GET", f"http://{running.status}{path}")
 
@@ -173,7 +173,7 @@
     """Requests, readiness, metrics and planned stop."""
 
     def test_serves_streams_and_calls(self) -> None:
-        async def scenario(running: Running) -> None:
+        async def scenario(running: RunningEntry) -> None:
             stream = await running.send("/a/x", "s1")
             assert stream.status == 200
             events = running.fleet.events
@@ -187,7 +187,7 @@
         anyio.run(run_entry, scenario)
 
     def test_refuses_unknown_keys_and_routes(self) -> None:
-        async def scenario(running: Running) -> None:
+        async def scenario(running: RunningEntry) -> None:
             unknown_key = await running.send("/a/x", "w1", key=b"Token nobody")
             assert unknown_key.status == 401
             unknown_route = await running.send("/nowhere/", "w2")
@@ -197,7 +197,7 @@
         anyio.run(run_entry, scenario)
 
     def test_serves_readiness_and_metrics(self) -> None:
-        async def scenario(running: Running) -> None:
+        async def scenario(running: RunningEntry) -> None:
             ready = await status_of(running, names.READINESS_PATH)
             assert ready.status == 200
             metrics = await status_of(running, "/metrics")
@@ -208,7 +208,7 @@
         anyio.run(run_entry, scenario)
 
     def test_removed_key_stops_working(self) -> None:
-        async def scenario(running: Running) -> None:
+        async def scenario(running: RunningEntry) -> None:
             body = make_config(fleet_system.MODEL, fleet_system.PLAIN)
             body["version"] = 8
             body["tenants"][0]["api_keys"] = ["k2"]
@@ -223,7 +223,7 @@
         anyio.run(run_entry, scenario)
 
     def test_planned_stop_finishes_running_requests(self) -> None:
-        async def scenario(running: Running) -> None:
+        async def scenario(running: RunningEntry) -> None:
             running.fleet.event_seconds = 0.1
             answers: list[httpcore.Response] = []
 
@@ -243,7 +243,7 @@
         anyio.run(run_entry, scenario)
 
     def test_caller_disconnect_cancels_the_request(self) -> None:
-        async def scenario(running: Running) -> None:
+        async def scenario(running: RunningEntry) -> None:
             running.fleet.event_seconds = 0.1
             with anyio.move_on_after(0.5):
                 await running.send("/a/x", "left")
@@ -257,7 +257,7 @@
 class TestBackpressure:
     """Limits, backoff and leaving announced by an instance."""
 
-    def plain(self, running: Running) -> chain_fleet.StandinUpstream:
+    def plain(self, running: RunningEntry) -> chain_fleet.StandinUpstream:
         (found,) = (
             one
             for one in running.fleet.upstreams
@@ -266,7 +266,7 @@
         return found
 
     def test_limit_is_respected_and_callers_get_retry_after(self) -> None:
-        async def scenario(running: Running) -> None:
+        async def scenario(running: RunningEntry) -> None:
             # Even a limit of zero lets an occasional request through, to
             # learn when the limit ends.
             self.plain(running).limit = 0.0
@@ -285,7 +285,7 @@
         anyio.run(run_entry, scenario)
 
     def test_instance_that_asks_for_backoff_gets_no_requests(self) -> None:
-        async def scenario(running: Running) -> None:
+        async def scenario(running: RunningEntry) -> None:
             target = self.plain(running)
             target.rejected_requests = 100
             target.backoff = 60.0
@@ -297,7 +297,7 @@
         anyio.run(run_entry, scenario)
 
     def test_leaving_instance_gets_no_more_streams(self) -> None:
-        async def scenario(running: Running) -> None:
+        async def scenario(running: RunningEntry) -> None:
             for target in running.fleet.upstreams:
                 target.announces_leaving = True
             await running.send("/a/x", "first")
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -486,7 +486,7 @@
         assert status_of([row]).exit_code == commands.EXIT_UNREACHABLE
 
     def test_is_served_by_the_entry(self) -> None:
-        async def work(running: test_fleet_process.Running) -> None:
+        async def work(running: test_fleet_process.RunningEntry) -> None:
             target = next(
                 one
                 for one in running.fleet.upstreams
@@ -514,7 +514,7 @@
     def test_is_shown_by_the_command(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        async def work(running: test_fleet_process.Running) -> None:
+        async def work(running: test_fleet_process.RunningEntry) -> None:
             for target in running.fleet.upstreams:
                 target.limit = 4.0
             await running.send("/a/b/x", "r1")
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -801,7 +801,7 @@
 
     @pytest.mark.parametrize("loss", ("store", "answers", "end"))
     def test_requests_are_served_again(self, loss: str) -> None:
-        async def work(running: test_fleet_process.Running) -> None:
+        async def work(running: test_fleet_process.RunningEntry) -> None:
             def held() -> list[chain.Upstream]:
                 return [
                     one.listed
@@ -832,7 +832,7 @@
         anyio.run(test_fleet_process.run_entry, work)
 
     async def _served(
-        self, running: test_fleet_process.Running, prefix: str
+        self, running: test_fleet_process.RunningEntry, prefix: str
     ) -> float:
         answers: list[int] = []
 
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -371,7 +371,7 @@
     """A complete entry with its store and its engines."""
 
     def test_is_reported_to_callers_and_operators(self) -> None:
-        async def work(running: test_fleet_process.Running) -> None:
+        async def work(running: test_fleet_process.RunningEntry) -> None:
             engines = [
                 one
                 for one in running.fleet.upstreams
