--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -170,7 +170,7 @@
         )
         self._lease = lease
         context.use_roster(view.roster)
-        for part in (*view.parts, lease.run, monitor.run):
+        for part in (*view.background_tasks, lease.run, monitor.run):
             tasks.start_soon(part)
         tasks.start_soon(context.backpressure.run)
         tasks.start_soon(context.gaps.run, lambda: view.holder.services)
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -94,7 +94,7 @@
         )
 
     @property
-    def parts(self) -> tuple[BackgroundTask, ...]:
+    def background_tasks(self) -> tuple[BackgroundTask, ...]:
         """Coroutine functions that keep the copies up to date."""
         return (*(one.run for one in self.mirrors), self.roster.run)
 
