--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -58,7 +58,7 @@
     return ports.find_free(1, os.getpid())[0]
 
 
-def fill(template: str, values: dict[str, str]) -> str:
+def render_template(template: str, values: dict[str, str]) -> str:
     """Substitute plain values in a template as the platform does."""
     for name, value in values.items():
         template = template.replace("{{" + name + "}}", value)
@@ -131,7 +131,7 @@
         store.write(names.CONFIG_KIND, names.CONFIG_NAME, orjson.dumps(body))
         tasks.start_soon(chain_http.heartbeat, fleet, store)
         callers, status = free_port(), free_port()
-        text = fill(
+        text = render_template(
             TEMPLATE.read_text(),
             {
                 **SETTINGS,
@@ -318,7 +318,7 @@
         async def body() -> None:
             path = tmp_path / "entry.ini"
             path.write_text(
-                fill(
+                render_template(
                     TEMPLATE.read_text(),
                     {
                         **SETTINGS,
@@ -436,7 +436,7 @@
             port = free_port()
             path = tmp_path / "entry.ini"
             path.write_text(
-                fill(
+                render_template(
                     TEMPLATE.read_text(),
                     {
                         **SETTINGS,
@@ -471,7 +471,7 @@
     """The configuration that the platform writes for an entry."""
 
     def test_template_is_a_complete_config(self) -> None:
-        text = fill(
+        text = render_template(
             TEMPLATE.read_text(),
             {
                 **SETTINGS,
@@ -500,7 +500,7 @@
         lines = []
         for one in TEMPLATE.read_text().splitlines():
             lines.append(line if one.startswith(f"{name} =") else one)
-        text = fill(
+        text = render_template(
             "\n".join(lines),
             {
                 **SETTINGS,
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -161,7 +161,7 @@
                 self.roster = Roster()
 
         async def body() -> None:
-            text = test_fleet_process.fill(
+            text = test_fleet_process.render_template(
                 test_fleet_process.TEMPLATE.read_text(),
                 {
                     **test_fleet_process.SETTINGS,
