--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -152,15 +152,15 @@
         observe = self._config.observe
         if not observe["statsd_host"]:
             return
-        pipe = statsd.StatsClient(
+        client = statsd.StatsClient(
             str(observe["statsd_host"]),
             int(observe["statsd_port"]),
             prefix=f"crowdeck.{self._config.role}",
         )
-        stack.callback(pipe.close)
+        stack.callback(client.close)
 
         async def flush() -> None:
-            counters.COUNTERS.flush(pipe)
+            counters.COUNTERS.flush(client)
 
         self._timers.subscribe(
             "statsd", float(observe["statsd_seconds"]), flush
