--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -233,10 +233,10 @@
         available = [one for one in model.engines if not one.is_leaving]
         rows.append(_bound_row(model, "all", available))
         for zone in model.zones():
-            engines_in = [
+            in_zone = [
                 one for one in model.engines_in(zone) if not one.is_leaving
             ]
-            rows.append(_bound_row(model, zone, engines_in))
+            rows.append(_bound_row(model, zone, in_zone))
     columns = ("service", "zone", "at once", "a second", "binds", "layers")
     return commands.Result(
         typing.cast(commands.Data, rows), commands.format_table(rows, columns)
--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -86,7 +86,7 @@
         )
         self._links = links_module.Links(self._directory, self._transport)
 
-    async def __aenter__(self) -> "Operator":
+    async def __aenter__(self) -> "OperatorClient":
         self._stack.push_async_callback(self._client.close)
         self._stack.push_async_callback(self._entry_client.close)
         await self._stack.enter_async_context(self._transport)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -194,12 +194,8 @@
                 cluster, "GET", "/services/maps/lots/12", bearer=SURVEYORS
             )
             assert response.status == 200
-            for component in (
-                b"lot 12",
-                b"tile 0 of lot 12",
-                b"tile 1 of lot 12",
-            ):
-                assert component in response.content
+            for part in (b"lot 12", b"tile 0 of lot 12", b"tile 1 of lot 12"):
+                assert part in response.content
 
         run(check)
 
