--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -170,8 +170,12 @@
         )
         self._lease = lease
         context.use_roster(view.roster)
-        for part in (*view.background_tasks, lease.run, monitor.run):
-            tasks.start_soon(part)
+        for background_task in (
+            *view.background_tasks,
+            lease.run,
+            monitor.run,
+        ):
+            tasks.start_soon(background_task)
         tasks.start_soon(context.backpressure.run)
         tasks.start_soon(context.gaps.run, lambda: view.holder.services)
         tasks.start_soon(
