--- a/src/crowdeck/cmd/http_server.py
+++ b/src/crowdeck/cmd/http_server.py
@@ -17,10 +17,10 @@
 
 from crowdeck.observe import logs
 
-STOP_SECONDS = 2
+GRACEFUL_SHUTDOWN_SECONDS = 2
 START_POLL_SECONDS = 0.005
-# How often a server checks whether to exit. uvicorn's 0.1 s wakes an idle
-# process too often.
+# How often a server checks whether to exit. Longer than uvicorn's interval,
+# so that an idle process wakes less often.
 TICK_SECONDS = 0.25
 TICKS_PER_DATE_HEADER = 4
 
@@ -47,7 +47,7 @@
         logger.propagate = False
 
 
-class QuietServer(uvicorn.Server):
+class EmbeddedServer(uvicorn.Server):
     """A uvicorn server that leaves signals to the process."""
 
     @contextlib.contextmanager
@@ -58,7 +58,8 @@
     async def main_loop(self) -> None:
         """Wait until told to exit; update the date header every second."""
         tick = 0
-        # uvicorn updates its headers when the counter is a multiple of ten.
+        # on_tick updates the date header if its argument is a multiple of
+        # ten: it gets 0 once a second, and 1 otherwise.
         while not await self.on_tick(min(1, tick % TICKS_PER_DATE_HEADER)):
             tick += 1
             await anyio.sleep(TICK_SECONDS)
@@ -66,10 +67,10 @@
 
 def build(
     app: typing.Any, host: str, port: int, **options: typing.Any
-) -> QuietServer:
+) -> EmbeddedServer:
     """Return a server for an ASGI application, not yet started."""
     _forward_uvicorn_logs()
-    return QuietServer(
+    return EmbeddedServer(
         uvicorn.Config(
             app,
             host=host,
@@ -85,7 +86,7 @@
 
 
 async def run(
-    server: QuietServer,
+    server: EmbeddedServer,
     listener: socket.socket | None = None,
     *,
     task_status: anyio.abc.TaskStatus[int] = anyio.TASK_STATUS_IGNORED,
@@ -120,7 +121,7 @@
         app,
         host,
         port,
-        timeout_graceful_shutdown=STOP_SECONDS,
+        timeout_graceful_shutdown=GRACEFUL_SHUTDOWN_SECONDS,
         ssl_certfile=certificate or None,
         ssl_keyfile=key or None,
     )
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -28,7 +28,7 @@
 from crowdeck.state import objects as stores
 
 
-def account_losses(
+def summarise_losses(
     files: list[pathlib.Path], objectives: losses.Objectives, interval: float
 ) -> commands.Result:
     """Summarise from log files which requests were lost, and why.
@@ -158,7 +158,7 @@
         raise errors.ConfigError(f"{path}: {error}") from None
 
 
-async def show_status(operator: operators.Operator) -> commands.Result:
+async def show_status(operator: operators.OperatorClient) -> commands.Result:
     """Show the state of every instance and the store's epoch."""
     status = await commands.show_status(operator)
     return add_epoch(status, operator.store.epoch)
@@ -168,7 +168,7 @@
     """Add how often the store was restored from a backup.
 
     :param epoch: of the store's latest reply to this command. An instance
-        that has not noticed a restore yet may be in an earlier one.
+        that has not noticed a restore may still report an earlier one.
     """
     data = [{**row, "store_epoch": epoch} for row in status.data]
     label = "unknown" if epoch is None else str(epoch)
@@ -187,7 +187,7 @@
     def zones(self) -> list[str]:
         return sorted({engine.availability_zone for engine in self.engines})
 
-    def inside(self, zone: str) -> list[chain.Upstream]:
+    def engines_in(self, zone: str) -> list[chain.Upstream]:
         return [
             engine
             for engine in self.engines
@@ -230,11 +230,13 @@
     """Show the maximum throughput of engines, by service and zone."""
     rows: list[dict[str, commands.Data]] = []
     for model in await _list_models(store):
-        staying = [one for one in model.engines if not one.is_leaving]
-        rows.append(_bound_row(model, "all", staying))
+        available = [one for one in model.engines if not one.is_leaving]
+        rows.append(_bound_row(model, "all", available))
         for zone in model.zones():
-            inside = [one for one in model.inside(zone) if not one.is_leaving]
-            rows.append(_bound_row(model, zone, inside))
+            in_zone = [
+                one for one in model.engines_in(zone) if not one.is_leaving
+            ]
+            rows.append(_bound_row(model, zone, in_zone))
     columns = ("service", "zone", "at once", "a second", "binds", "layers")
     return commands.Result(
         typing.cast(commands.Data, rows), commands.format_table(rows, columns)
@@ -263,7 +265,7 @@
     lines = [f"{model.service.name}: {profile.layer_count} layers"]
     data: list[commands.Data] = []
     for zone in model.zones():
-        engines = model.inside(zone)
+        engines = model.engines_in(zone)
         counts = chain.coverage(engines, profile.layer_count)
         missing = counts.count(0)
         lines.append(f"  {zone}  copies of each layer, {missing} missing:")
@@ -284,14 +286,14 @@
     engine: chain.Upstream, profile: chain.EngineProfile
 ) -> dict[str, commands.Data]:
     held = engine.layers
-    size = held.end - held.first if held else 0
-    token_capacity = profile.token_capacity(engine.card, size)
+    held_layer_count = held.end - held.first if held else 0
+    token_capacity = profile.token_capacity(engine.card, held_layer_count)
     return {
         "engine": str(engine.address),
         "card": engine.card,
         "layers": f"{held.first}-{held.end}" if held else "-",
         "room": int(token_capacity)
-        if size and token_capacity != float("inf")
+        if held_layer_count and token_capacity != float("inf")
         else "-",
         "state": "leaving" if engine.is_leaving else "ready",
     }
--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -55,7 +55,7 @@
         )
 
 
-class Operator:
+class OperatorClient:
     """Reads the platform and asks instances; an async context manager.
 
     Use it inside ``capnp.kj_loop()``.
@@ -66,12 +66,12 @@
         platform_url: str,
         cluster: str,
         timeout: float,
-        security: rpc.TlsContexts,
+        tls: rpc.TlsContexts,
     ) -> None:
         self._timeout = timeout
         self._stack = contextlib.AsyncExitStack()
         self._client = http.HttpClient(platform_url)
-        self._entries = http.HttpClient("")
+        self._entry_client = http.HttpClient("")
         self.store = platform_store.HttpStore(self._client)
         self._directory = directories.Directory(self.store)
         greeting = messages.Greeting(
@@ -82,13 +82,13 @@
             incarnation=instances.new_incarnation(),
         )
         self._transport = rpc.RpcTransport(
-            greeting, _OperatorLinkHandler(), security
+            greeting, _OperatorLinkHandler(), tls
         )
         self._links = links_module.Links(self._directory, self._transport)
 
-    async def __aenter__(self) -> "Operator":
+    async def __aenter__(self) -> "OperatorClient":
         self._stack.push_async_callback(self._client.close)
-        self._stack.push_async_callback(self._entries.close)
+        self._stack.push_async_callback(self._entry_client.close)
         await self._stack.enter_async_context(self._transport)
         return self
 
@@ -103,13 +103,13 @@
         listing = await self.store.list_instances()
         return listing.instances if listing is not None else ()
 
-    async def entries(self) -> list[entry_status.Row]:
-        """Return the status of entries whose engines chain their own stages.
+    async def read_entry_statuses(self) -> list[entry_status.Row]:
+        """Return the status of entries whose engines call the next stage.
 
         :raises CrowdeckError: ``STORE_DOWN`` when they cannot be listed.
         """
         return await entry_status.read(
-            self.store, self._entries, self._timeout
+            self.store, self._entry_client, self._timeout
         )
 
     async def ask(
@@ -132,17 +132,17 @@
 
         An instance that fails has its error in the result.
         """
-        answers: list[InstanceReply] = []
+        replies: list[InstanceReply] = []
 
         async def ask_one(name: str) -> None:
             try:
                 reply = await self.ask(name, question)
-                answers.append(InstanceReply(name, reply, None))
+                replies.append(InstanceReply(name, reply, None))
             except errors.CrowdeckError as error:
-                answers.append(InstanceReply(name, None, error))
+                replies.append(InstanceReply(name, None, error))
 
         listed = await self.instances()
         async with anyio.create_task_group() as tasks:
             for one in listed:
                 tasks.start_soon(ask_one, one.name)
-        return sorted(answers, key=lambda answer: answer.name)
+        return sorted(replies, key=lambda instance_reply: instance_reply.name)
--- a/src/crowdeck/standin/cluster.py
+++ b/src/crowdeck/standin/cluster.py
@@ -84,7 +84,7 @@
 
     name: str
     process: processes.Process
-    running: processes.Running
+    running: processes.RunningProcess
     scope: anyio.CancelScope
     is_alive: bool = True
 
@@ -244,7 +244,7 @@
         """Wait until each entry has a link to each sidecar."""
         expected_count = len(self.sidecars)
         for member in self.entries.values():
-            entry = member.running.part
+            entry = member.running.component
             while not self._is_ready(entry, expected_count):
                 await anyio.sleep(0.02)
 
@@ -259,7 +259,7 @@
     process: processes.Process,
     scope: anyio.CancelScope,
     *,
-    task_status: anyio.abc.TaskStatus[processes.Running],
+    task_status: anyio.abc.TaskStatus[processes.RunningProcess],
 ) -> None:
     with scope:
         await process.run(task_status=task_status)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -394,7 +394,7 @@
                 *cluster.entries.values(),
                 *cluster.sidecars.values(),
             ):
-                tracer = getattr(member.running.part, "_tracer")
+                tracer = getattr(member.running.component, "_tracer")
                 spans += [json.loads(one) for one in tracer.find(trace)]
             assert {span["name"] for span in spans} == {"entry", "stage"}
             stages = {span["attributes"].get("stage") for span in spans}
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -406,12 +406,12 @@
     ) -> list[operators.InstanceReply]:
         return []
 
-    async def entries(self) -> list[entry_status.Row]:
+    async def read_entry_statuses(self) -> list[entry_status.Row]:
         return self._rows
 
 
 def status_of(rows: list[entry_status.Row]) -> commands.Result:
-    operator = typing.cast(operators.Operator, _FakeOperator(rows))
+    operator = typing.cast(operators.OperatorClient, _FakeOperator(rows))
     return anyio.run(commands.show_status, operator)
 
 
@@ -461,7 +461,7 @@
         ]
         found = status_of(rows)
         assert found.exit_code == commands.EXIT_OK
-        assert entry_status.sum_needs(rows) == [
+        assert entry_status.sum_backpressure(rows) == [
             {
                 "service": "s",
                 "zone": "z",
@@ -480,15 +480,15 @@
     def test_number_of_rows_is_bounded(self) -> None:
         many = [self.need(f"a{number}", 1.0, 0.1) for number in range(300)]
         text = status_of([self.row("e1", many)]).text
-        assert len(text.splitlines()) < entry_status.MAX_SHOWN + 20
-        assert f"and {300 - entry_status.MAX_SHOWN} more" in text
+        assert len(text.splitlines()) < entry_status.MAX_SHOWN_ROWS + 20
+        assert f"and {300 - entry_status.MAX_SHOWN_ROWS} more" in text
 
     def test_entry_that_does_not_answer_is_lost(self) -> None:
         row = {"instance": "e", "role": "entry", "state": "lost"}
         assert status_of([row]).exit_code == commands.EXIT_UNREACHABLE
 
     def test_is_served_by_the_entry(self) -> None:
-        async def work(running: test_fleet_process.Running) -> None:
+        async def work(running: test_fleet_process.RunningEntry) -> None:
             target = next(
                 one
                 for one in running.fleet.upstreams
@@ -516,7 +516,7 @@
     def test_is_shown_by_the_command(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        async def work(running: test_fleet_process.Running) -> None:
+        async def work(running: test_fleet_process.RunningEntry) -> None:
             for target in running.fleet.upstreams:
                 target.limit = 4.0
             await running.send("/a/b/x", "r1")
