--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -58,18 +58,18 @@
             return EXIT_FAILED
 
 
-async def show_status(operator: operators.Operator) -> Result:
+async def show_status(operator: operators.OperatorClient) -> Result:
     """Show the state of every instance."""
-    answers = await operator.ask_all(questions.ReadStatus(""))
-    rows = [_status_row(answer) for answer in answers]
-    rows += await operator.entries()
+    replies = await operator.ask_all(questions.ReadStatus(""))
+    rows = [_status_row(instance_reply) for instance_reply in replies]
+    rows += await operator.read_entry_statuses()
     lost = any(row["state"] == "lost" for row in rows)
     columns = ("instance", "role", "state", "running", "generation")
     return Result(
         rows,
         "\n".join(
             [format_table(rows, columns), *_unheld_lines(rows)]
-            + _need_lines(rows)
+            + _backpressure_lines(rows)
         ),
         EXIT_UNREACHABLE if lost else EXIT_OK,
     )
@@ -85,17 +85,17 @@
     return ["", "layers that no engine holds:", shown]
 
 
-def _need_lines(rows: list[dict[str, Data]]) -> list[str]:
+def _backpressure_lines(rows: list[dict[str, Data]]) -> list[str]:
     """Return the lines about the backpressure that instances ask for."""
-    sums = entry_status.sum_needs(rows)
+    sums = entry_status.sum_backpressure(rows)
     if not sums:
         return []
-    needs = entry_status.list_needs(rows)
+    needs = entry_status.list_backpressure(rows)
     columns = ("upstream", "need", "seconds", "per_second", "used", "entry")
-    shown = needs[: entry_status.MAX_SHOWN]
+    shown = needs[: entry_status.MAX_SHOWN_ROWS]
     lines = [
         "",
-        "instances that ask for less load:",
+        "instances in need:",
         format_table(sums, tuple(sums[0])),
     ]
     lines += ["", format_table(shown, columns)]
@@ -104,20 +104,28 @@
     return lines
 
 
-def _status_row(answer: operators.InstanceReply) -> dict[str, Data]:
-    if not isinstance(answer.reply, questions.Status):
-        reason = answer.error.message if answer.error else "no status"
-        return {"instance": answer.name, "state": "lost", "error": reason}
-    status: dict[str, Data] = json.loads(answer.reply.text)
+def _status_row(instance_reply: operators.InstanceReply) -> dict[str, Data]:
+    if not isinstance(instance_reply.reply, questions.Status):
+        reason = (
+            instance_reply.error.message
+            if instance_reply.error
+            else "no status"
+        )
+        return {
+            "instance": instance_reply.name,
+            "state": "lost",
+            "error": reason,
+        }
+    status: dict[str, Data] = json.loads(instance_reply.reply.text)
     status["state"] = "leaving" if status["is_leaving"] else "up"
     return status
 
 
-async def show_upstreams(operator: operators.Operator) -> Result:
+async def show_upstreams(operator: operators.OperatorClient) -> Result:
     """Show the upstreams that the first reachable entry knows."""
-    for answer in await operator.ask_all(questions.ReadStatus("")):
-        if isinstance(answer.reply, questions.Status):
-            status = json.loads(answer.reply.text)
+    for instance_reply in await operator.ask_all(questions.ReadStatus("")):
+        if isinstance(instance_reply.reply, questions.Status):
+            status = json.loads(instance_reply.reply.text)
             if "sidecars" in status:
                 rows = status["sidecars"]
                 for row in rows:
@@ -137,12 +145,14 @@
     )
 
 
-async def show_trace(operator: operators.Operator, trace: str) -> Result:
+async def show_trace(operator: operators.OperatorClient, trace: str) -> Result:
     """Show the spans of one trace, from every instance."""
     spans: list[dict[str, Data]] = []
-    for answer in await operator.ask_all(questions.ReadSpans(trace)):
-        if isinstance(answer.reply, questions.Spans):
-            spans.extend(json.loads(span) for span in answer.reply.spans)
+    for instance_reply in await operator.ask_all(questions.ReadSpans(trace)):
+        if isinstance(instance_reply.reply, questions.Spans):
+            spans.extend(
+                json.loads(span) for span in instance_reply.reply.spans
+            )
     spans.sort(key=lambda span: int(span["start_ns"]))
     if not spans:
         return Result([], f"no spans found for trace {trace}", EXIT_FAILED)
@@ -158,28 +168,28 @@
 
 
 async def drain(
-    operator: operators.Operator,
+    operator: operators.OperatorClient,
     name: str,
-    limit: float,
-    is_waiting: bool,
+    limit_seconds: float,
+    wait_until_idle: bool,
 ) -> Result:
-    """Begin a planned stop of an instance, and wait until it is idle."""
-    await operator.ask(name, questions.Drain(limit))
-    if not is_waiting:
+    """Begin a planned stop of an instance; optionally wait until idle."""
+    await operator.ask(name, questions.Drain(limit_seconds))
+    if not wait_until_idle:
         return Result({"instance": name}, f"{name} is draining")
     running = -1
-    with anyio.move_on_after(limit):
+    with anyio.move_on_after(limit_seconds):
         running = await _wait_idle(operator, name)
     if running == 0:
         return Result({"instance": name, "running": 0}, f"{name} is idle")
     return Result(
         {"instance": name, "running": running},
-        f"{name} still runs requests after {limit:g} s",
+        f"{name} still runs requests after {limit_seconds:g} s",
         EXIT_FAILED,
     )
 
 
-async def _wait_idle(operator: operators.Operator, name: str) -> int:
+async def _wait_idle(operator: operators.OperatorClient, name: str) -> int:
     while True:
         try:
             reply = await operator.ask(name, questions.ReadStatus(""))
@@ -192,12 +202,12 @@
         await anyio.sleep(DRAIN_POLL_SECONDS)
 
 
-def _open_editor(operator: operators.Operator) -> editors.SettingsEditor:
+def _open_editor(operator: operators.OperatorClient) -> editors.SettingsEditor:
     return editors.SettingsEditor(operator.store)
 
 
 async def get_setting(
-    operator: operators.Operator,
+    operator: operators.OperatorClient,
     scope: trees.SettingsScope,
     option: str,
     show_source: bool,
@@ -215,7 +225,7 @@
 
 
 async def set_setting(
-    operator: operators.Operator,
+    operator: operators.OperatorClient,
     scope: trees.SettingsScope,
     option: str,
     value: str | None,
@@ -228,7 +238,7 @@
 
 
 async def show_diff(
-    operator: operators.Operator, path: pathlib.Path
+    operator: operators.OperatorClient, path: pathlib.Path
 ) -> Result:
     """Show what applying a file would change."""
     current = await _open_editor(operator).read()
@@ -239,7 +249,7 @@
 
 
 async def apply_file(
-    operator: operators.Operator, path: pathlib.Path, change: str
+    operator: operators.OperatorClient, path: pathlib.Path, change: str
 ) -> Result:
     """Make a file the next generation of the settings."""
     editor = _open_editor(operator)
@@ -261,26 +271,32 @@
     return _applied_result(revision, difference)
 
 
-def _applied_result(revision: editors.SettingsRevision, shown: str) -> Result:
+def _applied_result(
+    revision: editors.SettingsRevision, summary: str
+) -> Result:
     return Result(
         {"generation": revision.generation, "change": revision.change},
-        f"{shown}\ngeneration {revision.generation} is in force",
+        f"{summary}\ngeneration {revision.generation} is in force",
     )
 
 
-async def show_history(operator: operators.Operator, limit: int) -> Result:
+async def show_history(
+    operator: operators.OperatorClient, limit: int
+) -> Result:
     """Show past generations, newest first."""
     revisions = await _open_editor(operator).history(limit)
     older = [*revisions[1:], editors.EMPTY]
     lines = []
-    for revision, before in zip(revisions, older, strict=False):
-        shown = editors.show_difference(before.text, revision.text)
+    for revision, previous in zip(revisions, older, strict=False):
+        difference = editors.show_difference(previous.text, revision.text)
         lines.append(f"generation {revision.generation}  {revision.change}")
-        lines.extend(f"    {line}" for line in shown.splitlines()[2:])
+        lines.extend(f"    {line}" for line in difference.splitlines()[2:])
     return Result([attrs.asdict(one) for one in revisions], "\n".join(lines))
 
 
-async def roll_back(operator: operators.Operator, generation: int) -> Result:
+async def roll_back(
+    operator: operators.OperatorClient, generation: int
+) -> Result:
     """Make an earlier generation's text the next generation."""
     editor = _open_editor(operator)
     text = await editor.text_of(generation)
--- a/src/crowdeck/cmd/demo.py
+++ b/src/crowdeck/cmd/demo.py
@@ -70,7 +70,7 @@
         """
         await self.show_answer()
         await self.show_receipt()
-        await self.show_stage_death()
+        await self.show_stage_failure()
         await self.show_drain()
 
     async def show_answer(self) -> None:
@@ -84,11 +84,11 @@
         first = await self._fetch_receipt(0)
         second = await self._fetch_receipt(1)
         runs = self._cluster.service.runs["receipt 81"]
-        _print(f"   {first!r} and {second!r}; the service ran {runs} time")
+        _print(f"   {first!r} and {second!r}; service runs: {runs}")
         if first != second or runs != 1:
             raise DemoFailed("the receipt was not fetched exactly once")
 
-    async def show_stage_death(self) -> None:
+    async def show_stage_failure(self) -> None:
         """Kill a stage in the middle of an answer."""
         _print(f"\n3. A stage is killed after token {KILL_AFTER_TOKENS}:")
         await self._stream(
@@ -111,21 +111,21 @@
     def _drain(self) -> None:
         name = self._find_running_sidecar(2)
         sys.stdout.write(f"[{name} drains] ")
-        part = self._cluster.sidecars[name].running.part
-        part.begin_drain(5.0)
+        component = self._cluster.sidecars[name].running.component
+        component.begin_drain(5.0)
 
     def _find_running_sidecar(self, stage: int) -> str:
         """Return the name of the sidecar that runs a stage of the answer."""
         for name in self._cluster.stage_names(stage):
             member = self._cluster.sidecars[name]
-            part = member.running.part
-            assert isinstance(part, sidecars.Sidecar)
-            if member.is_alive and part.running:
+            component = member.running.component
+            assert isinstance(component, sidecars.Sidecar)
+            if member.is_alive and component.running:
                 return name
         raise DemoFailed(f"no stage {stage} runs the answer")
 
     async def _stream(
-        self, prompt: str, event: object, after_tokens: int
+        self, prompt: str, action: object, after_tokens: int
     ) -> None:
         texts: list[str] = []
         sys.stdout.write("   ")
@@ -133,13 +133,13 @@
             texts.append(text)
             sys.stdout.write(text)
             sys.stdout.flush()
-            if callable(event) and len(texts) == after_tokens:
-                event()
+            if callable(action) and len(texts) == after_tokens:
+                action()
         sys.stdout.write("\n")
         expected = expected_texts(self._cluster.model, prompt)
         if texts != expected:
-            raise DemoFailed("the answer differs from the model's own")
-        _print(f"   {len(texts)} tokens, all equal to the model's own.")
+            raise DemoFailed("the answer differs from the expected tokens")
+        _print(f"   {len(texts)} tokens, all as expected.")
 
     async def _fetch_receipt(self, entry: int) -> str:
         url = self._cluster.urls[entry] + "/services/records/receipts/81"
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Builds and runs an entry whose engines chain their own stages."""
+"""Builds and runs an entry whose engines call the next stage themselves."""
 
 import contextlib
 import os
@@ -41,8 +41,8 @@
 # Keep it well below the process's limit of open files.
 UPSTREAM_CONNECTIONS = 1_000
 # API keys are accepted for this fraction of the revocation time after the
-# config was last proved current. The remainder covers a watch that stays
-# silent for up to a second before its history is lost.
+# config was last proved current. Less than one, since a watch may stay silent
+# for a while before it reports that changes were lost.
 CONFIG_TRUST_FRACTION = 0.78
 # Load balancers probe once a second and remove an instance after two failed
 # probes; new connections arrive until then.
@@ -50,9 +50,10 @@
 # Part of the grace period that is reserved for closing connections.
 STOP_MARGIN_SECONDS = 1.0
 KEEP_ALIVE_SECONDS = 15
-# Longest wait at start for the config and the engines' reports. After it the
-# entry accepts connections and refuses what it cannot serve yet.
-MAX_LEARNING_SECONDS = 0.5
+# Longest wait at start for the config, the survey of the engines and the
+# roster. After it the entry accepts connections and refuses what it cannot
+# serve yet.
+MAX_INITIAL_SYNC_SECONDS = 0.5
 
 
 class FleetProcess:
@@ -70,7 +71,7 @@
         self._listener = listener
         self._surveyed = anyio.Event()
         self._relay: relays.Relay | None = None
-        self._server: http_server.QuietServer | None = None
+        self._server: http_server.EmbeddedServer | None = None
         self._lease: leases.Lease | None = None
         self._stopped = anyio.Event()
         self._is_stopping = False
@@ -101,12 +102,17 @@
             logs.change("stopped", instance=self._config.name)
 
     def reconfigure(self, config: configs.Config) -> None:
-        """Apply a reloaded configuration; only the grace period changes."""
+        """Apply a reloaded configuration.
+
+        After the start only the grace period changes.
+        """
         self._config = config
         logs.change("reconfigured", instance=config.name)
 
     async def stop(self, force: bool = False) -> None:
-        """Refuse new requests, then end once the running ones have finished.
+        """Refuse new requests and let the running ones finish, then end.
+
+        The wait is limited to the grace period.
 
         :param force: end at once.
         """
@@ -145,7 +151,7 @@
         peers = peer_http.HttpPeers(self._open_client(stack, ""))
         view = store_view.StoreView(store, self._config, peers)
         upstreams = self._open_upstreams(stack)
-        context = self._context(upstreams, view)
+        context = self._build_context(upstreams, view)
         monitor = stalls.StallMonitor(context)
         self._relay = relays.Relay(
             context,
@@ -164,8 +170,12 @@
         )
         self._lease = lease
         context.use_roster(view.roster)
-        for part in (*view.parts, lease.run, monitor.run):
-            tasks.start_soon(part)
+        for background_task in (
+            *view.background_tasks,
+            lease.run,
+            monitor.run,
+        ):
+            tasks.start_soon(background_task)
         tasks.start_soon(context.backpressure.run)
         tasks.start_soon(context.gaps.run, lambda: view.holder.services)
         tasks.start_soon(
@@ -182,14 +192,14 @@
         self,
         tasks: anyio.abc.TaskGroup,
         view: store_view.StoreView,
-        status: peer_http.Status,
+        status: peer_http.StatusSource,
     ) -> None:
         peers = str(self._config.fleet["peers"])
         if not peers:
             return
         address = instances.Address.parse(peers)
-        copies = {one.kind: one for one in view.mirrors}
-        app = peer_http.PeerApp(copies, view.peer_selector, status)
+        mirrors_by_kind = {one.kind: one for one in view.mirrors}
+        app = peer_http.PeerApp(mirrors_by_kind, view.peer_selector, status)
         server = http_server.build(app, address.host, address.port)
         await tasks.start(_run_server, server)
 
@@ -198,8 +208,8 @@
     ) -> None:
         await view.holder.wait_known()
         await surveys.Survey(context).run(view.holder.services)
-        # Without the roster the entry would forward requests that are known
-        # to crash engines.
+        # The roster's records carry the quarantine; without them the entry
+        # would forward requests that are known to crash engines.
         await view.roster.wait_listed()
         self._surveyed.set()
 
@@ -212,7 +222,7 @@
         stack.push_async_callback(client.close)
         return engines.UpstreamClient(client)
 
-    def _context(
+    def _build_context(
         self, upstreams: engines.UpstreamClient, view: store_view.StoreView
     ) -> contexts.RelayContext:
         fleet = self._config.fleet
@@ -243,8 +253,9 @@
         )
         status_server = http_server.build(app, status.host, status.port)
         await tasks.start(_run_server, status_server)
-        # Until then connections wait in the backlog instead of being refused.
-        with anyio.move_on_after(MAX_LEARNING_SECONDS):
+        # Until the survey ends or this time has passed, connections wait in
+        # the listener's backlog instead of being refused.
+        with anyio.move_on_after(MAX_INITIAL_SYNC_SECONDS):
             await self._surveyed.wait()
         address = instances.Address.parse(str(fleet["callers"]))
         self._server = http_server.build(
@@ -270,7 +281,7 @@
     upstreams: engines.UpstreamClient,
     holder: relays.ConfigHolder,
 ) -> None:
-    """Run the placement controller from when the lease is first held."""
+    """Run the placement controller once the lease has been acquired."""
     await lease.wait_held()
     # Only one entry of a fleet runs the placement; the others start faster
     # without its modules.
@@ -287,7 +298,7 @@
 
 
 async def _run_server(
-    server: http_server.QuietServer,
+    server: http_server.EmbeddedServer,
     listener: socket.socket | None = None,
     *,
     task_status: anyio.abc.TaskStatus[int],
--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Running:
+class RunningProcess:
     """The addresses and the main object of a running process.
 
     :ivar address: where other instances reach it.
@@ -46,7 +46,7 @@
 
     address: instances.Address
     http_port: int
-    part: entries.Entry | sidecars.Sidecar
+    component: entries.Entry | sidecars.Sidecar
 
 
 class Process:
@@ -61,7 +61,7 @@
         self._incarnation = instances.new_incarnation()
         self._timers = timers.TimerService()
         self._stop = anyio.Event()
-        self._running: Running | None = None
+        self._running: RunningProcess | None = None
 
     @property
     def is_running(self) -> bool:
@@ -69,15 +69,17 @@
         return self._running is not None
 
     @property
-    def running(self) -> Running:
-        """The running process; valid once :meth:`run` has reported it."""
+    def running(self) -> RunningProcess:
+        """The running process; valid after :meth:`run` reports the start."""
         assert self._running is not None, "the process has not started"
         return self._running
 
     async def run(
         self,
         *,
-        task_status: anyio.abc.TaskStatus[Running] = anyio.TASK_STATUS_IGNORED,
+        task_status: anyio.abc.TaskStatus[
+            RunningProcess
+        ] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
         """Serve until :meth:`stop` has drained it, or until cancelled."""
         async with contextlib.AsyncExitStack() as stack:
@@ -103,7 +105,7 @@
                 address=str(running.address),
             )
             task_status.started(running)
-            await running.part.wait_drained()
+            await running.component.wait_drained()
             logs.change("stopped", instance=self._config.name)
 
     def reconfigure(self, config: configs.Config) -> None:
@@ -114,15 +116,15 @@
         self._config = attrs.evolve(
             self._config, stop_seconds=config.stop_seconds
         )
-        part = self._running.part if self._running else None
-        if isinstance(part, entries.Entry):
-            part.admission.limit = int(config.entry["request_limit"])
+        component = self._running.component if self._running else None
+        if isinstance(component, entries.Entry):
+            component.admission.limit = int(config.entry["request_limit"])
         logs.change("reconfigured", instance=self._config.name)
 
     async def stop(self, force: bool = False) -> None:
-        """Begin a planned stop; ``force`` cuts its wait short."""
+        """Let running requests finish, then stop; ``force`` skips the wait."""
         limit = 0.0 if force else self._config.stop_seconds
-        await self.running.part.drain(limit)
+        await self.running.component.drain(limit)
 
     def _greeting(self) -> messages.Greeting:
         return messages.Greeting(
@@ -150,15 +152,15 @@
         observe = self._config.observe
         if not observe["statsd_host"]:
             return
-        pipe = statsd.StatsClient(
+        client = statsd.StatsClient(
             str(observe["statsd_host"]),
             int(observe["statsd_port"]),
             prefix=f"crowdeck.{self._config.role}",
         )
-        stack.callback(pipe.close)
+        stack.callback(client.close)
 
         async def flush() -> None:
-            counters.COUNTERS.flush(pipe)
+            counters.COUNTERS.flush(client)
 
         self._timers.subscribe(
             "statsd", float(observe["statsd_seconds"]), flush
@@ -184,7 +186,7 @@
         tasks: anyio.abc.TaskGroup,
         platform: platform_store.HttpStore,
         tracer: traces.Tracer,
-    ) -> Running:
+    ) -> RunningProcess:
         directory = directories.Directory(platform)
         sidecar = sidecars.Sidecar(
             name=self._config.name,
@@ -197,9 +199,9 @@
             incarnation=self._incarnation,
         )
         transport, address = await self._open_transport(stack, tasks, sidecar)
-        await _until_ready(sidecar, transport)
+        await _start_when_ready(sidecar, transport)
         await directory.refresh()
-        return Running(address, 0, sidecar)
+        return RunningProcess(address, 0, sidecar)
 
     def _open_engine(
         self, stack: contextlib.AsyncExitStack
@@ -223,7 +225,7 @@
         tasks: anyio.abc.TaskGroup,
         platform: platform_store.HttpStore,
         tracer: traces.Tracer,
-    ) -> Running:
+    ) -> RunningProcess:
         answers = answers_module.AnswerInboxes()
         handler = entries.EntryLinkHandler(answers)
         transport, address = await self._open_transport(stack, tasks, handler)
@@ -247,7 +249,7 @@
         )
         await entry.start()
         port = await tasks.start(self._serve_http, entry)
-        return Running(address, port, entry)
+        return RunningProcess(address, port, entry)
 
     async def _serve_http(
         self, entry: entries.Entry, *, task_status: anyio.abc.TaskStatus[int]
@@ -263,10 +265,10 @@
         )
 
 
-async def _until_ready(
+async def _start_when_ready(
     sidecar: sidecars.Sidecar, transport: link.Transport
 ) -> None:
-    """Start a sidecar; retry while its engine is still loading."""
+    """Start a sidecar; retry if that fails, as while its engine loads."""
     while True:
         try:
             await sidecar.start(transport)
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -22,8 +22,8 @@
 from crowdeck.state import store_health
 
 # The config's watch is renewed after this fraction of the revocation time;
-# each renewal proves the copy current. It is short enough that a silent peer
-# is replaced before the copy's age makes the entry refuse callers.
+# each renewal proves the copy current. It must leave time to replace a silent
+# peer before the copy's age makes the entry refuse callers.
 CONFIG_WAIT_FRACTION = 0.16
 UPSTREAM_WAIT_SECONDS = 10.0
 CONFIG_LINGER_SECONDS = 0.1
@@ -60,7 +60,7 @@
         self.peer_selector = peer_selection.PeerSelector(
             config.name, self.roster.ranking, peers, self._health
         )
-        self._health.set_probe_interval(self.peer_selector.pause)
+        self._health.set_probe_interval(self.peer_selector.store_retry_seconds)
         self.registry.set_services_source(
             lambda: frozenset(one.name for one in self.holder.services)
         )
@@ -94,7 +94,7 @@
         )
 
     @property
-    def parts(self) -> tuple[BackgroundTask, ...]:
+    def background_tasks(self) -> tuple[BackgroundTask, ...]:
         """Coroutine functions that keep the copies up to date."""
         return (*(one.run for one in self.mirrors), self.roster.run)
 
--- a/src/crowdeck/http.py
+++ b/src/crowdeck/http.py
@@ -21,7 +21,7 @@
 CONNECTION_LIMIT = 64
 KEEPALIVE_SECONDS = 2.0
 RESPONSE_LIMIT_BYTES = 4 * 1024 * 1024
-# Headers that concern one connection and must not be forwarded.
+# Hop-by-hop headers, and those that each hop sets itself.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -151,8 +151,8 @@
             # Callers decide on retries by verdict; the library's own would
             # hide whether a request may have run.
             retries=0,
-            # Shorter than servers' timeouts (5 s in uvicorn): a request
-            # on a connection that the server closes has an unknown outcome.
+            # Shorter than servers' keep-alive timeouts: a request on a
+            # connection that the server closes has an unknown outcome.
             keepalive_expiry=KEEPALIVE_SECONDS,
         )
 
--- a/src/crowdeck/observe/counters.py
+++ b/src/crowdeck/observe/counters.py
@@ -17,7 +17,7 @@
 import attrs
 
 
-class StatsdPipe(typing.Protocol):
+class StatsdClient(typing.Protocol):
     """The methods of a statsd client that are used here."""
 
     def incr(self, stat: str, count: int) -> None:
@@ -39,7 +39,7 @@
 
 
 # Upper bounds of the histogram buckets, in seconds.
-BUCKETS = (
+BUCKET_BOUNDS_SECONDS = (
     *(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.35),
     *(0.5, 0.75, 1.0, 1.5, 2.0, 3.5, 5.0, 10.0, 20.0, 45.0),
 )
@@ -53,12 +53,14 @@
     :ivar total: sum of the durations, in seconds.
     """
 
-    counts: list[int] = attrs.field(factory=lambda: [0] * (len(BUCKETS) + 1))
+    counts: list[int] = attrs.field(
+        factory=lambda: [0] * (len(BUCKET_BOUNDS_SECONDS) + 1)
+    )
     total: float = 0.0
 
     def add(self, seconds: float) -> None:
         """Count one duration."""
-        self.counts[bisect.bisect_left(BUCKETS, seconds)] += 1
+        self.counts[bisect.bisect_left(BUCKET_BOUNDS_SECONDS, seconds)] += 1
         self.total += seconds
 
 
@@ -109,17 +111,17 @@
             lines += _histogram_lines(_prometheus_name(name), histogram)
         return "\n".join(lines) + "\n"
 
-    def flush(self, pipe: StatsdPipe) -> None:
+    def flush(self, client: StatsdClient) -> None:
         """Send the changes since the last flush, and all gauges."""
         for name, value in self._counts.items():
             change = value - self._sent[name]
             if change:
-                pipe.incr(name, change)
+                client.incr(name, change)
                 self._sent[name] = value
         for name, level in self._gauges.items():
-            pipe.gauge(name, level)
+            client.gauge(name, level)
         for name, seconds in self._timings:
-            pipe.timing(name, seconds * 1000.0)
+            client.timing(name, seconds * 1000.0)
         self._timings.clear()
 
 
@@ -130,7 +132,7 @@
 def _histogram_lines(name: str, histogram: Histogram) -> list[str]:
     lines = []
     cumulative = 0
-    bounds = [f"{bound:g}" for bound in BUCKETS] + ["+Inf"]
+    bounds = [f"{bound:g}" for bound in BUCKET_BOUNDS_SECONDS] + ["+Inf"]
     for bound, count in zip(bounds, histogram.counts, strict=True):
         cumulative += count
         lines.append(f'{name}_seconds_bucket{{le="{bound}"}} {cumulative}')
--- a/src/crowdeck/observe/explain.py
+++ b/src/crowdeck/observe/explain.py
@@ -20,8 +20,8 @@
 
 # Causes for operators, by error code.
 _CAUSES = {
-    "NO_PATH": "no engines with room hold all layers, or no instance of the "
-    "service takes work",
+    "NO_PATH": "no engines with free capacity hold all layers, or no instance "
+    "of the service accepts requests",
     "OVERLOADED": "every upstream that was tried refused it",
     "STORE_DOWN": "the entry could not tell whether its config, and so the "
     "caller's key, is still valid",
@@ -135,12 +135,12 @@
 
 
 def explain(
-    request: str, texts: typing.Iterable[str], gap: float = 0.2
+    request: str, texts: typing.Iterable[str], max_pause: float = 0.2
 ) -> Explanation:
     """Collect the lines of a request and determine its cause of failure.
 
     :param texts: log lines of any number of processes, in any order.
-    :param gap: longest pause, in seconds, for which a stream is in time.
+    :param max_pause: longest pause, in seconds, for which a stream is in time.
     """
     own: list[Line] = []
     # Bounded, as the logs may be too long to keep all state changes.
@@ -155,7 +155,7 @@
             recent.append(line)
     own.sort(key=lambda line: line.at)
     context = _context(own, recent)
-    cause, has_failed = _find_cause(own, gap)
+    cause, has_failed = _find_cause(own, max_pause)
     return Explanation(
         request, tuple(own), context, cause, has_failed, _held_back(own)
     )
@@ -199,7 +199,7 @@
     return any(str(name) in text for name in names)
 
 
-def _find_cause(own: list[Line], gap: float) -> tuple[str, bool]:
+def _find_cause(own: list[Line], max_pause: float) -> tuple[str, bool]:
     ends = [line for line in own if line.kind in ENDS]
     if not ends:
         return "", bool(own)
@@ -209,7 +209,7 @@
             return _refusal_cause(own, end), True
         case "caller_left":
             after = end.fields.get("after")
-            return f"the caller disconnected after {after} s", True
+            return f"the caller left after {after} s", True
         case "call_answered":
             status = int(end.fields.get("status", 0))
             if status >= 500:
@@ -217,7 +217,7 @@
                 return f"{upstream} itself answered {status}", True
             return "", False
         case _:
-            return _stream_cause(own, end, gap)
+            return _stream_cause(own, end, max_pause)
 
 
 def _refusal_cause(own: list[Line], end: Line) -> str:
@@ -261,8 +261,8 @@
     if missing:
         first = line.fields.get("first_missing")
         return (
-            f"{missing} layers, from layer {first} on, were held by none of "
-            f"{usable} usable engines"
+            f"{missing} layers, the first being layer {first}, were held by "
+            f"none of {usable} usable engines"
         )
     return (
         f"{usable} usable engines held all layers, but every path lacked "
@@ -270,9 +270,11 @@
     )
 
 
-def _stream_cause(own: list[Line], end: Line, gap: float) -> tuple[str, bool]:
+def _stream_cause(
+    own: list[Line], end: Line, max_pause: float
+) -> tuple[str, bool]:
     pause = float(end.fields.get("longest_pause") or 0.0)
-    if pause <= gap:
+    if pause <= max_pause:
         return "", False
     reasons = [
         f"{line.kind}: {line.fields.get('reason') or _describe_culprits(line)}"
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -116,7 +116,7 @@
 
 
 def _is_missing(layers: pipeline.LayerRange, counts: list[int]) -> bool:
-    """Whether no engine of any availability zone holds one of the layers.
+    """Whether any of the layers is held in no availability zone.
 
     Nothing is served then. If only one zone lacks a layer, its requests go to
     other zones, and interrupting streams would cost more.
@@ -216,10 +216,10 @@
     groups.
     """
     sample = _groups(engines, profile)[0]
-    # The empty batch lets other tasks run between the two layouts.
     tiered = [
         move for moves in _tiered_moves(sample, profile) for move in moves
     ]
+    # The empty batch lets other tasks run between the two layouts.
     yield []
     together = _group_moves(sample, profile)
     is_tiered = _exposure(tiered, profile) < _exposure(together, profile)
@@ -351,11 +351,11 @@
         the range within the tier is taken.
         """
         max_layers = most_layers(engine, self._profile)
-        anywhere = self._capacity.best_window(engine, max_layers)
+        anywhere = self._capacity.best_range(engine, max_layers)
         tier = self._tier(engine)
         if anywhere is None or tier is None or self._capacity.has_gap:
             return anywhere.layers if anywhere else None
-        in_tier = tier.best_window(engine, max_layers)
+        in_tier = tier.best_range(engine, max_layers)
         if in_tier is None or not self._is_small:
             return (in_tier or anywhere).layers
         return min(
--- a/src/crowdeck/platform/names.py
+++ b/src/crowdeck/platform/names.py
@@ -3,11 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Names of headers, paths and fields on the platform's wire.
+"""Names of headers, paths and fields in the platform's HTTP API.
 
-Some names mean different things in different messages; comments state what
-they hold. Other packages use the types of the decoding modules of this
-package.
+A comment gives the meaning of a name that is reused or misleading. Other
+packages use the types that the decoding modules of this package return.
 """
 
 # Headers, in lower case and latin-1 as in ASGI and httpcore.
@@ -26,7 +25,7 @@
 LAST_EVENT_ID = b"last-event-id"
 RETRY_AFTER = b"retry-after"
 LIMIT = b"server-limit"  # requests a second, from all entries together
-LEAVING = b"server-leaving"  # 1 in the answers of an engine that leaves
+LEAVING = b"server-leaving"  # 1 while the instance is shutting down
 EPOCH = b"store-era"  # counts restores of the store from a backup
 AUTHORIZATION = b"authorization"
 KEY_SCHEME = "token "
@@ -43,15 +42,15 @@
 REVISION = "revision"
 SPECIFICATION = "specification"
 ITEMS = "items"
-MORE = "has_more"
+HAS_MORE = "has_more"
 AFTER_NAME = "after_revision"  # the name of the last object, not a revision
-AT_REVISION = "timestamp"  # the store's revision, not a time
+STORE_REVISION = "timestamp"  # the store's revision, not a time
 EVENTS = "events"
 OBJECT = "object"
 REMOVED = "tombstone"
 WATCH = "watch"
 WAIT_MS = "wait_ms"
-STALE = "serializable"
+ALLOW_STALE = "serializable"
 
 # Kinds of objects.
 CONFIG_KIND = "config"
@@ -67,7 +66,9 @@
 STATE = "state"
 STATE_READY = "ready"
 STATE_DRAINING = "draining"
-CARD = "route_kind"  # in an entry or a report: the accelerator's kind
+ACCELERATOR_TYPE = (
+    "route_kind"  # in an entry or a report: the accelerator's kind
+)
 LAYERS = "layers"  # a range in entries and reports, a count in profiles
 FIRST_LAYER = "from"
 END_LAYER = "target_version"  # in a layer range: its exclusive end
@@ -81,7 +82,7 @@
 SLOWDOWN = "pace"  # in a report: above 1 while slow
 STALLED = "stalled"
 ID = "id"
-BORN = "born"  # milliseconds since 1970, in entries and reports
+STARTED_MS = "born"  # milliseconds since 1970, in entries and reports
 
 # Orders.
 OPERATION = "operation"
@@ -117,8 +118,8 @@
 WEIGHT = "weight"
 HEADER_BYTES = "max_header_bytes"
 BODY_BYTES = "max_body_bytes"
-HEADER_MS = "header_timeout_ms"
-IDLE_MS = "idle_timeout_ms"
+HEADER_TIMEOUT_MS = "header_timeout_ms"
+IDLE_TIMEOUT_MS = "idle_timeout_ms"
 CONNECTIONS = "connection_limit"
 
 # A service's engine profile.
@@ -126,22 +127,22 @@
 STEP_MS = "step_ms"
 SEQUENCE_MS = "per_seq_ms"
 CONTEXT_MS = "context_per_k"
-READ_RATE = "read_per_s"
+PREFILL_TOKENS_PER_SECOND = "read_per_s"
 PAIRS_MS = "pairs_per_m"
 CHUNK = "chunk"
 LAYER_MB = "layer_mb"
-CARDS = "kinds"
-CARD_MB = "size_mb"
-CARD_STEP = "pace"  # in a card: factor on steps
-CARD_READ = "read_factor"
+ACCELERATOR_TYPES = "kinds"
+MEMORY_MB = "size_mb"
+STEP_FACTOR = "pace"  # in an accelerator type: relative step time
+PREFILL_FACTOR = "read_factor"
 TOKEN_BYTES = "kv_token_bytes"  # noqa: S105
 ACTIVATION_BYTES = "activation_bytes"
-PIPE_MBPS = "pipeline_mbps"
+ZONE_LINK_MBPS = "pipeline_mbps"
 LOAD_SECONDS = "load_time_s"
-LOADS_AT_ONCE = "loads_at_once"
-USUAL = "usual"
-USUAL_PROMPT = "prompt"
-USUAL_ANSWER = "answer"
+CONCURRENT_LOADS = "loads_at_once"
+MEAN_LENGTHS = "usual"
+MEAN_PROMPT_TOKENS = "prompt"
+MEAN_ANSWER_TOKENS = "answer"
 DELAYS = "delays"
 DELAY_TO = "target_version"  # in a delay: the other zone
 DELAY_MS = "delay_ms"
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -59,7 +59,7 @@
         self, kind: str, name: str, *, allow_stale: bool = False
     ) -> stores.StoredObject | None:
         """Return an object, or ``None`` if there is none of this name."""
-        query: Query | None = {names.STALE: 1} if allow_stale else None
+        query: Query | None = {names.ALLOW_STALE: 1} if allow_stale else None
         response = await self._read(_path(kind, name, query))
         if response.status == 404:
             return None
@@ -108,8 +108,9 @@
             _path(kind, query=query), wait + WATCH_SLACK_SECONDS
         )
         epoch = self._epoch_of(response)
-        # The store refuses versions that it does not have, but cannot notice
-        # a version of an earlier epoch that it has used again.
+        # The store refuses versions that it does not have. It cannot detect
+        # a version of an earlier epoch whose number was assigned again after
+        # a restore.
         if response.status == 410 or epoch != after.epoch:
             raise errors.CrowdeckError(
                 errors.Code.STORE_HISTORY,
@@ -135,7 +136,7 @@
                 # Objects of later pages may be newer. A watch from here may
                 # repeat changes but misses none.
                 version = _decode_version(body)
-            if not body.get(names.MORE) or not found:
+            if not body.get(names.HAS_MORE) or not found:
                 break
             query = {names.AFTER_NAME: found[-1].name}
         return stores.Changes(version or 0, tuple(found), epoch=epoch or 0)
@@ -267,7 +268,7 @@
 def _decode_version(body: Json) -> int:
     """Return the store's version in an answer."""
     try:
-        return int(body[names.AT_REVISION])
+        return int(body[names.STORE_REVISION])
     except _DECODE_ERRORS as error:
         raise _store_down("the store's answer has no version") from error
 
@@ -308,7 +309,7 @@
 
 def _write_lost(verdict: verdicts.Verdict) -> errors.CrowdeckError:
     if verdict is _NOT_RUN:
-        return _store_down("the store could not be reached")
+        return _store_down("the store did not accept the write")
     return errors.CrowdeckError(
         errors.Code.STORE_UNSURE,
         "the store's reply to a write was lost",
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -17,7 +17,7 @@
 from crowdeck import verdict as verdicts
 
 _STATES = frozenset({names.STATE_READY, names.STATE_DRAINING})
-# Bounds the memory for counters of layers.
+# Bounds the memory of per-layer counts, whose length engines report.
 MAX_LAYER_COUNT = 65_536
 # Errors of reading a body with missing fields, wrong types or sizes.
 _DECODE_ERRORS = (
@@ -32,8 +32,8 @@
 def decode(stored: stores.StoredObject) -> chain.Upstream:
     """Return the upstream instance that an entry describes.
 
-    :raises CrowdeckError: ``MALFORMED``, also for objects of other writers
-        without the state of an instance.
+    :raises CrowdeckError: ``MALFORMED`` if it is not a valid entry, such as
+        an object of another writer, which has no instance state.
     """
     try:
         body = orjson.loads(stored.value)
@@ -50,7 +50,7 @@
             availability_zone=fields.text(body, names.ZONE, ""),
             slots=fields.integer(body, names.SLOTS, 1),
             is_leaving=_state(body) == names.STATE_DRAINING,
-            card=fields.text(body, names.CARD, ""),
+            card=fields.text(body, names.ACCELERATOR_TYPE, ""),
             layers=_layers(body),
         )
     except _DECODE_ERRORS as error:
@@ -78,7 +78,7 @@
                     fields.text(one, names.ID),
                     fields.text(one, names.ADDRESS),
                 )
-                for one in fields.object_list(body, names.STALLED)
+                for one in fields.list_field(body, names.STALLED)
             ),
             started_ms=_start_time_ms(body),
         )
@@ -99,9 +99,9 @@
 
     :raises TypeError: if it is null.
     """
-    if names.BORN in body and body[names.BORN] is None:
+    if names.STARTED_MS in body and body[names.STARTED_MS] is None:
         raise TypeError("the start time is null")
-    return fields.integer(body, names.BORN, 0)
+    return fields.integer(body, names.STARTED_MS, 0)
 
 
 def _layers(body: fields.Json) -> pipeline.LayerRange | None:
--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -64,7 +64,7 @@
         context: contexts.RelayContext,
         monitor: StreamMonitor,
         stream: live.LiveStream,
-        admitted: tables.Admitted,
+        admitted: tables.AdmittedRequest,
         sink: requests.Sink,
         path: chain.ChainPath,
         deadline: float,
@@ -110,7 +110,7 @@
         )
 
     async def _forward(self, answer: interfaces.Answer) -> None:
-        self._stream.sends.arrive()
+        self._stream.sends.note_arrived()
         if answer.load is not None:
             self._context.usage.note_load(self._path.head, answer.load.running)
         if answer.has_not_run:
@@ -139,7 +139,7 @@
         event: events.Event,
     ) -> None:
         stream = self._stream
-        self._context.heads.first_event(self._path.head.name, stream)
+        self._context.heads.note_first_event(self._path.head.name, stream)
         stream.note_event()
         if event.id is not None:
             if event.id <= stream.last_event_id:
@@ -170,9 +170,9 @@
         is_misdirected = answer.status == MISDIRECTED_STATUS
         self._context.registry.pause(
             culprit.name,
-            registries.STALE_SECONDS
+            registries.STALE_RECORD_BACKOFF_SECONDS
             if is_misdirected
-            else registries.FULL_SECONDS,
+            else registries.REFUSAL_BACKOFF_SECONDS,
             f"refused with {answer.status}",
         )
         return errors.CrowdeckError(
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -112,7 +112,7 @@
             if silent:
                 excluded |= silent
                 continue
-            if not self._context.registry.may_probe(path.head.name):
+            if not self._context.registry.claim_probe(path.head.name):
                 self._restart_elsewhere(stream, path)
                 return
             outcome = await self._context.client.repath(
@@ -188,7 +188,7 @@
             return False
         if not self._context.may_restart_stream(stream.service.name):
             return False
-        return other is None or other.crossings > path.crossings
+        return other is None or other.zone_crossings > path.zone_crossings
 
     def _find_path(
         self,
@@ -208,7 +208,9 @@
             stream.objective,
         )
         chosen = self._context.subset.pick(usable)
-        return self._context.planner.detour(chosen, wanted, path, excluded)
+        return self._context.planner.replace_failed_hops(
+            chosen, wanted, path, excluded
+        )
 
     def _log(
         self,
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -75,7 +75,7 @@
         self._context = context
         self._lag_meter = context.lag_meter
         self._prober = probes.Prober(
-            context.client, context.registry.may_probe
+            context.client, context.registry.claim_probe
         )
         self._streams: set[live.LiveStream] = set()
         self._checking: set[live.LiveStream] = set()
@@ -290,7 +290,7 @@
         self, stream: live.LiveStream, path: chain.ChainPath, found: _Finding
     ) -> bool:
         """Whether a stream's first engine does not work on it."""
-        if not stream.may_resume or path.crossings:
+        if not stream.may_resume or path.zone_crossings:
             return False
         if found.head_report is None or not found.is_sure:
             return False
@@ -332,7 +332,7 @@
         waited = anyio.current_time() - stream.progress_at
         return (
             waited > LATE_SHARE * stream.objective
-            and not heads.has_slow_alternative(name, stream.objective)
+            and not heads.is_another_engine_slow(name, stream.objective)
         )
 
     def _abandon_hung(
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -47,7 +47,7 @@
     async def serve(
         self,
         request: requests.CallerRequest,
-        admitted: tables.Admitted,
+        admitted: tables.AdmittedRequest,
         service: routes.Service,
         sink: requests.Sink,
     ) -> None:
@@ -86,7 +86,7 @@
     def _create_run(
         self,
         stream: live.LiveStream,
-        admitted: tables.Admitted,
+        admitted: tables.AdmittedRequest,
         sink: requests.Sink,
     ) -> "_StreamRun":
         return _StreamRun(self._context, self._monitor, stream, admitted, sink)
@@ -100,7 +100,7 @@
         context: contexts.RelayContext,
         monitor: attempts.StreamMonitor,
         stream: live.LiveStream,
-        admitted: tables.Admitted,
+        admitted: tables.AdmittedRequest,
         sink: requests.Sink,
     ) -> None:
         self._context = context
@@ -185,8 +185,8 @@
         try:
             with anyio.CancelScope() as scope:
                 self._stream.begin(path, scope)
-                self._context.heads.begin(path.head.name, self._stream)
-                self._stream.sends.send()
+                self._context.heads.note_begun(path.head.name, self._stream)
+                self._stream.sends.note_sent()
                 self._stream.check_may_resume = lambda: (
                     self._route.is_resumable
                     and self._runs_left(path.head.name) > 0
@@ -212,8 +212,8 @@
             raise
         finally:
             self._stream.end()
-            self._context.heads.end(path.head.name, self._stream)
-        self._stream.sends.give_up()
+            self._context.heads.note_ended(path.head.name, self._stream)
+        self._stream.sends.note_abandoned()
         return errors.CrowdeckError(
             errors.Code.STALLED,
             self._stream.abandon_reason or "abandoned",
@@ -225,11 +225,11 @@
         """Tell the retry budget whether a failed attempt had arrived."""
         sends = self._stream.sends
         if error.code is not errors.Code.UPSTREAM_LOST:
-            sends.give_up()
+            sends.note_abandoned()
         elif error.verdict is _MAY_HAVE_RUN:
-            sends.arrive()
+            sends.note_arrived()
         else:
-            sends.fail_to_send()
+            sends.note_send_failed()
 
     def _note_completed(self, path: chain.ChainPath) -> None:
         stream = self._stream
@@ -297,7 +297,7 @@
             self._context.note_instance_ended(head)
 
     def _note_failed(self, head: chain.Upstream) -> None:
-        if self._context.heads.fail(head.name):
+        if self._context.heads.note_failure(head.name):
             counters.COUNTERS.add("upstream.barred")
             logs.change(
                 "upstream_barred",
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -180,7 +180,7 @@
         names.ZONE: listed.availability_zone,
         names.SLOTS: listed.slots,
         names.STATE: names.STATE_DRAINING if listed.is_leaving else "ready",
-        names.CARD: listed.card,
+        names.ACCELERATOR_TYPE: listed.card,
         names.LAYERS: _layers(listed.layers),
         **_start_time_fields(listed.started_ms),
     }
@@ -223,7 +223,7 @@
 
 def _start_time_fields(started_ms: int) -> Json:
     """Return the field with the start time, if it is known."""
-    return {names.BORN: started_ms} if started_ms else {}
+    return {names.STARTED_MS: started_ms} if started_ms else {}
 
 
 def _layers(layers: pipeline.LayerRange | None) -> Json | None:
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -34,10 +34,10 @@
 PROFILE = chain.EngineProfile(
     layer_count=80,
     layer_mb=1750.0,
-    token_bytes=1_180_000.0,
+    kv_bytes_per_token=1_180_000.0,
     step_ms=0.85,
     sequence_ms=0.008,
-    context_ms=0.01,
+    context_ms_per_1000_tokens=0.01,
     prefill_tokens_per_second=196_000.0,
     activation_bytes=59_000.0,
     zone_link_bytes_per_second=1.125e9,
@@ -275,8 +275,8 @@
     with contextlib.closing(budget.track_sends()) as sends:
         if not sends.reserve():
             return False
-        sends.send()
-        sends.arrive()
+        sends.note_sent()
+        sends.note_arrived()
         return True
 
 
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -34,8 +34,8 @@
             engine("b", 30, 70),
             engine("c", 70, 80),
         ]
-        found = bound.bound(engines, PROFILE)
-        assert found.binding is bound.Binding.MEMORY
+        found = bound.compute_bound(engines, PROFILE)
+        assert found.binding is bound.LimitingResource.MEMORY
         assert found.bottleneck == pipeline.LayerRange(30, 70)
         mean_tokens = (
             PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
@@ -51,9 +51,9 @@
             engine("b", 30, 70),
             engine("c", 70, 80),
         ]
-        single = bound.bound(engines, PROFILE).concurrent_requests
+        single = bound.compute_bound(engines, PROFILE).concurrent_requests
         engines.append(engine("d", 30, 70))
-        assert bound.bound(
+        assert bound.compute_bound(
             engines, PROFILE
         ).concurrent_requests == pytest.approx(2 * single)
 
@@ -63,23 +63,26 @@
             engine("b", 35, 60),
             engine("c", 60, 80),
         ]
-        found = bound.bound(engines, PROFILE)
-        assert found.binding is bound.Binding.MISSING
+        found = bound.compute_bound(engines, PROFILE)
+        assert found.binding is bound.LimitingResource.MISSING
         assert found.bottleneck == pipeline.LayerRange(30, 35)
         assert found.per_second == 0.0
 
     def test_is_limited_by_the_slots_of_first_engines(self) -> None:
         engines = [engine("a", 0, 30, slots=3), engine("b", 30, 60)]
         engines.append(engine("c", 60, 80))
-        found = bound.bound(engines, PROFILE)
-        assert found.binding is bound.Binding.SLOTS
+        found = bound.compute_bound(engines, PROFILE)
+        assert found.binding is bound.LimitingResource.SLOTS
         assert found.concurrent_requests == 3.0
 
     def test_is_limited_by_the_prefill_of_long_prompts(self) -> None:
         profile = attrs.evolve(PROFILE, prefill_tokens_per_second=1000.0)
         engines = [engine("a", 0, 30), engine("b", 30, 60)]
         engines.append(engine("c", 60, 80))
-        assert bound.bound(engines, profile).binding is bound.Binding.PREFILL
+        assert (
+            bound.compute_bound(engines, profile).binding
+            is bound.LimitingResource.PREFILL
+        )
 
     def test_planned_paths_reach_the_memory_bound(self) -> None:
         engines = [
@@ -98,5 +101,5 @@
         while (path := planner.plan(engines, request)) is not None:
             usage.add_request(path, mean_tokens)
             count += 1
-        found = bound.bound(engines, PROFILE).concurrent_requests
+        found = bound.compute_bound(engines, PROFILE).concurrent_requests
         assert found - 2 < count <= found
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -40,7 +40,7 @@
     """Wait until ``count`` instances have ended; return when the last did."""
     with anyio.move_on_after(limit):
         while len(entries.fleet.crashes) < count:
-            await anyio.sleep(entries_system.LOOK_SECONDS)
+            await anyio.sleep(entries_system.POLL_INTERVAL_SECONDS)
     return entries.fleet.crashes[count - 1].at
 
 
@@ -55,7 +55,7 @@
             late = entries.arrivals(BODY, third + EXCHANGE_SECONDS)
             assert late <= MAX_SENDS
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_other_requests_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -63,11 +63,11 @@
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
             await anyio.sleep(3.0)
             third = entries.fleet.crashes[MAX_CRASHES - 1].at
-            others = entries.outcomes_beside(third + 1.0)
+            others = entries.outcomes_of_others(third + 1.0)
             assert len(others) > 20
             assert [one for one in others if not one.was_served] == []
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     @pytest.mark.parametrize(
         "repeat", [entries_system.STREAM, entries_system.REPEATABLE]
@@ -82,7 +82,7 @@
             await anyio.sleep(10.0)
             assert len(entries.fleet.crashes) <= MAX_CRASHES
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_instances_that_keep_their_ids_count_once_per_crash(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -91,10 +91,10 @@
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
             assert len(entries.fleet.crashes) <= MAX_CRASHES + 1
             third = entries.fleet.crashes[MAX_CRASHES - 1].at
-            others = entries.outcomes_beside(third + 1.0)
+            others = entries.outcomes_of_others(third + 1.0)
             assert [one for one in others if not one.was_served] == []
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     @pytest.mark.parametrize("crash_delay_seconds", [0.001, 0.1])
     def test_caller_gets_the_quarantine_error(
@@ -122,7 +122,7 @@
             # Two retries, less what the request itself added.
             assert round(before - budget.remaining) == MAX_CRASHES - 1
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_call_is_a_suspect_as_soon_as_its_instance_ends(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -135,7 +135,7 @@
                 request_fingerprint
             )
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_cancelled_request_is_a_suspect_too(self) -> None:
         # Its engine is found to have ended a moment after the cancellation.
@@ -149,7 +149,7 @@
             request_fingerprint = requests.fingerprint_of(request, "kiosks")
             assert entry.context.quarantine.is_suspect(request_fingerprint)
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_waiting_attempts_are_cancelled(self) -> None:
         # One is at an engine that has not begun it when the third engine
@@ -175,7 +175,7 @@
             assert error is not None
             assert error.code is errors.Code.QUARANTINED
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_is_refused_at_once_as_not_run(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -196,7 +196,7 @@
                 assert error.verdict is verdicts.Verdict.NOT_RUN
                 assert entries.fleet.runs_of(one.request.id) == []
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     @pytest.mark.parametrize("count", [1, 12])
     def test_few_engines_end_with_any_number_of_entries(
@@ -208,7 +208,7 @@
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
             assert len(entries.fleet.crashes) <= MAX_CRASHES + 2
 
-        entries_system.play(work, count=count)
+        entries_system.run_scenario(work, count=count)
 
     def test_restarted_entry_does_not_send_it(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -216,12 +216,12 @@
             await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
             ends = len(entries.fleet.crashes)
             for number in range(3):
-                entries.stop(number)
+                entries.restart(number)
             await anyio.sleep(0.5)
             await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
             assert len(entries.fleet.crashes) == ends
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_entries_learn_of_it_after_an_outage(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -234,7 +234,7 @@
             await entries.send_repeatedly(10.0, BODY, PAUSE_SECONDS)
             assert entries.arrivals(BODY, since) == 0
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_other_requests_to_its_path_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -244,7 +244,7 @@
             await anyio.sleep(3.0)
             assert entries.outcomes_of(BODY + b"?")[0].was_served
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_two_crashing_requests_are_both_quarantined(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -260,7 +260,7 @@
             assert since < 10.0
             assert len(entries.fleet.crashes) <= 2 * MAX_CRASHES + 3
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_call_is_not_sent_once_three_instances_have_ended(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -272,7 +272,7 @@
             late = entries.arrivals(BODY, third + EXCHANGE_SECONDS)
             assert late <= MAX_SENDS
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
 
 class TestOtherRequests:
@@ -293,7 +293,7 @@
                     )
                     await anyio.sleep(0.03)
             await anyio.sleep(8.0)
-            others = entries.outcomes_beside(0.0)
+            others = entries.outcomes_of_others(0.0)
             codes = {
                 one.caller.error.code for one in others if one.caller.error
             }
@@ -301,7 +301,7 @@
             served = sum(one.was_served for one in others)
             assert served >= len(others) - 4
 
-        entries_system.play(work, count=12)
+        entries_system.run_scenario(work, count=12)
 
     def test_identical_requests_of_many_callers_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -327,7 +327,7 @@
             assert sum(one.was_served for one in outcomes) >= 138
             assert len(entries.fleet.crashes) <= MAX_CRASHES + 2
 
-        entries_system.play(work, count=6)
+        entries_system.run_scenario(work, count=6)
 
     def test_stream_cut_three_times_resumes_once_the_cause_is_known(
         self,
@@ -356,7 +356,7 @@
             await anyio.sleep(3.0)
             assert entries.outcomes_of(other_body)[0].was_served
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     @pytest.mark.parametrize(
         "repeat", [entries_system.STREAM, entries_system.REPEATABLE]
@@ -371,20 +371,20 @@
             assert outcome.was_served
             assert self.is_cleared(entries, outcome.request)
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_stream_with_events_counts_as_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.event_seconds = 0.1
             entries.start_request(0, entries_system.STREAM, b"ran")
             await anyio.sleep(1.2)
-            entries.lose(1)
+            entries.crash_busiest(1)
             await anyio.sleep(0.4)
             request = entries[0].request(entries_system.STREAM, body=b"ran")
             assert entries.outcomes_of(b"ran") == []
             assert self.is_cleared(entries, request)
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def is_cleared(
         self, entries: entries_system.Entries, request: requests.CallerRequest
@@ -403,7 +403,7 @@
     def test_planned_ends_are_no_evidence(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            entries.tell_all_leaving()
+            entries.list_all_as_leaving()
             for number in range(6):
                 entries.start_request(number, entries_system.STREAM, BODY)
                 await anyio.sleep(0.1)
@@ -414,7 +414,7 @@
                 for number in range(3)
             )
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
 
     def test_end_that_becomes_known_later_counts(self) -> None:
         # A silent engine, whose store entry is removed later.
@@ -430,7 +430,7 @@
             entry.registry.on_changed((), (name,))
             assert entry.context.quarantine.is_suspect(request_fingerprint)
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_service_without_reports_does_not_count_as_ended(
         self, monkeypatch: pytest.MonkeyPatch
@@ -456,7 +456,7 @@
             assert entries[0].registry.avoided() == ()
             assert entries[0].context.quarantine.has_no_suspects
 
-        entries_system.play(work, count=1)
+        entries_system.run_scenario(work, count=1)
 
     def test_losses_of_many_engines_quarantine_no_request(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
@@ -465,14 +465,14 @@
                     number, entries_system.STREAM, b"beside-%d" % number
                 )
                 if number % 8 == 7:
-                    entries.lose(2)
+                    entries.crash_busiest(2)
                 await anyio.sleep(0.1)
             await anyio.sleep(8.0)
             codes = [
                 one.caller.error.code
-                for one in entries.outcomes_beside(0.0)
+                for one in entries.outcomes_of_others(0.0)
                 if one.caller.error
             ]
             assert errors.Code.QUARANTINED not in codes
 
-        entries_system.play(work)
+        entries_system.run_scenario(work)
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -279,7 +279,7 @@
         texts = [*serialize(lines), refusal]
         found = explain.explain("r1", texts)
         assert "wanted rest" in found.cause
-        assert losses.account(texts, test_losses.AIMS, 2.0).causes == {
+        assert losses.account(texts, test_losses.OBJECTIVES, 2.0).causes == {
             "refused: NO_PATH, instances at their limits or in rest": 1,
             # The retry.
             "in time": 1,
@@ -312,7 +312,7 @@
         ]
         for name in ("r1", "r2", "r3"):
             log.append(test_losses.refused(2.0, name, "NO_PATH", "x"))
-        assert losses.account(log, test_losses.AIMS, 2.0).causes == {
+        assert losses.account(log, test_losses.OBJECTIVES, 2.0).causes == {
             "refused: NO_PATH, no instance": 1,
             "refused: NO_PATH, the instances left were in need": 1,
             "refused: NO_PATH, instances at their limits or in rest": 1,
@@ -337,7 +337,7 @@
         assert found.held_back
         assert found.held_back[0] in found.cause
         assert "more is taken in 3.0 s" in found.cause
-        causes = losses.account(texts, test_losses.AIMS, 2.0).causes
+        causes = losses.account(texts, test_losses.OBJECTIVES, 2.0).causes
         assert causes == {
             "refused: NO_PATH, instances at their limits or in rest": 1
         }
@@ -349,7 +349,9 @@
             await system.ask(system.request(STREAM))
 
         run_scenario(work)
-        causes = losses.account(serialize(lines), test_losses.AIMS, 2.0).causes
+        causes = losses.account(
+            serialize(lines), test_losses.OBJECTIVES, 2.0
+        ).causes
         assert causes == {
             "late: its first event; it waited for instances in need": 1
         }
@@ -381,7 +383,7 @@
         refusals: list[str] = []
         run_scenario(work)
         found = losses.account(
-            [*serialize(lines), *refusals], test_losses.AIMS, 2
+            [*serialize(lines), *refusals], test_losses.OBJECTIVES, 2
         )
         assert found.requests == 300
         assert sum(found.causes.values()) == 300
@@ -404,12 +406,12 @@
     ) -> list[operators.InstanceReply]:
         return []
 
-    async def entries(self) -> list[entry_status.Row]:
+    async def read_entry_statuses(self) -> list[entry_status.Row]:
         return self._rows
 
 
 def status_of(rows: list[entry_status.Row]) -> commands.Result:
-    operator = typing.cast(operators.Operator, _FakeOperator(rows))
+    operator = typing.cast(operators.OperatorClient, _FakeOperator(rows))
     return anyio.run(commands.show_status, operator)
 
 
@@ -459,7 +461,7 @@
         ]
         found = status_of(rows)
         assert found.exit_code == commands.EXIT_OK
-        assert entry_status.sum_needs(rows) == [
+        assert entry_status.sum_backpressure(rows) == [
             {
                 "service": "s",
                 "zone": "z",
@@ -478,15 +480,15 @@
     def test_number_of_rows_is_bounded(self) -> None:
         many = [self.need(f"a{number}", 1.0, 0.1) for number in range(300)]
         text = status_of([self.row("e1", many)]).text
-        assert len(text.splitlines()) < entry_status.MAX_SHOWN + 20
-        assert f"and {300 - entry_status.MAX_SHOWN} more" in text
+        assert len(text.splitlines()) < entry_status.MAX_SHOWN_ROWS + 20
+        assert f"and {300 - entry_status.MAX_SHOWN_ROWS} more" in text
 
     def test_entry_that_does_not_answer_is_lost(self) -> None:
         row = {"instance": "e", "role": "entry", "state": "lost"}
         assert status_of([row]).exit_code == commands.EXIT_UNREACHABLE
 
     def test_is_served_by_the_entry(self) -> None:
-        async def work(running: test_fleet_process.Running) -> None:
+        async def work(running: test_fleet_process.RunningEntry) -> None:
             target = next(
                 one
                 for one in running.fleet.upstreams
@@ -514,7 +516,7 @@
     def test_is_shown_by_the_command(
         self, capsys: pytest.CaptureFixture[str]
     ) -> None:
-        async def work(running: test_fleet_process.Running) -> None:
+        async def work(running: test_fleet_process.RunningEntry) -> None:
             for target in running.fleet.upstreams:
                 target.limit = 4.0
             await running.send("/a/b/x", "r1")
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -49,7 +49,7 @@
         real = time.clock_gettime
 
         def boot_time(clock: int) -> float:
-            assert clock == timers._BOOT
+            assert clock == timers._BOOT_CLOCK_ID
             return real(clock) + suspended
 
         async def body() -> None:
@@ -316,7 +316,7 @@
             def choose(self) -> PeerReplica:
                 return PeerReplica()
 
-            def seconds_to_next(self) -> float:
+            def seconds_until_retry(self) -> float:
                 return float("inf")
 
         async def body() -> None:
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -30,7 +30,7 @@
     """Records the objects that it was given, and when each version came."""
 
     def __init__(self) -> None:
-        self.seen: dict[int, float] = {}
+        self.first_seen_at: dict[int, float] = {}
         self.values: dict[str, bytes] = {}
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
@@ -43,7 +43,7 @@
         removed: tuple[str, ...],
     ) -> None:
         for one in objects:
-            self.seen.setdefault(one.version, anyio.current_time())
+            self.first_seen_at.setdefault(one.version, anyio.current_time())
             self.values[one.name] = one.value
         for name in removed:
             self.values.pop(name, None)
@@ -131,7 +131,9 @@
         )
         self._ranking = ranking
         self._tasks: anyio.abc.TaskGroup | None = None
-        self.entries = {name: self._entry(name, ranking) for name in names}
+        self.entries = {
+            name: self._make_entry(name, ranking) for name in names
+        }
 
     async def run(self) -> None:
         """Run all entries until cancelled."""
@@ -144,20 +146,20 @@
             await entry.mirror.run()
 
     def restart(self, number: int) -> None:
-        """Replace an entry by a new one of the same name without a copy."""
+        """Replace an entry by a new one of this name with an empty mirror."""
         assert self._tasks is not None
         name = f"entry-{number}"
         self.entries[name].scope.cancel()
-        entry = self.entries[name] = self._entry(name, self._ranking)
+        entry = self.entries[name] = self._make_entry(name, self._ranking)
         self._tasks.start_soon(self._run_entry, entry)
 
-    def reconnect(self) -> None:
+    def end_faults(self) -> None:
         """End all faults."""
         self.store.is_down = False
         for entry in self.entries.values():
             entry.is_silent = entry.is_down = entry.connection.is_cut = False
 
-    def _entry(
+    def _make_entry(
         self, name: str, ranking: tuple[peer_selection.Peer, ...]
     ) -> Entry:
         connection = StoreConnection(self.store)
@@ -165,7 +167,7 @@
         selector = peer_selection.PeerSelector(
             name, lambda: ranking, self, health
         )
-        health.set_probe_interval(selector.pause)
+        health.set_probe_interval(selector.store_retry_seconds)
         follower = RecordingFollower()
         mirror = mirrors.Mirror(
             connection,
@@ -213,8 +215,8 @@
     def write(self) -> int:
         return self.store.write(KIND, "main", b"{}")
 
-    def oldest(self) -> float:
-        """Return the greatest age of a copy among reachable entries."""
+    def max_age(self) -> float:
+        """Return the greatest age of a mirror among reachable entries."""
         return max(
             one.mirror.age()
             for one in self.entries.values()
@@ -229,7 +231,7 @@
 Work = typing.Callable[[Zone], typing.Awaitable[None]]
 
 
-def play(count: int, work: Work, wait: float = WAIT_SECONDS) -> None:
+def run_scenario(count: int, work: Work, wait: float = WAIT_SECONDS) -> None:
     async def body() -> None:
         zone = Zone(count, wait)
         zone.write()
@@ -242,11 +244,11 @@
     virtual.run(body)
 
 
-async def oldest_over(zone: Zone, seconds: float) -> float:
-    """Return the greatest age of a copy over a time span."""
+async def max_age_over(zone: Zone, seconds: float) -> float:
+    """Return the greatest age of a mirror over a time span."""
     ends = anyio.current_time() + seconds
-    oldest = 0.0
+    max_age = 0.0
     while anyio.current_time() < ends:
-        oldest = max(oldest, zone.oldest())
+        max_age = max(max_age, zone.max_age())
         await anyio.sleep(0.01)
-    return oldest
+    return max_age
