--- a/bench/placement.py
+++ b/bench/placement.py
@@ -95,10 +95,10 @@
     profile = chain.EngineProfile(
         layer_count=LAYERS,
         layer_mb=1750.0,
-        token_bytes=described["token_bytes"],
+        kv_bytes_per_token=described["token_bytes"],
         step_ms=1.02,
         sequence_ms=0.006,
-        context_ms=0.008,
+        context_ms_per_1000_tokens=0.008,
         prefill_tokens_per_second=245_000.0,
         activation_bytes=39_000.0,
         zone_link_bytes_per_second=0.69e9,
@@ -191,7 +191,7 @@
     found: Engines = []
     for zone in dict.fromkeys(one.availability_zone for one in engines):
         inside = [one for one in engines if one.availability_zone == zone]
-        layout = arranger.arrange(inside)
+        layout = arranger.find_layout(inside)
         found += [
             attrs.evolve(one, layers=layout.get(one.name)) for one in inside
         ]
--- a/src/crowdeck/availability_zone.py
+++ b/src/crowdeck/availability_zone.py
@@ -3,28 +3,28 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Availability zones and the time that links between them take."""
+"""Links between availability zones, and their transfer times."""
 
 import attrs
 
-SAME_ZONE_SECONDS = 0.0001
-OTHER_ZONE_SECONDS = 0.0005
+SAME_ZONE_DELAY_SECONDS = 0.0001
+OTHER_ZONE_DELAY_SECONDS = 0.0005
 
 
 @attrs.frozen
 class ZoneLink:
     """The link between two availability zones.
 
-    :ivar seconds: one-way delay.
-    :ivar bytes_per_second: what one transfer gets.
+    :ivar delay_seconds: one-way delay.
+    :ivar bytes_per_second: bandwidth of one transfer.
     """
 
-    seconds: float
+    delay_seconds: float
     bytes_per_second: float = 1.25e9
 
     def transfer_seconds(self, size: int) -> float:
-        """Return how long ``size`` bytes take from end to end."""
-        return self.seconds + size / self.bytes_per_second
+        """Return the seconds that a transfer of ``size`` bytes takes."""
+        return self.delay_seconds + size / self.bytes_per_second
 
 
 @attrs.frozen
@@ -32,7 +32,7 @@
     """All links between availability zones, with defaults.
 
     >>> links = ZoneLinks()
-    >>> links.between("plateau", "plateau").seconds
+    >>> links.between("plateau", "plateau").delay_seconds
     0.0001
     """
 
@@ -44,4 +44,6 @@
         if link is not None:
             return link
         is_same = one == other
-        return ZoneLink(SAME_ZONE_SECONDS if is_same else OTHER_ZONE_SECONDS)
+        return ZoneLink(
+            SAME_ZONE_DELAY_SECONDS if is_same else OTHER_ZONE_DELAY_SECONDS
+        )
--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""An operator's own links to the processes of the system."""
+"""Access of the command line to the platform and the instances."""
 
 import contextlib
 import typing
@@ -26,15 +26,15 @@
 
 @attrs.frozen
 class InstanceReply:
-    """What one instance said, or why it did not."""
+    """The reply of one instance, or the error instead of it."""
 
     name: str
     reply: questions.Reply | None
     error: errors.CrowdeckError | None
 
 
-class _SilentHandler:
-    """Operators take no records and answer nothing."""
+class _OperatorLinkHandler:
+    """Ignores records and refuses questions."""
 
     def on_opened(self, peer: link.Peer) -> None:
         """There is nothing to do."""
@@ -48,14 +48,15 @@
     async def on_question(
         self, peer: link.Peer, question: questions.Question
     ) -> questions.Reply:
-        """Refuse."""
+        """Refuse every question."""
         raise errors.CrowdeckError(
-            errors.Code.MALFORMED, "an operator answers no questions"
+            errors.Code.MALFORMED,
+            "the operator command line answers no questions",
         )
 
 
-class Operator:
-    """Reads the platform and asks instances; a context manager.
+class OperatorClient:
+    """Reads the platform and asks instances; an async context manager.
 
     Use it inside ``capnp.kj_loop()``.
     """
@@ -65,12 +66,12 @@
         platform_url: str,
         cluster: str,
         timeout: float,
-        security: rpc.TlsContexts,
+        tls: rpc.TlsContexts,
     ) -> None:
         self._timeout = timeout
         self._stack = contextlib.AsyncExitStack()
         self._client = http.HttpClient(platform_url)
-        self._entries = http.HttpClient("")
+        self._entry_client = http.HttpClient("")
         self.store = platform_store.HttpStore(self._client)
         self._directory = directories.Directory(self.store)
         greeting = messages.Greeting(
@@ -81,13 +82,13 @@
             incarnation=instances.new_incarnation(),
         )
         self._transport = rpc.RpcTransport(
-            greeting, _SilentHandler(), security
+            greeting, _OperatorLinkHandler(), tls
         )
         self._links = links_module.Links(self._directory, self._transport)
 
-    async def __aenter__(self) -> "Operator":
+    async def __aenter__(self) -> "OperatorClient":
         self._stack.push_async_callback(self._client.close)
-        self._stack.push_async_callback(self._entries.close)
+        self._stack.push_async_callback(self._entry_client.close)
         await self._stack.enter_async_context(self._transport)
         return self
 
@@ -102,13 +103,13 @@
         listing = await self.store.list_instances()
         return listing.instances if listing is not None else ()
 
-    async def entries(self) -> list[entry_status.Row]:
-        """Ask the entries before engines that chain their stages.
+    async def read_entry_statuses(self) -> list[entry_status.Row]:
+        """Return the status of entries whose engines call the next stage.
 
         :raises CrowdeckError: ``STORE_DOWN`` when they cannot be listed.
         """
         return await entry_status.read(
-            self.store, self._entries, self._timeout
+            self.store, self._entry_client, self._timeout
         )
 
     async def ask(
@@ -116,7 +117,7 @@
     ) -> questions.Reply:
         """Ask one instance.
 
-        :raises CrowdeckError: when it is lost, or refuses.
+        :raises CrowdeckError: if it cannot be reached or refuses.
         """
         peer = await self._links.get(name)
         reply = await peer.ask(question, self._timeout)
@@ -127,18 +128,21 @@
     async def ask_all(
         self, question: questions.Question
     ) -> list[InstanceReply]:
-        """Ask every listed instance at once; the lost ones are said so."""
-        answers: list[InstanceReply] = []
+        """Ask every listed instance concurrently.
+
+        An instance that fails has its error in the result.
+        """
+        replies: list[InstanceReply] = []
 
         async def ask_one(name: str) -> None:
             try:
                 reply = await self.ask(name, question)
-                answers.append(InstanceReply(name, reply, None))
+                replies.append(InstanceReply(name, reply, None))
             except errors.CrowdeckError as error:
-                answers.append(InstanceReply(name, None, error))
+                replies.append(InstanceReply(name, None, error))
 
         listed = await self.instances()
         async with anyio.create_task_group() as tasks:
             for one in listed:
                 tasks.start_soon(ask_one, one.name)
-        return sorted(answers, key=lambda answer: answer.name)
+        return sorted(replies, key=lambda instance_reply: instance_reply.name)
--- a/src/crowdeck/entry/delivery.py
+++ b/src/crowdeck/entry/delivery.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The answer that a caller has been given so far, checked as it grows."""
+"""Delivers the tokens of an answer and verifies its end."""
 
 from crowdeck import digest as digests
 from crowdeck.entry import model_request as model_requests
@@ -17,10 +17,10 @@
 
 
 class Delivery:
-    """Takes tokens in order, shows them to the caller, checks the end.
+    """Passes tokens to the caller in order and verifies the end.
 
-    :ivar shown: positions below this one the caller has already.
-    :ivar finish: why the answer ended, empty while it runs.
+    :ivar caller_position: the first position that the caller does not have.
+    :ivar finish: the finish reason, empty while the answer runs.
     """
 
     def __init__(
@@ -30,11 +30,11 @@
         self._sink = sink
         self._pieces: list[messages.Piece] = []
         self._digest = digests.AnswerDigest(request.request)
-        self.shown = 0
+        self.caller_position = 0
         self.finish = ""
 
     def __len__(self) -> int:
-        """Return how many tokens there are."""
+        """Return the number of tokens received."""
         return len(self._pieces)
 
     @property
@@ -43,10 +43,10 @@
         return tuple(self._pieces)
 
     @property
-    def is_whole(self) -> bool:
-        """Whether the last token is here, though perhaps not the end."""
-        is_longest = len(self._pieces) >= self._request.max_tokens
-        return bool(self.finish) or is_longest
+    def is_complete(self) -> bool:
+        """Whether the last token has arrived, perhaps without the end."""
+        is_at_token_limit = len(self._pieces) >= self._request.max_tokens
+        return bool(self.finish) or is_at_token_limit
 
     async def take(self, answer: messages.Answer, epoch: int) -> bool:
         """Deliver a token if it is the next one of an attempt.
@@ -60,7 +60,7 @@
         if answer.position > position:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_POSITION,
-                f"token {answer.position} came, not {position}",
+                f"received token {answer.position} instead of {position}",
                 verdict=_MAY_HAVE_RUN,
             )
         self.finish = answer.finish
@@ -68,28 +68,28 @@
         return True
 
     async def put(self, piece: messages.Piece) -> None:
-        """Add the next token and show it, unless the caller has it."""
+        """Add the next token, and pass it on unless the caller has it."""
         position = len(self._pieces)
         self._pieces.append(piece)
         self._digest.add(piece.token, piece.text)
-        if position >= self.shown:
+        if position >= self.caller_position:
             await self._sink.put(position, piece)
 
     def check_end(self, end: messages.AnswerEnd) -> None:
-        """Refuse an end that does not belong to what was delivered.
+        """Check the answer's end against the tokens received.
 
-        :raises CrowdeckError: ``WRONG_ANSWER``.
+        :raises CrowdeckError: ``WRONG_ANSWER`` if they do not match.
         """
-        is_whole = (
+        matches = (
             end.count == self._digest.count
             and end.digest == self._digest.value
         )
-        if is_whole:
+        if matches:
             return
         counters.COUNTERS.add("entry.answer_not_whole")
         raise errors.CrowdeckError(
             errors.Code.WRONG_ANSWER,
-            f"the answer's end speaks of {end.count} tokens, or others "
-            f"than the {self._digest.count} that came",
+            f"the answer's end, of {end.count} tokens, does not match the "
+            f"{self._digest.count} tokens received",
             verdict=_MAY_HAVE_RUN,
         )
--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The callers' side: HTTP in, answers and errors out."""
+"""The HTTP interface of an entry for its callers."""
 
 import contextlib
 import typing
@@ -37,8 +37,8 @@
 
 HEADER_LIMIT = 100
 METHODS = ["GET", "POST", "PUT", "PATCH", "DELETE", "HEAD"]
-# Headers that are between the caller and us: never sent to a service.
-OWN_HEADERS = frozenset(
+# Headers meant for the entry, which are not forwarded to services.
+ENTRY_HEADERS = frozenset(
     {
         "authorization",
         "idempotency-key",
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds on what one caller may send."""
+    """Limits on what one caller may send."""
 
     body_bytes: int = 1_048_576
 
@@ -73,7 +73,7 @@
         limits: Limits,
     ) -> None:
         self._settings = settings
-        self._drive_parts = driver_dependencies
+        self._driver_dependencies = driver_dependencies
         self._calls = calls
         self._keys = answer_keys
         self._turns = session_turns
@@ -87,29 +87,37 @@
         return applications.Starlette(
             routes=[
                 routing.Route(
-                    "/v1/chat/completions", self._chat, methods=post
+                    "/v1/chat/completions", self._handle_chat, methods=post
                 ),
-                routing.Route("/v1/completions", self._complete, methods=post),
-                routing.Route("/v1/models", self._models),
-                routing.Route("/healthz", self._health),
-                routing.Route("/readyz", self._ready),
+                routing.Route(
+                    "/v1/completions", self._handle_completion, methods=post
+                ),
+                routing.Route("/v1/models", self._handle_models),
+                routing.Route("/healthz", self._handle_health),
+                routing.Route("/readyz", self._handle_readiness),
                 routing.Route(
                     "/services/{service}/{path:path}",
-                    self._service,
+                    self._handle_service_call,
                     methods=METHODS,
                 ),
             ],
-            exception_handlers={errors.CrowdeckError: _refuse},
+            exception_handlers={errors.CrowdeckError: _handle_error},
         )
 
-    async def _health(self, request: requests.Request) -> responses.Response:
+    async def _handle_health(
+        self, request: requests.Request
+    ) -> responses.Response:
+        """Check that this entry has settings and is not leaving."""
         is_ready = self._settings.has_tree and not self._admission.is_leaving
         return responses.PlainTextResponse(
             "ready" if is_ready else "not ready", 200 if is_ready else 503
         )
 
-    async def _ready(self, request: requests.Request) -> responses.Response:
-        usable = len(self._drive_parts.fleet.usable)
+    async def _handle_readiness(
+        self, request: requests.Request
+    ) -> responses.Response:
+        """Check that this entry has settings and a usable sidecar."""
+        usable = len(self._driver_dependencies.fleet.usable)
         is_ready = self._settings.has_tree and usable > 0
         body = {
             "usable": usable,
@@ -122,14 +130,16 @@
             media_type="application/json",
         )
 
-    async def _models(self, request: requests.Request) -> responses.Response:
+    async def _handle_models(
+        self, request: requests.Request
+    ) -> responses.Response:
         context = self._context(request, "models")
         context.span.end()
-        place = context.caller.place()
+        settings_scope = context.caller.settings_scope()
         names = [
             name
-            for name in self._drive_parts.planner.models
-            if context.tree.allows_model(place, name)
+            for name in self._driver_dependencies.planner.models
+            if context.tree.allows_model(settings_scope, name)
         ]
         listed = [
             {"id": name, "object": "model", "created": 0, "owned_by": "-"}
@@ -137,31 +147,35 @@
         ]
         return replies.json_response({"object": "list", "data": listed})
 
-    async def _chat(self, request: requests.Request) -> responses.Response:
-        return await self._model(request, is_chat=True)
+    async def _handle_chat(
+        self, request: requests.Request
+    ) -> responses.Response:
+        return await self._handle_model_request(request, is_chat=True)
 
-    async def _complete(self, request: requests.Request) -> responses.Response:
-        return await self._model(request, is_chat=False)
+    async def _handle_completion(
+        self, request: requests.Request
+    ) -> responses.Response:
+        return await self._handle_model_request(request, is_chat=False)
 
     # Model requests.
 
-    async def _model(
+    async def _handle_model_request(
         self, request: requests.Request, is_chat: bool
     ) -> responses.Response:
         context = self._context(request, "entry")
-        with _ends_on_error(context.span):
+        with _end_span_on_error(context.span):
             body = openai.parse_body(await self._read_body(request), is_chat)
             event = request.headers.get("last-event-id", "")
             resume = openai.EventId.parse(event) if event else None
-            wanted = self._model_request(context, body, resume)
+            model_request = self._model_request(context, body, resume)
             answer = model_answer.ModelAnswer(
-                self._drive_parts,
+                self._driver_dependencies,
                 self._keys,
                 self._turns,
                 self._admission,
                 context,
                 body,
-                wanted,
+                model_request,
                 resume,
             )
             if body.is_stream:
@@ -174,20 +188,20 @@
         body: openai.CompletionBody,
         resume: openai.EventId | None,
     ) -> model_requests.ModelRequest:
-        place = context.caller.place(body.model)
+        settings_scope = context.caller.settings_scope(body.model)
         tree = context.tree
-        if not tree.allows_model(place, body.model):
+        if not tree.allows_model(settings_scope, body.model):
             raise errors.CrowdeckError(
                 errors.Code.FORBIDDEN,
                 f"your team may not use model {body.model}",
             )
-        limit = tree.integer(place, "max_tokens")
+        limit = tree.integer(settings_scope, "max_tokens")
         if resume is not None:
-            name = resume.request
+            request_id = resume.request
         else:
-            name = uuid.uuid4().hex
+            request_id = uuid.uuid4().hex
         return model_requests.ModelRequest(
-            request=name,
+            request=request_id,
             team=context.caller.team,
             session=context.caller.session,
             model=body.model,
@@ -195,38 +209,40 @@
             prompt=body.prompt,
             max_tokens=min(body.max_tokens or limit, limit),
             seconds_left=context.seconds_left,
-            priority=tree.integer(place, "priority"),
-            window=tree.integer(place, "window"),
+            priority=tree.integer(settings_scope, "priority"),
+            window=tree.integer(settings_scope, "window"),
         )
 
     # Plain services.
 
-    async def _service(self, request: requests.Request) -> responses.Response:
+    async def _handle_service_call(
+        self, request: requests.Request
+    ) -> responses.Response:
         context = self._context(request, "entry")
-        with _ends_on_error(context.span):
-            order = await self._order(request, context)
-            place = context.caller.place(order.service)
-            limit = context.tree.integer(place, "concurrency")
+        with _end_span_on_error(context.span):
+            call = await self._service_call(request, context)
+            settings_scope = context.caller.settings_scope(call.service)
+            limit = context.tree.integer(settings_scope, "concurrency")
             session = context.session_name
-            if not order.contract.is_ordered:
+            if not call.contract.is_ordered:
                 session = ""
             with self._admission.enter(context.caller.team, limit):
-                called = await self._call_in_turn(order, session, context)
+                called = await self._call_in_turn(call, session, context)
         context.span.end("answered")
         return replies.service_response(called)
 
     async def _call_in_turn(
         self,
-        order: service_calls.ServiceCall,
+        call: service_calls.ServiceCall,
         session: str,
         context: context_module.RequestContext,
     ) -> questions.Called:
         async with self._turns.hold(
-            session, order.request, context.sequence, order.deadline
+            session, call.request, context.sequence, call.deadline
         ):
-            return await self._calls.call(order)
+            return await self._calls.call(call)
 
-    async def _order(
+    async def _service_call(
         self, request: requests.Request, context: context_module.RequestContext
     ) -> service_calls.ServiceCall:
         service = request.path_params["service"]
@@ -237,9 +253,9 @@
         headers = tuple(
             http_header.Header(name, value)
             for name, value in request.headers.items()
-            if name not in OWN_HEADERS
+            if name not in ENTRY_HEADERS
         )
-        now = self._drive_parts.clock.now()
+        now = self._driver_dependencies.clock.now()
         return service_calls.ServiceCall(
             request=uuid.uuid4().hex,
             team=context.caller.team,
@@ -257,17 +273,17 @@
     def _contract(
         self, context: context_module.RequestContext, service: str
     ) -> contracts.Contract:
-        place = context.caller.place(service)
-        allowed = context.tree.names(place, "services")
+        settings_scope = context.caller.settings_scope(service)
+        allowed = context.tree.names(settings_scope, "services")
         contract = context.tree.services.get(service)
-        # Whether a service exists is not for other teams to learn.
+        # Other teams must not learn whether a service exists.
         if contract is None or not allowed & {service, "*"}:
             raise errors.CrowdeckError(
                 errors.Code.NOT_FOUND, f"no service {service} for your team"
             )
         return contract
 
-    # What all requests share.
+    # Common to all requests.
 
     def _context(
         self, request: requests.Request, name: str
@@ -281,9 +297,11 @@
         caller = teams.authenticate(
             tree, request.headers.get("authorization", ""), session
         )
-        place = caller.place()
-        longest = tree.number(place, "deadline_seconds")
-        wanted = _number(request, "x-deadline-seconds", longest)
+        settings_scope = caller.settings_scope()
+        limit = tree.number(settings_scope, "deadline_seconds")
+        requested_seconds = _number_header(
+            request, "x-deadline-seconds", limit
+        )
         span = self._tracer.begin(
             name,
             request.headers.get("traceparent", ""),
@@ -293,8 +311,8 @@
         return context_module.RequestContext(
             caller=caller,
             tree=tree,
-            sequence=int(_number(request, "x-session-sequence", -1)),
-            seconds_left=min(max(wanted, 0.0), longest),
+            sequence=int(_number_header(request, "x-session-sequence", -1)),
+            seconds_left=min(max(requested_seconds, 0.0), limit),
             key=request.headers.get("idempotency-key", ""),
             span=span,
         )
@@ -314,7 +332,7 @@
 
 
 @contextlib.contextmanager
-def _ends_on_error(span: traces.OpenSpan) -> typing.Iterator[None]:
+def _end_span_on_error(span: traces.OpenSpan) -> typing.Iterator[None]:
     try:
         yield
     except errors.CrowdeckError as error:
@@ -323,7 +341,9 @@
         raise
 
 
-def _number(request: requests.Request, header: str, default: float) -> float:
+def _number_header(
+    request: requests.Request, header: str, default: float
+) -> float:
     text = request.headers.get(header)
     if text is None:
         return default
@@ -331,11 +351,11 @@
         return float(text)
     except ValueError:
         raise errors.CrowdeckError(
-            errors.Code.BAD_REQUEST, f"'{header}' has to be a number"
+            errors.Code.BAD_REQUEST, f"'{header}' must be a number"
         ) from None
 
 
-async def _refuse(
+async def _handle_error(
     request: requests.Request, error: Exception
 ) -> responses.Response:
     assert isinstance(error, errors.CrowdeckError)
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -30,22 +30,22 @@
 
     def __init__(
         self,
-        parts: driver.DriverDependencies,
+        dependencies: driver.DriverDependencies,
         answer_keys: keys.AnswerKeys,
         session_turns: turns.SessionTurns,
         admission: admissions.Admission,
         context: context_module.RequestContext,
         body: openai.CompletionBody,
-        wanted: model_requests.ModelRequest,
+        model_request: model_requests.ModelRequest,
         resume: openai.EventId | None,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._keys = answer_keys
         self._turns = session_turns
         self._admission = admission
         self._context = context
         self._body = body
-        self._wanted = wanted
+        self._model_request = model_request
         self._resume = resume
 
     async def collect(self, request: requests.Request) -> responses.Response:
@@ -54,23 +54,23 @@
         sink = _Collector(texts)
         finish = await self._run(sink)
         self._context.span.end("answered")
-        whole = openai.whole_answer(
-            self._wanted.request,
+        response = openai.completion_response(
+            self._model_request.request,
             self._body,
             "".join(texts),
             len(texts),
             finish,
         )
-        return replies.json_response(whole)
+        return replies.json_response(response)
 
     async def __call__(
         self, scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
         """Stream the answer as server-sent events."""
         writer = openai.EventWriter(
-            self._wanted.request, self._body.model, self._body.is_chat
+            self._model_request.request, self._body.model, self._body.is_chat
         )
-        sink = _Streamer(send, writer, self._wanted.request)
+        sink = _Streamer(send, writer, self._model_request.request)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(_cancel_on_disconnect, receive, tasks)
             try:
@@ -91,64 +91,75 @@
             await sink.finish(finish)
         except errors.CrowdeckError as error:
             counters.COUNTERS.add(f"entry.failed.{error.code.lower()}")
-            self._context.span.note("error", str(error.code))
+            self._context.span.set_attribute("error", str(error.code))
             if sink.has_begun:
                 await sink.fail(errors.ErrorReport.of(error))
             else:
                 await replies.error_response(error)(scope, receive, send)
 
     async def _run(self, sink: "_Collector | _Streamer") -> str:
-        place = self._context.caller.place(self._body.model)
+        settings_scope = self._context.caller.settings_scope(self._body.model)
         tree = self._context.tree
         team = self._context.caller.team
-        limit = tree.integer(place, "concurrency")
-        weight = tree.number(place, "weight")
+        limit = tree.integer(settings_scope, "concurrency")
+        weight = tree.number(settings_scope, "weight")
         with self._admission.enter(team, limit, weight):
-            gap = tree.number(place, "token_gap_seconds")
+            gap = tree.number(settings_scope, "token_gap_seconds")
             factor = self._admission.share_factor(team)
-            self._wanted = attrs.evolve(self._wanted, gap_limit=gap * factor)
+            self._model_request = attrs.evolve(
+                self._model_request, gap_limit_seconds=gap * factor
+            )
             if self._resume is not None:
-                # The turn is the first connection's; it is still held.
-                return await self._drive(sink).run(self._resume.as_resume())
+                # The first connection has taken the session's turn.
+                return await self._drive(sink).run(
+                    self._resume.to_resume_point()
+                )
             return await self._run_in_turn(sink)
 
     async def _run_in_turn(self, sink: "_Collector | _Streamer") -> str:
         session = self._context.session_name
-        deadline = self._parts.clock.now() + self._context.seconds_left
+        deadline = self._dependencies.clock.now() + self._context.seconds_left
         async with self._turns.hold(
-            session, self._wanted.request, self._context.sequence, deadline
+            session,
+            self._model_request.request,
+            self._context.sequence,
+            deadline,
         ):
             if not self._context.key:
                 return await self._drive(sink).run()
             return await self._run_keyed(sink)
 
     async def _run_keyed(self, sink: "_Collector | _Streamer") -> str:
-        """Give the key's first answer again, or begin it."""
+        """Resume the answer that the key's claim names, or begin it."""
         key = self._context.key
-        claimed = await self._keys.claim(self._wanted, key)
+        claimed = await self._keys.claim(self._model_request, key)
         while claimed.resume is not None:
-            first = attrs.evolve(self._wanted, request=claimed.request)
+            claimed_request = attrs.evolve(
+                self._model_request, request=claimed.request
+            )
             drive = driver.RequestDriver(
-                self._parts, first, sink, self._context.span
+                self._dependencies, claimed_request, sink, self._context.span
             )
             try:
                 return await drive.run(claimed.resume)
             except errors.CrowdeckError as error:
                 if error.code != errors.Code.ANSWER_GONE or drive.pieces:
                     raise
-            # Nobody keeps it any more. A model's answer may be computed
-            # again, so the key starts anew rather than being lost.
-            claimed = await self._keys.claim(self._wanted, key, claimed.nonce)
+            # That answer is no longer kept. A model's answer may be computed
+            # again, so the key is claimed for a new one.
+            claimed = await self._keys.claim(
+                self._model_request, key, claimed.nonce
+            )
         return await self._drive(sink).run(path=claimed.path)
 
     def _drive(self, sink: "_Collector | _Streamer") -> driver.RequestDriver:
         return driver.RequestDriver(
-            self._parts, self._wanted, sink, self._context.span
+            self._dependencies, self._model_request, sink, self._context.span
         )
 
 
 class _Collector:
-    """Keeps an answer's texts."""
+    """Collects an answer's texts."""
 
     def __init__(self, texts: list[str]) -> None:
         self._texts = texts
@@ -157,11 +168,11 @@
         self._texts.append(piece.text)
 
     def set_location(self, epoch: int, head: str, tail: str) -> None:
-        """Who keeps the answer does not matter to this caller."""
+        """Do nothing: an answer that is not streamed cannot be resumed."""
 
 
 class _Streamer:
-    """Writes an answer's events as its caller takes them."""
+    """Writes an answer as server-sent events, at its caller's pace."""
 
     def __init__(
         self, send: types.Send, writer: openai.EventWriter, request: str
@@ -179,7 +190,7 @@
         return self._has_begun
 
     def set_location(self, epoch: int, head: str, tail: str) -> None:
-        """Name the answer's keepers in the events from now on."""
+        """Set the instances that the ids of the next events name."""
         self._head = head
         self._tail = tail
 
--- a/src/crowdeck/entry/model_request.py
+++ b/src/crowdeck/entry/model_request.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What is known of a model request, and of an answer taken up again."""
+"""A model request, and the point at which its answer is resumed."""
 
 import attrs
 
@@ -12,9 +12,9 @@
 class ModelRequest:
     """One request for a model's answer.
 
-    :ivar seconds_left: time to its deadline, when it was received.
-    :ivar gap_limit: seconds between tokens above which a new answer is
-        refused rather than begun; 0 for never.
+    :ivar seconds_left: time to its deadline when it was received.
+    :ivar gap_limit_seconds: time between tokens above which a new answer
+        is refused rather than begun; 0 for never.
     """
 
     request: str
@@ -27,16 +27,16 @@
     seconds_left: float
     priority: int
     window: int
-    gap_limit: float = 0.0
+    gap_limit_seconds: float = 0.0
 
 
 @attrs.frozen
 class ResumePoint:
-    """Where an answer is to be taken up again.
+    """Where to resume an answer.
 
     :ivar position: the first position that the caller does not have.
     :ivar head: instance that keeps the answer.
-    :ivar tail: instance that has its tokens too.
+    :ivar tail: last stage of its path, which keeps its tokens as well.
     """
 
     position: int
--- a/src/crowdeck/entry/openai.py
+++ b/src/crowdeck/entry/openai.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The OpenAI-compatible shapes of requests and answers."""
+"""Requests and answers in the format of the OpenAI API."""
 
 import time
 import typing
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class CompletionBody:
-    """What of a request's body the router looks at."""
+    """The fields of a request's body that the router reads."""
 
     model: str
     prompt: str
@@ -29,22 +29,22 @@
 
 
 def parse_body(raw: bytes, is_chat: bool) -> CompletionBody:
-    """Read a completion request.
+    """Parse a completion request.
 
-    :raises CrowdeckError: ``BAD_REQUEST`` saying which field is wrong.
+    :raises CrowdeckError: ``BAD_REQUEST``, naming the invalid field.
     """
     try:
         body = orjson.loads(raw)
     except orjson.JSONDecodeError:
-        raise _bad("the body is not JSON") from None
+        raise _bad_request("the body is not JSON") from None
     if not isinstance(body, dict):
-        raise _bad("the body is not a JSON object")
+        raise _bad_request("the body is not a JSON object")
     model = body.get("model")
     if not isinstance(model, str) or not model:
-        raise _bad("'model' has to be a model's name")
+        raise _bad_request("'model' must be a non-empty string")
     prompt = _chat_prompt(body) if is_chat else _plain_prompt(body)
     if not prompt.strip():
-        raise _bad("the prompt is empty")
+        raise _bad_request("the prompt is empty")
     return CompletionBody(
         model=model,
         prompt=prompt,
@@ -59,29 +59,29 @@
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int) or value < 1:
-        raise _bad("'max_tokens' has to be a whole number above 0")
+        raise _bad_request("'max_tokens' must be a positive integer")
     return value
 
 
 def _plain_prompt(body: dict[str, typing.Any]) -> str:
     prompt = body.get("prompt")
     if not isinstance(prompt, str):
-        raise _bad("'prompt' has to be text")
+        raise _bad_request("'prompt' must be a string")
     return prompt
 
 
 def _chat_prompt(body: dict[str, typing.Any]) -> str:
     turns = body.get("messages")
     if not isinstance(turns, list) or not turns:
-        raise _bad("'messages' has to be a list that is not empty")
+        raise _bad_request("'messages' must be a non-empty list")
     lines = []
     has_text = False
     for turn in turns:
         if not isinstance(turn, dict):
-            raise _bad("each of 'messages' has to be an object")
+            raise _bad_request("each of 'messages' must be an object")
         role = turn.get("role")
         if not isinstance(role, str):
-            raise _bad("each of 'messages' has to have a 'role'")
+            raise _bad_request("each of 'messages' must have a 'role'")
         content = _content(turn.get("content"))
         has_text = has_text or bool(content.strip())
         lines.append(f"{role}: {content}")
@@ -92,25 +92,29 @@
     if isinstance(content, str):
         return content
     if not isinstance(content, list):
-        raise _bad("'content' has to be text or a list of text parts")
+        raise _bad_request(
+            "'content' must be a string or a list of text parts"
+        )
     texts = []
     for part in content:
         if not isinstance(part, dict) or part.get("type") != "text":
-            raise _bad("only 'content' parts of type 'text' are supported")
+            raise _bad_request(
+                "only 'content' parts of type 'text' are supported"
+            )
         texts.append(str(part.get("text", "")))
     return "".join(texts)
 
 
-def _bad(message: str) -> errors.CrowdeckError:
+def _bad_request(message: str) -> errors.CrowdeckError:
     return errors.CrowdeckError(errors.Code.BAD_REQUEST, message)
 
 
 @attrs.frozen
 class EventId:
-    """Names a place in an answer, and who keeps it.
+    """A position in an answer, and the instances that keep the answer.
 
-    It goes out with every streamed event and comes back in a
-    ``Last-Event-ID`` header; it holds instance names, never addresses.
+    It is sent with every streamed event and returned by the caller in a
+    ``Last-Event-ID`` header. It holds instance names, never addresses.
     """
 
     request: str
@@ -125,17 +129,17 @@
 
     @classmethod
     def parse(cls, text: str) -> "EventId":
-        """Read an event id.
+        """Parse an event id.
 
-        :raises CrowdeckError: ``BAD_REQUEST`` when it is none of ours.
+        :raises CrowdeckError: ``BAD_REQUEST`` if it is malformed.
         """
         parts = text.split(EVENT_ID_SEPARATOR)
         if len(parts) != 4 or not parts[3].isdecimal():
-            raise _bad("'Last-Event-ID' is not one that was given out")
+            raise _bad_request("'Last-Event-ID' is malformed")
         return cls(parts[0], parts[1], parts[2], int(parts[3]))
 
-    def as_resume(self) -> model_requests.ResumePoint:
-        """Return where to take the answer up: after this event."""
+    def to_resume_point(self) -> model_requests.ResumePoint:
+        """Return the point to resume at, which is after this event."""
         return model_requests.ResumePoint(
             position=self.position + 1, head=self.head, tail=self.tail
         )
@@ -144,14 +148,13 @@
 class EventWriter:
     """Writes one answer's server-sent events.
 
-    Everything but the text and the event id is the same in each event,
-    so it is encoded once; per token, that took half the time of encoding
-    the whole object.
+    Everything but the text and the event id is the same in each event, so
+    it is encoded only once.
     """
 
     def __init__(self, request: str, model: str, is_chat: bool) -> None:
         self._is_chat = is_chat
-        self._head = {
+        self._common_fields = {
             "id": f"{'chatcmpl' if is_chat else 'cmpl'}-{request}",
             "object": (
                 "chat.completion.chunk" if is_chat else "text_completion"
@@ -185,7 +188,7 @@
         return b"data: %b\n\ndata: [DONE]\n\n" % body
 
     def error(self, report: errors.ErrorReport) -> bytes:
-        """Return the event that ends an answer which cannot go on."""
+        """Return the event that ends an answer with an error."""
         return b"data: %b\n\n" % orjson.dumps({"error": error_body(report)})
 
     def _object(
@@ -204,10 +207,10 @@
             choice["delta"] = {"role": "assistant", "content": text}
         else:
             choice["delta"] = {"content": text}
-        return {**self._head, "choices": [choice]}
+        return {**self._common_fields, "choices": [choice]}
 
 
-def whole_answer(
+def completion_response(
     request: str, body: CompletionBody, text: str, count: int, finish: str
 ) -> dict[str, typing.Any]:
     """Return the answer to a request that is not streamed."""
@@ -231,7 +234,7 @@
 
 
 def error_body(report: errors.ErrorReport) -> dict[str, typing.Any]:
-    """Return an error in the shape that OpenAI clients expect."""
+    """Return an error in the format that OpenAI clients expect."""
     body = attrs.asdict(report)
     body["type"] = "crowdeck_error"
     return body
--- /dev/null
+++ b/src/crowdeck/membership/upstream_records.py
@@ -0,0 +1,61 @@
+# This file is part of crowdeck.
+#
+# Copyright the crowdeck maintainers and contributors.
+# SPDX-License-Identifier: Apache-2.0
+
+
+"""Decoding of upstream instances' records, which may be malformed."""
+
+import typing
+
+from crowdeck import chain
+from crowdeck import errors
+from crowdeck.observe import logs
+from crowdeck.state import objects as stores
+
+Decoder = typing.Callable[[stores.StoredObject], chain.Upstream]
+
+
+class UpstreamRecordReader:
+    """Decodes records, and logs once per record why it is rejected.
+
+    :param decode: turns a stored record into an instance; raises
+        ``CrowdeckError`` if the record is malformed.
+    """
+
+    def __init__(self, decode: Decoder) -> None:
+        self._decode = decode
+        self._rejected: dict[str, str] = {}
+
+    def read(
+        self, stored: stores.StoredObject, previous: chain.Upstream | None
+    ) -> chain.Upstream | None:
+        """Return the instance that a record describes, or ``None``.
+
+        :param previous: the instance that the record described before, if
+            there was one.
+        """
+        try:
+            upstream = self._decode(stored)
+        except errors.CrowdeckError as error:
+            self._reject(stored.name, error.message)
+            return None
+        if (
+            previous is not None
+            and previous.started_ms
+            and not upstream.started_ms
+        ):
+            reason = "the start time is missing, but was present before"
+            self._reject(stored.name, reason)
+            return None
+        self._rejected.pop(stored.name, None)
+        return upstream
+
+    def forget(self, name: str) -> None:
+        """Forget why a record was rejected, once it was removed."""
+        self._rejected.pop(name, None)
+
+    def _reject(self, name: str, reason: str) -> None:
+        if self._rejected.get(name) != reason:
+            self._rejected[name] = reason
+            logs.change("entry_refused", name=name, reason=reason)
--- a/src/crowdeck/relay/__init__.py
+++ b/src/crowdeck/relay/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Serving callers where engines chain their stages themselves."""
+"""Relays callers' requests to chains of engines and to plain services."""
--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What instances ask for themselves, told to operators."""
+"""Reports the backpressure of instances to operators."""
 
 import collections
 import enum
@@ -19,16 +19,16 @@
 from crowdeck.observe import logs
 from crowdeck.routing import rate_limits
 
-LOOK_SECONDS = 0.5
-# Of instances that begin, or end, within one look so many have a line each;
-# one more tells how many others did. Hundreds do when a service is in need.
-LINES_MOST = 20
-# Instances that are named with one request.
-NAMED_MOST = 5
+POLL_SECONDS = 0.5
+# Changes that one check logs in a line each. The rest are summarized in one
+# more line, since a whole service may signal at once.
+MAX_LOG_LINES = 20
+# Maximum number of addresses in the log line of one request.
+MAX_LOGGED_ADDRESSES = 5
 
 
 class SignalKind(enum.StrEnum):
-    """What an instance asks for."""
+    """Kind of backpressure."""
 
     LIMIT = "limit"
     BACKOFF = "rest"
@@ -37,13 +37,13 @@
 
 @attrs.frozen
 class BackpressureSignal:
-    """What one instance asks for.
+    """Backpressure of one kind that an instance signals.
 
-    :ivar since: the loop's time at which this entry learned of it.
-    :ivar per_second: the limit, in requests a second from all entries.
-    :ivar used: how many of them this entry sends.
-    :ivar share: the part of the limit that this entry takes for its own.
-    :ivar seconds_left: how long the rest still takes.
+    :ivar since: loop time at which this entry learned of it.
+    :ivar per_second: the rate limit in requests per second, over all entries.
+    :ivar used: requests per second that this entry sends.
+    :ivar share: this entry's share of the rate limit.
+    :ivar seconds_left: remaining time of the backoff.
     """
 
     upstream: chain.Upstream
@@ -56,11 +56,11 @@
 
     @property
     def key(self) -> tuple[str, SignalKind]:
-        """What tells it from others."""
+        """Identifies the signal: the instance's name and the kind."""
         return self.upstream.name, self.kind
 
     def as_fields(self) -> dict[str, typing.Any]:
-        """Return it for a log line or a status, without what it lacks."""
+        """Return the fields that are set, for a log line or a status."""
         fields = {
             "upstream": self.upstream.name,
             "address": str(self.upstream.address),
@@ -81,7 +81,7 @@
 
 
 class BackpressureMonitor:
-    """Gathers what instances ask of this entry, or of all."""
+    """Collects the backpressure that instances signal."""
 
     def __init__(
         self,
@@ -93,14 +93,14 @@
         self._known: dict[tuple[str, SignalKind], BackpressureSignal] = {}
         self._gauges: set[str] = set()
 
-    def now(self) -> tuple[BackpressureSignal, ...]:
-        """Return what is asked for now."""
-        return (*self._limited(), *self._resting(), *self._leaving())
+    def active_signals(self) -> tuple[BackpressureSignal, ...]:
+        """Return the signals in force."""
+        return (*self._limited(), *self._backing_off(), *self._leaving())
 
-    def held_back(self, service: str) -> str:
-        """Return addresses of those that get no request now for it.
+    def unavailable_addresses(self, service: str) -> str:
+        """Return addresses of a service's instances that get no requests.
 
-        The first few of them; they are named with a request.
+        The first few that backpressure excludes, separated by commas.
         """
         names = itertools.chain(
             (name for name, _, _ in self._registry.backing_off()),
@@ -116,13 +116,13 @@
                 self._registry.is_usable(name) and self._limits.allows(one)
             )
         )
-        return ",".join(itertools.islice(found, NAMED_MOST))
+        return ",".join(itertools.islice(found, MAX_LOGGED_ADDRESSES))
 
     async def run(self) -> None:
-        """Log what changes and set the gauges, until cancelled."""
+        """Log changes and set the gauges, until cancelled."""
         while True:
-            self._look()
-            await anyio.sleep(LOOK_SECONDS)
+            self._check()
+            await anyio.sleep(POLL_SECONDS)
 
     def _limited(self) -> typing.Iterator[BackpressureSignal]:
         for one in self._limits.views():
@@ -137,7 +137,7 @@
                     share=one.share,
                 )
 
-    def _resting(self) -> typing.Iterator[BackpressureSignal]:
+    def _backing_off(self) -> typing.Iterator[BackpressureSignal]:
         now = anyio.current_time()
         for name, since, until in self._registry.backing_off():
             upstream = self._registry.find(name)
@@ -153,8 +153,8 @@
             if upstream is not None:
                 yield BackpressureSignal(upstream, SignalKind.LEAVING, since)
 
-    def _look(self) -> None:
-        found = {one.key: one for one in self.now()}
+    def _check(self) -> None:
+        found = {one.key: one for one in self.active_signals()}
         begun = [one for key, one in found.items() if key not in self._known]
         ended = [one for key, one in self._known.items() if key not in found]
         _log("need_begun", begun)
@@ -177,14 +177,14 @@
             counters.COUNTERS.set_gauge(name, levels[name])
 
 
-def _log(what: str, needs: list[BackpressureSignal]) -> None:
-    for one in needs[:LINES_MOST]:
-        logs.change(what, **one.as_fields())
-    others = needs[LINES_MOST:]
+def _log(event: str, signals: list[BackpressureSignal]) -> None:
+    for one in signals[:MAX_LOG_LINES]:
+        logs.change(event, **one.as_fields())
+    others = signals[MAX_LOG_LINES:]
     if others:
         counts = collections.Counter(
             f"{one.upstream.service} {one.upstream.availability_zone} "
             f"{one.kind}"
             for one in others
         )
-        logs.change(f"{what}_by_others", instances=dict(counts))
+        logs.change(f"{event}_by_others", instances=dict(counts))
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What the parts of the relay share."""
+"""State shared by the parts of the relay."""
 
 import heapq
 import random
@@ -32,36 +32,34 @@
 from crowdeck.routing import usage as usages
 
 
-# Beginning anew spends the retry budget; this share of it is kept for
-# requests that cannot be served in another way. As a number, ten, it was
-# more than all that one of 29 entries may repeat.
-BUDGET_KEPT_SHARE = 0.3
-# Far above a connection's half millisecond, and a small part of what is
-# left of an objective of 0.5 s.
+# Restarting a stream spends the retry budget. This share of it is reserved
+# for requests that cannot be served in any other way.
+RESTART_RESERVE_SHARE = 0.3
+# Connection timeout while the event loop is on time.
 CONNECT_SECONDS = 0.25
-# A connection takes two turns of the loop: its making, and its answer.
-LATE_FACTOR = 2.0
+# A connection takes two turns of the event loop, each of which may be late.
+LAG_FACTOR = 2.0
 
 
 @attrs.frozen
 class RetryBudgetSettings:
-    """The terms of the retry budget, as the operator sets them."""
+    """The operator's settings of the retry budget."""
 
     ratio: float
     slack: float
-    window: float
+    window_seconds: float
 
 
 @attrs.define(eq=False)
 class RelayContext:
-    """One entry's knowledge of upstreams and its means to reach them.
+    """What one entry knows of upstreams, and the client to reach them.
 
     :ivar zone: the entry's availability zone.
-    :ivar began: the loop's time at which the process was started.
+    :ivar started_at: loop time at which the process was started.
     :ivar name: the entry's name.
-    :ivar membership: the entries that share what is limited with it.
-    :ivar loop: how late the entry's own event loop is.
-    :ivar quarantine: requests under which instances ended.
+    :ivar membership: the entries that share limits and budgets with it.
+    :ivar lag_meter: measures the lag of the entry's event loop.
+    :ivar quarantine: requests that were running when instances ended.
     """
 
     zone: str
@@ -69,8 +67,8 @@
     client: interfaces.Upstreams
     usage: usages.InFlight
     planner: hops.HopPlanner
-    terms: RetryBudgetSettings
-    began: float = float("-inf")
+    budget_settings: RetryBudgetSettings
+    started_at: float = float("-inf")
     name: str = ""
     membership: budgets.Membership = budgets.FixedMembership()
     lag_meter: loop_lag.LoopLagMeter = attrs.field(
@@ -82,7 +80,7 @@
     )
     limits: rate_limits.RateLimits = attrs.field(init=False)
     retry_advisor: retry_advice.RetryAdvisor = attrs.field(init=False)
-    gaps: layer_gaps.LayerGaps = attrs.field(init=False)
+    gaps: layer_gaps.LayerGapTracker = attrs.field(init=False)
     backpressure: backpressure_monitor.BackpressureMonitor = attrs.field(
         init=False
     )
@@ -92,77 +90,78 @@
 
     def __attrs_post_init__(self) -> None:
         self.retry_advisor = retry_advice.RetryAdvisor(self.rng)
-        self.gaps = layer_gaps.LayerGaps(self.registry)
+        self.gaps = layer_gaps.LayerGapTracker(self.registry)
         self.subset = subsets.EngineSubset(self.name, self.zone)
         self.limits = rate_limits.RateLimits(self.usage, self.rng)
         self.backpressure = backpressure_monitor.BackpressureMonitor(
             self.registry, self.limits
         )
-        self.registry.subscribe_ends(self.note_end)
-        self.client.subscribe(self._take_notice)
+        self.registry.subscribe_ends(self.note_instance_ended)
+        self.client.subscribe(self._apply_notice)
 
     @property
     def connect_seconds(self) -> float:
-        """How long a connection may take; longer while we are late.
+        """Timeout of a connection, longer while the event loop lags.
 
-        A connection that waits for our own loop is no lost engine. Alone
-        with all callers, an entry took sound engines for lost, 219 times
-        in three seconds, and made each time a new connection.
+        Otherwise an overloaded entry takes healthy engines for lost.
         """
-        return CONNECT_SECONDS + LATE_FACTOR * self.lag_meter.recent()
+        return CONNECT_SECONDS + LAG_FACTOR * self.lag_meter.recent_lag()
 
     @property
     def heads(self) -> heads.HeadRecords:
-        """How first engines have served this entry's streams."""
+        """Records of how first engines served this entry's streams."""
         return self.planner.heads
 
     def budget(self, service: str) -> budgets.SharedRetryBudget:
         """Return this entry's share of a service's retry budget."""
         found = self._budgets.get(service)
         if found is None:
-            terms = self.terms
+            budget_settings = self.budget_settings
             found = budgets.SharedRetryBudget(
-                terms.ratio,
-                terms.slack,
-                terms.window,
-                self.began,
+                budget_settings.ratio,
+                budget_settings.slack,
+                budget_settings.window_seconds,
+                self.started_at,
                 self.membership,
             )
             self._budgets[service] = found
         return found
 
-    def note_repeat(self, service: str, request: str) -> None:
-        """Note that a request may be sent again."""
-        self._log_repeat("repeat_allowed", service, request)
+    def log_retry(self, service: str, request: str) -> None:
+        """Log that the retry budget allows a request to be sent again."""
+        self._log_retry_decision("repeat_allowed", service, request)
 
-    def note_unrepeated(self, service: str, request: str) -> None:
-        """Note that a request is not sent again for want of budget."""
+    def log_retry_refused(self, service: str, request: str) -> None:
+        """Log that the retry budget does not allow another send."""
         counters.COUNTERS.add("relay.unrepeated")
-        self._log_repeat("repeat_refused", service, request)
+        self._log_retry_decision("repeat_refused", service, request)
 
-    def _log_repeat(self, what: str, service: str, request: str) -> None:
-        """Log from what a budget follows.
+    def _log_retry_decision(
+        self, kind: str, service: str, request: str
+    ) -> None:
+        """Log a retry decision with the state of the budget.
 
-        Entries together can send too much though each keeps to its own.
+        Each entry logs its own share, so that the total can be computed from
+        the logs of all entries.
         """
         budget = self.budget(service)
         counters.COUNTERS.set_gauge(
             f"relay.budget.{service}", budget.remaining
         )
         logs.decision(
-            what,
+            kind,
             request,
             service=service,
             left=round(budget.remaining, 2),
             requests=budget.requests,
             entries=self.membership.entries,
-            running=round(anyio.current_time() - self.began, 3),
+            running=round(anyio.current_time() - self.started_at, 3),
         )
 
-    def note_end(self, upstream: chain.Upstream) -> None:
+    def note_instance_ended(self, upstream: chain.Upstream) -> None:
         """Note that an instance has ended.
 
-        One that was leaving ended as planned, whatever ran there.
+        If it was leaving, its end is not blamed on its requests.
         """
         self.limits.forget(upstream)
         if upstream.is_leaving:
@@ -170,19 +169,19 @@
         else:
             self.quarantine.note_end(upstream.name)
 
-    def _take_notice(
+    def _apply_notice(
         self, upstream: chain.Upstream, notice: interfaces.Notice
     ) -> None:
-        """Take what an answer tells of the instance that gave it."""
-        asked = notice.backpressure
-        if asked.backoff:
-            self.registry.back_off(upstream.name, asked.backoff)
-        if asked.is_leaving:
+        """Apply the backpressure and load that an answer reports."""
+        signals = notice.backpressure
+        if signals.backoff:
+            self.registry.back_off(upstream.name, signals.backoff)
+        if signals.is_leaving:
             self.registry.note_leaving(upstream.name)
         load = notice.load
         self.limits.note(
             upstream,
-            asked.limit,
+            signals.limit,
             None if load is None else load.running + load.waiting,
             in_report=not notice.answers_request,
         )
@@ -190,25 +189,25 @@
     def seconds_until_any(
         self, upstreams: typing.Iterable[chain.Upstream], ahead: int = 0
     ) -> float:
-        """Return in how long one of some instances takes a request.
+        """Return the seconds until any of the instances accepts a request.
 
-        By what they ask for themselves; 0 where that is now, or where
-        there are none. Each takes one after the other, as its limit allows.
+        Follows from their rate limits and backoffs; 0 if one accepts a
+        request now, or if there are no instances.
 
-        :param ahead: requests that are to be sent first.
+        :param ahead: number of requests that are sent first.
         """
         found = list(upstreams)
-        turns = [
+        next_times = [
             (self._seconds_until(one), 1.0 / self.limits.per_second(one))
             for one in found
         ]
-        if not min(turns, default=(0.0, 0.0))[0]:
+        if not min(next_times, default=(0.0, 0.0))[0]:
             return 0.0
-        heapq.heapify(turns)
+        heapq.heapify(next_times)
         for _ in range(ahead):
-            soonest, pause = turns[0]
-            heapq.heapreplace(turns, (soonest + pause, pause))
-        return turns[0][0]
+            soonest, interval = next_times[0]
+            heapq.heapreplace(next_times, (soonest + interval, interval))
+        return next_times[0][0]
 
     def _seconds_until(self, upstream: chain.Upstream) -> float:
         return max(
@@ -217,24 +216,24 @@
         )
 
     def wait_queue(self, service: str) -> waiting.WaitQueue:
-        """Return the line of requests that wait for a service's engines."""
+        """Return the queue of requests that wait for a service."""
         return self._wait_queues.setdefault(service, waiting.WaitQueue())
 
-    def may_begin_anew(self, service: str) -> bool:
-        """Whether the budget allows a stream to begin again elsewhere."""
-        return self.budget(service).remaining_share >= BUDGET_KEPT_SHARE
+    def may_restart_stream(self, service: str) -> bool:
+        """Whether the budget allows a stream to restart elsewhere."""
+        return self.budget(service).remaining_share >= RESTART_RESERVE_SHARE
 
-    def follow(self, roster: rosters.Roster) -> None:
-        """Share what is limited with the entries that a roster knows.
+    def use_roster(self, roster: rosters.Roster) -> None:
+        """Share limits and budgets with the entries of a roster.
 
-        Before the first budget is used.
+        Call it before the first budget is used.
         """
-        assert not self._budgets, "budgets follow the roster from the first"
+        assert not self._budgets, "budgets are in use already"
 
-        def take() -> None:
+        def apply_shares() -> None:
             self.usage.set_entry_count(roster.zone_count, roster.entries)
             self.limits.set_entry_count(roster.entries)
 
         self.membership = roster
-        roster.subscribe(take)
-        take()
+        roster.subscribe(apply_shares)
+        apply_shares()
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Asking engines whether they live, once for all who want to know."""
+"""Probes of engines, shared by all tasks that ask at the same time."""
 
 import typing
 
@@ -16,33 +16,31 @@
 from crowdeck.relay import interfaces
 from crowdeck.relay import loop_lag
 
-# An engine that says nothing for so many beats is taken for silent. Sound
-# ones answer within 2 ms, those of another zone within 3; with 60 ms
-# instead of 36, streams through a dark engine went on 230 ms after their
-# last event, and 200 ms are in time.
-SILENT_BEATS = 4
-# Beats in all, on time or not; an entry this busy learns nothing by asking.
-BEATS_MOST = 25
-# An answer serves everybody who asks within this time. When an engine
-# fails, all streams through it ask at once.
-FRESH_SECONDS = 0.05
-# For streams that have yet to begin a sound answer serves longer: they wait
-# for some tenths of a second, and hundreds wait when a fleet is full. Asked
-# every 50 ms by 29 entries, engines got six questions for each request.
-FRESH_BEGIN_SECONDS = 0.25
-
-# Engines asked beside one that is silent, to tell its silence from ours.
-CONTROLS = 2
+# An engine that has not answered after this many ticks on time is silent.
+SILENT_TICKS = 4
+# Ticks after which a probe ends without a result, on time or not.
+MAX_TICKS = 25
+# How long a result is reused. When an engine fails, all its streams probe it
+# at once.
+REUSE_SECONDS = 0.05
+# How long a report is reused for streams without a first event. Many wait when
+# a fleet is full, and would overload its engines with probes.
+STARTING_REUSE_SECONDS = 0.25
+
+# Other engines probed beside a silent one. If none answers either, the entry's
+# own network may be at fault.
+CONTROL_COUNT = 2
 
 
 @attrs.frozen
 class Probe:
-    """What came of asking an engine.
+    """The result of probing an engine.
 
-    :ivar report: what it said, ``None`` if it said nothing.
-    :ivar is_sure: whether silence is the engine's and not our own.
-    :ivar was_refused: whether a refusal or a reset came back: no answer,
-        but a sign that the way there is open.
+    :ivar report: its report, ``None`` if there was none.
+    :ivar is_sure: whether a missing report is the engine's fault and not
+        that of this entry's own lag.
+    :ivar was_refused: whether the connection failed in a way that shows that
+        the network works, such as a refusal or a reset.
     :ivar is_gone: whether its process is known to have ended.
     """
 
@@ -56,15 +54,15 @@
 
     @property
     def is_silent(self) -> bool:
-        """Whether the engine is known to say nothing."""
+        """Whether the engine certainly did not answer."""
         return self.report is None and self.is_sure
 
 
 class Prober:
-    """Asks engines for their reports, each at most once at a time.
+    """Probes engines, each at most once at a time.
 
-    :param may_probe: whether an engine, by its name, may be asked now. One
-        that wants rest is not; that it says nothing then proves nothing.
+    :param may_probe: whether an engine, by its name, may be probed now. An
+        engine that is backing off is not, so that its silence proves nothing.
     """
 
     def __init__(
@@ -75,48 +73,52 @@
         self._upstreams = upstreams
         self._may_probe = may_probe
         self._known: dict[str, Probe] = {}
-        self._asking: dict[str, anyio.Event] = {}
+        self._in_progress: dict[str, anyio.Event] = {}
 
     @property
     def is_probing(self) -> bool:
-        """Whether an engine was asked and has not answered yet."""
-        return bool(self._asking)
+        """Whether any probe is in progress."""
+        return bool(self._in_progress)
 
-    async def ask(
-        self, upstream: chain.Upstream, fresh: float = FRESH_SECONDS
+    async def probe(
+        self, upstream: chain.Upstream, max_age: float = REUSE_SECONDS
     ) -> Probe:
-        """Return what an engine says now, or said a moment ago.
+        """Return a new or recent probe of an engine.
 
-        :param fresh: seconds for which a sound answer serves.
+        :param max_age: seconds for which a probe with a report is reused.
         """
         while True:
             known = self._known.get(upstream.name)
             now = anyio.current_time()
             if known is not None:
-                serves = FRESH_SECONDS if known.report is None else fresh
-                if now - known.at < serves:
+                reuse_seconds = (
+                    REUSE_SECONDS if known.report is None else max_age
+                )
+                if now - known.at < reuse_seconds:
                     return known
-            waiting = self._asking.get(upstream.name)
+            waiting = self._in_progress.get(upstream.name)
             if waiting is None:
                 if not self._may_probe(upstream.name):
-                    return Probe(upstream, None, "it wants rest", False, now)
-                return await self._ask(upstream)
+                    return Probe(
+                        upstream, None, "it is backing off", False, now
+                    )
+                return await self._run_probe(upstream)
             await waiting.wait()
 
-    async def _ask(self, upstream: chain.Upstream) -> Probe:
-        done = self._asking[upstream.name] = anyio.Event()
+    async def _run_probe(self, upstream: chain.Upstream) -> Probe:
+        done = self._in_progress[upstream.name] = anyio.Event()
         try:
             probe = await self._exchange(upstream)
             self._forget()
             self._known[upstream.name] = probe
             return probe
         finally:
-            del self._asking[upstream.name]
+            del self._in_progress[upstream.name]
             done.set()
 
     def _forget(self) -> None:
-        """Drop what is no longer fresh: engines come and go all day."""
-        since = anyio.current_time() - FRESH_BEGIN_SECONDS
+        """Drop probes that are too old to be reused."""
+        since = anyio.current_time() - STARTING_REUSE_SECONDS
         for name in [n for n, one in self._known.items() if one.at < since]:
             del self._known[name]
 
@@ -125,26 +127,26 @@
         found: list[Probe] = []
 
         async def report(scope: anyio.CancelScope) -> None:
-            told: chain.EngineReport | None = None
+            answer: chain.EngineReport | None = None
             reason = ""
             is_gone = False
             is_sure = True
             try:
-                told = await self._upstreams.report(upstream)
+                answer = await self._upstreams.report(upstream)
             except errors.CrowdeckError as error:
                 reason = error.message
                 is_gone = isinstance(error, errors.InstanceGone)
-                # One that cannot be read came from a process that lives.
+                # An unreadable answer still shows that the engine runs.
                 is_sure = error.code is not errors.Code.MALFORMED
             now = anyio.current_time()
             found.append(
                 Probe(
                     upstream,
-                    told,
+                    answer,
                     reason,
                     is_sure,
                     now,
-                    told is None and is_sure,
+                    answer is None and is_sure,
                     is_gone,
                 )
             )
@@ -153,7 +155,7 @@
         is_sure = False
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(report, tasks.cancel_scope)
-            is_sure = await _wait_out()
+            is_sure = await _wait_for_silence()
             tasks.cancel_scope.cancel()
         if found:
             return found[0]
@@ -161,25 +163,25 @@
         return Probe(upstream, None, "no answer", is_sure, now)
 
 
-def controls(
+def pick_controls(
     upstream: chain.Upstream, usable: typing.Iterable[chain.Upstream]
 ) -> list[chain.Upstream]:
-    """Return engines to ask beside one that is silent.
+    """Return engines to probe beside one that is silent.
 
-    Those of other zones first: a zone may be lost as a whole.
+    Those of other zones first, since a whole zone may be lost.
     """
     zone = upstream.availability_zone
     others = [one for one in usable if one.name != upstream.name]
     others.sort(key=lambda one: (one.availability_zone == zone, one.name))
-    return others[:CONTROLS]
+    return others[:CONTROL_COUNT]
 
 
-async def _wait_out() -> bool:
-    """Wait for the beats of a silent engine; true if enough were on time."""
+async def _wait_for_silence() -> bool:
+    """Wait until silence counts; returns whether the ticks were on time."""
     on_time = 0
-    for _ in range(BEATS_MOST):
-        if await loop_lag.beat() <= loop_lag.LATE_SECONDS:
+    for _ in range(MAX_TICKS):
+        if await loop_lag.tick() <= loop_lag.ON_TIME_SECONDS:
             on_time += 1
-        if on_time >= SILENT_BEATS:
+        if on_time >= SILENT_TICKS:
             return True
     return False
--- a/src/crowdeck/relay/status.py
+++ b/src/crowdeck/relay/status.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Readiness and metrics of an entry, as an ASGI application."""
+"""Status of an entry, and an ASGI application for its metrics."""
 
 import typing
 
@@ -16,26 +16,26 @@
 _TEXT = (b"content-type", b"text/plain; version=0.0.4")
 
 
-class Ready(typing.Protocol):
-    """Knows whether new connections are welcome."""
+class ReadinessSource(typing.Protocol):
+    """Reports whether the entry is ready."""
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections are welcome."""
+        """Whether new connections should be sent here."""
         ...
 
 
-class _Relay(Ready, typing.Protocol):
-    """Knows what it serves."""
+class _Relay(ReadinessSource, typing.Protocol):
+    """Reports how many requests are being served."""
 
     @property
     def in_progress(self) -> int:
-        """Requests that are being served."""
+        """Number of requests being served."""
         ...
 
 
 class _Config(typing.Protocol):
-    """Knows which config is in force."""
+    """Reports which config is in force."""
 
     @property
     def table(self) -> tables.RouteTable | None:
@@ -44,7 +44,7 @@
 
 
 class EntryStatus:
-    """What an entry tells an operator of itself, and of what it knows.
+    """The status of an entry and of the upstreams it knows.
 
     :param name: the entry's name.
     """
@@ -62,7 +62,7 @@
         self._relay = relay
 
     def read(self) -> dict[str, typing.Any]:
-        """Return it as it is now, ready for JSON."""
+        """Return the current status, ready for JSON."""
         table = self._config.table
         return {
             "instance": self._name,
@@ -72,21 +72,27 @@
             "running": self._relay.in_progress,
             "generation": table.version if table is not None else 0,
             "needs": [
-                one.as_fields() for one in self._context.backpressure.now()
+                one.as_fields()
+                for one in self._context.backpressure.active_signals()
+            ],
+            "unheld": [
+                one.as_fields() for one in self._context.gaps.current_gaps
             ],
-            "unheld": [one.as_fields() for one in self._context.gaps.known],
         }
 
 
 class StatusApp:
-    """Answers balancers and collectors of metrics."""
+    """Answers load balancers and metrics collectors."""
 
     def __init__(
-        self, ready: Ready, table: counters.Counters, readiness_path: str
+        self,
+        readiness: ReadinessSource,
+        metrics: counters.Counters,
+        readiness_path: str,
     ) -> None:
-        self._ready = ready
+        self._readiness = readiness
         self._readiness_path = readiness_path
-        self._counters = table
+        self._metrics = metrics
 
     async def __call__(
         self,
@@ -97,9 +103,9 @@
         """Answer one request."""
         path = scope["path"]
         if path == self._readiness_path:
-            await _answer(send, 200 if self._ready.is_ready else 503, b"")
+            await _answer(send, 200 if self._readiness.is_ready else 503, b"")
         elif path == METRICS_PATH:
-            await _answer(send, 200, self._counters.as_text().encode())
+            await _answer(send, 200, self._metrics.as_text().encode())
         else:
             await _answer(send, 404, b"")
 
--- a/src/crowdeck/sidecar/attempt.py
+++ b/src/crowdeck/sidecar/attempt.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One attempt of one request, as one stage sees it."""
+"""The state of an attempt at one stage."""
 
 import attrs
 
@@ -16,20 +16,21 @@
 
 @attrs.define(eq=False)
 class Attempt:
-    """What a stage keeps of an attempt.
+    """One attempt of a request, as one stage keeps it.
 
-    :ivar sequence: name of its KV cache on the engine.
-    :ivar source: link on which it came: the entry's for the head, the
+    :ivar sequence: id of its sequence, and so of its KV cache, on the engine.
+    :ivar source: link on which it arrived: the entry's for the head, the
         previous stage's for the others; ``None`` once that link is gone.
     :ivar forward: link to the next stage, or from the tail to the head.
     :ivar next_position: the only position this stage will run next.
     :ivar context: tokens of context the engine holds for it.
     :ivar pieces: the answer so far, at the head and at the tail.
-    :ivar upto: positions below this one may be generated.
-    :ivar is_held: whether the next step waits for the caller's credit.
+    :ivar credit_limit: positions below this one may be generated.
+    :ivar is_waiting_for_credit: whether the next step waits for the caller's
+        credit.
     :ivar is_moved: whether its KV cache was handed to another stage.
     :ivar is_in_engine: whether the engine has a step of it.
-    :ivar finish: why the answer ended, empty while it runs.
+    :ivar finish: the finish reason, empty while the answer runs.
     """
 
     opening: messages.Opening
@@ -38,13 +39,13 @@
     source: link.Peer | None
     deadline: float
     span: traces.OpenSpan
-    touched: float
+    touched_at: float
     forward: link.Peer | None = None
     next_position: int = 0
     context: int = 0
     pieces: list[messages.Piece] = attrs.field(factory=list)
-    upto: int = 0
-    is_held: bool = False
+    credit_limit: int = 0
+    is_waiting_for_credit: bool = False
     is_moved: bool = False
     is_failed: bool = False
     is_in_engine: bool = False
@@ -62,12 +63,12 @@
 
     @property
     def is_head(self) -> bool:
-        """Whether this stage begins each position."""
+        """Whether this is the first stage of the path."""
         return self.index == 0
 
     @property
     def is_tail(self) -> bool:
-        """Whether this stage turns outputs into tokens."""
+        """Whether this is the last stage of the path."""
         return self.index == len(self.opening.path.stages) - 1
 
     @property
@@ -82,18 +83,18 @@
 
     @property
     def end_layer(self) -> int:
-        """The layer after the last that this stage runs."""
+        """The layer after the last one that this stage runs."""
         return self.opening.path.stages[self.index].end_layer
 
     def check_layer(self, next_layer: int) -> None:
-        """Refuse a record that a wrong layer comes next for.
+        """Check that a record continues at this stage's first layer.
 
-        :raises CrowdeckError: ``WRONG_LAYER``.
+        :raises CrowdeckError: ``WRONG_LAYER`` if it does not.
         """
         if next_layer != self.first_layer:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_LAYER,
-                f"layer {next_layer} comes next, not {self.first_layer}",
+                f"received layer {next_layer} instead of {self.first_layer}",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
 
@@ -107,20 +108,20 @@
         if position > self.next_position or context != self.context:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_POSITION,
-                f"position {position} came, not {self.next_position}",
+                f"received position {position}, not {self.next_position}",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
         return True
 
 
 @attrs.frozen
-class HeldImport:
+class PendingImport:
     """An imported KV cache that waits for its warm opening.
 
-    :ivar time: monotonic seconds at which it came.
+    :ivar imported_at: monotonic seconds.
     """
 
     sequence: str
     team: str
     context: int
-    time: float
+    imported_at: float
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The first stage's part: it collects tokens, keeps the answer, drives on."""
+"""The head of a path: collects the tokens of answers and keeps them."""
 
 import typing
 
@@ -31,9 +31,9 @@
 
 
 class Head:
-    """Drives the answers that begin at one sidecar.
+    """Generates the answers whose first stage is this sidecar.
 
-    :param decode: has the engine run an attempt's next position.
+    :param decode: queues the engine step of an attempt's next position.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
     def take_token(
         self, attempt: attempts.Attempt, record: messages.Token
     ) -> None:
-        """Take the next token of an answer, and begin the one after it."""
+        """Add the next token to an answer, and start the one after it."""
         position = len(attempt.pieces)
         if record.position < position:
             counters.COUNTERS.add("stage.refused.repeated_record")
@@ -61,19 +61,21 @@
         path = attempt.opening.path
         if record.position > position or record.context != attempt.context:
             self._registry.fail(
-                attempt, _wrong_token(record.position, position)
+                attempt, _wrong_token_error(record.position, position)
             )
             return
         if record.next_layer != path.layer_count:
-            self._registry.fail(attempt, _unfinished_token(record.next_layer))
+            self._registry.fail(
+                attempt, _unfinished_token_error(record.next_layer)
+            )
             return
         attempt.pieces.append(messages.Piece(record.token, record.text))
-        attempt.touched = self._clock.now()
+        attempt.touched_at = self._clock.now()
         counters.COUNTERS.add("head.tokens")
         finish = record.finish
         if not finish and len(attempt.pieces) >= attempt.opening.max_tokens:
             finish = FINISH_LENGTH
-        self._registry.send_source(
+        self._registry.send_to_source(
             attempt,
             messages.Answer(
                 request=attempt.request,
@@ -84,20 +86,20 @@
                 finish=finish,
             ),
         )
-        self._drive_on(attempt, finish)
+        self._continue(attempt, finish)
 
-    def _drive_on(self, attempt: attempts.Attempt, finish: str) -> None:
+    def _continue(self, attempt: attempts.Attempt, finish: str) -> None:
         if finish:
             self._finish(attempt, finish)
         elif attempt.is_moved:
             pass
-        elif attempt.next_position >= attempt.upto:
-            attempt.is_held = True
+        elif attempt.next_position >= attempt.credit_limit:
+            attempt.is_waiting_for_credit = True
         else:
-            self._next_position(attempt)
+            self._start_next_position(attempt)
 
-    def _next_position(self, attempt: attempts.Attempt) -> None:
-        attempt.is_held = False
+    def _start_next_position(self, attempt: attempts.Attempt) -> None:
+        attempt.is_waiting_for_credit = False
         self._decode(
             attempt,
             upstream.EngineStep(
@@ -109,18 +111,18 @@
 
     def _finish(self, attempt: attempts.Attempt, finish: str) -> None:
         attempt.finish = finish
-        attempt.span.note("tokens", len(attempt.pieces))
+        attempt.span.set_attribute("tokens", len(attempt.pieces))
         attempt.span.end("finished")
         self._gate.finish(attempt.request)
         self._send_end(attempt)
-        self._registry.send_forward(
+        self._registry.send_to_next(
             attempt, messages.Cancel(attempt.request, attempt.epoch)
         )
         self._tasks.start_soon(self._registry.cancel_engine, attempt.sequence)
 
     def _send_end(self, attempt: attempts.Attempt) -> None:
         pairs = [(piece.token, piece.text) for piece in attempt.pieces]
-        self._registry.send_source(
+        self._registry.send_to_source(
             attempt,
             messages.AnswerEnd(
                 request=attempt.request,
@@ -132,22 +134,25 @@
         )
 
     def on_credit(self, peer: link.Peer, record: messages.Credit) -> None:
-        """Let the head go on as far as the caller has room."""
-        attempt = self._registry.current(record.request, record.epoch)
+        """Raise the limit on positions that may be generated."""
+        attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or attempt.source is not peer:
             return
-        attempt.upto = max(attempt.upto, record.upto)
-        can_go_on = attempt.is_held and attempt.next_position < attempt.upto
-        if can_go_on and attempt.is_running and not attempt.is_moved:
-            self._next_position(attempt)
+        attempt.credit_limit = max(attempt.credit_limit, record.upto)
+        can_continue = (
+            attempt.is_waiting_for_credit
+            and attempt.next_position < attempt.credit_limit
+        )
+        if can_continue and attempt.is_running and not attempt.is_moved:
+            self._start_next_position(attempt)
 
     def attach(
         self, peer: link.Peer, question: questions.Attach
     ) -> questions.Attached:
-        """Give an answer to an entry that asks for the rest of it.
+        """Attach an entry to an answer, and return the answer so far.
 
-        :raises CrowdeckError: ``ANSWER_GONE`` when it is not kept here,
-            and just the same when it is another team's.
+        :raises CrowdeckError: ``ANSWER_GONE`` if the answer is not kept
+            here or belongs to another team.
         """
         attempt = self._registry.find(question.request)
         if attempt is None or attempt.opening.team != question.team:
@@ -158,8 +163,8 @@
             )
         if attempt.is_head:
             self._change_source(attempt, peer)
-            attempt.upto = question.position + question.window
-            self._tasks.start_soon(self._resume_soon, attempt)
+            attempt.credit_limit = question.position + question.window
+            self._tasks.start_soon(self._resume_after_reply, attempt)
         return questions.Attached(
             epoch=attempt.epoch,
             pieces=tuple(attempt.pieces[question.position :]),
@@ -172,37 +177,41 @@
     ) -> None:
         former = attempt.source
         attempt.source = peer
-        attempt.touched = self._clock.now()
+        attempt.touched_at = self._clock.now()
         if former is not None and former is not peer:
             former.send(
-                self._registry.failure(
+                self._registry.make_failure(
                     attempt.request,
                     attempt.epoch,
                     errors.CrowdeckError(
                         errors.Code.SUPERSEDED,
-                        "the answer went on to another entry",
+                        "another entry has taken over the answer",
                         verdict=_MAY_HAVE_RUN,
                     ),
                 )
             )
 
-    async def _resume_soon(self, attempt: attempts.Attempt) -> None:
-        can_go_on = attempt.is_held and attempt.next_position < attempt.upto
-        if can_go_on and attempt.is_running:
-            self._next_position(attempt)
+    async def _resume_after_reply(self, attempt: attempts.Attempt) -> None:
+        # Runs as a task, so that the reply to Attach is sent first.
+        can_continue = (
+            attempt.is_waiting_for_credit
+            and attempt.next_position < attempt.credit_limit
+        )
+        if can_continue and attempt.is_running:
+            self._start_next_position(attempt)
 
 
-def _wrong_token(got: int, expected: int) -> errors.CrowdeckError:
+def _wrong_token_error(got: int, expected: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_POSITION,
-        f"token {got} came, not {expected}",
+        f"received token {got} instead of {expected}",
         verdict=_MAY_HAVE_RUN,
     )
 
 
-def _unfinished_token(next_layer: int) -> errors.CrowdeckError:
+def _unfinished_token_error(next_layer: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_LAYER,
-        f"a token came out before layer {next_layer} had run",
+        f"received a token for which layer {next_layer} has not run",
         verdict=_MAY_HAVE_RUN,
     )
--- a/src/crowdeck/sidecar/turns.py
+++ b/src/crowdeck/sidecar/turns.py
@@ -3,12 +3,12 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Turns of sessions: one at a time, in the order received.
+"""Grants the turns of sessions, one at a time and in the order received.
 
-A session's home is the sidecar that rendezvous hashing picks for it; its
-``Turns`` hand out that session's turns. Nothing is stored: after a change
-of home, entries that hold turns come forward, and a moved session waits
-for them before a new turn is granted.
+A session's home is the sidecar that rendezvous hashing picks for it, which
+grants the session's turns. Nothing is stored: after a change of home, entries
+take the turns that they hold again, and a moved session waits for them before
+a new turn is granted.
 """
 
 import collections
@@ -22,18 +22,18 @@
 from crowdeck.wire import link
 from crowdeck.wire import questions
 
-# An entry notices a lost home within its heartbeat time-out (1.5 s) and
-# comes forward at once; twice that covers a late one.
-SETTLE_SECONDS = 3.0
-# A holder whose entry is gone may be picked up by another entry, as its
-# caller reconnects; after this long the session goes on without it.
-GRACE_SECONDS = 5.0
-# Sessions idle this long are forgotten, and their numbering with them.
-IDLE_SECONDS = 900.0
+# How long a moved session waits for entries that hold its turn. Must
+# exceed the time within which an entry notices a lost home.
+HOLDER_RECLAIM_SECONDS = 3.0
+# How long a turn is kept for a holder whose entry is lost, as its caller may
+# reconnect at another entry.
+LOST_HOLDER_GRACE_SECONDS = 5.0
+# Sessions that are idle for this long are dropped with their numbering.
+SESSION_TTL_SECONDS = 900.0
 
 
 @attrs.define(eq=False)
-class _Waiting:
+class _TurnRequest:
     question: questions.TakeTurn
     peer: link.Peer
     granted: anyio.Event = attrs.field(factory=anyio.Event)
@@ -41,18 +41,18 @@
 
 @attrs.define(eq=False)
 class _Session:
-    touched: float
+    touched_at: float
     settled_at: float
-    holder: _Waiting | None = None
+    holder: _TurnRequest | None = None
     lost_at: float | None = None
     last_sequence: int = -1
-    waiting: collections.deque[_Waiting] = attrs.field(
+    waiting: collections.deque[_TurnRequest] = attrs.field(
         factory=collections.deque
     )
 
 
 class TurnQueues:
-    """The turns of the sessions whose home is here."""
+    """Grants the turns of the sessions whose home is this sidecar."""
 
     def __init__(self, clock: timers.Clock) -> None:
         self._clock = clock
@@ -60,48 +60,49 @@
         self._is_leaving = False
 
     @property
-    def sessions(self) -> int:
-        """How many sessions are known here."""
+    def session_count(self) -> int:
+        """Number of sessions that are known here."""
         return len(self._sessions)
 
     def leave(self) -> None:
-        """Send all who wait, and all who come, to the sessions' new homes.
+        """Refuse all waiting and later requests, which go to the new homes.
 
-        Holders come forward there by themselves.
+        Entries take the turns that they hold again at the new homes.
         """
         self._is_leaving = True
         for session in self._sessions.values():
-            for asked in session.waiting:
-                asked.granted.set()
+            for waiter in session.waiting:
+                waiter.granted.set()
 
     async def take(
         self, peer: link.Peer, question: questions.TakeTurn
     ) -> None:
         """Return once the turn is granted.
 
-        :raises CrowdeckError: ``ORDER``, with ``NOT_RUN``: the turn did
-            not come up in time, or its number was used before.
+        :raises CrowdeckError: with ``NOT_RUN``; ``ORDER`` if the turn was
+            not granted in time or its number was used before, ``LEAVING``
+            if this sidecar is leaving.
         """
         if self._is_leaving:
-            raise _leaving()
+            raise _leaving_error()
         session = self._session(question)
-        asked = _Waiting(question, peer)
-        if self._take_again(session, asked):
+        waiter = _TurnRequest(question, peer)
+        if self._take_again(session, waiter):
             return
-        self._require_fresh(session, question)
-        session.waiting.append(asked)
+        self._require_unused_number(session, question)
+        session.waiting.append(waiter)
         self._grant(session)
         try:
             with anyio.move_on_after(question.seconds_left):
-                await asked.granted.wait()
+                await waiter.granted.wait()
         finally:
-            # Also when the asker is gone: a turn granted to nobody would
-            # hold the session up until somebody noticed.
-            if asked in session.waiting:
-                session.waiting.remove(asked)
+            # Also when cancelled: a turn granted to a request that has ended
+            # would block the session.
+            if waiter in session.waiting:
+                session.waiting.remove(waiter)
         if self._is_leaving:
-            raise _leaving()
-        if not asked.granted.is_set():
+            raise _leaving_error()
+        if not waiter.granted.is_set():
             raise errors.CrowdeckError(
                 errors.Code.ORDER,
                 "the session's earlier turns did not end in time",
@@ -109,13 +110,13 @@
             )
 
     def end(self, question: questions.EndTurn) -> None:
-        """Take a turn back and grant the next one."""
+        """End a turn and grant the next one."""
         session = self._sessions.get(question.session)
         if session is None:
             return
-        for asked in tuple(session.waiting):
-            if asked.question.request == question.request:
-                session.waiting.remove(asked)
+        for waiter in tuple(session.waiting):
+            if waiter.question.request == question.request:
+                session.waiting.remove(waiter)
         holder = session.holder
         if holder and holder.question.request == question.request:
             session.holder = None
@@ -123,62 +124,67 @@
             self._grant(session)
 
     def on_closed(self, peer: link.Peer) -> None:
-        """Forget who waited on a lost link, note whose holder is lost."""
+        """Drop requests of a lost link, and note the holders that are lost."""
         for session in self._sessions.values():
-            for asked in tuple(session.waiting):
-                if asked.peer is peer:
-                    session.waiting.remove(asked)
+            for waiter in tuple(session.waiting):
+                if waiter.peer is peer:
+                    session.waiting.remove(waiter)
             if session.holder is not None and session.holder.peer is peer:
                 session.lost_at = self._clock.now()
 
     async def sweep(self) -> None:
-        """Go on without holders that stay lost; forget idle sessions."""
+        """Drop holders that stay lost, and sessions that are idle."""
         now = self._clock.now()
         for name, session in tuple(self._sessions.items()):
             lost_at = session.lost_at
-            if lost_at is not None and now - lost_at > GRACE_SECONDS:
+            if (
+                lost_at is not None
+                and now - lost_at > LOST_HOLDER_GRACE_SECONDS
+            ):
                 counters.COUNTERS.add("turns.holder_lost")
                 session.holder = None
                 session.lost_at = None
             self._grant(session)
             is_idle = session.holder is None and not session.waiting
-            if is_idle and now - session.touched > IDLE_SECONDS:
+            if is_idle and now - session.touched_at > SESSION_TTL_SECONDS:
                 del self._sessions[name]
 
     def _session(self, question: questions.TakeTurn) -> _Session:
         now = self._clock.now()
         session = self._sessions.get(question.session)
         if session is None:
-            settled_at = now + (SETTLE_SECONDS if question.is_moved else 0.0)
-            session = _Session(touched=now, settled_at=settled_at)
+            settled_at = now + (
+                HOLDER_RECLAIM_SECONDS if question.is_moved else 0.0
+            )
+            session = _Session(touched_at=now, settled_at=settled_at)
             self._sessions[question.session] = session
-        session.touched = now
+        session.touched_at = now
         return session
 
-    def _take_again(self, session: _Session, asked: _Waiting) -> bool:
-        """Recognise a holder that comes forward, or asks twice."""
+    def _take_again(self, session: _Session, waiter: _TurnRequest) -> bool:
+        """Let a holder take its turn again, and return whether it did."""
         holder = session.holder
-        request = asked.question.request
+        request = waiter.question.request
         if holder is not None and holder.question.request == request:
-            session.holder = asked
+            session.holder = waiter
             session.lost_at = None
             return True
-        if asked.question.is_holding and holder is None:
-            session.holder = asked
+        if waiter.question.is_holding and holder is None:
+            session.holder = waiter
             session.last_sequence = max(
-                session.last_sequence, asked.question.sequence
+                session.last_sequence, waiter.question.sequence
             )
             return True
         return False
 
-    def _require_fresh(
+    def _require_unused_number(
         self, session: _Session, question: questions.TakeTurn
     ) -> None:
         is_used = 0 <= question.sequence <= session.last_sequence
         if is_used:
             raise errors.CrowdeckError(
                 errors.Code.ORDER,
-                f"turn {question.sequence} of this session was given before",
+                f"turn {question.sequence} of this session was used before",
             )
 
     def _grant(self, session: _Session) -> None:
@@ -186,22 +192,23 @@
             return
         if self._clock.now() < session.settled_at:
             return
-        asked = self._pick(session)
-        if asked is None:
+        waiter = self._next_waiter(session)
+        if waiter is None:
             return
-        session.waiting.remove(asked)
-        session.holder = asked
+        session.waiting.remove(waiter)
+        session.holder = waiter
         session.last_sequence = max(
-            session.last_sequence, asked.question.sequence
+            session.last_sequence, waiter.question.sequence
         )
-        asked.granted.set()
+        waiter.granted.set()
         counters.COUNTERS.add("turns.granted")
 
-    def _pick(self, session: _Session) -> _Waiting | None:
-        """Return whose turn it is: the caller's number decides, if given.
+    def _next_waiter(self, session: _Session) -> _TurnRequest | None:
+        """Return the waiting request to grant next, ``None`` for none yet.
 
-        A numbered turn waits for the numbers before it, once any number
-        of the session is known; without one, arrival decides.
+        Numbered turns are granted in the order of their numbers, and wait
+        for missing ones once a number of the session is known. Turns without
+        a number are granted in order of arrival.
         """
         first = session.waiting[0]
         numbered = [one for one in session.waiting if _is_numbered(one)]
@@ -214,11 +221,11 @@
         return None if _is_numbered(first) else first
 
 
-def _leaving() -> errors.CrowdeckError:
+def _leaving_error() -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.LEAVING, "the session's home is leaving", retry_after=0.0
     )
 
 
-def _is_numbered(asked: _Waiting) -> bool:
-    return asked.question.sequence >= 0
+def _is_numbered(waiter: _TurnRequest) -> bool:
+    return waiter.question.sequence >= 0
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -34,10 +34,10 @@
 PROFILE = chain.EngineProfile(
     layer_count=80,
     layer_mb=1750.0,
-    token_bytes=1_180_000.0,
+    kv_bytes_per_token=1_180_000.0,
     step_ms=0.85,
     sequence_ms=0.008,
-    context_ms=0.01,
+    context_ms_per_1000_tokens=0.01,
     prefill_tokens_per_second=196_000.0,
     activation_bytes=59_000.0,
     zone_link_bytes_per_second=1.125e9,
@@ -62,7 +62,7 @@
     card: str = "small",
     service: str = MODEL,
 ) -> chain.Upstream:
-    """Return an upstream instance whose address tells its name."""
+    """Return an upstream instance whose address follows from its name."""
     number = sum(ord(one) * 31**at for at, one in enumerate(name)) % 65_000
     return chain.Upstream(
         name=name,
@@ -100,14 +100,16 @@
 
 
 def make_config(
-    version: int = 1, listed: tuple[routes.Route, ...] | None = None
+    version: int = 1, config_routes: tuple[routes.Route, ...] | None = None
 ) -> routes.FleetConfig:
     """Return a config with a route of each kind and one team."""
-    if listed is None:
-        listed = tuple(make_route(repeat) for repeat in routes.RepeatPolicy)
+    if config_routes is None:
+        config_routes = tuple(
+            make_route(repeat) for repeat in routes.RepeatPolicy
+        )
     return routes.FleetConfig(
         version=version,
-        routes=listed,
+        routes=config_routes,
         services=(
             routes.Service(MODEL, 100, PROFILE),
             routes.Service(PLAIN, 100),
@@ -118,7 +120,7 @@
 
 
 class Caller:
-    """A caller that keeps what it is sent."""
+    """A caller that records its answer."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -137,7 +139,7 @@
         return max((after - before for before, after in pairs), default=0.0)
 
     async def start(self, status: int, headers: http.RawHeaders) -> None:
-        assert not self.status, "an answer has one head"
+        assert not self.status, "an answer has started twice"
         self.status = status
 
     async def write(self, piece: bytes) -> None:
@@ -156,13 +158,13 @@
 
 
 class FleetSystem:
-    """One entry's relay, its upstreams, and the clock they share."""
+    """One entry's relay, and the fleet of upstreams behind it."""
 
     def __init__(
         self,
         fleet: chain_fleet.ChainFleet | None = None,
         name: str = "",
-        began: float = float("-inf"),
+        started_at: float = float("-inf"),
     ) -> None:
         self.fleet = fleet or chain_fleet.ChainFleet()
         self.name = name
@@ -178,50 +180,56 @@
             client=self.client,
             usage=self.usage,
             planner=hops.HopPlanner(self.usage),
-            terms=contexts.RetryBudgetSettings(0.2, 100.0, 10.0),
-            began=began,
+            budget_settings=contexts.RetryBudgetSettings(0.2, 100.0, 10.0),
+            started_at=started_at,
             name=name,
-            # Entries that draw alike would do the same at one moment.
+            # Entries with the same seed would act in lockstep.
             rng=random.Random(name or 1),
             quarantine=trackers.QuarantineTracker(anyio.current_time),
         )
         self.config = make_config()
         self.holder = relays.ConfigHolder(lambda _: self.config, "main")
-        self.age = 0.0
+        self.config_age_seconds = 0.0
         self.monitor = stalls.StallMonitor(self.context)
         self.relay = relays.Relay(
-            self.context, self.holder, self.monitor, lambda: self.age, 3.5
+            self.context,
+            self.holder,
+            self.monitor,
+            lambda: self.config_age_seconds,
+            3.5,
+        )
+        # A restarted entry must not reuse the ids of its former run.
+        self._prefix = (
+            f"{name}r" if started_at < 0.0 else f"{name}@{started_at:.3f}r"
         )
-        # Ids of an entry that was started again are others than before.
-        self._prefix = f"{name}r" if began < 0.0 else f"{name}@{began:.3f}r"
         self._ids = 0
 
     def install(self, config: routes.FleetConfig) -> None:
-        """Put a config in force, as the store would tell it."""
+        """Deliver a config as the store would."""
         self.config = config
         self.holder.on_listed(
             (stores.StoredObject("config", "main", config.version, b"{}"),)
         )
 
     def add(self, listed: chain.Upstream) -> chain_fleet.StandinUpstream:
-        """Add an upstream instance, and list it."""
+        """Add an upstream instance and list it."""
         target = self.fleet.add(listed)
         self.list_instance(listed)
         return target
 
     def list_instance(self, listed: chain.Upstream) -> None:
-        """List an instance as it is now."""
-        entry = listed.incarnation.id
-        self.listed[entry] = listed
+        """Deliver an instance's listing as the store would."""
+        incarnation_id = listed.incarnation.id
+        self.listed[incarnation_id] = listed
         self.registry.on_changed(
-            (stores.StoredObject("upstreams", entry, 1, b"{}"),), ()
+            (stores.StoredObject("upstreams", incarnation_id, 1, b"{}"),), ()
         )
 
     def add_model(self, copies: int = 2, parts: int = 4) -> None:
-        """Add engines that hold the model, ``copies`` times in each zone."""
+        """Add engines that hold ``copies`` of the model in each zone."""
         for zone in ZONES:
             for copy in range(copies):
-                ranges = chain_fleet.cut(PROFILE.layer_count, parts)
+                ranges = chain_fleet.split_layers(PROFILE.layer_count, parts)
                 for part, layers in enumerate(ranges):
                     self.add(
                         upstream(
@@ -235,7 +243,7 @@
     def request(
         self, repeat: routes.RepeatPolicy, **changes: typing.Any
     ) -> requests.CallerRequest:
-        """Return a new request on one of the routes."""
+        """Return a new request for one of the routes."""
         self._ids += 1
         request = requests.CallerRequest(
             id=f"{self._prefix}{self._ids}",
@@ -248,12 +256,12 @@
             body=b"",
             timeout_seconds=20.0,
             arrived=anyio.current_time(),
-            size=requests.TokenCounts(700, 400, 100),
+            token_counts=requests.TokenCounts(700, 400, 100),
         )
         return attrs.evolve(request, **changes)
 
     async def ask(self, request: requests.CallerRequest) -> Caller:
-        """Send a request and wait for what comes of it."""
+        """Send a request and wait for its answer or error."""
         caller = Caller()
         try:
             await self.relay.serve(request, caller)
@@ -263,17 +271,17 @@
 
 
 def spend_retry(budget: budgets.SharedRetryBudget) -> bool:
-    """Have a request sent again that arrives at once, if it may be."""
+    """Spend one retry of a budget; returns whether it allowed that."""
     with contextlib.closing(budget.track_sends()) as sends:
         if not sends.reserve():
             return False
-        sends.send()
-        sends.arrive()
+        sends.note_sent()
+        sends.note_arrived()
         return True
 
 
 def whole_answer(request_id: str, events: int) -> bytes:
-    """Return the bytes of a stream's whole answer."""
+    """Return the bytes of a stream's complete answer."""
     return b"".join(
         chain_fleet.event(request_id, number) for number in range(events)
     )
@@ -283,7 +291,7 @@
     system: FleetSystem,
     work: typing.Callable[[FleetSystem], typing.Awaitable[None]],
 ) -> None:
-    """Run a test's work beside the watch over streams."""
+    """Run a test's work while the stall monitor runs."""
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(system.monitor.run)
         await work(system)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Answers of models, whole and right, whatever fails on the way."""
+"""Answers of models are complete and correct, whichever part fails."""
 
 import typing
 
@@ -24,9 +24,9 @@
 
 
 class TestUndisturbed:
-    """Nothing fails."""
+    """Answers without any fault."""
 
-    def test_answer_is_what_the_whole_model_says(self) -> None:
+    def test_answer_equals_that_of_the_whole_model(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 caller = systems.Caller()
@@ -36,7 +36,7 @@
 
         virtual.run(check)
 
-    def test_many_answers_do_not_mix(self) -> None:
+    def test_concurrent_answers_do_not_mix(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 callers = {
@@ -53,7 +53,7 @@
 
         virtual.run(check)
 
-    def test_one_stage_alone_serves_whole_answers(self) -> None:
+    def test_single_stage_serves_complete_answers(self) -> None:
         async def check() -> None:
             async with systems.System(stages=1, replicas=1) as system:
                 caller = systems.Caller()
@@ -73,31 +73,31 @@
         virtual.run(check)
 
 
-class TestDeaths:
+class TestCrashes:
     """Processes die in the middle of an answer."""
 
     @pytest.mark.parametrize("stage", [0, 1, 2])
     @pytest.mark.parametrize("position", [0, 1, 7, 18])
-    def test_stage_dies(self, stage: int, position: int) -> None:
+    def test_stage_crashes(self, stage: int, position: int) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 caller = systems.Caller()
 
                 def kill() -> None:
-                    system.kill(_busy(system, stage))
+                    system.kill(_running_sidecar(system, stage))
 
-                caller.at[position] = kill
+                caller.on_position[position] = kill
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
         virtual.run(check)
 
-    @pytest.mark.parametrize("dies", ["head", "tail", "both"])
+    @pytest.mark.parametrize("killed", ["head", "tail", "both"])
     @pytest.mark.parametrize("length", [20, 1])
-    def test_death_after_the_last_token_adds_none(
-        self, dies: str, length: int
+    def test_crash_after_the_last_token_adds_no_token(
+        self, killed: str, length: int
     ) -> None:
-        """Found by rolling replacement under load: tokens past the end."""
+        """A further attempt must not generate tokens past the end."""
 
         async def check() -> None:
             async with systems.System() as system:
@@ -106,23 +106,25 @@
                 def kill() -> None:
                     head, tail = caller.location
                     for name in {"head": {head}, "tail": {tail}}.get(
-                        dies, {head, tail}
+                        killed, {head, tail}
                     ):
                         system.kill(name)
 
-                caller.at[length - 1] = kill
+                caller.on_position[length - 1] = kill
                 finish = await system.answer(PROMPT, caller, length)
                 assert caller.texts == system.expected(PROMPT, length)
                 assert finish == "length"
 
         virtual.run(check)
 
-    def test_death_after_the_models_own_end_adds_none(self) -> None:
+    def test_crash_after_a_stop_token_adds_no_token(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 prompt, length = _prompt_that_stops(system)
                 caller = systems.Caller()
-                caller.at[length - 1] = lambda: system.kill(caller.location[0])
+                caller.on_position[length - 1] = lambda: system.kill(
+                    caller.location[0]
+                )
                 finish = await system.answer(prompt, caller, 400)
                 assert caller.texts == system.expected(prompt, 400)
                 assert finish == "stop"
@@ -133,15 +135,18 @@
         async def check() -> None:
             async with systems.System() as system:
                 caller = systems.Caller()
-                doomed: list[str] = []
+                killed: list[str] = []
 
                 def kill() -> None:
-                    for name in (_busy(system, 0), _busy(system, 2)):
-                        doomed.append(name)
-                    for name in doomed:
+                    for name in (
+                        _running_sidecar(system, 0),
+                        _running_sidecar(system, 2),
+                    ):
+                        killed.append(name)
+                    for name in killed:
                         system.kill(name)
 
-                caller.at[5] = kill
+                caller.on_position[5] = kill
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
@@ -155,14 +160,14 @@
                 frozen: list[str] = []
 
                 def freeze() -> None:
-                    frozen.append(_busy(system, stage))
+                    frozen.append(_running_sidecar(system, stage))
                     system.network.freeze(frozen[0])
 
-                caller.at[5] = freeze
+                caller.on_position[5] = freeze
                 started = anyio.current_time()
                 await system.answer(PROMPT, caller)
                 assert anyio.current_time() - started < 4.0
-                # What the frozen stage says when it wakes harms nobody.
+                # Records that the frozen stage sends later change nothing.
                 system.network.thaw(frozen[0])
                 await anyio.sleep(10.0)
                 assert caller.texts == system.expected(PROMPT, 20)
@@ -175,10 +180,13 @@
                 caller = systems.Caller()
 
                 def cut() -> None:
-                    ends = (_busy(system, 0), _busy(system, 1))
+                    ends = (
+                        _running_sidecar(system, 0),
+                        _running_sidecar(system, 1),
+                    )
                     system.network.cut(*ends)
 
-                caller.at[5] = cut
+                caller.on_position[5] = cut
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
@@ -190,12 +198,12 @@
                 caller = systems.Caller()
 
                 def fail() -> None:
-                    name = _busy(system, 1)
-                    system.engines[name].failure = systems.may_have_run(
+                    name = _running_sidecar(system, 1)
+                    system.engines[name].failure = systems.make_error(
                         errors.Code.UPSTREAM_LOST
                     )
 
-                caller.at[5] = fail
+                caller.on_position[5] = fail
                 await system.answer(PROMPT, caller)
                 assert caller.texts == system.expected(PROMPT, 20)
 
@@ -215,20 +223,20 @@
         virtual.run(check)
 
 
-class TestEntryDeath:
-    """The entry dies; its caller comes back at another one."""
+class TestEntryCrash:
+    """The entry crashes, and its caller resumes at another one."""
 
     @pytest.mark.parametrize("position", [0, 6, 19])
-    def test_answer_is_taken_up_elsewhere(self, position: int) -> None:
+    def test_answer_is_resumed_at_another_entry(self, position: int) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 first, second = systems.Caller(), systems.Caller()
                 request = system.request(PROMPT)
-                await _break_at(system, request, first, position)
+                await _run_until_entry_killed(system, request, first, position)
                 resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
-                await system.drive(request, second, entry=1).run(resume)
+                await system.make_driver(request, second, entry=1).run(resume)
                 together = first.texts + (
                     second.texts if second.pieces else []
                 )
@@ -236,17 +244,17 @@
 
         virtual.run(check)
 
-    def test_head_dies_as_well(self) -> None:
+    def test_head_crashes_as_well(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 first, second = systems.Caller(), systems.Caller()
                 request = system.request(PROMPT)
-                await _break_at(system, request, first, 6)
+                await _run_until_entry_killed(system, request, first, 6)
                 system.kill(first.location[0])
                 resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
-                await system.drive(request, second, entry=1).run(resume)
+                await system.make_driver(request, second, entry=1).run(resume)
                 assert first.texts + second.texts == system.expected(
                     PROMPT, 20
                 )
@@ -258,13 +266,15 @@
             async with systems.System() as system:
                 first, second = systems.Caller(), systems.Caller()
                 request = system.request(PROMPT)
-                await _break_at(system, request, first, 6)
-                foreign = system.request(
+                await _run_until_entry_killed(system, request, first, 6)
+                other_request = system.request(
                     PROMPT, request=request.request, team="others"
                 )
                 resume = model_requests.ResumePoint(0, *first.location)
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await system.drive(foreign, second, entry=1).run(resume)
+                    await system.make_driver(
+                        other_request, second, entry=1
+                    ).run(resume)
                 assert caught.value.code == errors.Code.ANSWER_GONE
                 assert not second.pieces
 
@@ -278,25 +288,29 @@
                 caller = systems.Caller()
                 refused: list[errors.Code] = []
 
-                def intrude() -> None:
+                def open_for_other_team() -> None:
                     head = _stage_of(system, 0)
                     own = next(
-                        one for one in head.registry.all if one.is_running
+                        one
+                        for one in head.registry.all_attempts
+                        if one.is_running
+                    )
+                    other_opening = attrs.evolve(
+                        own.opening, epoch=5, team="x"
                     )
-                    foreign = attrs.evolve(own.opening, epoch=5, team="x")
                     try:
-                        head.open(_NO_PEER, foreign)
+                        head.open(_NO_PEER, other_opening)
                     except errors.CrowdeckError as error:
                         refused.append(error.code)
 
-                caller.at[5] = intrude
+                caller.on_position[5] = open_for_other_team
                 await system.answer(PROMPT, caller)
                 assert refused == [errors.Code.FORBIDDEN]
                 assert caller.texts == system.expected(PROMPT, 20)
 
         virtual.run(check)
 
-    def test_former_entry_is_told_when_it_lives(self) -> None:
+    def test_previous_entry_is_superseded(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 first, second = systems.Caller(0.05), systems.Caller()
@@ -305,7 +319,7 @@
 
                 async def run_first() -> None:
                     try:
-                        await system.drive(request, first).run()
+                        await system.make_driver(request, first).run()
                     except errors.CrowdeckError as error:
                         outcome.append(error.code)
 
@@ -315,7 +329,9 @@
                     resume = model_requests.ResumePoint(
                         len(first.pieces), *first.location
                     )
-                    await system.drive(request, second, entry=1).run(resume)
+                    await system.make_driver(request, second, entry=1).run(
+                        resume
+                    )
                 assert outcome == [errors.Code.SUPERSEDED]
                 assert second.texts[-1] == system.expected(PROMPT, 200)[-1]
 
@@ -323,7 +339,7 @@
 
 
 class TestPlannedStop:
-    """A stage leaves while it serves."""
+    """A stage leaves while it runs an answer."""
 
     @pytest.mark.parametrize("stage", [0, 1, 2])
     @pytest.mark.parametrize("position", [1, 9])
@@ -336,14 +352,14 @@
                 left: list[str] = []
 
                 def leave() -> None:
-                    left.append(_busy(system, stage))
+                    left.append(_running_sidecar(system, stage))
                     system.sidecar(left[0]).begin_drain(30.0)
 
-                caller.at[position] = leave
+                caller.on_position[position] = leave
                 await system.answer(PROMPT, caller, count=400)
                 assert caller.texts == system.expected(PROMPT, 400)
-                # Nothing was computed twice: the prompt ran through each
-                # stage's layers once, whichever engine held them.
+                # Nothing is computed twice: the prompt runs through each
+                # stage's layers once, on whichever engine holds them.
                 sequences = [
                     name
                     for engine in system.engines.values()
@@ -356,7 +372,7 @@
 
     @pytest.mark.parametrize("stage", [0, 1, 2])
     def test_answer_moves_while_engines_are_busy(self, stage: int) -> None:
-        """Found under load: a busy stage refused, and all was replayed."""
+        """A busy stage must not refuse the move, which costs a replay."""
 
         async def check() -> None:
             async with systems.System() as system:
@@ -365,9 +381,11 @@
                 caller = systems.Caller()
 
                 def leave() -> None:
-                    system.sidecar(_busy(system, stage)).begin_drain(30.0)
+                    system.sidecar(
+                        _running_sidecar(system, stage)
+                    ).begin_drain(30.0)
 
-                caller.at[3] = leave
+                caller.on_position[3] = leave
                 await system.answer(PROMPT, caller, count=12)
                 assert caller.texts == system.expected(PROMPT, 12)
                 names = [
@@ -379,11 +397,13 @@
 
         virtual.run(check)
 
-    def test_no_replacement_means_the_stage_finishes(self) -> None:
+    def test_stage_without_a_replacement_finishes_the_answer(self) -> None:
         async def check() -> None:
             async with systems.System(replicas=1) as system:
                 caller = systems.Caller()
-                caller.at[5] = lambda: system.sidecar("s1-0").begin_drain(30.0)
+                caller.on_position[5] = lambda: system.sidecar(
+                    "s1-0"
+                ).begin_drain(30.0)
                 await system.answer(PROMPT, caller, count=400)
                 assert caller.texts == system.expected(PROMPT, 400)
 
@@ -405,35 +425,42 @@
 class TestCallers:
     """Callers that are slow, or leave."""
 
-    def test_slow_caller_holds_the_head_back(self) -> None:
+    def test_slow_caller_limits_the_head(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 caller = systems.Caller(seconds_per_piece=0.5)
                 request = system.request(PROMPT, 300, window=8)
                 with anyio.move_on_after(10.0):
-                    await system.drive(request, caller).run()
+                    await system.make_driver(request, caller).run()
                 head = system.sidecar(caller.location[0])
                 assert head._stage is not None
-                made = max(len(one.pieces) for one in head._stage.registry.all)
-                assert len(caller.pieces) < made <= len(caller.pieces) + 16
+                generated_count = max(
+                    len(one.pieces)
+                    for one in head._stage.registry.all_attempts
+                )
+                assert (
+                    len(caller.pieces)
+                    < generated_count
+                    <= len(caller.pieces) + 16
+                )
 
         virtual.run(check)
 
     @pytest.mark.parametrize("entry", [0, 1])
-    def test_broken_connection_is_no_lost_answer(self, entry: int) -> None:
-        """Found under load: a caller that came back got ANSWER_GONE."""
+    def test_answer_survives_a_broken_connection(self, entry: int) -> None:
+        """A caller that reconnects soon must not get ANSWER_GONE."""
 
         async def check() -> None:
             async with systems.System() as system:
                 first, second = systems.Caller(0.05), systems.Caller()
                 request = system.request(PROMPT, 100, window=8)
                 with anyio.move_on_after(1.0):
-                    await system.drive(request, first).run()
+                    await system.make_driver(request, first).run()
                 await anyio.sleep(2.0)
                 resume = model_requests.ResumePoint(
                     len(first.pieces), *first.location
                 )
-                await system.drive(request, second, entry).run(resume)
+                await system.make_driver(request, second, entry).run(resume)
                 assert first.texts + second.texts == system.expected(
                     PROMPT, 100
                 )
@@ -446,19 +473,19 @@
                 caller = systems.Caller(seconds_per_piece=0.5)
                 request = system.request(PROMPT, 300, window=8)
                 with anyio.move_on_after(3.0):
-                    await system.drive(request, caller).run()
-                await anyio.sleep(driver.LEAVE_SECONDS + 1.0)
+                    await system.make_driver(request, caller).run()
+                await anyio.sleep(driver.RECONNECT_GRACE_SECONDS + 1.0)
                 for engine in system.engines.values():
                     assert not engine.sequences
 
         virtual.run(check)
 
-    def test_deadline_ends_an_answer_with_a_code(self) -> None:
+    def test_deadline_ends_an_answer_with_an_error(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 request = system.request(PROMPT, 5000, seconds_left=0.5)
                 with pytest.raises(errors.CrowdeckError) as caught:
-                    await system.drive(request, systems.Caller()).run()
+                    await system.make_driver(request, systems.Caller()).run()
                 assert caught.value.code == errors.Code.DEADLINE
                 await anyio.sleep(1.0)
                 for engine in system.engines.values():
@@ -467,10 +494,10 @@
         virtual.run(check)
 
 
-class TestForeignRecords:
-    """Records that are late, doubled, crossed or torn."""
+class TestInvalidRecords:
+    """Records that are late, duplicated, misdirected or altered."""
 
-    def test_doubled_records_change_nothing(self) -> None:
+    def test_duplicate_records_change_nothing(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 system.network.fault = lambda source, target, message: (
@@ -486,7 +513,7 @@
 
         virtual.run(check)
 
-    def test_lost_token_is_noticed_by_silence(self) -> None:
+    def test_lost_token_is_detected_by_a_timeout(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 lost: list[messages.Token] = []
@@ -520,20 +547,20 @@
     def test_wrong_record_never_reaches_the_caller(
         self, change: dict[str, int]
     ) -> None:
-        """A record altered on its way is refused by whoever gets it."""
+        """A record that was altered on its way is refused."""
 
         async def check() -> None:
             async with systems.System() as system:
                 altered: list[object] = []
 
-                def tamper(record: messages.Record) -> messages.Record:
+                def alter(record: messages.Record) -> messages.Record:
                     is_step = isinstance(record, messages.Step)
                     if is_step and record.position == 4 and not altered:
                         altered.append(record)
                         return attrs.evolve(record, **change)
                     return record
 
-                _tamper_records(system, tamper)
+                _alter_records(system, alter)
                 caller = systems.Caller()
                 await system.answer(PROMPT, caller)
                 assert altered
@@ -542,35 +569,35 @@
         virtual.run(check)
 
     def test_record_for_an_earlier_stage_is_refused(self) -> None:
-        """A step that skips a stage would give a wrong token."""
+        """A step that skips a stage would produce a wrong token."""
 
         async def check() -> None:
             async with systems.System() as system:
-                crossed: list[messages.Step] = []
+                skipped: list[messages.Step] = []
 
-                def cross(record: messages.Record) -> messages.Record:
+                def skip_stage(record: messages.Record) -> messages.Record:
                     is_first = (
                         isinstance(record, messages.Step)
                         and record.position == 4
                         and record.next_layer == 2
                     )
-                    if is_first and not crossed:
+                    if is_first and not skipped:
                         assert isinstance(record, messages.Step)
-                        crossed.append(record)
+                        skipped.append(record)
                         _stage_of(system, 2).on_step(_NO_PEER, record)
                         return messages.Cancel("nobody", 0)
                     return record
 
-                _tamper_records(system, cross)
+                _alter_records(system, skip_stage)
                 caller = systems.Caller()
                 await system.answer(PROMPT, caller)
-                assert crossed
+                assert skipped
                 assert caller.texts == system.expected(PROMPT, 20)
 
         virtual.run(check)
 
     def test_record_of_an_earlier_epoch_is_refused(self) -> None:
-        """A late step of a given-up attempt fits but for its epoch."""
+        """A late step of an earlier attempt differs only in its epoch."""
 
         async def check() -> None:
             async with systems.System() as system:
@@ -590,27 +617,29 @@
                     late.append(step)
                     tail.on_step(_NO_PEER, step)
 
-                caller.at[3] = lambda: system.kill(_busy(system, 1))
-                caller.at[8] = inject
+                caller.on_position[3] = lambda: system.kill(
+                    _running_sidecar(system, 1)
+                )
+                caller.on_position[8] = inject
                 await system.answer(PROMPT, caller)
                 assert late
                 assert caller.texts == system.expected(PROMPT, 20)
 
         virtual.run(check)
 
-    def test_answer_with_a_foreign_token_does_not_pass(self) -> None:
+    def test_answer_with_an_altered_token_is_refused(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
                 altered: list[object] = []
 
-                def tamper(record: messages.Record) -> messages.Record:
+                def alter(record: messages.Record) -> messages.Record:
                     is_answer = isinstance(record, messages.Answer)
                     if is_answer and record.position == 19 and not altered:
                         altered.append(record)
                         return attrs.evolve(record, text="foreign")
                     return record
 
-                _tamper_records(system, tamper)
+                _alter_records(system, alter)
                 with pytest.raises(errors.CrowdeckError) as caught:
                     await system.answer(PROMPT, systems.Caller())
                 assert caught.value.code == errors.Code.WRONG_ANSWER
@@ -618,23 +647,23 @@
         virtual.run(check)
 
 
-# Records are judged by what they say, not by the link they come on.
+# Records are checked by their content, not by the link they arrive on.
 _NO_PEER: typing.Any = None
 
 
 def _stage_of(system: systems.System, stage: int) -> stages.Stage:
-    found = system.sidecar(_busy(system, stage))._stage
+    found = system.sidecar(_running_sidecar(system, stage))._stage
     assert found is not None
     return found
 
 
 def _is_first_run(sequence: str) -> bool:
-    """Whether a sequence is no replay: an attempt 0, or moved from one."""
+    """Return whether a sequence is of attempt 0, or was moved from one."""
     return sequence.endswith((".0", ".import"))
 
 
 def _prompt_that_stops(system: systems.System) -> tuple[str, int]:
-    """Return a prompt whose answer the model itself ends, and its length."""
+    """Return a prompt whose answer the model ends, and the length of it."""
     for number in range(1000):
         prompt = f"short question {number}"
         length = len(system.expected(prompt, 60))
@@ -649,21 +678,21 @@
     for name in system.engines:
         stage = system.sidecar(name)._stage
         assert stage is not None
-        for attempt in stage.registry.all:
+        for attempt in stage.registry.all_attempts:
             if attempt.is_tail and attempt.epoch == epoch:
                 return stage, attempt
     raise AssertionError(f"no tail runs epoch {epoch}")
 
 
-def _busy(system: systems.System, stage: int) -> str:
+def _running_sidecar(system: systems.System, stage: int) -> str:
     for name in system.engines:
         if name.startswith(f"s{stage}-") and system.sidecar(name).running:
             return name
     raise AssertionError(f"no stage {stage} runs anything")
 
 
-def _tamper_records(system: systems.System, tamper: typing.Any) -> None:
-    """Let ``tamper`` alter each record as it arrives."""
+def _alter_records(system: systems.System, alter: typing.Any) -> None:
+    """Pass each arriving record through ``alter``."""
     for node in system.network.nodes:
         handler = node.handler
         original = handler.on_record
@@ -673,12 +702,12 @@
             record: messages.Record,
             original: typing.Any = original,
         ) -> None:
-            original(peer, tamper(record))
+            original(peer, alter(record))
 
         handler.on_record = on_record
 
 
-async def _break_at(
+async def _run_until_entry_killed(
     system: systems.System,
     request: model_requests.ModelRequest,
     caller: systems.Caller,
@@ -691,5 +720,5 @@
             system.kill("e0")
             tasks.cancel_scope.cancel()
 
-        caller.at[position] = kill
-        await system.drive(request, caller).run()
+        caller.on_position[position] = kill
+        await system.make_driver(request, caller).run()
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""How runs of an instance are named, and told, on the wire."""
+"""Tests of how runs of an instance are identified on the wire."""
 
 import contextlib
 import typing
@@ -32,7 +32,7 @@
 from tests import virtual
 
 
-def a_run(started_ms: int) -> chain.Upstream:
+def make_run(started_ms: int) -> chain.Upstream:
     """Return one run of the engine ``e``."""
     incarnation = chain.Incarnation("e", started_ms)
     base = fleet_system.upstream(
@@ -60,7 +60,7 @@
 
 
 class FixedHttp:
-    """Answers every request alike, and keeps its headers."""
+    """Gives every request the same answer and records its headers."""
 
     def __init__(self, body: dict[str, object]) -> None:
         self._content = orjson.dumps(body)
@@ -74,7 +74,9 @@
         yield FixedAnswer(self._content)
 
 
-def ask(body: dict[str, object], upstream: chain.Upstream) -> FixedHttp:
+def request_report(
+    body: dict[str, object], upstream: chain.Upstream
+) -> FixedHttp:
     fixed = FixedHttp(body)
     client = engines.UpstreamClient(typing.cast(http.HttpClient, fixed))
     anyio.run(client.report, upstream)
@@ -82,13 +84,15 @@
 
 
 class TestAdapter:
-    """What the platform's adapter makes of runs."""
+    """Runs of an instance in the adapter to the platform."""
 
-    def test_asks_for_an_instance_by_the_id_that_it_knows(self) -> None:
-        fixed = ask({names.ORDERS_TAKEN: 0, names.BORN: 7}, a_run(7))
+    def test_reports_are_requested_by_instance_id(self) -> None:
+        fixed = request_report(
+            {names.ORDERS_TAKEN: 0, names.STARTED_MS: 7}, make_run(7)
+        )
         assert (names.EXPECTED_INSTANCE, b"e") in fixed.sent[0]
 
-    def test_sends_requests_to_that_id_as_well(self) -> None:
+    def test_requests_are_sent_by_instance_id(self) -> None:
         system = fleet_system.FleetSystem()
         requests: list[object] = []
 
@@ -98,39 +102,43 @@
         virtual.run(body)
         headers = callers.upstream_request_headers(
             typing.cast(typing.Any, requests[0]),
-            a_run(7),
+            make_run(7),
             interfaces.Dispatch("kiosks", 0, 1.0),
         )
         assert (names.EXPECTED_INSTANCE, b"e") in headers
 
-    def test_a_report_of_a_later_run_is_an_end(self) -> None:
+    def test_report_of_a_later_run_means_the_instance_is_gone(self) -> None:
         with pytest.raises(errors.InstanceGone):
-            ask({names.ORDERS_TAKEN: 0, names.BORN: 8}, a_run(7))
+            request_report(
+                {names.ORDERS_TAKEN: 0, names.STARTED_MS: 8}, make_run(7)
+            )
 
-    @pytest.mark.parametrize("born", [{names.BORN: 6}, {}])
-    def test_a_report_of_no_run_that_could_make_it_is_refused(
-        self, born: dict[str, object]
+    @pytest.mark.parametrize("start_fields", [{names.STARTED_MS: 6}, {}])
+    def test_report_of_an_earlier_or_unknown_run_is_malformed(
+        self, start_fields: dict[str, object]
     ) -> None:
         with pytest.raises(errors.CrowdeckError) as caught:
-            ask({names.ORDERS_TAKEN: 0, **born}, a_run(7))
+            request_report(
+                {names.ORDERS_TAKEN: 0, **start_fields}, make_run(7)
+            )
         assert not isinstance(caught.value, errors.InstanceGone)
 
 
 class UnreadableReports:
-    """Engines that live and whose reports cannot be read."""
+    """Engines whose reports cannot be decoded."""
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
         raise errors.CrowdeckError(errors.Code.MALFORMED, "no report")
 
 
 class TestProbe:
-    """Asking an engine whose report cannot be read."""
+    """Probes of an engine whose report cannot be decoded."""
 
-    def test_is_no_silence(self) -> None:
+    def test_malformed_report_counts_as_an_answer(self) -> None:
         async def body() -> None:
             client = typing.cast(interfaces.Upstreams, UnreadableReports())
             prober = probes.Prober(client, lambda _: True)
-            probe = await prober.ask(a_run(7))
+            probe = await prober.probe(make_run(7))
             assert not probe.is_silent
             assert not probe.was_refused
             assert not probe.is_gone
@@ -139,9 +147,9 @@
 
 
 class TestStart:
-    """What an entry waits for, and by which clock it lives."""
+    """The start of an entry and the clock of its event loop."""
 
-    def test_knows_the_other_entries_notes_before_it_serves(self) -> None:
+    def test_entry_waits_for_the_roster_before_it_serves(self) -> None:
         class Holder:
             services = ()
 
@@ -161,7 +169,7 @@
                 self.roster = Roster()
 
         async def body() -> None:
-            text = test_fleet_process.fill(
+            text = test_fleet_process.render_template(
                 test_fleet_process.TEMPLATE.read_text(),
                 {
                     **test_fleet_process.SETTINGS,
@@ -179,8 +187,8 @@
                     system.context,
                     typing.cast(store_view.StoreView, view),
                 )
-                looks = surveys.LOOK_SECONDS * surveys.LOOKS_MOST
-                await anyio.sleep(looks + 1.0)
+                survey_seconds = surveys.POLL_SECONDS * surveys.MAX_POLLS
+                await anyio.sleep(survey_seconds + 1.0)
                 assert not process._surveyed.is_set()
                 view.roster.listed.set()
                 await anyio.sleep(0.01)
@@ -188,7 +196,7 @@
 
         virtual.run(body)
 
-    def test_daemons_count_time_asleep(
+    def test_daemons_use_a_clock_that_counts_suspension(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         asked: list[dict[str, object]] = []
@@ -199,7 +207,7 @@
         monkeypatch.setattr(daemon.anyio, "run", run)
         monkeypatch.setattr(daemon.logs, "to_stdout", lambda: None)
         monkeypatch.setattr(daemon.checks, "check", lambda path: None)
-        monkeypatch.setattr(daemon, "EarlyHangup", lambda: None)
+        monkeypatch.setattr(daemon, "HangupRecorder", lambda: None)
         daemon.main(["--config", "entry.ini"])
         options = typing.cast(dict[str, object], asked[0]["backend_options"])
         assert options["loop_factory"] is timers.BootTimeEventLoop
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The adapter: what the platform writes, decoded, and what we write."""
+"""Tests of the platform's formats, in both directions."""
 
 import pathlib
 import typing
@@ -128,14 +128,14 @@
 class TestEntries:
     """Entries of upstream instances."""
 
-    def test_end_of_layers_is_read_from_its_odd_name(self) -> None:
+    def test_end_of_layers_is_read_from_target_version(self) -> None:
         found = upstreams.decode(stored(ENTRY))
         assert found.layers == pipeline.LayerRange(20, 31)
         assert found.card == "t4"
         assert str(found.address) == "10.2.64.3:8080"
         assert not found.is_leaving
 
-    def test_draining_is_leaving(self) -> None:
+    def test_draining_instance_is_leaving(self) -> None:
         body = {**ENTRY, "state": "draining", "layers": None}
         found = upstreams.decode(stored(body))
         assert found.is_leaving
@@ -149,7 +149,7 @@
             upstreams.decode(stored(body))
         assert caught.value.code is errors.Code.MALFORMED
 
-    def test_report_tells_orders_not_heartbeats(self) -> None:
+    def test_sequence_number_of_a_report_counts_orders(self) -> None:
         report = upstreams.decode_report(
             orjson.dumps(
                 {
@@ -195,7 +195,7 @@
         assert config.teams[0].priority == 3
         assert config.limits.body_bytes == 1000
 
-    def test_keys_do_not_show_in_text(self) -> None:
+    def test_repr_contains_no_keys(self) -> None:
         config = platform_config.decode(orjson.dumps(CONFIG))
         assert "k1" not in repr(config)
 
@@ -226,23 +226,23 @@
 
 
 class TestCallers:
-    """Callers' requests, and how they go on."""
+    """Requests of callers and headers for upstreams and callers."""
 
-    def test_is_decoded(self) -> None:
+    def test_request_is_decoded(self) -> None:
         request = caller_request()
         assert request.target == "/a/x?q=1"
         assert request.path == "/a/x"
         assert request.host == "desk.example"
         assert request.key == "k1"
         assert request.timeout_seconds == 2.5
-        assert request.last_event == 12
-        assert request.size == requests.TokenCounts(642, 430, 64)
+        assert request.last_event_id == 12
+        assert request.token_counts == requests.TokenCounts(642, 430, 64)
         assert "k1" not in repr(request)
 
-    def test_without_an_id_it_is_none(self) -> None:
+    def test_request_without_an_id_is_none(self) -> None:
         assert callers.decode("GET", b"/", b"", [], b"", 0.0) is None
 
-    def test_goes_on_with_what_is_ours_replaced(self) -> None:
+    def test_own_headers_are_replaced_for_upstreams(self) -> None:
         request = caller_request()
         upstream = fleet_system.upstream("i-9")
         hop = chain.Hop(upstream, pipeline.LayerRange(0, 80))
@@ -264,16 +264,16 @@
         assert headers[b"x-hop-count"].endswith(b"=0-80")
         assert headers[b"content-length"] == b"4"
 
-    def test_own_last_event_stays_as_it_was_sent(self) -> None:
+    def test_unchanged_last_event_id_is_kept(self) -> None:
         request = caller_request()
-        dispatch = interfaces.Dispatch("hule", 1, 1.5, last_event=12)
+        dispatch = interfaces.Dispatch("hule", 1, 1.5, last_event_id=12)
         headers = callers.upstream_request_headers(
             request, fleet_system.upstream("i-9"), dispatch
         )
         assert headers.count((b"last-event-id", b"12")) == 1
 
-    def test_answer_goes_back_without_what_is_between_us(self) -> None:
-        caller_response_headers = callers.caller_response_headers(
+    def test_callers_get_no_internal_headers(self) -> None:
+        headers = callers.caller_response_headers(
             [
                 (b"X-Response-Signature", b"s"),
                 (b"X-Server-Load", b"1,2,3"),
@@ -281,7 +281,7 @@
                 (b"Content-Length", b"3"),
             ]
         )
-        assert caller_response_headers == [(b"x-response-signature", b"s")]
+        assert headers == [(b"x-response-signature", b"s")]
 
     @pytest.mark.parametrize(
         ("event", "number"),
@@ -311,7 +311,7 @@
 
 
 class TestEngineCalls:
-    """Reports and orders."""
+    """Calls to engines: reports, orders and requests."""
 
     @pytest.mark.parametrize(
         ("status", "outcome"),
@@ -333,7 +333,7 @@
 
         anyio.run(body)
 
-    def test_lost_order_may_have_been_taken(self) -> None:
+    def test_outcome_of_a_lost_order_is_unknown(self) -> None:
         async def body() -> None:
             client = client_of(b"HTTP/1.1 202 X\r\nContent-Length: 9\r\n\r\n")
             layers = pipeline.LayerRange(0, 9)
@@ -346,7 +346,7 @@
     @pytest.mark.parametrize(
         ("status", "is_gone"), [(421, True), (503, False), (500, False)]
     )
-    def test_only_another_instance_proves_that_one_is_gone(
+    def test_instance_is_gone_only_if_another_one_answers(
         self, status: int, is_gone: bool
     ) -> None:
         async def body() -> None:
@@ -357,7 +357,7 @@
 
         anyio.run(body)
 
-    def test_refused_change_of_path_names_the_cause(self) -> None:
+    def test_refused_repath_names_the_culprit(self) -> None:
         async def body() -> None:
             client = client_of(reply(409, "", b'{"address":"10.0.0.1:7"}'))
             upstream = fleet_system.upstream("i-9")
@@ -380,7 +380,7 @@
             (reply(500), False),
         ],
     )
-    def test_only_the_upstream_says_that_it_did_not_run(
+    def test_answers_that_state_that_a_request_did_not_run(
         self, answer: bytes, has_not_run: bool
     ) -> None:
         async def body() -> None:
@@ -404,16 +404,16 @@
         [engines.UpstreamClient, chain.Upstream], typing.Awaitable[object]
     ],
 ) -> list[interfaces.Notice]:
-    """Return what is told of an answer to whatever ``ask`` asks."""
+    """Return the notices of an answer to the call that ``ask`` makes."""
     client = client_of(answer)
-    told: list[interfaces.Notice] = []
-    client.subscribe(lambda _, notice: told.append(notice))
+    notices: list[interfaces.Notice] = []
+    client.subscribe(lambda _, notice: notices.append(notice))
     try:
         await ask(client, fleet_system.upstream("i-9"))
     except errors.CrowdeckError:
-        # An answer that tells of a failure tells of its sender as well.
-        return told
-    return told
+        # An answer with an error also causes a notice.
+        return notices
+    return notices
 
 
 async def ask_request(
@@ -446,7 +446,7 @@
 
 
 class TestBackpressure:
-    """What the head of an answer says of its sender."""
+    """Backpressure in the head of an answer."""
 
     @pytest.mark.parametrize(
         ("ask", "answers_request"),
@@ -458,19 +458,19 @@
         ],
     )
     @pytest.mark.parametrize("status", [200, 409, 500, 503])
-    def test_is_told_of_every_answer(
+    def test_every_answer_causes_a_notice(
         self, ask: typing.Any, answers_request: bool, status: int
     ) -> None:
         async def body() -> None:
             headers = "Server-Limit: 3.2\r\nServer-Leaving: 1\r\n"
-            (told,) = await notices_of(reply(status, headers), ask)
-            assert told.backpressure.limit == 3.2
-            assert told.backpressure.is_leaving
-            assert told.answers_request is answers_request
+            (notice,) = await notices_of(reply(status, headers), ask)
+            assert notice.backpressure.limit == 3.2
+            assert notice.backpressure.is_leaving
+            assert notice.answers_request is answers_request
 
         anyio.run(body)
 
-    def test_another_instances_answer_tells_nothing(self) -> None:
+    def test_answer_of_another_instance_causes_no_notice(self) -> None:
         async def body() -> None:
             answer = reply(421, "Server-Limit: 3.2\r\n")
             assert not await notices_of(answer, ask_request)
@@ -478,44 +478,42 @@
         anyio.run(body)
 
     @pytest.mark.parametrize("status", [200, 429, 500])
-    def test_only_an_instance_that_turns_away_asks_to_back_off(
-        self, status: int
-    ) -> None:
+    def test_only_status_503_asks_to_back_off(self, status: int) -> None:
         async def body() -> None:
             headers = "Retry-After: 3\r\n"
-            (told,) = await notices_of(reply(status, headers), ask_request)
-            assert told.backpressure == backpressure.NONE
-            (told,) = await notices_of(reply(503, headers), ask_request)
-            assert told.backpressure.backoff == 3.0
+            (notice,) = await notices_of(reply(status, headers), ask_request)
+            assert notice.backpressure == backpressure.NONE
+            (notice,) = await notices_of(reply(503, headers), ask_request)
+            assert notice.backpressure.backoff == 3.0
 
         anyio.run(body)
 
     @pytest.mark.parametrize(
         "value", ["", "x", "-1", "nan", "inf", "1e999", "Wed, 21 Oct 2026"]
     )
-    def test_what_cannot_be_read_asks_for_nothing(self, value: str) -> None:
+    def test_unreadable_values_are_ignored(self, value: str) -> None:
         async def body() -> None:
             headers = f"Server-Limit: {value}\r\nRetry-After: {value}\r\n"
-            (told,) = await notices_of(reply(503, headers), ask_request)
-            assert told.backpressure == backpressure.NONE
+            (notice,) = await notices_of(reply(503, headers), ask_request)
+            assert notice.backpressure == backpressure.NONE
 
         anyio.run(body)
 
-    def test_callers_are_not_told(self) -> None:
-        told = [
+    def test_callers_get_no_backpressure(self) -> None:
+        headers = [
             (b"Server-Limit", b"3"),
             (b"Server-Leaving", b"1"),
             (b"x-other", b"2"),
         ]
-        assert callers.caller_response_headers(told) == [(b"x-other", b"2")]
+        assert callers.caller_response_headers(headers) == [(b"x-other", b"2")]
 
 
-class _Calls:
-    """Answers the store's client from a list, noting what it asked."""
+class _RecordedCalls:
+    """Answers calls from a list and records them."""
 
     def __init__(self, answers: list[tuple[int, object]]) -> None:
         self._answers = answers
-        self.asked: list[tuple[str, str, object]] = []
+        self.sent: list[tuple[str, str, object]] = []
         self.headers: tuple[header.Header, ...] = ()
         self.epochs: list[str] = []
 
@@ -527,7 +525,7 @@
         body: bytes,
         timeout: float,
     ) -> object:
-        self.asked.append((method, path, orjson.loads(body or b"null")))
+        self.sent.append((method, path, orjson.loads(body or b"null")))
         status, content = self._answers.pop(0)
         if status == 0:
             raise errors.CrowdeckError(
@@ -541,7 +539,7 @@
         return upstream.ServiceResponse(status, headers, orjson.dumps(content))
 
 
-def an_object(name: str, revision: int, value: object) -> dict[str, object]:
+def make_object(name: str, revision: int, value: object) -> dict[str, object]:
     return {
         "metadata": {"name": name, "revision": revision},
         "specification": value,
@@ -549,98 +547,98 @@
     }
 
 
-def play_store(
+def make_store(
     answers: list[tuple[int, object]],
-) -> tuple[platform_store.HttpStore, _Calls]:
-    calls = _Calls(answers)
+) -> tuple[platform_store.HttpStore, _RecordedCalls]:
+    calls = _RecordedCalls(answers)
     store = platform_store.HttpStore(calls)  # type: ignore[arg-type]
     return store, calls
 
 
 class TestStore:
-    """The store's client."""
+    """The client of the store."""
 
-    def test_listing_goes_on_after_the_last_name(self) -> None:
+    def test_listing_continues_after_the_last_name(self) -> None:
         first = {
-            "items": [an_object("a", 1, 1)],
+            "items": [make_object("a", 1, 1)],
             "has_more": True,
             "timestamp": 9,
         }
         second = {
-            "items": [an_object("b", 12, 2)],
+            "items": [make_object("b", 12, 2)],
             "has_more": False,
             "timestamp": 12,
         }
-        store, calls = play_store([(200, first), (200, second)])
+        store, calls = make_store([(200, first), (200, second)])
         changes = virtual.run(store.list, "k")
         # A watch from the first page's revision misses nothing.
         assert changes.version == 9
         assert [one.name for one in changes.objects] == ["a", "b"]
-        assert calls.asked[1][1] == "/api/objects/k?after_revision=a"
+        assert calls.sent[1][1] == "/api/objects/k?after_revision=a"
 
     def test_watch_keeps_each_objects_last_state(self) -> None:
         events = [
-            {"tombstone": False, "object": an_object("a", 4, 1)},
-            {"tombstone": True, "object": an_object("a", 5, None)},
-            {"tombstone": True, "object": an_object("b", 6, None)},
-            {"tombstone": False, "object": an_object("b", 7, 2)},
+            {"tombstone": False, "object": make_object("a", 4, 1)},
+            {"tombstone": True, "object": make_object("a", 5, None)},
+            {"tombstone": True, "object": make_object("b", 6, None)},
+            {"tombstone": False, "object": make_object("b", 7, 2)},
         ]
-        store, _ = play_store([(200, {"events": events, "timestamp": 7})])
+        store, _ = make_store([(200, {"events": events, "timestamp": 7})])
         changes = virtual.run(store.watch, "k", stores.Position(3), 1.0)
         assert changes.removed == ("a",)
         assert [one.name for one in changes.objects] == ["b"]
         assert changes.version == 7
 
-    def test_lost_history_is_told(self) -> None:
-        store, _ = play_store([(410, {})])
+    def test_lost_history_is_an_error(self) -> None:
+        store, _ = make_store([(410, {})])
         with pytest.raises(errors.CrowdeckError) as caught:
             virtual.run(store.watch, "k", stores.Position(3), 1.0)
         assert caught.value.code is errors.Code.STORE_HISTORY
 
-    def test_history_of_another_epoch_is_lost_though_it_has_the_version(
+    def test_history_of_another_epoch_is_lost(
         self,
     ) -> None:
-        store, calls = play_store([(200, {"events": [], "timestamp": 7})])
+        store, calls = make_store([(200, {"events": [], "timestamp": 7})])
         calls.headers = (header.Header("store-era", "2"),)
         with pytest.raises(errors.CrowdeckError) as caught:
             virtual.run(store.watch, "k", stores.Position(3, 1), 1.0)
         assert caught.value.code is errors.Code.STORE_HISTORY
         assert store.epoch == 2
 
-    def test_listing_and_watch_tell_their_epoch(self) -> None:
+    def test_listing_and_watch_have_their_epoch(self) -> None:
         page = {"items": [], "has_more": False, "timestamp": 9}
-        news = {"events": [], "timestamp": 9}
-        store, calls = play_store([(200, page), (200, news)])
+        watch_body = {"events": [], "timestamp": 9}
+        store, calls = make_store([(200, page), (200, watch_body)])
         calls.headers = (header.Header("store-era", "3"),)
         listing = virtual.run(store.list, "k")
         assert listing.position == stores.Position(9, 3)
         changes = virtual.run(store.watch, "k", listing.position, 1.0)
         assert changes.position == stores.Position(9, 3)
 
-    def test_pages_of_two_epochs_are_no_listing(self) -> None:
+    def test_listing_fails_if_pages_have_two_epochs(self) -> None:
         page = {
-            "items": [an_object("a", 1, 1)],
+            "items": [make_object("a", 1, 1)],
             "has_more": True,
             "timestamp": 9,
         }
-        store, calls = play_store([(200, page), (200, page)])
+        store, calls = make_store([(200, page), (200, page)])
         calls.epochs = ["1", "2"]
         with pytest.raises(errors.CrowdeckError) as caught:
             virtual.run(store.list, "k")
         assert caught.value.code is errors.Code.STORE_DOWN
 
-    def test_unreadable_epoch_is_the_one_before(self) -> None:
+    def test_unreadable_epoch_keeps_the_last_one(self) -> None:
         page = {"items": [], "has_more": False, "timestamp": 9}
-        store, calls = play_store([(200, page), (200, page)])
+        store, calls = make_store([(200, page), (200, page)])
         calls.headers = (header.Header("store-era", "3"),)
         virtual.run(store.list, "k")
         calls.headers = (header.Header("store-era", "x"),)
         assert virtual.run(store.list, "k").epoch == 3
 
-    def test_refusal_without_an_epoch_tells_none(self) -> None:
-        # A proxy that answers for the store knows nothing of it.
+    def test_refusal_without_an_epoch_keeps_the_last_one(self) -> None:
+        # A proxy that answers for the store does not know the epoch.
         page = {"items": [], "has_more": False, "timestamp": 9}
-        store, calls = play_store([(200, page), (503, {})])
+        store, calls = make_store([(200, page), (503, {})])
         calls.headers = (header.Header("store-era", "3"),)
         virtual.run(store.list, "k")
         calls.headers = ()
@@ -648,12 +646,12 @@
             virtual.run(store.list, "k")
         assert store.epoch == 3
 
-    def test_objects_are_created_and_replaced_under_a_condition(self) -> None:
-        answer = an_object("a", 5, {"x": 1})
-        store, calls = play_store([(200, answer), (200, answer)])
-        virtual.run(store.put, "k", "a", b'{"x":1}', stores.CREATE)
+    def test_writes_are_conditional(self) -> None:
+        answer = make_object("a", 5, {"x": 1})
+        store, calls = make_store([(200, answer), (200, answer)])
+        virtual.run(store.put, "k", "a", b'{"x":1}', stores.NO_VERSION)
         virtual.run(store.put, "k", "a", b'{"x":1}', 4)
-        created, replaced = calls.asked
+        created, replaced = calls.sent
         assert created[:2] == ("POST", "/api/objects/k")
         assert replaced[:2] == ("PUT", "/api/objects/k/a")
         assert isinstance(replaced[2], dict)
@@ -670,18 +668,18 @@
         ],
     )
     def test_failed_writes(self, status: int, code: errors.Code) -> None:
-        store, _ = play_store([(status, {})])
+        store, _ = make_store([(status, {})])
         with pytest.raises(errors.CrowdeckError) as caught:
             virtual.run(store.put, "k", "a", b"1", 4)
         assert caught.value.code is code
 
 
 class TestNames:
-    """The platform's names stand in the adapter and nowhere else."""
+    """Names of the platform are used only in the adapter."""
 
-    # Words so peculiar to the platform that one in another module can
-    # only be its name; the rest of its names are everyday words.
-    PECULIAR = tuple(
+    # Names that no other module can use in another sense. The others are
+    # common words.
+    DISTINCTIVE = tuple(
         value.decode() if isinstance(value, bytes) else value
         for name, value in vars(names).items()
         if name.isupper()
@@ -692,17 +690,17 @@
             or ("_" in str(value) and value not in ("per_seq_ms",))
         )
     )
-    # Names that also are the product's own, or another protocol's.
+    # Names that are also used by this project or another protocol.
     SHARED = frozenset({"max_attempts", "step_ms", "layer_mb", "load_time_s"})
 
-    def test_stand_nowhere_else(self) -> None:
+    def test_names_are_not_used_elsewhere(self) -> None:
         root = pathlib.Path(crowdeck.__file__).parent
         found = []
         for path in sorted(root.rglob("*.py")):
             if path.parent.name == "platform":
                 continue
             text = path.read_text().lower()
-            for name in self.PECULIAR:
+            for name in self.DISTINCTIVE:
                 if name in self.SHARED:
                     continue
                 quoted = (f'"{name}"', f'"{name}', f"'{name}'")
@@ -711,4 +709,4 @@
         assert found == []
 
     def test_there_are_names_to_look_for(self) -> None:
-        assert len(self.PECULIAR) > 30
+        assert len(self.DISTINCTIVE) > 30
