--- a/bench/paths.py
+++ b/bench/paths.py
@@ -53,7 +53,7 @@
 REPEATS = 30
 
 
-def a_fleet(count: int, seed: int = 1) -> list[chain.Upstream]:
+def make_fleet(count: int, seed: int = 1) -> list[chain.Upstream]:
     """Return engines whose ranges cover the model in every zone."""
     rng = random.Random(seed)
     shares = [share for share, _, _ in CARDS]
@@ -82,7 +82,7 @@
 
 async def measure(count: int) -> float:
     """Return the processor time of one choice, in ms."""
-    fleet = a_fleet(count)
+    fleet = make_fleet(count)
     usage = usages.InFlight()
     usage.set_entry_count(13, 68)
     planner = hops.HopPlanner(usage)
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -143,7 +143,7 @@
         # Planning blocks the event loop, so the search must not expand every
         # engine.
         async def body() -> None:
-            fleet = paths.a_fleet(130)
+            fleet = paths.make_fleet(130)
             usage = usages.InFlight()
             usage.set_entry_count(13, 68)
             planner = hops.HopPlanner(usage)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -312,7 +312,9 @@
         monkeypatch.setattr(
             initial_layout.InitialLayoutSearch, "find_layout", record_size
         )
-        fleet = [attrs.evolve(one, layers=None) for one in paths.a_fleet(600)]
+        fleet = [
+            attrs.evolve(one, layers=None) for one in paths.make_fleet(600)
+        ]
         moves = plan.next_moves(fleet, paths.PROFILE, lambda _: True)
         assert max(sizes) <= plan.MAX_GROUP_SIZE
         assert {one.upstream.name for one in moves} == {
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -18,11 +18,11 @@
     """The engines that one entry uses of a fleet."""
 
     def test_a_small_fleet_is_used_whole(self) -> None:
-        fleet = paths.a_fleet(subsets.SUBSET_THRESHOLD_ENGINES)
+        fleet = paths.make_fleet(subsets.SUBSET_THRESHOLD_ENGINES)
         assert subsets.EngineSubset("entry-0", ZONE).pick(fleet) == fleet
 
     def test_a_subset_holds_every_layer(self) -> None:
-        fleet = paths.a_fleet(2_997)
+        fleet = paths.make_fleet(2_997)
         for number in range(20):
             picked = subsets.EngineSubset(f"entry-{number}", ZONE).pick(fleet)
             assert (
@@ -34,7 +34,7 @@
             assert min(chain.coverage(own, paths.LAYERS)) >= 2
 
     def test_engines_are_spread_evenly(self) -> None:
-        fleet = paths.a_fleet(1_500)
+        fleet = paths.make_fleet(1_500)
         drawn: collections.Counter[str] = collections.Counter()
         for number in range(60):
             subset = subsets.EngineSubset(f"entry-{number}", ZONE)
@@ -49,7 +49,7 @@
         assert max(drawn.values()) < 2 * mean
 
     def test_is_stable_when_other_engines_go(self) -> None:
-        fleet = paths.a_fleet(1_500)
+        fleet = paths.make_fleet(1_500)
         subset = subsets.EngineSubset("entry-0", ZONE)
         before = {one.name for one in subset.pick(fleet)}
         gone = {one.name for one in fleet[::100]}
