--- a/bench/paths.py
+++ b/bench/paths.py
@@ -21,7 +21,7 @@
 from crowdeck.routing import hops
 from crowdeck.routing import usage as usages
 
-LAYERS = 80
+LAYER_COUNT = 80
 ZONES = ("plateau", "almadies", "pikine", "rufisque", "guediawaye")
 # Cards by how many of 130 engines have one: memory in MB, factors on the
 # time of a step and of reading, and the most layers one is given.
@@ -32,7 +32,7 @@
     (58, chain.AcceleratorType("t4", 14_400.0, 15.0, 15.0), 7),
 )
 PROFILE = chain.EngineProfile(
-    layer_count=LAYERS,
+    layer_count=LAYER_COUNT,
     layer_mb=1750.0,
     kv_bytes_per_token=656_000.0,
     step_ms=0.85,
@@ -63,8 +63,8 @@
         _, card, most = rng.choices(CARDS, shares)[0]
         zone = ZONES[number % len(ZONES)]
         first = starts[zone]
-        end = min(LAYERS, first + rng.randint(max(3, most - 4), most))
-        starts[zone] = end % LAYERS
+        end = min(LAYER_COUNT, first + rng.randint(max(3, most - 4), most))
+        starts[zone] = end % LAYER_COUNT
         found.append(
             chain.Upstream(
                 name=f"e{number}",
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -326,7 +326,7 @@
                 for one in moves
                 if one.upstream.availability_zone == zone
             ]
-            counts = chain.coverage(held, paths.LAYERS)
+            counts = chain.coverage(held, paths.LAYER_COUNT)
             # Each group holds two copies. The number of searches is not the
             # number of groups, as one group of each zone is searched twice.
             parts = len(fleet) // len(paths.ZONES) // plan.GROUP_SIZE
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -31,7 +31,7 @@
                 + subsets.MAX_OTHER_ZONE_ENGINES
             )
             own = [one for one in picked if one.availability_zone == ZONE]
-            assert min(chain.coverage(own, paths.LAYERS)) >= 2
+            assert min(chain.coverage(own, paths.LAYER_COUNT)) >= 2
 
     def test_engines_are_spread_evenly(self) -> None:
         fleet = paths.make_fleet(1_500)
