--- a/bench/placement.py
+++ b/bench/placement.py
@@ -78,24 +78,24 @@
     cut: float
 
 
-def make(name: str, described: dict[str, typing.Any]) -> Fleet:
+def make(name: str, description: dict[str, typing.Any]) -> Fleet:
     """Return a fleet from its description in ``fleets.toml``."""
     cards = {
         card: chain.AcceleratorType(
             card, it["memory_mb"], it["step"], it["read"]
         )
-        for card, it in described["cards"].items()
+        for card, it in description["cards"].items()
     }
     engines = [
         _engine(f"{zone}-{card}-{number}", zone, card)
-        for zone, counts in described["zones"].items()
+        for zone, counts in description["zones"].items()
         for card, count in counts.items()
         for number in range(count)
     ]
     profile = chain.EngineProfile(
         layer_count=LAYERS,
         layer_mb=1750.0,
-        kv_bytes_per_token=described["token_bytes"],
+        kv_bytes_per_token=description["token_bytes"],
         step_ms=1.02,
         sequence_ms=0.006,
         context_ms_per_1000_tokens=0.008,
@@ -105,11 +105,11 @@
         load_seconds=14.0,
         concurrent_loads=8,
         slots=96,
-        mean_prompt_tokens=described["prompt"],
-        mean_answer_tokens=described["answer"],
+        mean_prompt_tokens=description["prompt"],
+        mean_answer_tokens=description["answer"],
         cards=cards,
     )
-    streams = described["streams_per_second"]
+    streams = description["streams_per_second"]
     return Fleet(name, profile, tuple(engines), streams)
 
 
@@ -125,14 +125,14 @@
     )
 
 
-def described() -> list[Fleet]:
+def load_fleets() -> list[Fleet]:
     """Return the fleets of ``fleets.toml``."""
     with FLEETS.open("rb") as file:
         found = tomllib.load(file)
     return [make(name, it) for name, it in found.items()]
 
 
-def drawn(seed: int) -> Fleet:
+def random_fleet(seed: int) -> Fleet:
     """Return a fleet of random cards that holds the model in each zone."""
     rng = random.Random(seed)
     cards = {
@@ -144,7 +144,7 @@
         for number in range(rng.randint(2, 4))
     }
     zones = {
-        f"zone{number}": _drawn_zone(rng, cards)
+        f"zone{number}": _random_zone(rng, cards)
         for number in range(rng.randint(2, 4))
     }
     count = sum(sum(counts.values()) for counts in zones.values())
@@ -161,7 +161,7 @@
     )
 
 
-def _drawn_zone(
+def _random_zone(
     rng: random.Random, cards: dict[str, dict[str, float]]
 ) -> dict[str, int]:
     """Return counts of cards that hold 1.3 to 3 copies of the model."""
@@ -314,7 +314,7 @@
     parser.add_argument("--times", type=float, default=1.0)
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
-    fleets = [*described(), *map(drawn, range(1, options.drawn + 1))]
+    fleets = [*load_fleets(), *map(random_fleet, range(1, options.drawn + 1))]
     first, second = LAYOUTS[options.first], LAYOUTS[options.second]
     for fleet in fleets:
         found = compare(fleet, first, second, options.seeds, options.times)
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -16,7 +16,7 @@
 from crowdeck.placement import plan
 from tests import fleet_system
 
-FLEETS = {fleet.name: fleet for fleet in placement.described()}
+FLEETS = {fleet.name: fleet for fleet in placement.load_fleets()}
 MIXED = FLEETS["quick_enough"]
 PROFILE = MIXED.profile
 
@@ -127,7 +127,7 @@
     def test_tiers_are_not_used_if_they_expose_streams_more(self) -> None:
         # The fast cards are small, so a path within their tier has many hops
         # and the loss of an engine would interrupt more streams.
-        fleet = placement.drawn(6)
+        fleet = placement.random_fleet(6)
         engines = list(fleet.engines)
         assert placement.in_tiers(
             engines, fleet.profile
@@ -135,7 +135,7 @@
 
     @pytest.mark.parametrize("seed", range(1, 13))
     def test_random_fleets_are_not_worse_with_tiers(self, seed: int) -> None:
-        fleet = placement.drawn(seed)
+        fleet = placement.random_fleet(seed)
         before = placement.play(fleet, placement.together)
         after = placement.play(fleet, placement.in_tiers)
         assert after.cut <= 1.08 * before.cut
