--- a/bench/placement.py
+++ b/bench/placement.py
@@ -174,14 +174,16 @@
     return counts
 
 
-def in_tiers(engines: Engines, profile: chain.EngineProfile) -> Engines:
+def place_in_tiers(engines: Engines, profile: chain.EngineProfile) -> Engines:
     """Place layers as the entries do."""
     moves = plan.next_moves(engines, profile, lambda _: True)
     held = {move.upstream.name: move.layers for move in moves}
     return [attrs.evolve(one, layers=held.get(one.name)) for one in engines]
 
 
-def together(engines: Engines, profile: chain.EngineProfile) -> Engines:
+def place_as_one_group(
+    engines: Engines, profile: chain.EngineProfile
+) -> Engines:
     """Lay each zone's engines out as one group, whatever their pace."""
     arranger = initial_layout.InitialLayoutSearch(
         profile,
@@ -198,7 +200,10 @@
     return found
 
 
-LAYOUTS: dict[str, Layout] = {"together": together, "tiers": in_tiers}
+LAYOUTS: dict[str, Layout] = {
+    "together": place_as_one_group,
+    "tiers": place_in_tiers,
+}
 
 
 def play(
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -22,7 +22,7 @@
 
 
 def in_tiers(fleet: list[chain.Upstream]) -> list[chain.Upstream]:
-    return placement.in_tiers(fleet, PROFILE)
+    return placement.place_in_tiers(fleet, PROFILE)
 
 
 def held_by(fleet: list[chain.Upstream], zone: str, *cards: str) -> list[int]:
@@ -51,9 +51,9 @@
     def test_too_few_fast_cards_form_no_tier(self) -> None:
         few = FLEETS["few_quick"]
         engines = list(few.engines)
-        assert placement.in_tiers(engines, few.profile) == placement.together(
+        assert placement.place_in_tiers(
             engines, few.profile
-        )
+        ) == placement.place_as_one_group(engines, few.profile)
 
     def test_restarted_engine_joins_its_own_tier(self) -> None:
         # The slow cards hold copies only of the layers that the fast one lost.
@@ -129,15 +129,15 @@
         # and the loss of an engine would interrupt more streams.
         fleet = placement.random_fleet(6)
         engines = list(fleet.engines)
-        assert placement.in_tiers(
+        assert placement.place_in_tiers(
             engines, fleet.profile
-        ) == placement.together(engines, fleet.profile)
+        ) == placement.place_as_one_group(engines, fleet.profile)
 
     @pytest.mark.parametrize("seed", range(1, 13))
     def test_random_fleets_are_not_worse_with_tiers(self, seed: int) -> None:
         fleet = placement.random_fleet(seed)
-        before = placement.play(fleet, placement.together)
-        after = placement.play(fleet, placement.in_tiers)
+        before = placement.play(fleet, placement.place_as_one_group)
+        after = placement.play(fleet, placement.place_in_tiers)
         assert after.cut <= 1.08 * before.cut
         assert after.refused <= before.refused + 0.01
 
@@ -163,13 +163,15 @@
     def test_streams_are_faster_and_a_loss_interrupts_fewer(
         self, times: float
     ) -> None:
-        before = placement.play(MIXED, placement.together, times=times)
-        after = placement.play(MIXED, placement.in_tiers, times=times)
+        before = placement.play(
+            MIXED, placement.place_as_one_group, times=times
+        )
+        after = placement.play(MIXED, placement.place_in_tiers, times=times)
         assert after.refused == 0
         assert after.token_ms < 0.88 * before.token_ms
         assert after.cut < 0.7 * before.cut
 
     def test_no_stream_is_refused_at_twice_the_load(self) -> None:
         # Streams that do not fit on the fast cards go to the slower ones.
-        after = placement.play(MIXED, placement.in_tiers, times=2.0)
+        after = placement.play(MIXED, placement.place_in_tiers, times=2.0)
         assert after.refused == 0
