--- a/bench/placement.py
+++ b/bench/placement.py
@@ -206,24 +206,24 @@
 }
 
 
-def play(
-    fleet: Fleet, layout: Layout, seed: int = 1, times: float = 1.0
+def simulate(
+    fleet: Fleet, layout: Layout, seed: int = 1, rate_factor: float = 1.0
 ) -> Played:
     """Send streams over paths chosen as entries choose them.
 
-    :param times: how many times the fleet's streams a second.
+    :param rate_factor: how many times the fleet's streams a second.
     """
     placed = layout(list(fleet.engines), fleet.profile)
 
     async def run() -> Played:
-        return _send(fleet, placed, random.Random(seed), times)
+        return _send(fleet, placed, random.Random(seed), rate_factor)
 
     played: Played = virtual.run(run)
     return played
 
 
 def _send(
-    fleet: Fleet, placed: Engines, rng: random.Random, times: float
+    fleet: Fleet, placed: Engines, rng: random.Random, rate_factor: float
 ) -> Played:
     usage = usages.InFlight()
     planner = hops.HopPlanner(usage)
@@ -233,7 +233,7 @@
     passed: list[int] = []
     refused, now = 0, 0.0
     while now < PLAYED_SECONDS:
-        now += rng.expovariate(times * fleet.streams_per_second)
+        now += rng.expovariate(rate_factor * fleet.streams_per_second)
         while ends and ends[0][0] < now:
             usage.remove_request(heapq.heappop(ends)[2], fleet.tokens)
         wanted = hops.PathRequest(
@@ -283,11 +283,14 @@
 
 
 def compare(
-    fleet: Fleet, first: Layout, second: Layout, seeds: int, times: float
+    fleet: Fleet, first: Layout, second: Layout, seeds: int, rate_factor: float
 ) -> Comparison:
     """Play a fleet with two layouts and the same streams."""
     pairs = [
-        (play(fleet, first, seed, times), play(fleet, second, seed, times))
+        (
+            simulate(fleet, first, seed, rate_factor),
+            simulate(fleet, second, seed, rate_factor),
+        )
         for seed in range(1, seeds + 1)
     ]
     saved = [1.0 - two.cut / one.cut for one, two in pairs]
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -136,8 +136,8 @@
     @pytest.mark.parametrize("seed", range(1, 13))
     def test_random_fleets_are_not_worse_with_tiers(self, seed: int) -> None:
         fleet = placement.random_fleet(seed)
-        before = placement.play(fleet, placement.place_as_one_group)
-        after = placement.play(fleet, placement.place_in_tiers)
+        before = placement.simulate(fleet, placement.place_as_one_group)
+        after = placement.simulate(fleet, placement.place_in_tiers)
         assert after.cut <= 1.08 * before.cut
         assert after.refused <= before.refused + 0.01
 
@@ -163,15 +163,19 @@
     def test_streams_are_faster_and_a_loss_interrupts_fewer(
         self, times: float
     ) -> None:
-        before = placement.play(
-            MIXED, placement.place_as_one_group, times=times
+        before = placement.simulate(
+            MIXED, placement.place_as_one_group, rate_factor=times
+        )
+        after = placement.simulate(
+            MIXED, placement.place_in_tiers, rate_factor=times
         )
-        after = placement.play(MIXED, placement.place_in_tiers, times=times)
         assert after.refused == 0
         assert after.token_ms < 0.88 * before.token_ms
         assert after.cut < 0.7 * before.cut
 
     def test_no_stream_is_refused_at_twice_the_load(self) -> None:
         # Streams that do not fit on the fast cards go to the slower ones.
-        after = placement.play(MIXED, placement.place_in_tiers, times=2.0)
+        after = placement.simulate(
+            MIXED, placement.place_in_tiers, rate_factor=2.0
+        )
         assert after.refused == 0
