--- a/bench/paths.py
+++ b/bench/paths.py
@@ -21,7 +21,7 @@
 from crowdeck.routing import hops
 from crowdeck.routing import usage as usages
 
-LAYERS = 80
+LAYER_COUNT = 80
 ZONES = ("plateau", "almadies", "pikine", "rufisque", "guediawaye")
 # Cards by how many of 130 engines have one: memory in MB, factors on the
 # time of a step and of reading, and the most layers one is given.
@@ -32,7 +32,7 @@
     (58, chain.AcceleratorType("t4", 14_400.0, 15.0, 15.0), 7),
 )
 PROFILE = chain.EngineProfile(
-    layer_count=LAYERS,
+    layer_count=LAYER_COUNT,
     layer_mb=1750.0,
     kv_bytes_per_token=656_000.0,
     step_ms=0.85,
@@ -53,7 +53,7 @@
 REPEATS = 30
 
 
-def a_fleet(count: int, seed: int = 1) -> list[chain.Upstream]:
+def make_fleet(count: int, seed: int = 1) -> list[chain.Upstream]:
     """Return engines whose ranges cover the model in every zone."""
     rng = random.Random(seed)
     shares = [share for share, _, _ in CARDS]
@@ -63,8 +63,8 @@
         _, card, most = rng.choices(CARDS, shares)[0]
         zone = ZONES[number % len(ZONES)]
         first = starts[zone]
-        end = min(LAYERS, first + rng.randint(max(3, most - 4), most))
-        starts[zone] = end % LAYERS
+        end = min(LAYER_COUNT, first + rng.randint(max(3, most - 4), most))
+        starts[zone] = end % LAYER_COUNT
         found.append(
             chain.Upstream(
                 name=f"e{number}",
@@ -82,7 +82,7 @@
 
 async def measure(count: int) -> float:
     """Return the processor time of one choice, in ms."""
-    fleet = a_fleet(count)
+    fleet = make_fleet(count)
     usage = usages.InFlight()
     usage.set_entry_count(13, 68)
     planner = hops.HopPlanner(usage)
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -78,24 +78,24 @@
     cut: float
 
 
-def make(name: str, described: dict[str, typing.Any]) -> Fleet:
+def make(name: str, description: dict[str, typing.Any]) -> Fleet:
     """Return a fleet from its description in ``fleets.toml``."""
     cards = {
         card: chain.AcceleratorType(
             card, it["memory_mb"], it["step"], it["read"]
         )
-        for card, it in described["cards"].items()
+        for card, it in description["cards"].items()
     }
     engines = [
         _engine(f"{zone}-{card}-{number}", zone, card)
-        for zone, counts in described["zones"].items()
+        for zone, counts in description["zones"].items()
         for card, count in counts.items()
         for number in range(count)
     ]
     profile = chain.EngineProfile(
         layer_count=LAYERS,
         layer_mb=1750.0,
-        kv_bytes_per_token=described["token_bytes"],
+        kv_bytes_per_token=description["token_bytes"],
         step_ms=1.02,
         sequence_ms=0.006,
         context_ms_per_1000_tokens=0.008,
@@ -105,11 +105,11 @@
         load_seconds=14.0,
         concurrent_loads=8,
         slots=96,
-        mean_prompt_tokens=described["prompt"],
-        mean_answer_tokens=described["answer"],
+        mean_prompt_tokens=description["prompt"],
+        mean_answer_tokens=description["answer"],
         cards=cards,
     )
-    streams = described["streams_per_second"]
+    streams = description["streams_per_second"]
     return Fleet(name, profile, tuple(engines), streams)
 
 
@@ -125,14 +125,14 @@
     )
 
 
-def described() -> list[Fleet]:
+def load_fleets() -> list[Fleet]:
     """Return the fleets of ``fleets.toml``."""
     with FLEETS.open("rb") as file:
         found = tomllib.load(file)
     return [make(name, it) for name, it in found.items()]
 
 
-def drawn(seed: int) -> Fleet:
+def random_fleet(seed: int) -> Fleet:
     """Return a fleet of random cards that holds the model in each zone."""
     rng = random.Random(seed)
     cards = {
@@ -144,7 +144,7 @@
         for number in range(rng.randint(2, 4))
     }
     zones = {
-        f"zone{number}": _drawn_zone(rng, cards)
+        f"zone{number}": _random_zone(rng, cards)
         for number in range(rng.randint(2, 4))
     }
     count = sum(sum(counts.values()) for counts in zones.values())
@@ -161,7 +161,7 @@
     )
 
 
-def _drawn_zone(
+def _random_zone(
     rng: random.Random, cards: dict[str, dict[str, float]]
 ) -> dict[str, int]:
     """Return counts of cards that hold 1.3 to 3 copies of the model."""
@@ -174,14 +174,16 @@
     return counts
 
 
-def in_tiers(engines: Engines, profile: chain.EngineProfile) -> Engines:
+def place_in_tiers(engines: Engines, profile: chain.EngineProfile) -> Engines:
     """Place layers as the entries do."""
     moves = plan.next_moves(engines, profile, lambda _: True)
     held = {move.upstream.name: move.layers for move in moves}
     return [attrs.evolve(one, layers=held.get(one.name)) for one in engines]
 
 
-def together(engines: Engines, profile: chain.EngineProfile) -> Engines:
+def place_as_one_group(
+    engines: Engines, profile: chain.EngineProfile
+) -> Engines:
     """Lay each zone's engines out as one group, whatever their pace."""
     arranger = initial_layout.InitialLayoutSearch(
         profile,
@@ -198,27 +200,30 @@
     return found
 
 
-LAYOUTS: dict[str, Layout] = {"together": together, "tiers": in_tiers}
+LAYOUTS: dict[str, Layout] = {
+    "together": place_as_one_group,
+    "tiers": place_in_tiers,
+}
 
 
-def play(
-    fleet: Fleet, layout: Layout, seed: int = 1, times: float = 1.0
+def simulate(
+    fleet: Fleet, layout: Layout, seed: int = 1, rate_factor: float = 1.0
 ) -> Played:
     """Send streams over paths chosen as entries choose them.
 
-    :param times: how many times the fleet's streams a second.
+    :param rate_factor: how many times the fleet's streams a second.
     """
     placed = layout(list(fleet.engines), fleet.profile)
 
     async def run() -> Played:
-        return _send(fleet, placed, random.Random(seed), times)
+        return _send(fleet, placed, random.Random(seed), rate_factor)
 
     played: Played = virtual.run(run)
     return played
 
 
 def _send(
-    fleet: Fleet, placed: Engines, rng: random.Random, times: float
+    fleet: Fleet, placed: Engines, rng: random.Random, rate_factor: float
 ) -> Played:
     usage = usages.InFlight()
     planner = hops.HopPlanner(usage)
@@ -228,7 +233,7 @@
     passed: list[int] = []
     refused, now = 0, 0.0
     while now < PLAYED_SECONDS:
-        now += rng.expovariate(times * fleet.streams_per_second)
+        now += rng.expovariate(rate_factor * fleet.streams_per_second)
         while ends and ends[0][0] < now:
             usage.remove_request(heapq.heappop(ends)[2], fleet.tokens)
         wanted = hops.PathRequest(
@@ -278,11 +283,14 @@
 
 
 def compare(
-    fleet: Fleet, first: Layout, second: Layout, seeds: int, times: float
+    fleet: Fleet, first: Layout, second: Layout, seeds: int, rate_factor: float
 ) -> Comparison:
     """Play a fleet with two layouts and the same streams."""
     pairs = [
-        (play(fleet, first, seed, times), play(fleet, second, seed, times))
+        (
+            simulate(fleet, first, seed, rate_factor),
+            simulate(fleet, second, seed, rate_factor),
+        )
         for seed in range(1, seeds + 1)
     ]
     saved = [1.0 - two.cut / one.cut for one, two in pairs]
@@ -314,7 +322,7 @@
     parser.add_argument("--times", type=float, default=1.0)
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
-    fleets = [*described(), *map(drawn, range(1, options.drawn + 1))]
+    fleets = [*load_fleets(), *map(random_fleet, range(1, options.drawn + 1))]
     first, second = LAYOUTS[options.first], LAYOUTS[options.second]
     for fleet in fleets:
         found = compare(fleet, first, second, options.seeds, options.times)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -312,7 +312,9 @@
         monkeypatch.setattr(
             initial_layout.InitialLayoutSearch, "find_layout", record_size
         )
-        fleet = [attrs.evolve(one, layers=None) for one in paths.a_fleet(600)]
+        fleet = [
+            attrs.evolve(one, layers=None) for one in paths.make_fleet(600)
+        ]
         moves = plan.next_moves(fleet, paths.PROFILE, lambda _: True)
         assert max(sizes) <= plan.MAX_GROUP_SIZE
         assert {one.upstream.name for one in moves} == {
@@ -324,7 +326,7 @@
                 for one in moves
                 if one.upstream.availability_zone == zone
             ]
-            counts = chain.coverage(held, paths.LAYERS)
+            counts = chain.coverage(held, paths.LAYER_COUNT)
             # Each group holds two copies. The number of searches is not the
             # number of groups, as one group of each zone is searched twice.
             parts = len(fleet) // len(paths.ZONES) // plan.GROUP_SIZE
