--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -67,12 +67,14 @@
         repeat=repeat,
         shares=_shares(body),
         max_attempts=int(body.get(names.MAX_ATTEMPTS, 1)),
-        timeout=_seconds(body.get(names.TIMEOUT_MS, DEFAULT_TIMEOUT_MS)),
-        objective=_seconds(
+        timeout_seconds=_seconds(
+            body.get(names.TIMEOUT_MS, DEFAULT_TIMEOUT_MS)
+        ),
+        objective_seconds=_seconds(
             body.get(names.OBJECTIVE_MS)
             or body.get(names.TIMEOUT_MS, DEFAULT_TIMEOUT_MS)
         ),
-        gap=_seconds(body.get(names.GAP_MS) or 0),
+        max_pause_seconds=_seconds(body.get(names.GAP_MS) or 0),
         priority=int(body.get(names.CONFIG_PRIORITY) or 0),
         is_anonymous=bool(body.get(names.ANONYMOUS, False)),
         is_resumable=is_resumable,
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -124,8 +124,10 @@
         self._admitted = admitted
         self._service = service
         self._route = admitted.route
-        timeout_seconds = request.timeout_seconds or self._route.timeout
-        limit = min(timeout_seconds, self._route.timeout)
+        timeout_seconds = (
+            request.timeout_seconds or self._route.timeout_seconds
+        )
+        limit = min(timeout_seconds, self._route.timeout_seconds)
         self._deadline = request.arrived + limit - ANSWER_MARGIN_SECONDS
         self._tried: set[str] = set()
         self._sent = 0
@@ -202,7 +204,8 @@
             ``DEADLINE`` if too little time is left.
         """
         until = (
-            self._request.arrived + QUEUE_WAIT_SHARE * self._route.objective
+            self._request.arrived
+            + QUEUE_WAIT_SHARE * self._route.objective_seconds
         )
         self._unavailable = self._context.backpressure.unavailable_addresses(
             self._service.name
@@ -316,7 +319,7 @@
     def _attempt_seconds(self) -> float:
         left = self._seconds_left()
         if self._route.may_repeat and self._sent < self._max_sends:
-            return min(left, self._route.timeout * FIRST_ATTEMPT_SHARE)
+            return min(left, self._route.timeout_seconds * FIRST_ATTEMPT_SHARE)
         return left
 
     async def _exchange(self, upstream: chain.Upstream) -> _Answer:
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -65,8 +65,9 @@
             request=request,
             service=service,
             profile=service.profile,
-            max_pause=admitted.route.gap or admitted.route.objective,
-            objective=admitted.route.objective,
+            max_pause=admitted.route.max_pause_seconds
+            or admitted.route.objective_seconds,
+            objective=admitted.route.objective_seconds,
             tokens=token_counts.mean_tokens(
                 service.profile.mean_answer_tokens
             ),
@@ -110,8 +111,10 @@
         self._route = admitted.route
         self._request = stream.request
         self._sink = sink
-        timeout_seconds = self._request.timeout_seconds or self._route.timeout
-        limit = min(timeout_seconds, self._route.timeout)
+        timeout_seconds = (
+            self._request.timeout_seconds or self._route.timeout_seconds
+        )
+        limit = min(timeout_seconds, self._route.timeout_seconds)
         self._deadline = self._request.arrived + limit - ANSWER_MARGIN_SECONDS
         self._ran_on: set[str] = set()
         self._refusals = 0
--- a/src/crowdeck/route.py
+++ b/src/crowdeck/route.py
@@ -39,9 +39,11 @@
     """Where requests of one host and path prefix go, and how.
 
     :ivar max_attempts: maximum number of upstreams for one request.
-    :ivar timeout: maximum duration of a request in seconds.
-    :ivar objective: seconds within which an answer is in time.
-    :ivar gap: longest pause in a stream that is in time, in seconds.
+    :ivar timeout_seconds: maximum duration of a request.
+    :ivar objective_seconds: latency objective of an answer; for streams, of
+        the first event.
+    :ivar max_pause_seconds: longest pause between events for which a stream
+        is in time; 0 where the config sets none.
     :ivar is_anonymous: whether requests need no key.
     :ivar is_resumable: whether another upstream may continue a stream.
     """
@@ -52,9 +54,9 @@
     repeat: RepeatPolicy
     shares: tuple[TrafficShare, ...]
     max_attempts: int
-    timeout: float
-    objective: float
-    gap: float
+    timeout_seconds: float
+    objective_seconds: float
+    max_pause_seconds: float
     priority: int
     is_anonymous: bool
     is_resumable: bool
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -181,10 +181,12 @@
         assert stream.is_resumable and stream.may_repeat
         assert stream.host == "desk.example"
         assert [one.weight for one in stream.shares] == [90.0, 10.0]
-        assert stream.timeout == 20.0 and stream.gap == 0.2
+        assert (
+            stream.timeout_seconds == 20.0 and stream.max_pause_seconds == 0.2
+        )
         assert once.repeat is routes.RepeatPolicy.ONCE
         assert not once.may_repeat
-        assert once.objective == 1.2
+        assert once.objective_seconds == 1.2
         profile = config.services[0].profile
         assert profile is not None
         assert profile.layer_count == 80
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -352,7 +352,7 @@
         async def body() -> None:
             system = fleet_system.FleetSystem(name="entry")
             route = fleet_system.make_route(
-                IDEMPOTENT, objective=objective, timeout=4.0
+                IDEMPOTENT, objective_seconds=objective, timeout_seconds=4.0
             )
             system.install(fleet_system.make_config(config_routes=(route,)))
             found = []
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -254,7 +254,7 @@
             caller = await system.ask(system.request(ONCE))
             assert caller.error is not None
             assert caller.error.retry_after is not None
-            objective = fleet_system.make_route(ONCE).objective
+            objective = fleet_system.make_route(ONCE).objective_seconds
             assert caller.error.retry_after <= objective / 2
 
         run_scenario(work)
