--- a/src/crowdeck/backpressure.py
+++ b/src/crowdeck/backpressure.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Load limits that an upstream instance announces in its answers."""
+"""Limits on requests that an upstream instance announces in its answers."""
 
 import attrs
 
@@ -12,14 +12,15 @@
 class Backpressure:
     """The limits that one answer announces.
 
-    :ivar limit: requests a second that the instance accepts from all
-        entries together, ``None`` for no limit.
-    :ivar backoff: seconds for which the entry is to send it no request.
+    :ivar requests_per_second: limit on the requests of all entries together,
+        ``None`` for no limit.
+    :ivar backoff_seconds: time for which the entry must send the instance no
+        request.
     :ivar is_leaving: whether the instance will end soon.
     """
 
-    limit: float | None = None
-    backoff: float = 0.0
+    requests_per_second: float | None = None
+    backoff_seconds: float = 0.0
     is_leaving: bool = False
 
 
--- a/src/crowdeck/http.py
+++ b/src/crowdeck/http.py
@@ -56,18 +56,22 @@
 
 @attrs.frozen
 class Timeouts:
-    """Timeouts of one call in seconds."""
+    """Timeouts of one call.
 
-    connect: float
-    read: float
+    :ivar connect_seconds: maximum time until a connection is open.
+    :ivar read_seconds: maximum time of one read or write.
+    """
+
+    connect_seconds: float
+    read_seconds: float
 
     def as_extension(self) -> dict[str, float]:
         """Return the timeouts as httpcore's request extension."""
         return {
-            "connect": self.connect,
-            "pool": self.connect,
-            "read": self.read,
-            "write": self.read,
+            "connect": self.connect_seconds,
+            "pool": self.connect_seconds,
+            "read": self.read_seconds,
+            "write": self.read_seconds,
         }
 
 
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -283,8 +283,8 @@
     if response.status == _UNAVAILABLE:
         backoff = _decimal_header(response, names.RETRY_AFTER)
     return pressures.Backpressure(
-        limit=_decimal_header(response, names.LIMIT),
-        backoff=backoff or 0.0,
+        requests_per_second=_decimal_header(response, names.LIMIT),
+        backoff_seconds=backoff or 0.0,
         is_leaving=response.find(names.LEAVING).strip() == _IS_LEAVING,
     )
 
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -174,14 +174,14 @@
     ) -> None:
         """Apply the backpressure and load that an answer reports."""
         signals = notice.backpressure
-        if signals.backoff:
-            self.registry.back_off(upstream.name, signals.backoff)
+        if signals.backoff_seconds:
+            self.registry.back_off(upstream.name, signals.backoff_seconds)
         if signals.is_leaving:
             self.registry.note_leaving(upstream.name)
         load = notice.load
         self.limits.note(
             upstream,
-            signals.limit,
+            signals.requests_per_second,
             None if load is None else load.running + load.waiting,
             in_report=not notice.answers_request,
         )
--- a/src/crowdeck/sidecar/calls.py
+++ b/src/crowdeck/sidecar/calls.py
@@ -201,7 +201,7 @@
                 path=call.path,
                 headers=headers,
                 body=call.body,
-                timeout=call.seconds_left,
+                timeout_seconds=call.seconds_left,
             )
         )
         companions: tuple[questions.Companion, ...] = ()
@@ -238,7 +238,7 @@
             path=path,
             headers=call.headers,
             body=b"",
-            timeout=call.seconds_left,
+            timeout_seconds=call.seconds_left,
         )
         try:
             response = await service.call(request)
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -113,7 +113,7 @@
     def backpressure(self) -> pressures.Backpressure:
         """Backpressure that an answer to an accepted request announces."""
         return pressures.Backpressure(
-            limit=self.limit, is_leaving=self.announces_leaving
+            requests_per_second=self.limit, is_leaving=self.announces_leaving
         )
 
     @property
@@ -205,7 +205,7 @@
         timeouts: http.Timeouts,
     ) -> typing.AsyncIterator[chain_answer.StandinAnswer]:
         """Send a request."""
-        target = await self._dial(upstream, timeouts.connect)
+        target = await self._dial(upstream, timeouts.connect_seconds)
         await self._arrive(target, request)
         is_replaced = target.listed.incarnation.id != upstream.incarnation.id
         if is_replaced or target.rejected_requests:
@@ -488,7 +488,7 @@
         answer_backpressure = pressures.NONE
         if status == 503:
             answer_backpressure = attrs.evolve(
-                target.backpressure, backoff=target.backoff
+                target.backpressure, backoff_seconds=target.backoff
             )
         return chain_answer.StandinAnswer(
             status,
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -249,10 +249,12 @@
     if load is not None:
         load_text = f"{load.running},{load.waiting},{load.slots}"
         headers.append((names.LOAD, load_text.encode()))
-    if backpressure.limit is not None:
-        headers.append((names.LIMIT, str(backpressure.limit).encode()))
-    if backpressure.backoff:
-        seconds = str(backpressure.backoff).encode()
+    if backpressure.requests_per_second is not None:
+        headers.append(
+            (names.LIMIT, str(backpressure.requests_per_second).encode())
+        )
+    if backpressure.backoff_seconds:
+        seconds = str(backpressure.backoff_seconds).encode()
         headers.append((names.RETRY_AFTER, seconds))
     if backpressure.is_leaving:
         headers.append((names.LEAVING, b"1"))
--- a/src/crowdeck/upstream.py
+++ b/src/crowdeck/upstream.py
@@ -91,13 +91,17 @@
 
 @attrs.frozen
 class ServiceRequest:
-    """One HTTP request to a plain service."""
+    """One HTTP request to a plain service.
+
+    :ivar timeout_seconds: maximum time of connecting, and of each read or
+        write.
+    """
 
     method: str
     path: str
     headers: tuple[http_header.Header, ...]
     body: bytes
-    timeout: float
+    timeout_seconds: float
 
 
 @attrs.frozen
--- a/src/crowdeck/upstream_http.py
+++ b/src/crowdeck/upstream_http.py
@@ -128,7 +128,7 @@
             request.path,
             headers,
             request.body,
-            request.timeout,
+            request.timeout_seconds,
         )
         kept = tuple(
             header
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -466,7 +466,7 @@
         async def body() -> None:
             headers = "Server-Limit: 3.2\r\nServer-Leaving: 1\r\n"
             (notice,) = await notices_of(reply(status, headers), ask)
-            assert notice.backpressure.limit == 3.2
+            assert notice.backpressure.requests_per_second == 3.2
             assert notice.backpressure.is_leaving
             assert notice.answers_request is answers_request
 
@@ -486,7 +486,7 @@
             (notice,) = await notices_of(reply(status, headers), ask_request)
             assert notice.backpressure == backpressure.NONE
             (notice,) = await notices_of(reply(503, headers), ask_request)
-            assert notice.backpressure.backoff == 3.0
+            assert notice.backpressure.backoff_seconds == 3.0
 
         anyio.run(body)
 
