--- a/bench/limits.py
+++ b/bench/limits.py
@@ -169,7 +169,7 @@
         entry.told_at = min(entry.told_at, now)
         running = sum(one.count for one in self._entries)
         load = running if self._tells_load else None
-        entry.limits.note(self._upstream, self._case.limit, load)
+        entry.limits.note_limit(self._upstream, self._case.limit, load)
 
     def _end(self, entry: _Entry) -> None:
         entry.count -= 1
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -253,7 +253,7 @@
         "at once": round(capacity.concurrent_requests, 1),
         "a second": round(capacity.per_second, 1),
         "answer_seconds": round(capacity.answer_seconds, 3),
-        "binds": str(capacity.binding),
+        "binds": str(capacity.limiting_resource),
         "layers": f"{capacity.bottleneck.first}-{capacity.bottleneck.end}",
     }
 
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -179,7 +179,7 @@
         if signals.is_leaving:
             self.registry.note_leaving(upstream.name)
         load = notice.load
-        self.limits.note(
+        self.limits.note_limit(
             upstream,
             signals.requests_per_second,
             None if load is None else load.running + load.waiting,
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -34,14 +34,14 @@
     :ivar concurrent_requests: requests in progress.
     :ivar answer_seconds: duration of a mean answer at that concurrency.
     :ivar per_second: requests served in a second.
-    :ivar binding: the limiting resource.
-    :ivar bottleneck: the layers that it limits.
+    :ivar limiting_resource: the resource whose shortage sets the bound.
+    :ivar bottleneck: the layers for which that resource is short.
     """
 
     concurrent_requests: float
     answer_seconds: float
     per_second: float
-    binding: LimitingResource
+    limiting_resource: LimitingResource
     bottleneck: pipeline.LayerRange
 
 
@@ -83,13 +83,13 @@
             one.slots for one in holders if one.layers and not one.layers.first
         )
     )
-    concurrent_requests, binding, bottleneck = (
+    concurrent_requests, limiting_resource, bottleneck = (
         memory,
         LimitingResource.MEMORY,
         memory_bottleneck,
     )
     if slots < memory:
-        concurrent_requests, binding = slots, LimitingResource.SLOTS
+        concurrent_requests, limiting_resource = slots, LimitingResource.SLOTS
         bottleneck = pipeline.LayerRange(0, 1)
     seconds = _answer_seconds(
         holders, profile, concurrent_requests, mean_tokens
@@ -99,12 +99,14 @@
         holders, profile, prefill_rate
     )
     if prefill < per_second:
-        per_second, binding, bottleneck = (
+        per_second, limiting_resource, bottleneck = (
             prefill,
             LimitingResource.PREFILL,
             prefill_bottleneck,
         )
-    return Bound(concurrent_requests, seconds, per_second, binding, bottleneck)
+    return Bound(
+        concurrent_requests, seconds, per_second, limiting_resource, bottleneck
+    )
 
 
 def _find_bottleneck(
--- a/src/crowdeck/routing/rate_limits.py
+++ b/src/crowdeck/routing/rate_limits.py
@@ -114,7 +114,7 @@
         """Set the number of entries, 0 where it is unknown."""
         self._entries = entries or ASSUMED_ENTRIES
 
-    def note(
+    def note_limit(
         self,
         upstream: chain.Upstream,
         limit: float | None,
--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -35,7 +35,7 @@
             engine("c", 70, 80),
         ]
         found = bound.compute_bound(engines, PROFILE)
-        assert found.binding is bound.LimitingResource.MEMORY
+        assert found.limiting_resource is bound.LimitingResource.MEMORY
         assert found.bottleneck == pipeline.LayerRange(30, 70)
         mean_tokens = (
             PROFILE.mean_prompt_tokens + PROFILE.mean_answer_tokens / 2.0
@@ -64,7 +64,7 @@
             engine("c", 60, 80),
         ]
         found = bound.compute_bound(engines, PROFILE)
-        assert found.binding is bound.LimitingResource.MISSING
+        assert found.limiting_resource is bound.LimitingResource.MISSING
         assert found.bottleneck == pipeline.LayerRange(30, 35)
         assert found.per_second == 0.0
 
@@ -72,7 +72,7 @@
         engines = [engine("a", 0, 30, slots=3), engine("b", 30, 60)]
         engines.append(engine("c", 60, 80))
         found = bound.compute_bound(engines, PROFILE)
-        assert found.binding is bound.LimitingResource.SLOTS
+        assert found.limiting_resource is bound.LimitingResource.SLOTS
         assert found.concurrent_requests == 3.0
 
     def test_is_limited_by_the_prefill_of_long_prompts(self) -> None:
@@ -80,7 +80,7 @@
         engines = [engine("a", 0, 30), engine("b", 30, 60)]
         engines.append(engine("c", 60, 80))
         assert (
-            bound.compute_bound(engines, profile).binding
+            bound.compute_bound(engines, profile).limiting_resource
             is bound.LimitingResource.PREFILL
         )
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -538,7 +538,7 @@
                     _Usage(), random.Random(number)
                 )
                 limits.set_entry_count(0)
-                limits.note(fleet_system.upstream("one"), 10.0, None)
+                limits.note_limit(fleet_system.upstream("one"), 10.0, None)
                 entries.append(limits)
             sent = 0
             for one in entries:
@@ -561,7 +561,7 @@
         async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
-            limits.note(one, 10.0, None)
+            limits.note_limit(one, 10.0, None)
             sent = await self.count(limits, one, 200.0)
             expected = 200.0 * 10.0 * rate_limits.USED_SHARE / entries
             assert abs(sent - expected) <= 5
@@ -573,11 +573,11 @@
             limits: rate_limits.RateLimits, usage: _Usage, one: chain.Upstream
         ) -> None:
             usage.count = 18
-            limits.note(one, 10.0, 20)
+            limits.note_limit(one, 10.0, 20)
             for _ in range(40):
                 await anyio.sleep(0.25)
                 limits.allows(one)
-                limits.note(one, 10.0, 20)
+                limits.note_limit(one, 10.0, 20)
             sent = await self.count(limits, one, 2.0)
             assert sent >= 0.8 * 10.0 * rate_limits.USED_SHARE * 2.0
 
@@ -589,7 +589,7 @@
         async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
-            limits.note(one, 2.0, None)
+            limits.note_limit(one, 2.0, None)
             await self.count(limits, one, 10.0)
             await anyio.sleep(3600.0)
             sent = await self.count(limits, one, 4.0)
@@ -601,7 +601,7 @@
         async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
-            limits.note(one, 10.0, None)
+            limits.note_limit(one, 10.0, None)
             await anyio.sleep(3600.0)
             sent = await self.count(limits, one, 0.01, 0.0005)
             burst = (
@@ -616,7 +616,7 @@
         async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
-            limits.note(one, 2.0, None)
+            limits.note_limit(one, 2.0, None)
             while not limits.allows(one):
                 await anyio.sleep(1.0)
             limits.take(one)
@@ -629,7 +629,7 @@
         async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
-            limits.note(one, 0.0, None)
+            limits.note_limit(one, 0.0, None)
             sent = await self.count(limits, one, 40.0)
             assert 5 <= sent <= 15
 
@@ -641,11 +641,11 @@
         async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
-            limits.note(one, 1.0, None)
-            limits.note(one, None, None, in_report=True)
+            limits.note_limit(one, 1.0, None)
+            limits.note_limit(one, None, None, in_report=True)
             assert limits.per_second(one) < 1.0
-            limits.note(one, 1.0, None, in_report=True)
-            limits.note(one, None, None, in_report=True)
+            limits.note_limit(one, 1.0, None, in_report=True)
+            limits.note_limit(one, None, None, in_report=True)
             assert limits.per_second(one) == float("inf")
 
         self.simulate(scenario)
@@ -654,8 +654,8 @@
         async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
-            limits.note(one, 1.0, None)
-            limits.note(one, None, None)
+            limits.note_limit(one, 1.0, None)
+            limits.note_limit(one, None, None)
             assert limits.allows(one)
 
         self.simulate(scenario)
@@ -664,7 +664,7 @@
         async def scenario(
             limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
         ) -> None:
-            limits.note(one, 1.0, None)
+            limits.note_limit(one, 1.0, None)
             limits.forget(one)
             assert limits.per_second(one) == float("inf")
 
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -108,7 +108,7 @@
         if anyio.current_time() >= ANNOUNCED_AT:
             load = sum(one.own_requests(upstream) for one in self.entries)
             reported = load if self.reports_load else None
-            entry.limits.note(upstream, LIMIT_PER_SECOND, reported)
+            entry.limits.note_limit(upstream, LIMIT_PER_SECOND, reported)
             entry.learned_at.setdefault(upstream.name, anyio.current_time())
 
 
