--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -181,10 +181,12 @@
         assert stream.is_resumable and stream.may_repeat
         assert stream.host == "desk.example"
         assert [one.weight for one in stream.shares] == [90.0, 10.0]
-        assert stream.timeout == 20.0 and stream.gap == 0.2
+        assert (
+            stream.timeout_seconds == 20.0 and stream.max_pause_seconds == 0.2
+        )
         assert once.repeat is routes.RepeatPolicy.ONCE
         assert not once.may_repeat
-        assert once.objective == 1.2
+        assert once.objective_seconds == 1.2
         profile = config.services[0].profile
         assert profile is not None
         assert profile.layer_count == 80
@@ -464,7 +466,7 @@
         async def body() -> None:
             headers = "Server-Limit: 3.2\r\nServer-Leaving: 1\r\n"
             (notice,) = await notices_of(reply(status, headers), ask)
-            assert notice.backpressure.limit == 3.2
+            assert notice.backpressure.requests_per_second == 3.2
             assert notice.backpressure.is_leaving
             assert notice.answers_request is answers_request
 
@@ -484,7 +486,7 @@
             (notice,) = await notices_of(reply(status, headers), ask_request)
             assert notice.backpressure == backpressure.NONE
             (notice,) = await notices_of(reply(503, headers), ask_request)
-            assert notice.backpressure.backoff == 3.0
+            assert notice.backpressure.backoff_seconds == 3.0
 
         anyio.run(body)
 
