--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -180,10 +180,10 @@
     async def start(self) -> None:
         """Read the instance list, and begin to follow it and the settings."""
         await self._directory.refresh()
-        await self._fleet.follow()
+        await self._fleet.sync_with_directory()
         self._tasks.start_soon(self._directory.follow)
         self._timers.subscribe(
-            "fleet", FLEET_REFRESH_SECONDS, self._fleet.follow
+            "fleet", FLEET_REFRESH_SECONDS, self._fleet.sync_with_directory
         )
         self._timers.subscribe(
             "claims",
--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -165,11 +165,8 @@
         """Stop notifying ``observer``."""
         self._observers.remove(observer)
 
-    async def follow(self) -> None:
-        """Watch newly listed sidecars; drop unlisted ones that are down.
-
-        Compares with the list once, and returns.
-        """
+    async def sync_with_directory(self) -> None:
+        """Watch newly listed sidecars; drop unlisted ones that are down."""
         listed = {one.name: one for one in self._directory.sidecars}
         for name in tuple(self._views):
             if name not in listed and self._is_unreachable(name):
