--- a/src/crowdeck/entry/turns.py
+++ b/src/crowdeck/entry/turns.py
@@ -101,7 +101,7 @@
     def _has_history(self, view: fleets.SidecarView) -> bool:
         # To an entry that has just started, every sidecar has changed
         # recently. That must not delay sessions which have not moved.
-        return view.state is not fleets.State.UP or view.changes > 1
+        return view.state is not fleets.State.UP or view.change_count > 1
 
     async def _take(
         self, held: _HeldTurn, deadline: float, is_holding: bool
--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -68,7 +68,7 @@
     """One sidecar, as seen from this entry.
 
     :ivar changed_at: monotonic seconds of the last change of state.
-    :ivar changes: number of changes of state.
+    :ivar change_count: number of changes of state.
     :ivar own_inflight: this entry's attempts and calls in progress there.
     :ivar own_inflight_at_report: the same, at the time of the last report.
     :ivar times_chosen: how often it was chosen as a stage.
@@ -81,7 +81,7 @@
     state: State = State.UNKNOWN
     peer: link.Peer | None = None
     load: messages.Load | None = None
-    changes: int = 0
+    change_count: int = 0
     own_inflight: int = 0
     own_inflight_at_report: int = 0
     times_chosen: int = 0
@@ -301,7 +301,7 @@
             return
         former = view.state
         view.state = state
-        view.changes += 1
+        view.change_count += 1
         view.changed_at = self._clock.now()
         counters.COUNTERS.add(f"fleet.{state}")
         if former is not State.UNKNOWN or state is not State.DOWN:
