--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -88,7 +88,7 @@
                 names.UPSTREAM_KIND,
                 self.registry,
                 UPSTREAM_WAIT_SECONDS,
-                self.roster.linger,
+                self.roster.linger_seconds,
             ),
             roster_mirror,
         )
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -144,7 +144,7 @@
         """Return this zone's entries, those preferred as readers first."""
         return self._ranking
 
-    def linger(self) -> float:
+    def linger_seconds(self) -> float:
         """Return the seconds between two watches of the upstreams."""
         seconds = LINGER_SECONDS_PER_ENTRY * self.count
         return min(MAX_LINGER_SECONDS, max(MIN_LINGER_SECONDS, seconds))
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -546,7 +546,7 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             one = rosters.Roster(store, "entry-0", rosters.EntryRecord("a"))
-            alone = one.linger()
+            alone = one.linger_seconds()
             for number in range(400):
                 name = f"entry-{number}"
                 await rosters.Roster(
@@ -554,7 +554,7 @@
                 ).register()
             changes = await store.list(rosters.KIND)
             one.on_listed(changes.objects)
-            assert alone < one.linger() <= 0.6
+            assert alone < one.linger_seconds() <= 0.6
 
         virtual.run(body)
 
