--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -125,12 +125,12 @@
             self._capacities_by_layer[layer] = tuple(capacities)
 
     def best_range(
-        self, engine: chain.Upstream, most_layers: int
+        self, engine: chain.Upstream, max_layer_count: int
     ) -> ScoredRange | None:
         """Return the range for an engine that improves the score most."""
         best: ScoredRange | None = None
         for count in range(
-            1, min(most_layers, len(self._capacities_by_layer)) + 1
+            1, min(max_layer_count, len(self._capacities_by_layer)) + 1
         ):
             gains = self._gains(self._capacity(engine, count))
             first, gain = _best_run(gains, count)
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -172,13 +172,15 @@
     return MIN_CONCURRENT_REQUESTS * capacity.request_tokens(profile)
 
 
-def most_layers(engine: chain.Upstream, profile: chain.EngineProfile) -> int:
+def max_layer_count(
+    engine: chain.Upstream, profile: chain.EngineProfile
+) -> int:
     """Return how many layers an engine can hold and still serve requests."""
     return fitting_layer_count(engine, profile, _min_token_capacity(profile))
 
 
 def _holds_model(engines: _Cell, profile: chain.EngineProfile) -> bool:
-    total = sum(most_layers(one, profile) for one in engines)
+    total = sum(max_layer_count(one, profile) for one in engines)
     return total >= profile.layer_count
 
 
@@ -284,7 +286,7 @@
     if len(engines) <= MAX_GROUP_SIZE:
         return [engines]
     ordered = sorted(
-        engines, key=lambda one: (-most_layers(one, profile), one.name)
+        engines, key=lambda one: (-max_layer_count(one, profile), one.name)
     )
     for count in range(len(engines) // GROUP_SIZE, 1, -1):
         groups = [ordered[first::count] for first in range(count)]
@@ -316,7 +318,7 @@
     moves: list[Move] = []
     # Large cards take long ranges first; small ones fill the gaps.
     for engine in sorted(
-        empty, key=lambda one: (-most_layers(one, profile), one.name)
+        empty, key=lambda one: (-max_layer_count(one, profile), one.name)
     ):
         layers = planner.place(engine)
         if layers is not None:
@@ -350,7 +352,7 @@
         exposes streams less. In a large cell, where the comparison is slow,
         the range within the tier is taken.
         """
-        max_layers = most_layers(engine, self._profile)
+        max_layers = max_layer_count(engine, self._profile)
         anywhere = self._capacity.best_range(engine, max_layers)
         tier = self._tier(engine)
         if anywhere is None or tier is None or self._capacity.has_gap:
@@ -405,11 +407,11 @@
     """
     moves: list[Move] = []
     held = [one for one in cell if one.layers and is_idle(one)]
-    held.sort(key=lambda one: (most_layers(one, profile), one.name))
+    held.sort(key=lambda one: (max_layer_count(one, profile), one.name))
     for engine in held:
         if 0 not in counts:
             break
-        max_layers = most_layers(engine, profile)
+        max_layers = max_layer_count(engine, profile)
         if not max_layers or not _is_redundant(engine, guaranteed_counts):
             continue
         first = counts.index(0)
--- a/src/crowdeck/placement/rearrangement.py
+++ b/src/crowdeck/placement/rearrangement.py
@@ -87,7 +87,7 @@
     engine: chain.Upstream, profile: chain.EngineProfile, is_idle: bool
 ) -> relayout.Member:
     held = engine.layers
-    max_layers = plan.most_layers(engine, profile) if is_idle else 0
+    max_layers = plan.max_layer_count(engine, profile) if is_idle else 0
     if held is not None:
         max_layers = max(max_layers, held.end - held.first)
     return relayout.Member(engine.name, held, max_layers, not is_idle)
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -298,7 +298,7 @@
     @pytest.mark.parametrize("card", [*PROFILE.cards, "unknown"])
     def test_capacity_agrees_with_the_placement(self, card: str) -> None:
         one = fleet_system.upstream("one", card=card)
-        expected = plan.most_layers(one, PROFILE)
+        expected = plan.max_layer_count(one, PROFILE)
         assert gaps.max_layers(card, PROFILE) == expected
 
     def test_agrees_with_a_count_of_each_layer(self) -> None:
