--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -161,7 +161,9 @@
             if not self._backoffs.is_active(state.upstream.name)
         )
 
-    def usable_after_backoff(self, service: str) -> tuple[chain.Upstream, ...]:
+    def usable_or_backing_off(
+        self, service: str
+    ) -> tuple[chain.Upstream, ...]:
         """Return the instances of :meth:`usable` and those that back off."""
         now = anyio.current_time()
         return tuple(one.upstream for one in self._healthy(service, now))
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -265,7 +265,7 @@
         """
         registry = self._context.registry
         usable_later = self._untried(
-            registry.usable_after_backoff(self._service.name)
+            registry.usable_or_backing_off(self._service.name)
         )
         return self._context.seconds_until_any(usable_later, ahead)
 
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -133,7 +133,7 @@
         """
         first_engines = [
             one
-            for one in self._context.registry.usable_after_backoff(
+            for one in self._context.registry.usable_or_backing_off(
                 self._service
             )
             if one.layers is not None and one.layers.first == 0
@@ -155,7 +155,7 @@
         usable = chain.engines_within(registry.usable(self._service), count)
         missing = gaps.missing_layers(usable, count)
         usable_later = chain.engines_within(
-            registry.usable_after_backoff(self._service), count
+            registry.usable_or_backing_off(self._service), count
         )
         if not missing or gaps.missing_layers(usable_later, count):
             return 0.0
