--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -216,7 +216,7 @@
             state.is_probed = True
         return tuple(state.upstream for state in due)
 
-    def avoided(self) -> tuple[chain.Upstream, ...]:
+    def failed(self) -> tuple[chain.Upstream, ...]:
         """Return the instances that failed and were not healthy since."""
         return tuple(
             state.upstream for state in self._states.values() if state.failures
--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -62,21 +62,21 @@
 
     async def check(self) -> None:
         """Probe the engines that may be lost."""
-        await self._probe_avoided()
+        await self._probe_failed()
         await self._sweep()
 
     def is_lost(self, name: str) -> bool:
         """Whether an engine failed enough probes to count as lost."""
         return self._failed_probes[name] >= FAILURE_THRESHOLD_PROBES
 
-    async def _probe_avoided(self) -> None:
+    async def _probe_failed(self) -> None:
         """Probe the engines that failed a request."""
-        avoided = self._registry.avoided()
-        for name in set(self._failed_probes) - {one.name for one in avoided}:
+        failed = self._registry.failed()
+        for name in set(self._failed_probes) - {one.name for one in failed}:
             del self._failed_probes[name]
         asked = [
             one
-            for one in avoided
+            for one in failed
             if one.card and not self._registry.backoff_seconds_left(one.name)
         ]
         await _probe_each(self._probe, asked)
@@ -86,13 +86,13 @@
         if not self._sweeps_left:
             return
         self._sweeps_left -= 1
-        avoided = {one.name for one in self._registry.avoided()}
+        failed = {one.name for one in self._registry.failed()}
         asked = [
             one
             for service in self._services()
             for one in self._registry.listed(service.name)
             if one.card
-            and one.name not in avoided
+            and one.name not in failed
             and not self._registry.backoff_seconds_left(one.name)
         ]
         silent: list[chain.Upstream] = []
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -92,7 +92,7 @@
         path: chain.ChainPath,
         culprit: chain.Upstream,
     ) -> None:
-        failed = {one.name for one in self._context.registry.avoided()}
+        failed = {one.name for one in self._context.registry.failed()}
         excluded = {culprit.name}
         excluded |= {hop.upstream.name for hop in path.hops} & failed
         while True:
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -453,7 +453,7 @@
                 one.lost_answers = 0 if one.listed.card else 1
             entries.start_request(0, entries_system.REPEATABLE, b"lost")
             await anyio.sleep(2.0)
-            assert entries[0].registry.avoided() == ()
+            assert entries[0].registry.failed() == ()
             assert entries[0].context.quarantine.has_no_suspects
 
         entries_system.run_scenario(work, count=1)
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -194,7 +194,7 @@
                     await anyio.sleep(0.1)
                     assert anyio.current_time() < began + MAX_ORDER_SECONDS
                 tasks.cancel_scope.cancel()
-            assert not system.registry.avoided()
+            assert not system.registry.failed()
 
         virtual.run(body)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -657,7 +657,7 @@
                 system.fleet.at(system.listed[name].address).is_dead = True
             system.registry.avoid("e0", "refused")
             await anyio.sleep(0.7)
-            assert {one.name for one in system.registry.avoided()} == lost
+            assert {one.name for one in system.registry.failed()} == lost
 
         run_with_controller(work, count=8)
 
@@ -674,7 +674,7 @@
             await anyio.sleep(3.0)
             for one in list(system.listed.values()):
                 system.fleet.at(one.address).is_unresponsive = False
-            assert {one.name for one in system.registry.avoided()} == {"e0"}
+            assert {one.name for one in system.registry.failed()} == {"e0"}
             await anyio.sleep(1.0)
             assert all(
                 system.fleet.at(one.address).orders_taken == 1
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -313,7 +313,7 @@
                 await anyio.sleep(0.3)
                 system.fleet.is_cut_off = False
             assert_whole(callers[0], request, system.fleet.events)
-            assert system.registry.avoided() == ()
+            assert system.registry.failed() == ()
             assert len(system.fleet.runs_of(request.id)) == 1
 
         run_scenario(work)
@@ -521,7 +521,7 @@
                 tasks.start_soon(block_loop)
             assert_whole(callers[0], request, system.fleet.events)
             assert len(system.fleet.runs_of(request.id)) == 1
-            assert system.registry.avoided() == ()
+            assert system.registry.failed() == ()
 
         run_scenario(work)
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -272,7 +272,7 @@
                 assert whole.startswith(caller.body)
                 assert caller.is_whole is (caller.body == whole)
                 # No upstream is avoided because of the suspension.
-                assert one.registry.avoided() == ()
+                assert one.registry.failed() == ()
 
             await fleet_system.run_with(system, work)
 
