--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -148,7 +148,7 @@
     ) -> None:
         fleet = self._config.fleet
         revocation = float(fleet["revocation_ms"]) / 1000.0
-        peers = peer_http.HttpPeers(self._open_client(stack, ""))
+        peers = peer_http.HttpPeerClient(self._open_client(stack, ""))
         view = store_view.StoreView(store, self._config, peers)
         upstreams = self._open_upstreams(stack)
         context = self._build_context(upstreams, view)
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -86,8 +86,8 @@
         await _respond(send, 200, body)
 
 
-class HttpPeers:
-    """Implements ``PeerClient``."""
+class HttpPeerClient:
+    """Reads the mirrors of other entries over HTTP."""
 
     def __init__(self, client: http.HttpClient) -> None:
         self._client = client
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -355,7 +355,7 @@
                 health,
             )
             client = http.HttpClient("")
-            peers = peer_http.HttpPeers(client)
+            peers = peer_http.HttpPeerClient(client)
             selector = peer_selection.PeerSelector(
                 "a", lambda: (), peers, health
             )
@@ -405,7 +405,7 @@
 
         async def body() -> None:
             client = http.HttpClient("")
-            peers = peer_http.HttpPeers(client)
+            peers = peer_http.HttpPeerClient(client)
             async with anyio.create_task_group() as tasks:
                 port = await tasks.start(http_server.serve_http, app, HOST, 0)
                 peer = peer_selection.Peer("a", instances.Address(HOST, port))
