--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Relays calls to plain services, each answered as a whole."""
+"""Relays calls to plain services, whose answers are not streamed."""
 
 import contextlib
 import typing
@@ -33,17 +33,17 @@
 FIRST_ATTEMPT_SHARE = 0.4
 # Errors reach the caller this long before its own deadline.
 ANSWER_MARGIN_SECONDS = 0.03
-# Minimum time left for which a call is still sent.
+# A call is not sent with less time left than this.
 MIN_ATTEMPT_SECONDS = 0.05
-# Tries beyond the route's maximum attempts, for instances that cannot be
-# connected to. Such tries do not count as attempts.
+# Additional tries for instances that cannot be connected to, since these do
+# not count towards the route's maximum attempts.
 EXTRA_CONNECT_TRIES = 4
-# Retry time if no better one is known, and the maximum jitter added to one
-# that is known.
+# Retry delay if none can be computed, and the maximum jitter added to a
+# computed delay.
 DEFAULT_RETRY_AFTER_SECONDS = 0.5
 # Share of the latency objective for which a call waits while all instances
 # are rate limited or backing off. If the wait would be longer, the call is
-# refused at once with a retry time.
+# refused at once with a retry delay.
 QUEUE_WAIT_SHARE = 0.5
 MAX_ANSWER_BYTES = http.RESPONSE_LIMIT_BYTES
 
@@ -183,7 +183,7 @@
     async def _record_loss(
         self, upstream: chain.Upstream, error: errors.CrowdeckError
     ) -> None:
-        """Record a lost connection, and whether the instance has ended."""
+        """Record a lost connection, and the instance's end if it ended."""
         if error.verdict is verdicts.Verdict.NOT_RUN:
             return
         if error.code is not errors.Code.UPSTREAM_LOST:
@@ -216,21 +216,21 @@
                 return upstream
         if self._tried:
             return await self._await_instance(until)
-        # Those in the queue are served first, so the wait includes theirs.
-        seconds = self._seconds_until(len(wait_queue))
+        # Queued calls are served first, so their waits are included.
+        seconds = self._seconds_until_accepted(len(wait_queue))
         if not self._may_wait(seconds, until):
             raise self._final_error(self._no_instance(seconds))
         async with wait_queue.turn(until) as is_first:
             if not is_first:
                 raise self._final_error(
-                    self._no_instance(self._seconds_until())
+                    self._no_instance(self._seconds_until_accepted())
                 )
             return await self._await_instance(until)
 
     async def _await_instance(self, until: float) -> chain.Upstream:
         """Wait until an instance accepts a call, and return it."""
         while (upstream := self._pick()) is None:
-            seconds = self._seconds_until()
+            seconds = self._seconds_until_accepted()
             if not self._may_wait(seconds, until):
                 raise self._final_error(self._no_instance(seconds))
             await anyio.sleep(seconds)
@@ -244,7 +244,8 @@
         if self._seconds_left() < MIN_ATTEMPT_SECONDS:
             raise self._final_error(
                 errors.CrowdeckError(
-                    errors.Code.DEADLINE, "too little time is left"
+                    errors.Code.DEADLINE,
+                    "too little time is left before the deadline",
                 )
             )
         limits = self._context.limits
@@ -256,12 +257,12 @@
             limits.take(upstream)
         return upstream
 
-    def _seconds_until(self, ahead: int = 0) -> float:
+    def _seconds_until_accepted(self, ahead: int = 0) -> float:
         """Return the seconds until an instance accepts this call.
 
         0 if that is not known.
 
-        :param ahead: number of calls that are served before it.
+        :param ahead: number of calls that are served before this one.
         """
         registry = self._context.registry
         usable_later = self._untried(
@@ -271,14 +272,18 @@
 
     @staticmethod
     def _may_wait(seconds: float, until: float) -> bool:
-        """Whether a call can be served before its wait ends."""
+        """Whether the wait is known and ends by ``until``."""
         return 0.0 < seconds <= until - anyio.current_time()
 
     def _untried(
         self, upstreams: typing.Iterable[chain.Upstream]
     ) -> list[chain.Upstream]:
-        """Return the instances that have not been tried yet."""
-        return [one for one in upstreams if one.name not in self._tried]
+        """Return the instances at which the call was not tried yet."""
+        return [
+            upstream
+            for upstream in upstreams
+            if upstream.name not in self._tried
+        ]
 
     async def _attempt(self, upstream: chain.Upstream) -> _Answer:
         self._tried.add(upstream.name)
@@ -299,15 +304,15 @@
             ) from None
         finally:
             self._context.usage.remove_call(upstream)
-        took = anyio.current_time() - began
-        self._balancer.note_answer(upstream, took, answer.has_failed)
+        elapsed = anyio.current_time() - began
+        self._balancer.note_answer(upstream, elapsed, answer.has_failed)
         self._context.registry.note_healthy(upstream.name)
         logs.decision(
             "call_answered",
             self._request.id,
             upstream=upstream.name,
             status=answer.status,
-            seconds=round(took, 4),
+            seconds=round(elapsed, 4),
             tries=self._sent,
             held_back=self._unavailable,
         )
@@ -415,7 +420,7 @@
     def _no_instance(self, seconds: float) -> errors.CrowdeckError:
         """Return the error for a call that no instance accepts.
 
-        :param seconds: time until one accepts it, 0 if unknown.
+        :param seconds: seconds until an instance accepts it, 0 if unknown.
         """
         logs.decision(
             "no_instance",
@@ -429,7 +434,7 @@
         if not seconds:
             return errors.CrowdeckError(
                 errors.Code.NO_PATH,
-                "no instance of the service can serve it now",
+                "no instance of the service can serve the call now",
                 retry_after=DEFAULT_RETRY_AFTER_SECONDS,
             )
         counters.COUNTERS.add("relay.limited")
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -43,7 +43,12 @@
 
 @attrs.frozen
 class RetryBudgetSettings:
-    """The operator's settings of the retry budget."""
+    """The operator's settings of the retry budget.
+
+    :ivar ratio: retries allowed for each request.
+    :ivar slack: retries allowed on top, by all entries together.
+    :ivar window_seconds: length of the sliding window.
+    """
 
     ratio: float
     slack: float
@@ -101,9 +106,10 @@
 
     @property
     def connect_seconds(self) -> float:
-        """Timeout of a connection, longer while the event loop lags.
+        """Connection timeout in seconds, longer while the event loop lags.
 
-        Otherwise an overloaded entry takes healthy engines for lost.
+        A fixed timeout would make an overloaded entry treat healthy engines
+        as lost.
         """
         return CONNECT_SECONDS + LAG_FACTOR * self.lag_meter.recent_lag()
 
@@ -114,18 +120,18 @@
 
     def budget(self, service: str) -> budgets.SharedRetryBudget:
         """Return this entry's share of a service's retry budget."""
-        found = self._budgets.get(service)
-        if found is None:
-            budget_settings = self.budget_settings
-            found = budgets.SharedRetryBudget(
-                budget_settings.ratio,
-                budget_settings.slack,
-                budget_settings.window_seconds,
+        budget = self._budgets.get(service)
+        if budget is None:
+            settings = self.budget_settings
+            budget = budgets.SharedRetryBudget(
+                settings.ratio,
+                settings.slack,
+                settings.window_seconds,
                 self.started_at,
                 self.membership,
             )
-            self._budgets[service] = found
-        return found
+            self._budgets[service] = budget
+        return budget
 
     def log_retry(self, service: str, request: str) -> None:
         """Log that the retry budget allows a request to be sent again."""
@@ -191,15 +197,18 @@
     ) -> float:
         """Return the seconds until any of the instances accepts a request.
 
-        Follows from their rate limits and backoffs; 0 if one accepts a
-        request now, or if there are no instances.
+        Computed from their rate limits and backoffs; 0 if an instance
+        accepts a request now, or if there are no instances.
 
-        :param ahead: number of requests that are sent first.
+        :param ahead: number of requests that are sent before this one.
         """
-        found = list(upstreams)
+        instances = list(upstreams)
         next_times = [
-            (self._seconds_until(one), 1.0 / self.limits.per_second(one))
-            for one in found
+            (
+                self._seconds_until_accepted(upstream),
+                1.0 / self.limits.per_second(upstream),
+            )
+            for upstream in instances
         ]
         if not min(next_times, default=(0.0, 0.0))[0]:
             return 0.0
@@ -209,7 +218,7 @@
             heapq.heapreplace(next_times, (soonest + interval, interval))
         return next_times[0][0]
 
-    def _seconds_until(self, upstream: chain.Upstream) -> float:
+    def _seconds_until_accepted(self, upstream: chain.Upstream) -> float:
         return max(
             self.limits.seconds_until_allowed(upstream),
             self.registry.backoff_seconds_left(upstream.name),
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -37,7 +37,7 @@
 class ConfigHolder:
     """Holds the newest config seen; ignores older versions.
 
-    It is a follower of the mirror of configs.
+    It listens to the mirror of the stored configs.
 
     :param decode: decodes a stored config.
     :param name: name of the stored object to use.
@@ -73,9 +73,9 @@
         removed: tuple[str, ...],
     ) -> None:
         """Apply written configs; a removed config stays in force."""
-        for one in objects:
-            if one.name == self._name:
-                self._apply(one)
+        for stored in objects:
+            if stored.name == self._name:
+                self._apply(stored)
 
     def _apply(self, stored: stores.StoredObject) -> None:
         try:
@@ -83,8 +83,8 @@
         except errors.CrowdeckError as error:
             logs.change("config_refused", reason=error.message)
             return
-        held = self._table.version if self._table else -1
-        if config.version <= held:
+        current_version = self._table.version if self._table else -1
+        if config.version <= current_version:
             return
         self._table = tables.RouteTable(config)
         self._known.set()
@@ -92,7 +92,7 @@
         logs.change(
             "config_in_force",
             version=config.version,
-            before=held,
+            before=current_version,
             revision=stored.version,
             routes=len(config.routes),
             teams=len(config.teams),
@@ -103,8 +103,8 @@
     """Serves callers' requests.
 
     :param age: returns the seconds since the config was known to be current.
-    :param max_config_age: beyond this age keys may have been revoked, so
-        requests that need one are refused.
+    :param max_config_age: age in seconds beyond which keys may have been
+        revoked, so that requests that need a key are refused.
     """
 
     def __init__(
@@ -204,14 +204,14 @@
     def _refuse_overload(self) -> None:
         """Refuse new requests while the event loop lags too much.
 
-        :raises CrowdeckError: ``OVERLOADED``, with the verdict not run.
+        :raises CrowdeckError: ``OVERLOADED`` with the verdict ``NOT_RUN``.
         """
         lag = self._context.lag_meter.recent_lag()
         if lag > loop_lag.OVERLOAD_SECONDS:
             counters.COUNTERS.add("relay.shed")
             raise errors.CrowdeckError(
                 errors.Code.OVERLOADED,
-                f"this entry lags by {lag:.2f} s with {self._in_progress} "
+                f"the event loop lags by {lag:.2f} s with {self._in_progress} "
                 "requests in progress",
                 retry_after=self._context.retry_advisor.record_refusal(),
             )
@@ -226,7 +226,7 @@
         except errors.CrowdeckError:
             if is_valid:
                 raise
-            # A newer config may have this route or key.
+            # A newer config may contain this route or key.
             raise self._outdated(age) from None
         needs_key = bool(table.config.teams) and not (
             admitted.route.is_anonymous
