--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -21,8 +21,8 @@
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
 
-# Sent by an engine that does not hold the layers asked of it, or that is not
-# the engine the request was meant for.
+# Status from an engine that does not hold the requested layers, or that is not
+# the engine to which the request was addressed.
 MISDIRECTED_STATUS = 421
 BODY_LIMIT_BYTES = http.RESPONSE_LIMIT_BYTES
 
@@ -149,7 +149,7 @@
                 and event.id != stream.last_event_id + 1
             ):
                 raise self._wrong_answer(
-                    f"event {event.id} follows {stream.last_event_id}"
+                    f"event {event.id} follows event {stream.last_event_id}"
                 )
         if not self._sink.has_started:
             await self._sink.start(answer.status, answer.caller_headers)
@@ -165,7 +165,7 @@
         culprit = self._culprit(answer)
         if culprit.name != self._path.head.name:
             self._monitor.check_now(culprit)
-            # It may be full or gone; the probe tells which.
+            # It may be full or gone; the probe shows which.
             self._monitor.verify(culprit)
         is_misdirected = answer.status == MISDIRECTED_STATUS
         self._context.registry.pause(
--- a/src/crowdeck/relay/interfaces.py
+++ b/src/crowdeck/relay/interfaces.py
@@ -20,8 +20,9 @@
 class Dispatch:
     """Parameters of one send of a request to an upstream.
 
-    :ivar seconds_left: time that the upstream may take.
-    :ivar path: the engines it passes, ``None`` for a plain service.
+    :ivar seconds_left: time within which the upstream must answer.
+    :ivar path: the engines that serve the request, ``None`` for a plain
+        service.
     :ivar last_event_id: id of the last event already received, -1 to start
         with the first.
     """
@@ -35,7 +36,10 @@
 
 @attrs.frozen
 class Load:
-    """The load that an upstream reports."""
+    """The load that an upstream reports, in requests.
+
+    :ivar slots: requests that it can run at the same time.
+    """
 
     running: int
     waiting: int
@@ -46,8 +50,9 @@
 class RepathOutcome:
     """The result of changing the path of a running request.
 
+    :ivar is_done: whether the request now uses the new path.
     :ivar is_known: whether the first engine knows the request.
-    :ivar culprit: address of the engine that caused a refusal.
+    :ivar culprit: address of the engine that caused a refusal, or empty.
     """
 
     is_done: bool
@@ -60,8 +65,8 @@
     """What an instance reports about itself in an answer's headers.
 
     :ivar load: the reported load, if any.
-    :ivar answers_request: whether it came with the answer to a request. In
-        other answers a signal that is missing may still be in force.
+    :ivar answers_request: whether it came with the answer to a request. A
+        signal that other answers lack may still be in force.
     """
 
     backpressure: pressures.Backpressure
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -18,7 +18,7 @@
 from crowdeck.routing import budget as budgets
 from crowdeck.routing import usage as usages
 
-# Weight of the newest pause in a stream's mean.
+# Weight of the newest pause in a stream's moving average.
 NEWEST_WEIGHT = 0.1
 
 
@@ -26,7 +26,8 @@
 class LiveStream:
     """One stream in progress.
 
-    Times are in seconds of the event loop's clock.
+    Durations are in seconds, points in time in seconds of the event loop's
+    clock.
 
     :ivar profile: profile of the engines that serve it.
     :ivar max_pause: maximum allowed pause between events.
@@ -36,13 +37,13 @@
     :ivar check_may_resume: returns whether it may resume at another first
         engine.
     :ivar last_event_id: id of the last event forwarded, -1 for none.
-    :ivar progress_at: when its last event came or its attempt began.
-    :ivar next_check: it is not checked before this time.
-    :ivar checks: how often it was checked since ``progress_at``.
+    :ivar progress_at: when its last event arrived or its attempt began.
+    :ivar next_check: earliest time of its next check for a stall.
+    :ivar checks: number of checks since ``progress_at``.
     :ivar needs_check: whether to check it now though it is not silent.
     :ivar usual_pause: moving average of the pauses between its events.
     :ivar longest_pause: longest pause between its events.
-    :ivar first_event_at: when its first event came.
+    :ivar first_event_at: when its first event arrived.
     :ivar is_starting: whether the current attempt has had no event yet.
     :ivar abandon_reason: why the current attempt was abandoned, or empty.
     :ivar team: the team that sent the request.
@@ -109,7 +110,9 @@
         """Note that it waits for a path; ``abandon`` cancels ``scope``."""
         self._scope = scope
 
-    def begin(self, path: chain.ChainPath, scope: anyio.CancelScope) -> None:
+    def begin_attempt(
+        self, path: chain.ChainPath, scope: anyio.CancelScope
+    ) -> None:
         """Begin an attempt; ``abandon`` cancels ``scope``."""
         self._scope = scope
         self.abandon_reason = ""
@@ -121,14 +124,14 @@
 
     def switch_path(self, path: chain.ChainPath) -> None:
         """Continue on another path."""
-        self._leave_path()
+        self._release_path()
         self._path = path
         self._usage.add_request(path, self.tokens)
 
-    def end(self) -> None:
+    def end_attempt(self) -> None:
         """End the attempt."""
         self._scope = None
-        self._leave_path()
+        self._release_path()
 
     def abandon(self, reason: str) -> None:
         """Abandon the current attempt, so that another can be made."""
@@ -152,7 +155,7 @@
         self.next_check = 0.0
         self.checks = 0
 
-    def _leave_path(self) -> None:
+    def _release_path(self) -> None:
         if self._path is not None:
             self._usage.remove_request(self._path, self.tokens)
             self._path = None
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -20,18 +20,21 @@
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
 
-# Attempts that may be refused by an engine without having run.
+# How many attempts engines may refuse without running them, before the
+# request fails.
 MAX_REFUSALS = 4
-# The same for an answer that has started, which its caller would lose. Each
-# further attempt waits for a path and for the retry budget.
+# The same once a part of the answer was sent, which the caller would lose.
+# Each further attempt waits for a path and for the retry budget.
 MAX_REFUSALS_STARTED = 12
+# Errors reach the caller this long before its own deadline.
 ANSWER_MARGIN_SECONDS = 0.05
+# No attempt is made with less time left than this.
 MIN_ATTEMPT_SECONDS = 0.1
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
-# Errors that the first engine of a path is to blame for.
+# Errors that the first engine of a path causes.
 _FAILURES = frozenset({errors.Code.UPSTREAM_LOST, errors.Code.WRONG_ANSWER})
-# Errors of an attempt whose engine may have ended.
+# Errors after which the first engine may have ended.
 _LOSSES = _FAILURES | {errors.Code.STALLED}
 
 
@@ -80,7 +83,7 @@
             await self._create_run(stream, admitted, sink).run()
         finally:
             sends.close()
-            stream.end()
+            stream.end_attempt()
             self._monitor.drop(stream)
 
     def _create_run(
@@ -170,7 +173,7 @@
     async def _attempt(
         self, path: chain.ChainPath
     ) -> errors.CrowdeckError | None:
-        """Try one path; returns the error if the stream is not complete."""
+        """Try one path; return the error if the stream is not complete."""
         logs.decision(
             "path_chosen",
             self._request.id,
@@ -184,7 +187,7 @@
         )
         try:
             with anyio.CancelScope() as scope:
-                self._stream.begin(path, scope)
+                self._stream.begin_attempt(path, scope)
                 self._context.heads.note_begun(path.head.name, self._stream)
                 self._stream.sends.note_sent()
                 self._stream.check_may_resume = lambda: (
@@ -211,7 +214,7 @@
             )
             raise
         finally:
-            self._stream.end()
+            self._stream.end_attempt()
             self._context.heads.note_ended(path.head.name, self._stream)
         self._stream.sends.note_abandoned()
         return errors.CrowdeckError(
@@ -222,7 +225,7 @@
         )
 
     def _note_send(self, error: errors.CrowdeckError) -> None:
-        """Tell the retry budget whether a failed attempt had arrived."""
+        """Record in the retry budget whether a failed attempt arrived."""
         sends = self._stream.sends
         if error.code is not errors.Code.UPSTREAM_LOST:
             sends.note_abandoned()
@@ -237,14 +240,14 @@
         self._context.retry_advisor.note_end()
         now = anyio.current_time()
         arrived = self._request.arrived
-        first = (stream.first_event_at or now) - arrived
-        counters.COUNTERS.time("relay.first_event", first)
+        first_event_seconds = (stream.first_event_at or now) - arrived
+        counters.COUNTERS.time("relay.first_event", first_event_seconds)
         counters.COUNTERS.time("relay.longest_pause", stream.longest_pause)
         logs.decision(
             "stream_ended",
             self._request.id,
             head=path.head.name,
-            first_event=round(first, 4),
+            first_event=round(first_event_seconds, 4),
             longest_pause=round(stream.longest_pause, 4),
             last_event=stream.last_event_id,
             seconds=round(now - arrived, 3),
@@ -277,7 +280,7 @@
     async def _record_loss(
         self, head: chain.Upstream, error: errors.CrowdeckError
     ) -> None:
-        """Record a lost attempt, and whether its engine has ended."""
+        """Record a lost attempt, and its first engine's end if it ended."""
         if error.verdict is not _MAY_HAVE_RUN:
             if error.code is errors.Code.UPSTREAM_LOST:
                 # A failed connection does not prove that the engine ended.
@@ -335,9 +338,9 @@
         return MAX_REFUSALS
 
     async def _reserve_retry(self) -> bool:
-        """Reserve a retry in the budget; returns whether that succeeded.
+        """Reserve a retry in the budget; return whether that succeeded.
 
-        A stream whose answer has started waits for one, since its caller
+        A stream whose answer has started waits for a retry, since its caller
         would lose the answer, and the budget recovers as its window moves.
         """
         service = self._stream.service.name
@@ -357,15 +360,17 @@
         if not self._route.is_resumable:
             return False
         if self._stream.has_events and self._stream.last_event_id < 0:
-            # Its events have no ids, so it cannot be resumed after one.
+            # Its events have no ids, so there is none to resume after.
             return False
         return self._runs_left() > 0
 
     def _runs_left(self, running_on: str = "") -> int:
         """Return at how many more engines the request may run.
 
-        Engines that ended do not count. Engines that are leaving, are full,
-        were silent or had a broken path do.
+        Of the engines at which it ran, those that ended do not count. Those
+        that are leaving, are full, were silent or had a broken path do.
+
+        :param running_on: name of the first engine of the current attempt.
         """
         names = self._ran_on | {running_on} if running_on else self._ran_on
         registry = self._context.registry
