--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -18,7 +18,7 @@
 from crowdeck import pipeline
 from crowdeck import route as routes
 
-# Requests that an engine must have memory for besides its layers. Equal to
+# Requests for which an engine must have memory besides its layers. Equal to
 # ``placement.plan.MIN_CONCURRENT_REQUESTS``, which is not imported because an
 # entry loads the placement only when it holds the lease.
 MIN_CONCURRENT_REQUESTS = 4.0
@@ -26,7 +26,8 @@
 # loss, ordering the loads and reporting them.
 ORDER_DELAY_SECONDS = 3.0
 POLL_SECONDS = 0.5
-# How long a result is reused: while layers are missing every request asks.
+# How long a result is reused, since every request looks for a gap while layers
+# are missing.
 REUSE_SECONDS = 0.02
 # Shorter gaps, which a replacement closes, are not logged.
 MIN_LOGGED_SECONDS = 1.0
@@ -42,7 +43,7 @@
     :ivar since: loop time at which the gap was first seen.
     :ivar engines: names of the remaining engines.
     :ivar engines_since: loop time at which ``engines`` last changed; the
-        loads that close the gap are taken to begin then.
+        loads that close the gap are assumed to begin then.
     :ivar layer_capacity: how many layers these engines can hold together.
     :ivar load_seconds: duration of the longest load that closes the gap.
     :ivar was_complete: whether all layers were held before.
@@ -59,7 +60,9 @@
     was_complete: bool
 
     def __str__(self) -> str:
-        return ",".join(f"{one.first}-{one.end}" for one in self.layers)
+        return ",".join(
+            f"{layers.first}-{layers.end}" for layers in self.layers
+        )
 
     @property
     def can_be_held(self) -> bool:
@@ -80,7 +83,7 @@
         return left if left > 0.0 else None
 
     def as_fields(self) -> dict[str, typing.Any]:
-        """Return the fields of a log line or a status."""
+        """Return the fields for a log line or a status."""
         left = self.seconds_left
         return {
             "service": self.service,
@@ -94,7 +97,10 @@
         }
 
     def closes_by(self, moment: float) -> bool:
-        """Whether the gap is expected to be closed by a loop time."""
+        """Whether the gap is expected to be closed by ``moment``.
+
+        :param moment: a loop time.
+        """
         left = self.seconds_left
         return left is not None and anyio.current_time() + left <= moment
 
@@ -103,26 +109,31 @@
         """What would close the gap, as a text for operators."""
         if self.can_be_held:
             return f"a load of about {self.load_seconds:.1f} s"
-        lacking = self.profile.layer_count - self.layer_capacity
-        kinds = [
-            f"{math.ceil(lacking / capacity)} {name}"
+        lacking_layers = self.profile.layer_count - self.layer_capacity
+        options = [
+            f"{math.ceil(lacking_layers / capacity)} {name}"
             for name in sorted(self.profile.cards)
             if (capacity := max_layers(name, self.profile))
         ]
-        engines = " or ".join(kinds) or "no known kind"
-        return f"engines for {lacking} more layers: {engines}"
+        engines = " or ".join(options) or "no known kind"
+        return f"engines for {lacking_layers} more layers: {engines}"
 
 
 def max_layers(card: str, profile: chain.EngineProfile) -> int:
-    """Return how many layers a card can hold and still serve."""
-    known = profile.cards.get(card)
-    if known is None:
+    """Return how many layers a card can hold beside its KV cache.
+
+    The cache must suffice for ``MIN_CONCURRENT_REQUESTS``.
+    """
+    accelerator = profile.cards.get(card)
+    if accelerator is None:
         return profile.layer_count
-    request = max(
+    request_tokens = max(
         1.0, profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
     )
-    kv_cache_mb = MIN_CONCURRENT_REQUESTS * request * profile.token_layer_mb
-    count = int(known.memory_mb / (profile.layer_mb + kv_cache_mb))
+    kv_cache_mb = (
+        MIN_CONCURRENT_REQUESTS * request_tokens * profile.token_layer_mb
+    )
+    count = int(accelerator.memory_mb / (profile.layer_mb + kv_cache_mb))
     return min(profile.layer_count, count)
 
 
@@ -151,10 +162,10 @@
         self._checked_at[service] = now
         remaining = chain.engines_within(
             (
-                one
-                for one in self._registry.listed(service)
-                if not one.is_leaving
-                and not self._registry.has_ended(one.name)
+                engine
+                for engine in self._registry.listed(service)
+                if not engine.is_leaving
+                and not self._registry.has_ended(engine.name)
             ),
             profile.layer_count,
         )
@@ -164,20 +175,22 @@
             self._seen_complete.add(service)
             return None
         known = self._gaps.get(service)
-        names = frozenset(one.name for one in remaining)
-        is_same = known is not None and known.engines == names
-        capacities = [max_layers(one.card, profile) for one in remaining]
-        longest = max(one.end - one.first for one in missing)
-        share = min(longest, max(capacities, default=0)) / profile.layer_count
+        names = frozenset(engine.name for engine in remaining)
+        has_same_engines = known is not None and known.engines == names
+        capacities = [max_layers(engine.card, profile) for engine in remaining]
+        longest = max(layers.end - layers.first for layers in missing)
+        load_share = (
+            min(longest, max(capacities, default=0)) / profile.layer_count
+        )
         gap = self._gaps[service] = LayerGap(
             service,
             missing,
             known.since if known else now,
             names,
-            known.engines_since if known and is_same else now,
+            known.engines_since if known and has_same_engines else now,
             sum(capacities),
             profile,
-            profile.load_seconds * share,
+            profile.load_seconds * load_share,
             service in self._seen_complete,
         )
         return gap
@@ -192,7 +205,11 @@
 
     def _report(self, service: str, profile: chain.EngineProfile) -> None:
         gap = self.find_gap(service, profile)
-        count = sum(one.end - one.first for one in gap.layers) if gap else 0
+        count = (
+            sum(layers.end - layers.first for layers in gap.layers)
+            if gap
+            else 0
+        )
         counters.COUNTERS.set_gauge(f"layers.unheld.{service}", count)
         before = self._logged.get(service)
         now = anyio.current_time()
@@ -226,14 +243,14 @@
     engines: typing.Iterable[chain.Upstream], layer_count: int
 ) -> tuple[pipeline.LayerRange, ...]:
     """Return the ranges of layers that none of the engines holds."""
-    held = {
-        (one.layers.first, one.layers.end)
-        for one in engines
-        if one.layers is not None
+    held_ranges = {
+        (engine.layers.first, engine.layers.end)
+        for engine in engines
+        if engine.layers is not None
     }
     found = []
     position = 0
-    for first, end in (*sorted(held), (layer_count, layer_count)):
+    for first, end in (*sorted(held_ranges), (layer_count, layer_count)):
         if first > position:
             found.append(pipeline.LayerRange(position, first))
         position = max(position, end)
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -25,11 +25,11 @@
 # them takes longer; this covers a listing that arrives late.
 UNHELD_WAIT_SECONDS = 0.1
 # How long a stream whose answer has started waits for a path or a retry.
-# Shorter than the silence after which callers give up.
+# Callers give up after a longer silence.
 STARTED_WAIT_SECONDS = 1.6
 POLL_SECONDS = 0.02
 # Longer than ``POLL_SECONDS``: planning on a full fleet is costly and would
-# leave a small entry no time to serve.
+# leave a small entry no time to serve requests.
 QUEUE_POLL_SECONDS = 0.08
 ALL_UNAVAILABLE = "all engines of some layers are rate limited or backing off"
 
@@ -37,7 +37,7 @@
 class PathSearch:
     """Finds the paths for the attempts of one stream.
 
-    :param deadline: loop time after which a path is of no use.
+    :param deadline: loop time after which no attempt is made.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._unavailable_at_start = ""
 
     def exclude(self, name: str) -> None:
-        """Avoid an engine, unless there is no path without it."""
+        """Avoid an engine until there is no path without it."""
         self._excluded.add(name)
 
     async def find(self, *, has_started: bool) -> chain.ChainPath | None:
@@ -114,29 +114,29 @@
             return await self._poll(until, QUEUE_POLL_SECONDS)
 
     async def _poll(
-        self, until: float, step: float = POLL_SECONDS
+        self, until: float, interval_seconds: float = POLL_SECONDS
     ) -> chain.ChainPath | None:
         """Look for a path at intervals until the time is over."""
         until = min(until, self._deadline)
         while (path := self._plan()) is None:
             if anyio.current_time() >= until:
                 return None
-            await anyio.sleep(step)
+            await anyio.sleep(interval_seconds)
         return path
 
     def seconds_until_accepted(self) -> float:
         """Return the seconds until backpressure allows a path.
 
-        0 if it does now. If all first engines are rate limited or backing
-        off, the requests in the queue are served first. All layers must be
-        held by engines that are not backing off.
+        0 if it does now. Otherwise the longer of two waits: until a first
+        engine accepts this request after those in the queue, and until
+        engines that are not backing off hold all layers.
         """
         first_engines = [
-            one
-            for one in self._context.registry.usable_after_backoff(
+            engine
+            for engine in self._context.registry.usable_after_backoff(
                 self._service
             )
-            if one.layers is not None and one.layers.first == 0
+            if engine.layers is not None and engine.layers.first == 0
         ]
         ahead = len(self._context.wait_queue(self._service))
         until_first = self._context.seconds_until_any(first_engines, ahead)
@@ -160,12 +160,12 @@
         if not missing or gaps.missing_layers(usable_later, count):
             return 0.0
         wait_by_layer = [float("inf")] * count
-        for one in usable_later:
-            if one.layers is None or registry.is_usable(one.name):
+        for engine in usable_later:
+            if engine.layers is None or registry.is_usable(engine.name):
                 continue
-            left = registry.backoff_seconds_left(one.name)
-            for layer in range(one.layers.first, one.layers.end):
-                wait_by_layer[layer] = min(wait_by_layer[layer], left)
+            seconds_left = registry.backoff_seconds_left(engine.name)
+            for layer in range(engine.layers.first, engine.layers.end):
+                wait_by_layer[layer] = min(wait_by_layer[layer], seconds_left)
         return max(
             wait_by_layer[layer]
             for layers in missing
@@ -173,27 +173,29 @@
         )
 
     def _must_queue(self, wait_queue: waiting.WaitQueue) -> bool:
-        """Whether others wait for capacity, and not for missing layers."""
+        """Whether requests are queued for capacity, not for missing layers."""
         return bool(len(wait_queue)) and self._gap() is None
 
     def unavailable_addresses(self) -> str:
-        """Return addresses that backpressure excludes or excluded.
+        """Return addresses of engines that backpressure excludes.
 
-        Those at present, or else those when the wait began.
+        If there are none now, returns those excluded when the wait began.
         """
         now = self._context.backpressure.unavailable_addresses(self._service)
         return now or self._unavailable_at_start
 
-    def refusal(self) -> errors.CrowdeckError:
+    def refusal_error(self) -> errors.CrowdeckError:
         """Return the error for a stream that found no path."""
         rng = self._context.rng
         delay = self._context.retry_advisor.record_refusal()
         gap = self._gap()
         if gap is not None:
             counters.COUNTERS.add("relay.unheld")
-            left = gap.seconds_left
-            if left is not None:
-                delay = left + rng.uniform(0.0, retry_advice.WINDOW_SECONDS)
+            seconds_left = gap.seconds_left
+            if seconds_left is not None:
+                delay = seconds_left + rng.uniform(
+                    0.0, retry_advice.WINDOW_SECONDS
+                )
             return _no_path(_describe_gap(gap), delay)
         seconds = self.seconds_until_accepted()
         if seconds:
@@ -202,7 +204,7 @@
         return _no_path("no path through the model has capacity", delay)
 
     def _gap(self) -> gaps.LayerGap | None:
-        """Return the gap left when leaving engines are gone, if any."""
+        """Return the gap in the model, not counting engines that leave."""
         return self._context.gaps.find_gap(self._service, self._stream.profile)
 
     def _log_no_path(self) -> None:
@@ -232,7 +234,7 @@
 
     def _plan(self) -> chain.ChainPath | None:
         registry = self._context.registry
-        wanted = hops.PathRequest(
+        path_request = hops.PathRequest(
             self._stream.profile,
             self._stream.tokens,
             self._context.zone,
@@ -240,21 +242,21 @@
             self._context.limits.allows,
         )
         usable = [
-            one
-            for one in registry.usable(self._service)
-            if one.name not in self._excluded
+            engine
+            for engine in registry.usable(self._service)
+            if engine.name not in self._excluded
         ]
-        path = self._plan_over(usable, wanted)
+        path = self._plan_over(usable, path_request)
         if path is None or path.zone_crossings:
             leaving = [
-                one
-                for one in registry.usable_while_leaving(self._service)
-                if one.name not in self._excluded
+                engine
+                for engine in registry.usable_while_leaving(self._service)
+                if engine.name not in self._excluded
             ]
             if leaving:
-                path = self._plan_over(usable + leaving, wanted)
+                path = self._plan_over(usable + leaving, path_request)
         if path is None and self._excluded:
-            # Engines that refused earlier may accept by the next call.
+            # Engines that refused earlier may accept at the next attempt.
             self._excluded.clear()
         if path is not None:
             # Counted at once, so that other tasks do not exceed the limit.
@@ -262,13 +264,13 @@
         return path
 
     def _plan_over(
-        self, usable: list[chain.Upstream], wanted: hops.PathRequest
+        self, usable: list[chain.Upstream], path_request: hops.PathRequest
     ) -> chain.ChainPath | None:
-        """Return the best path in this entry's subset, else over all."""
-        chosen = self._context.subset.pick(usable)
-        path = self._context.planner.plan(chosen, wanted)
-        if path is None and len(chosen) < len(usable):
-            path = self._context.planner.plan(usable, wanted)
+        """Return the best path in this entry's subset, else in ``usable``."""
+        subset = self._context.subset.pick(usable)
+        path = self._context.planner.plan(subset, path_request)
+        if path is None and len(subset) < len(usable):
+            path = self._context.planner.plan(usable, path_request)
         return path
 
 
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -24,7 +24,7 @@
 
 
 class Rerouter:
-    """Changes the paths of one entry's streams.
+    """Changes the paths of an entry's streams.
 
     :param streams: streams in progress; the owner of the set updates it.
     :param prober: probes the engines of a new path.
@@ -49,8 +49,8 @@
     ) -> None:
         """Reroute every stream that passes one of the engines.
 
-        All of them are avoided together: a path that avoids one and keeps
-        another would be refused.
+        All of the engines are avoided together: a path that still passes
+        any of them would be refused.
         """
         async with anyio.create_task_group() as tasks:
             for culprit in culprits:
@@ -70,7 +70,7 @@
                         reason = f"first engine {culprit.address} is silent"
                         stream.abandon(reason)
                     # Any other stream would be lost if it were abandoned,
-                    # while the engine may yet recover.
+                    # while the engine may still recover.
                     continue
                 self._repathing.add(stream)
                 tasks.start_soon(self._reroute, stream, path, culprit)
@@ -92,21 +92,21 @@
         path: chain.ChainPath,
         culprit: chain.Upstream,
     ) -> None:
-        failed = {one.name for one in self._context.registry.avoided()}
+        failed = {engine.name for engine in self._context.registry.avoided()}
         excluded = {culprit.name}
         excluded |= {hop.upstream.name for hop in path.hops} & failed
         while True:
-            other = self._find_path(stream, path, excluded)
-            if self._should_restart(stream, path, other):
+            new_path = self._find_path(stream, path, excluded)
+            if self._should_restart(stream, path, new_path):
                 self._log(
                     stream, path, None, "restarts at another first engine"
                 )
                 stream.abandon(f"{culprit.address} is silent")
                 return
-            if other is None:
+            if new_path is None:
                 self._log(stream, path, None, "no other engine has capacity")
                 return
-            silent = await self._find_silent(path, other)
+            silent = await self._find_silent(path, new_path)
             if stream.path is not path:
                 return
             if silent:
@@ -116,13 +116,13 @@
                 self._restart_elsewhere(stream, path)
                 return
             outcome = await self._context.client.repath(
-                path.head, stream.request.id, other
+                path.head, stream.request.id, new_path
             )
             if stream.path is not path:
                 return
-            self._log(stream, path, other, _describe(outcome))
+            self._log(stream, path, new_path, _describe(outcome))
             if outcome.is_done:
-                stream.switch_path(other)
+                stream.switch_path(new_path)
                 counters.COUNTERS.add("relay.repathed")
                 return
             blamed = self._context.registry.find_by_address(outcome.culprit)
@@ -138,9 +138,9 @@
     ) -> None:
         """Restart a stream at another first engine if that is allowed.
 
-        Used when its own first engine cannot be asked for another path or
-        keeps refusing, so that the stream would stay paused. Nothing happens
-        if it may not resume or the retry budget is low.
+        Called when its own first engine may not be asked for another path
+        or keeps refusing, so that the stream would stay paused. Does nothing
+        if the stream may not resume or the retry budget is low.
         """
         if not stream.may_resume:
             return
@@ -150,33 +150,33 @@
         stream.abandon(f"{path.head.address} cannot change the path")
 
     async def _find_silent(
-        self, path: chain.ChainPath, other: chain.ChainPath
+        self, path: chain.ChainPath, new_path: chain.ChainPath
     ) -> set[str]:
         """Return the names of a path's new engines that do not answer.
 
         Engines often fail together, so a replacement may be lost as well.
         Probing it takes less time than a refusal by the first engine.
         """
-        kept = {hop.upstream.name for hop in path.hops}
+        current_names = {hop.upstream.name for hop in path.hops}
         answers: list[probes.Probe] = []
 
         async def ask(upstream: chain.Upstream) -> None:
             answers.append(await self._prober.probe(upstream))
 
         async with anyio.create_task_group() as tasks:
-            for hop in other.hops:
-                if hop.upstream.name not in kept:
+            for hop in new_path.hops:
+                if hop.upstream.name not in current_names:
                     tasks.start_soon(ask, hop.upstream)
-        silent = [one.upstream for one in answers if one.is_silent]
+        silent = [answer.upstream for answer in answers if answer.is_silent]
         for upstream in silent:
             self._verify(upstream)
-        return {one.name for one in silent}
+        return {engine.name for engine in silent}
 
     def _should_restart(
         self,
         stream: live.LiveStream,
         path: chain.ChainPath,
-        other: chain.ChainPath | None,
+        new_path: chain.ChainPath | None,
     ) -> bool:
         """Whether a stream should resume at another first engine instead.
 
@@ -188,7 +188,9 @@
             return False
         if not self._context.may_restart_stream(stream.service.name):
             return False
-        return other is None or other.zone_crossings > path.zone_crossings
+        return (
+            new_path is None or new_path.zone_crossings > path.zone_crossings
+        )
 
     def _find_path(
         self,
@@ -197,33 +199,33 @@
         excluded: set[str],
     ) -> chain.ChainPath | None:
         usable = [
-            one
-            for one in self._context.registry.usable(stream.service.name)
-            if one.name not in excluded
+            engine
+            for engine in self._context.registry.usable(stream.service.name)
+            if engine.name not in excluded
         ]
-        wanted = hops.PathRequest(
+        path_request = hops.PathRequest(
             stream.profile,
             stream.tokens,
             self._context.zone,
             stream.objective,
         )
-        chosen = self._context.subset.pick(usable)
+        subset = self._context.subset.pick(usable)
         return self._context.planner.replace_failed_hops(
-            chosen, wanted, path, excluded
+            subset, path_request, path, excluded
         )
 
     def _log(
         self,
         stream: live.LiveStream,
         path: chain.ChainPath,
-        other: chain.ChainPath | None,
+        new_path: chain.ChainPath | None,
         outcome: str,
     ) -> None:
         logs.decision(
             "path_changed",
             stream.request.id,
             before=str(path),
-            path=str(other) if other else "",
+            path=str(new_path) if new_path else "",
             outcome=outcome,
             silent=round(anyio.current_time() - stream.progress_at, 3),
         )
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -19,8 +19,8 @@
 
 # Minimum time between two checks of the streams.
 CHECK_SECONDS = 0.02
-# Maximum time between two checks. An idle entry checks only the engines that
-# are avoided, and should cost little processor time.
+# Maximum time between two checks. An idle entry checks only avoided engines,
+# and should use little processor time.
 IDLE_CHECK_SECONDS = 0.2
 # A stream is checked after PAUSE_FACTOR usual pauses without an event, bounded
 # by EARLIEST_SHARE and LATEST_SHARE of its maximum pause. The rest of that
@@ -29,10 +29,10 @@
 EARLIEST_SHARE = 0.3
 LATEST_SHARE = 0.45
 # Share of the latency objective after which a stream without a first event is
-# checked. The engines read the prompt in that time.
+# checked. The engines process the prompt in that time.
 FIRST_EVENT_SHARE = 0.4
 # A stream whose engines all answer is checked again after this share of its
-# maximum pause, and each time after twice as long.
+# maximum pause, and then each time after twice as long.
 RECHECK_SHARE = 0.5
 
 # An engine may accept a request and never work on it, while its report and its
@@ -48,8 +48,8 @@
 # Another stream with an event within this many of its usual pauses shows that
 # the engine works.
 SIBLING_PAUSES = 3.0
-# Engines that an event passed within this time are not probed. Above the time
-# that an event takes through all stages.
+# Engines that an event passed within this time are not probed. Longer than an
+# event takes to pass all stages.
 RECENT_EVENT_SECONDS = 0.03
 
 
@@ -58,8 +58,8 @@
     """The result of checking a silent stream.
 
     :ivar culprits: engines that stall it.
-    :ivar is_sure: whether missing answers are the engines' fault and not that
-        of this entry's own lag.
+    :ivar is_sure: whether missing answers are due to the engines and not to
+        the lag of this entry.
     :ivar head_report: the report of the first engine, if there is one.
     """
 
@@ -108,8 +108,8 @@
     async def has_ended(self, upstream: chain.Upstream) -> bool:
         """Return whether an instance whose connection broke has ended.
 
-        Awaited before a retry elsewhere, since a request is blamed for the
-        end of an instance but not for a broken connection.
+        Awaited before a retry elsewhere: the end of an instance counts
+        against its requests, and a broken connection does not.
         """
         probe = await self._prober.probe(upstream)
         if probe.is_gone:
@@ -140,8 +140,8 @@
     def check_now(self, upstream: chain.Upstream) -> None:
         """Check all streams that pass an engine as soon as possible.
 
-        Used when a first engine refuses a request because of that engine,
-        which may be before the streams fall silent.
+        Called when a first engine refuses a request because of that engine,
+        which may happen before its streams are silent.
         """
         for stream in self._streams:
             path = stream.path
@@ -165,7 +165,7 @@
                     continue
                 now = anyio.current_time()
                 for stream in tuple(self._streams):
-                    if self._is_silent(stream, now):
+                    if self._claim_check(stream, now):
                         self._checking.add(stream)
                         tasks.start_soon(self._check, stream)
 
@@ -232,7 +232,8 @@
             for answer in answers
         )
 
-    def _is_silent(self, stream: live.LiveStream, now: float) -> bool:
+    def _claim_check(self, stream: live.LiveStream, now: float) -> bool:
+        """Whether to check a stream now; resets its ``needs_check``."""
         if stream.path is None or stream in self._checking:
             return False
         if stream.needs_check:
@@ -275,7 +276,7 @@
             silent=round(anyio.current_time() - silent_since, 3),
             usual=round(stream.usual_pause, 4),
             after=stream.last_event_id,
-            culprits=[str(one.address) for one in found.culprits],
+            culprits=[str(engine.address) for engine in found.culprits],
             is_sure=found.is_sure,
             running=found.head_report.running if found.head_report else None,
             waiting=found.head_report.waiting if found.head_report else None,
@@ -327,8 +328,8 @@
             return False
         if heads.has_fast_alternative(name, QUICK_SHARE * stream.objective):
             return True
-        # An entry with few streams may know of no other first engine. One that
-        # is not known to be slow is worth a try when this one is late anyway.
+        # An entry with few streams may have no record of other first engines.
+        # A late stream is then moved, unless one of them is known to be slow.
         waited = anyio.current_time() - stream.progress_at
         return (
             waited > LATE_SHARE * stream.objective
@@ -354,8 +355,8 @@
     ) -> _Finding:
         """Return the engines that stall a stream.
 
-        The first engine reports which engines its requests wait for, though
-        the report may be slightly old. If it names none for this request,
+        The first engine reports for which engines its requests wait; the
+        report may be slightly old. If it names no engine for this request,
         the other engines of the path are probed.
         """
         max_age = probes.REUSE_SECONDS
@@ -372,7 +373,7 @@
             for stall in head.report.stalls
             if stall.request == stream.request.id
         ]
-        found = [one for one in named if one is not None]
+        found = [engine for engine in named if engine is not None]
         if found:
             return _Finding(found, True, head.report)
         answers: list[probes.Probe] = []
@@ -385,8 +386,8 @@
             for hop in path.hops[1:]:
                 if hop.upstream.name not in active:
                     tasks.start_soon(ask, hop.upstream)
-        silent = [one.upstream for one in answers if one.is_silent]
-        is_sure = all(one.is_sure for one in answers)
+        silent = [answer.upstream for answer in answers if answer.is_silent]
+        is_sure = all(answer.is_sure for answer in answers)
         return _Finding(silent, is_sure, head.report)
 
     def _recently_active(self) -> set[str]:
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -146,7 +146,7 @@
         await self._refuse_if_quarantined()
         if path is not None:
             return path
-        raise self._final_error(self._paths.refusal())
+        raise self._final_error(self._paths.refusal_error())
 
     async def _refuse_if_quarantined(self) -> None:
         """Refuse a request that is known to crash engines.
