--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -20,10 +20,10 @@
 from crowdeck.routing import rate_limits
 
 POLL_SECONDS = 0.5
-# Changes that one check logs in a line each. The rest are summarized in one
-# more line, since a whole service may signal at once.
+# Changes that one check logs in a line each. The rest are summarized in
+# another line, since all instances of a service may signal at once.
 MAX_LOG_LINES = 20
-# Maximum number of addresses in the log line of one request.
+# Maximum number of addresses in the log line of a request.
 MAX_LOGGED_ADDRESSES = 5
 
 
@@ -39,7 +39,7 @@
 class BackpressureSignal:
     """Backpressure of one kind that an instance signals.
 
-    :ivar since: loop time at which this entry learned of it.
+    :ivar since: loop time at which this entry received it.
     :ivar per_second: the rate limit in requests per second, over all entries.
     :ivar used: requests per second that this entry sends.
     :ivar share: this entry's share of the rate limit.
@@ -100,7 +100,8 @@
     def unavailable_addresses(self, service: str) -> str:
         """Return addresses of a service's instances that get no requests.
 
-        The first few that backpressure excludes, separated by commas.
+        At most ``MAX_LOGGED_ADDRESSES`` that backpressure excludes, separated
+        by commas.
         """
         names = itertools.chain(
             (name for name, _, _ in self._registry.backing_off()),
@@ -108,12 +109,13 @@
             self._limits.names(),
         )
         found = (
-            str(one.address)
+            str(upstream.address)
             for name in dict.fromkeys(names)
-            if (one := self._registry.find(name)) is not None
-            and one.service == service
+            if (upstream := self._registry.find(name)) is not None
+            and upstream.service == service
             and not (
-                self._registry.is_usable(name) and self._limits.allows(one)
+                self._registry.is_usable(name)
+                and self._limits.allows(upstream)
             )
         )
         return ",".join(itertools.islice(found, MAX_LOGGED_ADDRESSES))
@@ -125,16 +127,16 @@
             await anyio.sleep(POLL_SECONDS)
 
     def _limited(self) -> typing.Iterator[BackpressureSignal]:
-        for one in self._limits.views():
-            upstream = self._registry.find(one.name)
+        for limit in self._limits.views():
+            upstream = self._registry.find(limit.name)
             if upstream is not None:
                 yield BackpressureSignal(
                     upstream,
                     SignalKind.LIMIT,
-                    one.since,
-                    per_second=one.per_second,
-                    used=one.used,
-                    share=one.share,
+                    limit.since,
+                    per_second=limit.per_second,
+                    used=limit.used,
+                    share=limit.share,
                 )
 
     def _backing_off(self) -> typing.Iterator[BackpressureSignal]:
@@ -142,9 +144,12 @@
         for name, since, until in self._registry.backing_off():
             upstream = self._registry.find(name)
             if upstream is not None:
-                left = until - now
+                seconds_left = until - now
                 yield BackpressureSignal(
-                    upstream, SignalKind.BACKOFF, since, seconds_left=left
+                    upstream,
+                    SignalKind.BACKOFF,
+                    since,
+                    seconds_left=seconds_left,
                 )
 
     def _leaving(self) -> typing.Iterator[BackpressureSignal]:
@@ -154,37 +159,44 @@
                 yield BackpressureSignal(upstream, SignalKind.LEAVING, since)
 
     def _check(self) -> None:
-        found = {one.key: one for one in self.active_signals()}
-        begun = [one for key, one in found.items() if key not in self._known]
-        ended = [one for key, one in self._known.items() if key not in found]
+        found = {signal.key: signal for signal in self.active_signals()}
+        begun = [
+            signal for key, signal in found.items() if key not in self._known
+        ]
+        ended = [
+            signal for key, signal in self._known.items() if key not in found
+        ]
         _log("need_begun", begun)
         _log("need_ended", ended)
         self._known = found
         self._set_gauges(found.values())
 
     def _set_gauges(self, found: typing.Iterable[BackpressureSignal]) -> None:
-        levels: dict[str, float] = collections.defaultdict(float)
-        for one in found:
-            where = f"{one.upstream.service}.{one.upstream.availability_zone}"
-            levels[f"needs.{one.kind}.{where}"] += 1
-            if one.kind is SignalKind.LIMIT:
-                allowed = f"needs.allowed_per_second.{where}"
-                used = f"needs.used_per_second.{where}"
-                levels[allowed] += one.per_second or 0.0
-                levels[used] += one.used or 0.0
-        self._gauges |= set(levels)
+        values: dict[str, float] = collections.defaultdict(float)
+        for signal in found:
+            group = (
+                f"{signal.upstream.service}."
+                f"{signal.upstream.availability_zone}"
+            )
+            values[f"needs.{signal.kind}.{group}"] += 1
+            if signal.kind is SignalKind.LIMIT:
+                allowed = f"needs.allowed_per_second.{group}"
+                used = f"needs.used_per_second.{group}"
+                values[allowed] += signal.per_second or 0.0
+                values[used] += signal.used or 0.0
+        self._gauges |= set(values)
         for name in self._gauges:
-            counters.COUNTERS.set_gauge(name, levels[name])
+            counters.COUNTERS.set_gauge(name, values[name])
 
 
 def _log(event: str, signals: list[BackpressureSignal]) -> None:
-    for one in signals[:MAX_LOG_LINES]:
-        logs.change(event, **one.as_fields())
-    others = signals[MAX_LOG_LINES:]
-    if others:
+    for signal in signals[:MAX_LOG_LINES]:
+        logs.change(event, **signal.as_fields())
+    unlogged = signals[MAX_LOG_LINES:]
+    if unlogged:
         counts = collections.Counter(
-            f"{one.upstream.service} {one.upstream.availability_zone} "
-            f"{one.kind}"
-            for one in others
+            f"{signal.upstream.service} {signal.upstream.availability_zone} "
+            f"{signal.kind}"
+            for signal in unlogged
         )
         logs.change(f"{event}_by_others", instances=dict(counts))
--- a/src/crowdeck/relay/events.py
+++ b/src/crowdeck/relay/events.py
@@ -12,7 +12,7 @@
 from crowdeck import errors
 from crowdeck import verdict as verdicts
 
-# Far above the size of any event: a longer one means a broken stream.
+# Far above the size of any event: a longer event means a broken stream.
 EVENT_LIMIT_BYTES = 1024 * 1024
 _EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 
@@ -30,8 +30,8 @@
 class EventSplitter:
     """Splits a stream's bytes into complete events.
 
-    Incomplete events are held back: the stream may break in the middle of
-    one and resume at another engine with a complete event.
+    Incomplete events are not returned: a stream may break in the middle of
+    an event and resume at another engine with a complete event.
     """
 
     def __init__(self, read_id: EventIdReader) -> None:
--- a/src/crowdeck/relay/ingress.py
+++ b/src/crowdeck/relay/ingress.py
@@ -131,7 +131,7 @@
     async def __call__(
         self, scope: Scope, receive: Receive, send: Send
     ) -> None:
-        """Serve one request; an ASGI application."""
+        """Serve one HTTP request, as an ASGI application."""
         assert scope["type"] == "http", "only HTTP is served"
         arrived = anyio.current_time()
         sink = CallerSink(send, self._server)
@@ -165,8 +165,8 @@
             except errors.CrowdeckError as error:
                 await self._refuse(sink, request.id, error, request.arrived)
             tasks.cancel_scope.cancel()
-        took = anyio.current_time() - request.arrived
-        counters.COUNTERS.time("relay.answered", took)
+        elapsed = anyio.current_time() - request.arrived
+        counters.COUNTERS.time("relay.answered", elapsed)
 
     async def _read(self, receive: Receive) -> _Body:
         pieces = []
--- a/src/crowdeck/relay/loop_lag.py
+++ b/src/crowdeck/relay/loop_lag.py
@@ -5,7 +5,7 @@
 
 """Measures the lag of the event loop.
 
-An entry whose own event loop lags must not take engines for lost.
+An entry whose own event loop lags must not treat engines as lost.
 """
 
 import anyio
@@ -13,24 +13,23 @@
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 
-# Default length of a tick; several are waited for before an engine counts as
-# silent.
+# Default length of a tick. An engine counts as silent only after several.
 TICK_SECONDS = 0.009
 # Length of the meter's ticks: longer delays of the loop are always noticed,
 # and shorter ones do not make a stream look silent.
 METER_TICK_SECONDS = 0.02
-# A tick that is later than this is not on time. Answers may then be unread,
-# so it does not count towards an engine's silence.
+# A tick that is later than this is not on time. Answers may then be unread, so
+# the tick does not count towards an engine's silence.
 ON_TIME_SECONDS = 0.006
 # Larger lags are logged.
 LOGGED_LAG_SECONDS = 0.03
-# How long after a late tick streams may look silent only because their
-# events are unread.
+# How long after a late tick streams may look silent only because their events
+# have not been read yet.
 SETTLE_SECONDS = 0.03
 # How long the peak lag is remembered.
 RECENT_SECONDS = 0.3
-# Lag above which an entry counts as overloaded. More than what reading a large
-# config causes.
+# Lag above which an entry counts as overloaded. Reading a large config causes
+# less.
 OVERLOAD_SECONDS = 0.15
 
 
@@ -71,7 +70,7 @@
         return max(overdue, self._peak)
 
     def is_settling(self) -> bool:
-        """Whether the loop was late a moment ago."""
+        """Whether the loop was late in the last ``SETTLE_SECONDS``."""
         return anyio.current_time() - self._late_at < SETTLE_SECONDS
 
 
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -16,7 +16,7 @@
 from crowdeck.relay import interfaces
 from crowdeck.relay import loop_lag
 
-# An engine that has not answered after this many ticks on time is silent.
+# Ticks on time after which an engine that has not answered is silent.
 SILENT_TICKS = 4
 # Ticks after which a probe ends without a result, on time or not.
 MAX_TICKS = 25
@@ -24,7 +24,7 @@
 # at once.
 REUSE_SECONDS = 0.05
 # How long a report is reused for streams without a first event. Many wait when
-# a fleet is full, and would overload its engines with probes.
+# a fleet is full, and their probes would overload its engines.
 STARTING_REUSE_SECONDS = 0.25
 
 # Other engines probed beside a silent one. If none answers either, the entry's
@@ -37,8 +37,10 @@
     """The result of probing an engine.
 
     :ivar report: its report, ``None`` if there was none.
-    :ivar is_sure: whether a missing report is the engine's fault and not
-        that of this entry's own lag.
+    :ivar reason: why there is no report, or empty.
+    :ivar is_sure: whether a missing report is due to the engine and not to
+        the lag of this entry.
+    :ivar at: loop time of the result.
     :ivar was_refused: whether the connection failed in a way that shows that
         the network works, such as a refusal or a reset.
     :ivar is_gone: whether its process is known to have ended.
@@ -61,8 +63,9 @@
 class Prober:
     """Probes engines, each at most once at a time.
 
-    :param may_probe: whether an engine, by its name, may be probed now. An
-        engine that is backing off is not, so that its silence proves nothing.
+    :param may_probe: returns whether the engine of this name may be probed
+        now. An engine that is backing off may not; it does not count as
+        silent then.
     """
 
     def __init__(
@@ -96,14 +99,14 @@
                 )
                 if now - known.at < reuse_seconds:
                     return known
-            waiting = self._in_progress.get(upstream.name)
-            if waiting is None:
+            probe_done = self._in_progress.get(upstream.name)
+            if probe_done is None:
                 if not self._may_probe(upstream.name):
                     return Probe(
                         upstream, None, "it is backing off", False, now
                     )
                 return await self._run_probe(upstream)
-            await waiting.wait()
+            await probe_done.wait()
 
     async def _run_probe(self, upstream: chain.Upstream) -> Probe:
         done = self._in_progress[upstream.name] = anyio.Event()
@@ -119,20 +122,22 @@
     def _forget(self) -> None:
         """Drop probes that are too old to be reused."""
         since = anyio.current_time() - STARTING_REUSE_SECONDS
-        for name in [n for n, one in self._known.items() if one.at < since]:
-            del self._known[name]
+        for stale in [
+            name for name, probe in self._known.items() if probe.at < since
+        ]:
+            del self._known[stale]
 
     async def _exchange(self, upstream: chain.Upstream) -> Probe:
         counters.COUNTERS.add("relay.probed")
         found: list[Probe] = []
 
-        async def report(scope: anyio.CancelScope) -> None:
-            answer: chain.EngineReport | None = None
+        async def request_report(scope: anyio.CancelScope) -> None:
+            report: chain.EngineReport | None = None
             reason = ""
             is_gone = False
             is_sure = True
             try:
-                answer = await self._upstreams.report(upstream)
+                report = await self._upstreams.report(upstream)
             except errors.CrowdeckError as error:
                 reason = error.message
                 is_gone = isinstance(error, errors.InstanceGone)
@@ -142,11 +147,11 @@
             found.append(
                 Probe(
                     upstream,
-                    answer,
+                    report,
                     reason,
                     is_sure,
                     now,
-                    answer is None and is_sure,
+                    report is None and is_sure,
                     is_gone,
                 )
             )
@@ -154,7 +159,7 @@
 
         is_sure = False
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(report, tasks.cancel_scope)
+            tasks.start_soon(request_report, tasks.cancel_scope)
             is_sure = await _wait_for_silence()
             tasks.cancel_scope.cancel()
         if found:
@@ -166,18 +171,20 @@
 def pick_controls(
     upstream: chain.Upstream, usable: typing.Iterable[chain.Upstream]
 ) -> list[chain.Upstream]:
-    """Return engines to probe beside one that is silent.
+    """Return engines to probe beside a silent engine.
 
-    Those of other zones first, since a whole zone may be lost.
+    Engines of other zones come first, since a whole zone may be lost.
     """
     zone = upstream.availability_zone
-    others = [one for one in usable if one.name != upstream.name]
-    others.sort(key=lambda one: (one.availability_zone == zone, one.name))
+    others = [engine for engine in usable if engine.name != upstream.name]
+    others.sort(
+        key=lambda engine: (engine.availability_zone == zone, engine.name)
+    )
     return others[:CONTROL_COUNT]
 
 
 async def _wait_for_silence() -> bool:
-    """Wait until silence counts; returns whether the ticks were on time."""
+    """Wait for enough ticks on time; return whether there were enough."""
     on_time = 0
     for _ in range(MAX_TICKS):
         if await loop_lag.tick() <= loop_lag.ON_TIME_SECONDS:
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Callers' requests, and where their answers go."""
+"""Callers' requests, and the sinks that receive their answers."""
 
 import typing
 
@@ -33,7 +33,7 @@
         """Return the mean number of tokens held while the request runs.
 
         That is the prompt and half of the expected answer: the mean answer,
-        averaged with the caller's hint if there is one, up to the maximum.
+        averaged with the caller's hint if it is given, up to the maximum.
         """
         answer = mean_answer_tokens
         if self.answer_hint:
@@ -50,7 +50,7 @@
     :ivar target: path and query, exactly as the caller sent them.
     :ivar path: the path without its query.
     :ivar timeout_seconds: how long the caller waits, ``None`` if not given.
-    :ivar arrived: loop time when its headers had been read.
+    :ivar arrived: loop time at which its headers had been read.
     :ivar last_event_id: id of the last event that the caller has, or -1.
     """
 
--- a/src/crowdeck/relay/retry_advice.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -15,7 +15,7 @@
 WINDOW_SECONDS = 2.0
 # Delay for a single refusal.
 MIN_DELAY_SECONDS = 0.3
-# Upper bound; callers ignore delays that are too long for their deadline.
+# Callers ignore delays that are too long for their deadline.
 MAX_DELAY_SECONDS = 4.0
 # Delay for a refusal that concerns this entry alone. Load balancers
 # already send new connections elsewhere, so a retry reaches another entry.
@@ -25,8 +25,8 @@
 class RetryAdvisor:
     """Spreads retries over the time in which capacity becomes free.
 
-    With one short delay for all, requests refused in a burst would all retry
-    together and be refused again.
+    With the same short delay for all, requests refused in a burst would
+    retry together and be refused again.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -40,9 +40,11 @@
         self._forget(self._ended)
 
     def seconds_until_capacity(self, count: int) -> float:
-        """Return the seconds until there is capacity for ``count`` more.
+        """Return the seconds until there is capacity for more requests.
 
-        0 if no stream ended lately, since nothing is known then.
+        0 if no stream ended lately, since the rate is not known then.
+
+        :param count: number of requests.
         """
         self._forget(self._ended)
         if not self._ended:
@@ -52,8 +54,9 @@
     def record_refusal(self) -> float:
         """Record a refusal and return the seconds after which to retry.
 
-        Capacity for all recent refusals comes with as many ended streams;
-        the delay is drawn at random from that time.
+        Each stream that ends frees capacity for one request. The delay is
+        drawn at random from the time in which as many streams end as requests
+        were refused lately.
         """
         self._refused.append(anyio.current_time())
         self._forget(self._refused)
--- a/src/crowdeck/relay/status.py
+++ b/src/crowdeck/relay/status.py
@@ -26,7 +26,7 @@
 
 
 class _Relay(ReadinessSource, typing.Protocol):
-    """Reports how many requests are being served."""
+    """Reports whether the entry is ready, and its requests in progress."""
 
     @property
     def in_progress(self) -> int:
@@ -72,11 +72,11 @@
             "running": self._relay.in_progress,
             "generation": table.version if table is not None else 0,
             "needs": [
-                one.as_fields()
-                for one in self._context.backpressure.active_signals()
+                signal.as_fields()
+                for signal in self._context.backpressure.active_signals()
             ],
             "unheld": [
-                one.as_fields() for one in self._context.gaps.current_gaps
+                gap.as_fields() for gap in self._context.gaps.current_gaps
             ],
         }
 
--- a/src/crowdeck/relay/survey.py
+++ b/src/crowdeck/relay/survey.py
@@ -17,10 +17,10 @@
 # How often, and how many times, to check whether engines are listed.
 POLL_SECONDS = 0.02
 MAX_POLLS = 100
-# Maximum number of concurrent requests.
+# Maximum number of reports requested at the same time.
 MAX_CONCURRENT = 32
-# Maximum number of engines asked, those of the entry's own availability zone
-# first. More requests would delay the start of a small entry.
+# Maximum number of engines to survey, those of the entry's own availability
+# zone first. More requests would delay the start of a small entry.
 MAX_ENGINES = 40
 
 
@@ -28,8 +28,8 @@
     """Asks engines once how much cache other entries' streams use.
 
     When all entries fail at once, engines keep serving their streams until
-    they detect it. Without the survey, entries that start meanwhile take
-    full engines for empty ones.
+    they detect it. Without the survey, entries that start meanwhile would
+    treat full engines as empty.
     """
 
     def __init__(self, context: contexts.RelayContext) -> None:
@@ -40,13 +40,13 @@
         engines = await self._find_engines(services)
         limiter = anyio.CapacityLimiter(MAX_CONCURRENT)
         async with anyio.create_task_group() as tasks:
-            for one in engines:
-                tasks.start_soon(self._ask, one, limiter)
+            for engine in engines:
+                tasks.start_soon(self._request_report, engine, limiter)
         logs.change("surveyed", engines=len(engines))
 
     def _nearest(self, engines: list[chain.Upstream]) -> list[chain.Upstream]:
         zone = self._context.zone
-        engines.sort(key=lambda one: one.availability_zone != zone)
+        engines.sort(key=lambda engine: engine.availability_zone != zone)
         return engines[:MAX_ENGINES]
 
     async def _find_engines(
@@ -54,18 +54,18 @@
     ) -> list[chain.Upstream]:
         for _ in range(MAX_POLLS):
             found = [
-                one
+                engine
                 for service in services
-                for one in self._context.registry.listed(service.name)
+                for engine in self._context.registry.listed(service.name)
             ]
             if found:
                 return self._nearest(
-                    [one for one in found if one.layers is not None]
+                    [engine for engine in found if engine.layers is not None]
                 )
             await anyio.sleep(POLL_SECONDS)
         return []
 
-    async def _ask(
+    async def _request_report(
         self, upstream: chain.Upstream, limiter: anyio.CapacityLimiter
     ) -> None:
         async with limiter:
--- a/src/crowdeck/relay/waiting.py
+++ b/src/crowdeck/relay/waiting.py
@@ -22,7 +22,8 @@
     """Queue of requests for one service, first come first served.
 
     Only the first in the queue looks for a path, since planning is costly.
-    Later requests also cannot take the capacity that others wait for.
+    This also keeps later requests from taking capacity that earlier requests
+    wait for.
     """
 
     def __init__(self) -> None:
