--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Callers that disconnect, at each point of a stream's life.
+"""Callers that disconnect, at each stage of a stream.
 
-Afterwards nothing more is sent to engines for them, and all that the stream
-held is released.
+Afterwards nothing more is sent to engines for them, and all resources of the
+stream are released.
 """
 
 import typing
@@ -53,9 +53,9 @@
 
 
 def assert_released(system: System) -> None:
-    for one in system.listed.values():
-        assert system.usage.sequences(one) == 0
-        assert system.usage.own_requests(one) == 0
+    for upstream in system.listed.values():
+        assert system.usage.sequences(upstream) == 0
+        assert system.usage.own_requests(upstream) == 0
     assert not system.monitor._streams
     assert not system.monitor._checking
     assert len(system.context.wait_queue(fleet_system.MODEL)) == 0
@@ -65,13 +65,13 @@
 
 
 def fill(system: System) -> None:
-    for one in system.listed.values():
-        assert one.layers is not None
-        count = one.layers.end - one.layers.first
+    for upstream in system.listed.values():
+        assert upstream.layers is not None
+        count = upstream.layers.end - upstream.layers.first
         kv_capacity = (
-            fleet_system.PROFILE.token_capacity(one.card, count) * count
+            fleet_system.PROFILE.token_capacity(upstream.card, count) * count
         )
-        system.usage.note_existing_load(one, 1.6 * kv_capacity)
+        system.usage.note_existing_load(upstream, 1.6 * kv_capacity)
 
 
 class TestDisconnect:
@@ -135,7 +135,8 @@
     def test_while_it_is_rerouted(
         self, fault: str, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # At each step: detecting the stall, probing, and changing the path.
+        # Disconnects at each step of detecting the stall, probing engines and
+        # changing the path.
         for step in range(STEPS):
             self.disconnect_while_rerouted(
                 fault, step * STEP_SECONDS, monkeypatch
@@ -150,26 +151,26 @@
             async def inject_fault() -> None:
                 await anyio.sleep(0.1)
                 run = system.fleet.runs_of(request.id)[-1]
-                part = run.path.split(",")[2].partition("=")[0]
-                setattr(system.fleet.at(part), fault, True)
+                address = run.path.split(",")[2].partition("=")[0]
+                setattr(system.fleet.at(address), fault, True)
 
-            asked: list[float] = []
+            repath_times: list[float] = []
             repath = system.fleet.repath
 
             async def record_repath(
                 head: chain.Upstream, request_id: str, path: chain.ChainPath
             ) -> interfaces.RepathOutcome:
-                asked.append(anyio.current_time())
+                repath_times.append(anyio.current_time())
                 return await repath(head, request_id, path)
 
             monkeypatch.setattr(system.fleet, "repath", record_repath)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(inject_fault)
                 await disconnect_after(system, request, 0.1 + after)
-            left = anyio.current_time()
+            left_at = anyio.current_time()
             assert not system.monitor._streams
             await anyio.sleep(SETTLE_SECONDS)
-            assert all(at <= left for at in asked)
+            assert all(at <= left_at for at in repath_times)
             assert len(system.fleet.runs) == 1
             assert_released(system)
 
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -43,8 +43,8 @@
 
 
 def set_state(system: fleet_system.FleetSystem, **state: typing.Any) -> None:
-    for one in system.listed.values():
-        target = system.fleet.at(one.address)
+    for upstream in system.listed.values():
+        target = system.fleet.at(upstream.address)
         for name, value in state.items():
             setattr(target, name, value)
 
@@ -148,7 +148,7 @@
             set_state(system, failed_calls=1, lost_answers=0)
             request = system.request(IDEMPOTENT)
 
-            async def lose_the_second() -> None:
+            async def lose_second_answer() -> None:
                 while not system.fleet.runs:
                     await anyio.sleep(0.001)
                 set_state(system, lost_answers=1)
@@ -156,7 +156,7 @@
                 system.fleet.at(system.listed[first].address).lost_answers = 0
 
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(lose_the_second)
+                tasks.start_soon(lose_second_answer)
                 caller = await system.ask(request)
             assert len(system.fleet.runs_of(request.id)) == 2
             assert caller.status == 500
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -53,7 +53,7 @@
 async def ask_with_fault(
     system: fleet_system.FleetSystem,
     request: requests.CallerRequest,
-    after: float,
+    delay_seconds: float,
     inject_fault: typing.Callable[[], None],
 ) -> fleet_system.Caller:
     """Send a request and inject a fault while it is answered."""
@@ -64,7 +64,7 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(ask)
-        await anyio.sleep(after)
+        await anyio.sleep(delay_seconds)
         inject_fault()
     return callers[0]
 
@@ -79,8 +79,8 @@
 
 
 def set_hanging_streams(system: fleet_system.FleetSystem, count: int) -> None:
-    for one in system.listed.values():
-        system.fleet.at(one.address).hanging_streams = count
+    for upstream in system.listed.values():
+        system.fleet.at(upstream.address).hanging_streams = count
 
 
 class TestHealthyStream:
@@ -99,10 +99,12 @@
     def test_releases_its_usage(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             await system.ask(system.request(STREAM))
-            for one in system.listed.values():
-                assert system.usage.sequences(one) == 0
+            for upstream in system.listed.values():
+                assert system.usage.sequences(upstream) == 0
                 assert (
-                    system.usage.cache_utilization(one, fleet_system.PROFILE)
+                    system.usage.cache_utilization(
+                        upstream, fleet_system.PROFILE
+                    )
                     == 0
                 )
 
@@ -113,8 +115,8 @@
             request = system.request(STREAM)
             await system.ask(request)
             zones = {
-                one.listed.availability_zone
-                for one in path_of(system, request)
+                hop.listed.availability_zone
+                for hop in path_of(system, request)
             }
             assert zones == {fleet_system.ZONES[0]}
 
@@ -183,9 +185,9 @@
                 path_of(system, request)[1].is_unresponsive = True
 
             await ask_with_fault(system, request, 0.15, inject_fault)
-            after = system.request(STREAM)
-            caller = await system.ask(after)
-            assert_whole(caller, after, system.fleet.events)
+            later = system.request(STREAM)
+            caller = await system.ask(later)
+            assert_whole(caller, later, system.fleet.events)
             assert caller.longest_pause < 0.1
 
         run_scenario(work)
@@ -204,17 +206,17 @@
 
     def test_each_stream_is_rerouted_once(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            asked = [system.request(STREAM) for _ in range(12)]
+            all_requests = [system.request(STREAM) for _ in range(12)]
             callers: list[fleet_system.Caller] = []
 
             async def ask(request: requests.CallerRequest) -> None:
                 callers.append(await system.ask(request))
 
             async with anyio.create_task_group() as tasks:
-                for request in asked:
+                for request in all_requests:
                     tasks.start_soon(ask, request)
                 await anyio.sleep(0.15)
-                path_of(system, asked[0])[2].is_unresponsive = True
+                path_of(system, all_requests[0])[2].is_unresponsive = True
             assert all(caller.is_whole for caller in callers)
             assert len(system.fleet.repaths) == len(set(system.fleet.repaths))
 
@@ -227,22 +229,22 @@
     def inject_fault(
         self, system: fleet_system.FleetSystem, request: requests.CallerRequest
     ) -> None:
-        """Lose two engines of a stream's path, and a copy of each."""
+        """Silence two engines of a stream's path, and a copy of each."""
         parts = path_of(system, request)[1:3]
         for part in parts:
             held = part.listed.layers
             others = [
-                one
-                for one in system.fleet.upstreams
-                if one.listed.layers == held
-                and one.listed.availability_zone == fleet_system.ZONES[0]
-                and one is not part
+                other
+                for other in system.fleet.upstreams
+                if other.listed.layers == held
+                and other.listed.availability_zone == fleet_system.ZONES[0]
+                and other is not part
             ]
             part.is_unresponsive = True
             others[0].is_unresponsive = True
 
     def test_longest_pause_is_bounded(self) -> None:
-        # Lost engines must be found at once, not by one refusal after another.
+        # Lost engines must be detected together, not by successive refusals.
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
             caller = await ask_with_fault(
@@ -260,7 +262,7 @@
     def test_stream_whose_engine_refuses_other_paths_is_restarted(
         self,
     ) -> None:
-        # Asking for other paths again and again would stall the stream.
+        # Requesting other paths repeatedly would stall the stream.
         async def work(system: fleet_system.FleetSystem) -> None:
             request = system.request(STREAM)
 
@@ -278,25 +280,25 @@
 
     def test_all_streams_are_rerouted_in_parallel(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            asked = [system.request(STREAM) for _ in range(8)]
+            all_requests = [system.request(STREAM) for _ in range(8)]
             callers: list[fleet_system.Caller] = []
 
             async def ask(request: requests.CallerRequest) -> None:
                 callers.append(await system.ask(request))
 
             async with anyio.create_task_group() as tasks:
-                for request in asked:
+                for request in all_requests:
                     tasks.start_soon(ask, request)
                 await anyio.sleep(0.15)
-                self.inject_fault(system, asked[0])
+                self.inject_fault(system, all_requests[0])
             assert all(caller.is_whole for caller in callers)
-            assert max(one.longest_pause for one in callers) <= 0.2
+            assert max(caller.longest_pause for caller in callers) <= 0.2
 
         run_scenario(work, copies=4)
 
 
 class TestNetworkOutage:
-    """The entry itself is cut off from all engines for a moment."""
+    """The entry itself is briefly disconnected from all engines."""
 
     def test_does_not_count_as_silent_engines(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
@@ -339,7 +341,7 @@
                 began = anyio.current_time()
                 tasks.start_soon(ask, first)
                 await anyio.sleep(0.1)
-                # Only the engine that took it first does not work on it.
+                # Only the engine that accepted it first does not work on it.
                 set_hanging_streams(system, 0)
             caller = callers[-1]
             assert_whole(caller, first, 60)
@@ -353,13 +355,13 @@
     ) -> None:
         # The engine still sends reports, but none of its streams progresses.
         async def work(system: fleet_system.FleetSystem) -> None:
-            foreign = [
-                one
-                for one in system.fleet.upstreams
-                if one.listed.availability_zone != fleet_system.ZONES[0]
+            elsewhere = [
+                upstream
+                for upstream in system.fleet.upstreams
+                if upstream.listed.availability_zone != fleet_system.ZONES[0]
             ]
-            for one in system.fleet.upstreams:
-                one.hanging_streams = 0 if one in foreign else 100
+            for upstream in system.fleet.upstreams:
+                upstream.hanging_streams = 0 if upstream in elsewhere else 100
             # A stream in the other zone shows that it starts at once there.
             zone = system.context.zone
             system.context.zone = fleet_system.ZONES[1]
@@ -384,13 +386,15 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             system.fleet.events = 60
             report = system.fleet.report
-            asked: set[str] = set()
+            probed: set[str] = set()
 
-            async def note(one: chain.Upstream) -> chain.EngineReport:
-                asked.add(one.name)
-                return await report(one)
+            async def record_report(
+                upstream: chain.Upstream,
+            ) -> chain.EngineReport:
+                probed.add(upstream.name)
+                return await report(upstream)
 
-            system.fleet.report = note  # type: ignore[method-assign]
+            system.fleet.report = record_report  # type: ignore[method-assign]
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(system.ask, system.request(STREAM))
                 await anyio.sleep(0.1)
@@ -398,7 +402,7 @@
                 tasks.start_soon(system.ask, system.request(STREAM))
                 await anyio.sleep(0.28)
                 tasks.cancel_scope.cancel()
-            assert asked == {"plateau-0-0"}
+            assert probed == {"plateau-0-0"}
 
         run_scenario(work, copies=1)
 
@@ -464,13 +468,13 @@
         run_scenario(work)
 
     def test_faster_zone_is_preferred_to_own_slow_zone(self) -> None:
-        # Streams must not stay in their own zone whatever the latency.
+        # Streams must not stay in their own zone at any latency.
         async def work(system: fleet_system.FleetSystem) -> None:
             records = system.context.heads
             own = [
-                one.listed.name
-                for one in system.fleet.upstreams
-                if one.listed.availability_zone == fleet_system.ZONES[0]
+                upstream.listed.name
+                for upstream in system.fleet.upstreams
+                if upstream.listed.availability_zone == fleet_system.ZONES[0]
             ]
             for name in own:
                 records.note_begun(name, name)
@@ -495,7 +499,7 @@
 
 
 class TestLaggingEntry:
-    """An entry whose event loop lags does not blame the engines."""
+    """An entry whose event loop lags does not treat engines as failed."""
 
     def test_own_lag_does_not_count_as_silent_engines(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
@@ -591,7 +595,7 @@
         run_scenario(work)
 
     def test_connect_timeout_is_extended(self) -> None:
-        # Otherwise healthy connections time out and are made again.
+        # Otherwise healthy connections time out and are opened again.
         async def work(system: fleet_system.FleetSystem) -> None:
             await anyio.sleep(0.1)
             usual = system.context.connect_seconds
@@ -645,9 +649,12 @@
             def inject_fault() -> None:
                 head = path_of(system, request)[0]
                 head.is_dead = True
-                for one in system.listed.values():
-                    if one.name.endswith("-0") and one != head.listed:
-                        system.fleet.at(one.address).rejected_requests = 2
+                for upstream in system.listed.values():
+                    if (
+                        upstream.name.endswith("-0")
+                        and upstream != head.listed
+                    ):
+                        system.fleet.at(upstream.address).rejected_requests = 2
 
             caller = await ask_with_fault(system, request, 0.15, inject_fault)
             assert_whole(caller, request, system.fleet.events)
@@ -682,8 +689,8 @@
             assert not caller.is_whole or caller.body == (
                 fleet_system.whole_answer(request.id, system.fleet.events)
             )
-            ends = caller.body.split(b"\n\n")
-            assert ends[-1] == b""
+            events = caller.body.split(b"\n\n")
+            assert events[-1] == b""
 
         run_scenario(work)
 
@@ -712,8 +719,9 @@
                     # path fails, and the zone has no replacement.
                     await anyio.sleep(0.3)
                     path_of(system, request)[2].is_unresponsive = True
-            # The first failure restarts it in another zone. The second may
-            # not, so its path is changed to pass through the third zone.
+            # After the first failure the stream restarts in another zone.
+            # After the second no run is left, so its path is changed to pass
+            # through the third zone.
             assert_whole(callers[0], request, 60)
             heads = {run.upstream for run in system.fleet.runs_of(request.id)}
             assert len(heads) == 2
@@ -793,8 +801,8 @@
     def test_engine_that_resets_connections_counts_as_a_run(self) -> None:
         # A reset does not show that the engine ended.
         async def work(system: fleet_system.FleetSystem) -> None:
-            for one in system.listed.values():
-                system.fleet.at(one.address).break_stream_after = 3
+            for upstream in system.listed.values():
+                system.fleet.at(upstream.address).break_stream_after = 3
             request = system.request(STREAM)
 
             async def reset_heads() -> None:
@@ -833,18 +841,18 @@
 
     def test_full_engine_counts_as_a_run(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            for one in system.listed.values():
-                system.fleet.at(one.address).break_stream_after = 3
+            for upstream in system.listed.values():
+                system.fleet.at(upstream.address).break_stream_after = 3
             request = system.request(STREAM)
 
-            async def refuse_others() -> None:
+            async def pause_first_engines() -> None:
                 while True:
                     await anyio.sleep(0.005)
                     for run in system.fleet.runs_of(request.id):
                         system.registry.pause(run.upstream, 5.0, "full")
 
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(refuse_others)
+                tasks.start_soon(pause_first_engines)
                 await system.ask(request)
                 tasks.cancel_scope.cancel()
             heads = {run.upstream for run in system.fleet.runs_of(request.id)}
@@ -854,9 +862,9 @@
 
     def test_unreachable_first_engine_costs_no_budget(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            for name, one in system.listed.items():
+            for name, upstream in system.listed.items():
                 if name == "plateau-0-0":
-                    system.fleet.at(one.address).is_dead = True
+                    system.fleet.at(upstream.address).is_dead = True
             budget = system.context.budget(fleet_system.MODEL)
             before = budget.remaining
             request = system.request(STREAM)
@@ -878,13 +886,13 @@
 
 
 class TestRefusal:
-    """Requests that engines refuse or cannot take."""
+    """Requests that engines refuse or cannot serve."""
 
     def test_another_first_engine_is_tried(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            for one in system.listed.values():
-                if one.name == "plateau-0-0":
-                    system.fleet.at(one.address).rejected_requests = 1
+            for upstream in system.listed.values():
+                if upstream.name == "plateau-0-0":
+                    system.fleet.at(upstream.address).rejected_requests = 1
             request = system.request(STREAM)
             caller = await system.ask(request)
             assert_whole(caller, request, system.fleet.events)
@@ -895,7 +903,7 @@
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         # The engine's listing may be gone, or its address reused, before the
-        # refusal arrives. The first engine must not be blamed instead.
+        # refusal arrives. The refusal must not count against the first engine.
         async def work(system: fleet_system.FleetSystem) -> None:
             stale = system.fleet.at(system.listed["plateau-0-2"].address)
             stale.listed = attrs.evolve(stale.listed, layers=None)
@@ -925,8 +933,8 @@
 
     def test_without_a_path_the_request_has_not_run(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            for one in list(system.listed.values()):
-                system.list_instance(attrs.evolve(one, is_leaving=True))
+            for upstream in list(system.listed.values()):
+                system.list_instance(attrs.evolve(upstream, is_leaving=True))
             await anyio.sleep(1.1)
             began = anyio.current_time()
             request = system.request(STREAM)
@@ -936,26 +944,33 @@
             assert caller.error.verdict is verdicts.Verdict.NOT_RUN
             assert caller.error.retry_after
             assert requests.status_of(caller.error) == 503
-            # Soon enough for the caller to retry in time.
+            # Early enough for the caller to retry before its deadline.
             assert anyio.current_time() - began < 0.125 + 0.05
 
         run_scenario(work)
 
-    def test_leaving_engine_is_a_last_resort(self) -> None:
+    def test_leaving_engine_is_used_only_without_another_path(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            for one in list(system.listed.values()):
-                if one.name in ("plateau-0-2", "plateau-1-2"):
-                    system.list_instance(attrs.evolve(one, is_leaving=True))
+            for upstream in list(system.listed.values()):
+                if upstream.name in ("plateau-0-2", "plateau-1-2"):
+                    system.list_instance(
+                        attrs.evolve(upstream, is_leaving=True)
+                    )
             first = system.request(STREAM)
             assert_whole(await system.ask(first), first, system.fleet.events)
-            for one in list(system.listed.values()):
-                if one.name.startswith("almadies"):
-                    system.list_instance(attrs.evolve(one, is_leaving=True))
+            for upstream in list(system.listed.values()):
+                if upstream.name.startswith("almadies"):
+                    system.list_instance(
+                        attrs.evolve(upstream, is_leaving=True)
+                    )
             last = system.request(STREAM)
             assert_whole(await system.ask(last), last, system.fleet.events)
             zones = [
-                {one.listed.availability_zone for one in path_of(system, it)}
-                for it in (first, last)
+                {
+                    hop.listed.availability_zone
+                    for hop in path_of(system, request)
+                }
+                for request in (first, last)
             ]
             assert zones == [{"almadies"}, {"plateau"}]
 
@@ -963,8 +978,8 @@
 
     def test_answer_to_another_request_is_not_forwarded(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            for one in system.listed.values():
-                system.fleet.at(one.address).misattributed_answers = 1
+            for upstream in system.listed.values():
+                system.fleet.at(upstream.address).misattributed_answers = 1
             request = system.request(STREAM)
             caller = await system.ask(request)
             if caller.body:
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -35,16 +35,18 @@
     virtual.run(body)
 
 
-def kv_capacity(one: chain.Upstream) -> float:
+def kv_capacity(upstream: chain.Upstream) -> float:
     """Return the KV cache capacity of an engine, in tokens times layers."""
-    assert one.layers is not None
-    count = one.layers.end - one.layers.first
-    return PROFILE.token_capacity(one.card, count) * count
+    assert upstream.layers is not None
+    count = upstream.layers.end - upstream.layers.first
+    return PROFILE.token_capacity(upstream.card, count) * count
 
 
 def fill(system: fleet_system.FleetSystem, share: float) -> None:
-    for one in system.listed.values():
-        system.usage.note_existing_load(one, share * kv_capacity(one))
+    for upstream in system.listed.values():
+        system.usage.note_existing_load(
+            upstream, share * kv_capacity(upstream)
+        )
 
 
 class TestWaitQueue:
@@ -151,21 +153,21 @@
                 await anyio.sleep(0.05)
                 assert len(wait_queue) == 2
             assert len(wait_queue) == 0
-            assert all(one.is_whole for one in callers)
+            assert all(caller.is_whole for caller in callers)
             assert callers[0].times[0] <= callers[1].times[0]
 
         run_scenario(work)
 
 
 class _ReportClient:
-    """Client of engines that report their load; one does not answer."""
+    """Client of engines that report their load, except a silent engine."""
 
     def __init__(self, silent: str) -> None:
-        self.asked: list[str] = []
+        self.requested: list[str] = []
         self._silent = silent
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
-        self.asked.append(upstream.name)
+        self.requested.append(upstream.name)
         if upstream.name == self._silent:
             raise errors.CrowdeckError(errors.Code.UPSTREAM_LOST, "silent")
         return chain.EngineReport(
@@ -211,21 +213,21 @@
     def test_learns_the_load_of_engines(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             names = sorted(system.listed)
-            empty = attrs.evolve(system.listed[names[0]], layers=None)
-            system.list_instance(empty)
+            without_layers = attrs.evolve(system.listed[names[0]], layers=None)
+            system.list_instance(without_layers)
             client = _ReportClient(silent=names[1])
             system.context.client = client  # type: ignore[assignment]
             await surveys.Survey(system.context).run(system.holder.services)
-            assert sorted(client.asked) == names[1:]
+            assert sorted(client.requested) == names[1:]
             utilization = {
-                name: system.usage.cache_utilization(one, PROFILE)
-                for name, one in system.listed.items()
+                name: system.usage.cache_utilization(upstream, PROFILE)
+                for name, upstream in system.listed.items()
             }
             assert utilization[names[0]] == utilization[names[1]] == 0.0
             assert all(0.45 < utilization[name] <= 0.5 for name in names[2:])
             await anyio.sleep(2.6)
-            one = system.listed[names[2]]
-            assert system.usage.cache_utilization(one, PROFILE) == 0.0
+            upstream = system.listed[names[2]]
+            assert system.usage.cache_utilization(upstream, PROFILE) == 0.0
 
         run_scenario(work)
 
@@ -239,12 +241,12 @@
             client = _ReportClient(silent="")
             system.context.client = client  # type: ignore[assignment]
             await surveys.Survey(system.context).run(system.holder.services)
-            assert len(client.asked) == surveys.MAX_ENGINES
-            own = [
+            assert len(client.requested) == surveys.MAX_ENGINES
+            own_zone_names = [
                 name
-                for name, one in system.listed.items()
-                if one.availability_zone == system.context.zone
+                for name, upstream in system.listed.items()
+                if upstream.availability_zone == system.context.zone
             ]
-            assert set(own) <= set(client.asked)
+            assert set(own_zone_names) <= set(client.requested)
 
         run_scenario(work)
