--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -53,12 +53,14 @@
 
 
 def lines_of(kind: str, lines: Lines) -> Lines:
-    return [it for it in lines if it["message_type"] == f"crowdeck:{kind}"]
+    return [
+        line for line in lines if line["message_type"] == f"crowdeck:{kind}"
+    ]
 
 
 def serialize(lines: Lines) -> list[str]:
     """Return log lines in their serialized form."""
-    return [orjson.dumps(one, default=str).decode() for one in lines]
+    return [orjson.dumps(line, default=str).decode() for line in lines]
 
 
 def run_scenario(work: Work, plain: int = 2) -> None:
@@ -93,7 +95,7 @@
 
 
 class TestSignals:
-    """Signals in force, and since when."""
+    """Signals in force, and when they began."""
 
     def test_rate_limit_and_its_usage(self) -> None:
         async def work(system: System) -> None:
@@ -102,25 +104,27 @@
                     plain_instance(system, number).address
                 ).limit = 6.0
             await send_calls(system, 20.0, 0.05)
-            found = {
-                one.key: one
-                for one in system.context.backpressure.active_signals()
+            signals = {
+                signal.key: signal
+                for signal in system.context.backpressure.active_signals()
             }
-            one = found[
+            signal = signals[
                 (
                     plain_instance(system).name,
                     backpressure_monitor.SignalKind.LIMIT,
                 )
             ]
-            assert one.per_second == 6.0
-            assert one.share == pytest.approx(1.0)
+            assert signal.per_second == 6.0
+            assert signal.share == pytest.approx(1.0)
             since = anyio.current_time() - 5.0
             sent = sum(
-                run.upstream == one.upstream.name and run.at >= since
+                run.upstream == signal.upstream.name and run.at >= since
                 for run in system.fleet.runs
             )
-            assert one.used == pytest.approx(sent / 5.0, rel=0.1)
-            assert anyio.current_time() - one.since == pytest.approx(20, abs=1)
+            assert signal.used == pytest.approx(sent / 5.0, rel=0.1)
+            assert anyio.current_time() - signal.since == pytest.approx(
+                20, abs=1
+            )
 
         run_scenario(work)
 
@@ -128,14 +132,14 @@
         async def work(system: System) -> None:
             system.registry.back_off(plain_instance(system).name, 3.0)
             await anyio.sleep(1.0)
-            (one,) = system.context.backpressure.active_signals()
-            assert one.kind is backpressure_monitor.SignalKind.BACKOFF
-            assert one.since == 0.0
-            assert one.seconds_left == pytest.approx(2.0)
-            # Extending a backoff does not start a new one.
+            (signal,) = system.context.backpressure.active_signals()
+            assert signal.kind is backpressure_monitor.SignalKind.BACKOFF
+            assert signal.since == 0.0
+            assert signal.seconds_left == pytest.approx(2.0)
+            # Extending a backoff does not start a new backoff.
             system.registry.back_off(plain_instance(system).name, 3.0)
-            (one,) = system.context.backpressure.active_signals()
-            assert one.since == 0.0
+            (signal,) = system.context.backpressure.active_signals()
+            assert signal.since == 0.0
             await anyio.sleep(3.1)
             assert not system.context.backpressure.active_signals()
 
@@ -145,8 +149,8 @@
         async def work(system: System) -> None:
             system.registry.note_leaving(plain_instance(system).name)
             await anyio.sleep(1.0)
-            (one,) = system.context.backpressure.active_signals()
-            assert one.kind is backpressure_monitor.SignalKind.LEAVING
+            (signal,) = system.context.backpressure.active_signals()
+            assert signal.kind is backpressure_monitor.SignalKind.LEAVING
             system.registry.on_changed(
                 (), (plain_instance(system).incarnation.id,)
             )
@@ -260,12 +264,12 @@
         self, lines: Lines
     ) -> None:
         async def work(system: System) -> None:
-            for one in system.listed.values():
-                if one.layers is not None and one.layers.first:
-                    system.registry.back_off(one.name, 3.0)
+            for upstream in system.listed.values():
+                if upstream.layers is not None and upstream.layers.first:
+                    system.registry.back_off(upstream.name, 3.0)
             began = anyio.current_time()
             caller = await system.ask(system.request(STREAM, id="r1"))
-            # Refused at once, to retry when it can be served.
+            # Refused at once, with the time after which it can be served.
             assert anyio.current_time() - began < 0.01
             assert caller.error is not None
             assert caller.error.retry_after is not None
@@ -281,7 +285,7 @@
         assert "wanted rest" in found.cause
         assert losses.account(texts, test_losses.OBJECTIVES, 2.0).causes == {
             "refused: NO_PATH, instances at their limits or in rest": 1,
-            # The retry.
+            # The retried request.
             "in time": 1,
         }
 
@@ -289,11 +293,11 @@
         self,
     ) -> None:
         async def work(system: System) -> None:
-            for one in system.listed.values():
-                if one.layers is not None and one.layers.first == 20:
-                    system.registry.back_off(one.name, 3.0)
-                if one.layers is not None and one.layers.first == 40:
-                    system.registry.avoid(one.name, "silent")
+            for upstream in system.listed.values():
+                if upstream.layers is not None and upstream.layers.first == 20:
+                    system.registry.back_off(upstream.name, 3.0)
+                if upstream.layers is not None and upstream.layers.first == 40:
+                    system.registry.avoid(upstream.name, "silent")
             caller = await system.ask(system.request(STREAM))
             assert caller.error is not None
             assert caller.error.retry_after is not None
@@ -326,8 +330,8 @@
         self, lines: Lines, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
-            for one in system.listed.values():
-                system.registry.back_off(one.name, 3.0)
+            for upstream in system.listed.values():
+                system.registry.back_off(upstream.name, 3.0)
             await system.ask(system.request(repeat, id="r1"))
 
         run_scenario(work)
@@ -344,8 +348,8 @@
 
     def test_late_stream_that_waited(self, lines: Lines) -> None:
         async def work(system: System) -> None:
-            for one in system.listed.values():
-                system.registry.back_off(one.name, 0.8)
+            for upstream in system.listed.values():
+                system.registry.back_off(upstream.name, 0.8)
             await system.ask(system.request(STREAM))
 
         run_scenario(work)
@@ -369,9 +373,11 @@
                 caller = await system.ask(request)
                 callers[caller.error is None] += 1
                 if caller.error is not None:
-                    code, why = caller.error.code, caller.error.message
+                    code, message = caller.error.code, caller.error.message
                     refusals.append(
-                        test_losses.refused(9e9, request.id, str(code), why)
+                        test_losses.refused(
+                            9e9, request.id, str(code), message
+                        )
                     )
 
             async with anyio.create_task_group() as tasks:
@@ -490,9 +496,9 @@
     def test_is_served_by_the_entry(self) -> None:
         async def work(running: test_fleet_process.RunningEntry) -> None:
             target = next(
-                one
-                for one in running.fleet.upstreams
-                if one.listed.service == PLAIN
+                upstream
+                for upstream in running.fleet.upstreams
+                if upstream.listed.service == PLAIN
             )
             target.limit = 4.0
             response = await running.send("/a/b/x", "r1")
@@ -535,4 +541,4 @@
         anyio.run(test_fleet_process.run_entry, work)
         text = capsys.readouterr().out.splitlines()[-1]
         (row,) = orjson.loads(text)
-        assert {one["service"] for one in row["needs"]} >= {PLAIN}
+        assert {need["service"] for need in row["needs"]} >= {PLAIN}
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -5,8 +5,8 @@
 
 """Layers that no engine holds.
 
-Callers must be refused at once and told a realistic time to retry, and
-operators must see which layers are missing and what would close the gap.
+Callers must be refused at once with a realistic retry time, and operators must
+see which layers are missing and what would close the gap.
 """
 
 import pathlib
@@ -39,7 +39,7 @@
 PROFILE = fleet_system.PROFILE
 System = fleet_system.FleetSystem
 Work = typing.Callable[[System], typing.Awaitable[None]]
-# Time for a few turns of the event loop, but no wait.
+# Allows a few iterations of the event loop, but no wait.
 AT_ONCE_SECONDS = 0.01
 
 
@@ -69,7 +69,7 @@
 
 
 def remove_engines(system: System, *names: str) -> None:
-    """End engines and remove their entries."""
+    """End engines and remove their store entries."""
     for name in names:
         system.fleet.at(system.listed[name].address).is_dead = True
         system.registry.on_changed((), (name,))
@@ -94,8 +94,8 @@
     eliot.remove_destination(found.append)
 
 
-async def refused(system: System) -> errors.CrowdeckError:
-    """Ask for a stream that is refused, and return the error."""
+async def expect_refusal(system: System) -> errors.CrowdeckError:
+    """Request a stream that must be refused, and return the error."""
     caller = await system.ask(system.request(STREAM))
     assert caller.error is not None
     assert caller.error.code is errors.Code.NO_PATH
@@ -104,7 +104,7 @@
 
 
 class TestCallers:
-    """Errors and retry times that callers get."""
+    """Errors and retry times that callers receive."""
 
     # Small cards hold at most 11 layers, large ones 39.
     @pytest.mark.parametrize(("card", "count"), [("small", 8), ("large", 4)])
@@ -115,14 +115,14 @@
             remove_engines(system, "e-1")
             await anyio.sleep(0.6)
             began = anyio.current_time()
-            await refused(system)
+            await expect_refusal(system)
             assert anyio.current_time() - began < AT_ONCE_SECONDS
 
         run_scenario(work, card, count)
 
     def test_late_listing_is_waited_for(self) -> None:
         async def work(system: System) -> None:
-            one = system.listed["e-1"]
+            engine = system.listed["e-1"]
             remove_engines(system, "e-1")
             async with anyio.create_task_group() as tasks:
                 callers: list[fleet_system.Caller] = []
@@ -132,7 +132,7 @@
 
                 tasks.start_soon(ask)
                 await anyio.sleep(0.05)
-                system.add(attrs.evolve(one, name="e-9"))
+                system.add(attrs.evolve(engine, name="e-9"))
             assert callers[0].error is None
 
         run_scenario(work, "large")
@@ -171,7 +171,7 @@
             load = PROFILE.load_seconds * 20 / PROFILE.layer_count
             for _ in range(4):
                 await anyio.sleep(1.0)
-                error = await refused(system)
+                error = await expect_refusal(system)
                 assert error.retry_after is not None
                 retry_at = anyio.current_time() + error.retry_after - lost_at
                 earliest = load + gaps.ORDER_DELAY_SECONDS
@@ -189,7 +189,7 @@
         async def work(system: System) -> None:
             remove_engines(system, "e-1")
             await anyio.sleep(0.6)
-            error = await refused(system)
+            error = await expect_refusal(system)
             assert error.retry_after is not None
             assert error.retry_after <= retry_advice.MAX_DELAY_SECONDS
             assert "10-20" in error.message
@@ -204,7 +204,7 @@
             (gap,) = system.context.gaps.current_gaps
             assert gap.can_be_held
             assert gap.seconds_left is None
-            error = await refused(system)
+            error = await expect_refusal(system)
             assert error.retry_after is not None
             assert error.retry_after <= retry_advice.MAX_DELAY_SECONDS
 
@@ -212,20 +212,21 @@
 
     def test_expected_time_follows_a_new_engine(self) -> None:
         async def work(system: System) -> None:
-            one = system.listed["e-1"]
+            engine = system.listed["e-1"]
             remove_engines(system, "e-1")
             # Longer than any load; the remaining engines cannot hold them.
             await anyio.sleep(PROFILE.load_seconds)
             assert (
-                "remaining engines can hold" in (await refused(system)).message
+                "remaining engines can hold"
+                in (await expect_refusal(system)).message
             )
-            came_at = anyio.current_time()
-            system.add(attrs.evolve(one, name="e-9", layers=None))
+            listed_at = anyio.current_time()
+            system.add(attrs.evolve(engine, name="e-9", layers=None))
             await anyio.sleep(0.6)
-            error = await refused(system)
+            error = await expect_refusal(system)
             assert error.retry_after is not None
             load = PROFILE.load_seconds * 10 / PROFILE.layer_count
-            earliest = came_at + load + gaps.ORDER_DELAY_SECONDS
+            earliest = listed_at + load + gaps.ORDER_DELAY_SECONDS
             retry_at = anyio.current_time() + error.retry_after
             assert earliest - 0.1 <= retry_at
             assert retry_at <= earliest + 0.6 + retry_advice.WINDOW_SECONDS
@@ -234,7 +235,7 @@
 
     def test_load_that_is_nearly_done_is_waited_for(self) -> None:
         async def work(system: System) -> None:
-            one = system.listed["e-1"]
+            engine = system.listed["e-1"]
             remove_engines(system, "e-1")
             await anyio.sleep(0.6)
             (gap,) = system.context.gaps.current_gaps
@@ -248,18 +249,18 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.4)
-                system.add(attrs.evolve(one, name="e-9"))
+                system.add(attrs.evolve(engine, name="e-9"))
             assert callers[0].error is None
 
         run_scenario(work, "large")
 
     def test_model_that_was_never_complete_has_no_expected_time(self) -> None:
         async def work(system: System) -> None:
-            fresh = System(system.fleet, "other")
-            fresh.install(fresh.config)
+            new_entry = System(system.fleet, "other")
+            new_entry.install(new_entry.config)
             for name in ("e-0", "e-2", "e-3"):
-                fresh.list_instance(system.listed[name])
-            error = await refused(fresh)
+                new_entry.list_instance(system.listed[name])
+            error = await expect_refusal(new_entry)
             assert error.retry_after is not None
             assert error.retry_after <= retry_advice.MAX_DELAY_SECONDS
 
@@ -267,13 +268,13 @@
 
     def test_leaving_engine_is_used_only_until_it_leaves(self) -> None:
         async def work(system: System) -> None:
-            one = system.listed["e-1"]
-            system.list_instance(attrs.evolve(one, is_leaving=True))
+            engine = system.listed["e-1"]
+            system.list_instance(attrs.evolve(engine, is_leaving=True))
             caller = await system.ask(system.request(STREAM))
             assert caller.error is None
             await anyio.sleep(1.5)
             began = anyio.current_time()
-            await refused(system)
+            await expect_refusal(system)
             assert anyio.current_time() - began < AT_ONCE_SECONDS
 
         run_scenario(work, "large")
@@ -282,11 +283,11 @@
         async def work(system: System) -> None:
             system.registry.avoid("e-1", "refused", is_gone=True)
             await anyio.sleep(0.6)
-            assert [str(one) for one in system.context.gaps.current_gaps] == [
+            assert [str(gap) for gap in system.context.gaps.current_gaps] == [
                 "20-40"
             ]
             began = anyio.current_time()
-            await refused(system)
+            await expect_refusal(system)
             assert anyio.current_time() - began < AT_ONCE_SECONDS
 
         run_scenario(work, "large")
@@ -297,8 +298,8 @@
 
     @pytest.mark.parametrize("card", [*PROFILE.cards, "unknown"])
     def test_capacity_agrees_with_the_placement(self, card: str) -> None:
-        one = fleet_system.upstream("one", card=card)
-        expected = plan.most_layers(one, PROFILE)
+        engine = fleet_system.upstream("one", card=card)
+        expected = plan.most_layers(engine, PROFILE)
         assert gaps.max_layers(card, PROFILE) == expected
 
     def test_agrees_with_a_count_of_each_layer(self) -> None:
@@ -311,11 +312,15 @@
                 engines.append(
                     fleet_system.upstream(f"e-{number}", layers=(first, end))
                 )
-            found = gaps.missing_layers(chain.engines_within(engines, 80), 80)
-            held = chain.coverage(engines, 80)
+            missing_ranges = gaps.missing_layers(
+                chain.engines_within(engines, 80), 80
+            )
+            coverage = chain.coverage(engines, 80)
             assert [
-                layer for one in found for layer in range(one.first, one.end)
-            ] == [layer for layer in range(80) if not held[layer]]
+                layer
+                for layers in missing_ranges
+                for layer in range(layers.first, layers.end)
+            ] == [layer for layer in range(80) if not coverage[layer]]
 
     def test_many_requests_share_one_check(
         self, monkeypatch: pytest.MonkeyPatch
@@ -323,16 +328,16 @@
         check_times: list[float] = []
         find = gaps.missing_layers
 
-        def count(engines: typing.Any, layers: int) -> typing.Any:
+        def count_check(engines: typing.Any, layers: int) -> typing.Any:
             check_times.append(anyio.current_time())
             return find(engines, layers)
 
         async def work(system: System) -> None:
             remove_engines(system, "e-1")
             await anyio.sleep(0.73)
-            monkeypatch.setattr(gaps, "missing_layers", count)
+            monkeypatch.setattr(gaps, "missing_layers", count_check)
             for _ in range(100):
-                await refused(system)
+                await expect_refusal(system)
             assert len(check_times) == 1
 
         run_scenario(work, "large")
@@ -344,21 +349,21 @@
             (gap,) = system.context.gaps.current_gaps
             max_layers = gaps.max_layers("small", PROFILE)
             assert gap.layer_capacity == 6 * max_layers
-            lacking = 80 - 6 * max_layers
+            lacking_layers = 80 - 6 * max_layers
             assert gap.needed == (
-                f"engines for {lacking} more layers: 1 large or "
-                f"{-(-lacking // max_layers)} small"
+                f"engines for {lacking_layers} more layers: 1 large or "
+                f"{-(-lacking_layers // max_layers)} small"
             )
 
         run_scenario(work, "small", 8)
 
     def test_ends_when_the_layers_are_held(self) -> None:
         async def work(system: System) -> None:
-            one = system.listed["e-1"]
+            engine = system.listed["e-1"]
             remove_engines(system, "e-1")
             await anyio.sleep(2.0)
             assert system.context.gaps.current_gaps
-            system.add(attrs.evolve(one, name="e-9"))
+            system.add(attrs.evolve(engine, name="e-9"))
             await anyio.sleep(0.6)
             assert not system.context.gaps.current_gaps
             caller = await system.ask(system.request(STREAM))
@@ -373,9 +378,9 @@
     def test_is_reported_to_callers_and_operators(self) -> None:
         async def work(running: test_fleet_process.RunningEntry) -> None:
             engines = [
-                one
-                for one in running.fleet.upstreams
-                if one.listed.service == fleet_system.MODEL
+                upstream
+                for upstream in running.fleet.upstreams
+                if upstream.listed.service == fleet_system.MODEL
             ]
             # A single engine cannot hold all layers.
             for target in engines[1:]:
@@ -393,14 +398,14 @@
                 assert b"no engine holds layers" in answer.content
             # Less than five times ``UNHELD_WAIT_SECONDS``.
             assert anyio.current_time() - began < 0.4
-            found = await test_fleet_process.status_of(running, "/metrics")
+            metrics = await test_fleet_process.status_of(running, "/metrics")
             gauge = f"crowdeck_layers_unheld_{fleet_system.MODEL} "
-            (line,) = [
-                one
-                for one in found.content.decode().splitlines()
-                if one.startswith(gauge)
+            (metric_line,) = [
+                line
+                for line in metrics.content.decode().splitlines()
+                if line.startswith(gauge)
             ]
-            assert float(line.removeprefix(gauge)) > 0
+            assert float(metric_line.removeprefix(gauge)) > 0
             client = http.HttpClient("")
             try:
                 rows = await entry_status.read(running.store, client, 2.0)
@@ -422,12 +427,12 @@
         self, lines: list[dict[str, typing.Any]]
     ) -> None:
         async def work(system: System) -> None:
-            one = system.listed["e-1"]
+            engine = system.listed["e-1"]
             remove_engines(system, "e-1")
             await anyio.sleep(10.0)
             gauge = f"layers.unheld.{fleet_system.MODEL}"
             assert counters.COUNTERS.gauge(gauge) == 10
-            system.add(attrs.evolve(one, name="e-9"))
+            system.add(attrs.evolve(engine, name="e-9"))
             await anyio.sleep(1.0)
             assert counters.COUNTERS.gauge(gauge) == 0
 
@@ -435,9 +440,9 @@
         assert len(lines_of("layers_unheld", lines)) == 1
         assert len(lines_of("layers_held_again", lines)) == 1
         (line,) = [
-            it
-            for it in lines
-            if it["message_type"] == "crowdeck:layers_unheld"
+            line
+            for line in lines
+            if line["message_type"] == "crowdeck:layers_unheld"
         ]
         assert line["layers"] == "10-20"
         assert line["service"] == fleet_system.MODEL
@@ -450,10 +455,10 @@
         self, lines: list[dict[str, typing.Any]]
     ) -> None:
         async def work(system: System) -> None:
-            one = system.listed["e-1"]
+            engine = system.listed["e-1"]
             remove_engines(system, "e-1")
             await anyio.sleep(0.6)
-            system.add(attrs.evolve(one, name="e-9"))
+            system.add(attrs.evolve(engine, name="e-9"))
             await anyio.sleep(3.0)
 
         run_scenario(work, "large")
