--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -23,7 +23,7 @@
 from tests import virtual
 from tests import zone_system
 
-# An instance that ended is started again after this long.
+# Delay after which an instance that ended is started again.
 RESTART_SECONDS = 2.0
 POLL_INTERVAL_SECONDS = 0.05
 RECORDS_WAIT_SECONDS = 10.0
@@ -49,7 +49,7 @@
 class Entries:
     """Entries, their engines, and the restart of engines that ended.
 
-    With ``keeps_ids`` an instance that ended is started again under its id.
+    With ``keeps_ids`` an instance that ended is restarted with its id.
 
     :param count: number of entries at the start.
     :param copies: copies of the model in each availability zone.
@@ -94,7 +94,7 @@
         """Start another entry, which knows all listed instances."""
         name = f"entry-{len(self._entries)}"
         now = anyio.current_time()
-        # Entries started at time 0 count as having run for ever.
+        # Entries started at time 0 count as having always run.
         began = now if now else float("-inf")
         entry = fleet_system.FleetSystem(self.fleet, name, began)
         entry.install(entry.config)
@@ -108,14 +108,14 @@
         """Replace an entry by a new process that has no state."""
         entry = self._entries[number]
         self._scopes[number].cancel()
-        fresh = fleet_system.FleetSystem(
+        new_entry = fleet_system.FleetSystem(
             self.fleet, entry.name, anyio.current_time()
         )
-        fresh.install(fresh.config)
+        new_entry.install(new_entry.config)
         for listed in self._listed.values():
-            fresh.list_instance(listed)
-        self._entries[number] = fresh
-        self._scopes[number] = self._begin(fresh)
+            new_entry.list_instance(listed)
+        self._entries[number] = new_entry
+        self._scopes[number] = self._begin(new_entry)
 
     def cut_off(self, number: int) -> None:
         """Cut an entry's connection to the store."""
@@ -123,25 +123,27 @@
 
     async def wait_until_listed(self) -> None:
         """Wait until each entry has listed the others."""
-        while not all(one.context.membership.entries for one in self._entries):
+        while not all(
+            entry.context.membership.entries for entry in self._entries
+        ):
             await anyio.sleep(0.001)
 
     async def wait_until_registered(self) -> None:
         """Wait until the record of each entry is in the store."""
         never = float("inf")
         while any(
-            one.context.membership.since == never for one in self._entries
+            entry.context.membership.since == never for entry in self._entries
         ):
             await anyio.sleep(0.001)
 
     def crash_busiest(self, count: int) -> None:
         """End the busiest instances; they are started again later."""
         now = anyio.current_time()
-        running = [one for one in self.fleet.upstreams if one.answers]
+        running = [target for target in self.fleet.upstreams if target.answers]
         busy = collections.Counter(
             run.upstream for run in self.fleet.runs if now - run.at < 1.0
         )
-        running.sort(key=lambda one: -busy[one.listed.name])
+        running.sort(key=lambda target: -busy[target.listed.name])
         for target in running[:count]:
             target.is_dead = True
             crash = chain_fleet.EngineCrash(
@@ -171,7 +173,7 @@
     ) -> None:
         """Send the same request repeatedly, to one entry after another.
 
-        With each of them the entry gets a request of another caller.
+        Each time the entry also receives a request of another caller.
         """
         until = anyio.current_time() + seconds
         number = 0
@@ -182,7 +184,7 @@
             await anyio.sleep(pause)
 
     async def restart_crashed(self) -> None:
-        """Start instances that ended again, under another name."""
+        """Restart instances that ended, under another name."""
         async with anyio.create_task_group() as tasks:
             known = 0
             while True:
@@ -193,18 +195,29 @@
 
     def outcomes_of(self, body: bytes) -> list[Outcome]:
         """Return the outcomes of a request."""
-        return [one for one in self.outcomes if one.request.body == body]
+        return [
+            outcome
+            for outcome in self.outcomes
+            if outcome.request.body == body
+        ]
 
     def outcomes_of_others(self, since: float) -> list[Outcome]:
-        """Return the outcomes of other callers' requests since a time."""
+        """Return the outcomes of other callers' requests.
+
+        :param since: loop time from which requests were sent.
+        """
         return [
-            one
-            for one in self.outcomes
-            if one.request.body.startswith(b"beside") and one.sent_at >= since
+            outcome
+            for outcome in self.outcomes
+            if outcome.request.body.startswith(b"beside")
+            and outcome.sent_at >= since
         ]
 
     def arrivals(self, body: bytes, since: float) -> int:
-        """Return how often a request reached an upstream since a time."""
+        """Return how often a request reached an upstream.
+
+        :param since: loop time from which arrivals count.
+        """
         return sum(
             1
             for run in self.fleet.runs
@@ -248,21 +261,21 @@
         await anyio.sleep(RESTART_SECONDS)
         target = self.fleet.at(self._listed[name].address)
         self._starts += 1
-        fresh = attrs.evolve(target.listed, name=f"{name}.{self._starts}")
+        new_run = attrs.evolve(target.listed, name=f"{name}.{self._starts}")
         if self.keeps_ids:
             incarnation = chain.Incarnation(
                 target.listed.incarnation.id, self._starts
             )
-            fresh = attrs.evolve(
-                fresh,
+            new_run = attrs.evolve(
+                new_run,
                 name=incarnation.name,
                 instance_id=incarnation.id,
                 started_ms=incarnation.started_ms,
             )
-        target.listed = fresh
+        target.listed = new_run
         target.is_dead = False
         del self._listed[name]
-        self._list_instance(fresh)
+        self._list_instance(new_run)
 
     def _add_fleet(self, copies: int, parts: int) -> None:
         for zone in fleet_system.ZONES:
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -5,8 +5,8 @@
 
 """A request that crashes each instance that begins it.
 
-Guards against one caller that repeats such a request at any entry and brings
-down one engine after another, each with the streams of other callers.
+Guards against a caller that repeats such a request at any entry and so crashes
+successive engines, each of which also serves streams of other callers.
 """
 
 import anyio
@@ -24,11 +24,11 @@
 from tests import fleet_system
 
 BODY = b"ends whoever begins it"
-# Interval at which callers send it.
+# Interval at which callers send the request.
 PAUSE_SECONDS = 0.4
-# All entries have received the evidence this long after the third end.
+# All entries have received the evidence this long after the third crash.
 EXCHANGE_SECONDS = 3.0
-# How often the request may still be sent to an instance after that.
+# How often the request may still be sent to an instance afterwards.
 MAX_SENDS = 3
 # How many instances it may crash.
 MAX_CRASHES = 3
@@ -37,7 +37,7 @@
 async def wait_for_ends(
     entries: entries_system.Entries, count: int, limit: float = 20.0
 ) -> float:
-    """Wait until ``count`` instances have ended; return when the last did."""
+    """Wait for the end of ``count`` instances; return when the last ended."""
     with anyio.move_on_after(limit):
         while len(entries.fleet.crashes) < count:
             await anyio.sleep(entries_system.POLL_INTERVAL_SECONDS)
@@ -51,9 +51,11 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
-            third = entries.fleet.crashes[MAX_CRASHES - 1].at
-            late = entries.arrivals(BODY, third + EXCHANGE_SECONDS)
-            assert late <= MAX_SENDS
+            third_crash_at = entries.fleet.crashes[MAX_CRASHES - 1].at
+            late_arrivals = entries.arrivals(
+                BODY, third_crash_at + EXCHANGE_SECONDS
+            )
+            assert late_arrivals <= MAX_SENDS
 
         entries_system.run_scenario(work)
 
@@ -62,10 +64,12 @@
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
             await anyio.sleep(3.0)
-            third = entries.fleet.crashes[MAX_CRASHES - 1].at
-            others = entries.outcomes_of_others(third + 1.0)
+            third_crash_at = entries.fleet.crashes[MAX_CRASHES - 1].at
+            others = entries.outcomes_of_others(third_crash_at + 1.0)
             assert len(others) > 20
-            assert [one for one in others if not one.was_served] == []
+            assert [
+                outcome for outcome in others if not outcome.was_served
+            ] == []
 
         entries_system.run_scenario(work)
 
@@ -90,9 +94,11 @@
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
             assert len(entries.fleet.crashes) <= MAX_CRASHES + 1
-            third = entries.fleet.crashes[MAX_CRASHES - 1].at
-            others = entries.outcomes_of_others(third + 1.0)
-            assert [one for one in others if not one.was_served] == []
+            third_crash_at = entries.fleet.crashes[MAX_CRASHES - 1].at
+            others = entries.outcomes_of_others(third_crash_at + 1.0)
+            assert [
+                outcome for outcome in others if not outcome.was_served
+            ] == []
 
         entries_system.run_scenario(work)
 
@@ -101,14 +107,14 @@
         self, crash_delay_seconds: float, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         # The end of an engine is known before the request is sent to the next
-        # one, and no retry budget is spent on a fourth attempt.
+        # engine, and no retry budget is spent on a fourth attempt.
         monkeypatch.setattr(
             chain_fleet, "CRASH_DELAY_SECONDS", crash_delay_seconds
         )
 
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            # Before that there is no retry budget.
+            # Until the entries are listed there is no retry budget.
             await entries.wait_until_listed()
             budget = entries[0].context.budget(fleet_system.MODEL)
             before = budget.remaining
@@ -138,7 +144,7 @@
         entries_system.run_scenario(work, count=1)
 
     def test_cancelled_request_is_a_suspect_too(self) -> None:
-        # Its engine is found to have ended a moment after the cancellation.
+        # The end of its engine is detected after the cancellation.
         async def work(entries: entries_system.Entries) -> None:
             entry = entries[0]
             request = entry.request(entries_system.STREAM, body=BODY)
@@ -152,15 +158,15 @@
         entries_system.run_scenario(work, count=1)
 
     def test_waiting_attempts_are_cancelled(self) -> None:
-        # One is at an engine that has not begun it when the third engine
-        # ends.
+        # An attempt waits at an engine that has not begun it when the third
+        # engine ends.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             quarantine = entries[0].context.quarantine
             request = entries[0].request(entries_system.STREAM, body=BODY)
             request_fingerprint = requests.fingerprint_of(request, "kiosks")
-            for one in entries.fleet.upstreams:
-                one.hanging_streams = 1
+            for upstream in entries.fleet.upstreams:
+                upstream.hanging_streams = 1
             entries.start_request(0, entries_system.STREAM, BODY)
             await anyio.sleep(0.05)
             for number in range(MAX_CRASHES):
@@ -181,20 +187,20 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
-            third = entries.fleet.crashes[MAX_CRASHES - 1].at
+            third_crash_at = entries.fleet.crashes[MAX_CRASHES - 1].at
             refused = [
-                one
-                for one in entries.outcomes_of(BODY)
-                if one.sent_at > third + EXCHANGE_SECONDS
+                outcome
+                for outcome in entries.outcomes_of(BODY)
+                if outcome.sent_at > third_crash_at + EXCHANGE_SECONDS
             ]
             assert len(refused) > 20
-            for one in refused:
-                assert one.seconds < 0.01
-                error = one.caller.error
+            for outcome in refused:
+                assert outcome.seconds < 0.01
+                error = outcome.caller.error
                 assert error is not None
                 assert error.code is errors.Code.QUARANTINED
                 assert error.verdict is verdicts.Verdict.NOT_RUN
-                assert entries.fleet.runs_of(one.request.id) == []
+                assert entries.fleet.runs_of(outcome.request.id) == []
 
         entries_system.run_scenario(work)
 
@@ -202,7 +208,8 @@
     def test_few_engines_end_with_any_number_of_entries(
         self, count: int
     ) -> None:
-        # Without the exchange of evidence each entry would send it to three.
+        # Without the exchange of evidence each entry would send the request to
+        # three engines.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
@@ -214,12 +221,12 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
-            ends = len(entries.fleet.crashes)
+            crash_count = len(entries.fleet.crashes)
             for number in range(3):
                 entries.restart(number)
             await anyio.sleep(0.5)
             await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
-            assert len(entries.fleet.crashes) == ends
+            assert len(entries.fleet.crashes) == crash_count
 
         entries_system.run_scenario(work)
 
@@ -248,12 +255,12 @@
 
     def test_two_crashing_requests_are_both_quarantined(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
-            others = [BODY + b"1", BODY + b"2"]
-            entries.fleet.crashing_bodies.update(others)
+            bodies = [BODY + b"1", BODY + b"2"]
+            entries.fleet.crashing_bodies.update(bodies)
             async with anyio.create_task_group() as tasks:
-                for one in others:
+                for body in bodies:
                     tasks.start_soon(
-                        entries.send_repeatedly, 15.0, one, PAUSE_SECONDS
+                        entries.send_repeatedly, 15.0, body, PAUSE_SECONDS
                     )
                     await anyio.sleep(0.05)
             since = entries.fleet.crashes[-1].at + EXCHANGE_SECONDS
@@ -268,9 +275,11 @@
             await entries.send_repeatedly(
                 30.0, BODY, PAUSE_SECONDS, entries_system.REPEATABLE
             )
-            third = entries.fleet.crashes[MAX_CRASHES - 1].at
-            late = entries.arrivals(BODY, third + EXCHANGE_SECONDS)
-            assert late <= MAX_SENDS
+            third_crash_at = entries.fleet.crashes[MAX_CRASHES - 1].at
+            late_arrivals = entries.arrivals(
+                BODY, third_crash_at + EXCHANGE_SECONDS
+            )
+            assert late_arrivals <= MAX_SENDS
 
         entries_system.run_scenario(work)
 
@@ -279,8 +288,8 @@
     """Requests that ran at the same engines and are not the cause."""
 
     def test_none_is_quarantined_when_first_engines_are_crowded(self) -> None:
-        # All streams of a zone begin at one first engine, where streams that
-        # were cut a moment before meet the cause again.
+        # All streams of a zone begin at the same first engine, where streams
+        # that were interrupted run beside the cause again.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.event_seconds = 0.1
             entries.fleet.crashing_bodies.add(BODY)
@@ -295,10 +304,12 @@
             await anyio.sleep(8.0)
             others = entries.outcomes_of_others(0.0)
             codes = {
-                one.caller.error.code for one in others if one.caller.error
+                outcome.caller.error.code
+                for outcome in others
+                if outcome.caller.error
             }
             assert errors.Code.QUARANTINED not in codes
-            served = sum(one.was_served for one in others)
+            served = sum(outcome.was_served for outcome in others)
             assert served >= len(others) - 4
 
         entries_system.run_scenario(work, count=12)
@@ -324,7 +335,7 @@
             await anyio.sleep(8.0)
             outcomes = entries.outcomes_of(common_body)
             assert len(outcomes) == 140
-            assert sum(one.was_served for one in outcomes) >= 138
+            assert sum(outcome.was_served for outcome in outcomes) >= 138
             assert len(entries.fleet.crashes) <= MAX_CRASHES + 2
 
         entries_system.run_scenario(work, count=6)
@@ -417,7 +428,7 @@
         entries_system.run_scenario(work)
 
     def test_end_that_becomes_known_later_counts(self) -> None:
-        # A silent engine, whose store entry is removed later.
+        # A silent engine whose store entry is removed later.
         async def work(entries: entries_system.Entries) -> None:
             entry = entries[0]
             repeat = entries_system.STREAM
@@ -435,7 +446,8 @@
     def test_service_without_reports_does_not_count_as_ended(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        # HTTP services have no reports; one that lost a response still runs.
+        # HTTP services have no reports. An instance that lost a response still
+        # runs.
         async def work(entries: entries_system.Entries) -> None:
             report = entries.fleet.report
 
@@ -449,8 +461,8 @@
                 return await report(upstream)
 
             monkeypatch.setattr(entries.fleet, "report", report_engines_only)
-            for one in entries.fleet.upstreams:
-                one.lost_answers = 0 if one.listed.card else 1
+            for upstream in entries.fleet.upstreams:
+                upstream.lost_answers = 0 if upstream.listed.card else 1
             entries.start_request(0, entries_system.REPEATABLE, b"lost")
             await anyio.sleep(2.0)
             assert entries[0].registry.avoided() == ()
@@ -469,9 +481,9 @@
                 await anyio.sleep(0.1)
             await anyio.sleep(8.0)
             codes = [
-                one.caller.error.code
-                for one in entries.outcomes_of_others(0.0)
-                if one.caller.error
+                outcome.caller.error.code
+                for outcome in entries.outcomes_of_others(0.0)
+                if outcome.caller.error
             ]
             assert errors.Code.QUARANTINED not in codes
 
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -84,8 +84,8 @@
     process: fleet_process.FleetProcess
     fleet: chain_fleet.ChainFleet
     store: standin_store.StandinStore
-    callers: str
-    status: str
+    callers_address: str
+    status_address: str
 
     async def send(
         self, path: str, request_id: str, **changes: bytes
@@ -99,7 +99,7 @@
         ]
         async with httpcore.AsyncConnectionPool() as pool:
             return await pool.request(
-                "POST", f"http://{self.callers}{path}", headers=headers
+                "POST", f"http://{self.callers_address}{path}", headers=headers
             )
 
 
@@ -146,18 +146,20 @@
         running = RunningEntry(
             process, fleet, store, f"{HOST}:{callers}", f"{HOST}:{status}"
         )
-        await until_serving(running)
+        await wait_until_serving(running)
         await scenario(running)
         tasks.cancel_scope.cancel()
 
 
-async def until_serving(running: RunningEntry) -> None:
+async def wait_until_serving(running: RunningEntry) -> None:
     """Wait until the layers are placed and a stream is served."""
     with anyio.fail_after(20.0):
         while True:
             await anyio.sleep(0.1)
-            held = [one.listed.layers for one in running.fleet.upstreams]
-            if not running.process.is_running or held.count(None) > 1:
+            all_layers = [
+                upstream.listed.layers for upstream in running.fleet.upstreams
+            ]
+            if not running.process.is_running or all_layers.count(None) > 1:
                 continue
             response = await running.send("/a/warm", "warm")
             if response.status == 200:
@@ -166,7 +168,9 @@
 
 async def status_of(running: RunningEntry, path: str) -> httpcore.Response:
     async with httpcore.AsyncConnectionPool() as pool:
-        return await pool.request("GET", f"http://{running.status}{path}")
+        return await pool.request(
+            "GET", f"http://{running.status_address}{path}"
+        )
 
 
 class TestEntry:
@@ -217,8 +221,8 @@
             )
             await anyio.sleep(0.5)
             assert (await running.send("/a/x", "r1")).status == 401
-            again = await running.send("/a/x", "r2", key=b"Token k2")
-            assert again.status == 200
+            answer = await running.send("/a/x", "r2", key=b"Token k2")
+            assert answer.status == 200
 
         anyio.run(run_entry, scenario)
 
@@ -259,26 +263,26 @@
 
     def plain(self, running: RunningEntry) -> chain_fleet.StandinUpstream:
         (found,) = (
-            one
-            for one in running.fleet.upstreams
-            if one.listed.service == fleet_system.PLAIN
+            upstream
+            for upstream in running.fleet.upstreams
+            if upstream.listed.service == fleet_system.PLAIN
         )
         return found
 
     def test_limit_is_respected_and_callers_get_retry_after(self) -> None:
         async def scenario(running: RunningEntry) -> None:
-            # Even a limit of zero lets an occasional request through, to
-            # learn when the limit ends.
+            # A few requests are sent even at a limit of zero, to detect when
+            # the limit ends.
             self.plain(running).limit = 0.0
             answers = [
                 await running.send("/a/b/x", f"l{number}")
                 for number in range(5)
             ]
             assert answers[0].status == 200
-            refused = [one for one in answers if one.status == 503]
+            refused = [answer for answer in answers if answer.status == 503]
             assert len(refused) >= 3
-            for one in refused:
-                assert float(dict(one.headers)[names.RETRY_AFTER]) > 0.0
+            for answer in refused:
+                assert float(dict(answer.headers)[names.RETRY_AFTER]) > 0.0
             header_names = {name.lower() for name, _ in answers[0].headers}
             assert names.LIMIT not in header_names
 
@@ -367,7 +371,7 @@
 
 
 class TestStart:
-    """The phase between the start and the first request."""
+    """The time between the start of an entry and its first request."""
 
     def test_listener_module_loads_no_large_modules(self) -> None:
         # Callers are refused until the socket listens, so nothing slow may be
@@ -498,8 +502,12 @@
     ) -> None:
         name = line.split(" ")[0]
         lines = []
-        for one in TEMPLATE.read_text().splitlines():
-            lines.append(line if one.startswith(f"{name} =") else one)
+        for template_line in TEMPLATE.read_text().splitlines():
+            lines.append(
+                line
+                if template_line.startswith(f"{name} =")
+                else template_line
+            )
         text = render_template(
             "\n".join(lines),
             {
