--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -147,7 +147,7 @@
 
 
 class TestStart:
-    """The start of an entry and the clock of its event loop."""
+    """The start of an entry, and the clock of daemons."""
 
     def test_entry_waits_for_the_roster_before_it_serves(self) -> None:
         class Holder:
@@ -199,15 +199,15 @@
     def test_daemons_use_a_clock_that_counts_suspension(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        asked: list[dict[str, object]] = []
+        calls: list[dict[str, object]] = []
 
         def run(*arguments: object, **named: object) -> None:
-            asked.append(typing.cast(dict[str, object], named))
+            calls.append(typing.cast(dict[str, object], named))
 
         monkeypatch.setattr(daemon.anyio, "run", run)
         monkeypatch.setattr(daemon.logs, "to_stdout", lambda: None)
         monkeypatch.setattr(daemon.checks, "check", lambda path: None)
         monkeypatch.setattr(daemon, "HangupRecorder", lambda: None)
         daemon.main(["--config", "entry.ini"])
-        options = typing.cast(dict[str, object], asked[0]["backend_options"])
+        options = typing.cast(dict[str, object], calls[0]["backend_options"])
         assert options["loop_factory"] is timers.BootTimeEventLoop
--- a/tests/test_returns.py
+++ b/tests/test_returns.py
@@ -25,7 +25,8 @@
         virtual.run(body)
 
     def test_many_refusals_are_spread(self) -> None:
-        # With one delay for all, a burst of refusals retries as a burst.
+        # With the same delay for all, requests refused together would retry
+        # together.
         async def body() -> None:
             advisor = retry_advice.RetryAdvisor(random.Random(1))
             for _ in range(20):
@@ -55,7 +56,7 @@
         token_counts = requests.TokenCounts(700, 400)
         assert token_counts.mean_tokens(200.0) == 800.0
 
-    def test_hint_counts_as_much_as_the_usual_answer(self) -> None:
+    def test_hint_counts_as_much_as_the_mean_answer(self) -> None:
         token_counts = requests.TokenCounts(700, 400, 100)
         assert token_counts.mean_tokens(200.0) == 775.0
 
