--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -161,7 +161,7 @@
                 break
         if failed_answer is not None:
             return failed_answer
-        raise self._final_error(self._no_instance(0.0))
+        raise self._final_error(self._no_instance_error(0.0))
 
     @property
     def _fingerprint(self) -> fingerprint.Fingerprint:
@@ -219,11 +219,11 @@
         # Queued calls are served first, so their waits are included.
         seconds = self._seconds_until_accepted(len(wait_queue))
         if not self._may_wait(seconds, until):
-            raise self._final_error(self._no_instance(seconds))
+            raise self._final_error(self._no_instance_error(seconds))
         async with wait_queue.turn(until) as is_first:
             if not is_first:
                 raise self._final_error(
-                    self._no_instance(self._seconds_until_accepted())
+                    self._no_instance_error(self._seconds_until_accepted())
                 )
             return await self._await_instance(until)
 
@@ -232,7 +232,7 @@
         while (upstream := self._pick()) is None:
             seconds = self._seconds_until_accepted()
             if not self._may_wait(seconds, until):
-                raise self._final_error(self._no_instance(seconds))
+                raise self._final_error(self._no_instance_error(seconds))
             await anyio.sleep(seconds)
         return upstream
 
@@ -417,7 +417,7 @@
         self._context.log_retry(service, self._request.id)
         return True
 
-    def _no_instance(self, seconds: float) -> errors.CrowdeckError:
+    def _no_instance_error(self, seconds: float) -> errors.CrowdeckError:
         """Return the error for a call that no instance accepts.
 
         :param seconds: seconds until an instance accepts it, 0 if unknown.
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -167,7 +167,7 @@
     def note_instance_ended(self, upstream: chain.Upstream) -> None:
         """Note that an instance has ended.
 
-        If it was leaving, its end is not blamed on its requests.
+        If it was leaving, its end does not count against its requests.
         """
         self.limits.forget(upstream)
         if upstream.is_leaving:
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -37,6 +37,7 @@
     :ivar check_may_resume: returns whether it may resume at another first
         engine.
     :ivar last_event_id: id of the last event forwarded, -1 for none.
+    :ivar has_events: whether an event was forwarded in any attempt.
     :ivar progress_at: when its last event arrived or its attempt began.
     :ivar next_check: earliest time of its next check for a stall.
     :ivar checks: number of checks since ``progress_at``.
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -193,7 +193,7 @@
                 retry_after=START_RETRY_SECONDS,
             )
         admitted = self._admit(table, request)
-        self._refuse_overload()
+        self._refuse_if_overloaded()
         name = tables.pick_service(admitted.route, self._context.rng)
         service = table.service(name) or routes.Service(name, 0)
         if service.profile is not None:
@@ -201,7 +201,7 @@
         else:
             await self._calls.serve(request, admitted, service, sink)
 
-    def _refuse_overload(self) -> None:
+    def _refuse_if_overloaded(self) -> None:
         """Refuse new requests while the event loop lags too much.
 
         :raises CrowdeckError: ``OVERLOADED`` with the verdict ``NOT_RUN``.
@@ -227,15 +227,15 @@
             if is_valid:
                 raise
             # A newer config may contain this route or key.
-            raise self._outdated(age) from None
+            raise self._outdated_config_error(age) from None
         needs_key = bool(table.config.teams) and not (
             admitted.route.is_anonymous
         )
         if needs_key and not is_valid:
-            raise self._outdated(age)
+            raise self._outdated_config_error(age)
         return admitted
 
-    def _outdated(self, age: float) -> errors.CrowdeckError:
+    def _outdated_config_error(self, age: float) -> errors.CrowdeckError:
         return errors.CrowdeckError(
             errors.Code.STORE_DOWN,
             f"the config was last known to be current {age:.1f} s ago",
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -125,13 +125,15 @@
                 stream.switch_path(new_path)
                 counters.COUNTERS.add("relay.repathed")
                 return
-            blamed = self._context.registry.find_by_address(outcome.culprit)
+            new_culprit = self._context.registry.find_by_address(
+                outcome.culprit
+            )
             if not outcome.is_known:
                 return
-            if blamed is None or blamed.name in excluded:
+            if new_culprit is None or new_culprit.name in excluded:
                 self._restart_elsewhere(stream, path)
                 return
-            excluded.add(blamed.name)
+            excluded.add(new_culprit.name)
 
     def _restart_elsewhere(
         self, stream: live.LiveStream, path: chain.ChainPath
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -185,14 +185,14 @@
         now = anyio.current_time()
         if self._lag_meter.is_settling():
             return now
-        soonest = IDLE_CHECK_SECONDS
+        wait_seconds = IDLE_CHECK_SECONDS
         for stream in self._streams:
             if stream in self._checking:
                 continue
-            soonest = min(soonest, EARLIEST_SHARE * stream.max_pause)
+            wait_seconds = min(wait_seconds, EARLIEST_SHARE * stream.max_pause)
             if stream.path is not None:
-                soonest = min(soonest, self._silent_at(stream) - now)
-        return now + soonest
+                wait_seconds = min(wait_seconds, self._silent_at(stream) - now)
+        return now + wait_seconds
 
     async def _verify(self, upstream: chain.Upstream) -> None:
         probe = await self._prober.probe(upstream)
@@ -212,6 +212,8 @@
         Silence counts only if other engines answer: when the entry's own
         network fails, all engines are silent, and abandoning them would
         end every stream.
+
+        :param others: engines to probe in addition to the usual controls.
         """
         if not probe.is_silent:
             return False
@@ -267,7 +269,7 @@
         if path is None:
             return
         silent_since = stream.progress_at
-        found = await self._find_culprits(stream, path)
+        finding = await self._find_culprits(stream, path)
         if stream.path is not path or stream.progress_at != silent_since:
             return
         logs.decision(
@@ -276,24 +278,28 @@
             silent=round(anyio.current_time() - silent_since, 3),
             usual=round(stream.usual_pause, 4),
             after=stream.last_event_id,
-            culprits=[str(engine.address) for engine in found.culprits],
-            is_sure=found.is_sure,
-            running=found.head_report.running if found.head_report else None,
-            waiting=found.head_report.waiting if found.head_report else None,
+            culprits=[str(engine.address) for engine in finding.culprits],
+            is_sure=finding.is_sure,
+            running=finding.head_report.running
+            if finding.head_report
+            else None,
+            waiting=finding.head_report.waiting
+            if finding.head_report
+            else None,
         )
-        for culprit in found.culprits:
+        for culprit in finding.culprits:
             self._context.registry.avoid(culprit.name, "silent in a stream")
-        await self._rerouter.reroute_around_all(found.culprits)
-        if not found.culprits and self._is_hung(stream, path, found):
+        await self._rerouter.reroute_around_all(finding.culprits)
+        if not finding.culprits and self._is_hung(stream, path, finding):
             self._abandon_hung(stream, path)
 
     def _is_hung(
-        self, stream: live.LiveStream, path: chain.ChainPath, found: _Finding
+        self, stream: live.LiveStream, path: chain.ChainPath, finding: _Finding
     ) -> bool:
         """Whether a stream's first engine does not work on it."""
         if not stream.may_resume or path.zone_crossings:
             return False
-        if found.head_report is None or not found.is_sure:
+        if finding.head_report is None or not finding.is_sure:
             return False
         limit = HUNG_PAUSES * stream.max_pause
         if stream.is_starting:
@@ -305,7 +311,7 @@
             return False
         if stream.is_starting and self._is_quicker_elsewhere(stream, path):
             return True
-        return not found.head_report.waiting and any(
+        return not finding.head_report.waiting and any(
             other.path is not None
             and other.path.head.name == path.head.name
             and other.has_events
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -33,9 +33,11 @@
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 # Errors that the first engine of a path causes.
-_FAILURES = frozenset({errors.Code.UPSTREAM_LOST, errors.Code.WRONG_ANSWER})
+_FAILURE_CODES = frozenset(
+    {errors.Code.UPSTREAM_LOST, errors.Code.WRONG_ANSWER}
+)
 # Errors after which the first engine may have ended.
-_LOSSES = _FAILURES | {errors.Code.STALLED}
+_LOSS_CODES = _FAILURE_CODES | {errors.Code.STALLED}
 
 
 class StreamRelay:
@@ -258,7 +260,7 @@
         self, path: chain.ChainPath, error: errors.CrowdeckError
     ) -> None:
         await self._record_loss(path.head, error)
-        if error.code in _FAILURES and error.verdict is _MAY_HAVE_RUN:
+        if error.code in _FAILURE_CODES and error.verdict is _MAY_HAVE_RUN:
             self._note_failed(path.head)
         if error.verdict is _MAY_HAVE_RUN:
             self._ran_on.add(path.head.name)
@@ -286,7 +288,7 @@
                 # A failed connection does not prove that the engine ended.
                 self._monitor.verify(head)
             return
-        if error.code not in _LOSSES:
+        if error.code not in _LOSS_CODES:
             return
         attempt_record = self._stream.attempt_record
         if not attempt_record.is_suspect:
