--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -125,8 +125,10 @@
         self._service = service
         self._route = admitted.route
         timeout_seconds = request.timeout_seconds or self._route.timeout
-        limit = min(timeout_seconds, self._route.timeout)
-        self._deadline = request.arrived + limit - ANSWER_MARGIN_SECONDS
+        limit_seconds = min(timeout_seconds, self._route.timeout)
+        self._deadline = (
+            request.arrived + limit_seconds - ANSWER_MARGIN_SECONDS
+        )
         self._tried: set[str] = set()
         self._sent = 0
         self._verdict = verdicts.Verdict.NOT_RUN
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -102,11 +102,11 @@
         if gap is not None and not gap.closes_by(until):
             until = gap.since + UNHELD_WAIT_SECONDS
         until = min(until, self._deadline)
-        expected = self._context.retry_advisor.seconds_until_capacity(
+        expected_seconds = self._context.retry_advisor.seconds_until_capacity(
             len(wait_queue) + 1
         )
-        expected = max(expected, self.seconds_until_accepted())
-        if wait_queue.is_full or now + expected > until:
+        expected_seconds = max(expected_seconds, self.seconds_until_accepted())
+        if wait_queue.is_full or now + expected_seconds > until:
             return None
         async with wait_queue.turn(until) as is_first:
             if not is_first:
@@ -139,8 +139,10 @@
             if engine.layers is not None and engine.layers.first == 0
         ]
         ahead = len(self._context.wait_queue(self._service))
-        until_first = self._context.seconds_until_any(first_engines, ahead)
-        return max(until_first, self._seconds_until_backoffs_end())
+        first_engine_seconds = self._context.seconds_until_any(
+            first_engines, ahead
+        )
+        return max(first_engine_seconds, self._seconds_until_backoffs_end())
 
     def _seconds_until_backoffs_end(self) -> float:
         """Return the seconds until backoffs no longer prevent a path.
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -246,12 +246,14 @@
     def _silent_at(self, stream: live.LiveStream) -> float:
         """Return when a stream counts as silent if no event arrives."""
         if stream.has_events:
-            limit = PAUSE_FACTOR * stream.usual_pause
-            limit = max(limit, EARLIEST_SHARE * stream.max_pause)
-            limit = min(limit, LATEST_SHARE * stream.max_pause)
+            limit_seconds = PAUSE_FACTOR * stream.usual_pause
+            limit_seconds = max(
+                limit_seconds, EARLIEST_SHARE * stream.max_pause
+            )
+            limit_seconds = min(limit_seconds, LATEST_SHARE * stream.max_pause)
         else:
-            limit = FIRST_EVENT_SHARE * stream.objective
-        return max(stream.progress_at + limit, stream.next_check)
+            limit_seconds = FIRST_EVENT_SHARE * stream.objective
+        return max(stream.progress_at + limit_seconds, stream.next_check)
 
     async def _check(self, stream: live.LiveStream) -> None:
         try:
@@ -301,11 +303,11 @@
             return False
         if finding.head_report is None or not finding.is_sure:
             return False
-        limit = HUNG_PAUSES * stream.max_pause
+        limit_seconds = HUNG_PAUSES * stream.max_pause
         if stream.is_starting:
-            limit = HUNG_SHARE * stream.objective
+            limit_seconds = HUNG_SHARE * stream.objective
         now = anyio.current_time()
-        if now - stream.progress_at < limit:
+        if now - stream.progress_at < limit_seconds:
             return False
         if not self._context.may_restart_stream(stream.service.name):
             return False
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -116,8 +116,10 @@
         self._request = stream.request
         self._sink = sink
         timeout_seconds = self._request.timeout_seconds or self._route.timeout
-        limit = min(timeout_seconds, self._route.timeout)
-        self._deadline = self._request.arrived + limit - ANSWER_MARGIN_SECONDS
+        limit_seconds = min(timeout_seconds, self._route.timeout)
+        self._deadline = (
+            self._request.arrived + limit_seconds - ANSWER_MARGIN_SECONDS
+        )
         self._ran_on: set[str] = set()
         self._refusals = 0
         self._paths = paths.PathSearch(
