--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -19,8 +19,8 @@
 
 # Minimum time between two checks of the streams.
 CHECK_SECONDS = 0.02
-# Maximum time between two checks. An idle entry checks only the engines that
-# are avoided, and should cost little processor time.
+# Maximum time between two checks. An idle entry checks only avoided engines,
+# and should use little processor time.
 IDLE_CHECK_SECONDS = 0.2
 # A stream is checked after PAUSE_FACTOR usual pauses without an event, bounded
 # by EARLIEST_SHARE and LATEST_SHARE of its maximum pause. The rest of that
@@ -29,10 +29,10 @@
 EARLIEST_SHARE = 0.3
 LATEST_SHARE = 0.45
 # Share of the latency objective after which a stream without a first event is
-# checked. The engines read the prompt in that time.
+# checked. The engines process the prompt in that time.
 FIRST_EVENT_SHARE = 0.4
 # A stream whose engines all answer is checked again after this share of its
-# maximum pause, and each time after twice as long.
+# maximum pause, and then each time after twice as long.
 RECHECK_SHARE = 0.5
 
 # An engine may accept a request and never work on it, while its report and its
@@ -48,8 +48,8 @@
 # Another stream with an event within this many of its usual pauses shows that
 # the engine works.
 SIBLING_PAUSES = 3.0
-# Engines that an event passed within this time are not probed. Above the time
-# that an event takes through all stages.
+# Engines that an event passed within this time are not probed. Longer than an
+# event takes to pass all stages.
 RECENT_EVENT_SECONDS = 0.03
 
 
@@ -58,8 +58,8 @@
     """The result of checking a silent stream.
 
     :ivar culprits: engines that stall it.
-    :ivar is_sure: whether missing answers are the engines' fault and not that
-        of this entry's own lag.
+    :ivar is_sure: whether missing answers are due to the engines and not to
+        the lag of this entry.
     :ivar head_report: the report of the first engine, if there is one.
     """
 
@@ -108,8 +108,8 @@
     async def has_ended(self, upstream: chain.Upstream) -> bool:
         """Return whether an instance whose connection broke has ended.
 
-        Awaited before a retry elsewhere, since a request is blamed for the
-        end of an instance but not for a broken connection.
+        Awaited before a retry elsewhere: the end of an instance counts
+        against its requests, and a broken connection does not.
         """
         probe = await self._prober.probe(upstream)
         if probe.is_gone:
@@ -140,8 +140,8 @@
     def check_now(self, upstream: chain.Upstream) -> None:
         """Check all streams that pass an engine as soon as possible.
 
-        Used when a first engine refuses a request because of that engine,
-        which may be before the streams fall silent.
+        Called when a first engine refuses a request because of that engine,
+        which may happen before its streams are silent.
         """
         for stream in self._streams:
             path = stream.path
@@ -165,7 +165,7 @@
                     continue
                 now = anyio.current_time()
                 for stream in tuple(self._streams):
-                    if self._is_silent(stream, now):
+                    if self._claim_check(stream, now):
                         self._checking.add(stream)
                         tasks.start_soon(self._check, stream)
 
@@ -185,14 +185,14 @@
         now = anyio.current_time()
         if self._lag_meter.is_settling():
             return now
-        soonest = IDLE_CHECK_SECONDS
+        wait_seconds = IDLE_CHECK_SECONDS
         for stream in self._streams:
             if stream in self._checking:
                 continue
-            soonest = min(soonest, EARLIEST_SHARE * stream.max_pause)
+            wait_seconds = min(wait_seconds, EARLIEST_SHARE * stream.max_pause)
             if stream.path is not None:
-                soonest = min(soonest, self._silent_at(stream) - now)
-        return now + soonest
+                wait_seconds = min(wait_seconds, self._silent_at(stream) - now)
+        return now + wait_seconds
 
     async def _verify(self, upstream: chain.Upstream) -> None:
         probe = await self._prober.probe(upstream)
@@ -212,6 +212,8 @@
         Silence counts only if other engines answer: when the entry's own
         network fails, all engines are silent, and abandoning them would
         end every stream.
+
+        :param others: engines to probe in addition to the usual controls.
         """
         if not probe.is_silent:
             return False
@@ -232,7 +234,8 @@
             for answer in answers
         )
 
-    def _is_silent(self, stream: live.LiveStream, now: float) -> bool:
+    def _claim_check(self, stream: live.LiveStream, now: float) -> bool:
+        """Whether to check a stream now; resets its ``needs_check``."""
         if stream.path is None or stream in self._checking:
             return False
         if stream.needs_check:
@@ -243,12 +246,14 @@
     def _silent_at(self, stream: live.LiveStream) -> float:
         """Return when a stream counts as silent if no event arrives."""
         if stream.has_events:
-            limit = PAUSE_FACTOR * stream.usual_pause
-            limit = max(limit, EARLIEST_SHARE * stream.max_pause)
-            limit = min(limit, LATEST_SHARE * stream.max_pause)
+            limit_seconds = PAUSE_FACTOR * stream.usual_pause
+            limit_seconds = max(
+                limit_seconds, EARLIEST_SHARE * stream.max_pause
+            )
+            limit_seconds = min(limit_seconds, LATEST_SHARE * stream.max_pause)
         else:
-            limit = FIRST_EVENT_SHARE * stream.objective
-        return max(stream.progress_at + limit, stream.next_check)
+            limit_seconds = FIRST_EVENT_SHARE * stream.objective
+        return max(stream.progress_at + limit_seconds, stream.next_check)
 
     async def _check(self, stream: live.LiveStream) -> None:
         try:
@@ -266,7 +271,7 @@
         if path is None:
             return
         silent_since = stream.progress_at
-        found = await self._find_culprits(stream, path)
+        finding = await self._find_culprits(stream, path)
         if stream.path is not path or stream.progress_at != silent_since:
             return
         logs.decision(
@@ -275,36 +280,40 @@
             silent=round(anyio.current_time() - silent_since, 3),
             usual=round(stream.usual_pause, 4),
             after=stream.last_event_id,
-            culprits=[str(one.address) for one in found.culprits],
-            is_sure=found.is_sure,
-            running=found.head_report.running if found.head_report else None,
-            waiting=found.head_report.waiting if found.head_report else None,
+            culprits=[str(engine.address) for engine in finding.culprits],
+            is_sure=finding.is_sure,
+            running=finding.head_report.running
+            if finding.head_report
+            else None,
+            waiting=finding.head_report.waiting
+            if finding.head_report
+            else None,
         )
-        for culprit in found.culprits:
+        for culprit in finding.culprits:
             self._context.registry.avoid(culprit.name, "silent in a stream")
-        await self._rerouter.reroute_around_all(found.culprits)
-        if not found.culprits and self._is_hung(stream, path, found):
+        await self._rerouter.reroute_around_all(finding.culprits)
+        if not finding.culprits and self._is_hung(stream, path, finding):
             self._abandon_hung(stream, path)
 
     def _is_hung(
-        self, stream: live.LiveStream, path: chain.ChainPath, found: _Finding
+        self, stream: live.LiveStream, path: chain.ChainPath, finding: _Finding
     ) -> bool:
         """Whether a stream's first engine does not work on it."""
         if not stream.may_resume or path.zone_crossings:
             return False
-        if found.head_report is None or not found.is_sure:
+        if finding.head_report is None or not finding.is_sure:
             return False
-        limit = HUNG_PAUSES * stream.max_pause
+        limit_seconds = HUNG_PAUSES * stream.max_pause
         if stream.is_starting:
-            limit = HUNG_SHARE * stream.objective
+            limit_seconds = HUNG_SHARE * stream.objective
         now = anyio.current_time()
-        if now - stream.progress_at < limit:
+        if now - stream.progress_at < limit_seconds:
             return False
         if not self._context.may_restart_stream(stream.service.name):
             return False
         if stream.is_starting and self._is_quicker_elsewhere(stream, path):
             return True
-        return not found.head_report.waiting and any(
+        return not finding.head_report.waiting and any(
             other.path is not None
             and other.path.head.name == path.head.name
             and other.has_events
@@ -327,8 +336,8 @@
             return False
         if heads.has_fast_alternative(name, QUICK_SHARE * stream.objective):
             return True
-        # An entry with few streams may know of no other first engine. One that
-        # is not known to be slow is worth a try when this one is late anyway.
+        # An entry with few streams may have no record of other first engines.
+        # A late stream is then moved, unless one of them is known to be slow.
         waited = anyio.current_time() - stream.progress_at
         return (
             waited > LATE_SHARE * stream.objective
@@ -354,8 +363,8 @@
     ) -> _Finding:
         """Return the engines that stall a stream.
 
-        The first engine reports which engines its requests wait for, though
-        the report may be slightly old. If it names none for this request,
+        The first engine reports for which engines its requests wait; the
+        report may be slightly old. If it names no engine for this request,
         the other engines of the path are probed.
         """
         max_age = probes.REUSE_SECONDS
@@ -372,7 +381,7 @@
             for stall in head.report.stalls
             if stall.request == stream.request.id
         ]
-        found = [one for one in named if one is not None]
+        found = [engine for engine in named if engine is not None]
         if found:
             return _Finding(found, True, head.report)
         answers: list[probes.Probe] = []
@@ -385,8 +394,8 @@
             for hop in path.hops[1:]:
                 if hop.upstream.name not in active:
                     tasks.start_soon(ask, hop.upstream)
-        silent = [one.upstream for one in answers if one.is_silent]
-        is_sure = all(one.is_sure for one in answers)
+        silent = [answer.upstream for answer in answers if answer.is_silent]
+        is_sure = all(answer.is_sure for answer in answers)
         return _Finding(silent, is_sure, head.report)
 
     def _recently_active(self) -> set[str]:
