--- a/bench/paths.py
+++ b/bench/paths.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What the choice of a path costs, by the number of engines.
+"""Measures the processor time of choosing a path, by number of engines.
 
-Run as ``python -m bench.paths``. Engines of five zones hold the layers of
-one model in ranges of 4 to 38, cut at different layers as placements of
-mixed cards are; an entry has five streams of its own under way.
+Run as ``python -m bench.paths``. Engines in five zones hold ranges of up
+to 38 layers of one model. The ranges overlap partially, as in placements on
+mixed cards. The entry has five streams of its own in progress.
 """
 
 import random
@@ -23,8 +23,8 @@
 
 LAYER_COUNT = 80
 ZONES = ("plateau", "almadies", "pikine", "rufisque", "guediawaye")
-# Cards by how many of 130 engines have one: memory in MB, factors on the
-# time of a step and of reading, and the most layers one is given.
+# Engines with the card, of 130; the card with its memory in MB and its factors
+# on step and prefill time; the most layers an engine with it holds.
 CARDS = (
     (3, chain.AcceleratorType("h100", 72_000.0, 1.4, 1.0), 38),
     (11, chain.AcceleratorType("a100s", 36_000.0, 3.1, 3.2), 18),
@@ -49,23 +49,26 @@
     cards={card.name: card for _, card, _ in CARDS},
 )
 STREAMS = 5
-SIZES = (26, 130, 390, 860)
+ENGINE_COUNTS = (26, 130, 390, 860)
 REPEATS = 30
 
 
 def make_fleet(count: int, seed: int = 1) -> list[chain.Upstream]:
     """Return engines whose ranges cover the model in every zone."""
     rng = random.Random(seed)
-    shares = [share for share, _, _ in CARDS]
-    found: list[chain.Upstream] = []
-    starts = dict.fromkeys(ZONES, 0)
+    weights = [weight for weight, _, _ in CARDS]
+    engines: list[chain.Upstream] = []
+    first_layers = dict.fromkeys(ZONES, 0)
     for number in range(count):
-        _, card, most = rng.choices(CARDS, shares)[0]
+        _, card, max_layers = rng.choices(CARDS, weights)[0]
         zone = ZONES[number % len(ZONES)]
-        first = starts[zone]
-        end = min(LAYER_COUNT, first + rng.randint(max(3, most - 4), most))
-        starts[zone] = end % LAYER_COUNT
-        found.append(
+        first = first_layers[zone]
+        end = min(
+            LAYER_COUNT,
+            first + rng.randint(max(3, max_layers - 4), max_layers),
+        )
+        first_layers[zone] = end % LAYER_COUNT
+        engines.append(
             chain.Upstream(
                 name=f"e{number}",
                 service="assistant",
@@ -77,30 +80,30 @@
                 layers=pipeline.LayerRange(first, end),
             )
         )
-    return found
+    return engines
 
 
 async def measure(count: int) -> float:
-    """Return the processor time of one choice, in ms."""
+    """Return the mean processor time of one choice, in milliseconds."""
     fleet = make_fleet(count)
     usage = usages.InFlight()
     usage.set_entry_count(13, 68)
     planner = hops.HopPlanner(usage)
-    wanted = hops.PathRequest(PROFILE, 800.0, ZONES[0])
+    request = hops.PathRequest(PROFILE, 800.0, ZONES[0])
     for _ in range(STREAMS):
-        path = planner.plan(fleet, wanted)
+        path = planner.plan(fleet, request)
         if path is not None:
             usage.add_request(path, 800.0)
-    began = time.process_time()
+    started = time.process_time()
     for _ in range(REPEATS):
-        planner.plan(fleet, wanted)
-    return 1000.0 * (time.process_time() - began) / REPEATS
+        planner.plan(fleet, request)
+    return 1000.0 * (time.process_time() - started) / REPEATS
 
 
 async def main() -> None:
-    """Print a line for each number of engines."""
+    """Print one line for each number of engines."""
     print("engines  ms a choice")
-    for count in SIZES:
+    for count in ENGINE_COUNTS:
         print(f"{count:7}  {await measure(count):.2f}")
 
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -3,14 +3,13 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Compares layouts of layers by what becomes of streams on them.
-
-Run as ``python -m bench.placement``. The planner, the count of what is under
-way and the layouts are the ones that entries run; engines are their paces.
-Streams arrive at random and end when their tokens are made, in virtual time.
-Fleets are those of ``fleets.toml`` and others drawn at random, so that a
-layout is judged on fleets that nobody had in mind. Each layout plays the
-same seeds.
+"""Compares layouts of layers by simulating streams on them.
+
+Run as ``python -m bench.placement``. Planner, usage estimates and layouts are
+the code that entries run; an engine is simulated by its step time alone.
+Streams arrive at random and end after their last token, in virtual time. The
+fleets are those of ``fleets.toml`` and random ones, so that a layout is not
+fitted to a few known fleets. All layouts are simulated with the same seeds.
 """
 
 import argparse
@@ -34,12 +33,11 @@
 from crowdeck.routing import usage as usages
 from tests import virtual
 
-FLEETS = pathlib.Path(__file__).parent / "fleets.toml"
-LAYERS = 80
-PLAYED_SECONDS = 6.0
-# What reading a prompt and the first step take before the first event: p90
-# of 1,807 streams on paths of three to six engines.
-FIRST_SECONDS = 0.08
+FLEETS_PATH = pathlib.Path(__file__).parent / "fleets.toml"
+LAYER_COUNT = 80
+SIMULATED_SECONDS = 6.0
+# Time of prefill and the first step, until the first event.
+FIRST_EVENT_SECONDS = 0.08
 SERVICE = "assistant"
 
 Engines = list[chain.Upstream]
@@ -48,7 +46,7 @@
 
 @attrs.frozen
 class Fleet:
-    """Engines that are yet empty, and what is asked of them."""
+    """Engines without layers, and the load on them."""
 
     name: str
     profile: chain.EngineProfile
@@ -56,8 +54,8 @@
     streams_per_second: float
 
     @property
-    def tokens(self) -> float:
-        """What a stream holds on average, in tokens."""
+    def mean_tokens(self) -> float:
+        """Mean number of tokens of a stream in the KV cache."""
         return (
             self.profile.mean_prompt_tokens
             + self.profile.mean_answer_tokens / 2.0
@@ -65,12 +63,12 @@
 
 
 @attrs.frozen
-class Played:
-    """What became of the streams of some seconds.
+class Result:
+    """Result of a simulation.
 
-    :ivar refused: share of the streams that no path had room for.
-    :ivar token_ms: mean time between two tokens.
-    :ivar cut: streams that the loss of one engine interrupts, on average.
+    :ivar refused: share of the streams for which no path had capacity.
+    :ivar token_ms: mean time between two tokens, in milliseconds.
+    :ivar cut: mean number of streams that the loss of one engine interrupts.
     """
 
     refused: float
@@ -78,13 +76,13 @@
     cut: float
 
 
-def make(name: str, description: dict[str, typing.Any]) -> Fleet:
+def parse_fleet(name: str, description: dict[str, typing.Any]) -> Fleet:
     """Return a fleet from its description in ``fleets.toml``."""
     cards = {
         card: chain.AcceleratorType(
-            card, it["memory_mb"], it["step"], it["read"]
+            card, values["memory_mb"], values["step"], values["read"]
         )
-        for card, it in description["cards"].items()
+        for card, values in description["cards"].items()
     }
     engines = [
         _engine(f"{zone}-{card}-{number}", zone, card)
@@ -93,7 +91,7 @@
         for number in range(count)
     ]
     profile = chain.EngineProfile(
-        layer_count=LAYERS,
+        layer_count=LAYER_COUNT,
         layer_mb=1750.0,
         kv_bytes_per_token=description["token_bytes"],
         step_ms=1.02,
@@ -127,13 +125,16 @@
 
 def load_fleets() -> list[Fleet]:
     """Return the fleets of ``fleets.toml``."""
-    with FLEETS.open("rb") as file:
-        found = tomllib.load(file)
-    return [make(name, it) for name, it in found.items()]
+    with FLEETS_PATH.open("rb") as file:
+        descriptions = tomllib.load(file)
+    return [
+        parse_fleet(name, description)
+        for name, description in descriptions.items()
+    ]
 
 
 def random_fleet(seed: int) -> Fleet:
-    """Return a fleet of random cards that holds the model in each zone."""
+    """Return a fleet of random cards, with the whole model in each zone."""
     rng = random.Random(seed)
     cards = {
         f"card{number}": {
@@ -148,7 +149,7 @@
         for number in range(rng.randint(2, 4))
     }
     count = sum(sum(counts.values()) for counts in zones.values())
-    return make(
+    return parse_fleet(
         f"drawn {seed}",
         {
             "streams_per_second": count * rng.uniform(0.8, 2.2),
@@ -165,39 +166,47 @@
     rng: random.Random, cards: dict[str, dict[str, float]]
 ) -> dict[str, int]:
     """Return counts of cards that hold 1.3 to 3 copies of the model."""
-    wanted = rng.uniform(1.3, 3.0) * LAYERS * 1750.0
+    missing_mb = rng.uniform(1.3, 3.0) * LAYER_COUNT * 1750.0
     counts = dict.fromkeys(cards, 0)
-    while wanted > 0.0:
+    while missing_mb > 0.0:
         card = rng.choice(sorted(cards))
         counts[card] += 1
-        wanted -= 0.9 * cards[card]["memory_mb"]
+        missing_mb -= 0.9 * cards[card]["memory_mb"]
     return counts
 
 
 def place_in_tiers(engines: Engines, profile: chain.EngineProfile) -> Engines:
-    """Place layers as the entries do."""
+    """Place layers with the planner of the entries."""
     moves = plan.next_moves(engines, profile, lambda _: True)
-    held = {move.upstream.name: move.layers for move in moves}
-    return [attrs.evolve(one, layers=held.get(one.name)) for one in engines]
+    layout = {move.upstream.name: move.layers for move in moves}
+    return [
+        attrs.evolve(engine, layers=layout.get(engine.name))
+        for engine in engines
+    ]
 
 
 def place_as_one_group(
     engines: Engines, profile: chain.EngineProfile
 ) -> Engines:
-    """Lay each zone's engines out as one group, whatever their pace."""
-    arranger = initial_layout.InitialLayoutSearch(
+    """Place layers on each zone's engines together, ignoring their speed."""
+    search = initial_layout.InitialLayoutSearch(
         profile,
-        lambda one, room: plan.fitting_layer_count(one, profile, room),
+        lambda engine, min_tokens: plan.fitting_layer_count(
+            engine, profile, min_tokens
+        ),
         plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(profile),
     )
-    found: Engines = []
-    for zone in dict.fromkeys(one.availability_zone for one in engines):
-        inside = [one for one in engines if one.availability_zone == zone]
-        layout = arranger.find_layout(inside)
-        found += [
-            attrs.evolve(one, layers=layout.get(one.name)) for one in inside
+    placed: Engines = []
+    for zone in dict.fromkeys(engine.availability_zone for engine in engines):
+        in_zone = [
+            engine for engine in engines if engine.availability_zone == zone
+        ]
+        layout = search.find_layout(in_zone)
+        placed += [
+            attrs.evolve(engine, layers=layout.get(engine.name))
+            for engine in in_zone
         ]
-    return found
+    return placed
 
 
 LAYOUTS: dict[str, Layout] = {
@@ -208,53 +217,54 @@
 
 def simulate(
     fleet: Fleet, layout: Layout, seed: int = 1, rate_factor: float = 1.0
-) -> Played:
-    """Send streams over paths chosen as entries choose them.
+) -> Result:
+    """Send streams over the paths that the entries' planner chooses.
 
-    :param rate_factor: how many times the fleet's streams a second.
+    :param rate_factor: factor on the fleet's streams per second.
     """
     placed = layout(list(fleet.engines), fleet.profile)
 
-    async def run() -> Played:
-        return _send(fleet, placed, random.Random(seed), rate_factor)
+    async def run() -> Result:
+        return _send_streams(fleet, placed, random.Random(seed), rate_factor)
 
-    played: Played = virtual.run(run)
-    return played
+    result: Result = virtual.run(run)
+    return result
 
 
-def _send(
+def _send_streams(
     fleet: Fleet, placed: Engines, rng: random.Random, rate_factor: float
-) -> Played:
+) -> Result:
     usage = usages.InFlight()
     planner = hops.HopPlanner(usage)
-    zones = sorted({one.availability_zone for one in placed})
+    zones = sorted({engine.availability_zone for engine in placed})
     ends: list[tuple[float, int, chain.ChainPath]] = []
-    token_times: list[float] = []
-    passed: list[int] = []
+    token_times_ms: list[float] = []
+    hop_counts: list[int] = []
     refused, now = 0, 0.0
-    while now < PLAYED_SECONDS:
+    while now < SIMULATED_SECONDS:
         now += rng.expovariate(rate_factor * fleet.streams_per_second)
         while ends and ends[0][0] < now:
-            usage.remove_request(heapq.heappop(ends)[2], fleet.tokens)
-        wanted = hops.PathRequest(
-            fleet.profile, fleet.tokens, rng.choice(zones)
+            usage.remove_request(heapq.heappop(ends)[2], fleet.mean_tokens)
+        request = hops.PathRequest(
+            fleet.profile, fleet.mean_tokens, rng.choice(zones)
         )
-        path = planner.plan(placed, wanted)
+        path = planner.plan(placed, request)
         if path is None:
             refused += 1
             continue
-        usage.add_request(path, fleet.tokens)
+        usage.add_request(path, fleet.mean_tokens)
         token_ms = _token_ms(path, fleet.profile)
         seconds = token_ms * fleet.profile.mean_answer_tokens / 1000.0
-        end = now + FIRST_SECONDS + seconds
-        heapq.heappush(ends, (end, len(token_times), path))
-        token_times.append(token_ms)
-        passed.append(sum(len(one.hops) for _, _, one in ends))
-    settled = passed[len(passed) // 2 :]
-    return Played(
-        refused / (refused + len(token_times)),
-        statistics.fmean(token_times),
-        statistics.fmean(settled) / len(placed),
+        end = now + FIRST_EVENT_SECONDS + seconds
+        heapq.heappush(ends, (end, len(token_times_ms), path))
+        token_times_ms.append(token_ms)
+        hop_counts.append(sum(len(active.hops) for _, _, active in ends))
+    # The number of streams still grows in the first half.
+    steady = hop_counts[len(hop_counts) // 2 :]
+    return Result(
+        refused / (refused + len(token_times_ms)),
+        statistics.fmean(token_times_ms),
+        statistics.fmean(steady) / len(placed),
     )
 
 
@@ -269,15 +279,15 @@
 
 @attrs.frozen
 class Comparison:
-    """Two layouts on one fleet, over the same seeds.
+    """Mean results of two layouts on one fleet, with the same seeds.
 
-    :ivar fewer_cut: mean share of cut streams that the second saves.
-    :ivar error: its standard error over the seeds.
+    :ivar fewer_cut: mean relative decrease of ``cut`` from first to second.
+    :ivar error: standard error of ``fewer_cut`` over the seeds.
     """
 
     fleet: str
-    first: Played
-    second: Played
+    first: Result
+    second: Result
     fewer_cut: float
     error: float
 
@@ -285,7 +295,7 @@
 def compare(
     fleet: Fleet, first: Layout, second: Layout, seeds: int, rate_factor: float
 ) -> Comparison:
-    """Play a fleet with two layouts and the same streams."""
+    """Simulate a fleet with two layouts, with the same seeds."""
     pairs = [
         (
             simulate(fleet, first, seed, rate_factor),
@@ -293,26 +303,28 @@
         )
         for seed in range(1, seeds + 1)
     ]
-    saved = [1.0 - two.cut / one.cut for one, two in pairs]
+    decreases = [1.0 - after.cut / before.cut for before, after in pairs]
     return Comparison(
         fleet.name,
-        _mean([one for one, _ in pairs]),
-        _mean([two for _, two in pairs]),
-        statistics.fmean(saved),
-        statistics.stdev(saved) / len(saved) ** 0.5 if seeds > 1 else 0.0,
+        _mean([before for before, _ in pairs]),
+        _mean([after for _, after in pairs]),
+        statistics.fmean(decreases),
+        statistics.stdev(decreases) / len(decreases) ** 0.5
+        if seeds > 1
+        else 0.0,
     )
 
 
-def _mean(played: list[Played]) -> Played:
-    return Played(
-        statistics.fmean(one.refused for one in played),
-        statistics.fmean(one.token_ms for one in played),
-        statistics.fmean(one.cut for one in played),
+def _mean(results: list[Result]) -> Result:
+    return Result(
+        statistics.fmean(result.refused for result in results),
+        statistics.fmean(result.token_ms for result in results),
+        statistics.fmean(result.cut for result in results),
     )
 
 
 def main() -> None:
-    """Print a line for each fleet."""
+    """Print one line for each fleet."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     names = sorted(LAYOUTS)
     parser.add_argument("--first", choices=names, default="together")
@@ -325,20 +337,20 @@
     fleets = [*load_fleets(), *map(random_fleet, range(1, options.drawn + 1))]
     first, second = LAYOUTS[options.first], LAYOUTS[options.second]
     for fleet in fleets:
-        found = compare(fleet, first, second, options.seeds, options.times)
+        result = compare(fleet, first, second, options.seeds, options.times)
         if options.json:
-            print(json.dumps(attrs.asdict(found)))
+            print(json.dumps(attrs.asdict(result)))
         else:
-            print(_line(found))
+            print(_format_line(result))
 
 
-def _line(found: Comparison) -> str:
-    one, two = found.first, found.second
+def _format_line(result: Comparison) -> str:
+    first, second = result.first, result.second
     return (
-        f"{found.fleet:14} cut {one.cut:5.1f} {two.cut:5.1f}"
-        f"  ms a token {one.token_ms:5.2f} {two.token_ms:5.2f}"
-        f"  refused {one.refused:5.1%} {two.refused:5.1%}"
-        f"  fewer cut {found.fewer_cut:6.1%} +- {found.error:.1%}"
+        f"{result.fleet:14} cut {first.cut:5.1f} {second.cut:5.1f}"
+        f"  ms a token {first.token_ms:5.2f} {second.token_ms:5.2f}"
+        f"  refused {first.refused:5.1%} {second.refused:5.1%}"
+        f"  fewer cut {result.fewer_cut:6.1%} +- {result.error:.1%}"
     )
 
 
