--- a/bench/limits.py
+++ b/bench/limits.py
@@ -3,13 +3,13 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Compares ways to share an instance's limit among entries.
+"""Compares ways to share an instance's rate limit among entries.
 
-Run as ``python -m bench.limits``. Entries keep their parts by the code that
-they run; requests, answers and one instance that names a limit are played in
-virtual time. ``even`` plays an instance that does not tell its load, so that
-each entry takes the same part; ``seen`` one that does. Both play the same
-seeds.
+Run as ``python -m bench.limits``. Entries share the limit with the code that
+they run in service; requests, answers and one instance that announces a limit
+are simulated in virtual time. In the mode ``even`` the instance does not
+report its load, so that all entries have equal shares; in the mode ``seen``
+it does. Both modes use the same seeds.
 """
 
 import argparse
@@ -26,87 +26,91 @@
 from crowdeck.routing import rate_limits
 from tests import virtual
 
-# What an instance bears of a limit of L requests a second in any four
-# seconds, from three seconds after it first named it: 6 L + 5.
+# An instance with a limit of L requests a second accepts at most 6 L + 5 in
+# any window, beginning with the grace time after the limit is announced.
 WINDOW_SECONDS = 4.0
 GRACE_SECONDS = 3.0
 BOUND_FACTOR = 1.5
-BOUND_EXTRA = 5.0
-# From an entry's first answer on, its requests count so much later.
-TOLD_SECONDS = 0.5
+BOUND_EXTRA_REQUESTS = 5.0
+# An entry's requests count from this time after its first answer with a limit.
+ENTRY_GRACE_SECONDS = 0.5
 ANSWER_SECONDS = 0.05
-NAMED_AT = 5.0
-PLAYED_SECONDS = 60.0
-SURGE = (30.0, 40.0)
+# Times from the start of the simulation.
+ANNOUNCED_AT_SECONDS = 5.0
+SIMULATED_SECONDS = 60.0
+SURGE_SECONDS = (30.0, 40.0)
 
-WAYS = ("even", "seen")
+MODES = ("even", "seen")
 
 
 @attrs.frozen
 class Case:
-    """What is played.
-
-    :ivar busiest: the share of requests that come to the first entry.
-    :ivar asked: requests a second that would go to the instance.
-    :ivar seconds: how long a request takes.
-    :ivar surge: how many times as many come for ten seconds.
+    """Parameters of a simulation.
+
+    :ivar entries: number of entries.
+    :ivar busiest_share: share of the requests that come to the first entry.
+    :ivar limit: requests a second that the instance announces.
+    :ivar offered: requests a second that the entries have for the instance.
+    :ivar request_seconds: mean duration of a request after its answer began.
+    :ivar surge_factor: factor on ``offered`` during the surge.
     """
 
     entries: int
-    busiest: float
+    busiest_share: float
     limit: float
-    asked: float
-    seconds: float
-    surge: float = 1.0
+    offered: float
+    request_seconds: float
+    surge_factor: float = 1.0
 
     @property
     def weights(self) -> list[float]:
-        """Shares of requests, by entry."""
+        """Share of the requests that comes to each entry."""
         if self.entries == 1:
             return [1.0]
-        rest = (1.0 - self.busiest) / (self.entries - 1)
-        return [self.busiest, *[rest] * (self.entries - 1)]
+        other_share = (1.0 - self.busiest_share) / (self.entries - 1)
+        return [self.busiest_share, *[other_share] * (self.entries - 1)]
 
     def __str__(self) -> str:
         return (
-            f"{self.entries:3d} entries, {self.busiest:4.2f} at one, "
-            f"limit {self.limit:4.1f}, asked {self.asked:4.1f}, "
-            f"{self.seconds:4.2f} s, surge {self.surge:3.1f}"
+            f"{self.entries:3d} entries, {self.busiest_share:4.2f} at one, "
+            f"limit {self.limit:4.1f}, asked {self.offered:4.1f}, "
+            f"{self.request_seconds:4.2f} s, surge {self.surge_factor:3.1f}"
         )
 
 
 @attrs.frozen
-class Played:
-    """What an instance got.
+class Result:
+    """Requests that the instance received in a simulation.
 
-    :ivar most: the most in a window, as a share of what it bears.
-    :ivar used: what it got, as a share of its limit.
+    :ivar peak_ratio: most requests in a window, relative to the bound.
+    :ivar used_ratio: mean rate relative to the limit, or to the offered rate
+        if that is lower.
     """
 
-    most: float
-    used: float
+    peak_ratio: float
+    used_ratio: float
 
 
 class _Entry:
-    """One entry, and what it has under way."""
+    """An entry with its number of requests in progress."""
 
     def __init__(self, entries: int, rng: random.Random) -> None:
         self.limits = rate_limits.RateLimits(self, rng)
         self.limits.set_entry_count(entries)
-        self.count = 0
-        self.told_at = float("inf")
+        self.in_progress = 0
+        self.limit_known_at = float("inf")
 
     def own_requests(self, upstream: chain.Upstream) -> int:
-        return self.count
+        return self.in_progress
 
 
-class _Run:
-    """One play of a case."""
+class _Simulation:
+    """Simulates one case in one mode."""
 
-    def __init__(self, case: Case, way: str, seed: int) -> None:
+    def __init__(self, case: Case, mode: str, seed: int) -> None:
         self._case = case
-        self._tells_load = way == "seen"
-        self._chance = random.Random(seed)
+        self._reports_load = mode == "seen"
+        self._random = random.Random(seed)
         self._upstream = chain.Upstream(
             name="one",
             service="service",
@@ -116,110 +120,121 @@
             is_leaving=False,
         )
         self._entries = [
-            _Entry(case.entries, random.Random(self._chance.random()))
+            _Entry(case.entries, random.Random(self._random.random()))
             for _ in range(case.entries)
         ]
         self._events: list[tuple[float, int, typing.Callable[[], None]]] = []
-        self._counted: list[float] = []
+        self._counted_times: list[float] = []
         self._sent = 0
 
-    async def run(self) -> Played:
-        self._at(0.0, self._arrive)
+    async def run(self) -> Result:
+        self._schedule(0.0, self._on_arrival)
         while self._events:
-            at, _, act = heapq.heappop(self._events)
-            if at > PLAYED_SECONDS:
+            at, _, callback = heapq.heappop(self._events)
+            if at > SIMULATED_SECONDS:
                 break
             await anyio.sleep(max(0.0, at - anyio.current_time()))
-            act()
+            callback()
         case = self._case
-        bound = BOUND_FACTOR * WINDOW_SECONDS * case.limit + BOUND_EXTRA
-        seconds = PLAYED_SECONDS - NAMED_AT - GRACE_SECONDS
-        return Played(
-            _most_within(self._counted) / bound,
-            self._sent / seconds / min(case.limit, case.asked),
+        bound = (
+            BOUND_FACTOR * WINDOW_SECONDS * case.limit + BOUND_EXTRA_REQUESTS
+        )
+        seconds = SIMULATED_SECONDS - ANNOUNCED_AT_SECONDS - GRACE_SECONDS
+        return Result(
+            _max_in_window(self._counted_times) / bound,
+            self._sent / seconds / min(case.limit, case.offered),
         )
 
-    def _at(self, at: float, act: typing.Callable[[], None]) -> None:
-        number = self._chance.random()
-        heapq.heappush(self._events, (at, int(number * 2**53), act))
+    def _schedule(
+        self, at: float, callback: typing.Callable[[], None]
+    ) -> None:
+        # The random number decides the order of events of the same time.
+        number = self._random.random()
+        heapq.heappush(self._events, (at, int(number * 2**53), callback))
 
-    def _arrive(self) -> None:
+    def _on_arrival(self) -> None:
         now = anyio.current_time()
-        is_surge = SURGE[0] <= now < SURGE[1]
-        rate = self._case.asked * (self._case.surge if is_surge else 1.0)
-        self._at(now + self._chance.expovariate(rate), self._arrive)
-        (entry,) = self._chance.choices(self._entries, self._case.weights)
+        is_surge = SURGE_SECONDS[0] <= now < SURGE_SECONDS[1]
+        rate = self._case.offered * (
+            self._case.surge_factor if is_surge else 1.0
+        )
+        self._schedule(now + self._random.expovariate(rate), self._on_arrival)
+        (entry,) = self._random.choices(self._entries, self._case.weights)
         if not entry.limits.allows(self._upstream):
             return
         entry.limits.take(self._upstream)
-        entry.count += 1
-        since = NAMED_AT + GRACE_SECONDS
+        entry.in_progress += 1
+        since = ANNOUNCED_AT_SECONDS + GRACE_SECONDS
         if now >= since:
             self._sent += 1
-        if now >= max(since, entry.told_at + TOLD_SECONDS):
-            self._counted.append(now)
-        self._at(now + ANSWER_SECONDS, lambda: self._answer(entry))
-        ends = self._chance.expovariate(1.0 / self._case.seconds)
-        self._at(now + ANSWER_SECONDS + ends, lambda: self._end(entry))
+        if now >= max(since, entry.limit_known_at + ENTRY_GRACE_SECONDS):
+            self._counted_times.append(now)
+        self._schedule(now + ANSWER_SECONDS, lambda: self._on_answer(entry))
+        duration = self._random.expovariate(1.0 / self._case.request_seconds)
+        self._schedule(
+            now + ANSWER_SECONDS + duration, lambda: self._on_end(entry)
+        )
 
-    def _answer(self, entry: _Entry) -> None:
+    def _on_answer(self, entry: _Entry) -> None:
         now = anyio.current_time()
-        if now < NAMED_AT:
+        if now < ANNOUNCED_AT_SECONDS:
             return
-        entry.told_at = min(entry.told_at, now)
-        running = sum(one.count for one in self._entries)
-        load = running if self._tells_load else None
+        entry.limit_known_at = min(entry.limit_known_at, now)
+        in_progress = sum(each.in_progress for each in self._entries)
+        load = in_progress if self._reports_load else None
         entry.limits.note(self._upstream, self._case.limit, load)
 
-    def _end(self, entry: _Entry) -> None:
-        entry.count -= 1
+    def _on_end(self, entry: _Entry) -> None:
+        entry.in_progress -= 1
 
 
-def _most_within(times: list[float]) -> int:
-    most = first = 0
+def _max_in_window(times: list[float]) -> int:
+    largest = first = 0
     for last, time in enumerate(times):
         while time - times[first] > WINDOW_SECONDS:
             first += 1
-        most = max(most, last + 1 - first)
-    return most
+        largest = max(largest, last + 1 - first)
+    return largest
 
 
-def play(case: Case, way: str, seed: int) -> Played:
-    """Play one case."""
-    played: Played = virtual.run(_Run(case, way, seed).run)
-    return played
+def simulate(case: Case, mode: str, seed: int) -> Result:
+    """Simulate one case."""
+    result: Result = virtual.run(_Simulation(case, mode, seed).run)
+    return result
 
 
-def cases() -> list[Case]:
-    """Return what is compared when nothing else is asked for."""
-    found = []
+def make_cases() -> list[Case]:
+    """Return the compared cases, without a surge."""
+    cases = []
     for entries in (1, 4, 29, 70):
         shares = {1.0} if entries == 1 else {1.0 / entries, 0.9}
-        for busiest in sorted(shares):
-            for limit, asked in ((1.6, 10.0), (3.2, 30.0), (15.0, 60.0)):
+        for share in sorted(shares):
+            for limit, offered in ((1.6, 10.0), (3.2, 30.0), (15.0, 60.0)):
                 for seconds in (2.5, 0.04):
-                    found.append(Case(entries, busiest, limit, asked, seconds))
-    return found
+                    cases.append(Case(entries, share, limit, offered, seconds))
+    return cases
 
 
 def main() -> None:
-    """Print what the instance got, by case and way."""
+    """Print the results of each case in both modes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=8)
     parser.add_argument("--surge", type=float, default=1.0)
     arguments = parser.parse_args()
-    for case in cases():
-        case = attrs.evolve(case, surge=arguments.surge)
-        told = []
-        for way in WAYS:
-            plays = [play(case, way, seed) for seed in range(arguments.seeds)]
-            most = max(one.most for one in plays)
-            used = statistics.fmean(one.used for one in plays)
-            over = sum(1 for one in plays if one.most > 1.0)
-            told.append(
-                f"{way} {used:4.2f} used, {most:4.2f} most, {over} over"
+    for case in make_cases():
+        case = attrs.evolve(case, surge_factor=arguments.surge)
+        columns = []
+        for mode in MODES:
+            results = [
+                simulate(case, mode, seed) for seed in range(arguments.seeds)
+            ]
+            peak = max(result.peak_ratio for result in results)
+            used = statistics.fmean(result.used_ratio for result in results)
+            over = sum(1 for result in results if result.peak_ratio > 1.0)
+            columns.append(
+                f"{mode} {used:4.2f} used, {peak:4.2f} most, {over} over"
             )
-        print(case, "|", " | ".join(told), flush=True)
+        print(case, "|", " | ".join(columns), flush=True)
 
 
 if __name__ == "__main__":
