--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""``python -m bench``: loads and disturbs a system, and reports."""
+"""``python -m bench``: runs scenarios on a local system, prints metrics."""
 
 import argparse
 import json
@@ -29,36 +29,36 @@
     "rolling_replace",
     "stage_death+store_outage",
 )
-SCALE = 4.0
+SLOWNESS_SCALE = 4.0
 IDLE_SECONDS = 4.0
-WARM_SECONDS = 2.0
+WARM_UP_SECONDS = 2.0
 
 
 def make_shape(policy: str, engines: int, scenario: str) -> fleets.Shape:
     """Return 3 stages of engines of three kinds, and 3 entries."""
     slowness = {"a": 1.0, "b": 1.5, "c": 2.0}
-    if scenarios.find(scenario).is_mixed:
+    if scenarios.find(scenario).has_mixed_speeds:
         slowness = {"a": 1.0, "b": 2.5, "c": 5.0}
     names = "abcb" * max(1, engines // 12)
-    gap = reports.TOKEN_GAP_SECONDS
+    gap_seconds = reports.TOKEN_GAP_TARGET_SECONDS
     return fleets.Shape(
         stages=3,
         kinds=tuple(
-            fleets.kind(name, slowness[name], SCALE) for name in names
+            fleets.kind(name, slowness[name], SLOWNESS_SCALE) for name in names
         ),
         entries=3,
         services=2,
-        settings=f"token_gap_seconds = {gap}",
+        settings=f"token_gap_seconds = {gap_seconds}",
         entry_options=f"policy = {policy}\n",
     )
 
 
-def bound_of(shape: fleets.Shape) -> float:
-    """Return the tokens a second that the stages' devices allow."""
+def throughput_bound(shape: fleets.Shape) -> float:
+    """Return the tokens a second that the devices of a stage allow."""
     return sum(kind.speed.tokens_per_second for kind in shape.kinds)
 
 
-async def _load(
+async def _run_load(
     fleet: fleets.Fleet,
     scenario: scenarios.Scenario,
     callers: loads.Callers,
@@ -66,8 +66,8 @@
     faults: scenarios.FaultLog,
 ) -> None:
     async with anyio.create_task_group() as tasks:
-        for play in scenario.plays:
-            tasks.start_soon(play, fleet, seconds, faults)
+        for fault in scenario.faults:
+            tasks.start_soon(fault, fleet, seconds, faults)
         await callers.run(seconds)
 
 
@@ -79,66 +79,71 @@
     engines: int,
     rate: float | None,
 ) -> dict[str, object]:
-    """Run one scenario and return its figures."""
+    """Run one scenario and return its metrics.
+
+    :param rate: requests a second, ``None`` for the scenario's load.
+    """
     scenario = scenarios.find(name)
     shape = make_shape(policy, engines, name)
-    bound = bound_of(shape)
+    bound = throughput_bound(shape)
     faults = scenarios.FaultLog()
     with fleets.Fleet(shape) as fleet:
         control = _measure_control(fleet)
-        per_second = rate or scenario.load * bound / loads.MEAN_TOKENS
-        callers = loads.Callers(fleet, seed, per_second, scenario.greedy)
-        started = time.monotonic()
-        anyio.run(_load, fleet, scenario, callers, seconds, faults)
-        seen = reports.Seen(
+        requests_per_second = rate or scenario.load * bound / loads.MEAN_TOKENS
+        callers = loads.Callers(
+            fleet, seed, requests_per_second, scenario.greedy_factor
+        )
+        started_at = time.monotonic()
+        anyio.run(_run_load, fleet, scenario, callers, seconds, faults)
+        record = reports.RunRecord(
             scenario=name,
             seed=seed,
             policy=policy,
-            started=started,
+            started_at=started_at,
             seconds=seconds,
             bound=bound,
             answers=callers.answers,
             calls=callers.calls,
             service_runs=fleet.service_runs(),
-            begun=fleet.begun_sequences(),
+            sequence_starts=fleet.begun_sequences(),
             faults=faults,
             control_bytes_per_s=control[0],
             control_core_share=control[1],
             retries=fleet.counter("drive.retried"),
         )
-    return reports.figures(seen)
+    return reports.compute_metrics(record)
 
 
 def _measure_control(fleet: fleets.Fleet) -> tuple[float, float]:
-    """Return bytes a second and core share of an idle process."""
-    time.sleep(WARM_SECONDS)
+    """Return mean bytes a second and core share of an idle daemon."""
+    time.sleep(WARM_UP_SECONDS)
     daemons = [fleet.children[name] for name in fleet.daemon_names]
     before = sum(child.cpu_seconds for child in daemons)
-    moved = capacity.loopback_bytes()
+    moved_bytes = capacity.loopback_bytes()
     time.sleep(IDLE_SECONDS)
-    spent = sum(child.cpu_seconds for child in daemons) - before
-    moved = capacity.loopback_bytes() - moved
-    share = len(daemons) * IDLE_SECONDS
-    return moved / share, spent / share
+    cpu_seconds = sum(child.cpu_seconds for child in daemons) - before
+    moved_bytes = capacity.loopback_bytes() - moved_bytes
+    daemon_seconds = len(daemons) * IDLE_SECONDS
+    return moved_bytes / daemon_seconds, cpu_seconds / daemon_seconds
 
 
 def main() -> None:
-    """Run scenarios and print or keep their figures."""
+    """Run scenarios, print their metrics and write them to a file."""
     parser = argparse.ArgumentParser(prog="python -m bench")
     parser.add_argument("--scenario", default=",".join(DEFAULT_SCENARIOS))
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--seeds", type=int, default=1, help="how many")
+    parser.add_argument("--seeds", type=int, default=1, help="number of seeds")
     parser.add_argument("--seconds", type=float, default=25.0)
     parser.add_argument("--rate", type=float, help="requests a second")
     parser.add_argument("--engines", type=int, default=12)
     parser.add_argument("--policy", default="crowdeck")
     parser.add_argument("--json", type=pathlib.Path)
     options = parser.parse_args()
-    found = []
+    results = []
     for name in options.scenario.split(","):
         for policy in options.policy.split(","):
             for seed in range(options.seed, options.seed + options.seeds):
-                figures = run(
+                metrics = run(
                     name,
                     seed,
                     options.seconds,
@@ -146,10 +151,10 @@
                     options.engines,
                     options.rate,
                 )
-                found.append(figures)
-                print(json.dumps(figures), flush=True)
+                results.append(metrics)
+                print(json.dumps(metrics), flush=True)
     if options.json:
-        options.json.write_text(json.dumps(found, indent=1))
+        options.json.write_text(json.dumps(results, indent=1))
 
 
 if __name__ == "__main__":
--- a/bench/load.py
+++ b/bench/load.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Callers: open-loop arrivals, and what each of them saw."""
+"""Callers that send requests at an open-loop rate and record the answers."""
 
 import contextlib
 import math
@@ -18,43 +18,54 @@
 from bench import fleet as fleets
 
 MEAN_TOKENS = 24
-LONGEST = 96
-RECONNECTS = 6
-RECONNECT_SECONDS = 0.2
-READ_TIMEOUT = 120.0
+MAX_TOKENS = 96
+MAX_ATTEMPTS = 6
+RETRY_DELAY_SECONDS = 0.2
+READ_TIMEOUT_SECONDS = 120.0
 
 
 @attrs.define(eq=False)
 class Answer:
-    """One model request, as its caller saw it."""
+    """A model request, and its answer as received by the caller.
+
+    :ivar sent_at: monotonic time, as are ``token_times``.
+    :ivar code: error code, empty if there was no error.
+    """
 
     team: int
     prompt: str
-    wanted: int
-    asked_at: float
-    texts: list[str] = attrs.field(factory=list)
-    times: list[float] = attrs.field(factory=list)
-    finish: str = ""
+    max_tokens: int
+    sent_at: float
+    token_texts: list[str] = attrs.field(factory=list)
+    token_times: list[float] = attrs.field(factory=list)
+    finish_reason: str = ""
     code: str = ""
     verdict: str = ""
-    last_id: str = ""
+    last_event_id: str = ""
 
     @property
-    def is_whole(self) -> bool:
-        """Whether the answer came to its end."""
-        return bool(self.finish)
+    def is_complete(self) -> bool:
+        """Whether the answer was received to its end."""
+        return bool(self.finish_reason)
 
     @property
     def gaps(self) -> list[float]:
         """Seconds between tokens."""
         return [
-            b - a for a, b in zip(self.times, self.times[1:], strict=False)
+            after - before
+            for before, after in zip(
+                self.token_times, self.token_times[1:], strict=False
+            )
         ]
 
 
 @attrs.define(eq=False)
 class Call:
-    """One plain call, as its caller saw it."""
+    """A call to a service, and its reply as received by the caller.
+
+    :ivar has_key: whether it has an idempotency key.
+    :ivar status: HTTP status, 0 if there was no reply.
+    """
 
     number: int
     has_key: bool
@@ -63,91 +74,95 @@
     body: str = ""
 
 
-def lengths(randomness: random.Random) -> int:
-    """Return a heavy-tailed answer length."""
-    spread = 0.8
-    mean = math.log(MEAN_TOKENS) - spread**2 / 2
-    return max(4, min(LONGEST, round(randomness.lognormvariate(mean, spread))))
+def random_length(rng: random.Random) -> int:
+    """Return a random answer length in tokens, heavy-tailed."""
+    sigma = 0.8
+    mu = math.log(MEAN_TOKENS) - sigma**2 / 2
+    return max(4, min(MAX_TOKENS, round(rng.lognormvariate(mu, sigma))))
 
 
 class Callers:
-    """Makes requests on a schedule that does not wait for answers."""
+    """Sends requests on a schedule that does not depend on answers.
+
+    :param requests_per_second: mean rate over all teams.
+    :param greedy_factor: factor on the requests of team 0.
+    """
 
     def __init__(
         self,
         fleet: fleets.Fleet,
         seed: int,
-        requests_per_s: float,
-        greedy: float,
+        requests_per_second: float,
+        greedy_factor: float,
     ) -> None:
         self._fleet = fleet
         self._random = random.Random(seed)
-        self._rate = requests_per_s
-        self._greedy = greedy
+        self._requests_per_second = requests_per_second
+        self._greedy_factor = greedy_factor
         self.answers: list[Answer] = []
         self.calls: list[Call] = []
 
     async def run(self, seconds: float) -> None:
-        """Make requests for so long, then wait until all have ended."""
+        """Send requests for some seconds, then wait until all have ended."""
         async with anyio.create_task_group() as tasks:
             until = time.monotonic() + seconds
-            at = time.monotonic()
-            while at < until:
-                at += self._random.expovariate(self._rate)
-                await anyio.sleep(max(0.0, at - time.monotonic()))
-                self._begin(tasks)
-
-    def _begin(self, tasks: anyio.abc.TaskGroup) -> None:
-        # Team 0 is large, or greedy; two more are middling.
-        weights = [3.0 * self._greedy, 2.0, 2.0]
+            send_at = time.monotonic()
+            while send_at < until:
+                send_at += self._random.expovariate(self._requests_per_second)
+                await anyio.sleep(max(0.0, send_at - time.monotonic()))
+                self._start_requests(tasks)
+
+    def _start_requests(self, tasks: anyio.abc.TaskGroup) -> None:
+        # Team 0 sends most requests, teams 1 and 2 more than the others.
+        weights = [3.0 * self._greedy_factor, 2.0, 2.0]
         weights += [1.0] * (self._fleet.shape.team_count - len(weights))
         team = self._random.choices(range(len(weights)), weights)[0]
         answer = Answer(
             team=team,
-            prompt=self._prompt(team),
-            wanted=lengths(self._random),
-            asked_at=time.monotonic(),
+            prompt=self._make_prompt(team),
+            max_tokens=random_length(self._random),
+            sent_at=time.monotonic(),
         )
         self.answers.append(answer)
-        tasks.start_soon(self._ask, answer)
+        tasks.start_soon(self._request_answer, answer)
         if self._fleet.shape.services and self._random.random() < 0.3:
             call = Call(len(self.calls), self._random.random() < 0.5)
             self.calls.append(call)
-            tasks.start_soon(self._call, call, team)
+            tasks.start_soon(self._make_call, call, team)
 
-    def _prompt(self, team: int) -> str:
-        """Return a conversation's prompt: a shared prefix, a new end."""
+    def _make_prompt(self, team: int) -> str:
+        """Return a prompt of a prefix that others may share and a new end."""
         conversation = self._random.randrange(20)
-        history = min(200, int(self._random.paretovariate(1.3) * 8))
-        words = [f"t{team}c{conversation}w{n}" for n in range(history)]
+        prefix_words = min(200, int(self._random.paretovariate(1.3) * 8))
+        words = [f"t{team}c{conversation}w{n}" for n in range(prefix_words)]
         return " ".join((*words, f"q{len(self.answers)}"))
 
-    def _pick_entry(self, tried: int) -> str:
+    def _pick_entry(self, attempt: int) -> str:
         urls = self._fleet.entry_urls
-        return urls[(self._random.randrange(len(urls)) + tried) % len(urls)]
+        return urls[(self._random.randrange(len(urls)) + attempt) % len(urls)]
 
-    async def _ask(self, answer: Answer) -> None:
-        """Read an answer, coming back with its last event id if cut."""
-        for tried in range(RECONNECTS):
+    async def _request_answer(self, answer: Answer) -> None:
+        """Read an answer, resuming after its last event if cut off."""
+        for attempt in range(MAX_ATTEMPTS):
             with contextlib.suppress(OSError, anyio.EndOfStream):
-                with anyio.move_on_after(READ_TIMEOUT):
-                    await self._read(answer, self._pick_entry(tried))
-            if answer.is_whole or answer.code:
+                with anyio.move_on_after(READ_TIMEOUT_SECONDS):
+                    await self._read_answer(answer, self._pick_entry(attempt))
+            if answer.is_complete or answer.code:
                 return
-            await anyio.sleep(RECONNECT_SECONDS)
+            await anyio.sleep(RETRY_DELAY_SECONDS)
 
-    async def _read(self, answer: Answer, url: str) -> None:
+    async def _read_answer(self, answer: Answer, url: str) -> None:
         body = orjson.dumps(
             {
                 "model": fleets.MODEL,
                 "prompt": answer.prompt,
                 "stream": True,
-                "max_tokens": answer.wanted,
+                "max_tokens": answer.max_tokens,
             }
         )
         headers = ""
-        if answer.last_id:
-            headers = f"last-event-id: {answer.last_id}\r\n"
+        if answer.last_event_id:
+            headers = f"last-event-id: {answer.last_event_id}\r\n"
         request = _request(
             "POST", "/v1/completions", answer.team, headers, body
         )
@@ -169,17 +184,17 @@
             *events, buffered = buffered.split(b"\n\n")
             now = time.monotonic()
             for event in events:
-                if self._take(answer, event, now):
+                if self._handle_event(answer, event, now):
                     return
             buffered += await stream.receive()
 
-    def _take(self, answer: Answer, event: bytes, now: float) -> bool:
-        """Take one event; true for the last one."""
-        # Chunks' lengths stand on lines of their own between events.
-        at = event.find(b"data: ")
-        if at < 0:
+    def _handle_event(self, answer: Answer, event: bytes, now: float) -> bool:
+        """Record one event. Return whether it is the last one."""
+        # Sizes of HTTP chunks, which are not decoded here, precede events.
+        data_start = event.find(b"data: ")
+        if data_start < 0:
             return False
-        data = event[at + 6 :]
+        data = event[data_start + 6 :]
         if data.startswith(b"[DONE]"):
             return True
         if b'"error"' in data[:9]:
@@ -188,32 +203,34 @@
             return True
         choice = orjson.loads(data)["choices"][0]
         if choice["finish_reason"]:
-            answer.finish = choice["finish_reason"]
+            answer.finish_reason = choice["finish_reason"]
             return False
-        start = event.find(b"id: ")
-        answer.last_id = event[start + 4 : at - 1].decode()
-        answer.texts.append(choice["text"])
-        answer.times.append(now)
+        id_start = event.find(b"id: ")
+        answer.last_event_id = event[id_start + 4 : data_start - 1].decode()
+        answer.token_texts.append(choice["text"])
+        answer.token_times.append(now)
         return False
 
-    async def _call(self, call: Call, team: int) -> None:
-        """Make a call, asking again with its key while none answers."""
-        key = f"idempotency-key: key-{call.number}\r\n" if call.has_key else ""
+    async def _make_call(self, call: Call, team: int) -> None:
+        """Make a call, repeating it on failure if it has a key."""
+        key_header = (
+            f"idempotency-key: key-{call.number}\r\n" if call.has_key else ""
+        )
         path = f"/services/records/receipts/{call.number}"
-        for tried in range(RECONNECTS):
-            url = self._pick_entry(tried)
+        for attempt in range(MAX_ATTEMPTS):
+            url = self._pick_entry(attempt)
             with contextlib.suppress(OSError, anyio.EndOfStream):
-                with anyio.move_on_after(READ_TIMEOUT):
-                    await self._read_call(call, url, path, team, key)
+                with anyio.move_on_after(READ_TIMEOUT_SECONDS):
+                    await self._read_reply(call, url, path, team, key_header)
             if call.status == 200 or not call.has_key:
                 return
-            await anyio.sleep(RECONNECT_SECONDS)
+            await anyio.sleep(RETRY_DELAY_SECONDS)
 
-    async def _read_call(
-        self, call: Call, url: str, path: str, team: int, key: str
+    async def _read_reply(
+        self, call: Call, url: str, path: str, team: int, key_header: str
     ) -> None:
         async with await _connect(url) as stream:
-            await stream.send(_request("POST", path, team, key, b""))
+            await stream.send(_request("POST", path, team, key_header, b""))
             head, rest = await _read_head(stream)
             body = await _read_rest(stream, rest)
             call.status = int(head.split(b" ", 2)[1])
--- a/bench/report.py
+++ b/bench/report.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Turns what callers and stand-ins saw into figures."""
+"""Computes the metrics of a run from records of callers and stand-ins."""
 
 import collections
 import statistics
@@ -17,222 +17,263 @@
 from bench import scenarios
 from crowdeck.standin import model as models
 
-# The aims, 0.59 s and 41 ms, times the stand-ins' scale: their
-# devices take about twenty times as long as the ones the aims are for, so
-# that the machine under the bench is not the limit.
+# How much longer stand-in devices take than the ones that the targets of
+# 0.59 s and 41 ms are for, so that the bench's machine is not the bottleneck.
 SCALE = 20.0
-FIRST_TOKEN_SECONDS = 0.59 * SCALE
-TOKEN_GAP_SECONDS = 0.041 * SCALE
+FIRST_TOKEN_TARGET_SECONDS = 0.59 * SCALE
+TOKEN_GAP_TARGET_SECONDS = 0.041 * SCALE
 BUCKET_SECONDS = 0.25
-RECOVERED = 0.99
+RECOVERED_SHARE = 0.99
 
 
 @attrs.frozen
-class Seen:
-    """All that one run saw."""
+class RunRecord:
+    """Everything recorded in one run.
+
+    :ivar started_at: monotonic time, as are all times here.
+    :ivar bound: tokens a second that the devices of a stage allow.
+    :ivar service_runs: by operation, how often services executed it.
+    :ivar sequence_starts: by engine, sequences with the times they began.
+    """
 
     scenario: str
     seed: int
     policy: str
-    started: float
+    started_at: float
     seconds: float
     bound: float
     answers: list[loads.Answer]
     calls: list[loads.Call]
     service_runs: dict[str, int]
-    begun: dict[str, list[tuple[str, float]]]
+    sequence_starts: dict[str, list[tuple[str, float]]]
     faults: scenarios.FaultLog
     control_bytes_per_s: float
     control_core_share: float
     retries: int
 
 
-def figures(seen: Seen) -> dict[str, typing.Any]:
-    """Return the figures of one run."""
+def compute_metrics(run: RunRecord) -> dict[str, typing.Any]:
+    """Return the metrics of one run, as they are printed."""
     model = models.StandinModel(
         f"{fleets.MODEL}/{fleets.VERSION}", fleets.LAYERS
     )
     expected = {
-        id(one): [c.text for c in model.answer(one.prompt, one.wanted)]
-        for one in seen.answers
-        if one.texts
+        id(answer): [
+            token.text
+            for token in model.answer(answer.prompt, answer.max_tokens)
+        ]
+        for answer in run.answers
+        if answer.token_texts
     }
     wrong = [
-        one
-        for one in seen.answers
-        if one.texts and one.texts != expected[id(one)][: len(one.texts)]
+        answer
+        for answer in run.answers
+        if answer.token_texts
+        and answer.token_texts
+        != expected[id(answer)][: len(answer.token_texts)]
     ]
+    # The tokens are those of another request's answer.
     crossed = sum(
         any(
-            one.texts == other[: len(one.texts)] for other in expected.values()
+            answer.token_texts == other[: len(answer.token_texts)]
+            for other in expected.values()
         )
-        for one in wrong
-        if len(one.texts) > 3
+        for answer in wrong
+        if len(answer.token_texts) > 3
     )
-    whole = [
-        one
-        for one in seen.answers
-        if one.is_whole and one.texts == expected[id(one)]
+    correct = [
+        answer
+        for answer in run.answers
+        if answer.is_complete and answer.token_texts == expected[id(answer)]
     ]
     refused = [
-        one
-        for one in seen.answers
-        if one.code and one.verdict == "not_run" and not one.texts
+        answer
+        for answer in run.answers
+        if answer.code
+        and answer.verdict == "not_run"
+        and not answer.token_texts
     ]
-    recovery = _recovery(seen)
+    recovery_seconds = _recovery_seconds(run)
     return {
-        "scenario": seen.scenario,
-        "seed": seen.seed,
-        "policy": seen.policy,
-        "bound_tokens_per_s": round(seen.bound, 1),
-        "throughput_ratio": round(_useful(seen, whole) / seen.bound, 4),
+        "scenario": run.scenario,
+        "seed": run.seed,
+        "policy": run.policy,
+        "bound_tokens_per_s": round(run.bound, 1),
+        "throughput_ratio": round(_goodput(run, correct) / run.bound, 4),
         "first_token_p95_s": _p95(
-            [one.times[0] - one.asked_at for one in whole]
+            [answer.token_times[0] - answer.sent_at for answer in correct]
         ),
-        "token_gap_p95_s": _p95([gap for one in whole for gap in one.gaps]),
-        "recovery_p50_s": _quantile(recovery, 0.5),
-        "recovery_p95_s": _quantile(recovery, 0.95),
+        "token_gap_p95_s": _p95(
+            [gap for answer in correct for gap in answer.gaps]
+        ),
+        "recovery_p50_s": _quantile(recovery_seconds, 0.5),
+        "recovery_p95_s": _quantile(recovery_seconds, 0.95),
         "worst_gap_s": round(
-            max((gap for one in whole for gap in one.gaps), default=0.0), 3
+            max(
+                (gap for answer in correct for gap in answer.gaps), default=0.0
+            ),
+            3,
         ),
-        "requests": len(seen.answers) + len(seen.calls),
-        "answered": len(whole) + sum(c.status == 200 for c in seen.calls),
+        "requests": len(run.answers) + len(run.calls),
+        "answered": len(correct)
+        + sum(call.status == 200 for call in run.calls),
         "refused_not_run": len(refused),
-        "lost": len(seen.answers) - len(whole) - len(refused),
-        "duplicated": sum(runs - 1 for runs in seen.service_runs.values()),
+        "lost": len(run.answers) - len(correct) - len(refused),
+        "duplicated": sum(count - 1 for count in run.service_runs.values()),
         "crossed": crossed,
         "layer_violations": len(wrong) - crossed,
         "false_not_run": sum(
             call.verdict == "not_run"
             and not call.has_key
-            and seen.service_runs.get(f"receipt {call.number}", 0) > 0
-            for call in seen.calls
+            and run.service_runs.get(f"receipt {call.number}", 0) > 0
+            for call in run.calls
         ),
-        "streams_cut_by_stop": _cut(seen) if seen.faults.leaving else 0,
-        "work_after_leaving_s": _work_after_leaving(seen),
-        "retry_ratio": round(seen.retries / max(1, len(seen.answers)), 4),
-        "jain_fairness": _fairness(seen, whole),
-        "small_team_answered": _small_share(seen, whole),
-        "control_bytes_per_s": round(seen.control_bytes_per_s, 1),
-        "control_core_share": round(seen.control_core_share, 5),
+        "streams_cut_by_stop": _interrupted_streams(run)
+        if run.faults.stopped_at
+        else 0,
+        "work_after_leaving_s": _work_after_stop_seconds(run),
+        "retry_ratio": round(run.retries / max(1, len(run.answers)), 4),
+        "jain_fairness": _fairness(run, correct),
+        "small_team_answered": _small_teams_answered(run, correct),
+        "control_bytes_per_s": round(run.control_bytes_per_s, 1),
+        "control_core_share": round(run.control_core_share, 5),
         "scale": SCALE,
     }
 
 
-def _useful(seen: Seen, whole: list[loads.Answer]) -> float:
-    """Return tokens a second of answers that met their deadlines.
+def _goodput(run: RunRecord, correct: list[loads.Answer]) -> float:
+    """Return tokens a second of answers that met both latency targets.
 
-    The first part of the time, while streams build up, is left out.
+    The first part of the run, in which the number of streams grows, does not
+    count.
     """
-    begin = seen.started + 0.4 * seen.seconds
-    end = seen.started + seen.seconds
+    start = run.started_at + 0.4 * run.seconds
+    end = run.started_at + run.seconds
     count = 0
-    for one in whole:
-        is_early = one.times[0] - one.asked_at <= FIRST_TOKEN_SECONDS
-        pace = statistics.mean(one.gaps) if one.gaps else 0.0
-        if is_early and pace <= TOKEN_GAP_SECONDS:
-            count += sum(begin <= at < end for at in one.times)
-    return count / (end - begin)
+    for answer in correct:
+        is_early = (
+            answer.token_times[0] - answer.sent_at
+            <= FIRST_TOKEN_TARGET_SECONDS
+        )
+        mean_gap = statistics.mean(answer.gaps) if answer.gaps else 0.0
+        if is_early and mean_gap <= TOKEN_GAP_TARGET_SECONDS:
+            count += sum(start <= at < end for at in answer.token_times)
+    return count / (end - start)
 
 
-def _recovery(seen: Seen) -> list[float]:
+def _recovery_seconds(run: RunRecord) -> list[float]:
     """Return, for each fault, the time until service was as before it.
 
-    Service is the number of tokens per bucket over answers in progress,
-    so that fewer arrivals do not look like a failure.
+    Service is the number of tokens in a bucket for each answer in progress,
+    so that fewer arrivals do not count as a failure.
     """
-    if not seen.faults.at:
+    if not run.faults.times:
         return []
-    buckets: collections.Counter[int] = collections.Counter()
+    tokens: collections.Counter[int] = collections.Counter()
     active: collections.Counter[int] = collections.Counter()
-    for one in seen.answers:
-        for at in one.times:
-            buckets[int((at - seen.started) / BUCKET_SECONDS)] += 1
-        if one.times:
-            first = int((one.times[0] - seen.started) / BUCKET_SECONDS)
-            last = int((one.times[-1] - seen.started) / BUCKET_SECONDS)
+    for answer in run.answers:
+        for at in answer.token_times:
+            tokens[int((at - run.started_at) / BUCKET_SECONDS)] += 1
+        if answer.token_times:
+            first = int(
+                (answer.token_times[0] - run.started_at) / BUCKET_SECONDS
+            )
+            last = int(
+                (answer.token_times[-1] - run.started_at) / BUCKET_SECONDS
+            )
             for bucket in range(first, last + 1):
                 active[bucket] += 1
-    found = []
-    for at in seen.faults.at:
-        fault = int((at - seen.started) / BUCKET_SECONDS)
+    recovery_seconds = []
+    for at in run.faults.times:
+        fault_bucket = int((at - run.started_at) / BUCKET_SECONDS)
         before = [
-            buckets[b] / active[b]
-            for b in range(max(0, fault - 12), fault)
-            if active[b]
+            tokens[earlier] / active[earlier]
+            for earlier in range(max(0, fault_bucket - 12), fault_bucket)
+            if active[earlier]
         ]
         if not before:
             continue
-        # One bucket is noisy: the usual level is what a tenth of the
-        # buckets before the fault fell short of.
-        usual = sorted(before)[len(before) // 10] * RECOVERED
-        found.append(_time_back(buckets, active, fault, usual))
-    return found
+        # Single buckets vary, so the threshold is the 10th percentile of the
+        # buckets before the fault.
+        threshold = sorted(before)[len(before) // 10] * RECOVERED_SHARE
+        recovery_seconds.append(
+            _seconds_below(tokens, active, fault_bucket, threshold)
+        )
+    return recovery_seconds
 
 
-def _time_back(
-    buckets: collections.Counter[int],
+def _seconds_below(
+    tokens: collections.Counter[int],
     active: collections.Counter[int],
-    fault: int,
-    usual: float,
+    fault_bucket: int,
+    threshold: float,
 ) -> float:
-    end = max(buckets, default=fault)
-    last_short = fault - 1
-    for bucket in range(fault, min(end, fault + 40)):
-        if active[bucket] and buckets[bucket] / active[bucket] < usual:
-            last_short = bucket
-        elif bucket - last_short >= 4:
+    """Return the time from a fault until service stays above a threshold."""
+    end = max(tokens, default=fault_bucket)
+    last_below = fault_bucket - 1
+    for bucket in range(fault_bucket, min(end, fault_bucket + 40)):
+        if active[bucket] and tokens[bucket] / active[bucket] < threshold:
+            last_below = bucket
+        elif bucket - last_below >= 4:
             break
-    return (last_short + 1 - fault) * BUCKET_SECONDS
+    return (last_below + 1 - fault_bucket) * BUCKET_SECONDS
 
 
-def _cut(seen: Seen) -> int:
-    return sum(bool(one.texts) and not one.is_whole for one in seen.answers)
+def _interrupted_streams(run: RunRecord) -> int:
+    return sum(
+        bool(answer.token_texts) and not answer.is_complete
+        for answer in run.answers
+    )
 
 
-def _work_after_leaving(seen: Seen) -> float:
-    """Return how long after its stop began a leaving instance got work.
+def _work_after_stop_seconds(run: RunRecord) -> float:
+    """Return the longest time after its stop that an instance got new work.
 
-    Its next run has the same name and engine, so only what began before
-    the first run ended counts.
+    The process that replaces it has the same name, so only work that began
+    before the stopped process ended counts.
     """
-    latest = 0.0
-    for name, left in seen.faults.leaving.items():
-        ended = seen.faults.ended.get(name, float("inf"))
-        for sequence, at in seen.begun.get(name, []):
-            if sequence.endswith(".0") and left < at <= ended:
-                latest = max(latest, at - left)
-    return round(latest, 3)
-
-
-def _fairness(seen: Seen, whole: list[loads.Answer]) -> float:
-    """Return Jain's index over the teams that ask for the same."""
-    asked: collections.Counter[int] = collections.Counter()
+    longest = 0.0
+    for name, stopped_at in run.faults.stopped_at.items():
+        ended_at = run.faults.ended_at.get(name, float("inf"))
+        for sequence, at in run.sequence_starts.get(name, []):
+            if sequence.endswith(".0") and stopped_at < at <= ended_at:
+                longest = max(longest, at - stopped_at)
+    return round(longest, 3)
+
+
+def _fairness(run: RunRecord, correct: list[loads.Answer]) -> float:
+    """Return Jain's index over the teams with the same request rate."""
+    requested: collections.Counter[int] = collections.Counter()
     served: collections.Counter[int] = collections.Counter()
-    for one in seen.answers:
-        asked[one.team] += one.wanted
-    for one in whole:
-        served[one.team] += one.wanted
-    shares = [served[t] / asked[t] for t in asked if t >= 3]
+    for answer in run.answers:
+        requested[answer.team] += answer.max_tokens
+    for answer in correct:
+        served[answer.team] += answer.max_tokens
+    shares = [
+        served[team] / requested[team] for team in requested if team >= 3
+    ]
     squares = sum(share**2 for share in shares)
     if not squares:
         return 0.0
     return round(sum(shares) ** 2 / (len(shares) * squares), 4)
 
 
-def _small_share(seen: Seen, whole: list[loads.Answer]) -> float:
-    small = [one for one in seen.answers if one.team >= 3]
-    served = sum(one.team >= 3 for one in whole)
+def _small_teams_answered(
+    run: RunRecord, correct: list[loads.Answer]
+) -> float:
+    """Return the share of the small teams' requests that was answered."""
+    small = [answer for answer in run.answers if answer.team >= 3]
+    served = sum(answer.team >= 3 for answer in correct)
     return round(served / max(1, len(small)), 4)
 
 
 def _p95(values: list[float]) -> float:
-    recorded = histogram.HdrHistogram(1, 600_000_000, 3)
+    microseconds = histogram.HdrHistogram(1, 600_000_000, 3)
     for value in values:
-        recorded.record_value(max(1, int(value * 1e6)))
+        microseconds.record_value(max(1, int(value * 1e6)))
     if not values:
         return 0.0
-    return round(recorded.get_value_at_percentile(95) / 1e6, 4)
+    return round(microseconds.get_value_at_percentile(95) / 1e6, 4)
 
 
 def _quantile(values: list[float], quantile: float) -> float:
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What goes wrong during a measurement, and when."""
+"""Scenarios: the load and the faults during a measurement."""
 
 from collections import abc
 import signal
@@ -15,26 +15,31 @@
 
 from bench import fleet as fleets
 
-# The fault comes after so much of the measured time, so that service
-# before it can be told from service after it.
-FAULT_AT = 0.35
+# Shares of the measured time: before the first fault, so that service before
+# and after it can be compared, and during a fault that ends.
+FAULT_START_SHARE = 0.35
 OUTAGE_SHARE = 0.25
 
 
 @attrs.define(eq=False)
 class FaultLog:
-    """When faults came, for the report."""
+    """Monotonic times of faults, for the report.
 
-    at: list[float] = attrs.field(factory=list)
-    leaving: dict[str, float] = attrs.field(factory=dict)
-    ended: dict[str, float] = attrs.field(factory=dict)
+    :ivar times: start of each fault.
+    :ivar stopped_at: by instance, when its planned stop began.
+    :ivar ended_at: by instance, when its stopped process ended.
+    """
+
+    times: list[float] = attrs.field(factory=list)
+    stopped_at: dict[str, float] = attrs.field(factory=dict)
+    ended_at: dict[str, float] = attrs.field(factory=dict)
 
-    def note(self) -> None:
-        """Note a fault now."""
-        self.at.append(time.monotonic())
+    def record(self) -> None:
+        """Record that a fault starts now."""
+        self.times.append(time.monotonic())
 
 
-Play = abc.Callable[
+Fault = abc.Callable[
     [fleets.Fleet, float, FaultLog],
     abc.Coroutine[typing.Any, typing.Any, None],
 ]
@@ -42,146 +47,149 @@
 
 @attrs.frozen
 class Scenario:
-    """One way to load and disturb the system.
+    """Load and faults of a measurement.
 
-    :ivar load: offered load relative to the bound.
-    :ivar plays: faults, each played beside the others.
-    :ivar greedy: how many times its share team 0 asks for.
+    :ivar load: offered load relative to the throughput bound.
+    :ivar faults: injected concurrently.
+    :ivar greedy_factor: factor on the requests of team 0.
+    :ivar has_mixed_speeds: whether the speeds of engines differ more.
     """
 
     name: str
     load: float = 0.6
-    plays: tuple[Play, ...] = ()
-    greedy: float = 1.0
-    is_mixed: bool = False
+    faults: tuple[Fault, ...] = ()
+    greedy_factor: float = 1.0
+    has_mixed_speeds: bool = False
 
 
 async def _kill(
     fleet: fleets.Fleet, names: list[str], seconds: float, log: FaultLog
 ) -> None:
-    await anyio.sleep(seconds * FAULT_AT)
-    log.note()
+    await anyio.sleep(seconds * FAULT_START_SHARE)
+    log.record()
     for name in names:
         fleet.signal(name, signal.SIGKILL)
     for name in names:
         fleet.unlist(name)
 
 
-async def stage_death(
+async def kill_stage(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
-    """A middle stage's instance dies."""
+    """Kill an instance of a middle stage."""
     await _kill(fleet, ["engine-1-0"], seconds, log)
 
 
-async def head_death(
+async def kill_head(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
-    """A head dies."""
+    """Kill an instance of the first stage."""
     await _kill(fleet, ["engine-0-0"], seconds, log)
 
 
-async def entry_death(
+async def kill_entry(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
-    """An entry dies; its callers come back elsewhere."""
+    """Kill an entry; its callers reconnect to other entries."""
     await _kill(fleet, ["entry-0"], seconds, log)
 
 
-async def zone_loss(
+async def kill_zone(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
-    """All instances of one availability zone die."""
-    lost = [
+    """Kill all instances of one availability zone."""
+    names = [
         name
         for name in fleet.daemon_names
         if fleet.zone_of(name) == fleets.ZONES[0]
     ]
-    await _kill(fleet, lost, seconds, log)
+    await _kill(fleet, names, seconds, log)
 
 
-async def slow_stage(
+async def slow_down_stage(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
-    """An engine becomes five times slower, and later well again."""
-    await anyio.sleep(seconds * FAULT_AT)
-    log.note()
+    """Make an engine five times slower for a while."""
+    await anyio.sleep(seconds * FAULT_START_SHARE)
+    log.record()
     fleet.slow_engine("engine-1-0", 5.0)
     await anyio.sleep(seconds * OUTAGE_SHARE)
     fleet.slow_engine("engine-1-0", 1.0)
 
 
-async def freeze(fleet: fleets.Fleet, seconds: float, log: FaultLog) -> None:
-    """A middle stage's sidecar is paused for a while."""
-    await anyio.sleep(seconds * FAULT_AT)
-    log.note()
+async def freeze_stage(
+    fleet: fleets.Fleet, seconds: float, log: FaultLog
+) -> None:
+    """Pause the sidecar of an engine of a middle stage for a while."""
+    await anyio.sleep(seconds * FAULT_START_SHARE)
+    log.record()
     fleet.signal("engine-1-0", signal.SIGSTOP)
     await anyio.sleep(seconds * OUTAGE_SHARE)
     fleet.signal("engine-1-0", signal.SIGCONT)
 
 
-async def store_outage(
+async def freeze_store(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
-    """The platform does not answer for a while."""
-    await anyio.sleep(seconds * FAULT_AT)
-    log.note()
+    """Pause the platform's store for a while."""
+    await anyio.sleep(seconds * FAULT_START_SHARE)
+    log.record()
     fleet.signal("store", signal.SIGSTOP)
     await anyio.sleep(seconds * OUTAGE_SHARE)
     fleet.signal("store", signal.SIGCONT)
 
 
-async def rolling_replace(
+async def replace_instances(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
-    """Instances are stopped as planned and replaced, one after another."""
+    """Stop an instance of each stage and replace it, one after another."""
     names = [f"engine-{stage}-1" for stage in range(fleet.shape.stages)]
-    pause = seconds * (1 - FAULT_AT) / (len(names) + 1)
-    await anyio.sleep(seconds * FAULT_AT)
+    pause_seconds = seconds * (1 - FAULT_START_SHARE) / (len(names) + 1)
+    await anyio.sleep(seconds * FAULT_START_SHARE)
     for name in names:
-        log.note()
-        log.leaving[name] = time.monotonic()
+        log.record()
+        log.stopped_at[name] = time.monotonic()
         fleet.signal(name, signal.SIGTERM)
-        with anyio.move_on_after(pause):
+        with anyio.move_on_after(pause_seconds):
             while fleet.is_running(name):
                 await anyio.sleep(0.1)
         if not fleet.is_running(name):
-            log.ended[name] = time.monotonic()
+            log.ended_at[name] = time.monotonic()
             await anyio.to_thread.run_sync(fleet.replace, name)
-        await anyio.sleep(pause / 2)
+        await anyio.sleep(pause_seconds / 2)
 
 
-ALL: dict[str, Scenario] = {
-    one.name: one
-    for one in (
+SCENARIOS: dict[str, Scenario] = {
+    scenario.name: scenario
+    for scenario in (
         Scenario("steady", load=0.95),
         Scenario("peak", load=2.0),
-        Scenario("mixed_links", load=0.8, is_mixed=True),
-        Scenario("stage_death", plays=(stage_death,)),
-        Scenario("head_death", plays=(head_death,)),
-        Scenario("entry_death", plays=(entry_death,)),
-        Scenario("slow_stage", plays=(slow_stage,)),
-        Scenario("frozen_stage", plays=(freeze,)),
-        Scenario("store_outage", plays=(store_outage,)),
-        Scenario("rolling_replace", plays=(rolling_replace,)),
-        Scenario("availability_zone_loss", load=0.4, plays=(zone_loss,)),
-        Scenario("greedy_team", load=1.2, greedy=20.0),
+        Scenario("mixed_links", load=0.8, has_mixed_speeds=True),
+        Scenario("stage_death", faults=(kill_stage,)),
+        Scenario("head_death", faults=(kill_head,)),
+        Scenario("entry_death", faults=(kill_entry,)),
+        Scenario("slow_stage", faults=(slow_down_stage,)),
+        Scenario("frozen_stage", faults=(freeze_stage,)),
+        Scenario("store_outage", faults=(freeze_store,)),
+        Scenario("rolling_replace", faults=(replace_instances,)),
+        Scenario("availability_zone_loss", load=0.4, faults=(kill_zone,)),
+        Scenario("greedy_team", load=1.2, greedy_factor=20.0),
     )
 }
 
 
 def find(name: str) -> Scenario:
-    """Return a scenario, or several joined by ``+`` as one.
+    """Return a scenario, or the combination of those joined by ``+``.
 
-    :raises KeyError: when there is none of that name.
+    :raises KeyError: if there is no scenario of that name.
     """
-    parts = [ALL[part] for part in name.split("+")]
+    parts = [SCENARIOS[part] for part in name.split("+")]
     if len(parts) == 1:
         return parts[0]
     return Scenario(
         name,
         load=max(part.load for part in parts),
-        plays=tuple(play for part in parts for play in part.plays),
-        greedy=max(part.greedy for part in parts),
-        is_mixed=any(part.is_mixed for part in parts),
+        faults=tuple(fault for part in parts for fault in part.faults),
+        greedy_factor=max(part.greedy_factor for part in parts),
+        has_mixed_speeds=any(part.has_mixed_speeds for part in parts),
     )
