--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -35,7 +35,10 @@
 
 
 def make_shape(policy: str, engines: int, scenario: str) -> fleets.Shape:
-    """Return 3 stages of engines of three kinds, and 3 entries."""
+    """Return the shape of a system with the given number of engines.
+
+    :param policy: routing policy of the entries.
+    """
     slowness = {"a": 1.0, "b": 1.5, "c": 2.0}
     if scenarios.find(scenario).has_mixed_speeds:
         slowness = {"a": 1.0, "b": 2.5, "c": 5.0}
@@ -44,7 +47,8 @@
     return fleets.Shape(
         stages=3,
         kinds=tuple(
-            fleets.kind(name, slowness[name], SLOWNESS_SCALE) for name in names
+            fleets.make_kind(name, slowness[name], SLOWNESS_SCALE)
+            for name in names
         ),
         entries=3,
         services=2,
@@ -105,11 +109,11 @@
             answers=callers.answers,
             calls=callers.calls,
             service_runs=fleet.service_runs(),
-            sequence_starts=fleet.begun_sequences(),
+            sequence_starts=fleet.sequence_starts(),
             faults=faults,
             control_bytes_per_s=control[0],
             control_core_share=control[1],
-            retries=fleet.counter("drive.retried"),
+            retries=fleet.counter_sum("drive.retried"),
         )
     return reports.compute_metrics(record)
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Measures the slopes that ``docs/CAPACITY.md`` works with.
+"""Measures the control overhead of processes, for ``docs/CAPACITY.md``.
 
-``python -m bench.capacity`` starts systems of several sizes, lets them
-idle, and fits straight lines through what each process spends on control.
+``python -m bench.capacity`` starts idle systems of several sizes and fits
+lines through the resources that their processes use.
 """
 
 import argparse
@@ -22,31 +22,34 @@
 
 
 class Line(typing.NamedTuple):
-    """A fitted line, and its largest error relative to the mean."""
+    """A fitted line.
+
+    :ivar relative_error: largest absolute error, relative to the mean.
+    """
 
     intercept: float
     slope: float
-    error: float
+    relative_error: float
 
 
-def fit(points: list[tuple[float, float]]) -> Line:
+def fit_line(points: list[tuple[float, float]]) -> Line:
     """Fit a line by least squares."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
+    sum_of_squares = sum((x - mean_x) ** 2 for x, _ in points)
     slope = (
-        sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-        if spread
+        sum((x - mean_x) * (y - mean_y) for x, y in points) / sum_of_squares
+        if sum_of_squares
         else 0.0
     )
     intercept = mean_y - slope * mean_x
-    error = max(abs(y - intercept - slope * x) for x, y in points)
-    return Line(intercept, slope, error / mean_y if mean_y else 0.0)
+    max_error = max(abs(y - intercept - slope * x) for x, y in points)
+    return Line(intercept, slope, max_error / mean_y if mean_y else 0.0)
 
 
 def loopback_bytes() -> int:
-    """Return the bytes that have crossed the loopback device."""
+    """Return the bytes received by the loopback device so far."""
     for line in pathlib.Path("/proc/net/dev").read_text().splitlines():
         name, _, rest = line.partition(":")
         if name.strip() == "lo":
@@ -57,8 +60,8 @@
 def measure_idle(
     sidecars: int, entries: int, seconds: float
 ) -> dict[str, float]:
-    """Return what idle processes of a system spend."""
-    fast = fleets.kind("fast", 0.05)
+    """Return the mean resources that processes of an idle system use."""
+    fast = fleets.make_kind("fast", 0.05)
     shape = fleets.Shape(
         stages=1, kinds=(fast,) * sidecars, entries=entries, services=0
     )
@@ -70,29 +73,30 @@
         bytes_before, started = loopback_bytes(), time.monotonic()
         time.sleep(seconds)
         elapsed = time.monotonic() - started
-        moved = (loopback_bytes() - bytes_before) / elapsed
-        shares: dict[str, list[float]] = {"entry": [], "engine": []}
-        memory: dict[str, list[float]] = {"entry": [], "engine": []}
+        bytes_per_second = (loopback_bytes() - bytes_before) / elapsed
+        core_percent: dict[str, list[float]] = {"entry": [], "engine": []}
+        memory_mb: dict[str, list[float]] = {"entry": [], "engine": []}
         for name, child in fleet.children.items():
             role = name.split("-")[0]
-            if role in shares and "engines" not in name:
-                spent = (child.cpu_seconds - before[name]) / elapsed
-                shares[role].append(spent * 100)
-                memory[role].append(child.memory_bytes / 1e6)
+            # Processes named "engines-N" are stand-ins.
+            if role in core_percent and "engines" not in name:
+                core_share = (child.cpu_seconds - before[name]) / elapsed
+                core_percent[role].append(core_share * 100)
+                memory_mb[role].append(child.memory_bytes / 1e6)
     return {
         "sidecars": sidecars,
         "entries": entries,
-        "entry_core_percent": _mean(shares["entry"]),
-        "sidecar_core_percent": _mean(shares["engine"]),
-        "entry_mb": _mean(memory["entry"]),
-        "sidecar_mb": _mean(memory["engine"]),
-        "bytes_per_s_per_process": moved / (sidecars + entries),
-        "bytes_per_s_per_entry": moved / entries,
+        "entry_core_percent": _mean(core_percent["entry"]),
+        "sidecar_core_percent": _mean(core_percent["engine"]),
+        "entry_mb": _mean(memory_mb["entry"]),
+        "sidecar_mb": _mean(memory_mb["engine"]),
+        "bytes_per_s_per_process": bytes_per_second / (sidecars + entries),
+        "bytes_per_s_per_entry": bytes_per_second / entries,
     }
 
 
 def measure_settings(teams: int) -> dict[str, float]:
-    """Return what a tree of so many teams takes to read."""
+    """Return the time to parse settings with many teams, and their size."""
     lines = ["[defaults]", "[service:records]"]
     for number in range(teams):
         lines += [
@@ -116,7 +120,7 @@
 
 
 def main() -> None:
-    """Measure, fit and print JSON lines."""
+    """Print the measurements as JSON lines, and the fitted lines."""
     parser = argparse.ArgumentParser(prog="python -m bench.capacity")
     parser.add_argument("--seconds", type=float, default=15.0)
     parser.add_argument("--sizes", default="4,8,16,32")
@@ -135,14 +139,14 @@
     _print_fits("teams", by_teams)
 
 
-def _print_fits(over: str, rows: list[dict[str, float]]) -> None:
+def _print_fits(x_name: str, rows: list[dict[str, float]]) -> None:
     for name in rows[0]:
         if name in ("sidecars", "entries", "teams"):
             continue
-        line = fit([(row[over], row[name]) for row in rows])
+        line = fit_line([(row[x_name], row[name]) for row in rows])
         print(
-            f"{name} = {line.intercept:.4g} + {line.slope:.4g} * {over}"
-            f"   (largest error {line.error:.0%})"
+            f"{name} = {line.intercept:.4g} + {line.slope:.4g} * {x_name}"
+            f"   (largest error {line.relative_error:.0%})"
         )
 
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Starts a whole system as plain processes on loopback."""
+"""Starts a whole system as local processes on the loopback interface."""
 
 import collections
 import contextlib
@@ -27,23 +27,29 @@
 HOST = "127.0.0.1"
 MODEL = "desk"
 VERSION = "1"
-LAYERS = 12
+LAYER_COUNT = 12
 ZONES = ("plateau", "almadies", "pikine")
-START_SECONDS = 30.0
+START_TIMEOUT_SECONDS = 30.0
 
 
 @attrs.frozen
-class Kind:
-    """One kind of accelerator, as its stand-in behaves."""
+class AcceleratorKind:
+    """A kind of accelerator, with the speed of its stand-in."""
 
     name: str
     speed: engines.EngineSpeed
 
 
-def kind(name: str, slowness: float, scale: float = 1.0) -> Kind:
-    """Return a kind that is ``slowness`` times slower than the fastest."""
+def make_kind(
+    name: str, slowness: float, scale: float = 1.0
+) -> AcceleratorKind:
+    """Return a kind of accelerator.
+
+    :param slowness: step time relative to the fastest kind.
+    :param scale: factor on the step times of all kinds.
+    """
     factor = slowness * scale
-    return Kind(
+    return AcceleratorKind(
         name,
         engines.EngineSpeed(
             batch_seconds=0.008 * factor,
@@ -56,14 +62,20 @@
 
 @attrs.frozen
 class Shape:
-    """What a system is made of.
+    """Numbers and kinds of the processes of a system, and their options.
 
-    :ivar settings: further lines for the settings' ``[defaults]``.
-    :ivar kinds: the kind of each stage's engines, one entry an engine.
+    :ivar kinds: accelerators of the engines of each stage.
+    :ivar entries: number of entries.
+    :ivar services: number of instances of the service ``records``.
+    :ivar settings: lines added to section ``[defaults]`` of the settings.
+    :ivar entry_options: lines added to section ``[entry]`` of each entry.
     """
 
     stages: int = 3
-    kinds: tuple[Kind, ...] = (kind("a", 1.0), kind("b", 1.5))
+    kinds: tuple[AcceleratorKind, ...] = (
+        make_kind("a", 1.0),
+        make_kind("b", 1.5),
+    )
     entries: int = 1
     services: int = 1
     team_count: int = 10
@@ -81,13 +93,17 @@
 
 
 def team_key(number: int) -> str:
-    """Return a bench team's bearer key."""
+    """Return the bearer key of a team."""
     return f"bench-key-{number}"
 
 
 @attrs.define(eq=False)
 class Child:
-    """One process that the bench started."""
+    """A process that the bench started.
+
+    :ivar config: path of the configuration, ``None`` for stand-ins.
+    :ivar port: port of a daemon, 0 for stand-ins.
+    """
 
     name: str
     process: subprocess.Popen[str]
@@ -96,20 +112,23 @@
 
     @property
     def cpu_seconds(self) -> float:
-        """Processor time it has used."""
+        """Processor time used so far."""
         stat = pathlib.Path(f"/proc/{self.process.pid}/stat").read_text()
         fields = stat.rsplit(")", 1)[1].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     @property
     def memory_bytes(self) -> int:
-        """Resident memory."""
+        """Resident memory in bytes."""
         text = pathlib.Path(f"/proc/{self.process.pid}/statm").read_text()
         return int(text.split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 class Fleet:
-    """Use it as a context manager; it ends what it started, by id."""
+    """A running system with its stand-ins.
+
+    It is a context manager: it starts the processes, and kills them at exit.
+    """
 
     def __init__(self, shape: Shape) -> None:
         self.shape = shape
@@ -117,7 +136,7 @@
         self.store_url = ""
         self.entry_urls: list[str] = []
         self._stack = contextlib.ExitStack()
-        self._folder = pathlib.Path()
+        self._directory = pathlib.Path()
         self._upstream_ports: dict[str, int] = {}
 
     def __enter__(self) -> "Fleet":
@@ -135,7 +154,7 @@
         self._stack.close()
 
     def _start_all(self) -> None:
-        self._folder = pathlib.Path(
+        self._directory = pathlib.Path(
             self._stack.enter_context(tempfile.TemporaryDirectory())
         )
         ports = self._start_standins("store", {"store": {"delay": 0.002}})
@@ -147,32 +166,34 @@
                 f"engines-{stage}", {"engines": specs}
             )
             self._upstream_ports.update(ports)
-        names = {f"records-{n}": 0.02 for n in range(self.shape.services)}
-        if names:
+        service_delays = {
+            f"records-{number}": 0.02 for number in range(self.shape.services)
+        }
+        if service_delays:
             self._upstream_ports.update(
-                self._start_standins("services", {"services": names})
+                self._start_standins("services", {"services": service_delays})
             )
         for index, name in enumerate(self._upstream_ports):
             self.start_sidecar(name, ZONES[index % len(ZONES)])
         for number in range(self.shape.entries):
             self._start_entry(number)
         for name in self._upstream_ports:
-            self._list(name)
+            self._register(name)
         self._wait_ready()
 
     def _engine_specs(self, stage: int) -> dict[str, typing.Any]:
-        per_stage = LAYERS // self.shape.stages
+        layers_per_stage = LAYER_COUNT // self.shape.stages
         return {
             f"engine-{stage}-{index}": {
                 "model": MODEL,
                 "version": VERSION,
-                "first": stage * per_stage,
-                "end": (stage + 1) * per_stage,
-                "layer_count": LAYERS,
-                "accelerator": one.name,
-                **attrs.asdict(one.speed),
+                "first": stage * layers_per_stage,
+                "end": (stage + 1) * layers_per_stage,
+                "layer_count": LAYER_COUNT,
+                "accelerator": kind.name,
+                **attrs.asdict(kind.speed),
             }
-            for index, one in enumerate(self.shape.kinds)
+            for index, kind in enumerate(self.shape.kinds)
         }
 
     def _start_standins(
@@ -215,7 +236,7 @@
             response.read()
 
     def start_sidecar(self, name: str, zone: str) -> None:
-        """Start the sidecar beside an upstream."""
+        """Start the sidecar of an upstream."""
         url = f"http://{HOST}:{self._upstream_ports[name]}"
         if name.startswith("engine"):
             section = f"[sidecar]\nengine_url = {url}\n"
@@ -234,13 +255,13 @@
             "request_limit = 100000\n" + self.shape.entry_options,
         )
         self.entry_urls.append(f"http://{HOST}:{port}")
-        self._list(name)
+        self._register(name)
 
     def _start_daemon(
         self, role: str, name: str, zone: str, section: str
     ) -> None:
         port = _free_port()
-        config = self._folder / f"{name}.ini"
+        config = self._directory / f"{name}.ini"
         config.write_text(
             f"[crowdeckd]\nrole = {role}\nname = {name}\n"
             f"availability_zone = {zone}\nhost = {HOST}\nport = {port}\n"
@@ -252,7 +273,7 @@
         child.config = config
         child.port = port
 
-    def _list(self, name: str) -> None:
+    def _register(self, name: str) -> None:
         child = self.children[name]
         assert child.config is not None
         body = {
@@ -264,7 +285,7 @@
 
     def _spawn(self, name: str, arguments: list[str]) -> Child:
         log = self._stack.enter_context(
-            open(self._folder / f"{name}.log", "a")
+            open(self._directory / f"{name}.log", "a")
         )
         is_standin = "standin" in arguments[1]
         process = subprocess.Popen(
@@ -281,29 +302,32 @@
         return child
 
     def _wait_ready(self) -> None:
-        until = time.monotonic() + START_SECONDS
-        wanted = len(self._upstream_ports)
+        until = time.monotonic() + START_TIMEOUT_SECONDS
+        min_usable = len(self._upstream_ports)
         while time.monotonic() < until:
-            if all(self._is_ready(url, wanted) for url in self.entry_urls):
+            if all(self._is_ready(url, min_usable) for url in self.entry_urls):
                 return
             time.sleep(0.2)
-        raise RuntimeError("the system did not start; see its logs")
+        raise RuntimeError(
+            f"expected {min_usable} usable upstreams at each entry within "
+            f"{START_TIMEOUT_SECONDS:g} s, found fewer"
+        )
 
-    def _is_ready(self, url: str, wanted: int) -> bool:
+    def _is_ready(self, url: str, min_usable: int) -> bool:
         request = urllib.request.Request(url + "/readyz")
         try:
             with urllib.request.urlopen(request, timeout=1) as response:
-                return int(json.load(response)["usable"]) >= wanted
+                return int(json.load(response)["usable"]) >= min_usable
         except (OSError, ValueError, KeyError):
             return False
 
     def signal(self, name: str, number: int) -> None:
-        """Send a signal to one process that this fleet started."""
+        """Send a signal to a process of this system."""
         self.children[name].process.send_signal(number)
 
     @property
     def daemon_names(self) -> list[str]:
-        """Names of the daemons, the stand-ins left out."""
+        """Names of the entries and sidecars."""
         return [
             name
             for name, child in self.children.items()
@@ -318,23 +342,23 @@
         return line.splitlines()[0]
 
     def is_running(self, name: str) -> bool:
-        """Whether a process still runs."""
+        """Whether a process has not ended."""
         return self.children[name].process.poll() is None
 
     def slow_engine(self, name: str, slowness: float) -> None:
-        """Make an engine slower, or well again with 1."""
+        """Multiply an engine's step time; 1 restores the normal speed."""
         self._ask_upstream(name, f"/standin/slowness?to={slowness}")
 
     def service_runs(self) -> dict[str, int]:
-        """Return how often each thing was really done, by the services."""
+        """Return how often services executed each operation."""
         runs: collections.Counter[str] = collections.Counter()
         for name in self._upstream_ports:
             if name.startswith("records"):
                 runs.update(self._ask_upstream(name, "/standin/runs"))
         return dict(runs)
 
-    def begun_sequences(self) -> dict[str, list[tuple[str, float]]]:
-        """Return when each engine began each sequence, by the engines."""
+    def sequence_starts(self) -> dict[str, list[tuple[str, float]]]:
+        """Return, by engine, its sequences and the times they began."""
         return {
             name: [
                 (sequence, at)
@@ -349,8 +373,8 @@
         with urllib.request.urlopen(url, timeout=10) as response:
             return json.load(response)
 
-    def counter(self, name: str) -> int:
-        """Return a counter's sum over the entries that live."""
+    def counter_sum(self, name: str) -> int:
+        """Return the sum of a counter over the entries that answer."""
         total = 0
         for url in self.entry_urls:
             try:
@@ -362,25 +386,26 @@
                 continue
         return total
 
-    def unlist(self, name: str) -> None:
-        """Take an instance off the platform's list."""
+    def deregister(self, name: str) -> None:
+        """Remove an instance from the platform's list."""
         self._send("DELETE", f"/instances/{name}")
 
     def replace(self, name: str) -> None:
-        """Start a new run of an instance whose process has ended."""
-        former = self.children[name]
-        former.process.wait()
-        assert former.config is not None
+        """Restart an instance whose process ends, with the same config."""
+        previous = self.children[name]
+        previous.process.wait()
+        assert previous.config is not None
         child = self._spawn(
-            name, ["-m", "crowdeck.cmd.daemon", "--config", str(former.config)]
+            name,
+            ["-m", "crowdeck.cmd.daemon", "--config", str(previous.config)],
         )
-        child.config, child.port = former.config, former.port
-        self._list(name)
+        child.config, child.port = previous.config, previous.port
+        self._register(name)
 
 
 def _free_port() -> int:
     import socket
 
-    with socket.socket() as probe:
-        probe.bind((HOST, 0))
-        return int(probe.getsockname()[1])
+    with socket.socket() as listener:
+        listener.bind((HOST, 0))
+        return int(listener.getsockname()[1])
--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Plays losses of layers that nobody holds: wait, or rearrange.
+"""Compares times to wait for a restart before layers are rearranged.
 
-``python -m bench.rearrangement`` plays each way in virtual time, over the
-stand-in, on the same drawn losses, and prints the seconds in which some
-layer served nowhere and the layers that were loaded, on average.
+``python -m bench.rearrangement`` simulates losses of engines in virtual time,
+with the same random losses for each wait time. It prints the mean seconds in
+which some layer was not served, and the mean number of layers loaded.
 """
 
 import random
@@ -25,21 +25,23 @@
 from tests import virtual
 
 SEEDS = 10
-PLAYED_SECONDS = 60.0
+SIMULATED_SECONDS = 60.0
 STEP_SECONDS = 0.05
-COUNT = 8
-# Of eight engines of ten layers each any six hold the model.
+ENGINE_COUNT = 8
+# Engines hold ten layers initially; any six have the memory for all layers.
 PROFILE = attrs.evolve(
     fleet_system.PROFILE,
     cards={"card": chain.AcceleratorType("card", 27_000.0, 1.4, 1.0)},
 )
-# Waiting for who ended: at all, as decided, as long as a whole engine loads,
-# and for ever, as before.
-WAYS = (0.0, 2.3, 8.0, 1e9)
-RESTARTS = (2.0, 8.0, 30.0, None)
+# Not at all, as configured, as long as an engine loads, and without end.
+WAIT_SECONDS = (0.0, 2.3, 8.0, 1e9)
+# Seconds from the loss of an engine to its restart, None for no restart.
+RESTART_SECONDS = (2.0, 8.0, 30.0, None)
 
 
-class _Ledger:
+class _HeldLease:
+    """A lease that is never lost."""
+
     is_held = True
     term = 1
     memo: tuple[str, ...] = ()
@@ -48,10 +50,17 @@
         self.memo = memo
 
 
-async def _play(
-    seed: int, lost: int, restart: float | None, keeps: bool
+async def _simulate(
+    seed: int,
+    lost_engines: int,
+    restart_seconds: float | None,
+    keeps_layers: bool,
 ) -> tuple[float, int]:
-    """Return the seconds without the model, and the layers loaded."""
+    """Return the seconds without service, and the number of layers loaded.
+
+    :param restart_seconds: time until lost engines restart, if they do.
+    :param keeps_layers: whether a restarted engine still holds its layers.
+    """
     rng = random.Random(seed)
     system = fleet_system.FleetSystem(chain_fleet.ChainFleet())
     system.fleet.load_seconds = PROFILE.load_seconds
@@ -64,47 +73,51 @@
             ),
         )
     )
-    for number in range(COUNT):
+    for number in range(ENGINE_COUNT):
         layers = (10 * number, 10 * number + 10)
         system.add(fleet_system.upstream(f"e{number}", "zone", layers, "card"))
-    duty = controllers.PlacementController(
-        typing.cast(leases.Lease, _Ledger()),
+    controller = controllers.PlacementController(
+        typing.cast(leases.Lease, _HeldLease()),
         system.registry,
         system.fleet,
         lambda: system.holder.services,
     )
-    loaded, unserved = 0, 0.0
+    loaded_layers, unserved_seconds = 0, 0.0
     carry_out = system.fleet.carry_out
 
-    def note(target: typing.Any, move: typing.Any) -> None:
-        nonlocal loaded
+    def count_layers(target: typing.Any, move: typing.Any) -> None:
+        nonlocal loaded_layers
         carry_out(target, move)
         kept_layers = target.kept_layers
-        loaded += move.layers.end - move.layers.first
-        loaded -= kept_layers.end - kept_layers.first if kept_layers else 0
+        loaded_layers += move.layers.end - move.layers.first
+        loaded_layers -= (
+            kept_layers.end - kept_layers.first if kept_layers else 0
+        )
 
-    system.fleet.carry_out = note  # type: ignore[method-assign]
+    system.fleet.carry_out = count_layers  # type: ignore[method-assign]
 
-    async def lose(name: str, at: float) -> None:
-        await anyio.sleep(at)
+    async def lose_engine(name: str, delay_seconds: float) -> None:
+        await anyio.sleep(delay_seconds)
         target = system.fleet.at(system.listed.pop(name).address)
         target.is_dead = True
         system.registry.on_changed((), (name,))
-        if restart is None:
+        if restart_seconds is None:
             return
-        await anyio.sleep(restart)
-        held = target.listed.layers if keeps else None
-        back = fleet_system.upstream(f"{name}-again", "zone", None, "card")
-        system.add(attrs.evolve(back, layers=held))
+        await anyio.sleep(restart_seconds)
+        layers = target.listed.layers if keeps_layers else None
+        restarted = fleet_system.upstream(
+            f"{name}-again", "zone", None, "card"
+        )
+        system.add(attrs.evolve(restarted, layers=layers))
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(duty.run)
-        names = rng.sample(sorted(system.listed), lost)
+        tasks.start_soon(controller.run)
+        names = rng.sample(sorted(system.listed), lost_engines)
         for name in names:
-            tasks.start_soon(lose, name, 1.0 + rng.random())
-        for _ in range(int(PLAYED_SECONDS / STEP_SECONDS)):
+            tasks.start_soon(lose_engine, name, 1.0 + rng.random())
+        for _ in range(int(SIMULATED_SECONDS / STEP_SECONDS)):
             await anyio.sleep(STEP_SECONDS)
-            live = []
+            serving = []
             for target in system.fleet.upstreams:
                 if target.answers:
                     known = system.listed.get(target.listed.name)
@@ -113,32 +126,35 @@
                     held = target.listed.layers
                     if target.is_loading:
                         held = target.kept_layers
-                    live.append(attrs.evolve(target.listed, layers=held))
-            if 0 in chain.coverage(live, PROFILE.layer_count):
-                unserved += STEP_SECONDS
+                    serving.append(attrs.evolve(target.listed, layers=held))
+            if 0 in chain.coverage(serving, PROFILE.layer_count):
+                unserved_seconds += STEP_SECONDS
         tasks.cancel_scope.cancel()
-    return unserved, loaded
+    return unserved_seconds, loaded_layers
 
 
 def main() -> None:
-    """Play all ways and print a line for each case."""
-    decided = rearrangement_delay.RESTART_GRACE_SECONDS
-    print("lost restart keeps | " + " | ".join(f"wait {w:g}" for w in WAYS))
+    """Print one line for each case, with all wait times."""
+    configured = rearrangement_delay.RESTART_GRACE_SECONDS
+    print(
+        "lost restart keeps | "
+        + " | ".join(f"wait {wait:g}" for wait in WAIT_SECONDS)
+    )
     for lost in (1, 2):
-        for restart in RESTARTS:
+        for restart in RESTART_SECONDS:
             for keeps in (False, True) if restart else (False,):
                 cells = []
-                for way in WAYS:
-                    rearrangement_delay.RESTART_GRACE_SECONDS = way
-                    played = [
-                        virtual.run(_play, seed, lost, restart, keeps)
+                for wait in WAIT_SECONDS:
+                    rearrangement_delay.RESTART_GRACE_SECONDS = wait
+                    results = [
+                        virtual.run(_simulate, seed, lost, restart, keeps)
                         for seed in range(SEEDS)
                     ]
-                    seconds = sum(one[0] for one in played) / SEEDS
-                    layers = sum(one[1] for one in played) / SEEDS
+                    seconds = sum(result[0] for result in results) / SEEDS
+                    layers = sum(result[1] for result in results) / SEEDS
                     cells.append(f"{seconds:.1f} s, {layers:.0f}")
                 print(lost, restart, keeps, "|", " | ".join(cells), flush=True)
-    rearrangement_delay.RESTART_GRACE_SECONDS = decided
+    rearrangement_delay.RESTART_GRACE_SECONDS = configured
 
 
 if __name__ == "__main__":
--- a/bench/report.py
+++ b/bench/report.py
@@ -55,7 +55,7 @@
 def compute_metrics(run: RunRecord) -> dict[str, typing.Any]:
     """Return the metrics of one run, as they are printed."""
     model = models.StandinModel(
-        f"{fleets.MODEL}/{fleets.VERSION}", fleets.LAYERS
+        f"{fleets.MODEL}/{fleets.VERSION}", fleets.LAYER_COUNT
     )
     expected = {
         id(answer): [
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -70,7 +70,7 @@
     for name in names:
         fleet.signal(name, signal.SIGKILL)
     for name in names:
-        fleet.unlist(name)
+        fleet.deregister(name)
 
 
 async def kill_stage(
