--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Measures the system: real daemons before small stand-ins."""
+"""Benchmarks: daemons with stand-ins, and simulations of parts."""
--- a/bench/logs.py
+++ b/bench/logs.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Measures what logging costs a request, with the pipe empty and full.
+"""Measures the processor time of logging for each request.
 
-``python -m bench.logs`` writes the lines of a stream that went well, as an
-entry does, into a pipe that is read, into one that nobody reads, and
-nowhere (with more lines a second than are let through).
+``python -m bench.logs`` logs the lines that an entry writes for a successful
+stream: to a function that discards them, to a pipe that is read, to a full
+pipe, and at a rate above the limit of lines a second.
 """
 
 import os
@@ -28,7 +28,7 @@
 
 
 def log_request(number: int) -> None:
-    """Log what a stream that goes well has an entry decide."""
+    """Log the decisions of an entry for a successful stream."""
     request = f"{number:016x}"
     logs.decision(
         "path_chosen",
@@ -52,60 +52,68 @@
 
 
 def measure(write: typing.Callable[[bytes], int], clock: Clock) -> float:
-    """Return the microseconds of processor time that a request costs."""
+    """Return the processor time for each request, in microseconds.
+
+    :param clock: time in seconds, by which the rate of lines is limited.
+    """
     writer = logs.BoundedWriter(write, clock)
     eliot.add_destinations(writer)
     try:
-        began = time.process_time()
+        started = time.process_time()
         for number in range(REQUESTS):
             log_request(number)
-        took = time.process_time() - began
+        cpu_seconds = time.process_time() - started
     finally:
         eliot.remove_destination(writer)
-    return took / REQUESTS * 1e6
+    return cpu_seconds / REQUESTS * 1e6
 
 
-def every_line() -> Clock:
-    """Return a clock by which no second has many lines."""
+def make_unlimited_clock() -> Clock:
+    """Return a clock that advances so fast that no line exceeds the limit."""
     seconds = iter(range(10**9))
     return lambda: float(next(seconds))
 
 
-def to_pipe(is_read: bool) -> float:
+def measure_pipe(is_read: bool) -> float:
     """Measure with a pipe that is read all the time, or never."""
-    out, into = os.pipe()
-    os.set_blocking(into, False)
+    read_end, write_end = os.pipe()
+    os.set_blocking(write_end, False)
 
     def drain() -> None:
-        while os.read(out, 1 << 16):
+        while os.read(read_end, 1 << 16):
             pass
 
     reader = threading.Thread(target=drain)
     if is_read:
         reader.start()
     try:
-        return measure(lambda line: os.write(into, line), every_line())
+        return measure(
+            lambda line: os.write(write_end, line), make_unlimited_clock()
+        )
     finally:
-        os.close(into)
+        os.close(write_end)
         if is_read:
             reader.join()
-        os.close(out)
+        os.close(read_end)
 
 
 def main() -> None:
-    """Print the figures."""
+    """Print the measurements."""
     sizes: list[int] = []
 
-    def count(line: bytes) -> int:
+    def record_size(line: bytes) -> int:
         sizes.append(len(line))
         return len(line)
 
-    print(f"nowhere: {measure(count, every_line()):.1f} us a request")
+    print(
+        f"nowhere: {measure(record_size, make_unlimited_clock()):.1f} "
+        "us a request"
+    )
     print(f"size: {sum(sizes) / REQUESTS:.0f} bytes a request")
-    print(f"pipe that is read: {to_pipe(True):.1f} us a request")
-    print(f"full pipe: {to_pipe(False):.1f} us a request")
-    bounded = measure(count, time.monotonic)
-    print(f"over the bound of lines a second: {bounded:.1f} us a request")
+    print(f"pipe that is read: {measure_pipe(True):.1f} us a request")
+    print(f"full pipe: {measure_pipe(False):.1f} us a request")
+    limited = measure(record_size, time.monotonic)
+    print(f"over the bound of lines a second: {limited:.1f} us a request")
 
 
 if __name__ == "__main__":
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Measures how evenly keys spread: a ring of points, and rendezvous.
+"""Measures how evenly consistent and rendezvous hashing distribute keys.
 
-``python -m bench.spread`` prints, for our sizes, the coefficient of
-variation of members' shares: a ring's by its formula, a ring's measured,
-rendezvous hashing's measured, and the part that is due to chance alone.
+``python -m bench.spread`` prints the coefficient of variation of the number
+of keys of each member: expected by chance, on a hash ring by formula and as
+measured, and measured with rendezvous hashing.
 """
 
 import bisect
@@ -19,14 +19,17 @@
 
 from crowdeck.routing import rendezvous
 
-SIZES = (3, 40, 860)
-POINTS = (16, 160, 1600)
+MEMBER_COUNTS = (3, 40, 860)
+POINTS_PER_MEMBER = (16, 160, 1600)
 KEYS_PER_MEMBER = 500
-KEY_LIMIT = 40_000
+MAX_KEYS = 40_000
 
 
-def ring_formula(members: int, points: int) -> float:
-    """Return the spread that the related article derives."""
+def expected_ring_variation(members: int, points: int) -> float:
+    """Return the expected coefficient of variation on a hash ring.
+
+    :param points: points of each member on the ring.
+    """
     return math.sqrt((members - 1) / (members * points + 1))
 
 
@@ -35,23 +38,25 @@
     return statistics.pstdev(counts) / statistics.mean(counts)
 
 
-def ring_measured(members: int, points: int, keys: list[str]) -> float:
-    """Return the spread of keys over a ring of points."""
+def measure_ring(members: int, points: int, keys: list[str]) -> float:
+    """Return the coefficient of variation of keys on a hash ring."""
     ring = sorted(
         (xxhash.xxh3_64_intdigest(f"{member}#{point}".encode()), member)
         for member in range(members)
         for point in range(points)
     )
-    places = [place for place, _ in ring]
+    positions = [position for position, _ in ring]
     counts = [0] * members
     for key in keys:
-        at = bisect.bisect(places, xxhash.xxh3_64_intdigest(key.encode()))
-        counts[ring[at % len(ring)][1]] += 1
+        index = bisect.bisect(
+            positions, xxhash.xxh3_64_intdigest(key.encode())
+        )
+        counts[ring[index % len(ring)][1]] += 1
     return variation(counts)
 
 
-def rendezvous_measured(members: int, keys: list[str]) -> tuple[float, float]:
-    """Return the spread by rendezvous, and microseconds per choice."""
+def measure_rendezvous(members: int, keys: list[str]) -> tuple[float, float]:
+    """Return the coefficient of variation, and microseconds per choice."""
     names = [f"member-{member}" for member in range(members)]
     counts = dict.fromkeys(names, 0)
     started = time.perf_counter()
@@ -62,23 +67,23 @@
 
 
 def main() -> None:
-    """Print one line per size."""
-    for members in SIZES:
-        count = min(KEYS_PER_MEMBER * members, KEY_LIMIT)
+    """Print the results for each number of members."""
+    for members in MEMBER_COUNTS:
+        count = min(KEYS_PER_MEMBER * members, MAX_KEYS)
         keys = [f"team/desk-{number}" for number in range(count)]
         chance = math.sqrt((members - 1) / count)
         print(f"{members} members, {count} keys; by chance {chance:.1%}")
-        for points in POINTS:
-            formula = ring_formula(members, points)
-            measured = ring_measured(members, points, keys)
+        for points in POINTS_PER_MEMBER:
+            expected = expected_ring_variation(members, points)
+            measured = measure_ring(members, points, keys)
             print(
-                f"  ring, {points} points: formula {formula:.1%}, "
+                f"  ring, {points} points: formula {expected:.1%}, "
                 f"measured {measured:.1%}"
             )
-        spread, cost = rendezvous_measured(members, keys[:8000])
+        by_rendezvous, microseconds = measure_rendezvous(members, keys[:8000])
         print(
-            f"  rendezvous: measured {spread:.1%} over {len(keys[:8000])} "
-            f"keys, {cost:.0f} us a choice"
+            f"  rendezvous: measured {by_rendezvous:.1%} over "
+            f"{len(keys[:8000])} keys, {microseconds:.0f} us a choice"
         )
 
 
