--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -35,9 +35,10 @@
 
 
 def make_shape(policy: str, engines: int, scenario: str) -> fleets.Shape:
-    """Return the shape of a system with the given number of engines.
+    """Return the shape of a system of 3 stages and 3 entries.
 
     :param policy: routing policy of the entries.
+    :param engines: number of engines, rounded down to a multiple of 12.
     """
     slowness = {"a": 1.0, "b": 1.5, "c": 2.0}
     if scenarios.find(scenario).has_mixed_speeds:
--- a/bench/load.py
+++ b/bench/load.py
@@ -131,7 +131,7 @@
             tasks.start_soon(self._make_call, call, team)
 
     def _make_prompt(self, team: int) -> str:
-        """Return a prompt of a prefix that others may share and a new end."""
+        """Return a prompt whose prefix other prompts of the team may have."""
         conversation = self._random.randrange(20)
         prefix_words = min(200, int(self._random.paretovariate(1.3) * 8))
         words = [f"t{team}c{conversation}w{n}" for n in range(prefix_words)]
