--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -3,7 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Orders engines to hold the planned layers, from one entry at a time."""
+"""Orders engines to hold the planned layers.
+
+Only the entry that holds the lease sends orders.
+"""
 
 import enum
 import typing
@@ -44,13 +47,14 @@
 # earliest. The order may still arrive much later.
 RECHECK_SECONDS = 0.6
 # An unanswered order is in doubt for this long, or until the engine has
-# accepted a newer one. Until then no other engine gives up a layer that this
-# one holds.
+# accepted a newer one. Until then the engine may still accept it and give up
+# layers, so other engines keep the layers that this engine holds.
 LATE_ORDER_SECONDS = 12.5
 # More orders at once could time out because this process is too busy to handle
 # their answers.
 MAX_CONCURRENT_ORDERS = 32
-# Pause between two parts of a plan, enough for a call of the store.
+# Pause between two batches of a plan or two parts of a search. Lets other
+# tasks run, such as the one that renews the lease.
 YIELD_SECONDS = 0.005
 
 
@@ -72,16 +76,19 @@
 
 
 class _Outcome(enum.Enum):
-    """Result of an attempt to send an order."""
+    """Result of an attempt to send an order.
+
+    ``SENT`` means that the engine refused the order or did not answer.
+    """
 
     NOT_SENT = "not sent"
     SENT = "sent"
-    TAKEN = "taken"
+    ACCEPTED = "accepted"
 
 
 @attrs.define(eq=False)
-class _Pending:
-    """An engine with an outstanding order.
+class _PendingOrder:
+    """An outstanding order of one engine.
 
     :ivar expected: the engine with the layers that it will hold.
     :ivar until: event loop time at which it may be ordered again.
@@ -95,21 +102,25 @@
 class _InDoubtOrder:
     """An order that an engine may still accept.
 
-    :ivar expected: the count of accepted orders that the order requires.
+    :ivar expected_orders: the engine accepts the order only while it has
+        accepted exactly this many orders.
     :ivar until: event loop time after which it cannot arrive any more.
     """
 
-    expected: int
+    expected_orders: int
     until: float
 
 
 @attrs.define
-class _Arrivals:
-    """When the engines of a service were first listed and last added to."""
+class _ListingTimes:
+    """When engines of a service were listed, in event loop time.
+
+    :ivar names: the engines that were listed when the last one was added.
+    """
 
     names: frozenset[str]
-    first_at: float
-    last_at: float
+    first_listed_at: float
+    last_added_at: float
 
 
 class PlacementController:
@@ -126,13 +137,13 @@
         self._registry = registry
         self._orders = orders
         self._services = services
-        self._pending: dict[str, _Pending] = {}
+        self._pending_orders: dict[str, _PendingOrder] = {}
         self._in_doubt: dict[str, _InDoubtOrder] = {}
         self._adopted_term = 0
         self._failure_detector = failure_detector.FailureDetector(
             registry, orders, services
         )
-        self._arrivals: dict[str, _Arrivals] = {}
+        self._listing_times: dict[str, _ListingTimes] = {}
         self._empty_since: dict[str, dict[str, float]] = {}
         self._delays: dict[str, rearrangement_delay.RearrangementDelay] = {}
         self._changed = anyio.Event()
@@ -153,14 +164,17 @@
     def _seconds_to_next(self) -> float:
         """Return the seconds until the next reconciliation."""
         now = anyio.current_time()
-        due = (one.due - now for one in self._delays.values())
+        due = (delay.due - now for delay in self._delays.values())
         return min(
-            [RECONCILE_INTERVAL_SECONDS, *(left for left in due if left > 0.0)]
+            [
+                RECONCILE_INTERVAL_SECONDS,
+                *(seconds for seconds in due if seconds > 0.0),
+            ]
         )
 
     async def _reconcile(self) -> None:
         self._adopt_in_doubt()
-        self._forget_pending()
+        self._drop_finished_orders()
         await self._failure_detector.check()
         for service in self._services():
             if service.profile is None:
@@ -184,7 +198,7 @@
         Other tasks run between batches. In particular the lease has to be
         renewed while a large fleet is planned.
         """
-        guaranteed = [self._guaranteed(one) for one in engines]
+        guaranteed = [self._guaranteed(engine) for engine in engines]
         batches = plan.iter_moves(engines, profile, self._is_idle, guaranteed)
         gaps = plan.CoverageGaps(engines, profile)
         limiter = anyio.CapacityLimiter(MAX_CONCURRENT_ORDERS)
@@ -194,7 +208,7 @@
                     service, engines, batch, gaps
                 )
                 for move in moves:
-                    self._expect(move, RECHECK_SECONDS)
+                    self._note_pending(move, RECHECK_SECONDS)
                     tasks.start_soon(self._order_limited, move, limiter)
                 # Planning a batch took time even if all its moves are delayed.
                 await anyio.sleep(YIELD_SECONDS if batch else 0.0)
@@ -206,7 +220,7 @@
     ) -> None:
         """Rearrange engines if the plan leaves layers unheld.
 
-        Its orders have been sent before and count as carried out here.
+        The orders of the plan have been sent and count as carried out here.
         """
         engines = chain.engines_within(
             self._live_engines(service), profile.layer_count
@@ -219,21 +233,21 @@
         if not missing or len(missing) == profile.layer_count:
             delay.reset()
             return
-        is_announced = self._are_leaving(service.name, missing)
+        is_announced = self._are_held_by_leaving(service.name, missing)
         if (
             not delay.is_expired(now, is_announced, missing)
             or not self._lease.is_held
         ):
             return
-        guaranteed = [self._guaranteed(one) for one in engines]
-        parts = rearrangement.find_steps(
+        guaranteed = [self._guaranteed(engine) for engine in engines]
+        computation = rearrangement.find_steps(
             engines,
             profile,
             self._can_be_ordered,
             guaranteed,
             not is_announced,
         )
-        steps = await _run_in_parts(parts)
+        steps = await _run_cooperatively(computation)
         if steps and await self._order_rearrangement(steps):
             delay.note_rearrangement(anyio.current_time())
             logs.change(
@@ -245,25 +259,27 @@
                 is_told=is_announced,
             )
 
-    def _are_leaving(self, service: str, missing: list[int]) -> bool:
+    def _are_held_by_leaving(self, service: str, missing: list[int]) -> bool:
         """Whether leaving engines hold all of the missing layers."""
-        left = set(missing)
-        for one in self._registry.listed(service):
-            if one.is_leaving and one.layers is not None:
-                left -= set(range(one.layers.first, one.layers.end))
-        return not left
+        unannounced = set(missing)
+        for engine in self._registry.listed(service):
+            if engine.is_leaving and engine.layers is not None:
+                unannounced -= set(
+                    range(engine.layers.first, engine.layers.end)
+                )
+        return not unannounced
 
-    def _can_be_ordered(self, upstream: chain.Upstream) -> bool:
-        backoff_seconds = self._registry.backoff_seconds_left(upstream.name)
-        return self._is_idle(upstream) and not backoff_seconds
+    def _can_be_ordered(self, engine: chain.Upstream) -> bool:
+        backoff_seconds = self._registry.backoff_seconds_left(engine.name)
+        return self._is_idle(engine) and not backoff_seconds
 
     async def _order_rearrangement(
         self, steps: list[rearrangement.Step]
     ) -> bool:
         """Send the orders of a rearrangement and return whether any was sent.
 
-        Each order waits until the engines of its step's ``after`` accepted
-        theirs.
+        Each order waits until the engines in its step's ``after`` have
+        accepted theirs.
         """
         limiter = anyio.CapacityLimiter(MAX_CONCURRENT_ORDERS)
         done_events = {
@@ -283,7 +299,7 @@
                 outcome = await self._order_limited(step.move, limiter)
                 if outcome is not _Outcome.NOT_SENT:
                     sent.add(name)
-                if outcome is _Outcome.TAKEN:
+                if outcome is _Outcome.ACCEPTED:
                     accepted.add(name)
             finally:
                 done_events[name].set()
@@ -299,20 +315,22 @@
         """Whether the engines of a service can be planned.
 
         This holds once an engine has layers, or once no engine was added for
-        a while.
+        a while. Records which engines are listed now.
         """
         now = anyio.current_time()
-        listed = frozenset(one.name for one in engines)
-        seen = self._arrivals.get(service)
-        if seen is None:
-            seen = self._arrivals[service] = _Arrivals(listed, now, now)
-        elif not listed <= seen.names:
-            seen.names, seen.last_at = listed, now
-        if any(one.layers is not None for one in engines):
+        listed = frozenset(engine.name for engine in engines)
+        times = self._listing_times.get(service)
+        if times is None:
+            times = self._listing_times[service] = _ListingTimes(
+                listed, now, now
+            )
+        elif not listed <= times.names:
+            times.names, times.last_added_at = listed, now
+        if any(engine.layers is not None for engine in engines):
             return True
         return (
-            now - seen.last_at >= LIST_QUIET_SECONDS
-            or now - seen.first_at >= LIST_MAX_SECONDS
+            now - times.last_added_at >= LIST_QUIET_SECONDS
+            or now - times.first_listed_at >= LIST_MAX_SECONDS
         )
 
     def _delay_empty_engines(
@@ -322,37 +340,45 @@
         moves: list[plan.Move],
         gaps: plan.CoverageGaps,
     ) -> list[plan.Move]:
-        """Leave out moves of empty engines that should wait.
+        """Return the moves without those of empty engines that should wait.
 
-        Engines that fill a gap do not wait, nor do any if all are empty.
+        Engines that fill a gap do not wait, nor does any while all are empty.
         """
         now = anyio.current_time()
-        empty = {one.name for one in engines if one.layers is None}
-        known = self._empty_since.get(service.name, {})
-        since = {name: known.get(name, now) for name in empty}
-        self._empty_since[service.name] = since
+        empty = {engine.name for engine in engines if engine.layers is None}
+        known_empty_since = self._empty_since.get(service.name, {})
+        empty_since = {
+            name: known_empty_since.get(name, now) for name in empty
+        }
+        self._empty_since[service.name] = empty_since
         if len(empty) == len(engines):
             return moves
         return [
             move
             for move in moves
             if move.upstream.layers is not None
-            or now - since[move.upstream.name] >= EMPTY_ENGINE_DELAY_SECONDS
+            or now - empty_since[move.upstream.name]
+            >= EMPTY_ENGINE_DELAY_SECONDS
             or gaps.is_filled_by(move)
         ]
 
     def _live_engines(self, service: routes.Service) -> list[chain.Upstream]:
         """Return the live engines with the layers that they will hold."""
-        found = []
-        for one in self._registry.listed(service.name):
-            if one.is_leaving or self._failure_detector.is_lost(one.name):
+        live = []
+        for engine in self._registry.listed(service.name):
+            if engine.is_leaving or self._failure_detector.is_lost(
+                engine.name
+            ):
                 continue
-            pending = self._pending.get(one.name)
-            found.append(pending.expected if pending else one)
-        return found
+            order = self._pending_orders.get(engine.name)
+            live.append(order.expected if order else engine)
+        return live
 
     def _guaranteed(self, expected: chain.Upstream) -> chain.Upstream:
-        """Return an engine with the layers that it is guaranteed to keep."""
+        """Return an engine with the layers that it is guaranteed to keep.
+
+        :param expected: the engine with the layers that it will hold.
+        """
         name = expected.name
         if name in self._in_doubt:
             return attrs.evolve(expected, layers=None)
@@ -363,37 +389,43 @@
         )
 
     def _adopt_in_doubt(self) -> None:
-        """Take over the previous holder's orders in doubt, once per term."""
+        """Take over the orders in doubt of the lease's previous holder.
+
+        Does so once per term of the lease.
+        """
         if self._lease.term == self._adopted_term:
             return
         self._adopted_term = self._lease.term
         until = anyio.current_time() + LATE_ORDER_SECONDS
-        for note in self._lease.memo:
-            name, _, count = note.rpartition("@")
+        for memo_item in self._lease.memo:
+            name, _, count = memo_item.rpartition("@")
             if name and name not in self._in_doubt:
                 self._in_doubt[name] = _InDoubtOrder(int(count), until)
 
     def _store_in_doubt(self) -> None:
         self._lease.set_memo(
             tuple(
-                f"{name}@{order.expected}"
+                f"{name}@{order.expected_orders}"
                 for name, order in sorted(self._in_doubt.items())
             )
         )
 
-    def _is_idle(self, upstream: chain.Upstream) -> bool:
-        return upstream.name not in self._pending
+    def _is_idle(self, engine: chain.Upstream) -> bool:
+        return engine.name not in self._pending_orders
 
-    def _forget_pending(self) -> None:
+    def _drop_finished_orders(self) -> None:
+        """Drop orders that were carried out or whose time has passed."""
         now = anyio.current_time()
-        for name, pending in list(self._pending.items()):
+        for name, order in list(self._pending_orders.items()):
             listed = self._registry.find(name)
-            is_done = (
-                listed is None or listed.layers == pending.expected.layers
-            )
-            if is_done or pending.until <= now:
-                del self._pending[name]
-        expired = [n for n, one in self._in_doubt.items() if one.until <= now]
+            is_done = listed is None or listed.layers == order.expected.layers
+            if is_done or order.until <= now:
+                del self._pending_orders[name]
+        expired = [
+            engine_name
+            for engine_name, in_doubt_order in self._in_doubt.items()
+            if in_doubt_order.until <= now
+        ]
         for name in expired:
             del self._in_doubt[name]
         if expired:
@@ -410,33 +442,33 @@
     async def _order(self, move: plan.Move) -> "_Outcome":
         name = move.upstream.name
         if self._registry.backoff_seconds_left(name):
-            # Planned again by the next reconciliation.
+            # The next reconciliation plans again.
             return _Outcome.NOT_SENT
-        self._expect(move, RECHECK_SECONDS)
+        self._note_pending(move, RECHECK_SECONDS)
         try:
             report = await self._orders.report(move.upstream)
         except errors.CrowdeckError as error:
             self._registry.avoid(name, f"no report: {error.message}")
             return _Outcome.NOT_SENT
         if report.is_busy or report.layers != move.upstream.layers:
-            # It is carrying out another order, or its listing is outdated.
-            # Plan again from its report.
-            self._expect_reported(move.upstream, report)
+            # The engine is carrying out another order, or its record is
+            # outdated. The next reconciliation plans from its report.
+            self._note_reported(move.upstream, report)
             return _Outcome.NOT_SENT
         if not self._lease.is_held:
             return _Outcome.NOT_SENT
         self._resolve_in_doubt(name, report.orders_taken)
-        is_taken = False
+        is_accepted = False
         try:
-            is_taken = await self._orders.place(
+            is_accepted = await self._orders.place(
                 move, report.orders_taken, self._lease.term
             )
         except errors.CrowdeckError as error:
             self._mark_in_doubt(name, report.orders_taken, error.message)
-        if is_taken:
+        if is_accepted:
             self._resolve_in_doubt(name, report.orders_taken + 1)
-        self._expect(
-            move, ORDER_SETTLE_SECONDS if is_taken else RECHECK_SECONDS
+        self._note_pending(
+            move, ORDER_SETTLE_SECONDS if is_accepted else RECHECK_SECONDS
         )
         counters.COUNTERS.add("placement.ordered")
         logs.change(
@@ -447,18 +479,20 @@
             orders_taken=report.orders_taken,
             term=self._lease.term,
             is_urgent=move.is_urgent,
-            is_taken=is_taken,
+            is_taken=is_accepted,
         )
-        return _Outcome.TAKEN if is_taken else _Outcome.SENT
+        return _Outcome.ACCEPTED if is_accepted else _Outcome.SENT
 
-    def _mark_in_doubt(self, name: str, expected: int, reason: str) -> None:
+    def _mark_in_doubt(
+        self, name: str, expected_orders: int, reason: str
+    ) -> None:
         until = anyio.current_time() + LATE_ORDER_SECONDS
-        self._in_doubt[name] = _InDoubtOrder(expected, until)
+        self._in_doubt[name] = _InDoubtOrder(expected_orders, until)
         self._store_in_doubt()
         logs.change(
             "order_in_doubt",
             upstream=name,
-            orders_taken=expected,
+            orders_taken=expected_orders,
             term=self._lease.term,
             reason=reason,
         )
@@ -466,42 +500,43 @@
     def _resolve_in_doubt(self, name: str, orders_taken: int) -> None:
         """Forget an order in doubt once the engine accepted a newer one."""
         order = self._in_doubt.get(name)
-        if order is not None and orders_taken > order.expected:
+        if order is not None and orders_taken > order.expected_orders:
             del self._in_doubt[name]
             self._store_in_doubt()
 
-    def _expect(self, move: plan.Move, seconds: float) -> None:
-        self._pending[move.upstream.name] = _Pending(
+    def _note_pending(self, move: plan.Move, seconds: float) -> None:
+        """Count an order as outstanding for so many seconds."""
+        self._pending_orders[move.upstream.name] = _PendingOrder(
             attrs.evolve(move.upstream, layers=move.layers),
             anyio.current_time() + seconds,
         )
 
-    def _expect_reported(
+    def _note_reported(
         self, upstream: chain.Upstream, report: chain.EngineReport
     ) -> None:
-        self._pending[upstream.name] = _Pending(
+        self._pending_orders[upstream.name] = _PendingOrder(
             attrs.evolve(upstream, layers=report.layers or upstream.layers),
             anyio.current_time() + RECHECK_SECONDS,
         )
 
 
-async def _run_in_parts(
-    parts: relayout.Parts[list[rearrangement.Step]],
+async def _run_cooperatively(
+    computation: relayout.Parts[list[rearrangement.Step]],
 ) -> list[rearrangement.Step]:
-    """Run a computation and let other tasks run between its parts."""
+    """Run a computation, and let other tasks run whenever it yields."""
     while True:
         try:
-            next(parts)
+            next(computation)
         except StopIteration as done:
             return typing.cast(list[rearrangement.Step], done.value)
         await anyio.sleep(YIELD_SECONDS)
 
 
 def _intersection(
-    one: pipeline.LayerRange | None, other: pipeline.LayerRange | None
+    left: pipeline.LayerRange | None, right: pipeline.LayerRange | None
 ) -> pipeline.LayerRange | None:
     """Return the layers that are in both ranges."""
-    if one is None or other is None:
+    if left is None or right is None:
         return None
-    first, end = max(one.first, other.first), min(one.end, other.end)
+    first, end = max(left.first, right.first), min(left.end, right.end)
     return pipeline.LayerRange(first, end) if first < end else None
