--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -53,7 +53,7 @@
 # More orders at once could time out because this process is too busy to handle
 # their answers.
 MAX_CONCURRENT_ORDERS = 32
-# Pause between two batches of a plan or two parts of a search. Lets other
+# Pause between two batches of a plan or while a search yields. Lets other
 # tasks run, such as the one that renews the lease.
 YIELD_SECONDS = 0.005
 
@@ -235,7 +235,7 @@
             return
         is_announced = self._are_held_by_leaving(service.name, missing)
         if (
-            not delay.is_expired(now, is_announced, missing)
+            not delay.note_missing(now, is_announced, missing)
             or not self._lease.is_held
         ):
             return
@@ -521,7 +521,7 @@
 
 
 async def _run_cooperatively(
-    computation: relayout.Parts[list[rearrangement.Step]],
+    computation: relayout.Cooperative[list[rearrangement.Step]],
 ) -> list[rearrangement.Step]:
     """Run a computation, and let other tasks run whenever it yields."""
     while True:
--- a/src/crowdeck/placement/rearrangement.py
+++ b/src/crowdeck/placement/rearrangement.py
@@ -5,10 +5,10 @@
 
 """Restores coverage when no redundant engine can take an unheld layer.
 
-No request is served while a layer is unheld. So engines may be ordered here to
-give up layers that only they hold, but only after others have accepted orders
-to hold those. If the controller stops midway, every layer that was held before
-is still held or ordered.
+No request is served while a layer is unheld. So here engines may be ordered to
+give up layers that only they hold, once others have accepted orders to hold
+those layers. If the controller stops midway, every layer that was held before
+is still held, or an engine has accepted an order to hold it.
 """
 
 import typing
@@ -21,9 +21,9 @@
 from crowdeck.placement import plan
 from crowdeck.placement import relayout
 
-# Token capacity to keep on each engine, as shares of the need. The first one
-# that needs little more loading is used. Without this a restored model could
-# turn most requests away for lack of memory.
+# Token capacity to keep on each engine, as shares of the needed tokens. The
+# first share that needs little more loading is used. Without this a restored
+# model could refuse most requests for lack of memory.
 CAPACITY_SHARES = (1.0, 0.75, 0.5, 0.35, 0.2)
 
 
@@ -42,8 +42,8 @@
     engines: typing.Iterable[chain.Upstream], profile: chain.EngineProfile
 ) -> list[int]:
     """Return the layers that no engine holds."""
-    counts = chain.coverage(engines, profile.layer_count)
-    return [layer for layer, count in enumerate(counts) if not count]
+    holder_counts = chain.coverage(engines, profile.layer_count)
+    return [layer for layer, count in enumerate(holder_counts) if not count]
 
 
 def find_steps(
@@ -52,11 +52,11 @@
     can_be_ordered: typing.Callable[[chain.Upstream], bool],
     guaranteed: typing.Sequence[chain.Upstream],
     interrupts_streams: bool,
-) -> relayout.Parts[list[Step]]:
+) -> relayout.Cooperative[list[Step]]:
     """Find the steps after which the engines hold the whole model.
 
     There are none if the engines cannot hold it. Steps that depend on an order
-    in doubt are left out.
+    in doubt, which an engine may still accept, are left out.
 
     :param engines: engines that are alive and not leaving, with the layers
         that they hold or were ordered to hold.
@@ -66,20 +66,22 @@
     :param interrupts_streams: whether to interrupt the streams that use layers
         which are given up.
     """
-    members = [_member(one, profile, can_be_ordered(one)) for one in engines]
-    layout = yield from relayout.cover_in_parts(
+    members = [
+        _member(engine, profile, can_be_ordered(engine)) for engine in engines
+    ]
+    layout = yield from relayout.cover_cooperatively(
         members, profile.layer_count, _layer_limits(engines, profile)
     )
     moves = [
         plan.Move(
-            one,
-            layout[one.name],
-            interrupts_streams and _gives_up(one, layout),
+            engine,
+            layout[engine.name],
+            interrupts_streams and _gives_up(engine, layout),
         )
-        for one in engines
-        if one.name in layout
+        for engine in engines
+        if engine.name in layout
     ]
-    guaranteed_layers = {one.name: one.layers for one in guaranteed}
+    guaranteed_layers = {engine.name: engine.layers for engine in guaranteed}
     return _sort_steps(moves, _Handover(engines, layout, guaranteed_layers))
 
 
@@ -96,18 +98,20 @@
 def _layer_limits(
     engines: typing.Sequence[chain.Upstream], profile: chain.EngineProfile
 ) -> list[dict[str, int]]:
-    """Return layer limits by engine name, most free memory first."""
-    need = capacity.needed_tokens(profile)
-    found = []
+    """Return sets of layer limits by engine name, most free memory first."""
+    needed_tokens = capacity.needed_tokens(profile)
+    limit_sets = []
     for share in CAPACITY_SHARES:
-        token_capacity = share * need
+        token_capacity = share * needed_tokens
         limits = {
-            one.name: plan.fitting_layer_count(one, profile, token_capacity)
-            for one in engines
+            engine.name: plan.fitting_layer_count(
+                engine, profile, token_capacity
+            )
+            for engine in engines
         }
         if sum(limits.values()) >= profile.layer_count:
-            found.append(limits)
-    return found
+            limit_sets.append(limits)
+    return limit_sets
 
 
 def _gives_up(engine: chain.Upstream, layout: relayout.Layout) -> bool:
@@ -133,26 +137,26 @@
         layout: relayout.Layout,
         guaranteed_layers: typing.Mapping[str, pipeline.LayerRange | None],
     ) -> None:
-        # Layers that an engine is guaranteed to keep, and the names of the
-        # engines that take each of the others.
+        # Layers that some engine is guaranteed to keep.
         self._kept_layers: set[int] = set()
+        # Names of the engines that are to load each of the other layers.
         self._takers_by_layer: dict[int, list[str]] = {}
-        for one in engines:
-            after = layout.get(one.name)
-            kept = _layer_set(guaranteed_layers.get(one.name))
-            if after is not None:
-                kept &= _layer_set(after)
-                for layer in _layer_set(after) - kept:
+        for engine in engines:
+            planned = layout.get(engine.name)
+            kept = _layer_set(guaranteed_layers.get(engine.name))
+            if planned is not None:
+                kept &= _layer_set(planned)
+                for layer in _layer_set(planned) - kept:
                     self._takers_by_layer.setdefault(layer, []).append(
-                        one.name
+                        engine.name
                     )
             self._kept_layers |= kept
 
     def required_takers(self, move: plan.Move) -> frozenset[str] | None:
-        """Return the engines that must accept orders before ``move``.
+        """Return the names of engines that must accept orders before ``move``.
 
-        Returns ``None`` if no other engine is guaranteed to keep a layer that
-        is given up, and none takes it.
+        Returns ``None`` if the move gives up a layer that no other engine is
+        guaranteed to keep or takes.
         """
         names = set()
         for layer in _given_up(move.upstream.layers, move.layers):
@@ -166,29 +170,31 @@
 
 
 def _sort_steps(moves: list[plan.Move], handover: _Handover) -> list[Step]:
-    """Return the possible steps, takers of a layer before its givers.
+    """Return the possible steps, sorted so that each follows its ``after``.
 
     Steps that wait for one another, as in an exchange of layers, come last and
     do not wait for each other. The model is not served in the meantime anyway.
     """
-    left = [
+    remaining = [
         Step(move, required_takers)
         for move in moves
         if (required_takers := handover.required_takers(move)) is not None
     ]
-    found: list[Step] = []
+    sorted_steps: list[Step] = []
     scheduled: set[str] = set()
-    names = {step.move.upstream.name for step in left}
-    # A step that waits for one that was left out is left out too.
-    while any(not step.after <= names for step in left):
-        left = [step for step in left if step.after <= names]
-        names = {step.move.upstream.name for step in left}
-    while left:
-        ready = [step for step in left if step.after <= scheduled]
+    names = {step.move.upstream.name for step in remaining}
+    # A step that waits for a left-out step is left out too.
+    while any(not step.after <= names for step in remaining):
+        remaining = [step for step in remaining if step.after <= names]
+        names = {step.move.upstream.name for step in remaining}
+    while remaining:
+        ready = [step for step in remaining if step.after <= scheduled]
         if not ready:
-            found += [Step(step.move, step.after & scheduled) for step in left]
+            sorted_steps += [
+                Step(step.move, step.after & scheduled) for step in remaining
+            ]
             break
-        found += ready
+        sorted_steps += ready
         scheduled |= {step.move.upstream.name for step in ready}
-        left = [step for step in left if step not in ready]
-    return found
+        remaining = [step for step in remaining if step not in ready]
+    return sorted_steps
--- a/src/crowdeck/placement/rearrangement_delay.py
+++ b/src/crowdeck/placement/rearrangement_delay.py
@@ -13,11 +13,12 @@
 # no other engine has to change. Covers a restart and one heartbeat.
 RESTART_GRACE_SECONDS = 2.3
 # Engines that stop and restart repeatedly would cause a rearrangement each
-# time. After this many rearrangements in the window each delay is twice the
-# one before, up to the maximum. That bounds the rearrangements of an hour.
+# time. After this many rearrangements within the window each delay is twice
+# the previous one, up to the maximum.
 REARRANGEMENTS_BEFORE_BACKOFF = 10
 MAX_DELAY_SECONDS = 300.0
 WINDOW_SECONDS = 3600.0
+# Upper bound that follows from the values above.
 MAX_REARRANGEMENTS_PER_HOUR = 30
 
 
@@ -25,41 +26,44 @@
 class RearrangementDelay:
     """Decides when the engines of one service may be rearranged.
 
-    :ivar due: event loop time at which the delay ends, or minus infinity
-        while no layer is missing.
+    All times are event loop times.
+
+    :ivar due: when the delay ends, or minus infinity while no layer is
+        missing.
     """
 
     due: float = float("-inf")
-    _since: float = 0.0
+    _missing_since: float = 0.0
     _missing: frozenset[int] = frozenset()
     _ordered_at: list[float] = attrs.field(factory=list)
 
-    def is_expired(
+    def note_missing(
         self, now: float, is_announced: bool, missing: typing.Iterable[int]
     ) -> bool:
-        """Whether the delay for the layers that are missing now is over.
+        """Note the missing layers, and return whether their delay is over.
 
+        :param is_announced: whether the holders of the missing layers
+            announced that they leave. No restart is waited for then.
         :param missing: the layers that no engine holds. The delay starts again
             when another layer goes missing.
-        :param is_announced: whether their holders announced that they leave.
-            There is no restart to wait for then.
         """
-        found = frozenset(missing)
-        if not found <= self._missing:
-            self._since = now
-        self._missing = found
+        now_missing = frozenset(missing)
+        if not now_missing <= self._missing:
+            self._missing_since = now
+        self._missing = now_missing
         self._ordered_at = [
             at for at in self._ordered_at if now - at < WINDOW_SECONDS
         ]
-        wait = 0.0 if is_announced else RESTART_GRACE_SECONDS
-        began = self._since
-        beyond = len(self._ordered_at) - REARRANGEMENTS_BEFORE_BACKOFF
-        if beyond >= 0:
-            wait = min(
-                MAX_DELAY_SECONDS, RESTART_GRACE_SECONDS * 2.0 ** (beyond + 1)
+        wait_seconds = 0.0 if is_announced else RESTART_GRACE_SECONDS
+        began_at = self._missing_since
+        excess_count = len(self._ordered_at) - REARRANGEMENTS_BEFORE_BACKOFF
+        if excess_count >= 0:
+            wait_seconds = min(
+                MAX_DELAY_SECONDS,
+                RESTART_GRACE_SECONDS * 2.0 ** (excess_count + 1),
             )
-            began = max(began, self._ordered_at[-1])
-        self.due = began + wait
+            began_at = max(began_at, self._ordered_at[-1])
+        self.due = began_at + wait_seconds
         return now >= self.due
 
     def reset(self) -> None:
--- a/src/crowdeck/placement/relayout.py
+++ b/src/crowdeck/placement/relayout.py
@@ -17,27 +17,30 @@
 
 from crowdeck import pipeline
 
-# Factors on the least loading found, spent on free memory for requests and on
-# a smaller largest load, which decides when the model is served again. The
-# search is exact only for small groups, so larger groups get less slack.
+# A layout may load up to this many times as many layers as the cheapest one
+# found, to leave more memory for requests and to reduce the largest load of an
+# engine, which decides when the model is served again. The search is exact
+# only for small groups, so larger groups get less slack.
 EXACT_SLACK = 1.25
 LOAD_SLACK = 1.13
-# No layout is searched that loads more than this many times the layer count.
-MAX_COST_FACTOR = 4
-# Unconstrained engines; each one doubles the search time.
+# The limit on the layers that all engines load is raised until it is this many
+# times the layers of the model.
+MAX_TOTAL_LOAD_FACTOR = 4
+# Each unconstrained engine doubles the search time.
 MAX_UNCONSTRAINED = 4
 # Up to this many engines are all unconstrained, which makes the search exact.
 MAX_EXACT_ENGINES = 4
 # Maximum number of ranges that one search tries. Beyond it the best layout so
 # far is used, or the search starts again with fewer unconstrained engines.
 MAX_TRIES = 250_000
-# Ranges that are tried before other tasks may run.
+# Number of ranges that are tried before other tasks may run.
 YIELD_TRIES = 10_000
 
 Layout = dict[str, pipeline.LayerRange]
 T = typing.TypeVar("T")
-# A computation that yields regularly so that other tasks may run.
-Parts = typing.Generator[None, None, T]
+# A computation that yields regularly, so that its caller can let other tasks
+# run.
+Cooperative = typing.Generator[None, None, T]
 
 
 @attrs.frozen
@@ -59,18 +62,20 @@
 class _State:
     """A partial layout that covers the first layers of the model.
 
-    :ivar cost: layers loaded in total, and by the engine that loads most.
-    :ivar before: the state that the engine ``name`` with ``layers`` extended.
+    :ivar cost: number of layers loaded in total, and by the engine that loads
+        most.
+    :ivar previous: the state that was extended by giving ``layers`` to the
+        engine ``name``; ``None`` for the empty layout.
     """
 
     cost: tuple[int, int]
-    before: "_State | None" = None
+    previous: "_State | None" = None
     name: str = ""
     layers: pipeline.LayerRange | None = None
 
 
-# States by the number of covered layers and a bit set of the unconstrained
-# engines that are placed.
+# The cheapest state for each number of covered layers and bit set of the
+# unconstrained engines that are placed.
 _Frontier = dict[tuple[int, int], _State]
 
 
@@ -107,59 +112,59 @@
     layer_count: int,
     layer_limits: typing.Sequence[typing.Mapping[str, int]] = (),
 ) -> Layout:
-    """Return the result of :func:`cover_in_parts` without yielding."""
-    parts = cover_in_parts(members, layer_count, layer_limits)
+    """Return the result of :func:`cover_cooperatively` without yielding."""
+    computation = cover_cooperatively(members, layer_count, layer_limits)
     while True:
         try:
-            next(parts)
+            next(computation)
         except StopIteration as done:
             return typing.cast(Layout, done.value)
 
 
-def cover_in_parts(
+def cover_cooperatively(
     members: typing.Sequence[Member],
     layer_count: int,
     layer_limits: typing.Sequence[typing.Mapping[str, int]] = (),
-) -> Parts[Layout]:
+) -> Cooperative[Layout]:
     """Find ranges that cover the model with little loading.
 
     Only engines that have to change are returned, and none if the engines
     cannot cover the model. An engine also keeps adjacent layers that it holds
     and has memory for.
 
-    :param layer_limits: layer limits by engine name that leave more memory for
-        requests, in order of preference. The first one that needs little more
-        loading is used.
+    :param layer_limits: sets of layer limits by engine name that leave more
+        memory for requests, in order of preference. The first set that needs
+        little more loading is used.
     """
-    if sum(one.max_layers for one in members) < layer_count:
+    if sum(member.max_layers for member in members) < layer_count:
         return {}
-    found = yield from _first_search(members, layer_count)
-    if found is None:
+    search = yield from _first_search(members, layer_count)
+    if search is None:
         return _in_order(members, layer_count)
-    found = yield from _with_more_unconstrained(members, found, layer_count)
-    if not found.is_found:
+    search = yield from _with_more_unconstrained(members, search, layer_count)
+    if not search.is_found:
         return {}
     is_exact = len(members) <= MAX_EXACT_ENGINES
     slack = EXACT_SLACK if is_exact else LOAD_SLACK
-    max_cost = int(slack * found.rank[0])
+    max_total_load = int(slack * search.cost[0])
     for limits in layer_limits:
-        limited = found.with_limits(limits)
+        limited = search.with_limits(limits)
         try:
-            yield from limited.run(max_cost)
+            yield from limited.run(max_total_load)
         except _BudgetExceeded:
             continue
         if limited.is_found:
-            return (yield from limited.layout(max_cost))
-    return (yield from found.layout(max_cost))
+            return (yield from limited.layout(max_total_load))
+    return (yield from search.layout(max_total_load))
 
 
 def _first_search(
     members: typing.Sequence[Member], layer_count: int
-) -> Parts["_Search | None"]:
+) -> Cooperative["_Search | None"]:
     """Search with redundant engines unconstrained.
 
-    Starts again with fewer of them if the budget is used up. Returns ``None``
-    if it does not suffice without any either.
+    Starts again with fewer of them whenever the budget is used up. Returns
+    ``None`` if the budget does not even suffice without any.
     """
     unconstrained = _unconstrained(members, layer_count)
     while True:
@@ -178,26 +183,30 @@
 
 def _with_more_unconstrained(
     members: typing.Sequence[Member], best: "_Search", layer_count: int
-) -> Parts["_Search"]:
+) -> Cooperative["_Search"]:
     """Make other engines unconstrained too where that reduces loading."""
     budget = best.budget
     # Unheld layers have to be loaded in any layout.
-    missing = _counts(members, layer_count).count(0)
+    missing = _holder_counts(members, layer_count).count(0)
     while (
-        len(best.unconstrained) < MAX_UNCONSTRAINED and best.rank[0] > missing
+        len(best.unconstrained) < MAX_UNCONSTRAINED and best.cost[0] > missing
     ):
         found = best
-        for one in members:
-            if one.held is None or one.is_fixed or one in best.unconstrained:
+        for member in members:
+            if (
+                member.held is None
+                or member.is_fixed
+                or member in best.unconstrained
+            ):
                 continue
             tried = _Search(
-                members, [*best.unconstrained, one], layer_count, budget
+                members, [*best.unconstrained, member], layer_count, budget
             )
             try:
                 yield from tried.run()
             except _BudgetExceeded:
                 return found
-            if tried.rank < found.rank:
+            if tried.cost < found.cost:
                 found = tried
         if found is best:
             break
@@ -208,25 +217,31 @@
 def _unconstrained(
     members: typing.Sequence[Member], layer_count: int
 ) -> list[Member]:
-    """Return engines that can move without uncovering a layer.
+    """Return engines that can move without leaving a layer unheld.
 
-    Engines with the most memory come first. In a small group these are all
-    that can be ordered.
+    Engines with the most memory come first. In a small group, which is
+    searched exactly, all engines that can be ordered are returned.
     """
-    able = [one for one in members if not one.is_fixed and one.max_layers]
+    movable = [
+        member
+        for member in members
+        if not member.is_fixed and member.max_layers
+    ]
     if len(members) <= MAX_EXACT_ENGINES:
-        return able
-    counts = _counts(members, layer_count)
-    found: list[Member] = []
-    for one in sorted(able, key=lambda one: (-one.max_layers, one.name)):
-        if len(found) == MAX_UNCONSTRAINED:
+        return movable
+    holder_counts = _holder_counts(members, layer_count)
+    unconstrained: list[Member] = []
+    for member in sorted(
+        movable, key=lambda member: (-member.max_layers, member.name)
+    ):
+        if len(unconstrained) == MAX_UNCONSTRAINED:
             break
-        held = _layers(one)
-        if all(counts[layer] > 1 for layer in held):
-            found.append(one)
+        held = _layers(member)
+        if all(holder_counts[layer] > 1 for layer in held):
+            unconstrained.append(member)
             for layer in held:
-                counts[layer] -= 1
-    return found
+                holder_counts[layer] -= 1
+    return unconstrained
 
 
 def _in_order(members: typing.Sequence[Member], layer_count: int) -> Layout:
@@ -236,19 +251,19 @@
     """
     layout: Layout = {}
     first = 0
-    for one in sorted(members, key=_sort_key):
+    for member in sorted(members, key=_sort_key):
         if first == layer_count:
             break
-        if one.is_fixed:
-            held = one.held
+        if member.is_fixed:
+            held = member.held
             if held is not None and held.first <= first:
                 first = max(first, held.end)
             continue
-        if one.max_layers:
-            end = min(layer_count, first + one.max_layers)
+        if member.max_layers:
+            end = min(layer_count, first + member.max_layers)
             layers = pipeline.LayerRange(first, end)
-            if layers != one.held:
-                layout[one.name] = layers
+            if layers != member.held:
+                layout[member.name] = layers
             first = end
     return layout if first == layer_count else {}
 
@@ -268,21 +283,23 @@
         budget: _SearchBudget,
     ) -> None:
         self.unconstrained = sorted(
-            unconstrained, key=lambda one: (-one.max_layers, one.name)
+            unconstrained, key=lambda member: (-member.max_layers, member.name)
         )
         self.budget = budget
         self._layer_count = layer_count
-        self._members = {one.name: one for one in members}
-        names = {one.name for one in unconstrained}
-        rest = [one for one in members if one.name not in names]
+        self._members = {member.name: member for member in members}
+        names = {member.name for member in unconstrained}
+        others = [member for member in members if member.name not in names]
         self._ordered_members = sorted(
-            (one for one in rest if one.held), key=_sort_key
+            (member for member in others if member.held), key=_sort_key
         )
-        counts = _counts(rest, layer_count)
+        holder_counts = _holder_counts(others, layer_count)
         self._is_each_redundant = all(
-            counts[layer] for one in unconstrained for layer in _layers(one)
+            holder_counts[layer]
+            for member in unconstrained
+            for layer in _layers(member)
         )
-        self._max_cost = 2 * max(1, counts.count(0))
+        self._max_total_load = 2 * max(1, holder_counts.count(0))
         self._found: _State | None = None
 
     @property
@@ -291,8 +308,8 @@
         return self._found is not None
 
     @property
-    def rank(self) -> tuple[float, int]:
-        """The cost of the layout found, for comparison; less is better."""
+    def cost(self) -> tuple[float, int]:
+        """The cost of the layout found, as in ``_State``; infinite if none."""
         return self._found.cost if self._found else (float("inf"), 0)
 
     def with_limits(self, limits: typing.Mapping[str, int]) -> "_Search":
@@ -303,29 +320,30 @@
         """
         members = [
             attrs.evolve(
-                one,
+                member,
                 max_layers=min(
-                    one.max_layers, max(limits[one.name], len(_layers(one)))
+                    member.max_layers,
+                    max(limits[member.name], len(_layers(member))),
                 ),
             )
-            for one in self._members.values()
+            for member in self._members.values()
         ]
-        names = {one.name for one in self.unconstrained}
-        unconstrained = [one for one in members if one.name in names]
+        names = {member.name for member in self.unconstrained}
+        unconstrained = [member for member in members if member.name in names]
         budget = _SearchBudget(MAX_TRIES)
         return _Search(members, unconstrained, self._layer_count, budget)
 
-    def run(self, max_cost: int | None = None) -> Parts[None]:
+    def run(self, max_total_load: int | None = None) -> Cooperative[None]:
         """Find the layout with the least loading.
 
         :raises _BudgetExceeded: if the budget is used up.
         """
-        self._found = yield from self._run(self._layer_count, max_cost)
+        self._found = yield from self._run(self._layer_count, max_total_load)
 
-    def layout(self, max_cost: int) -> Parts[Layout]:
+    def layout(self, max_total_load: int) -> Cooperative[Layout]:
         """Return the layout with the smallest load on a single engine.
 
-        :param max_cost: how many layers all engines may load in total.
+        :param max_total_load: how many layers all engines may load in total.
         """
         assert self._found is not None
         best = self._found
@@ -334,33 +352,41 @@
         while low < high:
             middle = (low + high) // 2
             try:
-                found = yield from self._run(middle, max_cost)
+                found = yield from self._run(middle, max_total_load)
             except _BudgetExceeded:
                 break
             if found is not None:
                 best, high = found, found.cost[1]
             else:
                 low = middle + 1
-        return self._widened(best)
+        return self._changed_layout(best)
 
     def _run(
-        self, max_load: int, max_cost: int | None = None
-    ) -> Parts[_State | None]:
+        self, max_load: int, max_total_load: int | None = None
+    ) -> Cooperative[_State | None]:
         """Return the final state of the cheapest layout, if there is one.
 
-        The limit on loading starts low and doubles, because a low limit prunes
-        most of the layouts.
+        The limit on the total load starts low and doubles, because a low limit
+        prunes most of the layouts.
+
+        :param max_load: how many layers one engine may load.
+        :param max_total_load: how many layers all engines may load in total;
+            by default a limit that is raised until a layout is found.
         """
-        if max_cost is not None:
-            self._max_cost = max_cost
+        if max_total_load is not None:
+            self._max_total_load = max_total_load
             return (yield from self._run_within(max_load))
         while True:
             found = yield from self._run_within(max_load)
-            if found or self._max_cost >= MAX_COST_FACTOR * self._layer_count:
+            if (
+                found
+                or self._max_total_load
+                >= MAX_TOTAL_LOAD_FACTOR * self._layer_count
+            ):
                 return found
-            self._max_cost *= 2
+            self._max_total_load *= 2
 
-    def _run_within(self, max_load: int) -> Parts[_State | None]:
+    def _run_within(self, max_load: int) -> Cooperative[_State | None]:
         frontier: _Frontier = {(0, 0): _State((0, 0))}
         yield from self._add_unconstrained(frontier, max_load)
         for member in self._ordered_members:
@@ -376,30 +402,30 @@
             yield from self._add_unconstrained(frontier, max_load)
         complete = [
             state
-            for (held, _), state in frontier.items()
-            if held == self._layer_count
+            for (covered_count, _), state in frontier.items()
+            if covered_count == self._layer_count
         ]
-        return min(complete, key=lambda one: one.cost, default=None)
+        return min(complete, key=lambda final: final.cost, default=None)
 
     def _drop_unreachable(self, frontier: _Frontier, member: Member) -> None:
         """Drop states from which every layout would load too much.
 
-        This and all later engines hold no layer before the first one of
-        ``member``. That does not bound the loading if an unconstrained engine
-        is the only holder of a layer.
+        ``member`` and all later engines hold no layer before the first one of
+        ``member``, so they would have to load the layers up to it. That gives
+        no bound if an unconstrained engine is the only holder of a layer.
         """
         assert member.held is not None
         if not self._is_each_redundant:
             return
         for key, state in list(frontier.items()):
             gap = member.held.first - key[0]
-            if state.cost[0] + gap > self._max_cost:
+            if state.cost[0] + gap > self._max_total_load:
                 del frontier[key]
 
     def _ranges(
         self, member: Member, first: int, max_load: int
     ) -> typing.Iterator[tuple[pipeline.LayerRange, int]]:
-        """Yield ranges that start at a layer, with the layers to load."""
+        """Yield ranges that start at a layer, and how many layers to load."""
         held = member.held
         assert held is not None
         if member.is_fixed:
@@ -419,16 +445,16 @@
 
     def _add_unconstrained(
         self, frontier: _Frontier, max_load: int
-    ) -> Parts[None]:
+    ) -> Cooperative[None]:
         """Extend states by unconstrained engines, one after another."""
-        new = sorted(frontier)
+        new_keys = sorted(frontier)
         for _ in self.unconstrained:
-            before = set(frontier)
-            for key in new:
+            known_keys = set(frontier)
+            for key in new_keys:
                 self._add_engine(frontier, key, max_load)
                 if self.budget.should_yield:
                     yield
-            new = sorted(set(frontier) - before)
+            new_keys = sorted(set(frontier) - known_keys)
 
     def _add_engine(
         self, frontier: _Frontier, key: tuple[int, int], max_load: int
@@ -457,25 +483,29 @@
         member: Member,
         layers: pipeline.LayerRange,
     ) -> None:
+        """Extend a state by one engine; keep the result if it is cheapest.
+
+        :raises _BudgetExceeded: if the budget is used up.
+        """
         self.budget.use()
         cost = state.cost[0] + load, max(state.cost[1], load)
-        if cost[0] > self._max_cost:
+        if cost[0] > self._max_total_load:
             return
         known = frontier.get(key)
         if known is None or cost < known.cost:
             frontier[key] = _State(cost, state, member.name, layers)
 
-    def _widened(self, found: _State) -> Layout:
+    def _changed_layout(self, final_state: _State) -> Layout:
         """Return the engines that change, with held layers they can keep."""
         layout: Layout = {}
-        state: _State | None = found
+        state: _State | None = final_state
         while state is not None:
             if state.layers is not None:
                 member = self._members[state.name]
                 layers = _widened(member, state.layers)
                 if layers != member.held and not member.is_fixed:
                     layout[state.name] = layers
-            state = state.before
+            state = state.previous
         return layout
 
 
@@ -492,11 +522,13 @@
     return range(held.first, held.end) if held else range(0)
 
 
-def _counts(members: typing.Iterable[Member], layer_count: int) -> list[int]:
+def _holder_counts(
+    members: typing.Iterable[Member], layer_count: int
+) -> list[int]:
     """Return how many engines hold each layer."""
     counts = [0] * layer_count
-    for one in members:
-        for layer in _layers(one):
+    for member in members:
+        for layer in _layers(member):
             counts[layer] += 1
     return counts
 
@@ -514,15 +546,15 @@
 def _pruned(frontier: _Frontier) -> _Frontier:
     """Return the frontier without dominated states.
 
-    A state is dominated by one that covers at least as many layers with the
-    same unconstrained engines at no higher cost.
+    A state is dominated by another that covers at least as many layers with
+    the same unconstrained engines at no higher cost.
     """
     pruned: _Frontier = {}
-    least: dict[int, tuple[int, int]] = {}
+    least_costs: dict[int, tuple[int, int]] = {}
     for key in sorted(frontier, reverse=True):
         cost = frontier[key].cost
-        if key[1] not in least or cost < least[key[1]]:
-            least[key[1]] = cost
+        if key[1] not in least_costs or cost < least_costs[key[1]]:
+            least_costs[key[1]] = cost
             pruned[key] = frontier[key]
     return pruned
 
@@ -535,6 +567,8 @@
     if held is None or held.first > layers.end or held.end < layers.first:
         return layers
     room = max(0, member.max_layers - (layers.end - layers.first))
-    before = min(room, max(0, layers.first - held.first))
-    after = min(room - before, max(0, held.end - layers.end))
-    return pipeline.LayerRange(layers.first - before, layers.end + after)
+    added_before = min(room, max(0, layers.first - held.first))
+    added_after = min(room - added_before, max(0, held.end - layers.end))
+    return pipeline.LayerRange(
+        layers.first - added_before, layers.end + added_after
+    )
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -780,7 +780,7 @@
         now = 0.0
         while now < 4 * rearrangement_delay.WINDOW_SECONDS:
             now += 0.5
-            if known.is_expired(now, is_announced, (7,)):
+            if known.note_missing(now, is_announced, (7,)):
                 known.note_rearrangement(now)
                 known.reset()
                 ordered_at.append(now)
--- a/tests/test_relayout.py
+++ b/tests/test_relayout.py
@@ -141,7 +141,7 @@
             del members[:lost]
             capacity = sum(one.max_layers for one in members)
             parts = 0
-            search = relayout.cover_in_parts(members, layer_count)
+            search = relayout.cover_cooperatively(members, layer_count)
             while True:
                 try:
                     next(search)
