--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -18,18 +18,19 @@
 from crowdeck import chain
 from crowdeck import pipeline
 
-# Requests for which each layer should have memory, as a share of the slots of
-# one engine. Engines are sized for this share of their slots in use.
+# Each layer should have memory for this share of the requests that one engine
+# has slots for.
 NEED_SHARE = 0.5
-# Probability that an engine is unavailable: lost, being replaced or loading.
+# Probability that an engine is unavailable because it is lost, being replaced
+# or loading.
 LOSS_PROBABILITY = 0.1
-# Share of requests counted as served where a layer has no capacity, as another
-# availability zone may serve them. Bounds the penalty for having none.
+# Share of requests that count as served if a layer has no capacity, because
+# another availability zone may serve them. Keeps the logarithm finite.
 MIN_SERVED_SHARE = 0.02
 # Outweighs every other term: a model with an unheld layer serves nothing.
 UNHELD_LAYER_SCORE = -1000.0
-# Resolution and range of the score table. The capacity of a layer is given in
-# multiples of the need; beyond the range more capacity gains nothing.
+# Resolution and range of the score table. Relative capacities are multiples of
+# the needed tokens; beyond the range more capacity gains nothing.
 _STEPS_PER_NEED = 32
 _MAX_RELATIVE_CAPACITY = 12
 # Bound on cached layer scores; they take a few MB.
@@ -37,7 +38,7 @@
 
 
 def _score(relative_capacity: float) -> float:
-    """Return the score of a capacity in multiples of the need.
+    """Return the score of a capacity in multiples of the needed tokens.
 
     This is the logarithm of the share of requests that find capacity. A
     request needs it at every layer, so the shares multiply.
@@ -80,16 +81,18 @@
 class LayerCapacity:
     """The token capacity at each layer of engines that serve together.
 
-    :param need: tokens for which each layer should have capacity.
+    :param needed_tokens: tokens for which each layer should have capacity.
     """
 
-    def __init__(self, profile: chain.EngineProfile, need: float) -> None:
+    def __init__(
+        self, profile: chain.EngineProfile, needed_tokens: float
+    ) -> None:
         self._profile = profile
-        self._need = need
+        self._needed_tokens = needed_tokens
         self._capacities_by_layer: list[tuple[float, ...]] = [
             ()
         ] * profile.layer_count
-        # A search evaluates the same sets of holders many times.
+        # A search evaluates the same holders' capacities many times.
         self._score_cache: dict[tuple[float, ...], float] = {}
 
     @property
@@ -142,10 +145,12 @@
     def _capacity(self, engine: chain.Upstream, count: int) -> float:
         """Return an engine's relative capacity with ``count`` layers.
 
-        This is its token capacity in multiples of the need, up to a maximum.
+        This is its token capacity in multiples of the needed tokens, up to a
+        maximum.
         """
         relative_capacity = (
-            self._profile.token_capacity(engine.card, count) / self._need
+            self._profile.token_capacity(engine.card, count)
+            / self._needed_tokens
         )
         return min(max(0.0, relative_capacity), float(_MAX_RELATIVE_CAPACITY))
 
@@ -176,13 +181,14 @@
 
     This is the expected score when at most one holder is unavailable.
 
-    :param capacities: capacity of each holder, in multiples of the need.
+    :param capacities: capacity of each holder, in multiples of the needed
+        tokens.
     """
     if not capacities:
         return UNHELD_LAYER_SCORE
     total = sum(capacities)
-    losses = LOSS_PROBABILITY * len(capacities)
-    score = max(0.0, 1.0 - losses) * _lookup_score(total)
+    loss_probability = LOSS_PROBABILITY * len(capacities)
+    score = max(0.0, 1.0 - loss_probability) * _lookup_score(total)
     for relative_capacity in capacities:
         score += LOSS_PROBABILITY * _lookup_score(total - relative_capacity)
     return score
--- a/src/crowdeck/placement/exposure.py
+++ b/src/crowdeck/placement/exposure.py
@@ -19,38 +19,42 @@
 def predict(
     engines: typing.Sequence[chain.Upstream],
     profile: chain.EngineProfile,
-    need: float,
+    needed_tokens: float,
 ) -> float:
     """Return the mean product of milliseconds per token and path length.
 
     The length of a path is its number of engines. Paths are filled in the
     order in which routing prefers them, fastest first, until they hold
-    ``need`` tokens. The result is infinite if they cannot. Crossings between
+    ``needed_tokens``. The result is infinite if they cannot. Crossings between
     availability zones cost nothing here.
     """
     free_tokens = {
-        one.name: min(_token_capacity(one, profile), need)
-        for one in engines
-        if one.layers is not None
+        engine.name: min(_token_capacity(engine, profile), needed_tokens)
+        for engine in engines
+        if engine.layers is not None
     }
-    held = {one.name: one for one in engines if one.layers is not None}
-    min_tokens = capacity.request_tokens(profile)
-    left, total = need, 0.0
-    while left > 0.0:
+    holders = {
+        engine.name: engine for engine in engines if engine.layers is not None
+    }
+    min_request_tokens = capacity.request_tokens(profile)
+    left_tokens, total = needed_tokens, 0.0
+    while left_tokens > 0.0:
         usable = [
-            one for one in held.values() if free_tokens[one.name] >= min_tokens
+            engine
+            for engine in holders.values()
+            if free_tokens[engine.name] >= min_request_tokens
         ]
         path = _fastest_path(usable, profile)
         if path is None:
             return float("inf")
-        carried = min(
-            left, *(free_tokens[hop.upstream.name] for hop in path.hops)
+        carried_tokens = min(
+            left_tokens, *(free_tokens[hop.upstream.name] for hop in path.hops)
         )
-        total += carried * len(path.hops) * _token_ms(path, profile)
-        left -= carried
+        total += carried_tokens * len(path.hops) * _token_ms(path, profile)
+        left_tokens -= carried_tokens
         for hop in path.hops:
-            free_tokens[hop.upstream.name] -= carried
-    return total / need
+            free_tokens[hop.upstream.name] -= carried_tokens
+    return total / needed_tokens
 
 
 def _token_capacity(
@@ -66,15 +70,15 @@
 ) -> chain.ChainPath | None:
     """Return the path with the least time per token on idle engines."""
     holders = []
-    for one in engines:
-        assert one.layers is not None
+    for engine in engines:
+        assert engine.layers is not None
         holders.append(
             cheapest.Holder(
-                one,
-                one.layers.first,
-                one.layers.end,
-                one.availability_zone,
-                _layer_ms(one, profile),
+                engine,
+                engine.layers.first,
+                engine.layers.end,
+                engine.availability_zone,
+                _layer_ms(engine, profile),
             )
         )
     search = cheapest.CheapestPathSearch(
--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -18,8 +18,8 @@
 from crowdeck import route as routes
 
 # An engine that failed a request counts as lost after this many failed probes,
-# one in each check. Moving its layers makes other engines load, which takes
-# them out of paths that work.
+# one in each check. To take over its layers, other engines have to load them,
+# and serve no requests meanwhile.
 FAILURE_THRESHOLD_PROBES = 2
 # Checks that probe all engines after one was lost. Engines often fail
 # together, for example with a rack or a switch, and probes find the others
@@ -28,9 +28,9 @@
 # More probes at once could time out because this process is too busy to handle
 # their answers.
 MAX_CONCURRENT_PROBES = 32
-# If more than this share of the probed engines is silent, the network of this
-# process is taken for the cause and the sweep is ignored. Engines that are
-# lost then disappear with their entries in the store.
+# If more than this share of the probed engines does not answer, the network of
+# this process is assumed to be the cause, and the sweep is ignored. Engines
+# that are lost are then found when their records in the store are removed.
 MAX_SILENT_SHARE = 0.5
 
 
@@ -72,28 +72,31 @@
     async def _probe_failed(self) -> None:
         """Probe the engines that failed a request."""
         failed = self._registry.failed()
-        for name in set(self._failed_probes) - {one.name for one in failed}:
+        for name in set(self._failed_probes) - {
+            engine.name for engine in failed
+        }:
             del self._failed_probes[name]
-        asked = [
-            one
-            for one in failed
-            if one.card and not self._registry.backoff_seconds_left(one.name)
+        probed = [
+            engine
+            for engine in failed
+            if engine.card
+            and not self._registry.backoff_seconds_left(engine.name)
         ]
-        await _probe_each(self._probe, asked)
+        await _probe_each(self._probe, probed)
 
     async def _sweep(self) -> None:
         """Probe all engines after one was lost."""
         if not self._sweeps_left:
             return
         self._sweeps_left -= 1
-        failed = {one.name for one in self._registry.failed()}
-        asked = [
-            one
+        failed = {engine.name for engine in self._registry.failed()}
+        probed = [
+            engine
             for service in self._services()
-            for one in self._registry.listed(service.name)
-            if one.card
-            and one.name not in failed
-            and not self._registry.backoff_seconds_left(one.name)
+            for engine in self._registry.listed(service.name)
+            if engine.card
+            and engine.name not in failed
+            and not self._registry.backoff_seconds_left(engine.name)
         ]
         silent: list[chain.Upstream] = []
 
@@ -110,14 +113,14 @@
                 )
                 silent.append(upstream)
 
-        await _probe_each(probe, asked)
-        if len(silent) > MAX_SILENT_SHARE * len(asked):
-            logs.change("sweep_ignored", asked=len(asked), silent=len(silent))
+        await _probe_each(probe, probed)
+        if len(silent) > MAX_SILENT_SHARE * len(probed):
+            logs.change("sweep_ignored", asked=len(probed), silent=len(silent))
             return
-        for one in silent:
+        for engine in silent:
             # Another probe has to fail before layers are moved.
-            self._failed_probes[one.name] += 1
-            self._registry.avoid(one.name, "no report during a sweep")
+            self._failed_probes[engine.name] += 1
+            self._registry.avoid(engine.name, "no report during a sweep")
 
     async def _probe(self, upstream: chain.Upstream) -> None:
         try:
@@ -148,5 +151,5 @@
             await probe(upstream)
 
     async with anyio.create_task_group() as tasks:
-        for one in engines:
-            tasks.start_soon(probe_limited, one)
+        for engine in engines:
+            tasks.start_soon(probe_limited, engine)
--- a/src/crowdeck/placement/initial_layout.py
+++ b/src/crowdeck/placement/initial_layout.py
@@ -13,12 +13,13 @@
 
 # Token capacity that a starting layout leaves on each engine, in multiples of
 # the needed tokens. Low factors give many copies of each layer, high ones few
-# copies with more free memory. Each start is improved; the best one is taken.
+# copies with more free memory. Each starting layout is improved, and the best
+# result is used.
 START_CAPACITY_FACTORS = (0.0, 0.5, 1.0, 2.0, 4.0)
 # Passes over all engines that improve a starting layout.
 MAX_PASSES = 4
-# Larger groups get one start and one pass: the search time grows with the
-# square of the number of engines, and the search blocks the event loop.
+# Larger groups get one starting layout and one pass: the search time grows
+# with the square of the number of engines, and it blocks the event loop.
 MAX_SEARCHED_ENGINES = 24
 # Bound on the layers that all engines may hold in total, for the same reason.
 MAX_SEARCHED_LAYERS = 500
@@ -34,35 +35,38 @@
 
     :param layer_limit: returns how many layers an engine can hold and still
         have capacity for so many tokens.
-    :param min_capacity: capacity in tokens that every engine keeps.
+    :param min_tokens: token capacity that every engine keeps.
     """
 
     def __init__(
         self,
         profile: chain.EngineProfile,
         layer_limit: LayerLimit,
-        min_capacity: float,
+        min_tokens: float,
     ) -> None:
         self._profile = profile
         self._layer_limit = layer_limit
-        self._min_capacity = min_capacity
-        self._need = capacity.needed_tokens(profile)
+        self._min_tokens = min_tokens
+        self._needed_tokens = capacity.needed_tokens(profile)
 
     def find_layout(self, engines: typing.Sequence[chain.Upstream]) -> Layout:
         """Return the layers of each engine that gets some."""
         # Large cards take long ranges first; small ones fill the gaps.
         ordered = sorted(
             engines,
-            key=lambda one: (
-                -self._layer_limit(one, self._min_capacity),
-                one.name,
+            key=lambda engine: (
+                -self._layer_limit(engine, self._min_tokens),
+                engine.name,
             ),
         )
         is_large = len(ordered) > MAX_SEARCHED_ENGINES or (
-            sum(self._layer_limit(one, self._min_capacity) for one in ordered)
+            sum(
+                self._layer_limit(engine, self._min_tokens)
+                for engine in ordered
+            )
             > MAX_SEARCHED_LAYERS
         )
-        starts = (
+        start_factors = (
             LARGE_START_CAPACITY_FACTORS
             if is_large
             else START_CAPACITY_FACTORS
@@ -70,8 +74,8 @@
         passes = LARGE_MAX_PASSES if is_large else MAX_PASSES
         best: Layout = {}
         best_score = float("-inf")
-        for start in starts:
-            layout = self._start_layout(ordered, start * self._need)
+        for factor in start_factors:
+            layout = self._start_layout(ordered, factor * self._needed_tokens)
             score = self._improve(ordered, layout, passes)
             if score > best_score + 1e-9:
                 best, best_score = layout, score
@@ -86,7 +90,7 @@
         first = 0
         for engine in engines:
             size = self._layer_limit(
-                engine, max(token_capacity, self._min_capacity)
+                engine, max(token_capacity, self._min_tokens)
             )
             if not size:
                 continue
@@ -102,7 +106,9 @@
 
         Returns the score of the improved layout.
         """
-        layer_capacity = capacity.LayerCapacity(self._profile, self._need)
+        layer_capacity = capacity.LayerCapacity(
+            self._profile, self._needed_tokens
+        )
         for engine in engines:
             if engine.name in layout:
                 layer_capacity.add(engine, layout[engine.name])
@@ -123,7 +129,7 @@
             held = layout.get(engine.name)
             if held is not None:
                 layer_capacity.drop(engine, held)
-            max_layers = self._layer_limit(engine, self._min_capacity)
+            max_layers = self._layer_limit(engine, self._min_tokens)
             best = layer_capacity.best_range(engine, max_layers)
             if best is None:
                 continue
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -19,14 +19,13 @@
 # Concurrent requests for which an engine keeps memory. With less it would
 # often refuse or preempt requests.
 MIN_CONCURRENT_REQUESTS = 4.0
-# If more engines than the maximum start together, they are split into groups
-# of about the second size. The time of the layout search grows with the square
-# of the group, and for a large fleet would exceed the lease under which orders
-# are sent.
+# More than MAX_GROUP_SIZE engines that start together are split into groups of
+# about GROUP_SIZE. The time of the layout search grows with the square of the
+# number of engines, so for a large fleet the lease would expire meanwhile.
 MAX_GROUP_SIZE = 60
 GROUP_SIZE = 40
-# Empty engines that are planned in one batch. Larger batches could outlast the
-# lease before any engine is ordered.
+# Empty engines that are planned in one batch. With larger batches the lease
+# could expire before any engine is ordered.
 FILL_BATCH_SIZE = 10
 
 
@@ -52,12 +51,17 @@
 def fitting_layer_count(
     engine: chain.Upstream, profile: chain.EngineProfile, token_capacity: float
 ) -> int:
-    """Return how many layers fit besides the cache of so many tokens."""
+    """Return how many layers fit beside the KV cache of so many tokens.
+
+    An engine of unknown accelerator type counts as able to hold all layers.
+
+    :param token_capacity: tokens for which the engine keeps memory.
+    """
     card = profile.cards.get(engine.card)
     if card is None:
         return profile.layer_count
-    per_layer = profile.layer_mb + token_capacity * profile.token_layer_mb
-    return min(profile.layer_count, int(card.memory_mb / per_layer))
+    mb_per_layer = profile.layer_mb + token_capacity * profile.token_layer_mb
+    return min(profile.layer_count, int(card.memory_mb / mb_per_layer))
 
 
 def next_moves(
@@ -72,8 +76,8 @@
     availability zones. A cell is one zone if its cards suffice. Engines
     without layers get the range that improves the cell's score most. If no
     engine holds a layer, and no empty engine takes it, an engine whose layers
-    are redundant moves there. An engine is never told to give up layers that
-    only it holds.
+    are redundant moves there. An engine is never ordered to give up layers
+    that only it holds.
 
     :param engines: engines that are alive and not leaving, in any order, with
         the layers that they hold or were ordered to hold.
@@ -94,34 +98,37 @@
 ) -> typing.Iterator[list[Move]]:
     """Yield what :func:`next_moves` returns in batches.
 
-    Planning a batch may block for a tenth of a second. Callers should let
-    other tasks run between batches.
+    Planning a batch may block the event loop for 0.1 seconds. Callers should
+    let other tasks run between batches.
     """
     guaranteed_by_name = {
-        one.name: one
-        for one in (engines if guaranteed is None else guaranteed)
+        engine.name: engine
+        for engine in (engines if guaranteed is None else guaranteed)
     }
-    counts = chain.coverage(engines, profile.layer_count)
+    holder_counts = chain.coverage(engines, profile.layer_count)
     for cell in _cells(engines, profile):
         guaranteed_cell = [
-            guaranteed_by_name[one.name]
-            for one in cell
-            if one.name in guaranteed_by_name
+            guaranteed_by_name[engine.name]
+            for engine in cell
+            if engine.name in guaranteed_by_name
         ]
         for moves in _cell_moves(cell, profile, is_idle, guaranteed_cell):
             yield [
-                attrs.evolve(move, is_urgent=_is_missing(move.layers, counts))
+                attrs.evolve(
+                    move, is_urgent=_is_missing(move.layers, holder_counts)
+                )
                 for move in moves
             ]
 
 
-def _is_missing(layers: pipeline.LayerRange, counts: list[int]) -> bool:
+def _is_missing(layers: pipeline.LayerRange, holder_counts: list[int]) -> bool:
     """Whether any of the layers is held in no availability zone.
 
-    Nothing is served then. If only one zone lacks a layer, its requests go to
-    other zones, and interrupting streams would cost more.
+    Nothing is served then, so streams may be interrupted. If only one zone
+    lacks a layer, its requests go to other zones, and interrupting streams
+    would cost more.
     """
-    return 0 in counts[layers.first : layers.end]
+    return 0 in holder_counts[layers.first : layers.end]
 
 
 class CoverageGaps:
@@ -132,16 +139,16 @@
         engines: typing.Sequence[chain.Upstream],
         profile: chain.EngineProfile,
     ) -> None:
-        self._counts: dict[str, list[int]] = {}
+        self._holder_counts: dict[str, list[int]] = {}
         for cell in _cells(engines, profile):
             counts = chain.coverage(cell, profile.layer_count)
-            self._counts.update(
-                dict.fromkeys((one.name for one in cell), counts)
+            self._holder_counts.update(
+                dict.fromkeys((engine.name for engine in cell), counts)
             )
 
     def is_filled_by(self, move: Move) -> bool:
         """Whether a move adds a layer that no engine of its cell holds."""
-        counts = self._counts.get(move.upstream.name)
+        counts = self._holder_counts.get(move.upstream.name)
         if counts is None:
             return True
         return 0 in counts[move.layers.first : move.layers.end]
@@ -150,8 +157,12 @@
 def _cells(
     engines: typing.Sequence[chain.Upstream], profile: chain.EngineProfile
 ) -> list[_Cell]:
+    """Return one cell for each zone that can hold the model.
+
+    The other zones form one cell together, or join one of those cells.
+    """
     by_zone: dict[str, list[chain.Upstream]] = {}
-    for engine in sorted(engines, key=lambda one: one.name):
+    for engine in sorted(engines, key=lambda engine: engine.name):
         by_zone.setdefault(engine.availability_zone, []).append(engine)
     complete: list[_Cell] = []
     remainder: _Cell = []
@@ -161,7 +172,7 @@
         else:
             remainder += by_zone[zone]
     if remainder and complete and not _holds_model(remainder, profile):
-        # They cannot hold the model, so they join another cell.
+        # Together they cannot hold the model either.
         complete[0] += remainder
     elif remainder:
         complete.append(remainder)
@@ -175,12 +186,15 @@
 def max_layer_count(
     engine: chain.Upstream, profile: chain.EngineProfile
 ) -> int:
-    """Return how many layers an engine can hold and still serve requests."""
+    """Return how many layers an engine can hold and still serve requests.
+
+    It keeps memory for :data:`MIN_CONCURRENT_REQUESTS`.
+    """
     return fitting_layer_count(engine, profile, _min_token_capacity(profile))
 
 
 def _holds_model(engines: _Cell, profile: chain.EngineProfile) -> bool:
-    total = sum(max_layer_count(one, profile) for one in engines)
+    total = sum(max_layer_count(engine, profile) for engine in engines)
     return total >= profile.layer_count
 
 
@@ -190,22 +204,24 @@
     is_idle: typing.Callable[[chain.Upstream], bool],
     guaranteed_cell: list[chain.Upstream],
 ) -> typing.Iterator[list[Move]]:
-    empty = [one for one in cell if one.layers is None and is_idle(one)]
-    if all(one.layers is None for one in cell):
+    empty = [
+        engine for engine in cell if engine.layers is None and is_idle(engine)
+    ]
+    if all(engine.layers is None for engine in cell):
         yield from _initial_moves(empty, profile)
         return
     if len(empty) >= 2 * GROUP_SIZE and _holds_model(empty, profile):
         # Groups that hold the model by themselves are planned faster than
-        # single engines next to all those that hold layers.
+        # single engines that add to those with layers.
         yield from _initial_moves(empty, profile)
         return
-    counts = chain.coverage(cell, profile.layer_count)
+    holder_counts = chain.coverage(cell, profile.layer_count)
     for moves in _fill_moves(cell, empty, profile):
         for move in moves:
-            _change_counts(move.layers, counts, 1)
+            _change_counts(move.layers, holder_counts, 1)
         yield moves
     guaranteed_counts = chain.coverage(guaranteed_cell, profile.layer_count)
-    yield _gap_moves(cell, profile, counts, guaranteed_counts, is_idle)
+    yield _gap_moves(cell, profile, holder_counts, guaranteed_counts, is_idle)
 
 
 def _initial_moves(
@@ -214,8 +230,8 @@
     """Yield the moves of engines that all start empty.
 
     They are laid out in tiers or all together, whichever exposes streams less
-    to the loss of engines. For a large cell this is decided by one of its
-    groups.
+    to the loss of engines. For a large cell both are compared on one of its
+    groups only.
     """
     sample = _groups(engines, profile)[0]
     tiered = [
@@ -240,7 +256,7 @@
     placed: _Cell = []
     for tier in split.complete:
         for moves in _grouped_moves(tier, profile):
-            placed += _after_moves(moves)
+            placed += _engines_after(moves)
             yield moves
     if not placed:
         yield from _grouped_moves(split.remainder, profile)
@@ -258,21 +274,22 @@
 
 
 def _exposure(moves: list[Move], profile: chain.EngineProfile) -> float:
-    need = capacity.needed_tokens(profile)
-    return exposure.predict(_after_moves(moves), profile, need)
+    needed_tokens = capacity.needed_tokens(profile)
+    return exposure.predict(_engines_after(moves), profile, needed_tokens)
 
 
-def _after_moves(moves: list[Move]) -> _Cell:
-    return [attrs.evolve(one.upstream, layers=one.layers) for one in moves]
+def _engines_after(moves: list[Move]) -> _Cell:
+    """Return the engines of moves with the layers that they will hold."""
+    return [attrs.evolve(move.upstream, layers=move.layers) for move in moves]
 
 
 def _tiers(engines: _Cell, profile: chain.EngineProfile) -> tiers.Tiers:
-    min_capacity = _min_token_capacity(profile)
+    min_tokens = _min_token_capacity(profile)
     return tiers.Tiers(
         engines,
         profile,
         lambda engine, token_capacity: fitting_layer_count(
-            engine, profile, max(token_capacity, min_capacity)
+            engine, profile, max(token_capacity, min_tokens)
         ),
     )
 
@@ -280,13 +297,14 @@
 def _groups(engines: _Cell, profile: chain.EngineProfile) -> list[_Cell]:
     """Split engines that start together into groups that hold the model.
 
-    Cards are spread evenly over the groups. If groups of this size cannot hold
-    the model, there are fewer and larger ones.
+    Cards are spread evenly over the groups. If groups of about GROUP_SIZE
+    engines cannot hold the model, there are fewer and larger ones.
     """
     if len(engines) <= MAX_GROUP_SIZE:
         return [engines]
     ordered = sorted(
-        engines, key=lambda one: (-max_layer_count(one, profile), one.name)
+        engines,
+        key=lambda engine: (-max_layer_count(engine, profile), engine.name),
     )
     for count in range(len(engines) // GROUP_SIZE, 1, -1):
         groups = [ordered[first::count] for first in range(count)]
@@ -306,7 +324,9 @@
     )
     layout = search.find_layout(engines)
     return [
-        Move(one, layout[one.name]) for one in engines if one.name in layout
+        Move(engine, layout[engine.name])
+        for engine in engines
+        if engine.name in layout
     ]
 
 
@@ -318,7 +338,8 @@
     moves: list[Move] = []
     # Large cards take long ranges first; small ones fill the gaps.
     for engine in sorted(
-        empty, key=lambda one: (-max_layer_count(one, profile), one.name)
+        empty,
+        key=lambda engine: (-max_layer_count(engine, profile), engine.name),
     ):
         layers = planner.place(engine)
         if layers is not None:
@@ -335,12 +356,15 @@
 
     def __init__(self, cell: _Cell, profile: chain.EngineProfile) -> None:
         self._profile = profile
-        self._need = capacity.needed_tokens(profile)
-        self._held = [one for one in cell if one.layers is not None]
+        self._needed_tokens = capacity.needed_tokens(profile)
+        self._held = [engine for engine in cell if engine.layers is not None]
         self._is_small = len(cell) <= MAX_GROUP_SIZE
         self._capacity = self._capacity_of(cell)
         self._tiers = [
-            (frozenset(one.name for one in tier), self._capacity_of(tier))
+            (
+                frozenset(engine.name for engine in tier),
+                self._capacity_of(tier),
+            )
             for tier in _tiers(cell, profile).complete
         ]
 
@@ -377,7 +401,7 @@
         self, engine: chain.Upstream, layers: pipeline.LayerRange
     ) -> float:
         held = [*self._held, attrs.evolve(engine, layers=layers)]
-        return exposure.predict(held, self._profile, self._need)
+        return exposure.predict(held, self._profile, self._needed_tokens)
 
     def _tier(self, engine: chain.Upstream) -> capacity.LayerCapacity | None:
         for names, layer_capacity in self._tiers:
@@ -386,7 +410,9 @@
         return None
 
     def _capacity_of(self, engines: _Cell) -> capacity.LayerCapacity:
-        layer_capacity = capacity.LayerCapacity(self._profile, self._need)
+        layer_capacity = capacity.LayerCapacity(
+            self._profile, self._needed_tokens
+        )
         for engine in engines:
             if engine.layers is not None:
                 layer_capacity.add(engine, engine.layers)
@@ -396,7 +422,7 @@
 def _gap_moves(
     cell: _Cell,
     profile: chain.EngineProfile,
-    counts: list[int],
+    holder_counts: list[int],
     guaranteed_counts: list[int],
     is_idle: typing.Callable[[chain.Upstream], bool],
 ) -> list[Move]:
@@ -406,36 +432,40 @@
     because an engine cannot serve layers while it loads them.
     """
     moves: list[Move] = []
-    held = [one for one in cell if one.layers and is_idle(one)]
-    held.sort(key=lambda one: (max_layer_count(one, profile), one.name))
+    held = [engine for engine in cell if engine.layers and is_idle(engine)]
+    held.sort(
+        key=lambda engine: (max_layer_count(engine, profile), engine.name)
+    )
     for engine in held:
-        if 0 not in counts:
+        if 0 not in holder_counts:
             break
         max_layers = max_layer_count(engine, profile)
         if not max_layers or not _is_redundant(engine, guaranteed_counts):
             continue
-        first = counts.index(0)
+        first = holder_counts.index(0)
         end = first + 1
         while (
-            end < len(counts) and end - first < max_layers and not counts[end]
+            end < len(holder_counts)
+            and end - first < max_layers
+            and not holder_counts[end]
         ):
             end += 1
         moves.append(Move(engine, pipeline.LayerRange(first, end)))
-        _change_counts(engine.layers, counts, -1)
+        _change_counts(engine.layers, holder_counts, -1)
         _change_counts(engine.layers, guaranteed_counts, -1)
-        _change_counts(moves[-1].layers, counts, 1)
+        _change_counts(moves[-1].layers, holder_counts, 1)
     return moves
 
 
 def _change_counts(
-    layers: pipeline.LayerRange | None, counts: list[int], change: int
+    layers: pipeline.LayerRange | None, holder_counts: list[int], change: int
 ) -> None:
     assert layers is not None
     for layer in range(layers.first, layers.end):
-        counts[layer] += change
+        holder_counts[layer] += change
 
 
-def _is_redundant(engine: chain.Upstream, counts: list[int]) -> bool:
+def _is_redundant(engine: chain.Upstream, holder_counts: list[int]) -> bool:
     assert engine.layers is not None
     held = range(engine.layers.first, engine.layers.end)
-    return all(counts[layer] > 1 for layer in held)
+    return all(holder_counts[layer] > 1 for layer in held)
--- a/src/crowdeck/placement/tiers.py
+++ b/src/crowdeck/placement/tiers.py
@@ -17,9 +17,9 @@
 from crowdeck import chain
 from crowdeck.placement import capacity
 
-# Cards belong to one band if their step takes at most this many times that of
-# the fastest of them. Separating more similar cards costs capacity for
-# nothing.
+# Cards belong to one band if their step takes at most this many times as long
+# as that of the fastest of them. Separating more similar cards would cost
+# capacity and gain little speed.
 MAX_STEP_RATIO = 1.5
 
 LayerLimit = typing.Callable[[chain.Upstream, float], int]
@@ -43,11 +43,13 @@
     ) -> None:
         self.complete: list[_Group] = []
         self.remainder: _Group = []
-        need = capacity.needed_tokens(profile)
+        needed_tokens = capacity.needed_tokens(profile)
         for band in _bands(engines, profile):
             self.remainder += band
-            held = sum(layer_limit(one, need) for one in self.remainder)
-            if held >= profile.layer_count:
+            fitting_layers = sum(
+                layer_limit(engine, needed_tokens) for engine in self.remainder
+            )
+            if fitting_layers >= profile.layer_count:
                 self.complete.append(self.remainder)
                 self.remainder = []
 
@@ -57,13 +59,17 @@
 ) -> list[_Group]:
     """Split engines into bands of similar speed, fastest first."""
 
-    def factor(engine: chain.Upstream) -> float:
+    def step_factor(engine: chain.Upstream) -> float:
         card = profile.cards.get(engine.card)
         return card.step_factor if card else 1.0
 
     bands: list[_Group] = []
-    for engine in sorted(engines, key=lambda one: (factor(one), one.name)):
-        if bands and factor(engine) <= MAX_STEP_RATIO * factor(bands[-1][0]):
+    for engine in sorted(
+        engines, key=lambda engine: (step_factor(engine), engine.name)
+    ):
+        if bands and step_factor(engine) <= MAX_STEP_RATIO * step_factor(
+            bands[-1][0]
+        ):
             bands[-1].append(engine)
         else:
             bands.append([engine])
