--- a/src/crowdeck/membership/backoffs.py
+++ b/src/crowdeck/membership/backoffs.py
@@ -11,6 +11,11 @@
 
 @attrs.define
 class _Backoff:
+    """One backoff period, in event loop time.
+
+    :ivar is_probed: whether the probe allowed in it was claimed.
+    """
+
     since: float
     until: float
     is_probed: bool = False
@@ -25,8 +30,8 @@
     def begin(self, name: str, seconds: float) -> bool:
         """Begin or extend a backoff; return whether its end has changed.
 
-        A request for a shorter period does not end a longer one early: it
-        may have been made in the response to another request.
+        A shorter period does not end a longer one early: the responses to two
+        requests may arrive in any order.
         """
         now = anyio.current_time()
         backoff = self._backoffs.get(name)
@@ -66,7 +71,10 @@
         return True
 
     def active(self) -> tuple[tuple[str, float, float], ...]:
-        """Return name, begin and end of each backoff that is not over."""
+        """Return name, begin and end of each backoff that is not over.
+
+        Times are event loop times.
+        """
         now = anyio.current_time()
         return tuple(
             (name, backoff.since, backoff.until)
--- a/src/crowdeck/membership/directory.py
+++ b/src/crowdeck/membership/directory.py
@@ -12,11 +12,11 @@
 from crowdeck.observe import counters
 from crowdeck.state import objects as stores
 
-# Entries poll at this interval; sidecars read the list only to resolve a name
-# that they do not know.
+# Entries poll the list at this interval. Sidecars read it only to resolve a
+# name that they do not know.
 REFRESH_SECONDS = 5.0
 # For this long after its start a process polls more often, to find peers that
-# were started together with it.
+# started at the same time.
 STARTUP_SECONDS = 10.0
 STARTUP_REFRESH_SECONDS = 0.5
 # Requests for unknown names do not read the list more often than this.
@@ -24,7 +24,7 @@
 
 
 class Directory:
-    """Caches the instance list, and keeps it while the list is unavailable."""
+    """Caches the instance list, and keeps the last one if reading fails."""
 
     def __init__(self, instance_list: stores.InstanceList) -> None:
         self._instance_list = instance_list
@@ -43,9 +43,9 @@
     def sidecars(self) -> tuple[instances.Instance, ...]:
         """All listed sidecars."""
         return tuple(
-            one
-            for one in self._instances.values()
-            if one.role is instances.Role.SIDECAR
+            instance
+            for instance in self._instances.values()
+            if instance.role is instances.Role.SIDECAR
         )
 
     def find(self, name: str) -> instances.Instance | None:
@@ -76,7 +76,9 @@
         self._has_read = True
         if listing is not None:
             self._etag = listing.etag
-            self._instances = {one.name: one for one in listing.instances}
+            self._instances = {
+                instance.name: instance for instance in listing.instances
+            }
 
     async def follow(self) -> None:
         """Poll the list until cancelled."""
--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -6,8 +6,8 @@
 """The sidecars of an entry and their health.
 
 The instance list only names candidates. The state of a sidecar follows from
-its heartbeats and from what it reports in them; a sidecar that reports that
-it is leaving gets no new work, whatever else is known of it.
+its heartbeats and from what it reports in them. A sidecar that reports that it
+is leaving gets no new work.
 """
 
 from collections import abc
@@ -36,13 +36,15 @@
 HEARTBEATS_PER_SECOND = 2.0
 MIN_HEARTBEAT_INTERVAL_SECONDS = 0.25
 HEARTBEAT_TIMEOUT_SECONDS = 1.0
-# A probe is an unscheduled heartbeat, sent to a sidecar that holds up an
-# answer. The timeout is longer than a TCP retransmission and a garbage
-# collection pause, and short enough to find a frozen stage within a second.
+# A probe is an unscheduled heartbeat, sent to a sidecar that delays an answer.
+# The timeout is longer than a TCP retransmission and a garbage collection
+# pause, and short enough to find an unresponsive stage within a second.
 PROBE_TIMEOUT_SECONDS = 0.6
+# A sidecar that reported within this time is not probed.
 MIN_PROBE_INTERVAL_SECONDS = 0.2
 # Interval of the probes while a long call or turn is awaited.
 PROBE_INTERVAL_SECONDS = 0.5
+# Delays before a link is opened again, by the number of failures in a row.
 BACKOFF_SECONDS = (0.1, 0.2, 0.4, 0.8, 1.6)
 
 
@@ -69,8 +71,9 @@
 
     :ivar changed_at: monotonic seconds of the last change of state.
     :ivar change_count: number of changes of state.
-    :ivar own_inflight: this entry's attempts and calls in progress there.
-    :ivar own_inflight_at_report: the same, at the time of the last report.
+    :ivar own_inflight: number of this entry's attempts and calls in progress
+        at the sidecar.
+    :ivar own_inflight_at_report: the same at the time of the last report.
     :ivar times_chosen: how often it was chosen as a stage.
     :ivar reported_at: monotonic seconds of its last report.
     :ivar is_probed: whether a probe is in progress.
@@ -105,7 +108,10 @@
 
     @property
     def inflight(self) -> int:
-        """Work in progress: as reported, plus this entry's change since."""
+        """Attempts and calls in progress: as reported, plus own changes since.
+
+        At least this entry's own.
+        """
         reported = self.load.running if self.load is not None else 0
         return max(
             self.own_inflight,
@@ -117,10 +123,10 @@
         """The offers of its engine."""
         if self.load is None:
             return ()
-        return tuple(note.as_offer() for note in self.load.offers)
+        return tuple(offer.as_offer() for offer in self.load.offers)
 
     def has_service(self, service: str) -> bool:
-        """Whether it fronts a plain service of this name."""
+        """Whether it forwards calls to a plain service of this name."""
         return self.load is not None and service in self.load.services
 
 
@@ -151,7 +157,7 @@
     @property
     def usable(self) -> tuple[SidecarView, ...]:
         """All sidecars to which new work may be sent."""
-        return tuple(one for one in self._views.values() if one.is_usable)
+        return tuple(view for view in self._views.values() if view.is_usable)
 
     def find(self, name: str) -> SidecarView | None:
         """Return the view of a sidecar, if it is known."""
@@ -167,7 +173,9 @@
 
     async def sync_with_directory(self) -> None:
         """Watch newly listed sidecars; drop unlisted ones that are down."""
-        listed = {one.name: one for one in self._directory.sidecars}
+        listed = {
+            sidecar.name: sidecar for sidecar in self._directory.sidecars
+        }
         for name in tuple(self._views):
             if name not in listed and self._is_unreachable(name):
                 del self._views[name]
@@ -194,7 +202,7 @@
             except errors.CrowdeckError:
                 failures += 1
             view.peer = None
-            self._change(view, State.DOWN)
+            self._set_state(view, State.DOWN)
             await anyio.sleep(self._backoff_seconds(failures))
 
     async def _exchange_heartbeats(
@@ -208,14 +216,14 @@
                     HEARTBEAT_TIMEOUT_SECONDS,
                 )
                 self._apply_report(view, reply)
-                with anyio.move_on_after(self._heartbeat_interval()):
+                with anyio.move_on_after(self._heartbeat_interval_seconds()):
                     await peer.wait_closed()
         finally:
             # Fails all pending calls on this link, at both ends.
             peer.close()
 
-    def _heartbeat_interval(self) -> float:
-        """Return the seconds until a sidecar's next heartbeat."""
+    def _heartbeat_interval_seconds(self) -> float:
+        """Return the seconds until a sidecar's next heartbeat, with jitter."""
         seconds = len(self._views) / HEARTBEATS_PER_SECOND
         return max(
             MIN_HEARTBEAT_INTERVAL_SECONDS, seconds
@@ -226,6 +234,7 @@
     ) -> questions.Reply:
         """Ask a question that may take long, and probe the peer meanwhile.
 
+        :param timeout: in seconds.
         :raises LinkLost: as soon as the peer fails to answer a probe.
         """
         outcome: questions.Reply | errors.LinkLost
@@ -248,8 +257,11 @@
     async def probe(self, names: abc.Iterable[str]) -> None:
         """Send a heartbeat to each sidecar now, to all of them concurrently.
 
-        Those that do not reply are down when this returns, and the observers
-        have been notified.
+        Sidecars that do not reply are down when this returns, and the
+        observers have been notified.
+
+        :param names: names of sidecars; unknown names, and sidecars that
+            reported or are being probed just now, are skipped.
         """
         async with anyio.create_task_group() as tasks:
             for name in names:
@@ -258,8 +270,8 @@
                     tasks.start_soon(self._probe, view)
 
     def _is_probe_due(self, view: SidecarView) -> bool:
-        age = self._clock.now() - view.reported_at
-        return not view.is_probed and age > MIN_PROBE_INTERVAL_SECONDS
+        age_seconds = self._clock.now() - view.reported_at
+        return not view.is_probed and age_seconds > MIN_PROBE_INTERVAL_SECONDS
 
     async def _probe(self, view: SidecarView) -> None:
         peer = view.peer
@@ -275,7 +287,7 @@
             self._apply_report(view, reply)
         except errors.CrowdeckError:
             peer.close()
-            self._change(view, State.DOWN)
+            self._set_state(view, State.DOWN)
         finally:
             view.is_probed = False
 
@@ -294,9 +306,9 @@
         view.load = reply
         view.own_inflight_at_report = view.own_inflight
         view.reported_at = self._clock.now()
-        self._change(view, State.LEAVING if is_leaving else State.UP)
+        self._set_state(view, State.LEAVING if is_leaving else State.UP)
 
-    def _change(self, view: SidecarView, state: State) -> None:
+    def _set_state(self, view: SidecarView, state: State) -> None:
         if view.state is state:
             return
         former = view.state
--- a/src/crowdeck/membership/leaving_instances.py
+++ b/src/crowdeck/membership/leaving_instances.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-# The oldest announcements beyond this count are forgotten.
+# Beyond this number the oldest announcements are forgotten.
 MAX_REMEMBERED = 1_000
 
 
@@ -19,29 +19,29 @@
     """
 
     def __init__(self) -> None:
-        self._since: dict[str, float] = {}
+        self._announced_at: dict[str, float] = {}
 
     def __len__(self) -> int:
         """Return the number of remembered instances."""
-        return len(self._since)
+        return len(self._announced_at)
 
     def __contains__(self, name: str) -> bool:
         """Whether an instance announced that it is leaving."""
-        return name in self._since
+        return name in self._announced_at
 
     def note(self, name: str) -> bool:
         """Record an announcement; return whether it is the first."""
-        if name in self._since:
+        if name in self._announced_at:
             return False
-        self._since[name] = anyio.current_time()
-        if len(self._since) > MAX_REMEMBERED:
-            del self._since[next(iter(self._since))]
+        self._announced_at[name] = anyio.current_time()
+        if len(self._announced_at) > MAX_REMEMBERED:
+            del self._announced_at[next(iter(self._announced_at))]
         return True
 
     def items(self) -> tuple[tuple[str, float], ...]:
         """Return names with the event loop time of their announcement."""
-        return tuple(self._since.items())
+        return tuple(self._announced_at.items())
 
     def since(self, name: str) -> float | None:
         """Return the event loop time of an instance's announcement."""
-        return self._since.get(name)
+        return self._announced_at.get(name)
--- a/src/crowdeck/membership/links.py
+++ b/src/crowdeck/membership/links.py
@@ -29,8 +29,8 @@
 class Links:
     """Keeps at most one dialled link per instance.
 
-    Links are looked up by name: addresses taken from messages are never
-    dialled.
+    Addresses are looked up by the instance's name; addresses in messages are
+    never dialled.
     """
 
     def __init__(
@@ -77,8 +77,8 @@
                 error.message, was_sent=False, culprit=name
             ) from None
         if peer.greeting.instance != name:
-            # The list is out of date: the address belongs to another
-            # instance now.
+            # The list is outdated: the address belongs to another instance
+            # now.
             peer.close()
             raise errors.LinkLost(
                 f"{listed.address} is no longer the address of {name}",
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -25,7 +25,7 @@
 STATUS_PATH = "/status"
 _JSON_HEADER = (b"content-type", b"application/json")
 CONNECT_TIMEOUT_SECONDS = 0.25
-# Added to the wait of a watch: the round trip, and the delay of a busy entry.
+# Added to the wait of a watch for the round trip and for a busy entry.
 RESPONSE_SLACK_SECONDS = 0.4
 # Larger changes are read from the store: serving them to all entries of a
 # zone would saturate this entry's link.
@@ -45,9 +45,9 @@
 class PeerApp:
     """Serves watches and the status of this entry, as an ASGI application.
 
-    :param mirrors_by_kind: this entry's mirrors.
-    :param selector: is notified of each watch, since an entry that is asked
-        has to read the store itself.
+    :param mirrors_by_kind: this entry's mirrors by the kind of their objects.
+    :param selector: is notified of each watch, because an entry that is asked
+        by peers has to read the store itself.
     :param status_source: returns this entry's status for operators.
     """
 
@@ -79,7 +79,7 @@
         self._selector.note_peer_request()
         try:
             query = _parse_query(scope["query_string"])
-            body = await read_changes(mirror, query.after, query.wait)
+            body = await read_changes(mirror, query.after, query.wait_seconds)
         except errors.CrowdeckError as error:
             await _respond(send, _STATUS_BY_CODE.get(error.code, 400), b"")
             return
@@ -97,15 +97,22 @@
         peer: peer_selection.Peer,
         kind: str,
         after: stores.Position,
-        wait: float,
+        wait_seconds: float,
     ) -> stores.PeerChanges:
-        """Return what a peer knows to have changed after a position."""
+        """Return what a peer knows to have changed after a position.
+
+        :raises CrowdeckError: as in ``PeerClient.watch``.
+        """
         query = urllib.parse.urlencode(
-            {"after": after.version, "epoch": after.epoch, "seconds": wait}
+            {
+                "after": after.version,
+                "epoch": after.epoch,
+                "seconds": wait_seconds,
+            }
         )
         url = f"http://{peer.address}{WATCH_PATH}{kind}?{query}"
         timeouts = http.Timeouts(
-            CONNECT_TIMEOUT_SECONDS, wait + RESPONSE_SLACK_SECONDS
+            CONNECT_TIMEOUT_SECONDS, wait_seconds + RESPONSE_SLACK_SECONDS
         )
         async with self._client.open(
             "GET", url, [], b"", timeouts
@@ -130,11 +137,11 @@
 @attrs.frozen
 class _WatchQuery:
     after: stores.Position
-    wait: float
+    wait_seconds: float
 
 
-def _parse_query(query: bytes) -> _WatchQuery:
-    fields = urllib.parse.parse_qs(query.decode("latin-1"))
+def _parse_query(query_string: bytes) -> _WatchQuery:
+    fields = urllib.parse.parse_qs(query_string.decode("latin-1"))
     try:
         return _WatchQuery(
             stores.Position(
@@ -149,16 +156,16 @@
 
 
 async def read_changes(
-    mirror: mirrors.Mirror, after: stores.Position, wait: float
+    mirror: mirrors.Mirror, after: stores.Position, wait_seconds: float
 ) -> bytes:
     """Return the encoded changes after a position.
 
-    :param wait: seconds to wait for a change.
+    :param wait_seconds: how long to wait for a change.
     :raises CrowdeckError: ``STORE_DOWN``, ``STORE_HISTORY`` or ``TOO_LARGE``,
         as in ``PeerClient.watch``.
     """
-    peer_changes = await mirror.changes_since(after, wait)
-    size = sum(len(one.value) for one in peer_changes.changes.objects)
+    peer_changes = await mirror.changes_since(after, wait_seconds)
+    size = sum(len(stored.value) for stored in peer_changes.changes.objects)
     if size > MAX_RESPONSE_BYTES:
         raise errors.CrowdeckError(
             errors.Code.TOO_LARGE, f"the changes have {size} bytes"
@@ -174,8 +181,8 @@
             "epoch": changes.epoch,
             "age": peer_changes.age,
             "objects": [
-                [one.name, one.version, orjson.Fragment(one.value)]
-                for one in changes.objects
+                [stored.name, stored.version, orjson.Fragment(stored.value)]
+                for stored in changes.objects
             ],
             "removed": changes.removed,
         }
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -5,15 +5,16 @@
 
 """Choice of the entry that reads the store for its availability zone.
 
-Each call to the store is charged for, and every entry has to prove once a
+Each call to the store is charged for, and every entry has to confirm once a
 second that its config is current. So the entries of a zone send their watches
-to one of them, the first in a ranking that all compute alike, and only that
-one calls the store.
+to the first entry of a ranking that all of them compute alike, and only that
+entry calls the store.
 
 There is no election: an entry reads the store itself for as long as others
-ask it. If a peer does not answer or has lost the store, the entry asks the
-next one of the ranking, or the store if it is next itself, if several peers
-have lost the store, or if no peer is left.
+ask it. If a peer does not answer or has lost the store, which means that it
+cannot reach the store, the next peer of the ranking is asked. An entry calls
+the store itself if it comes next in the ranking, if several peers have lost
+the store, or if no peer is left.
 """
 
 import contextlib
@@ -29,11 +30,11 @@
 from crowdeck.state import objects as stores
 from crowdeck.state import store_health
 
-# An entry reads the store itself for this long after a peer last asked it;
-# several times the longest interval between two watches.
+# An entry reads the store itself for this long after a peer last asked it.
+# Several times the longest interval between two watches.
 PEER_REQUEST_TTL_SECONDS = 5.0
 # A peer that did not answer is not asked for this long, doubled at each
-# further failure.
+# further failure up to the maximum.
 UNRESPONSIVE_BACKOFF_SECONDS = 2.0
 MAX_UNRESPONSIVE_BACKOFF_SECONDS = 60.0
 # A peer that has lost the store is asked again after this long.
@@ -45,7 +46,7 @@
 # its last failed call.
 OWN_RETRY_SECONDS = 1.5
 # While all entries of a zone have lost the store, the first of the ranking
-# retries often, and the others, which learn of its success, at this interval.
+# retries often. The others learn of its success and retry at this interval.
 FOLLOWER_RETRY_SECONDS = 1.5
 
 
@@ -61,25 +62,29 @@
     """Reads the mirrors of other entries."""
 
     async def watch(
-        self, peer: Peer, kind: str, after: stores.Position, wait: float
+        self,
+        peer: Peer,
+        kind: str,
+        after: stores.Position,
+        wait_seconds: float,
     ) -> stores.PeerChanges:
         """Return what a peer knows to have changed after a position.
 
-        :param wait: seconds for which the peer waits for a change.
-        :raises CrowdeckError: ``STORE_DOWN`` if the peer has lost the store
-            or knows another epoch of it, ``STORE_HISTORY`` if it does not
-            know the changes since then, ``TOO_LARGE`` if the changes have to
-            be read from the store, any other code if the peer did not
-            answer.
+        :param wait_seconds: how long the peer waits for a change.
+        :raises CrowdeckError: ``STORE_DOWN`` if the peer cannot reach the
+            store or knows another epoch of it, ``STORE_HISTORY`` if it does
+            not know the changes since the position, ``TOO_LARGE`` if the
+            changes have to be read from the store, any other code if the peer
+            did not answer.
         """
         ...
 
 
 Ranking = typing.Callable[[], tuple[Peer, ...]]
 
-# Errors of a healthy peer that cannot serve the watch; the store is asked
-# instead.
-_STORE_NEEDED = (errors.Code.STORE_HISTORY, errors.Code.TOO_LARGE)
+# Error codes of a healthy peer that cannot serve the watch; the store is
+# called instead.
+_STORE_REQUIRED_CODES = (errors.Code.STORE_HISTORY, errors.Code.TOO_LARGE)
 
 
 @attrs.frozen
@@ -94,7 +99,8 @@
     ) -> stores.PeerChanges | None:
         """Return the changes that the peer knows, ``None`` if it failed.
 
-        :raises CrowdeckError: if the store has to be asked instead.
+        :param wait: seconds for which the peer waits for a change.
+        :raises CrowdeckError: if the store has to be called instead.
         """
         return await self._selector.watch(self._peer, kind, after, wait)
 
@@ -118,7 +124,7 @@
         self._ranking = ranking
         self._peers = peers
         self._health = health
-        self._asked_at = float("-inf")
+        self._last_asked_at = float("-inf")
         self._silent_until: dict[str, float] = {}
         self._silence_counts: dict[str, int] = {}
         self._lost_until: dict[str, float] = {}
@@ -127,11 +133,11 @@
 
     @property
     def reads_store(self) -> bool:
-        """Whether this entry asks the store itself."""
+        """Whether this entry calls the store itself."""
         return self._choose_peer() is None
 
     def store_retry_seconds(self) -> float:
-        """Return the seconds between two calls to a store that is lost."""
+        """Return the seconds between two calls while the store is lost."""
         now = anyio.current_time()
         for peer in self._ranking():
             if peer.name == self._name:
@@ -141,16 +147,19 @@
         return store_health.PROBE_INTERVAL_SECONDS
 
     def choose(self) -> "PeerMirrors | None":
-        """Return the peer to ask, or ``None`` to ask the store."""
+        """Return the peer to ask, or ``None`` to call the store."""
         peer = self._choose_peer()
         return PeerMirrors(peer, self) if peer is not None else None
 
     def _choose_peer(self) -> Peer | None:
         now = anyio.current_time()
         may_call_store = self._may_call_store(now)
-        if now - self._asked_at < PEER_REQUEST_TTL_SECONDS and may_call_store:
+        if (
+            now - self._last_asked_at < PEER_REQUEST_TTL_SECONDS
+            and may_call_store
+        ):
             return None
-        lost = 0
+        lost_count = 0
         for peer in self._ranking():
             if peer.name == self._name:
                 if may_call_store:
@@ -158,8 +167,8 @@
             elif self._silent_until.get(peer.name, 0.0) > now:
                 continue
             elif self._lost_until.get(peer.name, 0.0) > now:
-                lost += 1
-                if lost >= LOST_PEERS_LIMIT:
+                lost_count += 1
+                if lost_count >= LOST_PEERS_LIMIT:
                     return None
             else:
                 return peer
@@ -168,29 +177,39 @@
     def seconds_until_retry(self) -> float:
         """Return the seconds until a peer that failed may be asked again."""
         now = anyio.current_time()
-        ends = [*self._lost_until.values(), *self._silent_until.values()]
+        retry_times = [
+            *self._lost_until.values(),
+            *self._silent_until.values(),
+        ]
         return min(
-            (end - now for end in ends if end > now),
+            (retry_at - now for retry_at in retry_times if retry_at > now),
             default=STORE_LOST_RETRY_SECONDS,
         )
 
     def note_peer_request(self) -> None:
         """Note that a peer asked this entry for changes."""
-        self._asked_at = anyio.current_time()
+        self._last_asked_at = anyio.current_time()
 
     async def watch(
-        self, peer: Peer, kind: str, after: stores.Position, wait: float
+        self,
+        peer: Peer,
+        kind: str,
+        after: stores.Position,
+        wait_seconds: float,
     ) -> stores.PeerChanges | None:
         """Return the changes that a peer knows, ``None`` if it failed.
 
-        :raises CrowdeckError: if the store has to be asked instead.
+        :param wait_seconds: how long the peer waits for a change.
+        :raises CrowdeckError: if the store has to be called instead.
         """
         counters.COUNTERS.add("peers.asked")
         with self._cancelled_on_failure(peer):
             try:
-                peer_changes = await self._peers.watch(peer, kind, after, wait)
+                peer_changes = await self._peers.watch(
+                    peer, kind, after, wait_seconds
+                )
             except errors.CrowdeckError as error:
-                if error.code in _STORE_NEEDED:
+                if error.code in _STORE_REQUIRED_CODES:
                     raise
                 self._note_failure(peer, kind, error)
                 return None
@@ -205,8 +224,8 @@
         if not self._health.is_lost:
             return True
         # Counts from this entry's own last failure, not from failures that
-        # peers reported: otherwise two entries that report to each other would
-        # put off their calls for ever.
+        # peers reported. Otherwise two entries that ask each other could both
+        # delay their calls without end.
         return now - self._health.own_failed_at >= OWN_RETRY_SECONDS
 
     @contextlib.contextmanager
@@ -233,11 +252,13 @@
             self._lost_until[peer.name] = now + STORE_LOST_RETRY_SECONDS
             self._health.note_peer_failure()
         elif self._silent_until.get(peer.name, 0.0) <= now:
-            silences = self._silence_counts.get(peer.name, 0)
-            self._silence_counts[peer.name] = silences + 1
-            seconds = UNRESPONSIVE_BACKOFF_SECONDS * 2.0 ** min(silences, 10)
-            pause = min(seconds, MAX_UNRESPONSIVE_BACKOFF_SECONDS)
-            self._silent_until[peer.name] = now + pause
+            silence_count = self._silence_counts.get(peer.name, 0)
+            self._silence_counts[peer.name] = silence_count + 1
+            seconds = UNRESPONSIVE_BACKOFF_SECONDS * 2.0 ** min(
+                silence_count, 10
+            )
+            pause_seconds = min(seconds, MAX_UNRESPONSIVE_BACKOFF_SECONDS)
+            self._silent_until[peer.name] = now + pause_seconds
         if peer.name not in self._failed_peers:
             self._failed_peers.add(peer.name)
             logs.change(
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -27,14 +27,15 @@
 LIST_TIMEOUT_SECONDS = 2.0
 # Each change of an upstream ends the watches of all entries. The more entries
 # there are, the longer each waits for further changes before its next watch,
-# which slows the growth of their calls together. The maximum is well below the
-# two seconds for which an upstream that is leaving may still get work.
+# so that all entries together call the store less often. The maximum is well
+# below the two seconds for which a leaving upstream may still get work.
 LINGER_SECONDS_PER_ENTRY = 0.04
 MIN_LINGER_SECONDS = 0.2
 MAX_LINGER_SECONDS = 0.6
-# Records change when entries start and when instances end unexpectedly. The
-# latter has to reach all entries within three seconds.
+# Records change when entries start and when instances end unexpectedly. An
+# unexpected end has to be known to all entries within three seconds.
 RECORD_LINGER_SECONDS = 0.25
+# Changes of an entry's own record within this time are written together.
 WRITE_DELAY_SECONDS = 0.1
 # Entries that start together have all written their records after this.
 SETTLE_SECONDS = 2.0
@@ -46,7 +47,7 @@
 
 @attrs.frozen
 class EntryRecord:
-    """What an entry publishes of itself in the store.
+    """What an entry publishes about itself in the store.
 
     :ivar address: where its peers reach it, ``None`` if they cannot.
     :ivar capacity: relative capacity for serving its peers.
@@ -62,9 +63,9 @@
 class Roster:
     """All entries that ever registered, from the mirror of their records.
 
-    Entries that were shut down stay listed: a share of a limit that is
-    computed from too many entries is too small, which is safe. Implements
-    ``budget.Membership``.
+    Entries that were shut down stay listed. Each entry's share of a limit is
+    computed from the number of entries, so with too many of them it is too
+    small, which is safe. Implements ``budget.Membership``.
 
     :param name: this entry's name.
     :param record: this entry's record.
@@ -92,13 +93,13 @@
         self._listeners: list[Listener] = []
         self._since = float("inf")
         self._is_settled = False
-        self._age: AgeSource = lambda: float("inf")
-        self._rank()
+        self._get_age: AgeSource = lambda: float("inf")
+        self._update_ranking()
 
     @property
     def entries(self) -> int:
         """Number of all entries, 0 before the first listing."""
-        return self.count if self._listed.is_set() else 0
+        return self.known_entry_count if self._listed.is_set() else 0
 
     @property
     def since(self) -> float:
@@ -113,12 +114,12 @@
         and then not learn of them while the store is unavailable.
         """
         if not self._is_settled:
-            current_at = anyio.current_time() - self._age()
+            current_at = anyio.current_time() - self._get_age()
             self._is_settled = current_at >= self._since + SETTLE_SECONDS
         return self._is_settled
 
     @property
-    def count(self) -> int:
+    def known_entry_count(self) -> int:
         """Number of all known entries, this one included."""
         return len(self._records)
 
@@ -128,8 +129,8 @@
         zone = self._record.availability_zone
         return sum(
             1
-            for one in self._records.values()
-            if one.availability_zone == zone
+            for record in self._records.values()
+            if record.availability_zone == zone
         )
 
     def subscribe(self, listener: Listener) -> None:
@@ -138,15 +139,15 @@
 
     def set_age_source(self, age: AgeSource) -> None:
         """Set the callable that returns the age of the records in seconds."""
-        self._age = age
+        self._get_age = age
 
     def ranking(self) -> tuple[peer_selection.Peer, ...]:
-        """Return this zone's entries, those preferred as readers first."""
+        """Return this zone's entries, preferred readers of the store first."""
         return self._ranking
 
     def linger_seconds(self) -> float:
         """Return the seconds between two watches of the upstreams."""
-        seconds = LINGER_SECONDS_PER_ENTRY * self.count
+        seconds = LINGER_SECONDS_PER_ENTRY * self.known_entry_count
         return min(MAX_LINGER_SECONDS, max(MIN_LINGER_SECONDS, seconds))
 
     async def wait_listed(self) -> None:
@@ -169,8 +170,8 @@
             self._must_write = anyio.Event()
             await self.register()
             await self._must_write.wait()
-            # Batches evidence of further streams that fail with the same
-            # instance.
+            # Further streams that fail with the same instance add evidence;
+            # one write should cover them.
             await anyio.sleep(WRITE_DELAY_SECONDS)
 
     def _publish_evidence(self) -> None:
@@ -194,19 +195,21 @@
             await anyio.sleep(RETRY_SECONDS)
             return
         self._records[self._name] = record
-        self._set_since()
+        self._note_stored()
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
         """Apply a listing of all records.
 
-        The store may have been restored from a backup: versions known so far
-        may be higher than those of newer records, and this entry's own record
-        may be missing or outdated. So versions are forgotten, and the record
-        is written again if it differs.
+        The store may have been restored from a backup. Versions known so far
+        may then be higher than those of newer records, and this entry's own
+        record may be missing or outdated. So known versions are dropped, and
+        the record is written again if it differs.
         """
-        is_first = not self._listed.is_set()
-        if is_first and any(one.name == self._name for one in objects):
-            # Registered by an earlier process, so all others count it.
+        is_first_listing = not self._listed.is_set()
+        if is_first_listing and any(
+            stored.name == self._name for stored in objects
+        ):
+            # Registered by an earlier process, so all other entries count it.
             self._since = float("-inf")
         self._listed.set()
         self._versions.clear()
@@ -220,16 +223,16 @@
         removed: tuple[str, ...],
     ) -> None:
         """Apply changed records; removals are ignored."""
-        before = self.count
-        for one in objects:
-            self._apply(one)
-        self._rank()
+        previous_count = self.known_entry_count
+        for stored in objects:
+            self._apply(stored)
+        self._update_ranking()
         for listener in self._listeners:
             listener()
-        if self.count != before:
+        if self.known_entry_count != previous_count:
             logs.change(
                 "entries_known",
-                entries=self.count,
+                entries=self.known_entry_count,
                 in_zone=self.zone_count,
                 first=self._ranking[0].name if self._ranking else "",
             )
@@ -243,12 +246,12 @@
         if stored.name != self._name:
             self._quarantine.set_peer_evidence(stored.name, record.evidence)
             return
-        self._set_since()
+        self._note_stored()
         # Keeps the evidence of earlier processes of this entry.
         self._quarantine.merge_own_evidence(record.evidence)
         self._publish_evidence()
 
-    def _set_since(self) -> None:
+    def _note_stored(self) -> None:
         self._since = min(self._since, anyio.current_time())
 
     def _is_registered(self) -> bool:
@@ -256,7 +259,7 @@
         return is_stored and self._records[self._name] == self._record
 
     async def _read_own(self) -> None:
-        """Read the record that another process of this entry wrote."""
+        """Read this entry's record after another process has written it."""
         try:
             found = await self._store.get(KIND, self._name)
         except errors.CrowdeckError as error:
@@ -268,12 +271,13 @@
         else:
             self._versions.pop(self._name, None)
 
-    def _rank(self) -> None:
+    def _update_ranking(self) -> None:
         """Rank the entries of this zone by capacity, then by a hash.
 
-        The hash makes the order of equal entries independent of their names.
+        The hash makes the order of entries with the same capacity independent
+        of the order of their names.
         """
-        here = [
+        candidates = [
             (
                 -record.capacity,
                 -rendezvous.score(KIND, name),
@@ -286,7 +290,9 @@
         ]
         self._ranking = tuple(
             peer_selection.Peer(name, address)
-            for _, _, name, address in sorted(here, key=lambda one: one[:3])
+            for _, _, name, address in sorted(
+                candidates, key=lambda candidate: candidate[:3]
+            )
             if address is not None
         )
 
--- a/src/crowdeck/membership/upstream_records.py
+++ b/src/crowdeck/membership/upstream_records.py
@@ -3,7 +3,6 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-
 """Decoding of upstream instances' records, which may be malformed."""
 
 import typing
@@ -25,7 +24,7 @@
 
     def __init__(self, decode: Decoder) -> None:
         self._decode = decode
-        self._rejected: dict[str, str] = {}
+        self._rejection_reasons: dict[str, str] = {}
 
     def read(
         self, stored: stores.StoredObject, previous: chain.Upstream | None
@@ -48,14 +47,14 @@
             reason = "the start time is missing, but was present before"
             self._reject(stored.name, reason)
             return None
-        self._rejected.pop(stored.name, None)
+        self._rejection_reasons.pop(stored.name, None)
         return upstream
 
     def forget(self, name: str) -> None:
         """Forget why a record was rejected, once it was removed."""
-        self._rejected.pop(name, None)
+        self._rejection_reasons.pop(name, None)
 
     def _reject(self, name: str, reason: str) -> None:
-        if self._rejected.get(name) != reason:
-            self._rejected[name] = reason
+        if self._rejection_reasons.get(name) != reason:
+            self._rejection_reasons[name] = reason
             logs.change("entry_refused", name=name, reason=reason)
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -26,24 +26,25 @@
 # long, doubled at each refusal that follows soon after another.
 REFUSAL_BACKOFF_SECONDS = 0.4
 MAX_REFUSAL_BACKOFF_SECONDS = 1.6
-# A refusal this long after the end of the last pause counts as the first.
+# A refusal later than this after the end of the last pause counts as the
+# first.
 REFUSAL_RESET_SECONDS = 2.0
-# A failed engine is probed before it gets work again. A probe without a
-# result, as when this entry's own link is at fault, is repeated after this.
+# A failed engine is probed before it gets work again. A probe without a result
+# is repeated after this time, for example if this entry's own network failed.
 REPROBE_SECONDS = 0.3
-# An instance that does not hold what its record says gets no work for this
-# long, within which the record is updated.
+# An instance that refused a request because its record is outdated gets no
+# work for this long, within which the record is updated.
 STALE_RECORD_BACKOFF_SECONDS = 2.0
-# A leaving instance gets new work for this long at most, and only where no
-# other can serve. Shorter than the two seconds after its announcement in which
-# it may get work, as the announcement may arrive late.
+# A leaving instance gets new work for this long at most, and only if no other
+# can serve it. It may get work for two seconds after its announcement, which
+# may arrive late.
 LEAVING_GRACE_SECONDS = 1.0
 # How long an instance stays listed after its record was removed around an
-# outage of the store. Less than the two seconds after which an instance that
-# left unannounced must get no work.
+# outage of the store. An instance that left unannounced must get no work after
+# two seconds.
 LAPSE_SECONDS = 1.8
-# A removal that is reported within this long after a failed call to the store
-# may be due to the outage. Instances write their records again within two
+# A removal that is reported within this time after a failed call to the store
+# may be due to an outage. Instances write their records again within two
 # seconds, and a watch reports that within another half second.
 LAPSE_SUSPICION_SECONDS = 2.5
 
@@ -54,6 +55,17 @@
 
 @attrs.define
 class _UpstreamState:
+    """An upstream instance and its health; all times are event loop times.
+
+    :ivar version: version of its record in the store.
+    :ivar failures: failures since it was last healthy.
+    :ivar refusals: refusals that followed soon after one another.
+    :ivar is_probed: whether a probe of it may be in progress.
+    :ivar is_gone: whether its process is known to have ended.
+    :ivar leaving_at: when it announced that it leaves, as known here.
+    :ivar lapsed_at: when its record was removed around an outage.
+    """
+
     upstream: chain.Upstream
     version: int = 0
     avoided_until: float = 0.0
@@ -119,10 +131,11 @@
         self._listeners.append(listener)
 
     def subscribe_lapses(self, listener: LapseListener) -> None:
-        """Call ``listener`` for each engine whose record may have lapsed.
+        """Call ``listener`` for each engine whose record lapsed.
 
-        The engine gets no new work until :meth:`note_healthy` is called for
-        it or its record is written again.
+        That is, it was removed around an outage of the store. The engine gets
+        no new work until :meth:`note_healthy` is called for it or its record
+        is written again.
         """
         self._lapse_listeners.append(listener)
 
@@ -137,11 +150,11 @@
 
     def find_by_address(self, address: str) -> chain.Upstream | None:
         """Return the instance that was listed last at an address, if any."""
-        found = None
+        newest = None
         for state in self._states.values():
             if str(state.upstream.address) == address:
-                found = state.upstream
-        return found
+                newest = state.upstream
+        return newest
 
     def listed(self, service: str) -> tuple[chain.Upstream, ...]:
         """Return all listed instances of a service."""
@@ -164,9 +177,9 @@
     def usable_or_backing_off(
         self, service: str
     ) -> tuple[chain.Upstream, ...]:
-        """Return the instances of :meth:`usable` and those that back off."""
+        """Return the instances of :meth:`usable` and those in backoff."""
         now = anyio.current_time()
-        return tuple(one.upstream for one in self._healthy(service, now))
+        return tuple(state.upstream for state in self._healthy(service, now))
 
     def _healthy(
         self, service: str, now: float
@@ -199,9 +212,9 @@
     def due_for_probe(self) -> tuple[chain.Upstream, ...]:
         """Return the failed engines that are to be probed now.
 
-        Probes find out whether an engine is back without risking a request.
-        An engine is returned again after a moment, unless :meth:`avoid` or
-        :meth:`note_healthy` was called for it.
+        Probes find out whether an engine works again without risking a
+        request. An engine is returned again after ``REPROBE_SECONDS``, unless
+        :meth:`avoid` or :meth:`note_healthy` was called for it.
         """
         now = anyio.current_time()
         due = [
@@ -234,7 +247,10 @@
         )
 
     def back_off(self, name: str, seconds: float) -> None:
-        """Give an instance no work for as long as it asked for."""
+        """Give an instance no work for as long as it requested.
+
+        A shorter request does not end a longer backoff early.
+        """
         state = self._states.get(name)
         if state is None or not self._backoffs.begin(name, seconds):
             return
@@ -263,11 +279,17 @@
         self._notify()
 
     def backing_off(self) -> tuple[tuple[str, float, float], ...]:
-        """Return name, begin and end of each backoff that is not over."""
+        """Return name, begin and end of each backoff that is not over.
+
+        Times are event loop times.
+        """
         return self._backoffs.active()
 
     def announced_leaving(self) -> tuple[tuple[str, float], ...]:
-        """Return the instances that announced leaving, and since when."""
+        """Return the names of instances that announced that they leave.
+
+        Each comes with the event loop time of its announcement.
+        """
         return self._leaving.items()
 
     def backoff_seconds_left(self, name: str) -> float:
@@ -287,13 +309,13 @@
 
         That is, its record was removed, or nothing listens at its address. An
         instance that is leaving, is full, resets connections or does not
-        answer may still execute what it was sent.
+        answer may still execute requests that it received.
         """
         state = self._states.get(name)
         return state is None or state.is_gone
 
     def avoid(self, name: str, reason: str, *, is_gone: bool = False) -> None:
-        """Give a failed instance no work for a while.
+        """Give a failed instance no work for a time, longer at each failure.
 
         :param is_gone: whether its process is known to have ended.
         """
@@ -310,8 +332,8 @@
         state.is_probed = False
         state.is_gone = is_gone
         state.failures += 1
-        pause = AVOID_SECONDS * 2.0 ** (state.failures - 1)
-        state.avoided_until = now + min(pause, MAX_AVOID_SECONDS)
+        avoid_seconds = AVOID_SECONDS * 2.0 ** (state.failures - 1)
+        state.avoided_until = now + min(avoid_seconds, MAX_AVOID_SECONDS)
         counters.COUNTERS.add("upstream.avoided")
         logs.change(
             "upstream_avoided",
@@ -325,7 +347,11 @@
         self._notify()
 
     def pause(self, name: str, seconds: float, reason: str) -> None:
-        """Give an instance that refused a request no work for a moment."""
+        """Give an instance that refused a request no work for a time.
+
+        :param seconds: time after a first refusal; doubled at each refusal
+            that follows soon, up to :data:`MAX_REFUSAL_BACKOFF_SECONDS`.
+        """
         state = self._states.get(name)
         now = anyio.current_time()
         if state is None or state.avoided_until > now:
@@ -346,7 +372,7 @@
         )
 
     def note_healthy(self, name: str) -> None:
-        """Note that an instance works, which ends its avoidance."""
+        """Note that an instance works, so that it may get work again."""
         state = self._states.get(name)
         if state is None or not state.failures:
             return
@@ -363,14 +389,14 @@
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
         """Apply a listing of all records.
 
-        A store that was restored from a backup may list an instance in a state
-        before it was leaving; it counts as leaving all the same.
+        A store that was restored from a backup may list a leaving instance as
+        it was before; it still counts as leaving.
         """
-        present = {one.name for one in objects}
-        for one in objects:
-            self._apply(one, allow_stale=True)
+        listed_names = {stored.name for stored in objects}
+        for stored in objects:
+            self._apply(stored, allow_stale=True)
         for name in [
-            name for name in self._name_by_record if name not in present
+            name for name in self._name_by_record if name not in listed_names
         ]:
             self._remove(name)
         self._notify()
@@ -381,8 +407,8 @@
         removed: tuple[str, ...],
     ) -> None:
         """Apply changed and removed records."""
-        for one in objects:
-            self._apply(one)
+        for stored in objects:
+            self._apply(stored)
         for name in removed:
             self._remove(name)
         self._notify()
@@ -394,7 +420,7 @@
         previous = state.upstream if state is not None else None
         upstream = self._record_reader.read(stored, previous)
         if upstream is None:
-            # What the record said before may no longer hold.
+            # The previous version of the record may be outdated.
             self._remove_record(stored.name)
             return
         if state is not None and upstream.incarnation.is_before(
@@ -417,9 +443,9 @@
             self._log("upstream_listed", upstream, stored.version)
             self._drop_replaced(upstream)
             return
-        self._change(state, upstream, stored.version)
+        self._update(state, upstream, stored.version)
 
-    def _change(
+    def _update(
         self, state: _UpstreamState, upstream: chain.Upstream, version: int
     ) -> None:
         state.version = version
@@ -437,21 +463,22 @@
     def _drop_replaced(self, newest: chain.Upstream) -> None:
         """Drop all other instances at the address of the newest one.
 
-        The record of a crashed instance may stay for a while after another one
-        has taken its address, which refuses what is meant for the former.
+        The record of a crashed instance may stay for a while after another
+        instance has taken its address, and the latter refuses requests that
+        are sent to the former.
 
-        Records of services that the config does not name replace no other:
-        they come from another writer.
+        Records of services that the config does not name replace no other
+        records: they were written by something else.
         """
         services = self._services()
         if services and newest.service not in services:
             return
-        here = [
+        at_address = [
             (state.version, name)
             for name, state in self._states.items()
             if state.upstream.address == newest.address
         ]
-        for _, name in sorted(here)[:-1]:
+        for _, name in sorted(at_address)[:-1]:
             self._drop(self._states[name].upstream, "upstream_replaced")
 
     def _drop(self, upstream: chain.Upstream, event: str) -> None:
@@ -487,7 +514,7 @@
         self._drop(state.upstream, "upstream_gone")
 
     def _lapse(self, state: _UpstreamState, now: float) -> None:
-        """Keep an instance whose record may only be missing due to an outage.
+        """Keep an instance whose record may be missing due to an outage.
 
         An engine gets no work until it has answered a probe or its record is
         written again.
@@ -495,8 +522,8 @@
         state.lapsed_at = now
         self._log("upstream_lapsed", state.upstream, 0)
         if not state.upstream.card:
-            # A plain service is called over a new connection. If it is gone,
-            # the call is not sent and can go to another instance.
+            # A plain service is called over a new connection. If its process
+            # has ended, the call is not sent and can go to another instance.
             return
         state.failures += 1
         state.avoided_until = now + LAPSE_SECONDS
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -537,7 +537,7 @@
                 await one.register()
             changes = await store.list(rosters.KIND)
             made[0].on_listed(changes.objects)
-            assert made[0].count == 3
+            assert made[0].known_entry_count == 3
             assert made[0].zone_count == 2
 
         virtual.run(body)
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -176,7 +176,7 @@
             standin_store.StandinStore(), "entry-0", rosters.EntryRecord("a")
         )
         one.on_changed((stored(to_bytes(body), "other"),), ())
-        assert one.count == 2
+        assert one.known_entry_count == 2
 
     @pytest.mark.parametrize(
         "state", ["loading", "", 7, None, ["ready"], {"state": "ready"}]
