--- a/src/crowdeck/placement/relayout.py
+++ b/src/crowdeck/placement/relayout.py
@@ -6,9 +6,9 @@
 """Finds a layout that restores a model with little loading.
 
 Most engines stay in the order of the layers that they hold, so that each keeps
-most of them: the neighbours of a gap grow into it, and their own neighbours
-take over what they give up. A few unconstrained engines, preferably redundant
-ones, may take any range.
+most of them: the engines next to a gap extend their ranges into it, and their
+neighbours take over the layers that they give up. A few unconstrained engines,
+preferably redundant ones, may take any range.
 """
 
 import typing
@@ -48,7 +48,8 @@
     """An engine that takes part in a layout.
 
     :ivar held: layers that it holds and need not load.
-    :ivar max_layers: how many layers it can hold, at least as many as it does.
+    :ivar max_layers: how many layers it can hold, at least as many as it holds
+        now.
     :ivar is_fixed: whether it cannot be ordered now.
     """
 
@@ -85,6 +86,11 @@
 
 @attrs.define
 class _SearchBudget:
+    """The number of ranges that a search may still try.
+
+    :ivar until_yield: ranges that it may try before other tasks may run.
+    """
+
     left: int
     until_yield: int = YIELD_TRIES
 
@@ -100,7 +106,7 @@
 
     @property
     def should_yield(self) -> bool:
-        """Whether to let other tasks run now."""
+        """Whether to let other tasks run now; restarts the count if so."""
         if self.until_yield > 0:
             return False
         self.until_yield = YIELD_TRIES
@@ -272,7 +278,7 @@
     """Finds the layout with the least loading by dynamic programming.
 
     :ivar unconstrained: engines that may take any range.
-    :ivar budget: how many more ranges it may try.
+    :ivar budget: number of ranges that it may still try.
     """
 
     def __init__(
@@ -315,8 +321,8 @@
     def with_limits(self, limits: typing.Mapping[str, int]) -> "_Search":
         """Return a search with other limits on the layers of each engine.
 
-        :param limits: layer limits by engine name; an engine may keep what it
-            holds even if that is more.
+        :param limits: layer limits by engine name; an engine may keep the
+            layers that it holds even if they are more.
         """
         members = [
             attrs.evolve(
