--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -41,7 +41,7 @@
 )
 
 
-def engines(
+def make_engines(
     cards: list[tuple[str, str]],
 ) -> list[chain.Upstream]:
     return [
@@ -55,13 +55,13 @@
 ) -> list[chain.Upstream]:
     held = {move.upstream.name: move.layers for move in moves}
     return [
-        attrs.evolve(one, layers=held.get(one.name, one.layers))
-        for one in fleet
+        attrs.evolve(engine, layers=held.get(engine.name, engine.layers))
+        for engine in fleet
     ]
 
 
 def settle(fleet: list[chain.Upstream]) -> list[chain.Upstream]:
-    """Carry out moves until there are none left."""
+    """Carry out moves until the plan has none left."""
     for _ in range(200):
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
         if not moves:
@@ -73,9 +73,9 @@
 def max_held_layers(fleet: list[chain.Upstream]) -> int:
     return sum(
         plan.fitting_layer_count(
-            one, PROFILE, plan.MIN_CONCURRENT_REQUESTS * 900.0
+            engine, PROFILE, plan.MIN_CONCURRENT_REQUESTS * 900.0
         )
-        for one in fleet
+        for engine in fleet
     )
 
 
@@ -87,7 +87,7 @@
     def test_settles_with_every_layer_held_if_cards_suffice(
         self, cards: list[tuple[str, str]]
     ) -> None:
-        fleet = settle(engines(cards))
+        fleet = settle(make_engines(cards))
         counts = chain.coverage(fleet, PROFILE.layer_count)
         if max_held_layers(fleet) >= 2 * PROFILE.layer_count:
             assert min(counts) >= 1
@@ -97,10 +97,10 @@
     def test_no_engine_holds_more_than_fits(
         self, cards: list[tuple[str, str]]
     ) -> None:
-        for one in settle(engines(cards)):
-            if one.layers is not None:
-                size = one.layers.end - one.layers.first
-                card = PROFILE.cards[one.card]
+        for engine in settle(make_engines(cards)):
+            if engine.layers is not None:
+                size = engine.layers.end - engine.layers.first
+                card = PROFILE.cards[engine.card]
                 assert size * PROFILE.layer_mb < card.memory_mb
 
     @hypothesis.given(
@@ -110,35 +110,45 @@
     def test_no_move_gives_up_the_last_copy(
         self, cards: list[tuple[str, str]], lost: list[int]
     ) -> None:
-        fleet = settle(engines(cards))
-        fleet = [one for at, one in enumerate(fleet) if at not in set(lost)]
+        fleet = settle(make_engines(cards))
+        fleet = [
+            engine
+            for number, engine in enumerate(fleet)
+            if number not in set(lost)
+        ]
         for _ in range(50):
-            before = chain.coverage(fleet, PROFILE.layer_count)
+            before_counts = chain.coverage(fleet, PROFILE.layer_count)
             moves = plan.next_moves(fleet, PROFILE, lambda _: True)
             if not moves:
                 break
-            # Layers are given up before others are loaded.
+            # An engine gives up its layers before it loads others.
             moving = {
                 move.upstream.name
                 for move in moves
                 if move.upstream.layers is not None
             }
-            rest = [one for one in fleet if one.name not in moving]
-            during = chain.coverage(rest, PROFILE.layer_count)
-            for held, left in zip(before, during, strict=True):
-                assert held == 0 or left > 0
+            others = [engine for engine in fleet if engine.name not in moving]
+            during_counts = chain.coverage(others, PROFILE.layer_count)
+            for held_before, held_during in zip(
+                before_counts, during_counts, strict=True
+            ):
+                assert held_before == 0 or held_during > 0
             fleet = carry_out(fleet, moves)
 
     def test_each_capable_zone_holds_the_whole_model(self) -> None:
         cards = [("large", zone) for zone in ("plateau", "almadies")] * 4
-        fleet = settle(engines(cards))
+        fleet = settle(make_engines(cards))
         for zone in ("plateau", "almadies"):
-            inside = [one for one in fleet if one.availability_zone == zone]
+            inside = [
+                engine for engine in fleet if engine.availability_zone == zone
+            ]
             assert min(chain.coverage(inside, PROFILE.layer_count)) >= 1
 
     def test_busy_engines_are_left_alone(self) -> None:
-        fleet = engines([("large", "plateau")] * 5)
-        moves = plan.next_moves(fleet, PROFILE, lambda one: one.name != "e0")
+        fleet = make_engines([("large", "plateau")] * 5)
+        moves = plan.next_moves(
+            fleet, PROFILE, lambda engine: engine.name != "e0"
+        )
         assert {move.upstream.name for move in moves} == {
             "e1",
             "e2",
@@ -193,34 +203,37 @@
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
         assert [move.upstream.name for move in moves] == ["a"]
         guaranteed = [
-            attrs.evolve(one, layers=None) if one.name == "b" else one
-            for one in fleet
+            attrs.evolve(engine, layers=None) if engine.name == "b" else engine
+            for engine in fleet
         ]
         moves = plan.next_moves(
-            fleet, PROFILE, lambda one: one.name != "b", guaranteed
+            fleet, PROFILE, lambda engine: engine.name != "b", guaranteed
         )
         assert moves == []
 
     def test_gap_is_filled_by_a_redundant_engine(self) -> None:
-        fleet = settle(engines([("small", "plateau")] * 16))
+        fleet = settle(make_engines([("small", "plateau")] * 16))
         counts = chain.coverage(fleet, PROFILE.layer_count)
         single = next(
-            one
-            for one in fleet
-            if one.layers is not None and counts[one.layers.first] == 1
+            engine
+            for engine in fleet
+            if engine.layers is not None and counts[engine.layers.first] == 1
         )
-        left = [one for one in fleet if one.name != single.name]
-        after = settle(left)
+        remaining = [engine for engine in fleet if engine.name != single.name]
+        after = settle(remaining)
         assert min(chain.coverage(after, PROFILE.layer_count)) >= 1
         moved = sum(
             1
-            for one in after
-            if next(old for old in left if old.name == one.name) != one
+            for engine in after
+            if next(
+                former for former in remaining if former.name == engine.name
+            )
+            != engine
         )
         assert moved <= 2
 
 
-SMALL = attrs.evolve(
+SIX_LAYERS = attrs.evolve(
     PROFILE,
     layer_count=6,
     layer_mb=10_000.0,
@@ -231,26 +244,26 @@
         "little": chain.AcceleratorType("little", 22_000.0, 16.0, 8.2),
     },
 )
-MOST_LAYERS = {"big": 4, "middle": 3, "little": 2}
+MAX_LAYERS = {"big": 4, "middle": 3, "little": 2}
 
 
 class TestExactPlan:
     """Plans compared with optimal placements, on a model of six layers."""
 
     def test_capacity_is_four_fifths_of_the_optimum(self) -> None:
-        for cards in itertools.combinations_with_replacement(MOST_LAYERS, 3):
+        for cards in itertools.combinations_with_replacement(MAX_LAYERS, 3):
             best = max(
                 concurrent_requests(fleet) for fleet in all_placements(cards)
             )
             if best < plan.MIN_CONCURRENT_REQUESTS:
-                # Nothing is planned with too little memory to serve.
+                # Nothing is planned without memory for serving requests.
                 continue
             fleet = [
                 make_engine(number, card, None)
                 for number, card in enumerate(cards)
             ]
             for _ in range(10):
-                moves = plan.next_moves(fleet, SMALL, lambda _: True)
+                moves = plan.next_moves(fleet, SIX_LAYERS, lambda _: True)
                 fleet = carry_out(fleet, moves)
             assert concurrent_requests(fleet) >= 0.8 * best
 
@@ -258,27 +271,27 @@
 def make_engine(
     number: int, card: str, held: tuple[int, int] | None
 ) -> chain.Upstream:
-    """Return an engine whose slots are no limit."""
-    one = fleet_system.upstream(f"e{number}", "plateau", held, card)
-    return attrs.evolve(one, slots=1000)
+    """Return an engine with so many slots that they limit nothing."""
+    engine = fleet_system.upstream(f"e{number}", "plateau", held, card)
+    return attrs.evolve(engine, slots=1000)
 
 
 def concurrent_requests(fleet: list[chain.Upstream]) -> float:
     """Return how many concurrent requests a placement has memory for."""
-    return bound.compute_bound(fleet, SMALL).concurrent_requests
+    return bound.compute_bound(fleet, SIX_LAYERS).concurrent_requests
 
 
 def all_placements(
     cards: tuple[str, ...],
 ) -> typing.Iterator[list[chain.Upstream]]:
     """Yield engines with each possible choice of layers."""
-    count = SMALL.layer_count
+    count = SIX_LAYERS.layer_count
     choices = [
         [
             (first, end)
             for first in range(count)
             for end in range(
-                first + 1, min(count, first + MOST_LAYERS[card]) + 1
+                first + 1, min(count, first + MAX_LAYERS[card]) + 1
             )
         ]
         for card in cards
@@ -312,24 +325,26 @@
         monkeypatch.setattr(
             initial_layout.InitialLayoutSearch, "find_layout", record_size
         )
-        fleet = [attrs.evolve(one, layers=None) for one in paths.a_fleet(600)]
+        fleet = [
+            attrs.evolve(engine, layers=None) for engine in paths.a_fleet(600)
+        ]
         moves = plan.next_moves(fleet, paths.PROFILE, lambda _: True)
         assert max(sizes) <= plan.MAX_GROUP_SIZE
-        assert {one.upstream.name for one in moves} == {
-            one.name for one in fleet
+        assert {move.upstream.name for move in moves} == {
+            engine.name for engine in fleet
         }
         for zone in paths.ZONES:
             held = [
-                attrs.evolve(one.upstream, layers=one.layers)
-                for one in moves
-                if one.upstream.availability_zone == zone
+                attrs.evolve(move.upstream, layers=move.layers)
+                for move in moves
+                if move.upstream.availability_zone == zone
             ]
             counts = chain.coverage(held, paths.LAYERS)
-            # Each group holds two copies. The number of searches is not the
-            # number of groups, as one group of each zone is searched twice.
-            parts = len(fleet) // len(paths.ZONES) // plan.GROUP_SIZE
-            assert parts == 3
-            assert min(counts) >= 2 * parts
+            # Each group holds two copies. One group of each zone is searched
+            # twice, so the number of searches is not the number of groups.
+            group_count = len(fleet) // len(paths.ZONES) // plan.GROUP_SIZE
+            assert group_count == 3
+            assert min(counts) >= 2 * group_count
 
     def test_the_lease_is_renewed_during_planning(
         self, monkeypatch: pytest.MonkeyPatch
@@ -342,7 +357,7 @@
         ) -> initial_layout.Layout:
             loop = asyncio.get_running_loop()
             assert isinstance(loop, virtual.VirtualLoop)
-            # CPU time of a search on a slow entry.
+            # CPU time in seconds of a search on a slow entry.
             loop.pass_time(0.13 * (len(engines) / 40.0) ** 2)
             return find_layout(search, engines)
 
@@ -353,20 +368,25 @@
         async def work(
             system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
-            longest = 0.0
-            seen = anyio.current_time()
+            longest_gap = 0.0
+            last_run_at = anyio.current_time()
             for _ in range(1_000):
                 await anyio.sleep(0.005)
                 now = anyio.current_time()
-                longest, seen = max(longest, now - seen), now
-            assert longest < 0.5
-            assert all(one.orders_taken for one in system.fleet.upstreams)
+                longest_gap, last_run_at = (
+                    max(longest_gap, now - last_run_at),
+                    now,
+                )
+            assert longest_gap < 0.5
+            assert all(
+                engine.orders_taken for engine in system.fleet.upstreams
+            )
 
         run_with_controller(work, count=120)
 
 
 class FakeLease:
-    """A lease that is held unless a test takes it away."""
+    """A lease that is held until a test sets ``is_held`` to false."""
 
     def __init__(self) -> None:
         self.is_held = True
@@ -388,7 +408,7 @@
         lease = FakeLease()
         listed = (
             routes.Service(fleet_system.MODEL, 100, PROFILE),
-            # The plan of a second model must not disturb the first one.
+            # The plan of another model must not change the first plan.
             routes.Service("other", 100, PROFILE),
         )
         controller = controllers.PlacementController(
@@ -411,8 +431,8 @@
 
 def deliver_heartbeats(system: fleet_system.FleetSystem) -> None:
     """List every engine with the layers it holds, as heartbeats do."""
-    for one in list(system.listed.values()):
-        target = system.fleet.at(one.address)
+    for engine in list(system.listed.values()):
+        target = system.fleet.at(engine.address)
         if target.answers:
             system.list_instance(target.listed)
 
@@ -428,13 +448,13 @@
             system.add(fleet_system.upstream("late", "plateau", None, "large"))
             await anyio.sleep(0.9)
             assert all(
-                system.fleet.at(one.address).orders_taken == 0
-                for one in system.listed.values()
+                system.fleet.at(engine.address).orders_taken == 0
+                for engine in system.listed.values()
             )
             await anyio.sleep(1.0)
             assert all(
-                system.fleet.at(one.address).orders_taken == 1
-                for one in system.listed.values()
+                system.fleet.at(engine.address).orders_taken == 1
+                for engine in system.listed.values()
             )
 
         run_with_controller(work)
@@ -446,8 +466,8 @@
             lease.is_held = False
             await anyio.sleep(5.0)
             assert all(
-                system.fleet.at(one.address).orders_taken == 0
-                for one in system.listed.values()
+                system.fleet.at(engine.address).orders_taken == 0
+                for engine in system.listed.values()
             )
 
         run_with_controller(work)
@@ -459,8 +479,8 @@
             await anyio.sleep(3.0)
             deliver_heartbeats(system)
             await anyio.sleep(0.1)
-            one = system.listed["e1"]
-            target = system.fleet.at(one.address)
+            engine = system.listed["e1"]
+            target = system.fleet.at(engine.address)
             target.listed = attrs.evolve(target.listed, layers=None)
             target.orders_taken = 0
             deliver_heartbeats(system)
@@ -501,9 +521,9 @@
                 system.listed.values(), PROFILE.layer_count
             )
             old = next(
-                one
-                for one in system.listed.values()
-                if one.layers and counts[one.layers.end - 1] == 1
+                engine
+                for engine in system.listed.values()
+                if engine.layers and counts[engine.layers.end - 1] == 1
             )
             system.list_instance(attrs.evolve(old, is_leaving=True))
             await anyio.sleep(0.1)
@@ -540,7 +560,11 @@
             await anyio.sleep(1.5)
             deliver_heartbeats(system)
             await anyio.sleep(0.1)
-            live = [one for one in system.listed.values() if one.name != "e0"]
+            live = [
+                engine
+                for engine in system.listed.values()
+                if engine.name != "e0"
+            ]
             assert min(chain.coverage(live, PROFILE.layer_count)) >= 1
 
         run_with_controller(work, count=8)
@@ -552,14 +576,14 @@
             system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
             place = system.fleet.place
-            lost = 1
+            orders_to_lose = 1
 
             async def lose_first(
                 move: plan.Move, expected_orders: int, fencing_token: int
             ) -> bool:
-                nonlocal lost
-                if move.upstream.name == "e0" and lost:
-                    lost -= 1
+                nonlocal orders_to_lose
+                if move.upstream.name == "e0" and orders_to_lose:
+                    orders_to_lose -= 1
                     raise errors.CrowdeckError(
                         errors.Code.UPSTREAM_LOST, "no answer"
                     )
@@ -599,13 +623,14 @@
             lease.memo = ("b@0",)
             # Their memory is full, so none of them can grow into the gap.
             wide = ("plateau", (0, 39), "large")
-            for one in (
+            for engine in (
                 fleet_system.upstream("a", *wide),
                 fleet_system.upstream("b", *wide),
                 fleet_system.upstream("c", "plateau", (39, 78), "large"),
             ):
-                system.add(one)
-            # Otherwise b itself could move, as the layers of a are certain.
+                system.add(engine)
+            # Otherwise b itself could move, because a is guaranteed to keep
+            # its layers.
             system.registry.back_off("b", 60.0)
             moved = system.fleet.at(system.listed["a"].address)
             await anyio.sleep(controllers.LATE_ORDER_SECONDS - 1.0)
@@ -621,13 +646,13 @@
         ) -> None:
             lease.memo = ("b@0",)
             wide = ("plateau", (0, 24), "large")
-            for one in (
+            for engine in (
                 fleet_system.upstream("a", *wide),
                 fleet_system.upstream("b", *wide),
                 fleet_system.upstream("c", "plateau", (24, 56), "large"),
                 fleet_system.upstream("d", "plateau", (60, 80), "large"),
             ):
-                system.add(one)
+                system.add(engine)
             moved = system.fleet.at(system.listed["a"].address)
             await anyio.sleep(3.0)
             deliver_heartbeats(system)
@@ -646,7 +671,7 @@
 
     def test_engines_lost_together_are_detected_together(self) -> None:
         # Only one of them failed a request. The others must be probed before
-        # their entries expire.
+        # their records expire.
         async def work(
             system: fleet_system.FleetSystem, lease: FakeLease
         ) -> None:
@@ -657,7 +682,7 @@
                 system.fleet.at(system.listed[name].address).is_dead = True
             system.registry.avoid("e0", "refused")
             await anyio.sleep(0.7)
-            assert {one.name for one in system.registry.failed()} == lost
+            assert {engine.name for engine in system.registry.failed()} == lost
 
         run_with_controller(work, count=8)
 
@@ -668,17 +693,19 @@
         ) -> None:
             await anyio.sleep(3.0)
             deliver_heartbeats(system)
-            for one in list(system.listed.values()):
-                system.fleet.at(one.address).is_unresponsive = True
+            for engine in list(system.listed.values()):
+                system.fleet.at(engine.address).is_unresponsive = True
             system.registry.avoid("e0", "refused")
             await anyio.sleep(3.0)
-            for one in list(system.listed.values()):
-                system.fleet.at(one.address).is_unresponsive = False
-            assert {one.name for one in system.registry.failed()} == {"e0"}
+            for engine in list(system.listed.values()):
+                system.fleet.at(engine.address).is_unresponsive = False
+            assert {engine.name for engine in system.registry.failed()} == {
+                "e0"
+            }
             await anyio.sleep(1.0)
             assert all(
-                system.fleet.at(one.address).orders_taken == 1
-                for one in system.listed.values()
+                system.fleet.at(engine.address).orders_taken == 1
+                for engine in system.listed.values()
             )
 
         run_with_controller(work, count=8)
@@ -693,8 +720,8 @@
             system.registry.avoid("e0", "a connection broke")
             await anyio.sleep(2.0)
             assert all(
-                system.fleet.at(one.address).orders_taken == 1
-                for one in system.listed.values()
+                system.fleet.at(engine.address).orders_taken == 1
+                for engine in system.listed.values()
             )
             assert system.registry.is_usable("e0")
 
@@ -702,7 +729,7 @@
 
 
 class TestLease:
-    """The lease has at most one holder at a time."""
+    """Holding, renewal and release of the lease."""
 
     def test_only_one_of_many_holds_it(self) -> None:
         async def body() -> None:
@@ -817,7 +844,7 @@
         virtual.run(body)
 
     def test_malformed_lease_counts_as_held_for_its_whole_length(self) -> None:
-        # A malformed object must not block the lease for ever.
+        # A malformed object must not block the lease without end.
         async def body() -> None:
             store = standin_store.StandinStore()
             store.write(leases.KIND, "duty", b"[]")
