--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -100,8 +100,8 @@
         )
         self.system.fleet.load_seconds = profile.load_seconds
         self.lease = test_placement.FakeLease()
-        for one in engines:
-            self.system.add(one)
+        for engine in engines:
+            self.system.add(engine)
 
     def controller(
         self, orders: controllers.OrderClient | None = None
@@ -119,34 +119,34 @@
         while True:
             for target in self.system.fleet.upstreams:
                 name = target.listed.name
-                known = self.system.listed.get(name)
-                if target.answers and known not in (None, target.listed):
+                listed = self.system.listed.get(name)
+                if target.answers and listed not in (None, target.listed):
                     self.system.list_instance(target.listed)
             await anyio.sleep(HEARTBEAT_SECONDS)
 
     async def share_served(self) -> float:
         """Send some streams and return the share that is served."""
-        served = 0
+        served_count = 0
 
         async def ask() -> None:
-            nonlocal served
+            nonlocal served_count
             request = self.system.request(routes.RepeatPolicy.STREAM)
             caller = await self.system.ask(request)
-            served += caller.status == 200 and caller.is_whole
+            served_count += caller.status == 200 and caller.is_whole
 
         async with anyio.create_task_group() as tasks:
             for _ in range(STREAMS):
                 tasks.start_soon(ask)
                 await anyio.sleep(1.0 / STREAMS_PER_SECOND)
-        return served / STREAMS
+        return served_count / STREAMS
 
     def held(self) -> dict[str, pipeline.LayerRange | None]:
         """Return the layers of each listed engine that is not leaving."""
         return {
-            one.name: self.system.fleet.at(one.address).listed.layers
-            for one in self.system.listed.values()
-            if not one.is_leaving
-            and not self.system.fleet.at(one.address).announces_leaving
+            engine.name: self.system.fleet.at(engine.address).listed.layers
+            for engine in self.system.listed.values()
+            if not engine.is_leaving
+            and not self.system.fleet.at(engine.address).announces_leaving
         }
 
     @property
@@ -160,7 +160,9 @@
 
     def orders_taken(self) -> int:
         """Return how many orders the engines accepted."""
-        return sum(one.orders_taken for one in self.system.fleet.upstreams)
+        return sum(
+            engine.orders_taken for engine in self.system.fleet.upstreams
+        )
 
 
 def four_engines() -> list[chain.Upstream]:
@@ -175,21 +177,27 @@
 
 def four_large_engines() -> list[chain.Upstream]:
     """Return four engines, any three of which could hold the model."""
-    return [attrs.evolve(one, card="large") for one in four_engines()]
+    return [attrs.evolve(engine, card="large") for engine in four_engines()]
 
 
 def loaded(
     before: dict[str, pipeline.LayerRange | None],
     after: dict[str, pipeline.LayerRange | None],
 ) -> list[int]:
-    """Return how many layers each remaining engine loaded."""
-    counts = []
+    """Return the number of layers that each remaining engine loaded."""
+    loaded_counts = []
     for name, layers in after.items():
-        old = before[name]
-        had = set(range(old.first, old.end)) if old else set()
-        has = set(range(layers.first, layers.end)) if layers else set()
-        counts.append(len(has - had))
-    return counts
+        held_before = before[name]
+        before_layers = (
+            set(range(held_before.first, held_before.end))
+            if held_before
+            else set()
+        )
+        after_layers = (
+            set(range(layers.first, layers.end)) if layers else set()
+        )
+        loaded_counts.append(len(after_layers - before_layers))
+    return loaded_counts
 
 
 def run_with_controller(
@@ -214,7 +222,7 @@
 
 
 class TestOneOfFour:
-    """One engine goes, and the other three can hold the model."""
+    """One engine leaves or ends, and the other three can hold the model."""
 
     @pytest.mark.parametrize("lost", range(COUNT))
     @pytest.mark.parametrize("lose", LOSSES)
@@ -227,9 +235,11 @@
             await anyio.sleep(RECOVERY_SECONDS)
             after = simulation.held()
             assert simulation.is_model_held
-            share = max(loaded(before, after)) / PROFILE.layer_count
-            ready = began + RECOVERY_SECONDS + PROFILE.load_seconds * share
-            await anyio.sleep(ready - anyio.current_time())
+            load_share = max(loaded(before, after)) / PROFILE.layer_count
+            ready_at = (
+                began + RECOVERY_SECONDS + PROFILE.load_seconds * load_share
+            )
+            await anyio.sleep(ready_at - anyio.current_time())
             assert await simulation.share_served() >= 0.9
 
         run_with_controller(work)
@@ -250,7 +260,9 @@
 class RecordingOrderClient:
     """Forwards and records orders, and loses the first ones.
 
+    :ivar lost: how many of the next orders are lost.
     :ivar unheld: layers that an order gave up without another holder.
+    :ivar late: lost orders, with the count of orders that each expects.
     """
 
     def __init__(self, simulation: Simulation, lost: int = 0) -> None:
@@ -266,7 +278,7 @@
     async def place(
         self, move: plan.Move, expected_orders: int, fencing_token: int
     ) -> bool:
-        self._note(move)
+        self._record(move)
         if self.lost:
             self.lost -= 1
             self.late.append((move, expected_orders))
@@ -277,17 +289,17 @@
 
     async def carry_out_late(self) -> None:
         """Deliver the lost orders late."""
-        for move, expected in self.late:
-            await self._system.fleet.place(move, expected, 0)
+        for move, expected_orders in self.late:
+            await self._system.fleet.place(move, expected_orders, 0)
         self.late.clear()
 
-    def _note(self, move: plan.Move) -> None:
+    def _record(self, move: plan.Move) -> None:
         self.sent.append(move)
         target = self._system.fleet.at(move.upstream.address).listed
         others = [
-            one.listed
-            for one in self._system.fleet.upstreams
-            if one.answers and one.listed.name != target.name
+            engine.listed
+            for engine in self._system.fleet.upstreams
+            if engine.answers and engine.listed.name != target.name
         ]
         counts = chain.coverage(others, PROFILE.layer_count)
         if target.layers is not None:
@@ -306,7 +318,7 @@
     engines: typing.Callable[[], list[chain.Upstream]] = four_engines,
     profile: chain.EngineProfile = TIGHT,
 ) -> None:
-    """Run ``work`` with heartbeats; it starts controllers itself."""
+    """Run ``work`` with heartbeats; it has to start controllers itself."""
 
     async def body() -> None:
         simulation = Simulation(engines(), profile)
@@ -367,8 +379,10 @@
 
         run_with_orders(work, lost_orders)
 
-    @pytest.mark.parametrize("after", (1, 2, 3))
-    def test_a_controller_that_is_killed_midway(self, after: int) -> None:
+    @pytest.mark.parametrize("order_count", (1, 2, 3))
+    def test_a_controller_that_is_killed_midway(
+        self, order_count: int
+    ) -> None:
         # Its successor knows only the memo of the lease.
         async def work(
             simulation: Simulation,
@@ -380,7 +394,7 @@
                     inner.start_soon(simulation.controller(orders).run)
                     await anyio.sleep(1.0)
                     end(simulation.system, "e1")
-                    while len(orders.sent) < after:
+                    while len(orders.sent) < order_count:
                         await anyio.sleep(0.0001)
                     scope.cancel()
             await anyio.sleep(4.5)
@@ -393,7 +407,7 @@
         run_with_orders(work)
 
     def test_an_engine_that_is_lost_midway(self) -> None:
-        # The new empty engine and those that are left can hold the model.
+        # The new empty engine and the remaining ones can hold the model.
         async def work(
             simulation: Simulation,
             orders: RecordingOrderClient,
@@ -417,14 +431,16 @@
     def test_no_orders_if_another_zone_holds_the_model(
         self,
     ) -> None:
-        # The requests of the zone go to the other one.
+        # Requests of the first zone go to the other zone.
         def engines() -> list[chain.Upstream]:
             other = [
                 attrs.evolve(
-                    fleet_system.upstream(f"o{at}", "almadies", None, "card"),
-                    layers=one.layers,
+                    fleet_system.upstream(
+                        f"o{number}", "almadies", None, "card"
+                    ),
+                    layers=engine.layers,
                 )
-                for at, one in enumerate(four_engines())
+                for number, engine in enumerate(four_engines())
             ]
             return four_engines() + other
 
@@ -470,9 +486,9 @@
             first.name: pipeline.LayerRange(20, 40),
             second.name: pipeline.LayerRange(0, 20),
         }
-        guaranteed = {one.name: one.layers for one in engines}
+        guaranteed = {engine.name: engine.layers for engine in engines}
         steps = rearrangement._sort_steps(
-            [plan.Move(one, layout[one.name]) for one in engines],
+            [plan.Move(engine, layout[engine.name]) for engine in engines],
             rearrangement._Handover(engines, layout, guaranteed),
         )
         assert [step.after for step in steps] == [frozenset(), frozenset()]
@@ -490,13 +506,15 @@
             "e1": pipeline.LayerRange(50, 60),
         }
         guaranteed = {
-            one.name: one.layers for one in engines if one.name != "e4"
+            engine.name: engine.layers
+            for engine in engines
+            if engine.name != "e4"
         }
         steps = rearrangement._sort_steps(
             [
-                plan.Move(one, layout[one.name])
-                for one in engines
-                if one.name in layout
+                plan.Move(engine, layout[engine.name])
+                for engine in engines
+                if engine.name in layout
             ],
             rearrangement._Handover(engines, layout, guaranteed),
         )
@@ -523,13 +541,13 @@
             await anyio.sleep(1.0)
             end(simulation.system, "e1")
             await anyio.sleep(seconds)
-            back = simulation.system.add(
+            restarted = simulation.system.add(
                 fleet_system.upstream("back", "plateau", None, "card")
             )
             await anyio.sleep(20.0)
             assert simulation.is_model_held
-            assert [one.upstream.name for one in orders.sent] == ["back"]
-            assert back.listed.layers == pipeline.LayerRange(20, 40)
+            assert [move.upstream.name for move in orders.sent] == ["back"]
+            assert restarted.listed.layers == pipeline.LayerRange(20, 40)
 
         run_with_orders(work)
 
@@ -572,7 +590,7 @@
             await anyio.sleep(0.2)
             assert simulation.is_model_held
             # The leaving engine still serves, so streams are not interrupted.
-            assert not any(one.is_urgent for one in orders.sent)
+            assert not any(move.is_urgent for move in orders.sent)
 
         run_with_orders(work)
 
@@ -601,7 +619,8 @@
         run_with_orders(work)
 
     def test_rearrangements_are_bounded_if_engines_flap_in_turn(self) -> None:
-        # Any three hold the model; each time another engine is lost.
+        # Any three engines can hold the model; another engine is lost each
+        # time.
         async def work(
             simulation: Simulation,
             orders: RecordingOrderClient,
@@ -647,22 +666,24 @@
     count: int, layer_count: int, zones: int
 ) -> list[chain.Upstream]:
     """Return engines that hold one copy, with a part of it in each zone."""
-    found = []
+    engines = []
     for number in range(count):
         layers = (
             layer_count * number // count,
             layer_count * (number + 1) // count,
         )
         zone = f"zone{number * zones // count}"
-        found.append(fleet_system.upstream(f"e{number}", zone, layers, "card"))
-    return found
+        engines.append(
+            fleet_system.upstream(f"e{number}", zone, layers, "card")
+        )
+    return engines
 
 
 class TestFleetSizes:
     """Fleets of several sizes with little memory to spare."""
 
     @pytest.mark.parametrize(
-        ("count", "layer_count", "spare", "lost"),
+        ("count", "layer_count", "spare_layers", "lost"),
         (
             (8, 80, 6, 1),
             (8, 80, 6, 2),
@@ -676,12 +697,13 @@
         ),
     )
     def test_several_engines_are_lost(
-        self, count: int, layer_count: int, spare: int, lost: int
+        self, count: int, layer_count: int, spare_layers: int, lost: int
     ) -> None:
-        most = layer_count // count + spare
-        assert (count - lost) * most >= layer_count
-        # Memory for this many layers and a little over four requests.
-        per_layer = PROFILE.layer_mb + 4.01 * 858.0 * (
+        max_layers = layer_count // count + spare_layers
+        assert (count - lost) * max_layers >= layer_count
+        # Memory in MB of one layer, with slightly more than the four requests
+        # for which an engine keeps memory.
+        mb_per_layer = PROFILE.layer_mb + 4.01 * 858.0 * (
             PROFILE.kv_bytes_per_token / layer_count / 1e6
         )
         profile = attrs.evolve(
@@ -689,7 +711,7 @@
             layer_count=layer_count,
             cards={
                 "card": chain.AcceleratorType(
-                    "card", per_layer * most, 1.4, 1.0
+                    "card", mb_per_layer * max_layers, 1.4, 1.0
                 )
             },
         )
@@ -706,8 +728,8 @@
                 end(simulation.system, f"e{number}")
             await anyio.sleep(RECOVERY_SECONDS)
             assert simulation.is_model_held
-            counts = loaded(before, simulation.held())
-            assert sum(counts) >= lost * layer_count // count
+            loaded_counts = loaded(before, simulation.held())
+            assert sum(loaded_counts) >= lost * layer_count // count
 
         run_with_orders(
             work,
@@ -716,7 +738,7 @@
         )
 
     def test_a_whole_zone_is_lost(self) -> None:
-        # Each of 12 engines could hold 28 layers; a zone holds a third of the
+        # Each of 12 engines can hold 28 layers. Each zone holds a third of the
         # model.
         async def work(
             simulation: Simulation,
@@ -746,7 +768,7 @@
             end(simulation.system, "e1")
             await anyio.sleep(RECOVERY_SECONDS)
             assert simulation.is_model_held
-            assert "e0" not in {one.upstream.name for one in orders.sent}
+            assert "e0" not in {move.upstream.name for move in orders.sent}
 
         run_with_orders(work, profile=PROFILE)
 
@@ -775,20 +797,22 @@
         self, is_announced: bool
     ) -> None:
         # A layer goes missing again after each rearrangement.
-        known = rearrangement_delay.RearrangementDelay()
+        delay = rearrangement_delay.RearrangementDelay()
         ordered_at: list[float] = []
         now = 0.0
         while now < 4 * rearrangement_delay.WINDOW_SECONDS:
             now += 0.5
-            if known.note_missing(now, is_announced, (7,)):
-                known.note_rearrangement(now)
-                known.reset()
+            if delay.note_missing(now, is_announced, (7,)):
+                delay.note_rearrangement(now)
+                delay.reset()
                 ordered_at.append(now)
-        for first in ordered_at:
+        for window_start in ordered_at:
             within = [
                 at
                 for at in ordered_at
-                if first <= at < first + rearrangement_delay.WINDOW_SECONDS
+                if window_start
+                <= at
+                < window_start + rearrangement_delay.WINDOW_SECONDS
             ]
             assert (
                 len(within) <= rearrangement_delay.MAX_REARRANGEMENTS_PER_HOUR
@@ -804,16 +828,17 @@
         async def work(running: test_fleet_process.RunningEntry) -> None:
             def held() -> list[chain.Upstream]:
                 return [
-                    one.listed
-                    for one in running.fleet.upstreams
-                    if one.listed.layers is not None
+                    engine.listed
+                    for engine in running.fleet.upstreams
+                    if engine.listed.layers is not None
                 ]
 
             counts = chain.coverage(held(), PROFILE.layer_count)
             lost = next(
-                one
-                for one in running.fleet.upstreams
-                if one.listed.layers and counts[one.listed.layers.first] == 1
+                engine
+                for engine in running.fleet.upstreams
+                if engine.listed.layers
+                and counts[engine.listed.layers.first] == 1
             )
             if loss == "store":
                 lost.listed = attrs.evolve(lost.listed, is_leaving=True)
