--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -37,10 +37,10 @@
 ) -> list[float]:
     """Return the token capacity at each layer."""
     capacities = [0.0] * MIXED.layer_count
-    for one in fleet:
-        layers = layout[one.name]
+    for engine in fleet:
+        layers = layout[engine.name]
         token_capacity = MIXED.token_capacity(
-            one.card, layers.end - layers.first
+            engine.card, layers.end - layers.first
         )
         for layer in range(layers.first, layers.end):
             capacities[layer] += token_capacity
@@ -53,8 +53,8 @@
     def layout(self, fleet: list[chain.Upstream]) -> initial_layout.Layout:
         search = initial_layout.InitialLayoutSearch(
             MIXED,
-            lambda one, token_capacity: plan.fitting_layer_count(
-                one, MIXED, token_capacity
+            lambda engine, token_capacity: plan.fitting_layer_count(
+                engine, MIXED, token_capacity
             ),
             plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(MIXED),
         )
@@ -63,19 +63,23 @@
     def test_no_layer_limits_the_capacity(self) -> None:
         # If every engine keeps the same capacity, some layers have two copies
         # and the others limit every path to the capacity of one engine.
-        fleet = [make_engine(at, card) for at, card in enumerate(CARDS)]
+        fleet = [
+            make_engine(number, card) for number, card in enumerate(CARDS)
+        ]
         capacities = capacity_by_layer(fleet, self.layout(fleet))
         assert min(capacities) >= 2.0 * capacity.needed_tokens(MIXED)
 
     def test_spare_memory_holds_more_copies(self) -> None:
-        fleet = [make_engine(at, card) for at, card in enumerate(CARDS)]
+        fleet = [
+            make_engine(number, card) for number, card in enumerate(CARDS)
+        ]
         layout = self.layout(fleet)
-        held = sum(one.end - one.first for one in layout.values())
+        held = sum(layers.end - layers.first for layers in layout.values())
         assert held >= 1.4 * MIXED.layer_count
 
     def test_coverage_comes_before_capacity(self) -> None:
         # Cards that hold the model once, with the minimum capacity.
-        fleet = [make_engine(at, "narrow") for at in range(10)]
+        fleet = [make_engine(number, "narrow") for number in range(10)]
         assert min(capacity_by_layer(fleet, self.layout(fleet))) > 0.0
 
     @pytest.mark.parametrize(
@@ -105,7 +109,8 @@
             capacity.LayerCapacity, "best_range", count_searches
         )
         fleet = [
-            make_engine(at, cards[at % len(cards)]) for at in range(count)
+            make_engine(number, cards[number % len(cards)])
+            for number in range(count)
         ]
         capacities = capacity_by_layer(fleet, self.layout(fleet))
         assert searches <= len(fleet)
--- a/tests/test_late_engines.py
+++ b/tests/test_late_engines.py
@@ -5,8 +5,8 @@
 
 """Tests of a large fleet whose engines are listed after the first plan.
 
-Planning many empty engines at once must not outlast the lease, or no engine is
-ever ordered.
+Planning many empty engines at once must not take longer than the lease is
+valid, or no engine is ever ordered.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 PLACED_ENGINE_COUNT = 20
 ZONES = ("a", "b", "c")
 PROFILE = fleet_system.PROFILE
-# A call on a slow entry: CPU time of each step, number of steps, and timeout.
+# A call by a slow entry: CPU time of each step, number of steps, and timeout.
 CALL_STEP_SECONDS = 0.0008
 CALL_STEPS = 4
 CALL_TIMEOUT_SECONDS = 0.5
@@ -42,16 +42,16 @@
 
 def make_fleet() -> list[chain.Upstream]:
     """Return a fleet whose first engines hold one copy of the model."""
-    found = [
+    fleet = [
         fleet_system.upstream(f"e{number}", ZONES[number % 3], None, "large")
         for number in range(ENGINE_COUNT)
     ]
     for number, layers in enumerate(
-        pipeline.LayerRange(4 * one, 4 * one + 4)
-        for one in range(PLACED_ENGINE_COUNT)
+        pipeline.LayerRange(4 * index, 4 * index + 4)
+        for index in range(PLACED_ENGINE_COUNT)
     ):
-        found[number] = attrs.evolve(found[number], layers=layers)
-    return found
+        fleet[number] = attrs.evolve(fleet[number], layers=layers)
+    return fleet
 
 
 class TestBatches:
@@ -66,13 +66,15 @@
         for batch in plan.iter_moves(make_fleet(), PROFILE, lambda _: True):
             if batch:
                 placed = [
-                    attrs.evolve(one.upstream, layers=one.layers)
-                    for one in batch
+                    attrs.evolve(move.upstream, layers=move.layers)
+                    for move in batch
                 ]
                 assert 0 not in chain.coverage(placed, PROFILE.layer_count)
 
     def test_batches_of_few_engines_are_bounded(self) -> None:
-        fleet = [one for one in make_fleet() if one.layers is not None]
+        fleet = [
+            engine for engine in make_fleet() if engine.layers is not None
+        ]
         fleet += make_fleet()[-9 * plan.FILL_BATCH_SIZE :]
         batches = list(plan.iter_moves(fleet, PROFILE, lambda _: True))
         assert sum(map(len, batches)) == 9 * plan.FILL_BATCH_SIZE
@@ -81,11 +83,13 @@
     def test_all_moves_together_complete_the_plan(self) -> None:
         fleet = make_fleet()
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
-        named = {one.upstream.name: one.layers for one in moves}
-        assert len(named) == ENGINE_COUNT - PLACED_ENGINE_COUNT
+        planned = {move.upstream.name: move.layers for move in moves}
+        assert len(planned) == ENGINE_COUNT - PLACED_ENGINE_COUNT
         held = [
-            attrs.evolve(one, layers=named.get(one.name, one.layers))
-            for one in fleet
+            attrs.evolve(
+                engine, layers=planned.get(engine.name, engine.layers)
+            )
+            for engine in fleet
         ]
         assert not plan.next_moves(held, PROFILE, lambda _: True)
 
@@ -94,10 +98,10 @@
     ) -> None:
         fleet = make_fleet()
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
-        counted = _count_coverage(monkeypatch)
+        engine_counts = _count_coverage(monkeypatch)
         gaps = plan.CoverageGaps(fleet, PROFILE)
         filling = [move for move in moves if gaps.is_filled_by(move)]
-        assert len(counted) <= len(ZONES)
+        assert len(engine_counts) <= len(ZONES)
         # Each zone lacks most of the layers that other zones hold.
         assert filling
 
@@ -116,22 +120,24 @@
                 system.fleet,
                 lambda: (routes.Service(fleet_system.MODEL, 100, PROFILE),),
             )
-            fleet = [attrs.evolve(one, layers=None) for one in make_fleet()]
+            fleet = [
+                attrs.evolve(engine, layers=None) for engine in make_fleet()
+            ]
             async with anyio.create_task_group() as tasks:
-                for one in fleet[:PLACED_ENGINE_COUNT]:
-                    system.add(one)
+                for engine in fleet[:PLACED_ENGINE_COUNT]:
+                    system.add(engine)
                 tasks.start_soon(controller.run)
                 await anyio.sleep(controllers.LIST_QUIET_SECONDS + 1.0)
                 test_placement.deliver_heartbeats(system)
-                counted = _count_coverage(monkeypatch)
-                for one in fleet[PLACED_ENGINE_COUNT:]:
-                    system.add(one)
+                engine_counts = _count_coverage(monkeypatch)
+                for engine in fleet[PLACED_ENGINE_COUNT:]:
+                    system.add(engine)
                 await anyio.sleep(controllers.EMPTY_ENGINE_DELAY_SECONDS / 2)
                 # Coverage is not counted once per empty engine.
-                assert len(counted) < ENGINE_COUNT
+                assert len(engine_counts) < ENGINE_COUNT
                 await anyio.sleep(6.0)
-                for one in system.listed.values():
-                    assert system.fleet.at(one.address).orders_taken
+                for engine in system.listed.values():
+                    assert system.fleet.at(engine.address).orders_taken
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -168,7 +174,7 @@
     """A new fleet of a thousand engines and a controller on a slow entry.
 
     Without a bound on concurrent calls all orders and probes time out, and all
-    engines are taken for lost.
+    engines count as lost.
     """
 
     def test_every_engine_is_ordered_in_time(self) -> None:
@@ -189,7 +195,7 @@
                 began = anyio.current_time()
                 tasks.start_soon(controller.run)
                 while not all(
-                    one.orders_taken for one in system.fleet.upstreams
+                    engine.orders_taken for engine in system.fleet.upstreams
                 ):
                     await anyio.sleep(0.1)
                     assert anyio.current_time() < began + MAX_ORDER_SECONDS
@@ -201,14 +207,14 @@
 
 def _count_coverage(monkeypatch: pytest.MonkeyPatch) -> list[int]:
     """Record the number of engines of each call of ``chain.coverage``."""
-    counted: list[int] = []
+    engine_counts: list[int] = []
     coverage = chain.coverage
 
     def counting(
         engines: typing.Sequence[chain.Upstream], layer_count: int
     ) -> list[int]:
-        counted.append(len(engines))
+        engine_counts.append(len(engines))
         return coverage(engines, layer_count)
 
     monkeypatch.setattr(chain, "coverage", counting)
-    return counted
+    return engine_counts
--- a/tests/test_relayout.py
+++ b/tests/test_relayout.py
@@ -21,30 +21,33 @@
     members: list[relayout.Member], layer_count: int
 ) -> int | None:
     """Return the least number of layers to load, by exhaustive search."""
-    never = layer_count * len(members) + 1
-    costs = [[never] * (layer_count + 1) for _ in range(2 ** len(members))]
+    unreachable_cost = layer_count * len(members) + 1
+    costs = [
+        [unreachable_cost] * (layer_count + 1)
+        for _ in range(2 ** len(members))
+    ]
     costs[0][0] = 0
     for placed, row in enumerate(costs):
-        for number, one in enumerate(members):
+        for number, member in enumerate(members):
             if placed >> number & 1:
                 continue
             next_row = costs[placed | 1 << number]
             for first in range(layer_count):
                 # Covering more layers is never worse.
                 cost = min(row[first:])
-                max_end = min(layer_count, first + one.max_layers)
+                max_end = min(layer_count, first + member.max_layers)
                 for end in range(first + 1, max_end + 1):
                     layers = pipeline.LayerRange(first, end)
-                    load = end - first - relayout._overlap(one.held, layers)
+                    load = end - first - relayout._overlap(member.held, layers)
                     next_row[end] = min(next_row[end], cost + load)
-    least = min(row[layer_count] for row in costs)
-    return least if least < never else None
+    least_loaded = min(row[layer_count] for row in costs)
+    return least_loaded if least_loaded < unreachable_cost else None
 
 
 def random_group(rng: random.Random) -> tuple[list[relayout.Member], int]:
     """Return random engines, either with a gap or with arbitrary layers."""
     layer_count = rng.choice((8, 12, 16))
-    found: list[relayout.Member] = []
+    group: list[relayout.Member] = []
     if rng.random() < 0.5:
         first = 0
         while first < layer_count:
@@ -54,10 +57,10 @@
                 first + rng.randint(max(1, max_layers - 2), max_layers),
             )
             layers = pipeline.LayerRange(first, end)
-            found.append(relayout.Member(f"e{len(found)}", layers, max_layers))
+            group.append(relayout.Member(f"e{len(group)}", layers, max_layers))
             first = end
-        rng.shuffle(found)
-        return found[: max(2, len(found) - rng.randint(1, 2))][:6], layer_count
+        rng.shuffle(group)
+        return group[: max(2, len(group) - rng.randint(1, 2))][:6], layer_count
     for number in range(rng.randint(2, 5)):
         max_layers = rng.randint(2, layer_count // 2 + 2)
         held = None
@@ -65,28 +68,28 @@
             size = rng.randint(1, max_layers)
             first = rng.randint(0, layer_count - size)
             held = pipeline.LayerRange(first, first + size)
-        found.append(relayout.Member(f"e{number}", held, max_layers))
-    return found, layer_count
+        group.append(relayout.Member(f"e{number}", held, max_layers))
+    return group, layer_count
 
 
 def loaded_and_missing(
     members: list[relayout.Member], layout: relayout.Layout, layer_count: int
 ) -> tuple[int, int]:
     """Return the layers loaded and the number of layers left unheld."""
-    loaded, held = 0, [0] * layer_count
-    for one in members:
-        layers = layout.get(one.name, one.held)
+    loaded, holder_counts = 0, [0] * layer_count
+    for member in members:
+        layers = layout.get(member.name, member.held)
         if layers is None:
             continue
         size = layers.end - layers.first
         assert layers.end <= layer_count
-        assert size <= one.max_layers
-        if one.name in layout:
-            assert not one.is_fixed
-            loaded += size - relayout._overlap(one.held, layers)
+        assert size <= member.max_layers
+        if member.name in layout:
+            assert not member.is_fixed
+            loaded += size - relayout._overlap(member.held, layers)
         for layer in range(layers.first, layers.end):
-            held[layer] += 1
-    return loaded, held.count(0)
+            holder_counts[layer] += 1
+    return loaded, holder_counts.count(0)
 
 
 class TestSmallGroups:
@@ -97,14 +100,14 @@
         rng = random.Random(seed)
         for _ in range(GROUPS_PER_SEED):
             members, layer_count = random_group(rng)
-            least = optimal_loading(members, layer_count)
+            least_loaded = optimal_loading(members, layer_count)
             layout = relayout.cover(members, layer_count)
-            if least is None:
+            if least_loaded is None:
                 assert not layout
                 continue
             loaded, missing = loaded_and_missing(members, layout, layer_count)
             assert not missing
-            assert loaded <= MAX_LOADING_FACTOR * least
+            assert loaded <= MAX_LOADING_FACTOR * least_loaded
 
     def test_fixed_engine_keeps_its_layers(self) -> None:
         members = [
@@ -139,17 +142,17 @@
             ]
             random.Random(seed).shuffle(members)
             del members[:lost]
-            capacity = sum(one.max_layers for one in members)
-            parts = 0
-            search = relayout.cover_cooperatively(members, layer_count)
+            total_max_layers = sum(member.max_layers for member in members)
+            yield_count = 0
+            computation = relayout.cover_cooperatively(members, layer_count)
             while True:
                 try:
-                    next(search)
-                    parts += 1
+                    next(computation)
+                    yield_count += 1
                 except StopIteration as done:
                     layout = done.value
                     break
-            if capacity < layer_count:
+            if total_max_layers < layer_count:
                 assert not layout
                 continue
             loaded, missing = loaded_and_missing(members, layout, layer_count)
@@ -157,7 +160,7 @@
             assert not missing
             # Less than loading the whole model again.
             assert gap <= loaded < layer_count
-            assert parts <= 2_000_000 // relayout.YIELD_TRIES
+            assert yield_count <= 2_000_000 // relayout.YIELD_TRIES
 
     def test_model_is_restored_if_the_budget_is_used_up(
         self, monkeypatch: pytest.MonkeyPatch
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -26,16 +26,17 @@
 
 
 def held_by(fleet: list[chain.Upstream], zone: str, *cards: str) -> list[int]:
+    """Return how many engines with such cards hold each layer in a zone."""
     inside = [
-        one
-        for one in fleet
-        if one.availability_zone == zone and one.card in cards
+        engine
+        for engine in fleet
+        if engine.availability_zone == zone and engine.card in cards
     ]
     return chain.coverage(inside, PROFILE.layer_count)
 
 
 class TestLayout:
-    """Which engines hold a copy of the model together."""
+    """The engines that hold a copy of the model together."""
 
     def test_fast_cards_hold_the_model_by_themselves(self) -> None:
         fleet = in_tiers(list(MIXED.engines))
@@ -65,8 +66,8 @@
             fleet_system.upstream("b", "plateau", None, "quick"),
             fleet_system.upstream("c", "plateau", (54, 80), "quick"),
             *(
-                fleet_system.upstream(f"s{at}", "plateau", held, "slow")
-                for at, held in enumerate(slow)
+                fleet_system.upstream(f"s{number}", "plateau", held, "slow")
+                for number, held in enumerate(slow)
             ),
         ]
         (move,) = plan.next_moves(fleet, PROFILE, lambda _: True)
@@ -75,7 +76,7 @@
         assert move.layers.end >= 54
 
     def test_layers_missing_in_the_zone_come_first(self) -> None:
-        # Its tier also lacks other layers, but slow cards hold those.
+        # The tier of d also lacks other layers, but slow cards hold those.
         fleet = [
             fleet_system.upstream("a", "plateau", (0, 20), "middle"),
             fleet_system.upstream("c", "plateau", (40, 60), "middle"),
@@ -84,9 +85,12 @@
             fleet_system.upstream("f", "plateau", (40, 60), "middle"),
             *(
                 fleet_system.upstream(
-                    f"s{at}", "plateau", (at * 8, at * 8 + 8), "slow"
+                    f"s{number}",
+                    "plateau",
+                    (number * 8, number * 8 + 8),
+                    "slow",
                 )
-                for at in range(9)
+                for number in range(9)
             ),
         ]
         moves = plan.next_moves(fleet, PROFILE, lambda _: True)
@@ -106,15 +110,15 @@
         self, cards: list[str]
     ) -> None:
         fleet = [
-            fleet_system.upstream(f"e{at}", "plateau", None, card)
-            for at, card in enumerate(cards)
+            fleet_system.upstream(f"e{number}", "plateau", None, card)
+            for number, card in enumerate(cards)
         ]
         min_token_capacity = (
             plan.MIN_CONCURRENT_REQUESTS * capacity.request_tokens(PROFILE)
         )
         max_held_layers = sum(
-            plan.fitting_layer_count(one, PROFILE, min_token_capacity)
-            for one in fleet
+            plan.fitting_layer_count(engine, PROFILE, min_token_capacity)
+            for engine in fleet
         )
         fleet = in_tiers(fleet)
         if max_held_layers >= 2 * PROFILE.layer_count:
@@ -148,8 +152,8 @@
             fleet_system.upstream("c", "plateau", (60, 80), "quick"),
         ]
         steps = PROFILE.step_ms * PROFILE.cards["quick"].step_factor
-        found = exposure.predict(engines, PROFILE, 10_000.0)
-        assert found == pytest.approx(3 * (steps + 2 * 1.2))
+        predicted = exposure.predict(engines, PROFILE, 10_000.0)
+        assert predicted == pytest.approx(3 * (steps + 2 * 1.2))
 
     def test_exposure_is_infinite_without_capacity(self) -> None:
         engines = [fleet_system.upstream("a", "plateau", (0, 30), "quick")]
