--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Instances that ask for backoff, or announce that they are leaving.
+"""Instances that request backoff, or announce that they are leaving.
 
-Guards against requests to an instance during the backoff that it asked for,
-which are refused although other instances are free.
+Guards against requests to an instance during the backoff that it requested.
+They would be refused although other instances are free.
 """
 
 import random
@@ -33,7 +33,8 @@
 ONCE = routes.RepeatPolicy.ONCE
 IDEMPOTENT = routes.RepeatPolicy.IDEMPOTENT
 BACKOFF_SECONDS = 3.0
-# Requests sent before the response came may arrive this much later.
+# Requests sent before the response arrived may reach the instance this much
+# later.
 SLACK_SECONDS = 0.5
 # No request may reach an instance later than this after it announced leaving.
 LEAVING_SECONDS = 2.0
@@ -43,14 +44,14 @@
 Work = typing.Callable[[System], typing.Awaitable[None]]
 
 
-def run_scenario(work: Work, plain: int = 3) -> None:
+def run_scenario(work: Work, plain_count: int = 3) -> None:
     """Run ``work`` with engines in two zones and some plain instances."""
 
     async def body() -> None:
         system = System(name="entry")
         system.install(system.config)
         system.add_model(copies=2)
-        for number in range(plain):
+        for number in range(plain_count):
             system.add(
                 fleet_system.upstream(
                     f"records-{number}", service=fleet_system.PLAIN, card=""
@@ -65,7 +66,7 @@
     system: System,
     repeat: routes.RepeatPolicy,
     seconds: float,
-    step: float = 0.05,
+    interval_seconds: float = 0.05,
 ) -> list[fleet_system.Caller]:
     """Send requests for a while; return their callers."""
     callers: list[fleet_system.Caller] = []
@@ -77,7 +78,7 @@
         until = anyio.current_time() + seconds
         while anyio.current_time() < until:
             tasks.start_soon(ask)
-            await anyio.sleep(step)
+            await anyio.sleep(interval_seconds)
     return callers
 
 
@@ -87,25 +88,25 @@
     since: float,
     until: float = float("inf"),
 ) -> list[chain_fleet.Arrival]:
-    """Return what was sent to an instance within a time span."""
+    """Return the messages sent to an instance in a time span."""
     return [
-        one
-        for one in system.client.arrivals
-        if one.upstream == upstream.name and since <= one.at < until
+        arrival
+        for arrival in system.client.arrivals
+        if arrival.upstream == upstream.name and since <= arrival.at < until
     ]
 
 
 def busiest(system: System) -> chain_fleet.StandinUpstream:
     """Return the instance that got the most requests so far."""
     counts: dict[str, int] = {}
-    for one in system.client.arrivals:
-        counts[one.upstream] = counts.get(one.upstream, 0) + 1
-    name = max(counts, key=lambda one: counts[one])
+    for arrival in system.client.arrivals:
+        counts[arrival.upstream] = counts.get(arrival.upstream, 0) + 1
+    name = max(counts, key=lambda upstream: counts[upstream])
     return system.fleet.at(system.listed[name].address)
 
 
 class TestBackoff:
-    """An instance that refuses a request and asks for backoff."""
+    """An instance that refuses a request and requests backoff."""
 
     @pytest.mark.parametrize("repeat", [STREAM, ONCE, IDEMPOTENT])
     def test_gets_nothing_during_backoff(
@@ -132,9 +133,9 @@
         self, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
-            for one in system.fleet.upstreams:
+            for upstream in system.fleet.upstreams:
                 # Long enough that all instances are needed.
-                one.seconds = 0.5
+                upstream.seconds = 0.5
             await send(system, repeat, 1.0)
             target = busiest(system)
             target.backoff = BACKOFF_SECONDS
@@ -148,13 +149,13 @@
 
     def test_shorter_backoff_does_not_end_a_longer_one(self) -> None:
         async def work(system: System) -> None:
-            one = next(iter(system.listed.values()))
-            system.registry.back_off(one.name, BACKOFF_SECONDS)
-            system.registry.back_off(one.name, 0.1)
+            upstream = next(iter(system.listed.values()))
+            system.registry.back_off(upstream.name, BACKOFF_SECONDS)
+            system.registry.back_off(upstream.name, 0.1)
             await anyio.sleep(BACKOFF_SECONDS - 0.1)
-            assert not system.registry.is_usable(one.name)
+            assert not system.registry.is_usable(upstream.name)
             await anyio.sleep(0.2)
-            assert system.registry.is_usable(one.name)
+            assert system.registry.is_usable(upstream.name)
 
         run_scenario(work)
 
@@ -162,8 +163,8 @@
         async def work(system: System) -> None:
             other = System(system.fleet, "other")
             other.install(other.config)
-            for one in system.listed.values():
-                other.list_instance(one)
+            for upstream in system.listed.values():
+                other.list_instance(upstream)
             first = next(iter(system.listed.values()))
             system.registry.back_off(first.name, BACKOFF_SECONDS)
             assert not system.registry.is_usable(first.name)
@@ -176,13 +177,13 @@
         self, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
-            for one in system.listed.values():
-                system.registry.back_off(one.name, BACKOFF_SECONDS)
+            for upstream in system.listed.values():
+                system.registry.back_off(upstream.name, BACKOFF_SECONDS)
             (caller,) = await send(system, repeat, 0.01)
             assert caller.error is not None
             assert caller.error.verdict is verdicts.Verdict.NOT_RUN
-            # The refusal is immediate, and names a time at which the retry
-            # is served.
+            # The refusal is immediate, and a retry after the time in it is
+            # served.
             assert anyio.current_time() < 0.2
             retry_after = caller.error.retry_after
             assert retry_after is not None
@@ -200,8 +201,8 @@
         self, repeat: routes.RepeatPolicy
     ) -> None:
         async def work(system: System) -> None:
-            for one in system.listed.values():
-                system.registry.back_off(one.name, 0.2)
+            for upstream in system.listed.values():
+                system.registry.back_off(upstream.name, 0.2)
             (caller,) = await send(system, repeat, 0.01)
             assert caller.error is None
 
@@ -215,8 +216,8 @@
                 caller = fleet_system.Caller()
                 tasks.start_soon(system.relay.serve, request, caller)
                 await anyio.sleep(0.5)
-                for one in system.listed.values():
-                    system.registry.back_off(one.name, BACKOFF_SECONDS)
+                for upstream in system.listed.values():
+                    system.registry.back_off(upstream.name, BACKOFF_SECONDS)
             whole = fleet_system.whole_answer(request.id, 150)
             assert caller.body == whole
             assert not system.fleet.repaths
@@ -249,11 +250,11 @@
 
     def test_each_backoff_allows_one_probe(self) -> None:
         async def work(system: System) -> None:
-            one = next(iter(system.listed.values()))
+            upstream = next(iter(system.listed.values()))
             for _ in range(2):
-                system.registry.back_off(one.name, BACKOFF_SECONDS)
-                assert system.registry.claim_probe(one.name)
-                assert not system.registry.claim_probe(one.name)
+                system.registry.back_off(upstream.name, BACKOFF_SECONDS)
+                assert system.registry.claim_probe(upstream.name)
+                assert not system.registry.claim_probe(upstream.name)
                 await anyio.sleep(BACKOFF_SECONDS)
 
         run_scenario(work)
@@ -266,7 +267,9 @@
             target = busiest(system)
             target.rejected_requests = 1000
             callers = await send(system, ONCE, 5.0)
-            refused = [one for one in callers if one.error is not None]
+            refused = [
+                caller for caller in callers if caller.error is not None
+            ]
             # At most one every two seconds, the half-life of the failure rate.
             assert len(refused) <= 3
 
@@ -274,27 +277,27 @@
 
     def test_leaving_instance_gets_nothing_during_backoff(self) -> None:
         async def work(system: System) -> None:
-            one = next(iter(system.listed.values()))
-            system.registry.note_leaving(one.name)
-            assert system.registry.usable_while_leaving(one.service)
-            system.registry.back_off(one.name, BACKOFF_SECONDS)
-            assert not system.registry.usable_while_leaving(one.service)
+            upstream = next(iter(system.listed.values()))
+            system.registry.note_leaving(upstream.name)
+            assert system.registry.usable_while_leaving(upstream.service)
+            system.registry.back_off(upstream.name, BACKOFF_SECONDS)
+            assert not system.registry.usable_while_leaving(upstream.service)
 
         run_scenario(work)
 
     def test_is_skipped_when_all_instances_are_probed(self) -> None:
         async def work(system: System) -> None:
             lost, backing_off, *_ = system.listed.values()
-            asked = chain_fleet.FleetClient(system.fleet)
+            client = chain_fleet.FleetClient(system.fleet)
             detector = failure_detector.FailureDetector(
-                system.registry, asked, lambda: system.config.services
+                system.registry, client, lambda: system.config.services
             )
             system.fleet.at(lost.address).is_dead = True
             system.registry.avoid(lost.name, "silent")
             system.registry.back_off(backing_off.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await detector.check()
-            names = {one.upstream for one in asked.arrivals}
+            names = {arrival.upstream for arrival in client.arrivals}
             assert len(names) > 2
             assert backing_off.name not in names
 
@@ -302,30 +305,30 @@
 
     def test_failed_instance_is_not_probed_during_backoff(self) -> None:
         async def work(system: System) -> None:
-            one = next(iter(system.listed.values()))
-            system.registry.avoid(one.name, "silent")
-            system.registry.back_off(one.name, BACKOFF_SECONDS)
+            upstream = next(iter(system.listed.values()))
+            system.registry.avoid(upstream.name, "silent")
+            system.registry.back_off(upstream.name, BACKOFF_SECONDS)
             await anyio.sleep(BACKOFF_SECONDS - 0.1)
             assert not system.client.arrivals
             await anyio.sleep(1.0)
             assert system.client.arrivals
-            assert system.registry.is_usable(one.name)
+            assert system.registry.is_usable(upstream.name)
 
         run_scenario(work)
 
     def test_does_not_count_as_lost_for_placement(self) -> None:
         async def work(system: System) -> None:
-            one = next(iter(system.listed.values()))
-            asked = chain_fleet.FleetClient(system.fleet)
+            upstream = next(iter(system.listed.values()))
+            client = chain_fleet.FleetClient(system.fleet)
             detector = failure_detector.FailureDetector(
-                system.registry, asked, lambda: system.config.services
+                system.registry, client, lambda: system.config.services
             )
-            system.registry.avoid(one.name, "silent")
-            system.registry.back_off(one.name, BACKOFF_SECONDS)
+            system.registry.avoid(upstream.name, "silent")
+            system.registry.back_off(upstream.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await detector.check()
-            assert not asked.arrivals
-            assert not detector.is_lost(one.name)
+            assert not client.arrivals
+            assert not detector.is_lost(upstream.name)
 
         run_scenario(work)
 
@@ -346,7 +349,9 @@
                 tasks.start_soon(controller.run)
                 await anyio.sleep(6.0)
                 assert not ordered.orders_taken
-                assert any(one.orders_taken for one in system.fleet.upstreams)
+                assert any(
+                    engine.orders_taken for engine in system.fleet.upstreams
+                )
                 await anyio.sleep(6.0)
                 assert ordered.orders_taken
                 tasks.cancel_scope.cancel()
@@ -360,7 +365,9 @@
             target.backoff = BACKOFF_SECONDS
             target.rejected_requests = 1000
             callers = await send(system, ONCE, 9.0)
-            refused = [one for one in callers if one.error is not None]
+            refused = [
+                caller for caller in callers if caller.error is not None
+            ]
             # At most one after each backoff.
             assert len(refused) <= 3
 
@@ -370,11 +377,11 @@
 class TestShareAfterBackoff:
     """One of two instances, after its backoff.
 
-    Guards against counting the refusal that asked for backoff as a failure,
+    Guards against counting the refusal that requested backoff as a failure,
     which would keep the instance below its share of the load.
     """
 
-    # At low rates even a small difference in cost decides.
+    # At low rates a small difference in cost decides which instance is chosen.
     @pytest.mark.parametrize("rate", [10.0, 20.0, 40.0])
     @pytest.mark.parametrize("seed", range(4))
     def test_is_restored_within_a_second(self, rate: float, seed: int) -> None:
@@ -402,11 +409,12 @@
             since, until = backoff_ends_at + 1.0, backoff_ends_at + 3.0
             count = len(sent(system, target.listed, since, until))
             total = sum(
-                since <= one.at < until for one in system.client.arrivals
+                since <= arrival.at < until
+                for arrival in system.client.arrivals
             )
             assert 0.25 <= count / total <= 0.75
 
-        run_scenario(work, plain=2)
+        run_scenario(work, plain_count=2)
 
 
 class TestLeaving:
@@ -421,51 +429,56 @@
             announced_at = anyio.current_time()
             callers = await send(system, repeat, 5.0)
             late = [
-                one
-                for one in sent(system, target.listed, announced_at)
-                if one.what is chain_fleet.CallKind.REQUEST
-                and one.arrived > announced_at + LEAVING_SECONDS
+                arrival
+                for arrival in sent(system, target.listed, announced_at)
+                if arrival.what is chain_fleet.CallKind.REQUEST
+                and arrival.arrived > announced_at + LEAVING_SECONDS
             ]
             assert not late
-            assert all(one.error is None for one in callers)
+            assert all(caller.error is None for caller in callers)
 
         run_scenario(work)
 
     def test_overrides_its_store_record(self) -> None:
         async def work(system: System) -> None:
-            one = next(iter(system.listed.values()))
-            system.registry.note_leaving(one.name)
-            assert not system.registry.is_usable(one.name)
-            system.list_instance(one)
-            system.list_instance(attrs.evolve(one, slots=one.slots + 1))
-            assert not system.registry.is_usable(one.name)
+            upstream = next(iter(system.listed.values()))
+            system.registry.note_leaving(upstream.name)
+            assert not system.registry.is_usable(upstream.name)
+            system.list_instance(upstream)
+            system.list_instance(
+                attrs.evolve(upstream, slots=upstream.slots + 1)
+            )
+            assert not system.registry.is_usable(upstream.name)
 
         run_scenario(work)
 
-    def test_is_dropped_when_its_entry_has_lapsed(self) -> None:
+    def test_is_dropped_when_its_record_has_lapsed(self) -> None:
         async def work(system: System) -> None:
-            one = next(iter(system.listed.values()))
+            upstream = next(iter(system.listed.values()))
             system.registry.set_store_failure_source(anyio.current_time)
-            system.registry.on_changed((), (one.incarnation.id,))
-            system.registry.note_leaving(one.name)
+            system.registry.on_changed((), (upstream.incarnation.id,))
+            system.registry.note_leaving(upstream.name)
             await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
-            assert one.name not in {
-                it.name for it in system.registry.listed(one.service)
+            assert upstream.name not in {
+                listed.name
+                for listed in system.registry.listed(upstream.service)
             }
 
         run_scenario(work)
 
-    def test_stays_leaving_when_its_entry_is_written_again(self) -> None:
+    def test_stays_leaving_when_its_record_is_written_again(self) -> None:
         async def work(system: System) -> None:
-            one = next(iter(system.listed.values()))
-            system.registry.note_leaving(one.name)
-            system.registry.on_changed((), (one.incarnation.id,))
+            upstream = next(iter(system.listed.values()))
+            system.registry.note_leaving(upstream.name)
+            system.registry.on_changed((), (upstream.incarnation.id,))
             await anyio.sleep(LEAVING_SECONDS)
-            system.list_instance(one)
-            assert not system.registry.is_usable(one.name)
-            assert one.name not in {
-                it.name
-                for it in system.registry.usable_while_leaving(one.service)
+            system.list_instance(upstream)
+            assert not system.registry.is_usable(upstream.name)
+            assert upstream.name not in {
+                listed.name
+                for listed in system.registry.usable_while_leaving(
+                    upstream.service
+                )
             }
 
         run_scenario(work)
@@ -483,12 +496,12 @@
 
     def test_restarted_instance_is_not_leaving(self) -> None:
         async def work(system: System) -> None:
-            one = next(iter(system.listed.values()))
-            system.registry.note_leaving(one.name)
-            incarnation = chain.Incarnation(one.incarnation.id, 5)
+            upstream = next(iter(system.listed.values()))
+            system.registry.note_leaving(upstream.name)
+            incarnation = chain.Incarnation(upstream.incarnation.id, 5)
             system.list_instance(
                 attrs.evolve(
-                    one,
+                    upstream,
                     name=incarnation.name,
                     instance_id=incarnation.id,
                     started_ms=incarnation.started_ms,
@@ -500,24 +513,26 @@
 
     def test_is_learned_from_a_report_too(self) -> None:
         async def work(system: System) -> None:
-            one = next(iter(system.listed.values()))
-            system.fleet.at(one.address).announces_leaving = True
-            await system.client.report(one)
-            assert not system.registry.is_usable(one.name)
+            upstream = next(iter(system.listed.values()))
+            system.fleet.at(upstream.address).announces_leaving = True
+            await system.client.report(upstream)
+            assert not system.registry.is_usable(upstream.name)
 
         run_scenario(work)
 
     def test_no_path_goes_through_it(self) -> None:
         async def work(system: System) -> None:
             leaving = [
-                one for one in system.listed.values() if "-1" in one.name
+                upstream
+                for upstream in system.listed.values()
+                if "-1" in upstream.name
             ]
-            for one in leaving:
-                system.registry.note_leaving(one.name)
+            for upstream in leaving:
+                system.registry.note_leaving(upstream.name)
             await anyio.sleep(LEAVING_SECONDS)
             await send(system, STREAM, 1.0)
             for run in system.fleet.runs:
-                for one in leaving:
-                    assert f"{one.address}=" not in run.path
+                for upstream in leaving:
+                    assert f"{upstream.address}=" not in run.path
 
         run_scenario(work)
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -29,14 +29,14 @@
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
         self.listings += 1
-        self.values = {one.name: one.value for one in objects}
+        self.values = {stored.name: stored.value for stored in objects}
 
     def on_changed(
         self,
         objects: tuple[stores.StoredObject, ...],
         removed: tuple[str, ...],
     ) -> None:
-        self.values.update((one.name, one.value) for one in objects)
+        self.values.update((stored.name, stored.value) for stored in objects)
         for name in removed:
             self.values.pop(name, None)
 
@@ -44,11 +44,13 @@
 class TestMirror:
     """A mirror of one kind of object, through outages of the store."""
 
-    def run_scenario(self, work: object, linger: float = 0.0) -> None:
+    def run_scenario(self, work: object, linger_seconds: float = 0.0) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             follower = _Follower()
-            mirror = mirrors.Mirror(store, "k", follower, 1.5, lambda: linger)
+            mirror = mirrors.Mirror(
+                store, "k", follower, 1.5, lambda: linger_seconds
+            )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
                 await work(store, follower, mirror)  # type: ignore[operator]
@@ -138,36 +140,39 @@
             mirror: mirrors.Mirror,
         ) -> None:
             await anyio.sleep(0.1)
-            before = store.calls["watch"]
+            calls_before = store.calls["watch"]
             for number in range(20):
                 store.write("k", f"o{number}", b"1")
                 await anyio.sleep(0.02)
             await anyio.sleep(0.3)
             assert len(follower.values) == 20
-            assert store.calls["watch"] - before <= 5
+            assert store.calls["watch"] - calls_before <= 5
 
-        self.run_scenario(work, linger=0.2)
+        self.run_scenario(work, linger_seconds=0.2)
 
 
 class TestStoreHealth:
-    """Several mirrors of one process, while the store does not answer."""
+    """Two mirrors of one process, while the store does not answer.
+
+    ``work`` gets the follower of the mirror that waits long for changes.
+    """
 
     def run_scenario(self, work: object) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             health = store_health.StoreHealth()
-            quick, slow = _Follower(), _Follower()
+            config_follower, follower = _Follower(), _Follower()
             config = mirrors.Mirror(
-                store, "q", quick, 2.0, lambda: 0.0, health
+                store, "q", config_follower, 2.0, lambda: 0.0, health
             )
             entries = mirrors.Mirror(
-                store, "s", slow, 10.0, lambda: 0.0, health
+                store, "s", follower, 10.0, lambda: 0.0, health
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(config.run)
                 tasks.start_soon(entries.run)
                 await anyio.sleep(1.0)
-                await work(store, slow, config)  # type: ignore[operator]
+                await work(store, follower, config)  # type: ignore[operator]
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -176,7 +181,7 @@
         # Otherwise a long watch would miss changes until its own timeout.
         async def work(
             store: standin_store.StandinStore,
-            slow: _Follower,
+            follower: _Follower,
             config: mirrors.Mirror,
         ) -> None:
             store.stop_answering()
@@ -184,14 +189,14 @@
             store.resume_answering()
             store.write("s", "leaving", b"1")
             await anyio.sleep(1.5)
-            assert slow.values == {"leaving": b"1"}
+            assert follower.values == {"leaving": b"1"}
 
         self.run_scenario(work)
 
     def test_short_silence_between_calls_is_noticed(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            slow: _Follower,
+            follower: _Follower,
             config: mirrors.Mirror,
         ) -> None:
             store.stop_answering()
@@ -199,7 +204,7 @@
             store.resume_answering()
             store.write("s", "leaving", b"1")
             await anyio.sleep(2.6)
-            assert slow.values == {"leaving": b"1"}
+            assert follower.values == {"leaving": b"1"}
 
         self.run_scenario(work)
 
@@ -207,7 +212,7 @@
         # The first watch afterwards must not wait for a change.
         async def work(
             store: standin_store.StandinStore,
-            slow: _Follower,
+            follower: _Follower,
             config: mirrors.Mirror,
         ) -> None:
             store.stop_answering()
@@ -222,19 +227,20 @@
     def test_mirrors_share_retries_while_the_store_is_down(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            slow: _Follower,
+            follower: _Follower,
             config: mirrors.Mirror,
         ) -> None:
             store.is_down = True
             await anyio.sleep(3.0)
-            before = store.calls.total()
+            calls_before = store.calls.total()
             await anyio.sleep(3.0)
-            assert 5 <= store.calls.total() - before <= 10
+            assert 5 <= store.calls.total() - calls_before <= 10
 
         self.run_scenario(work)
 
     def test_cancelled_retry_does_not_block_the_others(self) -> None:
-        # Otherwise all would wait for ever for the one that was cancelled.
+        # Otherwise all other calls would wait without end for the cancelled
+        # one.
         async def body() -> None:
             health = store_health.StoreHealth()
             await health.record_failure("lost", was_probe=False)
@@ -269,25 +275,25 @@
     def test_kind_that_always_fails_does_not_block_the_others(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            slow: _Follower,
+            follower: _Follower,
             config: mirrors.Mirror,
         ) -> None:
             watch = store.watch
 
             async def watch_or_fail(
-                kind: str, after: int, wait: float
+                kind: str, after: int, wait_seconds: float
             ) -> stores.Changes:
                 if kind == "q":
                     raise errors.CrowdeckError(
                         errors.Code.STORE_DOWN, "an answer is malformed"
                     )
-                return await watch(kind, after, wait)
+                return await watch(kind, after, wait_seconds)
 
             store.watch = watch_or_fail  # type: ignore[method-assign]
             await anyio.sleep(3.0)
             store.write("s", "leaving", b"1")
             await anyio.sleep(1.0)
-            assert slow.values == {"leaving": b"1"}
+            assert follower.values == {"leaving": b"1"}
 
         self.run_scenario(work)
 
@@ -300,36 +306,36 @@
     return registry, listed
 
 
-def stored_entry(name: str, version: int = 1) -> stores.StoredObject:
+def stored_record(name: str, version: int = 1) -> stores.StoredObject:
     return stores.StoredObject("upstreams", name, version, b"{}")
 
 
-def apply_entry(
+def apply_record(
     registry: registries.UpstreamRegistry,
     listed: dict[str, object],
     name: str,
     version: int = 1,
 ) -> None:
     listed[name] = listed.get(name) or fleet_system.upstream(name)
-    registry.on_changed((stored_entry(name, version),), ())
+    registry.on_changed((stored_record(name, version),), ())
 
 
 def usable_names(registry: registries.UpstreamRegistry) -> set[str]:
-    return {one.name for one in registry.usable(fleet_system.MODEL)}
+    return {upstream.name for upstream in registry.usable(fleet_system.MODEL)}
 
 
 class TestUpstreamRegistry:
-    """Which upstream instances get new work."""
+    """Upstream instances that get new work, and those that do not."""
 
     def test_leaving_instances_get_none(self) -> None:
         async def body() -> None:
             registry, listed = make_registry()
-            apply_entry(registry, listed, "a")
-            apply_entry(registry, listed, "b")
+            apply_record(registry, listed, "a")
+            apply_record(registry, listed, "b")
             listed["a"] = attrs.evolve(
                 fleet_system.upstream("a"), is_leaving=True
             )
-            apply_entry(registry, listed, "a")
+            apply_record(registry, listed, "a")
             assert usable_names(registry) == {"b"}
 
         virtual.run(body)
@@ -339,16 +345,16 @@
         async def body() -> None:
             registry, listed = make_registry()
             listed["a"] = fleet_system.upstream("a", card="")
-            apply_entry(registry, listed, "a")
-            pauses = []
+            apply_record(registry, listed, "a")
+            pause_seconds = []
             for _ in range(4):
                 registry.avoid("a", "refused")
                 began = anyio.current_time()
                 while not usable_names(registry):
                     await anyio.sleep(0.1)
-                pauses.append(round(anyio.current_time() - began, 2))
-            assert pauses == sorted(pauses)
-            assert pauses[-1] >= 4 * pauses[0]
+                pause_seconds.append(round(anyio.current_time() - began, 2))
+            assert pause_seconds == sorted(pause_seconds)
+            assert pause_seconds[-1] >= 4 * pause_seconds[0]
             registry.note_healthy("a")
             registry.avoid("a", "refused")
             await anyio.sleep(registries.AVOID_SECONDS + 0.1)
@@ -357,20 +363,20 @@
         virtual.run(body)
 
     def test_failed_engines_are_probed_later_each_time(self) -> None:
-        # Streams must not be spent on finding out whether an engine is back.
+        # No stream should fail only to find out whether an engine works again.
         async def body() -> None:
             registry, listed = make_registry()
-            apply_entry(registry, listed, "a")
-            pauses = []
+            apply_record(registry, listed, "a")
+            pause_seconds = []
             for _ in range(4):
                 registry.avoid("a", "refused")
                 began = anyio.current_time()
                 while not registry.due_for_probe():
                     assert usable_names(registry) == set()
                     await anyio.sleep(0.1)
-                pauses.append(round(anyio.current_time() - began, 2))
-            assert pauses == sorted(pauses)
-            assert pauses[-1] >= 4 * pauses[0]
+                pause_seconds.append(round(anyio.current_time() - began, 2))
+            assert pause_seconds == sorted(pause_seconds)
+            assert pause_seconds[-1] >= 4 * pause_seconds[0]
             assert usable_names(registry) == set()
             registry.note_healthy("a")
             assert usable_names(registry) == {"a"}
@@ -378,24 +384,28 @@
         virtual.run(body)
 
     def test_probe_without_result_is_repeated_soon(self) -> None:
-        # A probe shows nothing while this entry's own link is full.
+        # A probe has no result while this entry's own network link is full.
         async def body() -> None:
             registry, listed = make_registry()
-            apply_entry(registry, listed, "a")
+            apply_record(registry, listed, "a")
             registry.avoid("a", "refused")
             await anyio.sleep(registries.AVOID_SECONDS + 0.1)
-            assert [one.name for one in registry.due_for_probe()] == ["a"]
+            assert [
+                upstream.name for upstream in registry.due_for_probe()
+            ] == ["a"]
             assert registry.due_for_probe() == ()
             await anyio.sleep(registries.REPROBE_SECONDS + 0.01)
-            assert [one.name for one in registry.due_for_probe()] == ["a"]
+            assert [
+                upstream.name for upstream in registry.due_for_probe()
+            ] == ["a"]
 
         virtual.run(body)
 
     def test_full_instances_are_paused_longer_while_they_refuse(self) -> None:
         async def body() -> None:
             registry, listed = make_registry()
-            apply_entry(registry, listed, "a")
-            pauses = []
+            apply_record(registry, listed, "a")
+            pause_seconds = []
             for _ in range(4):
                 registry.pause(
                     "a", registries.REFUSAL_BACKOFF_SECONDS, "refused with 503"
@@ -403,8 +413,8 @@
                 began = anyio.current_time()
                 while not usable_names(registry):
                     await anyio.sleep(0.05)
-                pauses.append(round(anyio.current_time() - began, 2))
-            assert pauses[-1] >= 3 * pauses[0]
+                pause_seconds.append(round(anyio.current_time() - began, 2))
+            assert pause_seconds[-1] >= 3 * pause_seconds[0]
             await anyio.sleep(registries.REFUSAL_RESET_SECONDS + 0.1)
             registry.pause(
                 "a", registries.REFUSAL_BACKOFF_SECONDS, "refused with 503"
@@ -414,10 +424,10 @@
 
         virtual.run(body)
 
-    def test_removed_entry_is_dropped_at_once_without_an_outage(self) -> None:
+    def test_removed_record_is_dropped_at_once_without_an_outage(self) -> None:
         async def body() -> None:
             registry, listed = make_registry()
-            apply_entry(registry, listed, "a")
+            apply_record(registry, listed, "a")
             registry.on_changed((), ("a",))
             assert usable_names(registry) == set()
 
@@ -428,15 +438,17 @@
             registry, listed = make_registry()
             registry.set_store_failure_source(anyio.current_time)
             lapsed: list[str] = []
-            registry.subscribe_lapses(lambda one: lapsed.append(one.name))
-            apply_entry(registry, listed, "a")
-            apply_entry(registry, listed, "b")
+            registry.subscribe_lapses(
+                lambda upstream: lapsed.append(upstream.name)
+            )
+            apply_record(registry, listed, "a")
+            apply_record(registry, listed, "b")
             registry.on_listed(())
             assert lapsed == ["a", "b"]
             assert usable_names(registry) == set()
             registry.note_healthy("a")
             assert usable_names(registry) == {"a"}
-            # The entry was not written again in time.
+            # The record was not written again in time.
             await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
             assert usable_names(registry) == set()
 
@@ -446,12 +458,12 @@
     def test_instance_that_left_unannounced_gets_none_after_two_seconds(
         self, card: str
     ) -> None:
-        # Also if its entry was taken for lapsed, after a failed store call.
+        # Also if its record seemed to have lapsed after a failed store call.
         async def body() -> None:
             registry, listed = make_registry()
             registry.set_store_failure_source(anyio.current_time)
             listed["a"] = fleet_system.upstream("a", card=card)
-            apply_entry(registry, listed, "a")
+            apply_record(registry, listed, "a")
             registry.on_changed((), ("a",))
             registry.note_healthy("a")
             assert usable_names(registry) == {"a"}
@@ -460,13 +472,13 @@
 
         virtual.run(body)
 
-    def test_lapsed_entry_that_comes_back_is_used_at_once(self) -> None:
+    def test_lapsed_record_that_comes_back_is_used_at_once(self) -> None:
         async def body() -> None:
             registry, listed = make_registry()
             registry.set_store_failure_source(anyio.current_time)
-            apply_entry(registry, listed, "a")
+            apply_record(registry, listed, "a")
             registry.on_listed(())
-            apply_entry(registry, listed, "a")
+            apply_record(registry, listed, "a")
             assert usable_names(registry) == {"a"}
             await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
             assert usable_names(registry) == {"a"}
@@ -476,16 +488,17 @@
     def test_leaving_instances_may_get_work_for_a_while(self) -> None:
         async def body() -> None:
             registry, listed = make_registry()
-            apply_entry(registry, listed, "a")
+            apply_record(registry, listed, "a")
             listed["a"] = attrs.evolve(
                 fleet_system.upstream("a"), is_leaving=True
             )
-            apply_entry(registry, listed, "a")
+            apply_record(registry, listed, "a")
             service = fleet_system.MODEL
             assert [
-                one.name for one in registry.usable_while_leaving(service)
+                upstream.name
+                for upstream in registry.usable_while_leaving(service)
             ] == ["a"]
-            # Well before the two seconds after which no work may reach it.
+            # Well before two seconds, after which no work may reach it.
             await anyio.sleep(registries.LEAVING_GRACE_SECONDS + 0.01)
             assert registry.usable_while_leaving(service) == ()
             assert registries.LEAVING_GRACE_SECONDS <= 1.0
@@ -493,15 +506,15 @@
         virtual.run(body)
 
     def test_instance_at_a_reused_address_replaces_the_former(self) -> None:
-        # The entry of an engine that crashed while the store was down stays,
-        # and the engine that took its address refuses paths through it.
+        # The record of an engine that crashed while the store was down stays,
+        # and the engine at the same address refuses requests for the former.
         async def body() -> None:
             registry, listed = make_registry()
-            apply_entry(registry, listed, "former")
+            apply_record(registry, listed, "former")
             listed["after"] = attrs.evolve(
                 fleet_system.upstream("former"), name="after"
             )
-            apply_entry(registry, listed, "after", version=2)
+            apply_record(registry, listed, "after", version=2)
             assert usable_names(registry) == {"after"}
             assert registry.has_ended("former")
 
@@ -510,11 +523,11 @@
     def test_newest_at_an_address_is_kept_in_any_order(self) -> None:
         async def body() -> None:
             former = fleet_system.upstream("former")
-            after = attrs.evolve(former, name="after")
-            entries = (stored_entry("former", 1), stored_entry("after", 2))
-            for order in (entries, entries[::-1]):
+            successor = attrs.evolve(former, name="after")
+            records = (stored_record("former", 1), stored_record("after", 2))
+            for order in (records, records[::-1]):
                 registry, listed = make_registry()
-                listed.update(former=former, after=after)
+                listed.update(former=former, after=successor)
                 registry.on_listed(order)
                 assert usable_names(registry) == {"after"}
 
@@ -522,39 +535,39 @@
 
 
 class TestRoster:
-    """The number of entries, by which limits are shared."""
+    """The number of entries, among which limits are shared."""
 
     def test_counts_entries_by_zone(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            made = [
+            entry_rosters = [
                 rosters.Roster(
                     store, f"entry-{number}", rosters.EntryRecord(zone)
                 )
                 for number, zone in enumerate(("a", "a", "b"))
             ]
-            for one in made:
-                await one.register()
+            for roster in entry_rosters:
+                await roster.register()
             changes = await store.list(rosters.KIND)
-            made[0].on_listed(changes.objects)
-            assert made[0].known_entry_count == 3
-            assert made[0].zone_count == 2
+            entry_rosters[0].on_listed(changes.objects)
+            assert entry_rosters[0].known_entry_count == 3
+            assert entry_rosters[0].zone_count == 2
 
         virtual.run(body)
 
     def test_many_entries_linger_longer_within_bounds(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            one = rosters.Roster(store, "entry-0", rosters.EntryRecord("a"))
-            alone = one.linger_seconds()
+            roster = rosters.Roster(store, "entry-0", rosters.EntryRecord("a"))
+            alone = roster.linger_seconds()
             for number in range(400):
                 name = f"entry-{number}"
                 await rosters.Roster(
                     store, name, rosters.EntryRecord("a")
                 ).register()
             changes = await store.list(rosters.KIND)
-            one.on_listed(changes.objects)
-            assert alone < one.linger_seconds() <= 0.6
+            roster.on_listed(changes.objects)
+            assert alone < roster.linger_seconds() <= 0.6
 
         virtual.run(body)
 
@@ -562,9 +575,9 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             store.is_down = True
-            one = rosters.Roster(store, "entry-0", rosters.EntryRecord("a"))
+            roster = rosters.Roster(store, "entry-0", rosters.EntryRecord("a"))
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(one.register)
+                tasks.start_soon(roster.register)
                 await anyio.sleep(3.0)
                 store.is_down = False
             await rosters.Roster(
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -60,7 +60,7 @@
     max_leaves=6,
 )
 
-ENTRY = orjson.loads(test_lives.stored_entry(1, born=5).value)
+UPSTREAM_RECORD = orjson.loads(test_lives.stored_record(1, born=5).value)
 REPORT = {
     names.ORDERS_TAKEN: 3,
     names.BUSY: False,
@@ -87,7 +87,7 @@
                 body[name] = draw(mutated(value))
         return body
     if isinstance(whole, list):
-        return [draw(mutated(one)) for one in whole]
+        return [draw(mutated(element)) for element in whole]
     return whole
 
 
@@ -103,35 +103,37 @@
 
 
 class TestDecoders:
-    """Decoders raise nothing but the errors that callers handle."""
+    """Decoders raise only errors that their callers handle."""
 
     @SETTINGS
     @hypothesis.given(
-        JSON_VALUES | mutated(ENTRY), strategies.text(max_size=9)
+        JSON_VALUES | mutated(UPSTREAM_RECORD), strategies.text(max_size=9)
     )
-    def test_entries(self, body: typing.Any, name: str) -> None:
+    def test_upstream_records(self, body: typing.Any, name: str) -> None:
         try:
-            found = upstreams.decode(stored(to_bytes(body), name))
+            upstream = upstreams.decode(stored(to_bytes(body), name))
         except errors.CrowdeckError as error:
             assert error.code is errors.Code.MALFORMED
             return
         # The address can be dialled, and the id can be sent in a header.
-        assert instances.Address.parse(str(found.address)) == found.address
         assert (
-            found.incarnation.id.isascii()
-            and found.incarnation.id.isprintable()
+            instances.Address.parse(str(upstream.address)) == upstream.address
         )
-        assert found.service == body[names.SERVICE]
+        assert (
+            upstream.incarnation.id.isascii()
+            and upstream.incarnation.id.isprintable()
+        )
+        assert upstream.service == body[names.SERVICE]
 
     @SETTINGS
     @hypothesis.given(JSON_VALUES | mutated(REPORT))
     def test_reports(self, body: typing.Any) -> None:
         try:
-            found = upstreams.decode_report(to_bytes(body))
+            report = upstreams.decode_report(to_bytes(body))
         except errors.CrowdeckError as error:
             assert error.code is errors.Code.MALFORMED
             return
-        assert found.running >= 0 and found.slowdown > 0
+        assert report.running >= 0 and report.slowdown > 0
 
     @SETTINGS
     @hypothesis.given(JSON_VALUES | mutated(test_platform_formats.CONFIG))
@@ -171,23 +173,23 @@
             }
         )
     )
-    def test_records_of_entries(self, body: typing.Any) -> None:
-        one = rosters.Roster(
+    def test_entry_records(self, body: typing.Any) -> None:
+        roster = rosters.Roster(
             standin_store.StandinStore(), "entry-0", rosters.EntryRecord("a")
         )
-        one.on_changed((stored(to_bytes(body), "other"),), ())
-        assert one.known_entry_count == 2
+        roster.on_changed((stored(to_bytes(body), "other"),), ())
+        assert roster.known_entry_count == 2
 
     @pytest.mark.parametrize(
         "state", ["loading", "", 7, None, ["ready"], {"state": "ready"}]
     )
     def test_unknown_states(self, state: object) -> None:
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(test_lives.stored_entry(1, state=state))
+            upstreams.decode(test_lives.stored_record(1, state=state))
 
-    def test_entry_without_a_state_is_rejected(self) -> None:
+    def test_record_without_a_state_is_rejected(self) -> None:
         # It must not count as ready.
-        body = orjson.loads(test_lives.stored_entry(1).value)
+        body = orjson.loads(test_lives.stored_record(1).value)
         del body[names.STATE]
         with pytest.raises(errors.CrowdeckError):
             upstreams.decode(stored(to_bytes(body)))
@@ -197,7 +199,7 @@
     )
     def test_addresses_that_cannot_be_dialled(self, address: str) -> None:
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(test_lives.stored_entry(1, address=address))
+            upstreams.decode(test_lives.stored_record(1, address=address))
 
 
 class FixedClient:
@@ -246,15 +248,15 @@
     )
     def test_the_others_are_read(self, malformed: bytes) -> None:
         async def body() -> None:
-            good = orjson.dumps(ENTRY)
+            good = orjson.dumps(UPSTREAM_RECORD)
             content = listing(item("a", good), malformed, item("z", good))
             changes = await store_with(content).list("servers")
-            one = registries.UpstreamRegistry(upstreams.decode)
-            one.on_listed(changes.objects)
-            usable = one.usable(fleet_system.MODEL)
-            # Both have the same address; the one listed last keeps it.
-            assert [it.incarnation.id for it in usable] == ["z"]
-            assert "a" in {it.name for it in changes.objects}
+            registry = registries.UpstreamRegistry(upstreams.decode)
+            registry.on_listed(changes.objects)
+            usable = registry.usable(fleet_system.MODEL)
+            # Both have the same address; the last listed instance is kept.
+            assert [listed.incarnation.id for listed in usable] == ["z"]
+            assert "a" in {listed.name for listed in changes.objects}
 
         virtual.run(body)
 
@@ -263,14 +265,14 @@
     )
     def test_the_others_are_sent_to_peers(self, malformed: bytes) -> None:
         async def body() -> None:
-            good = orjson.dumps(ENTRY)
+            good = orjson.dumps(UPSTREAM_RECORD)
             content = listing(item("a", good), item("bad", malformed))
             changes = await store_with(content).list("servers")
             encoded = peer_http._encode(stores.PeerChanges(changes, 0.0))
-            found = peer_http._decode("servers", encoded).changes.objects
-            assert {one.name for one in found} == {"a", "bad"}
-            read = upstreams.decode(found[0])
-            assert read.service == ENTRY[names.SERVICE]
+            received = peer_http._decode("servers", encoded).changes.objects
+            assert {stored.name for stored in received} == {"a", "bad"}
+            upstream = upstreams.decode(received[0])
+            assert upstream.service == UPSTREAM_RECORD[names.SERVICE]
 
         virtual.run(body)
 
@@ -327,32 +329,34 @@
         virtual.run(body)
 
     def test_is_taken_while_it_is_overwritten_repeatedly(self) -> None:
-        # Overwriting it must not start the wait for its expiry anew.
+        # Overwriting it must not restart the wait for its expiry.
         async def body() -> None:
             store = standin_store.StandinStore()
-            gone = leases.Lease(store, "placement", "gone")
-            one = leases.Lease(store, "placement", "one")
+            first = leases.Lease(store, "placement", "gone")
+            second = leases.Lease(store, "placement", "one")
             async with anyio.create_task_group() as tasks:
                 with anyio.move_on_after(3.0):
-                    async with anyio.create_task_group() as both:
-                        both.start_soon(gone.run)
+                    async with anyio.create_task_group() as inner:
+                        inner.start_soon(first.run)
                         await anyio.sleep(0.1)
-                        both.start_soon(one.run)
-                assert not one.is_held
-                tasks.start_soon(one.run)
-                longest = leases.LEASE_SECONDS + 2 * leases.RENEW_SECONDS
-                with anyio.fail_after(longest):
-                    while not one.is_held:
+                        inner.start_soon(second.run)
+                assert not second.is_held
+                tasks.start_soon(second.run)
+                max_wait_seconds = (
+                    leases.LEASE_SECONDS + 2 * leases.RENEW_SECONDS
+                )
+                with anyio.fail_after(max_wait_seconds):
+                    while not second.is_held:
                         store.write(leases.KIND, "placement", b"7")
                         await anyio.sleep(0.7)
-                assert one.term > 1
+                assert second.term > 1
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
 
 
 class TestLayersBeyondTheModel:
-    """An engine whose entry names layers that the model does not have."""
+    """An engine whose record names layers that the model does not have."""
 
     def test_do_not_break_paths_or_plans(self) -> None:
         async def body() -> None:
@@ -367,7 +371,7 @@
             wanted = hops.PathRequest(profile, 700.0, "plateau", 0.5)
             planner.plan(tuple(engines), wanted)
             engines_within = chain.engines_within(engines, profile.layer_count)
-            assert [one.name for one in engines_within] == ["good"]
+            assert [engine.name for engine in engines_within] == ["good"]
             list(
                 plan.iter_moves(
                     engines_within, profile, lambda _: True, engines_within
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -27,7 +27,7 @@
 ADDRESS = "10.0.0.1:8000"
 
 
-def stored_entry(version: int, **changes: object) -> stores.StoredObject:
+def stored_record(version: int, **changes: object) -> stores.StoredObject:
     """Return the record of an engine ``e``."""
     body = {
         names.SERVICE: fleet_system.MODEL,
@@ -42,20 +42,22 @@
     return stores.StoredObject("servers", "e", version, orjson.dumps(body))
 
 
-def a_report(**changes: object) -> bytes:
+def encoded_report(**changes: object) -> bytes:
     return orjson.dumps({names.ORDERS_TAKEN: 0, **changes})
 
 
 class RecordingRegistry:
-    """An upstream registry that records the ends it has reported."""
+    """A registry, and the names of instances whose end it reported."""
 
     def __init__(self) -> None:
         self.registry = registries.UpstreamRegistry(upstreams.decode)
         self.ends: list[str] = []
-        self.registry.subscribe_ends(lambda one: self.ends.append(one.name))
+        self.registry.subscribe_ends(
+            lambda upstream: self.ends.append(upstream.name)
+        )
 
-    def apply(self, *entries: stores.StoredObject) -> None:
-        self.registry.on_changed(entries, ())
+    def apply(self, *records: stores.StoredObject) -> None:
+        self.registry.on_changed(records, ())
 
     @property
     def usable(self) -> list[chain.Upstream]:
@@ -84,70 +86,70 @@
             chain.Incarnation("e", 1),
             chain.Incarnation("e", 2),
         ]
-        assert len({one.name for one in incarnations}) == 3
+        assert len({incarnation.name for incarnation in incarnations}) == 3
         assert incarnations[1].is_before(incarnations[2])
         assert not incarnations[2].is_before(incarnations[1])
         assert not incarnations[1].is_before(chain.Incarnation("f", 2))
 
 
 class TestRestart:
-    """The registry, when an entry names another process."""
+    """The registry, when a record describes another process."""
 
     @virtual_time
     async def test_resets_what_was_known_before(self) -> None:
-        one = RecordingRegistry()
-        one.apply(stored_entry(1, born=100))
-        one.registry.avoid("e#100", "failed", is_gone=True)
-        assert one.usable == []
-        one.apply(stored_entry(2, born=200, layers=None))
-        assert [it.name for it in one.usable] == ["e#200"]
-        assert one.usable[0].layers is None
-        assert one.usable[0].incarnation.id == "e"
-        assert one.registry.has_ended("e#100")
-        assert not one.registry.has_ended("e#200")
+        recorder = RecordingRegistry()
+        recorder.apply(stored_record(1, born=100))
+        recorder.registry.avoid("e#100", "failed", is_gone=True)
+        assert recorder.usable == []
+        recorder.apply(stored_record(2, born=200, layers=None))
+        assert [upstream.name for upstream in recorder.usable] == ["e#200"]
+        assert recorder.usable[0].layers is None
+        assert recorder.usable[0].incarnation.id == "e"
+        assert recorder.registry.has_ended("e#100")
+        assert not recorder.registry.has_ended("e#200")
 
     @virtual_time
     async def test_end_of_the_earlier_process_is_reported_once(self) -> None:
-        one = RecordingRegistry()
-        one.apply(stored_entry(1, born=100))
-        one.apply(stored_entry(2, born=200))
-        assert one.ends == ["e#100"]
-        one.registry.on_changed((), ("e",))
-        assert one.ends == ["e#100", "e#200"]
+        recorder = RecordingRegistry()
+        recorder.apply(stored_record(1, born=100))
+        recorder.apply(stored_record(2, born=200))
+        assert recorder.ends == ["e#100"]
+        recorder.registry.on_changed((), ("e",))
+        assert recorder.ends == ["e#100", "e#200"]
 
     @virtual_time
-    async def test_outdated_entry_changes_nothing(self) -> None:
-        one = RecordingRegistry()
-        one.apply(stored_entry(2, born=200))
-        one.apply(stored_entry(1, born=100, state=names.STATE_DRAINING))
-        assert [it.name for it in one.usable] == ["e#200"]
-        assert one.ends == []
+    async def test_outdated_record_changes_nothing(self) -> None:
+        recorder = RecordingRegistry()
+        recorder.apply(stored_record(2, born=200))
+        recorder.apply(stored_record(1, born=100, state=names.STATE_DRAINING))
+        assert [upstream.name for upstream in recorder.usable] == ["e#200"]
+        assert recorder.ends == []
 
     @virtual_time
     async def test_missed_removal_is_noticed_at_the_next_listing(self) -> None:
         # The next listing holds only the record of the new process.
-        one = RecordingRegistry()
-        one.apply(stored_entry(1, born=100))
-        one.registry.on_listed((stored_entry(7, born=200),))
-        assert [it.name for it in one.usable] == ["e#200"]
-        assert one.ends == ["e#100"]
+        recorder = RecordingRegistry()
+        recorder.apply(stored_record(1, born=100))
+        recorder.registry.on_listed((stored_record(7, born=200),))
+        assert [upstream.name for upstream in recorder.usable] == ["e#200"]
+        assert recorder.ends == ["e#100"]
 
     @virtual_time
     async def test_end_known_already_is_not_reported_again(self) -> None:
-        one = RecordingRegistry()
-        one.apply(stored_entry(1, born=100))
-        one.registry.avoid("e#100", "connection refused", is_gone=True)
-        one.apply(stored_entry(2, born=200))
-        assert one.ends == ["e#100"]
+        recorder = RecordingRegistry()
+        recorder.apply(stored_record(1, born=100))
+        recorder.registry.avoid("e#100", "connection refused", is_gone=True)
+        recorder.apply(stored_record(2, born=200))
+        assert recorder.ends == ["e#100"]
 
     @virtual_time
     async def test_end_is_reported_while_the_instance_is_avoided(self) -> None:
-        one = RecordingRegistry()
-        one.apply(stored_entry(1, born=100))
-        one.registry.avoid("e#100", "silent")
-        assert one.ends == []
-        one.registry.avoid("e#100", "connection refused", is_gone=True)
-        assert one.ends == ["e#100"]
+        recorder = RecordingRegistry()
+        recorder.apply(stored_record(1, born=100))
+        recorder.registry.avoid("e#100", "silent")
+        assert recorder.ends == []
+        recorder.registry.avoid("e#100", "connection refused", is_gone=True)
+        assert recorder.ends == ["e#100"]
 
     @hypothesis.settings(
         derandomize=True, database=None, deadline=None, max_examples=80
@@ -160,23 +162,28 @@
             max_size=12,
         )
     )
-    def test_start_times_never_decrease_in_any_order_of_entries(
+    def test_start_times_never_decrease_in_any_order_of_records(
         self, steps: list[int | str]
     ) -> None:
         async def body() -> None:
-            one = RecordingRegistry()
+            recorder = RecordingRegistry()
             newest = 0
             for version, step in enumerate(steps, 1):
                 if step == "gone":
-                    one.registry.on_changed((), ("e",))
+                    recorder.registry.on_changed((), ("e",))
                     newest = 0
-                    assert one.usable == []
+                    assert recorder.usable == []
                     continue
                 assert isinstance(step, int)
-                one.apply(stored_entry(version, born=step))
+                recorder.apply(stored_record(version, born=step))
                 newest = max(newest, step)
-                assert [it.started_ms for it in one.usable] == [newest]
-            assert len(one.ends) == len(set(one.ends)) or "gone" in steps
+                assert [
+                    upstream.started_ms for upstream in recorder.usable
+                ] == [newest]
+            assert (
+                len(recorder.ends) == len(set(recorder.ends))
+                or "gone" in steps
+            )
 
         virtual.run(body)
 
@@ -188,79 +195,79 @@
         return chain.Incarnation("e", born)
 
     def test_of_this_process(self) -> None:
-        report = upstreams.decode_report(a_report(born=100))
+        report = upstreams.decode_report(encoded_report(born=100))
         assert not report.is_from_later_run(self.incarnation(100))
 
     def test_of_a_later_process(self) -> None:
-        report = upstreams.decode_report(a_report(born=101))
+        report = upstreams.decode_report(encoded_report(born=101))
         assert report.is_from_later_run(self.incarnation(100))
 
     @pytest.mark.parametrize("changes", [{"born": 99}, {}])
     def test_of_an_earlier_process_or_without_start_time(
         self, changes: dict[str, object]
     ) -> None:
-        report = upstreams.decode_report(a_report(**changes))
+        report = upstreams.decode_report(encoded_report(**changes))
         with pytest.raises(errors.CrowdeckError) as caught:
             report.is_from_later_run(self.incarnation(100))
         assert caught.value.code is errors.Code.MALFORMED
 
     def test_without_any_start_time(self) -> None:
-        report = upstreams.decode_report(a_report())
+        report = upstreams.decode_report(encoded_report())
         assert not report.is_from_later_run(self.incarnation(0))
 
     @pytest.mark.parametrize("born", ["100", 1.5, True, None, -1, [], {}])
     def test_malformed_start_times(self, born: object) -> None:
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode_report(a_report(born=born))
+            upstreams.decode_report(encoded_report(born=born))
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(stored_entry(1, born=born))
+            upstreams.decode(stored_record(1, born=born))
 
 
-class TestMalformedEntry:
-    """Entries that another writer has damaged."""
+class TestMalformedRecord:
+    """Records that another writer has damaged."""
 
     @virtual_time
     async def test_unknown_service_replaces_no_instance(self) -> None:
-        # The entry has the address of a healthy engine.
-        one = RecordingRegistry()
-        one.registry.set_services_source(
+        # The record has the address of a healthy engine.
+        recorder = RecordingRegistry()
+        recorder.registry.set_services_source(
             lambda: frozenset({fleet_system.MODEL})
         )
-        one.apply(stored_entry(1))
-        foreign = stored_entry(9, service="unknown")
-        one.apply(attrs.evolve(foreign, name="foreign"))
-        assert [it.name for it in one.usable] == ["e"]
-        # A record of a known service replaces the one at its address.
-        one.apply(attrs.evolve(stored_entry(10), name="next"))
-        assert [it.name for it in one.usable] == ["next"]
+        recorder.apply(stored_record(1))
+        foreign_record = stored_record(9, service="unknown")
+        recorder.apply(attrs.evolve(foreign_record, name="foreign"))
+        assert [upstream.name for upstream in recorder.usable] == ["e"]
+        # A record of a known service replaces the instance at its address.
+        recorder.apply(attrs.evolve(stored_record(10), name="next"))
+        assert [upstream.name for upstream in recorder.usable] == ["next"]
 
     @virtual_time
     async def test_only_its_own_engine_is_dropped(self) -> None:
-        one = RecordingRegistry()
-        other = attrs.evolve(
-            stored_entry(1, address="10.0.0.2:8000"), name="other"
+        recorder = RecordingRegistry()
+        other_record = attrs.evolve(
+            stored_record(1, address="10.0.0.2:8000"), name="other"
         )
-        one.apply(stored_entry(1), other)
-        one.apply(stored_entry(2, address=7))
-        assert [it.name for it in one.usable] == ["other"]
+        recorder.apply(stored_record(1), other_record)
+        recorder.apply(stored_record(2, address=7))
+        assert [upstream.name for upstream in recorder.usable] == ["other"]
 
     @virtual_time
-    async def test_engine_is_used_again_once_the_entry_is_valid(self) -> None:
-        one = RecordingRegistry()
-        one.apply(stored_entry(1))
-        one.apply(stored_entry(2, slots="many"))
-        assert one.usable == []
-        one.apply(stored_entry(3))
-        assert [it.name for it in one.usable] == ["e"]
+    async def test_engine_is_used_again_once_the_record_is_valid(self) -> None:
+        recorder = RecordingRegistry()
+        recorder.apply(stored_record(1))
+        recorder.apply(stored_record(2, slots="many"))
+        assert recorder.usable == []
+        recorder.apply(stored_record(3))
+        assert [upstream.name for upstream in recorder.usable] == ["e"]
 
     @virtual_time
-    async def test_entry_that_lost_its_start_time_is_rejected(self) -> None:
-        one = RecordingRegistry()
-        one.apply(stored_entry(1, born=100))
-        one.apply(stored_entry(2))
-        assert one.usable == []
+    async def test_record_that_lost_its_start_time_is_rejected(self) -> None:
+        recorder = RecordingRegistry()
+        recorder.apply(stored_record(1, born=100))
+        recorder.apply(stored_record(2))
+        assert recorder.usable == []
 
     def test_address_and_layers_are_decoded(self) -> None:
-        found = upstreams.decode(stored_entry(1))
-        assert found.address == instances.Address.parse(ADDRESS)
-        assert found.layers == pipeline.LayerRange(0, 80)
+        upstream = upstreams.decode(stored_record(1))
+        assert upstream.address == instances.Address.parse(ADDRESS)
+        assert upstream.layers == pipeline.LayerRange(0, 80)
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -40,9 +40,12 @@
 
     def test_one_entry_calls_for_all_of_its_zone(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
-            before = zone.calls
+            calls_before = zone.calls
             await anyio.sleep(10.0)
-            assert zone.calls - before <= 10.0 / zone_system.WAIT_SECONDS + 1
+            assert (
+                zone.calls - calls_before
+                <= 10.0 / zone_system.WAIT_SECONDS + 1
+            )
             assert zone[0].connection.calls > 10
             assert zone[5].connection.calls <= 2
 
@@ -52,40 +55,42 @@
         async def work(zone: zone_system.Zone) -> None:
             zone.store.is_down = True
             await anyio.sleep(2.0)
-            before = zone.calls
+            calls_before = zone.calls
             await anyio.sleep(3.0)
-            assert (zone.calls - before) / 3.0 < 14
+            assert (zone.calls - calls_before) / 3.0 < 14
 
         zone_system.run_scenario(14, work)
 
 
 class TestFreshness:
-    """The age of the copies, under faults."""
+    """The age of the entries' copies, with and without faults."""
 
     def test_changes_reach_all_entries_quickly(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
             version = zone.write()
-            now = anyio.current_time()
+            written_at = anyio.current_time()
             await anyio.sleep(0.5)
             for entry in zone.entries.values():
-                assert entry.follower.first_seen_at[version] - now < 0.02
+                assert (
+                    entry.follower.first_seen_at[version] - written_at < 0.02
+                )
 
         zone_system.run_scenario(14, work)
 
     def test_large_changes_are_read_from_the_store(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
             zone[0].is_too_large = True
-            before = zone[3].connection.calls
+            calls_before = zone[3].connection.calls
             version = zone.write()
-            now = anyio.current_time()
+            written_at = anyio.current_time()
             await anyio.sleep(0.5)
-            assert zone[3].follower.first_seen_at[version] - now < 0.05
-            assert zone[3].connection.calls == before + 1
+            assert zone[3].follower.first_seen_at[version] - written_at < 0.05
+            assert zone[3].connection.calls == calls_before + 1
 
         zone_system.run_scenario(5, work)
 
     def test_entry_that_is_asked_reads_the_store_itself(self) -> None:
-        # Otherwise two entries could wait for each other.
+        # Otherwise two entries could wait for changes from each other.
         async def work(zone: zone_system.Zone) -> None:
             assert not zone[3].selector.reads_store
             zone[3].selector.note_peer_request()
@@ -112,10 +117,10 @@
                 < 2 * zone_system.WAIT_SECONDS
             )
             version = zone.write()
-            now = anyio.current_time()
+            written_at = anyio.current_time()
             await anyio.sleep(0.2)
             for entry in list(zone.entries.values())[1:]:
-                assert entry.follower.first_seen_at[version] - now < 0.1
+                assert entry.follower.first_seen_at[version] - written_at < 0.1
 
         zone_system.run_scenario(14, work)
 
@@ -148,8 +153,8 @@
         zone_system.run_scenario(5, work)
 
     def test_readers_that_lost_the_store_call_it_again(self) -> None:
-        # Entries that ask each other and hear of the other's loss must not
-        # put off their own calls for ever.
+        # Entries that ask each other and learn that the other has lost the
+        # store must not delay their own calls without end.
         async def work(zone: zone_system.Zone) -> None:
             for number in range(3):
                 zone[number].connection.is_cut = True
@@ -204,14 +209,14 @@
 async def _inject_faults(zone: zone_system.Zone, rng: random.Random) -> None:
     while True:
         entry = rng.choice(list(zone.entries.values()))
-        what = rng.choice(("is_silent", "is_down", "cut", "store"))
+        fault = rng.choice(("is_silent", "is_down", "cut", "store"))
         target = {"cut": entry.connection, "store": zone.store}.get(
-            what, entry
+            fault, entry
         )
-        name = {"cut": "is_cut", "store": "is_down"}.get(what, what)
-        setattr(target, name, True)
+        attribute = {"cut": "is_cut", "store": "is_down"}.get(fault, fault)
+        setattr(target, attribute, True)
         await anyio.sleep(rng.uniform(0.1, 2.5))
-        setattr(target, name, False)
+        setattr(target, attribute, False)
         await anyio.sleep(rng.uniform(0.0, 1.0))
 
 
@@ -233,7 +238,7 @@
         replica.apply(stores.Changes(8, (_object("c", 7),), ("a",)))
         changes = replica.changes_since(stores.Position(5))
         assert changes is not None
-        assert [one.name for one in changes.objects] == ["c"]
+        assert [stored.name for stored in changes.objects] == ["c"]
         assert changes.removed == ("a",)
         assert replica.changes_since(stores.Position(8)) == stores.Changes(
             8, (), ()
@@ -245,7 +250,7 @@
         assert replica.changes_since(stores.Position(4)) is None
 
     def test_objects_newer_than_their_listing_are_sent_once(self) -> None:
-        # Later pages of a listing may have newer objects than the first.
+        # Later pages of a listing may have newer objects than the first page.
         replica = replicas.Replica()
         replica.reset(stores.Changes(5, (_object("late", 9),)))
         assert replica.changes_since(stores.Position(5)) == stores.Changes(
@@ -274,12 +279,12 @@
 
 
 class TestRanking:
-    """The order in which entries read for their zone."""
+    """The order of preference for reading the store for a zone."""
 
     def test_highest_capacity_comes_first_and_all_agree(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            made = [
+            entry_rosters = [
                 rosters.Roster(
                     store,
                     f"entry-{number}",
@@ -293,15 +298,15 @@
                     ((ZONE, 10), (ZONE, 100), ("other", 100), (ZONE, 10))
                 )
             ]
-            for one in made:
-                await one.register()
+            for roster in entry_rosters:
+                await roster.register()
             listing = await store.list(rosters.KIND)
-            for one in made:
-                one.on_listed(listing.objects)
-            order = [one.name for one in made[0].ranking()]
+            for roster in entry_rosters:
+                roster.on_listed(listing.objects)
+            order = [peer.name for peer in entry_rosters[0].ranking()]
             assert order[0] == "entry-1"
             assert set(order) == {"entry-0", "entry-1", "entry-3"}
-            assert made[3].ranking() == made[0].ranking()
+            assert entry_rosters[3].ranking() == entry_rosters[0].ranking()
 
         virtual.run(body)
 
@@ -312,8 +317,8 @@
                 record = rosters.EntryRecord(
                     ZONE, instances.Address(HOST, port), 10.0
                 )
-                one = rosters.Roster(store, "entry-0", record)
-                await one.register()
+                roster = rosters.Roster(store, "entry-0", record)
+                await roster.register()
             other = rosters.Roster(store, "entry-1", rosters.EntryRecord(ZONE))
             other.on_listed((await store.list(rosters.KIND)).objects)
             assert other.ranking()[0].address.port == 7001
@@ -340,7 +345,10 @@
     """Watches between peers, over real connections."""
 
     def watch(
-        self, store: standin_store.StandinStore, after: int, wait: float
+        self,
+        store: standin_store.StandinStore,
+        after: int,
+        wait_seconds: float,
     ) -> stores.PeerChanges:
         results: list[stores.PeerChanges | errors.CrowdeckError] = []
 
@@ -375,7 +383,7 @@
                             peer,
                             zone_system.KIND,
                             stores.Position(after),
-                            wait,
+                            wait_seconds,
                         )
                     )
                 except errors.CrowdeckError as error:
@@ -390,11 +398,11 @@
 
     def test_response_is_complete(self) -> None:
         store = standin_store.StandinStore()
-        before = store.write(zone_system.KIND, "old", b'{"a":1}')
-        peer_changes = self.watch(store, before, 1.0)
+        version = store.write(zone_system.KIND, "old", b'{"a":1}')
+        peer_changes = self.watch(store, version, 1.0)
         assert peer_changes.changes.objects == ()
         assert peer_changes.age <= 0.0
-        assert peer_changes.changes.version == before
+        assert peer_changes.changes.version == version
 
     def test_response_without_an_epoch_is_rejected(self) -> None:
         # Entries of an earlier release know only versions.
@@ -451,7 +459,7 @@
 
         class Copy:
             async def changes_since(
-                self, after: stores.Position, wait: float
+                self, after: stores.Position, wait_seconds: float
             ) -> stores.PeerChanges:
                 return peer_changes
 
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -22,12 +22,12 @@
 
 KIND = "config"
 WAIT_SECONDS = 0.8
-# A watch at a silent peer fails this long after its wait.
+# A watch at a silent peer fails this long after its wait has ended.
 TIMEOUT_SLACK_SECONDS = 0.4
 
 
 class RecordingFollower:
-    """Records the objects that it was given, and when each version came."""
+    """Records objects, and the event loop time when each version arrived."""
 
     def __init__(self) -> None:
         self.first_seen_at: dict[int, float] = {}
@@ -42,9 +42,9 @@
         objects: tuple[stores.StoredObject, ...],
         removed: tuple[str, ...],
     ) -> None:
-        for one in objects:
-            self.first_seen_at.setdefault(one.version, anyio.current_time())
-            self.values[one.name] = one.value
+        for stored in objects:
+            self.first_seen_at.setdefault(stored.version, anyio.current_time())
+            self.values[stored.name] = stored.value
         for name in removed:
             self.values.pop(name, None)
 
@@ -62,12 +62,12 @@
         return self._store.epoch
 
     async def watch(
-        self, kind: str, after: stores.Position, wait: float
+        self, kind: str, after: stores.Position, wait_seconds: float
     ) -> stores.Changes:
         self._count_call()
-        # A real request has only the version; the response has the epoch.
+        # A request over HTTP has only the version; the response has the epoch.
         asked = stores.Position(after.version, self._store.epoch)
-        changes = await self._store.watch(kind, asked, wait)
+        changes = await self._store.watch(kind, asked, wait_seconds)
         self._require_connection()
         if changes.epoch != after.epoch:
             raise errors.CrowdeckError(
@@ -104,7 +104,12 @@
 
 @attrs.define(eq=False)
 class Entry:
-    """One entry: its mirror of one kind, and its choice of a peer."""
+    """One entry, its mirror of one kind and its selector of peers.
+
+    :ivar is_silent: whether it does not respond to watches of its peers.
+    :ivar is_down: whether connections to it fail.
+    :ivar is_too_large: whether its changes are too large for a response.
+    """
 
     name: str
     connection: StoreConnection
@@ -121,8 +126,8 @@
 class Zone:
     """Entries of one zone with one store; implements ``PeerClient``."""
 
-    def __init__(self, count: int, wait: float = WAIT_SECONDS) -> None:
-        self._wait = wait
+    def __init__(self, count: int, wait_seconds: float = WAIT_SECONDS) -> None:
+        self._wait_seconds = wait_seconds
         self.store = standin_store.StandinStore()
         names = [f"entry-{number}" for number in range(count)]
         ranking = tuple(
@@ -173,7 +178,7 @@
             connection,
             KIND,
             follower,
-            self._wait,
+            self._wait_seconds,
             lambda: 0.0,
             health,
             selector,
@@ -185,14 +190,14 @@
 
     @property
     def calls(self) -> int:
-        return sum(one.connection.calls for one in self.entries.values())
+        return sum(entry.connection.calls for entry in self.entries.values())
 
     async def watch(
         self,
         peer: peer_selection.Peer,
         kind: str,
         after: stores.Position,
-        wait: float,
+        wait_seconds: float,
     ) -> stores.PeerChanges:
         """Return an entry's changes, as its HTTP endpoint does."""
         entry = self.entries[peer.name]
@@ -200,10 +205,10 @@
         if entry.is_down:
             raise _lost()
         if entry.is_silent:
-            await anyio.sleep(wait + TIMEOUT_SLACK_SECONDS)
+            await anyio.sleep(wait_seconds + TIMEOUT_SLACK_SECONDS)
             raise _lost()
         entry.selector.note_peer_request()
-        peer_changes = await entry.mirror.changes_since(after, wait)
+        peer_changes = await entry.mirror.changes_since(after, wait_seconds)
         if entry.is_too_large and peer_changes.changes.objects:
             raise errors.CrowdeckError(errors.Code.TOO_LARGE, "too large")
         if entry.is_silent:
@@ -216,11 +221,11 @@
         return self.store.write(KIND, "main", b"{}")
 
     def max_age(self) -> float:
-        """Return the greatest age of a mirror among reachable entries."""
+        """Return the largest age of a reachable entry's mirror, in seconds."""
         return max(
-            one.mirror.age()
-            for one in self.entries.values()
-            if not (one.is_down or one.is_silent)
+            entry.mirror.age()
+            for entry in self.entries.values()
+            if not (entry.is_down or entry.is_silent)
         )
 
 
@@ -231,9 +236,11 @@
 Work = typing.Callable[[Zone], typing.Awaitable[None]]
 
 
-def run_scenario(count: int, work: Work, wait: float = WAIT_SECONDS) -> None:
+def run_scenario(
+    count: int, work: Work, wait_seconds: float = WAIT_SECONDS
+) -> None:
     async def body() -> None:
-        zone = Zone(count, wait)
+        zone = Zone(count, wait_seconds)
         zone.write()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(zone.run)
@@ -245,10 +252,10 @@
 
 
 async def max_age_over(zone: Zone, seconds: float) -> float:
-    """Return the greatest age of a mirror over a time span."""
-    ends = anyio.current_time() + seconds
+    """Return the largest age of a mirror in a time span, in seconds."""
+    ends_at = anyio.current_time() + seconds
     max_age = 0.0
-    while anyio.current_time() < ends:
+    while anyio.current_time() < ends_at:
         max_age = max(max_age, zone.max_age())
         await anyio.sleep(0.01)
     return max_age
