--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -122,7 +122,7 @@
         if status != 200:
             raise errors.CrowdeckError(
                 _CODE_BY_STATUS.get(status, errors.Code.UPSTREAM_FAILED),
-                f"{peer.name} responded with status {status}",
+                f"{peer.name} responded with status {status} instead of 200",
             )
         peer_changes = _decode(kind, body)
         if peer_changes.changes.epoch != after.epoch:
@@ -168,7 +168,8 @@
     size = sum(len(stored.value) for stored in peer_changes.changes.objects)
     if size > MAX_RESPONSE_BYTES:
         raise errors.CrowdeckError(
-            errors.Code.TOO_LARGE, f"the changes have {size} bytes"
+            errors.Code.TOO_LARGE,
+            f"the changes have {size} bytes, limit {MAX_RESPONSE_BYTES}",
         )
     return _encode(peer_changes)
 
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -39,8 +39,8 @@
 MAX_UNRESPONSIVE_BACKOFF_SECONDS = 60.0
 # A peer that has lost the store is asked again after this long.
 STORE_LOST_RETRY_SECONDS = 0.5
-# With this many peers that have lost the store, the store itself is taken to
-# be down, and an entry calls it directly instead of asking further peers.
+# If this many peers have lost the store, the store is assumed to be down, and
+# an entry calls it directly instead of asking further peers.
 LOST_PEERS_LIMIT = 3
 # An entry that has lost the store calls it directly again this long after
 # its last failed call.
