--- a/src/crowdeck/routing/cheapest.py
+++ b/src/crowdeck/routing/cheapest.py
@@ -14,8 +14,8 @@
 from crowdeck import chain
 from crowdeck import pipeline
 
-# Cost of another engine on a path, in ms a token: one more batch to wait for
-# and one more point of failure.
+# Cost of each further engine on a path, in ms a token: a request waits for one
+# more batch, and one more engine may fail.
 HOP_MS = 1.2
 # Engines reject longer paths.
 MAX_HOPS = 32
@@ -25,10 +25,10 @@
 class PartialPath:
     """A path up to the end of one engine's layers.
 
-    :ivar cost: in ms a token.
+    :ivar cost_ms: cost of a token up to there.
     """
 
-    cost: float
+    cost_ms: float
     hop_count: int
     hop: chain.Hop
     previous: "PartialPath | None"
@@ -48,6 +48,7 @@
     token_ms: float
 
 
+# Returns the cost of going from one zone to another, in ms a token.
 CrossingCost = typing.Callable[[str, str], float]
 _UNREACHABLE = float("inf")
 
@@ -57,8 +58,8 @@
 
     A partial path is ranked by its cost so far plus a lower bound on the cost
     of the remaining layers: each at the cheapest engine that holds it, without
-    hops and crossings. This avoids expanding most engines of a large fleet,
-    since the search blocks the event loop.
+    the costs of hops and crossings. The search blocks the event loop, and this
+    order saves it from extending paths to most engines of a large fleet.
 
     :param crossing: cost of going from one zone to another, in ms a token;
         infinite where that is not possible.
@@ -70,14 +71,18 @@
         self._holders = holders
         self._crossing = crossing
         self._layer_count = layer_count
-        self._least_remaining = _least_costs(holders, self._layer_count)
+        self._least_remaining_ms = _least_remaining_costs(
+            holders, self._layer_count
+        )
         self._queue: list[tuple[float, int, PartialPath]] = []
-        self._best: dict[tuple[int, str], float] = {}
+        # By the end of the last layer range and the zone.
+        self._least_cost_ms: dict[tuple[int, str], float] = {}
         self._holders_by_layer: dict[int, list[Holder]] = {}
+        # Breaks ties in the queue, as partial paths have no order.
         self._order = itertools.count()
-        self._zones = {one.zone for one in holders}
-        # Cost of the cheapest whole path found so far.
-        self._best_total = _UNREACHABLE
+        self._zones = {holder.zone for holder in holders}
+        # Cost of the cheapest complete path found so far.
+        self._least_total_ms = _UNREACHABLE
 
     def offer(self, partial: PartialPath) -> None:
         """Add a partial path that may lead to the cheapest path.
@@ -87,15 +92,18 @@
         """
         end = partial.hop.layers.end
         state = (end, partial.hop.upstream.availability_zone)
-        least = partial.cost + self._least_remaining[end]
-        if least >= self._best_total or partial.cost >= self._best.get(
-            state, _UNREACHABLE
+        lower_bound_ms = partial.cost_ms + self._least_remaining_ms[end]
+        if (
+            lower_bound_ms >= self._least_total_ms
+            or partial.cost_ms >= self._least_cost_ms.get(state, _UNREACHABLE)
         ):
             return
-        self._best[state] = partial.cost
+        self._least_cost_ms[state] = partial.cost_ms
         if end == self._layer_count:
-            self._best_total = partial.cost
-        heapq.heappush(self._queue, (least, next(self._order), partial))
+            self._least_total_ms = partial.cost_ms
+        heapq.heappush(
+            self._queue, (lower_bound_ms, next(self._order), partial)
+        )
 
     def run(self) -> chain.ChainPath | None:
         """Return the cheapest path to the last layer, if there is one."""
@@ -103,7 +111,8 @@
             _, _, partial = heapq.heappop(self._queue)
             end = partial.hop.layers.end
             zone = partial.hop.upstream.availability_zone
-            if partial.cost > self._best[end, zone]:
+            if partial.cost_ms > self._least_cost_ms[end, zone]:
+                # A cheaper partial path to this layer and zone was found.
                 continue
             if end == self._layer_count:
                 return _build_path(partial)
@@ -111,50 +120,60 @@
                 self._extend(partial, end, zone)
         return None
 
-    def _extend(self, partial: PartialPath, position: int, zone: str) -> None:
-        # Every engine runs to the end of its range: a successor that could
-        # start earlier can also start there, or is not needed.
-        entry_costs = {
-            after: partial.cost + HOP_MS + self._crossing(zone, after)
+    def _extend(
+        self, partial: PartialPath, first_layer: int, zone: str
+    ) -> None:
+        # Each engine runs to the end of its range. An engine whose range
+        # begins earlier than ``first_layer`` can also run from there on, or
+        # is not needed.
+        cost_ms_by_zone = {
+            after: partial.cost_ms + HOP_MS + self._crossing(zone, after)
             for after in self._zones
         }
-        best, least_remaining = self._best, self._least_remaining
-        for holder in self._holders_at(position):
+        least_cost_ms, least_remaining_ms = (
+            self._least_cost_ms,
+            self._least_remaining_ms,
+        )
+        for holder in self._holders_at(first_layer):
             end = holder.end
-            cost = entry_costs[holder.zone] + holder.token_ms * (
-                end - position
+            cost_ms = cost_ms_by_zone[holder.zone] + holder.token_ms * (
+                end - first_layer
             )
-            if cost + least_remaining[end] >= self._best_total:
+            if cost_ms + least_remaining_ms[end] >= self._least_total_ms:
                 continue
-            if cost < best.get((end, holder.zone), _UNREACHABLE):
+            if cost_ms < least_cost_ms.get((end, holder.zone), _UNREACHABLE):
                 hop = chain.Hop(
-                    holder.engine, pipeline.LayerRange(position, end)
+                    holder.engine, pipeline.LayerRange(first_layer, end)
                 )
                 self.offer(
-                    PartialPath(cost, partial.hop_count + 1, hop, partial)
+                    PartialPath(cost_ms, partial.hop_count + 1, hop, partial)
                 )
 
-    def _holders_at(self, position: int) -> list[Holder]:
-        found = self._holders_by_layer.get(position)
+    def _holders_at(self, layer: int) -> list[Holder]:
+        found = self._holders_by_layer.get(layer)
         if found is None:
-            found = self._holders_by_layer[position] = [
-                one for one in self._holders if one.first <= position < one.end
+            found = self._holders_by_layer[layer] = [
+                holder
+                for holder in self._holders
+                if holder.first <= layer < holder.end
             ]
         return found
 
 
-def _least_costs(holders: list[Holder], layer_count: int) -> list[float]:
+def _least_remaining_costs(
+    holders: list[Holder], layer_count: int
+) -> list[float]:
     """Return a lower bound on the cost from each layer on, in ms a token."""
-    least = [float("inf")] * layer_count
+    least_ms = [float("inf")] * layer_count
     for holder in holders:
         token_ms = holder.token_ms
         for layer in range(holder.first, min(holder.end, layer_count)):
-            if token_ms < least[layer]:
-                least[layer] = token_ms
-    remaining = [0.0] * (layer_count + 1)
+            if token_ms < least_ms[layer]:
+                least_ms[layer] = token_ms
+    remaining_ms = [0.0] * (layer_count + 1)
     for layer in reversed(range(layer_count)):
-        remaining[layer] = remaining[layer + 1] + least[layer]
-    return remaining
+        remaining_ms[layer] = remaining_ms[layer + 1] + least_ms[layer]
+    return remaining_ms
 
 
 def _build_path(partial: PartialPath) -> chain.ChainPath:
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -14,19 +14,21 @@
 from crowdeck.routing import cheapest
 from crowdeck.routing import heads as head_records
 
-# Relative increase of an engine's cost when its cache is full. It grows with
-# the square of the utilization, so that load moves to other engines
-# before the cache is full.
+# Relative increase of an engine's cost when its cache is full. The increase
+# grows with the square of the utilization, so that load moves to other
+# engines before the cache is full.
 FULL_CACHE_FACTOR = 2.0
-# Cost of crossing an idle link between zones, in ms a token: a constant, and
-# the weight of the transfer time, as a prompt delays others on the link.
+# Constant part of the cost of crossing an idle link between zones, in ms a
+# token.
 CROSSING_MS = 0.5
+# Weight of the transfer time in that cost: a prompt also delays the other
+# transfers on the link.
 TRANSFER_TIME_WEIGHT = 50.0
-# Utilization above which a link between zones counts as full; other traffic
-# on it is unknown here.
+# Utilization above which a link between zones counts as full. It leaves room
+# for other traffic, which is unknown here.
 MAX_LINK_UTILIZATION = 0.7
-# Added for a first engine in another zone, as each event then crosses a link
-# to the entry.
+# Cost of a first engine in another zone, in ms a token: each event crosses a
+# link to the entry.
 OTHER_ZONE_HEAD_MS = 8.0
 
 
@@ -58,9 +60,10 @@
 class PathRequest:
     """The request that a path is planned for.
 
-    :ivar tokens: mean tokens that the request holds while it runs.
+    :ivar tokens: mean number of tokens in the request's KV cache while it
+        runs.
     :ivar zone: the availability zone of the entry.
-    :ivar objective_seconds: time within which the first event is in time.
+    :ivar objective_seconds: latency objective of the first event.
     :ivar may_be_head: whether an engine may be the first of the path.
     """
 
@@ -77,12 +80,12 @@
     def __init__(self, usage: Usage) -> None:
         self._usage = usage
         self._heads = head_records.HeadRecords()
-        # Caches within one choice of path, in which each engine is looked
-        # at many times.
-        self._utilizations: dict[str, float] = {}
-        self._layer_costs: dict[str, float] = {}
-        self._token_capacities: dict[tuple[str, int], float] = {}
-        self._crossings: dict[tuple[str, str], float] = {}
+        # Caches for the choice of one path, which reads the values of each
+        # engine many times.
+        self._utilization_by_engine: dict[str, float] = {}
+        self._layer_ms_by_engine: dict[str, float] = {}
+        self._token_capacity_by_size: dict[tuple[str, int], float] = {}
+        self._crossing_ms_by_zones: dict[tuple[str, str], float] = {}
 
     @property
     def heads(self) -> head_records.HeadRecords:
@@ -101,7 +104,9 @@
         :param head: the first hop, if it has to be kept.
         """
         self._clear_caches()
-        usable = [one for one in engines if self._has_capacity(one, request)]
+        usable = [
+            engine for engine in engines if self._has_capacity(engine, request)
+        ]
         holders = self._holders(usable, request, head)
         search = cheapest.CheapestPathSearch(
             holders,
@@ -119,15 +124,17 @@
         """Return the cost of a token along a planned path, in ms."""
         self._clear_caches()
         head = path.hops[0]
-        total = self._head_cost(head.upstream, request)
+        total_ms = self._head_ms(head.upstream, request)
         for previous, hop in zip(path.hops, path.hops[1:], strict=False):
             zones = (
                 previous.upstream.availability_zone,
                 hop.upstream.availability_zone,
             )
-            total += cheapest.HOP_MS + self._crossing_ms(*zones, request)
-            total += self._cost(hop.upstream, hop.layers.first, request)
-        return total
+            total_ms += cheapest.HOP_MS + self._crossing_ms(*zones, request)
+            total_ms += self._engine_ms(
+                hop.upstream, hop.layers.first, request
+            )
+        return total_ms
 
     def replace_failed_hops(
         self,
@@ -139,8 +146,9 @@
         """Return a path that replaces the hops at excluded engines.
 
         The other hops keep their KV cache of the request; only new ones
-        have to compute it again. Where single hops cannot be replaced, all
-        but the first are planned anew. ``None`` if there is no such path.
+        have to compute it again. If single hops cannot be replaced, all
+        but the first are planned anew. Return ``None`` if there is no such
+        path.
 
         :param path: the path in use; its first hop stays.
         :param excluded: names of engines to leave out.
@@ -151,14 +159,16 @@
             for hop in path.hops
             if hop.upstream.name not in excluded
         }
-        candidates = [one for one in engines if one.name not in kept]
+        candidates = [engine for engine in engines if engine.name not in kept]
         new_hops: list[chain.Hop] = []
         for hop in path.hops:
             if hop.upstream.name in kept:
                 new_hops.append(hop)
                 continue
-            used = {one.upstream.name for one in new_hops}
-            unused = [one for one in candidates if one.name not in used]
+            used = {new_hop.upstream.name for new_hop in new_hops}
+            unused = [
+                engine for engine in candidates if engine.name not in used
+            ]
             previous = new_hops[-1] if new_hops else None
             replacement = self._cover(unused, request, hop.layers, previous)
             if replacement is None:
@@ -169,10 +179,10 @@
         return chain.ChainPath(tuple(new_hops))
 
     def _clear_caches(self) -> None:
-        self._utilizations.clear()
-        self._layer_costs.clear()
-        self._token_capacities.clear()
-        self._crossings.clear()
+        self._utilization_by_engine.clear()
+        self._layer_ms_by_engine.clear()
+        self._token_capacity_by_size.clear()
+        self._crossing_ms_by_zones.clear()
 
     def _cover(
         self,
@@ -181,52 +191,65 @@
         layers: pipeline.LayerRange,
         previous: chain.Hop | None,
     ) -> list[chain.Hop] | None:
-        """Return hops that cover ``layers``, the cheapest at each step."""
-        usable = [one for one in engines if self._has_capacity(one, request)]
+        """Return hops that cover ``layers``, or ``None``.
+
+        Each hop is at the engine with the least cost per layer it runs.
+
+        :param previous: the hop before them, if there is one.
+        """
+        usable = [
+            engine for engine in engines if self._has_capacity(engine, request)
+        ]
         hops: list[chain.Hop] = []
-        position = layers.first
-        while position < layers.end:
+        next_layer = layers.first
+        while next_layer < layers.end:
             zone = (
                 previous.upstream.availability_zone
                 if previous
                 else request.zone
             )
-            best = self._cheapest_at(usable, request, position, zone)
+            best = self._cheapest_at(usable, request, next_layer, zone)
             if best is None:
                 return None
             assert best.layers is not None
             end = min(best.layers.end, layers.end)
-            previous = chain.Hop(best, pipeline.LayerRange(position, end))
+            previous = chain.Hop(best, pipeline.LayerRange(next_layer, end))
             hops.append(previous)
             usable.remove(best)
-            position = end
+            next_layer = end
         return hops
 
     def _cheapest_at(
         self,
         usable: list[chain.Upstream],
         request: PathRequest,
-        position: int,
+        first_layer: int,
         zone: str,
     ) -> chain.Upstream | None:
+        """Return the engine with the least cost per layer, if there is any.
+
+        :param first_layer: the first layer that it has to run.
+        :param zone: zone of the previous engine, or of the entry.
+        """
+
         def cost(engine: chain.Upstream) -> float:
             assert engine.layers is not None
-            crossing = self._crossing_ms(
+            crossing_ms = self._crossing_ms(
                 zone, engine.availability_zone, request
             )
-            length = engine.layers.end - position
-            total = (
-                self._cost(engine, position, request)
+            layer_count = engine.layers.end - first_layer
+            total_ms = (
+                self._engine_ms(engine, first_layer, request)
                 + cheapest.HOP_MS
-                + crossing
+                + crossing_ms
             )
-            return total / length
+            return total_ms / layer_count
 
         candidates = [
-            one
-            for one in usable
-            if one.layers is not None
-            and one.layers.first <= position < one.layers.end
+            engine
+            for engine in usable
+            if engine.layers is not None
+            and engine.layers.first <= first_layer < engine.layers.end
         ]
         best = min(candidates, key=cost, default=None)
         if best is not None and cost(best) == float("inf"):
@@ -236,23 +259,25 @@
     def _crossing_ms(
         self, before: str, after: str, request: PathRequest
     ) -> float:
-        """Return the cost of going from zone to zone, in ms a token.
+        """Return the cost of going from one zone to another, in ms a token.
 
         It is infinite while the link between them is full: another prompt
         would delay every stream that crosses it.
         """
         if before == after:
             return 0.0
-        cost = self._crossings.get((before, after))
-        if cost is None:
+        cost_ms = self._crossing_ms_by_zones.get((before, after))
+        if cost_ms is None:
             utilization = self._usage.zone_link_utilization(
                 before, after, request.profile
             )
-            cost = float("inf")
+            cost_ms = float("inf")
             if utilization <= MAX_LINK_UTILIZATION:
-                cost = _idle_crossing_ms(request.profile) * (1.0 + utilization)
-            self._crossings[before, after] = cost
-        return cost
+                cost_ms = _idle_crossing_ms(request.profile) * (
+                    1.0 + utilization
+                )
+            self._crossing_ms_by_zones[before, after] = cost_ms
+        return cost_ms
 
     def _has_capacity(
         self, engine: chain.Upstream, request: PathRequest
@@ -260,9 +285,9 @@
         if engine.layers is None:
             return False
         size_key = (engine.card, engine.layers.end - engine.layers.first)
-        token_capacity = self._token_capacities.get(size_key)
+        token_capacity = self._token_capacity_by_size.get(size_key)
         if token_capacity is None:
-            token_capacity = self._token_capacities[size_key] = (
+            token_capacity = self._token_capacity_by_size[size_key] = (
                 request.profile.token_capacity(*size_key)
             )
         if token_capacity == float("inf"):
@@ -273,7 +298,7 @@
     def _first_hops(
         self, usable: list[chain.Upstream], request: PathRequest
     ) -> typing.Iterator[cheapest.PartialPath]:
-        """Yield the hops that a path may begin with."""
+        """Yield the partial paths of one hop with which a path may begin."""
         for engine in usable:
             layers = engine.layers
             if layers is None or layers.first != 0:
@@ -282,19 +307,19 @@
                 continue
             if not request.may_be_head(engine):
                 continue
-            cost = self._head_cost(engine, request)
+            cost_ms = self._head_ms(engine, request)
             yield cheapest.PartialPath(
-                cost, 1, chain.Hop(engine, layers), None
+                cost_ms, 1, chain.Hop(engine, layers), None
             )
 
-    def _head_cost(
-        self, engine: chain.Upstream, request: PathRequest
-    ) -> float:
+    def _head_ms(self, engine: chain.Upstream, request: PathRequest) -> float:
         """Return the cost of a token at a first engine, in ms."""
-        cost = self._cost(engine, 0, request)
+        cost_ms = self._engine_ms(engine, 0, request)
         if engine.availability_zone != request.zone:
-            cost += OTHER_ZONE_HEAD_MS
-        return cost + self._heads.cost(engine.name, request.objective_seconds)
+            cost_ms += OTHER_ZONE_HEAD_MS
+        return cost_ms + self._heads.cost(
+            engine.name, request.objective_seconds
+        )
 
     def _holders(
         self,
@@ -304,9 +329,10 @@
     ) -> list[cheapest.Holder]:
         """Return the cheapest engine of each zone and range of layers.
 
-        An engine's cost is proportional to the layers it runs, and the cost
-        of reaching it depends on its zone only. So one of the engines with
-        the same zone and layers is the cheapest wherever a path joins.
+        An engine's cost is proportional to the number of layers it runs, and
+        the cost of reaching it depends only on its zone. So of the engines
+        with the same zone and layers, the same one is the cheapest for
+        every path.
         """
         cheapest_engines: dict[tuple[int, int, str], cheapest.Holder] = {}
         for engine in usable:
@@ -323,21 +349,24 @@
                 cheapest_engines[key] = cheapest.Holder(engine, *key, token_ms)
         return list(cheapest_engines.values())
 
-    def _cost(
-        self, engine: chain.Upstream, position: int, request: PathRequest
+    def _engine_ms(
+        self, engine: chain.Upstream, first_layer: int, request: PathRequest
     ) -> float:
-        """Return the cost of a token at an engine, in ms."""
+        """Return the cost of a token at an engine, in ms.
+
+        :param first_layer: the first of its layers that it runs.
+        """
         assert engine.layers is not None
-        count = engine.layers.end - position
+        count = engine.layers.end - first_layer
         return self._layer_ms(engine, request) * count
 
     def _layer_ms(self, engine: chain.Upstream, request: PathRequest) -> float:
-        """Return the cost of a token for each layer at an engine, in ms."""
-        layer_ms = self._layer_costs.get(engine.name)
+        """Return the cost of a token in one layer at an engine, in ms."""
+        layer_ms = self._layer_ms_by_engine.get(engine.name)
         if layer_ms is None:
-            whole = self._all_layers_ms(engine, request)
-            layer_ms = whole / request.profile.layer_count
-            self._layer_costs[engine.name] = layer_ms
+            all_layers_ms = self._all_layers_ms(engine, request)
+            layer_ms = all_layers_ms / request.profile.layer_count
+            self._layer_ms_by_engine[engine.name] = layer_ms
         return layer_ms
 
     def _all_layers_ms(
@@ -347,12 +376,12 @@
         profile = request.profile
         accelerator_type = profile.cards.get(engine.card)
         factor = accelerator_type.step_factor if accelerator_type else 1.0
-        context_cost_ms = (
+        context_ms = (
             request.tokens / 1000.0 * profile.context_ms_per_1000_tokens
         )
         sequences = 1.0 + self._usage.sequences(engine)
         batch_ms = profile.step_ms + sequences * (
-            profile.sequence_ms + context_cost_ms
+            profile.sequence_ms + context_ms
         )
         utilization = self._utilization(engine, request)
         return (
@@ -364,12 +393,12 @@
     def _utilization(
         self, engine: chain.Upstream, request: PathRequest
     ) -> float:
-        utilization = self._utilizations.get(engine.name)
+        utilization = self._utilization_by_engine.get(engine.name)
         if utilization is None:
             utilization = self._usage.cache_utilization(
                 engine, request.profile
             )
-            self._utilizations[engine.name] = utilization
+            self._utilization_by_engine[engine.name] = utilization
         return utilization
 
 
