--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -20,21 +20,21 @@
 STEADY_SHARE = 0.8
 RESTART_SHARE = 1.0 - STEADY_SHARE
 
-# Buckets per window. In the bucket in which a window begins, retries count
-# and requests earn nothing.
+# Buckets per window. Of the bucket in which a window begins, all retries
+# count and no request earns, so that the window never spends too much.
 WINDOW_BUCKETS = 40
 
-# Windows that begin up to this many buckets from now must also cover the
-# retries in flight.
+# Retries in flight count in the windows that begin up to this many buckets
+# from now, as they may still arrive there.
 BUCKETS_AHEAD = WINDOW_BUCKETS // 2
 
-# Retries that a process left in flight count for this many windows after its
-# end.
+# Number of windows after a process's end in which the retries that it left in
+# flight count.
 RESTART_WINDOWS = 1.0 + BUCKETS_AHEAD / WINDOW_BUCKETS
 
 
 class Membership(typing.Protocol):
-    """What an entry knows of the entries that share its budget."""
+    """What an entry knows about the entries that share its budget."""
 
     @property
     def entries(self) -> int:
@@ -48,7 +48,7 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether entries that started at the same time are counted."""
+        """Whether entries that started at the same time are counted too."""
         ...
 
 
@@ -62,23 +62,26 @@
 
 
 class _BucketCounter:
-    """Event counts for the newest ``kept`` time buckets.
+    """Event counts of the newest time buckets.
 
-    :param seconds: length of a bucket.
+    :param bucket_seconds: length of a bucket.
+    :param bucket_count: number of buckets kept.
     """
 
-    def __init__(self, seconds: float, kept: int) -> None:
-        self._seconds = seconds
-        self._counts = collections.deque([0] * kept, kept)
-        self._newest: int | None = None
+    def __init__(self, bucket_seconds: float, bucket_count: int) -> None:
+        self._bucket_seconds = bucket_seconds
+        self._counts = collections.deque([0] * bucket_count, bucket_count)
+        self._newest_bucket: int | None = None
 
-    def add(self, ago: float = 0.0) -> None:
-        """Count one event ``ago`` seconds before now."""
+    def add(self, age_seconds: float = 0.0) -> None:
+        """Count an event that happened ``age_seconds`` ago."""
         self._advance()
-        then = math.floor((anyio.current_time() - ago) / self._seconds)
-        passed = self._current_bucket() - then
-        if passed < len(self._counts):
-            self._counts[-1 - passed] += 1
+        bucket = math.floor(
+            (anyio.current_time() - age_seconds) / self._bucket_seconds
+        )
+        bucket_age = self._current_bucket() - bucket
+        if bucket_age < len(self._counts):
+            self._counts[-1 - bucket_age] += 1
 
     def newest_first(self) -> list[int]:
         """Return the counts, that of the current bucket first."""
@@ -86,23 +89,26 @@
         return list(reversed(self._counts))
 
     def _advance(self) -> None:
-        present = self._current_bucket()
-        passed = 0 if self._newest is None else present - self._newest
-        self._newest = present
-        self._counts.extend([0] * min(passed, len(self._counts)))
+        current = self._current_bucket()
+        new_buckets = (
+            0 if self._newest_bucket is None else current - self._newest_bucket
+        )
+        self._newest_bucket = current
+        self._counts.extend([0] * min(new_buckets, len(self._counts)))
 
     def _current_bucket(self) -> int:
-        return math.floor(anyio.current_time() / self._seconds)
+        return math.floor(anyio.current_time() / self._bucket_seconds)
 
 
 @attrs.frozen
 class _CacheKey:
     """Key of the cached number of remaining retries.
 
-    It leaves out requests and time within a bucket.
+    Requests and time within a bucket do not change it: what they earn counts
+    in the next bucket at the latest.
 
     :ivar bucket: number of the current bucket.
-    :ivar changes: retries counted as sent, arrived, abandoned or cancelled.
+    :ivar changes: see :class:`_RetryCounts`.
     """
 
     bucket: int
@@ -111,11 +117,12 @@
     is_settled: bool
 
 
-class _Arrivals:
-    """Retries that arrived within a window, and those in flight.
+class _RetryCounts:
+    """Counts of the retries that arrived lately, and of those in flight.
 
-    :ivar changes: retries counted as sent, arrived, abandoned or cancelled.
-    :param window_seconds: length of the window.
+    :ivar changes: how often a retry was counted as sent, arrived, abandoned
+        or cancelled.
+    :param window_seconds: length of the budget's window.
     """
 
     def __init__(self, window_seconds: float) -> None:
@@ -125,12 +132,13 @@
         self._arrived = _BucketCounter(
             self._bucket_seconds, WINDOW_BUCKETS + 1
         )
-        # Times until which the retries count in future windows, ascending.
+        # Loop times until which the retries count in future windows,
+        # ascending.
         self._in_flight: list[float] = []
         self._abandoned: list[float] = []
 
-    def newest_first(self) -> list[int]:
-        """Return the retries since each bucket, the newest first."""
+    def counts_since(self) -> list[int]:
+        """Return the retries since each bucket, the newest bucket first."""
         self._settle_abandoned()
         in_flight = len(self._in_flight) + len(self._abandoned)
         arrived = itertools.accumulate(self._arrived.newest_first())
@@ -140,13 +148,13 @@
         """Return the retries that may still arrive in each future window."""
         if not self._in_flight and not self._abandoned:
             return [0] * BUCKETS_AHEAD
-        present = math.floor(anyio.current_time() / self._bucket_seconds)
+        current = math.floor(anyio.current_time() / self._bucket_seconds)
         return [
             _count_from(
-                self._in_flight, (present + ahead) * self._bucket_seconds
+                self._in_flight, (current + ahead) * self._bucket_seconds
             )
             + _count_from(
-                self._abandoned, (present + ahead) * self._bucket_seconds
+                self._abandoned, (current + ahead) * self._bucket_seconds
             )
             for ahead in range(1, BUCKETS_AHEAD + 1)
         ]
@@ -154,7 +162,8 @@
     def note_sent(self) -> float:
         """Count a retry as in flight.
 
-        Return the time until which it counts in future windows.
+        Return the loop time until which it counts in future windows, by
+        which the other methods identify it.
         """
         self.changes += 1
         until = anyio.current_time() + self._window_seconds
@@ -179,40 +188,42 @@
     def _settle_abandoned(self) -> None:
         """Count abandoned retries as arrived once their time is over."""
         now = anyio.current_time()
-        closed = bisect.bisect_right(self._abandoned, now)
-        for until in self._abandoned[:closed]:
+        expired_count = bisect.bisect_right(self._abandoned, now)
+        for until in self._abandoned[:expired_count]:
             # This may run long after that time.
             self._arrived.add(now - until)
-        del self._abandoned[:closed]
+        del self._abandoned[:expired_count]
 
 
 def _count_from(times: list[float], since: float) -> int:
+    """Return how many of the ascending times are at ``since`` or later."""
     return len(times) - bisect.bisect_left(times, since)
 
 
 class SharedRetryBudget:
     """This entry's share of a service's retry budget in a sliding window.
 
-    All entries together may retry ``ratio`` of the requests, and ``slack``
-    more, in any window. Entries do not coordinate, and callers move between
-    them, so each entry keeps to its share in every window that contains the
-    present. A window's retries are earned by the requests of the window
-    before it: those of all entries come from the same time, and no request
-    earns twice. A retry in flight may arrive in a later window, so it must
-    also be covered by what requests so far earn there.
+    In any window, all entries together may send ``ratio`` retries for each
+    request, and ``slack`` more. Entries do not coordinate, and callers move
+    between them, so each entry keeps to its share in every window that
+    contains the current time. The retries of a window are earned by the
+    requests of the window before it, so that all entries count requests of
+    the same period and no request earns twice. A retry in flight may arrive
+    in a later window, so requests so far must have earned it there too.
 
-    An entry has a part of the slack from when the others count it. What its
-    own requests earn is its own in any case.
+    An entry gets a part of the slack once the other entries count it. What
+    its own requests earn is not divided between entries.
 
     A new process does not know what its predecessors spent. Its share grows
     from zero to ``RESTART_SHARE`` over one window, which bounds what several
     processes spend one after the other, and becomes ``STEADY_SHARE`` once
     nothing that they left in flight still counts.
 
-    :param ratio: retries allowed for each request.
-    :param slack: retries allowed on top, by all entries together.
+    :param ratio: retries that each request earns.
+    :param slack: further retries that all entries together may send in a
+        window.
     :param window_seconds: length of the sliding window.
-    :param began: loop time at which this process was started.
+    :param began: loop time at which this process started.
     :param membership: the entries that share the slack.
     """
 
@@ -229,7 +240,7 @@
         self._window_seconds = window_seconds
         self._began = began
         self._membership = membership
-        self._retries = _Arrivals(window_seconds)
+        self._retries = _RetryCounts(window_seconds)
         self._cache_key: _CacheKey | None = None
         self._remaining = 0.0
         self._requests = _BucketCounter(
@@ -238,9 +249,9 @@
 
     @property
     def remaining(self) -> float:
-        """Retries that may be made now.
+        """Retries that may be sent now.
 
-        Cached, because waiting streams ask many times a second.
+        Cached, because waiting streams read it many times a second.
         """
         cache_key = _CacheKey(
             math.floor(
@@ -282,7 +293,7 @@
         return SendTracker(self, self._retries, self._window_seconds)
 
     def _cumulative_requests(self) -> list[int]:
-        """Return the sums of the newest buckets, from none to all of them."""
+        """Return the requests in the newest 0, 1, 2, ... all buckets."""
         counts = self._requests.newest_first()
         return [0, *itertools.accumulate(counts)]
 
@@ -291,18 +302,18 @@
         earned = [*self._earned(cumulative), *self._earned_ahead(cumulative)]
         share = self._share_since(self._began)
         slack = self._slack_share()
-        spent = [*self._retries.newest_first(), *self._retries.counts_ahead()]
+        spent = [*self._retries.counts_since(), *self._retries.counts_ahead()]
         return min(
             share * allowed + slack - retries
             for allowed, retries in zip(earned, spent, strict=True)
         )
 
     def _earned(self, cumulative: list[int]) -> list[float]:
-        """Return what requests earned for each window, the newest first.
+        """Return the retries earned for each window, the newest first.
 
         There is one item for each bucket in which a window that contains
-        the present can begin. Only buckets that are wholly in the window
-        before it count.
+        the current time can begin. Only buckets that are wholly in the
+        window before it earn.
         """
         return [
             self._ratio
@@ -311,17 +322,17 @@
         ]
 
     def _earned_ahead(self, cumulative: list[int]) -> list[float]:
-        """Return what requests so far earn for each window to come."""
+        """Return the retries that requests so far earn for future windows."""
         return [
             self._ratio * cumulative[WINDOW_BUCKETS - ahead]
             for ahead in range(1, BUCKETS_AHEAD + 1)
         ]
 
     def _slack_share(self) -> float:
-        """Return this entry's part of the slack.
+        """Return this entry's part of the slack, in retries.
 
         It is 0 while the number of entries is unknown, and no more than
-        that of a new process while some entries may not be counted.
+        a new process gets while some entries may not be counted.
         """
         entries = self._membership.entries
         if not entries:
@@ -333,11 +344,14 @@
         return share * self._slack / entries
 
     def _share_since(self, since: float) -> float:
-        """Return the part of a share that may be spent this long after."""
-        age = max(0.0, anyio.current_time() - since)
-        if age >= RESTART_WINDOWS * self._window_seconds:
+        """Return the part of a share that may be spent now, 0 to 1.
+
+        :param since: loop time from which this process has the share.
+        """
+        age_seconds = max(0.0, anyio.current_time() - since)
+        if age_seconds >= RESTART_WINDOWS * self._window_seconds:
             return STEADY_SHARE
-        return RESTART_SHARE * min(1.0, age / self._window_seconds)
+        return RESTART_SHARE * min(1.0, age_seconds / self._window_seconds)
 
 
 class SendTracker:
@@ -345,18 +359,18 @@
 
     A retry counts from its reservation until one window after its arrival,
     since it may wait for a path, a connection or an unresponsive instance.
-    A send that was given up without an answer may arrive after later ones,
-    so for one window those count as if they had been given up too.
+    An abandoned send may arrive after later sends, so retries that arrive
+    within one window after it count as abandoned too.
 
     :param budget: the budget in which retries are reserved.
-    :param retries: where they are counted.
+    :param retries: the counts of that budget's retries.
     :param window_seconds: length of the budget's window.
     """
 
     def __init__(
         self,
         budget: SharedRetryBudget,
-        retries: _Arrivals,
+        retries: _RetryCounts,
         window_seconds: float,
     ) -> None:
         self._budget = budget
@@ -367,7 +381,7 @@
         self._abandoned_until = float("-inf")
 
     def reserve(self) -> bool:
-        """Reserve a retry; false where the budget is spent.
+        """Reserve a retry; return false if the budget is spent.
 
         An unused reservation is kept for the next retry.
         """
--- a/src/crowdeck/routing/policies.py
+++ b/src/crowdeck/routing/policies.py
@@ -14,7 +14,8 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    # The config reads policy names in entries that load no sidecar code.
+    # The config module needs only the names, also in processes without
+    # sidecars, which must not import the code for them.
     from crowdeck.membership import fleet as fleets
     from crowdeck import pipeline
 
@@ -23,7 +24,7 @@
 LEAST_LOAD = "least_load"
 NAMES = (CROWDECK, ROUND_ROBIN, LEAST_LOAD)
 
-# Assumed until a sidecar has reported batch times.
+# Time of a step, assumed until a sidecar has reported batch times.
 UNKNOWN_STEP_SECONDS = 0.005
 # A step that arrives while a batch runs waits for half of it on average, then
 # runs in the next.
@@ -41,12 +42,12 @@
         ...
 
 
-def step_seconds(view: fleets.SidecarView, size: float) -> float:
-    """Return the time of a batch of ``size`` sequences at a stage."""
+def step_seconds(view: fleets.SidecarView, batch_size: float) -> float:
+    """Return the time that a stage takes for a batch of sequences."""
     load = view.load
     if load is None or not load.batch_seconds:
         return UNKNOWN_STEP_SECONDS
-    return load.batch_seconds + size * load.token_seconds
+    return load.batch_seconds + batch_size * load.token_seconds
 
 
 def congestion_seconds(
@@ -65,9 +66,9 @@
     """Predicts queueing and step times from reports and the current load."""
 
     def cost(self, view: fleets.SidecarView, offer: pipeline.Offer) -> float:
-        """Return the predicted time of a position at a stage."""
-        size = min(view.inflight + 1, offer.batch_limit)
-        latency_seconds = QUEUE_FACTOR * step_seconds(view, size / 2)
+        """Return the predicted seconds that a token takes at a stage."""
+        batch_size = min(view.inflight + 1, offer.batch_limit)
+        latency_seconds = QUEUE_FACTOR * step_seconds(view, batch_size / 2)
         return latency_seconds + congestion_seconds(view, offer)
 
 
@@ -75,7 +76,7 @@
     """Chooses the stage that was chosen least often so far."""
 
     def cost(self, view: fleets.SidecarView, offer: pipeline.Offer) -> float:
-        """Return how often a stage was chosen."""
+        """Return 1 plus the number of times that a stage was chosen."""
         return 1.0 + view.times_chosen
 
 
@@ -83,12 +84,12 @@
     """Chooses the stage with the least reported load."""
 
     def cost(self, view: fleets.SidecarView, offer: pipeline.Offer) -> float:
-        """Return the number of answers that a stage last reported."""
+        """Return 1 plus the answers in progress that a stage reported."""
         return 1.0 + (view.load.running if view.load is not None else 0)
 
 
 def make_policy(name: str) -> Policy:
-    """Return the policy of that name."""
+    """Return the policy of a name in :data:`NAMES`."""
     if name == ROUND_ROBIN:
         return RoundRobin()
     if name == LEAST_LOAD:
--- a/src/crowdeck/routing/retry.py
+++ b/src/crowdeck/routing/retry.py
@@ -21,7 +21,11 @@
 
 
 class RetryBudget:
-    """A balance of retries, of which each request earns a fraction."""
+    """A balance of retries, to which each request adds a fraction of one.
+
+    :param ratio: retries that each request earns.
+    :param capacity: initial and largest balance.
+    """
 
     def __init__(
         self, ratio: float = BUDGET_RATIO, capacity: float = BUDGET_CAPACITY
@@ -32,7 +36,7 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that may be made now."""
+        """Retries that may be sent now."""
         return self._tokens
 
     def earn(self) -> None:
@@ -40,7 +44,7 @@
         self._tokens = min(self._capacity, self._tokens + self._ratio)
 
     def spend(self) -> bool:
-        """Take one retry; false when the budget is spent."""
+        """Take one retry; return false if the budget is spent."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -81,10 +85,12 @@
     clock: timers.Clock,
     deadline: float,
 ) -> bool:
-    """Decide whether a failed request is tried again.
+    """Decide whether a failed request is sent again.
 
     A request that did not run may be retried, and one that may have run
     if it is repeatable. A retry is taken from ``budget``.
+
+    :param deadline: time of ``clock`` from which on nothing is retried.
     """
     is_allowed = error.verdict is verdicts.Verdict.NOT_RUN or (
         is_repeatable and error.verdict is verdicts.Verdict.MAY_HAVE_RUN
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -12,12 +12,12 @@
 
 from crowdeck import chain
 
-# A load report counts for this long.
+# Age at which a load report expires.
 LOAD_REPORT_TTL_SECONDS = 1.5
-# Crossings between zones are counted over this time.
+# Length of the sliding window for transfers between zones.
 LINK_WINDOW_SECONDS = 1.0
-# The load that an engine had when this entry started falls to zero over this
-# time.
+# Time over which the load that an engine had when this entry started is
+# reduced to zero.
 EXISTING_LOAD_SECONDS = 2.5
 
 
@@ -37,17 +37,20 @@
     """This entry's requests in progress, by upstream instance.
 
     Other entries use the same engines. A first engine reports with each
-    answer how many requests it runs; their ratio to this entry's own
-    requests there scales its load along the whole path. Without a recent
-    report, each entry of the availability zone is assumed to send as much.
+    answer how many requests it runs. The load of this entry's own requests
+    along their whole paths is multiplied by the ratio of that number to the
+    number of its own requests there. Without a recent report, each entry of
+    the availability zone is assumed to send as much as this one.
     """
 
     def __init__(self) -> None:
+        # By engine, then by the first engine of the path.
         self._sequences: dict[str, collections.Counter[str]] = {}
         self._token_layers: dict[str, collections.Counter[str]] = {}
         self._own_requests: collections.Counter[str] = collections.Counter()
         self._reported: dict[str, _LoadReport] = {}
         self._existing: dict[str, _ExistingLoad] = {}
+        # Loop time and tokens of each transfer, by the pair of zones.
         self._crossings: dict[
             frozenset[str], collections.deque[tuple[float, float]]
         ] = {}
@@ -55,7 +58,7 @@
         self._all_entries = 1
 
     def set_entry_count(self, entries: int, all_entries: int = 0) -> None:
-        """Set the numbers of entries assumed to send as much as this one.
+        """Set the numbers of entries, this one included.
 
         :param entries: entries of this availability zone.
         :param all_entries: entries of all zones.
@@ -82,20 +85,20 @@
     def note_load(self, head: chain.Upstream, running: int) -> None:
         """Record how many requests a first engine reports as running."""
         now = anyio.current_time()
-        for name in [
-            n
-            for n, report in self._reported.items()
+        for expired in [
+            name
+            for name, report in self._reported.items()
             if _is_expired(report, now)
         ]:
-            del self._reported[name]
+            del self._reported[expired]
         self._reported[head.name] = _LoadReport(running, now)
 
     def note_existing_load(
         self, upstream: chain.Upstream, token_layers: float
     ) -> None:
-        """Record what an engine held when this entry started.
+        """Record the load that an engine had when this entry started.
 
-        :param token_layers: tokens times layers.
+        :param token_layers: tokens in its cache, times layers.
         """
         now = anyio.current_time()
         self._existing[upstream.name] = _ExistingLoad(token_layers, now)
@@ -111,38 +114,41 @@
     def cache_utilization(
         self, upstream: chain.Upstream, profile: chain.EngineProfile
     ) -> float:
-        """Return the used share of an engine's cache."""
+        """Estimate the used share of an engine's cache; it may exceed 1."""
         if upstream.layers is None:
             return 0.0
         count = upstream.layers.end - upstream.layers.first
-        token_capacity = profile.token_capacity(upstream.card, count) * count
+        capacity = profile.token_capacity(upstream.card, count) * count
         used = self._estimate(self._token_layers.get(upstream.name))
         if upstream.layers.first == 0 and not used:
-            # Without own requests the reported number is used directly.
+            # Without own requests the reported number cannot be applied as a
+            # ratio, so it is used directly.
             mean_tokens = (
                 profile.mean_prompt_tokens + profile.mean_answer_tokens / 2.0
             )
             used = self._reported_running(upstream.name) * mean_tokens * count
         used += self._existing_token_layers(upstream.name)
-        return used / max(1.0, token_capacity)
+        return used / max(1.0, capacity)
 
     def _existing_token_layers(self, name: str) -> float:
-        """Return what remains of an engine's load at this entry's start."""
+        """Return what still counts of an engine's load at the start."""
         existing = self._existing.get(name)
         if existing is None:
             return 0.0
-        age = anyio.current_time() - existing.recorded_at
-        if age >= EXISTING_LOAD_SECONDS:
+        age_seconds = anyio.current_time() - existing.recorded_at
+        if age_seconds >= EXISTING_LOAD_SECONDS:
             del self._existing[name]
             return 0.0
-        return existing.token_layers * (1.0 - age / EXISTING_LOAD_SECONDS)
+        return existing.token_layers * (
+            1.0 - age_seconds / EXISTING_LOAD_SECONDS
+        )
 
     def add_request(self, path: chain.ChainPath, tokens: float) -> None:
         """Count a request on a path."""
         self._add(path, tokens, 1)
-        for previous, following in zip(path.hops, path.hops[1:], strict=False):
+        for previous, hop in zip(path.hops, path.hops[1:], strict=False):
             zone = previous.upstream.availability_zone
-            other_zone = following.upstream.availability_zone
+            other_zone = hop.upstream.availability_zone
             if zone != other_zone:
                 crossings = self._crossings.setdefault(
                     frozenset((zone, other_zone)), collections.deque()
@@ -150,7 +156,7 @@
                 crossings.append((anyio.current_time(), tokens))
 
     def remove_request(self, path: chain.ChainPath, tokens: float) -> None:
-        """Take back what :meth:`add_request` counted."""
+        """Undo :meth:`add_request`."""
         self._add(path, tokens, -1)
 
     def add_call(self, upstream: chain.Upstream) -> None:
@@ -158,7 +164,7 @@
         self._own_requests[upstream.name] += 1
 
     def remove_call(self, upstream: chain.Upstream) -> None:
-        """Take back what :meth:`add_call` counted."""
+        """Undo :meth:`add_call`."""
         self._own_requests[upstream.name] -= 1
         if not self._own_requests[upstream.name]:
             del self._own_requests[upstream.name]
@@ -169,23 +175,24 @@
         for hop in path.hops:
             name = hop.upstream.name
             layers = hop.layers.end - hop.layers.first
-            passing = self._sequences.setdefault(name, collections.Counter())
+            sequences = self._sequences.setdefault(name, collections.Counter())
             token_layers = self._token_layers.setdefault(
                 name, collections.Counter()
             )
-            passing[head] += sign
+            sequences[head] += sign
             token_layers[head] += sign * int(tokens) * layers
-            if not passing[head]:
-                # Engines come and go, so empty counters must not be kept.
-                del passing[head]
+            if not sequences[head]:
+                # Prevents a leak: engines get new names when they restart.
+                del sequences[head]
                 del token_layers[head]
-            if not passing:
+            if not sequences:
                 del self._sequences[name]
                 del self._token_layers[name]
         if not self._own_requests[head]:
             del self._own_requests[head]
 
     def _estimate(self, own_by_head: collections.Counter[str] | None) -> float:
+        """Return the load of all entries for that of this entry."""
         if not own_by_head:
             return 0.0
         return sum(
