--- a/src/crowdeck/availability_zone.py
+++ b/src/crowdeck/availability_zone.py
@@ -22,15 +22,18 @@
     delay_seconds: float
     bytes_per_second: float = 1.25e9
 
-    def transfer_seconds(self, size: int) -> float:
-        """Return the seconds that a transfer of ``size`` bytes takes."""
-        return self.delay_seconds + size / self.bytes_per_second
+    def transfer_seconds(self, size_bytes: int) -> float:
+        """Return the seconds that a transfer takes."""
+        return self.delay_seconds + size_bytes / self.bytes_per_second
 
 
 @attrs.frozen
 class ZoneLinks:
     """All links between availability zones, with defaults.
 
+    :ivar links: links by the pair of zones, or by the zone alone for the link
+        within it.
+
     >>> links = ZoneLinks()
     >>> links.between("plateau", "plateau").delay_seconds
     0.0001
@@ -38,12 +41,12 @@
 
     links: dict[frozenset[str], ZoneLink] = attrs.field(factory=dict)
 
-    def between(self, one: str, other: str) -> ZoneLink:
+    def between(self, zone: str, other_zone: str) -> ZoneLink:
         """Return the link between two availability zones."""
-        link = self.links.get(frozenset((one, other)))
+        link = self.links.get(frozenset((zone, other_zone)))
         if link is not None:
             return link
-        is_same = one == other
+        is_same = zone == other_zone
         return ZoneLink(
             SAME_ZONE_DELAY_SECONDS if is_same else OTHER_ZONE_DELAY_SECONDS
         )
--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -20,11 +20,11 @@
 
 @attrs.frozen
 class AcceleratorType:
-    """A kind of accelerator.
+    """A type of accelerator.
 
     :ivar memory_mb: memory for weights and KV cache.
-    :ivar step_factor: step time relative to the profile's.
-    :ivar prefill_factor: prefill time relative to the profile's.
+    :ivar step_factor: step time as a multiple of the profile's.
+    :ivar prefill_factor: prefill time as a multiple of the profile's.
     """
 
     name: str
@@ -45,14 +45,19 @@
     :ivar context_ms_per_1000_tokens: added to a step by 1,000 tokens of
         context.
     :ivar prefill_tokens_per_second: prompt tokens processed in a second.
-    :ivar activation_bytes: activations of one token between stages.
+    :ivar activation_bytes: size of one token's activations, as one stage
+        sends them to the next.
     :ivar zone_link_bytes_per_second: bandwidth that all transfers between
-        two zones share.
-    :ivar load_seconds: time to load all layers onto one engine.
-    :ivar concurrent_loads: loads that do not slow one another down.
-    :ivar slots: concurrent requests for which an engine is the first.
+        two zones share; 0 where it is unknown.
+    :ivar load_seconds: time to load the weights of all layers onto one
+        engine.
+    :ivar concurrent_loads: number of engines that can load weights at once
+        without slowing each other down.
+    :ivar slots: number of concurrent requests for which an engine can be
+        the first.
     :ivar mean_prompt_tokens: mean length of a prompt.
     :ivar mean_answer_tokens: mean length of an answer.
+    :ivar cards: accelerator types by name.
     """
 
     layer_count: int
@@ -77,28 +82,30 @@
         return self.kv_bytes_per_token / self.layer_count / 1e6
 
     def token_capacity(self, card: str, layers: int) -> float:
-        """Return how many tokens fit beside ``layers`` layers of weights.
+        """Return how many tokens fit beside the weights of ``layers`` layers.
 
-        It is infinite without layers and for an unknown accelerator, whose
-        engine itself refuses requests when it is full.
+        It is infinite without layers and for an unknown accelerator type,
+        whose engines refuse requests themselves when they are full.
+
+        :param card: name of the accelerator type.
         """
-        known = self.cards.get(card)
-        if known is None or not layers:
+        accelerator_type = self.cards.get(card)
+        if accelerator_type is None or not layers:
             return float("inf")
-        free = known.memory_mb - layers * self.layer_mb
-        return free / (self.token_layer_mb * layers)
+        free_mb = accelerator_type.memory_mb - layers * self.layer_mb
+        return free_mb / (self.token_layer_mb * layers)
 
 
 @attrs.frozen
 class Incarnation:
     """One run of an upstream instance's process.
 
-    A restarted process has lost its state and may have the id of its
-    predecessor, so what is known of an instance is kept by :attr:`name`.
+    A restarted process has lost its state but may have the id of its
+    predecessor, so what is known about an instance is kept by :attr:`name`.
 
     :ivar id: the platform's id of the instance.
     :ivar started_ms: when it started, in milliseconds since 1970, as the
-        instance reports it; 0 where it does not.
+        instance reports it; 0 if it does not.
     """
 
     id: str
@@ -119,11 +126,12 @@
     """One upstream instance, as the platform lists it.
 
     :ivar name: name of this run, see :class:`Incarnation`.
-    :ivar instance_id: the platform's id, or empty where it is the name.
-    :ivar started_ms: start of this run, see :class:`Incarnation`.
-    :ivar card: accelerator type, empty for plain services.
-    :ivar layers: the layers it holds, or ``None``.
+    :ivar slots: number of requests that it accepts at once.
     :ivar is_leaving: whether it announced that it will end soon.
+    :ivar card: name of the accelerator type, empty for plain services.
+    :ivar layers: the layers it holds, or ``None``.
+    :ivar instance_id: the platform's id, or empty if it is the name.
+    :ivar started_ms: start of this run, see :class:`Incarnation`.
     """
 
     name: str
@@ -145,7 +153,7 @@
 
 @attrs.frozen
 class Hop:
-    """One engine's part of a path."""
+    """One engine of a path, and the layers that it runs there."""
 
     upstream: Upstream
     layers: pipeline.LayerRange
@@ -167,7 +175,7 @@
 
     @property
     def zone_crossings(self) -> int:
-        """How often the path goes from one availability zone to another."""
+        """Number of hops whose availability zone differs from the previous."""
         zones = [hop.upstream.availability_zone for hop in self.hops]
         pairs = zip(zones, zones[1:], strict=False)
         return sum(1 for zone, next_zone in pairs if zone != next_zone)
@@ -182,7 +190,11 @@
 
 @attrs.frozen
 class Stall:
-    """A request that waits for an unresponsive engine."""
+    """A request that waits for an unresponsive engine.
+
+    :ivar request: id of the request.
+    :ivar address: address of that engine.
+    """
 
     request: str
     address: str
@@ -194,10 +206,14 @@
 
     :ivar orders_taken: orders accepted since the engine started.
     :ivar is_busy: whether an order is being carried out.
-    :ivar cache_used: tokens times layers that cannot be evicted.
-    :ivar cache_total: tokens times layers that fit.
-    :ivar slowdown: step time relative to the accelerator type's; above 1 while
-        slower.
+    :ivar running: requests in progress.
+    :ivar waiting: requests in the queue.
+    :ivar cache_used: part of the cache that cannot be evicted, in tokens times
+        layers.
+    :ivar cache_total: size of the cache, in tokens times layers.
+    :ivar slowdown: step time as a multiple of the accelerator type's; above 1
+        while the engine is slower.
+    :ivar stalls: requests that wait for an unresponsive engine.
     :ivar started_ms: when the engine started, see :class:`Incarnation`.
     """
 
@@ -241,9 +257,9 @@
     whatever its directory entry says.
     """
     return [
-        one
-        for one in engines
-        if one.layers is None or one.layers.end <= layer_count
+        engine
+        for engine in engines
+        if engine.layers is None or engine.layers.end <= layer_count
     ]
 
 
--- a/src/crowdeck/contract.py
+++ b/src/crowdeck/contract.py
@@ -12,8 +12,8 @@
 class Contract:
     """Properties of a service's requests.
 
-    :ivar is_repeatable: whether a request may run twice. If not, one that
-        may have run is never repeated.
+    :ivar is_repeatable: whether a request may run twice. If not, a request
+        that may have run is never repeated.
     :ivar is_ordered: whether a session's requests run one after another
         in the order in which they were received.
     :ivar has_companions: whether an answer names further documents, in
--- a/src/crowdeck/digest.py
+++ b/src/crowdeck/digest.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Digest of an answer, by which its reader verifies that it is whole."""
+"""Digest of an answer, with which its receiver checks that it is complete."""
 
 from collections import abc
 
--- a/src/crowdeck/errors.py
+++ b/src/crowdeck/errors.py
@@ -84,7 +84,7 @@
 
 
 class CrowdeckError(Exception):
-    """An error with a code, a verdict and, if known, a time to retry.
+    """An error with a code, a verdict and, if known, a delay before a retry.
 
     :ivar code: kind of the error.
     :ivar verdict: whether the request may have run.
@@ -118,8 +118,8 @@
 class LinkLost(CrowdeckError):
     """A link closed or became silent before a reply arrived.
 
-    :ivar was_sent: whether the question may have reached the peer; the
-        verdict is ``NOT_RUN`` only if not.
+    :ivar was_sent: whether the question may have reached the peer; only
+        if not, the verdict is ``NOT_RUN``.
     """
 
     def __init__(self, message: str, *, was_sent: bool, culprit: str) -> None:
--- a/src/crowdeck/http.py
+++ b/src/crowdeck/http.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""HTTP client over httpcore whose errors say if a request may have run."""
+"""HTTP client over httpcore; its errors say whether a request may have run."""
 
 import contextlib
 import ssl
@@ -111,19 +111,19 @@
                 error, verdicts.Verdict.MAY_HAVE_RUN
             ) from None
 
-    async def read(self, limit: int) -> bytes:
+    async def read(self, limit_bytes: int) -> bytes:
         """Return the whole body.
 
         :raises CrowdeckError: ``UPSTREAM_LOST`` when it ends early,
-            ``TOO_LARGE`` beyond ``limit`` bytes.
+            ``TOO_LARGE`` beyond ``limit_bytes``.
         """
         body = bytearray()
         async for chunk in self.chunks():
             body += chunk
-            if len(body) > limit:
+            if len(body) > limit_bytes:
                 raise errors.CrowdeckError(
                     errors.Code.TOO_LARGE,
-                    f"the upstream's answer is over {limit} bytes",
+                    f"the upstream's answer is over {limit_bytes} bytes",
                     verdict=verdicts.Verdict.RAN,
                 )
         return bytes(body)
@@ -132,10 +132,10 @@
 class HttpClient:
     """Sends requests; errors carry a verdict on whether they may have run.
 
-    :param base_url: prefix of every path; empty where paths are URLs.
+    :param base_url: prefix of every path; empty if paths are whole URLs.
     :param keep_alive: whether connections are reused. Without reuse each
-        request costs a handshake, but none is lost to a server that closes
-        an idle connection, and no stray bytes are taken for an answer.
+        request costs a handshake, but none is lost because the server closes
+        an idle connection, and no leftover bytes are read as an answer.
     :param connection_limit: maximum number of open connections.
     """
 
@@ -155,8 +155,8 @@
             # Callers decide on retries by verdict; the library's own would
             # hide whether a request may have run.
             retries=0,
-            # Shorter than servers' keep-alive timeouts: a request on a
-            # connection that the server closes has an unknown outcome.
+            # Shorter than the keep-alive timeouts of servers, as a request on
+            # a connection that the server closes has an unknown outcome.
             keepalive_expiry=KEEPALIVE_SECONDS,
         )
 
@@ -199,13 +199,17 @@
         path: str,
         headers: RawHeaders,
         body: bytes,
-        timeout: float,
+        timeout_seconds: float,
     ) -> upstream.ServiceResponse:
         """Send one request and read its whole response.
 
+        :param timeout_seconds: maximum time of each read or write, and of
+            connecting if that is below ``CONNECT_TIMEOUT_SECONDS``.
         :raises CrowdeckError: ``UPSTREAM_LOST``, with the verdict.
         """
-        timeouts = Timeouts(min(CONNECT_TIMEOUT_SECONDS, timeout), timeout)
+        timeouts = Timeouts(
+            min(CONNECT_TIMEOUT_SECONDS, timeout_seconds), timeout_seconds
+        )
         async with self.open(
             method, path, headers, body, timeouts
         ) as response:
--- a/src/crowdeck/pipeline.py
+++ b/src/crowdeck/pipeline.py
@@ -17,7 +17,10 @@
 
     def __attrs_post_init__(self) -> None:
         if not 0 <= self.first < self.end:
-            raise ValueError(f"invalid layer range: {self.first}..{self.end}")
+            raise ValueError(
+                f"layer range {self.first}..{self.end} must have "
+                "0 <= first < end"
+            )
 
 
 @attrs.frozen
--- a/src/crowdeck/route.py
+++ b/src/crowdeck/route.py
@@ -28,7 +28,10 @@
 
 @attrs.frozen
 class TrafficShare:
-    """A service's share of a route's requests."""
+    """A service's share of a route's requests.
+
+    :ivar weight: relative to the weights of the route's other shares.
+    """
 
     service: str
     weight: float
@@ -71,7 +74,8 @@
 class Service:
     """A group of equivalent upstream instances.
 
-    :ivar profile: performance of its model engines, ``None`` for others.
+    :ivar profile: performance of its model engines, ``None`` for a plain
+        service.
     """
 
     name: str
@@ -81,7 +85,7 @@
 
 @attrs.frozen
 class TeamKeys:
-    """A team, its keys and its priority, if it has one."""
+    """A team's keys, and its priority if it overrides that of routes."""
 
     name: str
     keys: frozenset[str] = attrs.field(repr=False)
--- a/src/crowdeck/team.py
+++ b/src/crowdeck/team.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Teams: the customers of the system, known by their bearer keys."""
+"""Teams: the customers of the system, identified by their bearer keys."""
 
 import hashlib
 
--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -28,10 +28,10 @@
 
 @attrs.define(eq=False)
 class Subscription:
-    """A periodic call; cancelling it twice is harmless."""
+    """A periodic call; cancelling it twice has no further effect."""
 
     name: str
-    interval: float
+    interval_seconds: float
     callback: TimerCallback
     _is_cancelled: bool = False
     _is_running: bool = False
@@ -69,8 +69,8 @@
 class BootClock:
     """Seconds since boot, including time while suspended.
 
-    For all that expires while the machine is suspended: leases, caches,
-    trusted keys and deadlines.
+    For everything that expires while the machine is suspended: leases,
+    caches, trusted keys and deadlines.
     """
 
     def now(self) -> float:
@@ -92,8 +92,8 @@
 class BootTimeEventLoop(asyncio.SelectorEventLoop):
     """An event loop whose time includes time while suspended.
 
-    Python's own event loops exclude it, so that after a resume a process
-    would still trust leases and keys that have expired meanwhile.
+    Python's own event loops exclude that time, so after a resume a process
+    would still trust leases and keys that expired meanwhile.
     """
 
     def time(self) -> float:
@@ -134,9 +134,13 @@
         """Call ``callback`` every ``interval`` seconds from now on.
 
         Calls that fall due while one is running are skipped.
+
+        :raises ValueError: if ``interval`` is not above zero.
         """
         if interval <= 0:
-            raise ValueError(f"timer {name}: interval must be above zero")
+            raise ValueError(
+                f"timer {name}: interval must be above zero, not {interval:g}"
+            )
         subscription = Subscription(name, interval, callback)
         self._new.append(subscription)
         self._wake.set()
@@ -157,7 +161,7 @@
         self._new.clear()
 
     def _schedule(self, subscription: Subscription) -> None:
-        due = self.now() + subscription.interval
+        due = self.now() + subscription.interval_seconds
         heapq.heappush(self._due, (due, next(self._order), subscription))
 
     def _start_due(self, tasks: anyio.abc.TaskGroup) -> None:
--- a/src/crowdeck/upstream_http.py
+++ b/src/crowdeck/upstream_http.py
@@ -76,17 +76,19 @@
         )
 
     async def _exchange(
-        self, method: str, path: str, body: object, timeout: float
+        self, method: str, path: str, body: object, timeout_seconds: float
     ) -> typing.Any:
         response = await self._client.send(
             method,
             path,
             [(b"content-type", MEDIA_TYPE.encode())],
             b"" if body is None else msgpack.packb(body),
-            timeout,
+            timeout_seconds,
         )
         if response.status != 200:
-            raise _bad_answer(f"the engine answered {response.status}")
+            raise _bad_answer(
+                f"the engine answered with status {response.status}, not 200"
+            )
         try:
             return msgpack.unpackb(response.body)
         except ValueError as error:
--- a/src/crowdeck/verdict.py
+++ b/src/crowdeck/verdict.py
@@ -5,8 +5,8 @@
 
 """Verdicts on whether a request has run.
 
-Every error carries one, so that callers know if a retry could run a request
-twice.
+Every error carries a verdict, so that callers know whether a retry could run
+a request twice.
 """
 
 import enum
