--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -21,8 +21,8 @@
 def engine(
     name: str, first: int, end: int, slots: int = 1000
 ) -> chain.Upstream:
-    one = fleet_system.upstream(name, "plateau", (first, end), "large")
-    return attrs.evolve(one, slots=slots)
+    listed = fleet_system.upstream(name, "plateau", (first, end), "large")
+    return attrs.evolve(listed, slots=slots)
 
 
 class TestBound:
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -40,34 +40,35 @@
 def engines(
     ranges: list[tuple[int, int, str]],
 ) -> list[chain.Upstream]:
+    """Return an engine for each first layer, number of layers and zone."""
     return [
         fleet_system.upstream(
-            f"e{number}", zone, (first, min(80, first + size)), "large"
+            f"e{number}", zone, (first, min(80, first + count)), "large"
         )
-        for number, (first, size, zone) in enumerate(ranges)
+        for number, (first, count, zone) in enumerate(ranges)
     ]
 
 
 def assert_each_layer_once(path: chain.ChainPath) -> None:
-    position = 0
+    next_layer = 0
     names = set()
     for hop in path.hops:
         held = hop.upstream.layers
         assert held is not None
-        assert hop.layers.first == position
+        assert hop.layers.first == next_layer
         assert held.first <= hop.layers.first
         assert hop.layers.end <= held.end
-        position = hop.layers.end
+        next_layer = hop.layers.end
         names.add(hop.upstream.name)
-    assert position == PROFILE.layer_count
+    assert next_layer == PROFILE.layer_count
     assert len(names) == len(path.hops)
 
 
 def is_covered(fleet: list[chain.Upstream]) -> bool:
     held: set[int] = set()
-    for one in fleet:
-        if one.layers is not None:
-            held.update(range(one.layers.first, one.layers.end))
+    for engine in fleet:
+        if engine.layers is not None:
+            held.update(range(engine.layers.first, engine.layers.end))
     return len(held) == PROFILE.layer_count
 
 
@@ -75,17 +76,17 @@
     fleet: list[chain.Upstream], hops_so_far: tuple[chain.Hop, ...] = ()
 ) -> typing.Iterator[chain.ChainPath]:
     """Yield every path in which each engine runs to the end of its range."""
-    position = hops_so_far[-1].layers.end if hops_so_far else 0
-    if position == PROFILE.layer_count:
+    next_layer = hops_so_far[-1].layers.end if hops_so_far else 0
+    if next_layer == PROFILE.layer_count:
         yield chain.ChainPath(hops_so_far)
         return
     for engine in fleet:
         held = engine.layers
-        if held is None or not held.first <= position < held.end:
+        if held is None or not held.first <= next_layer < held.end:
             continue
         if not hops_so_far and held.first:
             continue
-        layers = pipeline.LayerRange(position, held.end)
+        layers = pipeline.LayerRange(next_layer, held.end)
         hop = chain.Hop(engine, layers)
         yield from all_paths(fleet, (*hops_so_far, hop))
 
@@ -117,21 +118,26 @@
     )
     @hypothesis.settings(max_examples=300, deadline=None)
     def test_no_other_path_is_cheaper(
-        self, ranges: list[tuple[int, int, str]], busy: list[int]
+        self, ranges: list[tuple[int, int, str]], busy_engines: list[int]
     ) -> None:
         async def body() -> None:
             fleet = engines(ranges)
             usage = usages.InFlight()
-            for number in busy:
+            for number in busy_engines:
                 if number < len(fleet):
-                    one = fleet[number]
-                    assert one.layers is not None
-                    hop = chain.Hop(one, one.layers)
+                    engine = fleet[number]
+                    assert engine.layers is not None
+                    hop = chain.Hop(engine, engine.layers)
                     usage.add_request(chain.ChainPath((hop,)), 900.0)
             planner = hops.HopPlanner(usage)
             path = planner.plan(fleet, REQUEST)
-            usable = [one for one in fleet if has_capacity(one, usage)]
-            costs = [planner.cost(it, REQUEST) for it in all_paths(usable)]
+            usable = [
+                engine for engine in fleet if has_capacity(engine, usage)
+            ]
+            costs = [
+                planner.cost(possible, REQUEST)
+                for possible in all_paths(usable)
+            ]
             finite_costs = [cost for cost in costs if cost < float("inf")]
             assert (path is None) == (not finite_costs)
             if path is not None:
@@ -151,10 +157,11 @@
             profiler = cProfile.Profile(builtins=False)
             planner.plan(fleet, request)
             profiler.runcall(planner.plan, fleet, request)
-            calls = sum(
-                one[0] for one in pstats.Stats(profiler).stats.values()
+            call_count = sum(
+                function[0]
+                for function in pstats.Stats(profiler).stats.values()
             )
-            assert calls < 3_000
+            assert call_count < 3_000
 
         virtual.run(body)
 
@@ -177,7 +184,7 @@
     @hypothesis.given(RANGES, strategies.integers(0, 24))
     @hypothesis.settings(max_examples=200, deadline=None)
     def test_replaces_the_failed_hop(
-        self, ranges: list[tuple[int, int, str]], failed: int
+        self, ranges: list[tuple[int, int, str]], failed_hop: int
     ) -> None:
         fleet = engines([(0, 40, "plateau"), (40, 40, "plateau"), *ranges])
         planner = hops.HopPlanner(usages.InFlight())
@@ -185,14 +192,16 @@
         assert path is not None
         if len(path.hops) < 2:
             return
-        lost = path.hops[1 + failed % (len(path.hops) - 1)].upstream
-        rest = [one for one in fleet if one.name != lost.name]
-        other = planner.replace_failed_hops(rest, REQUEST, path, {lost.name})
-        if other is None:
+        failed = path.hops[1 + failed_hop % (len(path.hops) - 1)].upstream
+        rest = [engine for engine in fleet if engine.name != failed.name]
+        repaired = planner.replace_failed_hops(
+            rest, REQUEST, path, {failed.name}
+        )
+        if repaired is None:
             return
-        assert_each_layer_once(other)
-        assert other.hops[0] == path.hops[0]
-        assert not other.passes(lost.name)
+        assert_each_layer_once(repaired)
+        assert repaired.hops[0] == path.hops[0]
+        assert not repaired.passes(failed.name)
 
     def test_stays_in_the_zone_of_the_entry(self) -> None:
         fleet = engines(
@@ -251,9 +260,7 @@
         usage.set_entry_count(3)
         assert usage.cache_utilization(fleet[0], PROFILE) == 3 * single
 
-    def test_load_of_a_first_engine_scales_the_whole_path(
-        self,
-    ) -> None:
+    def test_load_of_a_first_engine_scales_the_whole_path(self) -> None:
         async def body() -> None:
             fleet = engines([(0, 40, "plateau"), (40, 40, "plateau")])
             usage = usages.InFlight()
@@ -281,34 +288,34 @@
 
     def test_unknown_accelerator_has_unlimited_capacity(self) -> None:
         fleet = [
-            attrs.evolve(one, card="new")
-            for one in engines([(0, 40, "plateau"), (40, 40, "plateau")])
+            attrs.evolve(engine, card="new")
+            for engine in engines([(0, 40, "plateau"), (40, 40, "plateau")])
         ]
         planner = hops.HopPlanner(usages.InFlight())
         assert planner.plan(fleet, REQUEST) is not None
 
 
 class TestBudget:
-    """Repeats in a sliding window, shared without coordination."""
+    """Retries in a sliding window, shared without coordination."""
 
     def test_all_entries_together_stay_within_it(self) -> None:
         async def body() -> None:
             membership = budgets.FixedMembership(4)
             spent = 0
             for _ in range(membership.entries):
-                one = budgets.SharedRetryBudget(
+                budget = budgets.SharedRetryBudget(
                     0.2, 100.0, 10.0, membership=membership
                 )
                 for _ in range(50):
-                    one.earn()
-                while fleet_system.spend_retry(one):
+                    budget.earn()
+                while fleet_system.spend_retry(budget):
                     spent += 1
             assert 0 < spent <= 0.2 * 200 + 100
 
         virtual.run(body)
 
     def test_restarted_entries_do_not_spend_it_twice(self) -> None:
-        # A restarted process knows nothing of its predecessor's repeats.
+        # A restarted process does not know its predecessor's retries.
         async def body() -> None:
             before = budgets.SharedRetryBudget(0.2, 100.0, 10.0)
             spent = 0
@@ -331,13 +338,13 @@
 
     def test_is_earned_again_as_the_window_slides(self) -> None:
         async def body() -> None:
-            one = budgets.SharedRetryBudget(0.2, 10.0, 10.0)
-            while fleet_system.spend_retry(one):
+            budget = budgets.SharedRetryBudget(0.2, 10.0, 10.0)
+            while fleet_system.spend_retry(budget):
                 pass
             await anyio.sleep(5.0)
-            assert not fleet_system.spend_retry(one)
-            # Repeats count until their bucket has left the window.
+            assert not fleet_system.spend_retry(budget)
+            # Retries count until their bucket has left the window.
             await anyio.sleep(5.0 + 10.0 / budgets.WINDOW_BUCKETS)
-            assert fleet_system.spend_retry(one)
+            assert fleet_system.spend_retry(budget)
 
         virtual.run(body)
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -27,7 +27,7 @@
 
 @attrs.define
 class Members:
-    """A membership that a test changes."""
+    """A :class:`budgets.Membership` that a test changes."""
 
     entries: int = 1
     since: float = float("-inf")
@@ -52,7 +52,7 @@
 
 
 async def _earn_for(budget: budgets.SharedRetryBudget, seconds: float) -> None:
-    """Count ten requests in each bucket for some time."""
+    """Count ten requests in each bucket for ``seconds``."""
     until = anyio.current_time() + seconds - BUCKET_SECONDS / 2
     while anyio.current_time() < until:
         for _ in range(10):
@@ -97,7 +97,7 @@
 
         virtual.run(body)
 
-    def test_of_a_new_process_is_small_while_old_repeats_may_arrive(
+    def test_of_a_new_process_is_small_while_old_retries_may_arrive(
         self,
     ) -> None:
         async def body() -> None:
@@ -150,8 +150,8 @@
         virtual.run(body)
 
 
-class TestEarnedRepeats:
-    """A request earns repeats in the window after its own only."""
+class TestEarnedRetries:
+    """A request earns retries only in the window after its own."""
 
     def test_earns_nothing_in_its_own_window(self) -> None:
         async def body() -> None:
@@ -185,7 +185,7 @@
 
         virtual.run(body)
 
-    def test_repeats_in_the_first_bucket_of_a_window_count(self) -> None:
+    def test_retries_in_the_first_bucket_of_a_window_count(self) -> None:
         async def body() -> None:
             budget = _budget()
             await anyio.sleep(BUCKET_SECONDS / 2)
@@ -199,9 +199,9 @@
 
 
 class TestSendTracker:
-    """A repeat counts from its reservation until a window after arrival."""
+    """A retry counts from its reservation until a window after arrival."""
 
-    def test_a_repeat_in_flight_counts_until_it_arrives(self) -> None:
+    def test_a_retry_in_flight_counts_until_it_arrives(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
             tracker = budget.track_sends()
@@ -217,21 +217,21 @@
 
         virtual.run(body)
 
-    def test_repeats_in_flight_are_covered_by_later_windows(self) -> None:
+    def test_retries_in_flight_are_covered_by_later_windows(self) -> None:
         # They may arrive half a window from now, when the requests of the
         # first half of this window no longer earn.
         async def body() -> None:
             budget = _budget(slack=0.0)
             await _earn_for(budget, 3 * WINDOW_SECONDS)
             trackers = [budget.track_sends() for _ in range(200)]
-            sent = sum(1 for one in trackers if one.reserve())
+            sent = sum(1 for tracker in trackers if tracker.reserve())
             requests = 10 * (budgets.WINDOW_BUCKETS - budgets.BUCKETS_AHEAD)
             most = budgets.STEADY_SHARE * RATIO * requests
             assert 0.9 * most <= sent <= most
 
         virtual.run(body)
 
-    def test_an_abandoned_repeat_counts_for_two_windows(self) -> None:
+    def test_an_abandoned_retry_counts_for_two_windows(self) -> None:
         async def body() -> None:
             budget = _budget(slack=1.0 / budgets.STEADY_SHARE)
             with contextlib.closing(budget.track_sends()) as tracker:
@@ -246,7 +246,7 @@
 
         virtual.run(body)
 
-    def test_abandoned_repeats_add_to_arrived_ones(self) -> None:
+    def test_abandoned_retries_add_to_arrived_ones(self) -> None:
         async def body() -> None:
             budget = _budget(slack=2.0 / budgets.STEADY_SHARE)
             with contextlib.closing(budget.track_sends()) as tracker:
@@ -259,7 +259,7 @@
 
         virtual.run(body)
 
-    def test_a_repeat_after_an_abandoned_send_counts_for_two_windows(
+    def test_a_retry_after_an_abandoned_send_counts_for_two_windows(
         self,
     ) -> None:
         # The first send may arrive after the second was answered.
@@ -317,7 +317,7 @@
 
         virtual.run(body)
 
-    def test_the_first_send_is_no_repeat(self) -> None:
+    def test_the_first_send_is_no_retry(self) -> None:
         async def body() -> None:
             budget = _budget()
             before = budget.remaining
@@ -336,25 +336,30 @@
 class Step:
     """One entry's actions, some time after the previous step.
 
-    :ivar arrival_delay: seconds until the repeats of this step arrive.
+    :ivar pause_seconds: time since the previous step.
+    :ivar entry: number of the entry.
+    :ivar arrival_delay_seconds: time until the retries of this step arrive.
+    :ivar restarts_before: whether the entry restarts before these actions.
     """
 
-    pause: float
+    pause_seconds: float
     entry: int
     requests: int
-    repeats: int
-    arrival_delay: float
+    retries: int
+    arrival_delay_seconds: float
     restarts_before: bool
 
 
 steps = strategies.lists(
     strategies.builds(
         Step,
-        pause=strategies.sampled_from((0.0, 0.1, 0.3, 1.0, 2.5)),
+        pause_seconds=strategies.sampled_from((0.0, 0.1, 0.3, 1.0, 2.5)),
         entry=strategies.integers(0, 4),
         requests=strategies.sampled_from((0, 10, 100)),
-        repeats=strategies.sampled_from((0, 5, 300)),
-        arrival_delay=strategies.sampled_from((0.0, 0.0, 0.2, 1.0, 4.9)),
+        retries=strategies.sampled_from((0, 5, 300)),
+        arrival_delay_seconds=strategies.sampled_from(
+            (0.0, 0.0, 0.2, 1.0, 4.9)
+        ),
         restarts_before=strategies.sampled_from((False, False, False, True)),
     ),
     min_size=20,
@@ -363,7 +368,7 @@
 
 
 class Entries:
-    """Entries that send a service all repeats that their budgets allow."""
+    """Entries that send a service all retries that their budgets allow."""
 
     def __init__(self, count: int) -> None:
         self._members = Members(count)
@@ -375,36 +380,36 @@
 
     async def execute(self, step: Step, tasks: anyio.abc.TaskGroup) -> None:
         """Execute one step."""
-        await anyio.sleep(step.pause)
-        at = step.entry % len(self._budgets)
+        await anyio.sleep(step.pause_seconds)
+        index = step.entry % len(self._budgets)
         if step.restarts_before:
-            self._budgets[at] = _budget(
+            self._budgets[index] = _budget(
                 began=anyio.current_time(), membership=self._members
             )
-        budget = self._budgets[at]
+        budget = self._budgets[index]
         for _ in range(step.requests):
             budget.earn()
             self.account.note_request(anyio.current_time())
-        for _ in range(step.repeats):
+        for _ in range(step.retries):
             tracker = budget.track_sends()
             if not tracker.reserve():
                 break
             tracker.note_sent()
-            tasks.start_soon(self._arrive, tracker, step.arrival_delay)
+            tasks.start_soon(self._arrive, tracker, step.arrival_delay_seconds)
 
     async def _arrive(
-        self, tracker: budgets.SendTracker, arrival_delay: float
+        self, tracker: budgets.SendTracker, delay_seconds: float
     ) -> None:
         self._number += 1
         request = str(self._number)
         self.account.note_arrival(request, anyio.current_time())
-        await anyio.sleep(arrival_delay)
+        await anyio.sleep(delay_seconds)
         self.account.note_arrival(request, anyio.current_time())
         tracker.note_arrived()
 
 
 class TestAllEntriesTogether:
-    """The service receives no more repeats than its budget allows."""
+    """The service receives no more retries than its budget allows."""
 
     @pytest.mark.parametrize("count", (1, 2, 5))
     @hypothesis.given(plan=steps)
@@ -427,11 +432,11 @@
 
 
 class TestRemainingShare:
-    """The remaining share, checked before a stream is given up."""
+    """The remaining share, checked before a stream is abandoned."""
 
     @pytest.mark.parametrize("slack", (1.0, 2.0, 2.5, 3.0, 4.0, 100.0))
-    def test_is_zero_without_a_whole_repeat(self, slack: float) -> None:
-        # A stream given up for a retry that is not allowed would be lost.
+    def test_is_zero_without_a_whole_retry(self, slack: float) -> None:
+        # A stream abandoned for a retry that is not allowed would be lost.
         async def body() -> None:
             budget = _budget(slack)
             _spend_all(budget)
