--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -62,8 +62,11 @@
     card: str = "small",
     service: str = MODEL,
 ) -> chain.Upstream:
-    """Return an upstream instance whose address follows from its name."""
-    number = sum(ord(one) * 31**at for at, one in enumerate(name)) % 65_000
+    """Return an upstream instance with an address derived from its name."""
+    number = (
+        sum(ord(letter) * 31**index for index, letter in enumerate(name))
+        % 65_000
+    )
     return chain.Upstream(
         name=name,
         service=service,
@@ -79,7 +82,10 @@
 def make_route(
     repeat: routes.RepeatPolicy, **changes: typing.Any
 ) -> routes.Route:
-    """Return a route of the host ``desk``."""
+    """Return a route of the host ``desk``.
+
+    :param changes: fields of the route that differ from the defaults.
+    """
     is_stream = repeat is routes.RepeatPolicy.STREAM
     service = MODEL if is_stream else PLAIN
     route = routes.Route(
@@ -120,7 +126,10 @@
 
 
 class Caller:
-    """A caller that records its answer."""
+    """A caller that records its answer.
+
+    :ivar times: loop times at which pieces of the body arrived.
+    """
 
     def __init__(self) -> None:
         self.status = 0
@@ -158,7 +167,11 @@
 
 
 class FleetSystem:
-    """One entry's relay, and the fleet of upstreams behind it."""
+    """One entry's relay, and the fleet of upstreams behind it.
+
+    :param name: name of the entry, which also seeds its random numbers.
+    :param started_at: loop time at which its process started.
+    """
 
     def __init__(
         self,
@@ -170,7 +183,7 @@
         self.name = name
         self.listed: dict[str, chain.Upstream] = {}
         self.registry = registries.UpstreamRegistry(
-            lambda one: self.listed[one.name]
+            lambda stored: self.listed[stored.name]
         )
         self.usage = usages.InFlight()
         self.client = chain_fleet.FleetClient(self.fleet)
@@ -243,7 +256,10 @@
     def request(
         self, repeat: routes.RepeatPolicy, **changes: typing.Any
     ) -> requests.CallerRequest:
-        """Return a new request for one of the routes."""
+        """Return a new request for the route with that policy.
+
+        :param changes: fields of the request that differ from the defaults.
+        """
         self._ids += 1
         request = requests.CallerRequest(
             id=f"{self._prefix}{self._ids}",
@@ -271,7 +287,7 @@
 
 
 def spend_retry(budget: budgets.SharedRetryBudget) -> bool:
-    """Spend one retry of a budget; returns whether it allowed that."""
+    """Spend one retry of a budget; return false if it is spent."""
     with contextlib.closing(budget.track_sends()) as sends:
         if not sends.reserve():
             return False
@@ -281,7 +297,7 @@
 
 
 def whole_answer(request_id: str, events: int) -> bytes:
-    """Return the bytes of a stream's complete answer."""
+    """Return the body of a stream's complete answer."""
     return b"".join(
         chain_fleet.event(request_id, number) for number in range(events)
     )
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -17,10 +17,11 @@
 
 ALLOWANCE = repeats.Allowance(ratio=0.2, slack=100.0, window=10.0)
 FAILURE_FREE_SECONDS = 24.0
+# More calls than a simulation sends.
 FAILURES = 10**6
 # Longer than any attempt of these requests.
 LAST_ATTEMPT_SECONDS = 3.0
-# A stream that breaks does so after its first event.
+# Streams that fail break off after their first event.
 STREAM_EVENTS = 3
 SERVICES = {
     routes.RepeatPolicy.IDEMPOTENT: fleet_system.PLAIN,
@@ -66,7 +67,7 @@
         fails: bool = True,
         among: typing.Sequence[int] = (),
     ) -> None:
-        """Send requests for some time.
+        """Send requests for ``seconds``.
 
         :param fails: whether every instance fails its requests.
         :param among: numbers of the entries to use, empty for all.
@@ -84,13 +85,13 @@
 
     def freeze(self) -> None:
         """Freeze all instances, so that they read no requests."""
-        for one in self._instances():
-            one.is_suspended = True
+        for target in self._instances():
+            target.is_suspended = True
 
     def thaw(self) -> None:
         """Let all instances read the requests that arrived, and continue."""
-        for one in self._instances():
-            self.entries.fleet.thaw(one)
+        for target in self._instances():
+            self.entries.fleet.thaw(target)
 
     async def wait_until_ended(self) -> None:
         """Wait until the last attempts have ended."""
@@ -98,15 +99,15 @@
 
     def _instances(self) -> list[chain_fleet.StandinUpstream]:
         return [
-            one
-            for one in self.entries.fleet.upstreams
-            if one.listed.service == self.service
+            target
+            for target in self.entries.fleet.upstreams
+            if target.listed.service == self.service
         ]
 
     def _fail(self, fails: bool) -> None:
-        for one in self.entries.fleet.upstreams:
-            one.failed_calls = FAILURES if fails else 0
-            one.break_stream_after = 1 if fails else -1
+        for target in self.entries.fleet.upstreams:
+            target.failed_calls = FAILURES if fails else 0
+            target.break_stream_after = 1 if fails else -1
 
 
 Scenario = typing.Callable[[Demand], typing.Awaitable[None]]
@@ -119,20 +120,20 @@
     *,
     are_registered: bool = True,
 ) -> Demand:
-    """Run a scenario with some entries, and return its demand.
+    """Run a scenario with ``count`` entries, and return its demand.
 
     :param are_registered: whether the store knows the entries at the start.
     """
-    made: list[Demand] = []
+    demands: list[Demand] = []
 
     async def run(entries: entries_system.Entries) -> None:
         entries.fleet.events = STREAM_EVENTS
         demand = Demand(entries, kind)
-        made.append(demand)
+        demands.append(demand)
         await scenario(demand)
         await demand.wait_until_ended()
 
     entries_system.run_scenario(
         run, count=count, copies=2, are_registered=are_registered
     )
-    return made[0]
+    return demands[0]
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Checks that the specifications hold and need each protection."""
+"""Checks that the specifications hold, and that each protection is needed."""
 
 import pytest
 
@@ -28,12 +28,12 @@
             assert report.is_as_expected, report.line
 
     def test_a_removed_protection_is_reported_as_broken(self) -> None:
-        """Guards against a report that passes whatever was found."""
+        """Guards against a report that always passes."""
         specification = check.ALL[1]
-        broken = check.Report(
+        unprotected = check.Report(
             specification.name, "", model.check(specification, frozenset())
         )
-        assert not broken.is_as_expected
+        assert not unprotected.is_as_expected
         complete = model.check(
             specification, frozenset(specification.protections)
         )
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -27,26 +27,26 @@
 
 STREAM = routes.RepeatPolicy.STREAM
 IDEMPOTENT = routes.RepeatPolicy.IDEMPOTENT
-# From three seconds after an instance announced its limit, requests in any
-# window must stay below limit * seconds * factor + extra.
+# From this time after an instance announced its limit, any window may hold at
+# most limit * WINDOW_SECONDS * BOUND_FACTOR + BOUND_EXTRA requests.
 GRACE_SECONDS = 3.0
-# An entry's requests count from this long after its first answer.
+# Time after an entry's first answer from which its requests count.
 LEARNED_SECONDS = 0.5
 WINDOW_SECONDS = 4.0
 BOUND_FACTOR = 1.5
 BOUND_EXTRA = 5
-# Least part of a limit that has to be used.
+# Least share of a limit that must be used.
 MIN_USED_SHARE = 0.7
 REQUESTS_PER_SECOND = 30.0
 LIMIT_PER_SECOND = 3.2
-# Streams wait no longer for a first engine, and calls wait less.
+# Streams do not wait longer than this for a first engine; calls wait less.
 LONGEST_WAIT_SECONDS = paths.QUEUE_WAIT_SECONDS + 0.1
-# Makes a stream take two seconds.
+# Events of a stream that takes two seconds.
 STREAM_EVENTS = 100
 
 
 class Traffic:
-    """Requests to some entries, and an instance that announces a limit.
+    """Requests to entries whose upstream instances may announce limits.
 
     :param weights: how the requests are split among the entries.
     """
@@ -57,7 +57,7 @@
         self.entries = entries
         self.fleet = entries.fleet
         self._weights = weights
-        self._rng = random.Random(7)
+        self._random = random.Random(7)
         self._sent = 0
         for target in self.fleet.upstreams:
             target.tells_load = True
@@ -65,31 +65,33 @@
     async def send(
         self, seconds: float, per_second: float, repeat: routes.RepeatPolicy
     ) -> None:
-        """Send requests for a while."""
+        """Send requests for ``seconds``, at random intervals."""
         until = anyio.current_time() + seconds
         numbers = range(len(self._weights))
         while anyio.current_time() < until:
-            (number,) = self._rng.choices(numbers, self._weights)
+            (number,) = self._random.choices(numbers, self._weights)
             self._sent += 1
             body = b"one-%d" % self._sent
             self.entries.start_request(number, repeat, body)
-            await anyio.sleep(self._rng.expovariate(per_second))
+            await anyio.sleep(self._random.expovariate(per_second))
 
     def busiest(self) -> chain_fleet.StandinUpstream:
-        """Return the instance that received most requests so far."""
+        """Return the instance that received the most requests so far."""
         counts: dict[str, int] = {}
         for run in self.fleet.runs:
             counts[run.upstream] = counts.get(run.upstream, 0) + 1
-        name = max(counts, key=lambda one: counts[one])
+        name = max(counts, key=lambda upstream: counts[upstream])
         (found,) = (
-            one for one in self.fleet.upstreams if one.listed.name == name
+            target
+            for target in self.fleet.upstreams
+            if target.listed.name == name
         )
         return found
 
     def arrivals(
         self, target: chain_fleet.StandinUpstream, since: float
     ) -> list[float]:
-        """Return when an instance received requests since a time."""
+        """Return when an instance received requests, from ``since`` on."""
         return [
             run.at
             for run in self.fleet.runs
@@ -99,12 +101,14 @@
     def bounded_arrivals(
         self, target: chain_fleet.StandinUpstream, announced_at: float
     ) -> list[float]:
-        """Return the arrivals that must keep to a limit announced at a time.
+        """Return the times of the requests that must keep to a limit.
 
-        Only requests of entries that have learned of it count.
+        Only requests of entries that have learned of the limit count.
+
+        :param announced_at: when the instance announced the limit.
         """
         learned_at: dict[str, float] = {}
-        found = []
+        times = []
         for run in self.fleet.runs:
             if run.upstream != target.listed.name or run.at < announced_at:
                 continue
@@ -115,17 +119,21 @@
                 entry_learned_at + LEARNED_SECONDS,
             )
             if run.at >= since:
-                found.append(run.at)
-        return found
+                times.append(run.at)
+        return times
 
     @property
     def refused(self) -> list[entries_system.Outcome]:
         """The callers that were not served."""
-        return [one for one in self.entries.outcomes if not one.was_served]
+        return [
+            outcome
+            for outcome in self.entries.outcomes
+            if not outcome.was_served
+        ]
 
 
 def max_within(times: list[float], seconds: float) -> int:
-    """Return the most times that lie within a window."""
+    """Return the largest number of times within a window."""
     most = first = 0
     for last, time in enumerate(times):
         while time - times[first] > seconds:
@@ -201,11 +209,11 @@
 
 
 class TestManyEntries:
-    """Entries that only know how many they are."""
+    """Entries that know of each other only their number."""
 
     @pytest.mark.parametrize("share", [1.0 / 70, 0.9])
     def test_seventy_entries_keep_a_limit_together(self, share: float) -> None:
-        rest = (1.0 - share) / 69
+        other_share = (1.0 - share) / 69
 
         async def scenario(traffic: Traffic) -> None:
             await traffic.send(3.0, REQUESTS_PER_SECOND, STREAM)
@@ -217,11 +225,9 @@
             assert_kept(times, LIMIT_PER_SECOND)
             assert times
 
-        simulate(scenario, (share, *[rest] * 69))
+        simulate(scenario, (share, *[other_share] * 69))
 
-    def test_a_restarted_entry_learns_it_from_its_first_answer(
-        self,
-    ) -> None:
+    def test_a_restarted_entry_learns_it_from_its_first_answer(self) -> None:
         async def scenario(traffic: Traffic) -> None:
             await traffic.send(4.0, REQUESTS_PER_SECOND, STREAM)
             target = traffic.busiest()
@@ -230,7 +236,8 @@
             await traffic.send(5.0, REQUESTS_PER_SECOND, STREAM)
             traffic.entries.restart(0)
             await traffic.send(10.0, REQUESTS_PER_SECOND, STREAM)
-            # The new process sends a few requests before it knows the limit.
+            # The new process sends up to three requests before it learns of
+            # the limit.
             times = traffic.bounded_arrivals(target, announced_at)
             allowed = (
                 BOUND_FACTOR * LIMIT_PER_SECOND * WINDOW_SECONDS + BOUND_EXTRA
@@ -259,26 +266,28 @@
             await traffic.send(3.0, REQUESTS_PER_SECOND, repeat)
             since = anyio.current_time()
             await traffic.send(20.0, REQUESTS_PER_SECOND, repeat)
-            taken = 0
+            received = 0
             for target in limited:
                 times = traffic.arrivals(target, since)
                 assert_kept(times, LIMIT_PER_SECOND)
-                taken += len(times)
+                received += len(times)
             assert (
-                taken
+                received
                 >= MIN_USED_SHARE * LIMIT_PER_SECOND * len(limited) * 20.0
             )
             outcomes = [
-                it for it in traffic.entries.outcomes if it.sent_at >= since
+                outcome
+                for outcome in traffic.entries.outcomes
+                if outcome.sent_at >= since
             ]
-            for it in outcomes:
-                if it.was_served:
+            for outcome in outcomes:
+                if outcome.was_served:
                     continue
-                error = it.caller.error
+                error = outcome.caller.error
                 assert error is not None
                 assert error.verdict is verdicts.Verdict.NOT_RUN
                 # A refusal takes no longer than the longest wait.
-                assert it.seconds <= LONGEST_WAIT_SECONDS
+                assert outcome.seconds <= LONGEST_WAIT_SECONDS
                 assert error.retry_after is not None
                 assert 0.0 < error.retry_after <= 6.0
 
@@ -305,9 +314,9 @@
             announced_at = anyio.current_time()
             await traffic.send(4.0, REQUESTS_PER_SECOND, STREAM)
             others = [
-                it
-                for it in traffic.fleet.upstreams
-                if _can_receive(it, STREAM) and it is not target
+                other
+                for other in traffic.fleet.upstreams
+                if _can_receive(other, STREAM) and other is not target
             ]
             # All streams of one engine have to be resumed at another.
             others[0].is_dead = True
@@ -323,9 +332,9 @@
             target = traffic.busiest()
             target.limit = LIMIT_PER_SECOND
             announced_at = anyio.current_time()
-            for it in traffic.fleet.upstreams:
-                if it is not target:
-                    it.failed_calls = 1000
+            for other in traffic.fleet.upstreams:
+                if other is not target:
+                    other.failed_calls = 1000
             await traffic.send(10.0, REQUESTS_PER_SECOND, IDEMPOTENT)
             times = traffic.bounded_arrivals(target, announced_at)
             assert_kept(times, LIMIT_PER_SECOND)
@@ -355,14 +364,14 @@
                 IDEMPOTENT, objective_seconds=objective, timeout_seconds=4.0
             )
             system.install(fleet_system.make_config(config_routes=(route,)))
-            found = []
+            upstreams = []
             for number in range(count):
-                one = fleet_system.upstream(
+                upstream = fleet_system.upstream(
                     f"records-{number}", service=fleet_system.PLAIN, card=""
                 )
-                system.add(one)
-                found.append(one)
-            await scenario(system, found)
+                system.add(upstream)
+                upstreams.append(upstream)
+            await scenario(system, upstreams)
 
         virtual.run(body)
 
@@ -377,16 +386,16 @@
         outcomes: list[tuple[float, float, fleet_system.Caller]] = []
 
         async def scenario(
-            system: fleet_system.FleetSystem, found: list[chain.Upstream]
+            system: fleet_system.FleetSystem, upstreams: list[chain.Upstream]
         ) -> None:
-            for one in found:
-                system.fleet.at(one.address).limit = limit
+            for upstream in upstreams:
+                system.fleet.at(upstream.address).limit = limit
 
             async def ask() -> None:
-                began = anyio.current_time()
+                began_at = anyio.current_time()
                 caller = await system.ask(system.request(IDEMPOTENT))
-                took = anyio.current_time() - began
-                outcomes.append((began, took, caller))
+                seconds = anyio.current_time() - began_at
+                outcomes.append((began_at, seconds, caller))
 
             async with anyio.create_task_group() as tasks:
                 while anyio.current_time() < 23.0:
@@ -394,16 +403,18 @@
                     await anyio.sleep(rng.expovariate(30.0))
 
         self.simulate(scenario, count, objective)
-        late = [one for one in outcomes if one[0] >= 3.0]
-        refused = [one for one in late if one[2].error is not None]
+        counted = [outcome for outcome in outcomes if outcome[0] >= 3.0]
+        refused = [
+            outcome for outcome in counted if outcome[2].error is not None
+        ]
         assert refused
-        assert max(took for _, took, _ in refused) < 0.01
-        served = len(late) - len(refused)
+        assert max(seconds for _, seconds, _ in refused) < 0.01
+        served = len(counted) - len(refused)
         assert served >= 0.75 * limit * count * 20.0
 
     def test_calls_that_wait_for_a_backoff_are_sent_after_it(self) -> None:
         async def scenario(
-            system: fleet_system.FleetSystem, found: list[chain.Upstream]
+            system: fleet_system.FleetSystem, upstreams: list[chain.Upstream]
         ) -> None:
             callers: list[fleet_system.Caller] = []
 
@@ -411,40 +422,40 @@
                 request = system.request(IDEMPOTENT)
                 callers.append(await system.ask(request))
 
-            system.registry.back_off(found[0].name, 0.2)
+            system.registry.back_off(upstreams[0].name, 0.2)
             async with anyio.create_task_group() as tasks:
                 for _ in range(300):
                     tasks.start_soon(ask)
             assert len(callers) == 300
-            assert all(one.error is None for one in callers)
+            assert all(caller.error is None for caller in callers)
             assert anyio.current_time() < 0.3
 
         self.simulate(scenario, 1)
 
     def test_calls_do_not_wait_without_any_instance(self) -> None:
         async def scenario(
-            system: fleet_system.FleetSystem, found: list[chain.Upstream]
+            system: fleet_system.FleetSystem, upstreams: list[chain.Upstream]
         ) -> None:
             waiting = []
 
             async def ask() -> None:
                 waiting.append(await system.ask(system.request(IDEMPOTENT)))
 
-            system.registry.back_off(found[0].name, 0.2)
+            system.registry.back_off(upstreams[0].name, 0.2)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.1)
-                system.registry.on_changed((), (found[0].incarnation.id,))
-                began = anyio.current_time()
+                system.registry.on_changed((), (upstreams[0].incarnation.id,))
+                began_at = anyio.current_time()
                 caller = await system.ask(system.request(IDEMPOTENT))
                 assert caller.error is not None
-                assert anyio.current_time() == began
+                assert anyio.current_time() == began_at
 
         self.simulate(scenario, 1)
 
 
 class TestLearnedLimits:
-    """Limits that an entry learns from answers, and forgets."""
+    """Limits that an entry learns from answers, and when they end."""
 
     def simulate(
         self,
@@ -455,32 +466,32 @@
     ) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
-            one = fleet_system.upstream("one", service=fleet_system.PLAIN)
+            upstream = fleet_system.upstream("one", service=fleet_system.PLAIN)
             system.install(system.config)
-            system.add(one).limit = 1.0
-            await scenario(system, one)
+            system.add(upstream).limit = 1.0
+            await scenario(system, upstream)
 
         virtual.run(body)
 
     def test_a_report_without_a_limit_keeps_that_of_an_answer(self) -> None:
         async def scenario(
-            system: fleet_system.FleetSystem, one: chain.Upstream
+            system: fleet_system.FleetSystem, upstream: chain.Upstream
         ) -> None:
             await system.ask(system.request(IDEMPOTENT))
-            system.fleet.at(one.address).limit = None
-            await system.client.report(one)
-            assert system.context.limits.per_second(one) <= 1.0
+            system.fleet.at(upstream.address).limit = None
+            await system.client.report(upstream)
+            assert system.context.limits.per_second(upstream) <= 1.0
 
         self.simulate(scenario)
 
     def test_an_instance_that_ended_has_no_limit(self) -> None:
         async def scenario(
-            system: fleet_system.FleetSystem, one: chain.Upstream
+            system: fleet_system.FleetSystem, upstream: chain.Upstream
         ) -> None:
             await system.ask(system.request(IDEMPOTENT))
-            assert system.context.limits.per_second(one) <= 1.0
-            system.registry.on_changed((), (one.incarnation.id,))
-            assert system.context.limits.per_second(one) == float("inf")
+            assert system.context.limits.per_second(upstream) <= 1.0
+            system.registry.on_changed((), (upstream.incarnation.id,))
+            assert system.context.limits.per_second(upstream) == float("inf")
 
         self.simulate(scenario)
 
@@ -519,11 +530,12 @@
         limits: rate_limits.RateLimits,
         upstream: chain.Upstream,
         seconds: float,
-        step: float = 0.05,
+        step_seconds: float = 0.05,
     ) -> int:
+        """Send a request at each step if allowed, and count them."""
         sent = 0
-        for _ in range(int(seconds / step)):
-            await anyio.sleep(step)
+        for _ in range(int(seconds / step_seconds)):
+            await anyio.sleep(step_seconds)
             if limits.allows(upstream):
                 limits.take(upstream)
                 sent += 1
@@ -532,37 +544,39 @@
     def test_entries_of_unknown_number_keep_a_limit_together(self) -> None:
         # An entry that cannot read the store must not use the whole limit.
         async def body() -> None:
-            entries = []
+            all_limits = []
             for number in range(5):
                 limits = rate_limits.RateLimits(
                     _Usage(), random.Random(number)
                 )
                 limits.set_entry_count(0)
                 limits.note_limit(fleet_system.upstream("one"), 10.0, None)
-                entries.append(limits)
+                all_limits.append(limits)
             sent = 0
-            for one in entries:
-                sent += await self.count(one, fleet_system.upstream("one"), 8)
+            for entry_limits in all_limits:
+                sent += await self.count(
+                    entry_limits, fleet_system.upstream("one"), 8
+                )
             assert 0 < sent <= 10.0 * 8
 
         virtual.run(body)
 
     def test_no_limit_allows_everything(self) -> None:
         async def scenario(
-            limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
+            limits: rate_limits.RateLimits, _: _Usage, upstream: chain.Upstream
         ) -> None:
-            assert await self.count(limits, one, 5.0) == 100
-            assert limits.seconds_until_allowed(one) == 0.0
+            assert await self.count(limits, upstream, 5.0) == 100
+            assert limits.seconds_until_allowed(upstream) == 0.0
 
         self.simulate(scenario)
 
     @pytest.mark.parametrize("entries", [1, 4, 70])
     def test_shares_are_even_without_reported_load(self, entries: int) -> None:
         async def scenario(
-            limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
+            limits: rate_limits.RateLimits, _: _Usage, upstream: chain.Upstream
         ) -> None:
-            limits.note_limit(one, 10.0, None)
-            sent = await self.count(limits, one, 200.0)
+            limits.note_limit(upstream, 10.0, None)
+            sent = await self.count(limits, upstream, 200.0)
             expected = 200.0 * 10.0 * rate_limits.USED_SHARE / entries
             assert abs(sent - expected) <= 5
 
@@ -570,40 +584,40 @@
 
     def test_share_follows_own_requests(self) -> None:
         async def scenario(
-            limits: rate_limits.RateLimits, usage: _Usage, one: chain.Upstream
+            limits: rate_limits.RateLimits,
+            usage: _Usage,
+            upstream: chain.Upstream,
         ) -> None:
             usage.count = 18
-            limits.note_limit(one, 10.0, 20)
+            limits.note_limit(upstream, 10.0, 20)
             for _ in range(40):
                 await anyio.sleep(0.25)
-                limits.allows(one)
-                limits.note_limit(one, 10.0, 20)
-            sent = await self.count(limits, one, 2.0)
+                limits.allows(upstream)
+                limits.note_limit(upstream, 10.0, 20)
+            sent = await self.count(limits, upstream, 2.0)
             assert sent >= 0.8 * 10.0 * rate_limits.USED_SHARE * 2.0
 
         self.simulate(scenario, entries=4)
 
-    def test_an_idle_entry_accumulates_little(
-        self,
-    ) -> None:
+    def test_an_idle_entry_accumulates_little(self) -> None:
         async def scenario(
-            limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
+            limits: rate_limits.RateLimits, _: _Usage, upstream: chain.Upstream
         ) -> None:
-            limits.note_limit(one, 2.0, None)
-            await self.count(limits, one, 10.0)
+            limits.note_limit(upstream, 2.0, None)
+            await self.count(limits, upstream, 10.0)
             await anyio.sleep(3600.0)
-            sent = await self.count(limits, one, 4.0)
+            sent = await self.count(limits, upstream, 4.0)
             assert sent <= BOUND_FACTOR * 2.0 * WINDOW_SECONDS + BOUND_EXTRA
 
         self.simulate(scenario)
 
     def test_bursts_are_bounded(self) -> None:
         async def scenario(
-            limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
+            limits: rate_limits.RateLimits, _: _Usage, upstream: chain.Upstream
         ) -> None:
-            limits.note_limit(one, 10.0, None)
+            limits.note_limit(upstream, 10.0, None)
             await anyio.sleep(3600.0)
-            sent = await self.count(limits, one, 0.01, 0.0005)
+            sent = await self.count(limits, upstream, 0.01, 0.0005)
             burst = (
                 10.0 * rate_limits.BURST_SECONDS
                 + rate_limits.BURST_EXTRA_REQUESTS
@@ -614,58 +628,56 @@
 
     def test_one_of_many_entries_accumulates_less_than_a_request(self) -> None:
         async def scenario(
-            limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
+            limits: rate_limits.RateLimits, _: _Usage, upstream: chain.Upstream
         ) -> None:
-            limits.note_limit(one, 2.0, None)
-            while not limits.allows(one):
+            limits.note_limit(upstream, 2.0, None)
+            while not limits.allows(upstream):
                 await anyio.sleep(1.0)
-            limits.take(one)
+            limits.take(upstream)
             await anyio.sleep(3600.0)
-            assert not limits.allows(one)
+            assert not limits.allows(upstream)
 
         self.simulate(scenario, entries=70)
 
     def test_a_limit_of_zero_is_probed(self) -> None:
         async def scenario(
-            limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
+            limits: rate_limits.RateLimits, _: _Usage, upstream: chain.Upstream
         ) -> None:
-            limits.note_limit(one, 0.0, None)
-            sent = await self.count(limits, one, 40.0)
+            limits.note_limit(upstream, 0.0, None)
+            sent = await self.count(limits, upstream, 40.0)
             assert 5 <= sent <= 15
 
         self.simulate(scenario)
 
-    def test_a_report_without_a_limit_lifts_that_of_a_report(
-        self,
-    ) -> None:
+    def test_a_report_without_a_limit_lifts_that_of_a_report(self) -> None:
         async def scenario(
-            limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
+            limits: rate_limits.RateLimits, _: _Usage, upstream: chain.Upstream
         ) -> None:
-            limits.note_limit(one, 1.0, None)
-            limits.note_limit(one, None, None, in_report=True)
-            assert limits.per_second(one) < 1.0
-            limits.note_limit(one, 1.0, None, in_report=True)
-            limits.note_limit(one, None, None, in_report=True)
-            assert limits.per_second(one) == float("inf")
+            limits.note_limit(upstream, 1.0, None)
+            limits.note_limit(upstream, None, None, in_report=True)
+            assert limits.per_second(upstream) < 1.0
+            limits.note_limit(upstream, 1.0, None, in_report=True)
+            limits.note_limit(upstream, None, None, in_report=True)
+            assert limits.per_second(upstream) == float("inf")
 
         self.simulate(scenario)
 
     def test_an_answer_without_a_limit_lifts_it(self) -> None:
         async def scenario(
-            limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
+            limits: rate_limits.RateLimits, _: _Usage, upstream: chain.Upstream
         ) -> None:
-            limits.note_limit(one, 1.0, None)
-            limits.note_limit(one, None, None)
-            assert limits.allows(one)
+            limits.note_limit(upstream, 1.0, None)
+            limits.note_limit(upstream, None, None)
+            assert limits.allows(upstream)
 
         self.simulate(scenario)
 
     def test_drops_the_limit_of_an_ended_instance(self) -> None:
         async def scenario(
-            limits: rate_limits.RateLimits, _: _Usage, one: chain.Upstream
+            limits: rate_limits.RateLimits, _: _Usage, upstream: chain.Upstream
         ) -> None:
-            limits.note_limit(one, 1.0, None)
-            limits.forget(one)
-            assert limits.per_second(one) == float("inf")
+            limits.note_limit(upstream, 1.0, None)
+            limits.forget(upstream)
+            assert limits.per_second(upstream) == float("inf")
 
         self.simulate(scenario)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -6,7 +6,7 @@
 """Tests of the retry budget, with repeats counted at the service.
 
 A service must not receive more repeats in any window than its budget allows,
-while entries restart, join, lose the store, or instances freeze.
+also while entries restart, join or lose the store, or instances freeze.
 """
 
 import anyio
@@ -16,10 +16,10 @@
 from tests import repeats_system
 
 FAILURE_FREE_SECONDS = repeats_system.FAILURE_FREE_SECONDS
-# Requests a second at which the slack is a small part of the budget.
-HIGH_RATE = 240.0
-# Requests a second at which the slack is most of the budget.
-LOW_RATE = 18.0
+# Rate at which the slack is a small part of the budget.
+HIGH_PER_SECOND = 240.0
+# Rate at which the slack is most of the budget.
+LOW_PER_SECOND = 18.0
 KINDS = (routes.RepeatPolicy.IDEMPOTENT, routes.RepeatPolicy.STREAM)
 COUNTS = (1, 5, 70)
 
@@ -28,7 +28,7 @@
 
 
 async def _spend_all(demand: repeats_system.Demand) -> None:
-    """Use up the budget after a time without failures."""
+    """Spend the whole budget after a time without failures."""
     await demand.ask(FAILURE_FREE_SECONDS, fails=False)
     await demand.ask(3.0)
 
@@ -39,7 +39,7 @@
 
 
 class TestRestartedEntries:
-    """Repeats of an entry's consecutive processes count together."""
+    """The repeats of an entry's successive processes count together."""
 
     @kinds
     @counts
@@ -146,8 +146,8 @@
                 demand.entries.cut_off(number)
             for _ in range(max(1, count // 4)):
                 demand.entries.start()
-            await demand.ask(30.0, LOW_RATE, fails=False)
-            await demand.ask(12.0, LOW_RATE)
+            await demand.ask(30.0, LOW_PER_SECOND, fails=False)
+            await demand.ask(12.0, LOW_PER_SECOND)
 
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
@@ -156,7 +156,7 @@
 class TestMovingCallers:
     """Requests earn repeats once, whichever entries receive them."""
 
-    @pytest.mark.parametrize("per_second", (60.0, HIGH_RATE))
+    @pytest.mark.parametrize("per_second", (60.0, HIGH_PER_SECOND))
     @pytest.mark.parametrize("count", (5, 70))
     def test_from_one_entry_to_all_others(
         self, count: int, per_second: float
@@ -192,13 +192,13 @@
         async def body(demand: repeats_system.Demand) -> None:
             others = range(1, count)
             await demand.ask(
-                FAILURE_FREE_SECONDS, HIGH_RATE, fails=False, among=[0]
+                FAILURE_FREE_SECONDS, HIGH_PER_SECOND, fails=False, among=[0]
             )
             demand.freeze()
-            await demand.ask(2.0, HIGH_RATE, among=[0])
-            await demand.ask(6.0, HIGH_RATE, among=others)
+            await demand.ask(2.0, HIGH_PER_SECOND, among=[0])
+            await demand.ask(6.0, HIGH_PER_SECOND, among=others)
             demand.thaw()
-            await demand.ask(12.0, HIGH_RATE, among=others)
+            await demand.ask(12.0, HIGH_PER_SECOND, among=others)
 
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
@@ -219,7 +219,7 @@
 
 
 class TestUseOfTheBudget:
-    """Repeats within the budget are made."""
+    """Repeats within the budget are sent."""
 
     @kinds
     @counts
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -15,7 +15,7 @@
 
 
 class TestEngineSubset:
-    """The engines that one entry uses of a fleet."""
+    """The engines of a fleet that one entry uses."""
 
     def test_a_small_fleet_is_used_whole(self) -> None:
         fleet = paths.a_fleet(subsets.SUBSET_THRESHOLD_ENGINES)
@@ -30,28 +30,34 @@
                 == subsets.MAX_OWN_ZONE_ENGINES
                 + subsets.MAX_OTHER_ZONE_ENGINES
             )
-            own = [one for one in picked if one.availability_zone == ZONE]
-            assert min(chain.coverage(own, paths.LAYERS)) >= 2
+            own_zone = [
+                engine for engine in picked if engine.availability_zone == ZONE
+            ]
+            assert min(chain.coverage(own_zone, paths.LAYERS)) >= 2
 
     def test_engines_are_spread_evenly(self) -> None:
         fleet = paths.a_fleet(1_500)
-        drawn: collections.Counter[str] = collections.Counter()
+        pick_counts: collections.Counter[str] = collections.Counter()
         for number in range(60):
             subset = subsets.EngineSubset(f"entry-{number}", ZONE)
-            drawn.update(
-                one.name
-                for one in subset.pick(fleet)
-                if one.availability_zone == ZONE
+            pick_counts.update(
+                engine.name
+                for engine in subset.pick(fleet)
+                if engine.availability_zone == ZONE
             )
-        own = [one for one in fleet if one.availability_zone == ZONE]
-        mean = 60 * subsets.MAX_OWN_ZONE_ENGINES / len(own)
-        assert len(drawn) == len(own)
-        assert max(drawn.values()) < 2 * mean
+        own_zone = [
+            engine for engine in fleet if engine.availability_zone == ZONE
+        ]
+        mean = 60 * subsets.MAX_OWN_ZONE_ENGINES / len(own_zone)
+        assert len(pick_counts) == len(own_zone)
+        assert max(pick_counts.values()) < 2 * mean
 
     def test_is_stable_when_other_engines_go(self) -> None:
         fleet = paths.a_fleet(1_500)
         subset = subsets.EngineSubset("entry-0", ZONE)
-        before = {one.name for one in subset.pick(fleet)}
-        gone = {one.name for one in fleet[::100]}
-        after = subset.pick([one for one in fleet if one.name not in gone])
-        assert before - gone <= {one.name for one in after}
+        before = {engine.name for engine in subset.pick(fleet)}
+        gone = {engine.name for engine in fleet[::100]}
+        after = subset.pick(
+            [engine for engine in fleet if engine.name not in gone]
+        )
+        assert before - gone <= {engine.name for engine in after}
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -28,14 +28,17 @@
 LIMIT_PER_SECOND = 3.2
 DEMAND_FACTOR = 2.0
 MIN_SERVED_SHARE = 0.75
-# Requests that an instance may receive in any window, from COUNTED_FROM on.
+# Requests that an instance may receive in any window, from
+# COUNTED_FROM_SECONDS on.
 WINDOW_SECONDS = 4.0
 BOUND = 1.5 * WINDOW_SECONDS * LIMIT_PER_SECOND + 5.0
-ANNOUNCED_AT = 5.0
-COUNTED_FROM = 8.0
+# From the start of the simulation.
+ANNOUNCED_AT_SECONDS = 5.0
+COUNTED_FROM_SECONDS = 8.0
 SIMULATED_SECONDS = 60.0
+# Time from the arrival of a request to the head of its answer.
 ANSWER_SECONDS = 0.05
-# An entry's requests count from this long after an instance's first answer.
+# Time after an instance's first answer from which an entry's requests count.
 LEARNED_SECONDS = 0.5
 EVEN_LOAD, SKEWED_LOAD = "even", "skewed"
 SHORT_CALL_SECONDS, LONG_CALL_SECONDS = 0.04, 2.5
@@ -44,25 +47,34 @@
 class _Entry:
     """One entry's limits and its requests in progress."""
 
-    def __init__(self, entries: int, rng: random.Random) -> None:
-        self.limits = rate_limits.RateLimits(self, rng)
+    def __init__(self, entries: int, randomness: random.Random) -> None:
+        self.limits = rate_limits.RateLimits(self, randomness)
         self.limits.set_entry_count(entries)
-        self.counts: collections.Counter[str] = collections.Counter()
+        self.requests: collections.Counter[str] = collections.Counter()
         self.learned_at: dict[str, float] = {}
 
     def own_requests(self, upstream: chain.Upstream) -> int:
-        return self.counts[upstream.name]
+        return self.requests[upstream.name]
 
 
 @attrs.define(eq=False)
 class _Service:
-    """The instances of a service, and the requests they received."""
+    """The instances of a service, and the requests they received.
+
+    :ivar weights: how callers are spread over the entries.
+    :ivar mean_seconds: mean time from the answer's head to the end of a
+        request.
+    :ivar received: times of the counted requests, by instance.
+    :ivar bounded: those of them that must keep to the limits.
+    :ivar events: heap of the time of each event, a random number that orders
+        events of the same time, and the action.
+    """
 
     entries: list[_Entry]
     weights: list[float]
-    seconds: float
+    mean_seconds: float
     reports_load: bool
-    rng: random.Random
+    randomness: random.Random
     upstreams: list[chain.Upstream]
     received: dict[str, list[float]]
     bounded: dict[str, list[float]]
@@ -76,37 +88,44 @@
             act()
 
     def _at(self, at: float, act: typing.Callable[[], None]) -> None:
-        heapq.heappush(self.events, (at, self.rng.random(), act))
+        heapq.heappush(self.events, (at, self.randomness.random(), act))
 
     def _arrive(self) -> None:
         now = anyio.current_time()
-        rate = DEMAND_FACTOR * LIMIT_PER_SECOND * INSTANCES
-        self._at(now + self.rng.expovariate(rate), self._arrive)
-        (entry,) = self.rng.choices(self.entries, self.weights)
-        free = [one for one in self.upstreams if entry.limits.allows(one)]
-        if not free:
+        per_second = DEMAND_FACTOR * LIMIT_PER_SECOND * INSTANCES
+        self._at(now + self.randomness.expovariate(per_second), self._arrive)
+        (entry,) = self.randomness.choices(self.entries, self.weights)
+        allowed = [
+            upstream
+            for upstream in self.upstreams
+            if entry.limits.allows(upstream)
+        ]
+        if not allowed:
             return
         chosen = min(
-            free, key=lambda one: (entry.own_requests(one), self._draw())
+            allowed,
+            key=lambda upstream: (entry.own_requests(upstream), self._draw()),
         )
         entry.limits.take(chosen)
-        entry.counts[chosen.name] += 1
-        if now >= COUNTED_FROM:
+        entry.requests[chosen.name] += 1
+        if now >= COUNTED_FROM_SECONDS:
             self.received[chosen.name].append(now)
             learned_at = entry.learned_at.get(chosen.name, float("inf"))
             if now >= learned_at + LEARNED_SECONDS:
                 self.bounded[chosen.name].append(now)
-        answered = now + ANSWER_SECONDS
-        ended = answered + self.rng.expovariate(1.0 / self.seconds)
-        self._at(answered, lambda: self._answer(entry, chosen))
-        self._at(ended, lambda: entry.counts.subtract([chosen.name]))
+        answered_at = now + ANSWER_SECONDS
+        ended_at = answered_at + self.randomness.expovariate(
+            1.0 / self.mean_seconds
+        )
+        self._at(answered_at, lambda: self._answer(entry, chosen))
+        self._at(ended_at, lambda: entry.requests.subtract([chosen.name]))
 
     def _draw(self) -> float:
-        return self.rng.random()
+        return self.randomness.random()
 
     def _answer(self, entry: _Entry, upstream: chain.Upstream) -> None:
-        if anyio.current_time() >= ANNOUNCED_AT:
-            load = sum(one.own_requests(upstream) for one in self.entries)
+        if anyio.current_time() >= ANNOUNCED_AT_SECONDS:
+            load = sum(other.own_requests(upstream) for other in self.entries)
             reported = load if self.reports_load else None
             entry.limits.note_limit(upstream, LIMIT_PER_SECOND, reported)
             entry.learned_at.setdefault(upstream.name, anyio.current_time())
@@ -115,10 +134,13 @@
 def simulate(
     entries: int, spread: str, seconds: float, reports_load: bool
 ) -> _Service:
-    """Simulate a service and return it."""
-    rng = random.Random(1)
-    busiest = 0.9 if spread == SKEWED_LOAD else 1.0 / entries
-    rest = (1.0 - busiest) / max(1, entries - 1)
+    """Simulate a service and return it.
+
+    :param seconds: mean duration of a call after its answer began.
+    """
+    randomness = random.Random(1)
+    busiest_weight = 0.9 if spread == SKEWED_LOAD else 1.0 / entries
+    other_weight = (1.0 - busiest_weight) / max(1, entries - 1)
     upstreams = [
         chain.Upstream(
             name=f"u{number}",
@@ -131,14 +153,14 @@
         for number in range(INSTANCES)
     ]
     service = _Service(
-        [_Entry(entries, random.Random(n)) for n in range(entries)],
-        [busiest, *[rest] * (entries - 1)],
+        [_Entry(entries, random.Random(seed)) for seed in range(entries)],
+        [busiest_weight, *[other_weight] * (entries - 1)],
         seconds,
         reports_load,
-        rng,
+        randomness,
         upstreams,
-        {one.name: [] for one in upstreams},
-        {one.name: [] for one in upstreams},
+        {upstream.name: [] for upstream in upstreams},
+        {upstream.name: [] for upstream in upstreams},
         [],
     )
     virtual.run(service.run)
@@ -168,7 +190,9 @@
         service = simulate(entries, spread, seconds, reports_load)
         served = sum(len(times) for times in service.received.values())
         allowed = (
-            LIMIT_PER_SECOND * INSTANCES * (SIMULATED_SECONDS - COUNTED_FROM)
+            LIMIT_PER_SECOND
+            * INSTANCES
+            * (SIMULATED_SECONDS - COUNTED_FROM_SECONDS)
         )
         assert served >= MIN_SERVED_SHARE * allowed, f"{served / allowed:.2f}"
 
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -13,7 +13,10 @@
 
 
 class _VirtualSelector(selectors.DefaultSelector):
-    """Advances the clock instead of waiting."""
+    """Advances the clock instead of waiting.
+
+    :ivar now: virtual time in seconds.
+    """
 
     def __init__(self) -> None:
         super().__init__()
