--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -118,7 +118,7 @@
 
 
 class _RetryCounts:
-    """Counts of the retries that arrived lately, and of those in flight.
+    """Counts of the retries that arrived recently, and of those in flight.
 
     :ivar changes: how often a retry was counted as sent, arrived, abandoned
         or cancelled.
--- a/src/crowdeck/routing/heads.py
+++ b/src/crowdeck/routing/heads.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""How first engines have served this entry's streams lately.
+"""How first engines have served this entry's recent streams.
 
 An engine may answer status checks and still fail or delay its streams, so
 only the outcomes of real streams count.
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -89,7 +89,7 @@
 
     @property
     def heads(self) -> head_records.HeadRecords:
-        """How first engines have served lately."""
+        """How first engines have served recent streams."""
         return self._heads
 
     def plan(
@@ -147,7 +147,7 @@
 
         The other hops keep their KV cache of the request; only new ones
         have to compute it again. If single hops cannot be replaced, all
-        but the first are planned anew. Return ``None`` if there is no such
+        but the first are planned again. Return ``None`` if there is no such
         path.
 
         :param path: the path in use; its first hop stays.
--- a/src/crowdeck/routing/rate_limits.py
+++ b/src/crowdeck/routing/rate_limits.py
@@ -55,7 +55,7 @@
     :ivar name: name of the instance.
     :ivar per_second: the limit in requests a second, over all entries.
     :ivar since: loop time at which the limit was first announced.
-    :ivar used: requests a second that this entry sent lately.
+    :ivar used: requests a second that this entry sent recently.
     :ivar share: this entry's share of the limit, 0 to 1.
     """
 
@@ -277,7 +277,7 @@
 
 
 def _sent_per_second(limit: _Limit) -> float:
-    """Return the rate at which requests were sent lately."""
+    """Return the recent rate at which requests were sent."""
     now = anyio.current_time()
     sent = limit.sent * _decay(now - limit.sent_at)
     # At a constant rate the decayed number is the rate times the mean lifetime
--- a/src/crowdeck/routing/rendezvous.py
+++ b/src/crowdeck/routing/rendezvous.py
@@ -6,7 +6,7 @@
 """Weighted rendezvous hashing of keys to members.
 
 Unlike a hash ring it needs no virtual nodes and follows the weights
-exactly, and when a member goes only its own keys move. See
+exactly, and when a member leaves only its own keys move. See
 ``docs/decisions/0006``.
 """
 
@@ -19,9 +19,10 @@
 
 
 def score(key: str, member: str, weight: float = 1.0) -> float:
-    """Return the score of ``member`` for ``key``; the highest one wins.
+    """Return the score of ``member`` for ``key``.
 
-    The logarithm makes shares proportional to weights.
+    A key belongs to the member with the highest score. The logarithm makes
+    the members' shares of the keys proportional to their weights.
     """
     digest = xxhash.xxh3_64_intdigest(f"{key}\0{member}".encode())
     return -weight / math.log((digest + 1) / (_HASH_RANGE + 2))
--- a/src/crowdeck/routing/subset.py
+++ b/src/crowdeck/routing/subset.py
@@ -22,8 +22,8 @@
 class EngineSubset:
     """The engines that one entry uses, drawn by rendezvous hashing.
 
-    Engines are spread evenly over entries. When an engine of the subset goes,
-    another takes its place and all others stay.
+    Engines are spread evenly over entries. When an engine of the subset ends,
+    another replaces it and all others stay.
     """
 
     def __init__(self, entry: str, zone: str) -> None:
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -23,12 +23,24 @@
 
 @attrs.frozen
 class _ExistingLoad:
+    """The load that an engine had when this entry started.
+
+    :ivar token_layers: tokens in its cache, times layers.
+    :ivar recorded_at: loop time.
+    """
+
     token_layers: float
     recorded_at: float
 
 
 @attrs.frozen
 class _LoadReport:
+    """The load that a first engine reported.
+
+    :ivar running: requests of all entries in progress.
+    :ivar recorded_at: loop time.
+    """
+
     running: int
     recorded_at: float
 
