--- a/tests/test_bound.py
+++ b/tests/test_bound.py
@@ -21,8 +21,8 @@
 def engine(
     name: str, first: int, end: int, slots: int = 1000
 ) -> chain.Upstream:
-    one = fleet_system.upstream(name, "plateau", (first, end), "large")
-    return attrs.evolve(one, slots=slots)
+    listed = fleet_system.upstream(name, "plateau", (first, end), "large")
+    return attrs.evolve(listed, slots=slots)
 
 
 class TestBound:
@@ -64,7 +64,7 @@
             engine("c", 60, 80),
         ]
         found = bound.compute_bound(engines, PROFILE)
-        assert found.limiting_resource is bound.LimitingResource.MISSING
+        assert found.limiting_resource is bound.LimitingResource.MISSING_LAYERS
         assert found.bottleneck == pipeline.LayerRange(30, 35)
         assert found.per_second == 0.0
 
