--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -154,8 +154,7 @@
         upstream that begins it.
     :ivar crashes: the crashes so far.
     :ivar accounts: arrivals by service name.
-    :ivar is_cut_off: messages are delayed but not lost, as on a congested
-        link.
+    :ivar is_link_stalled: while set, messages wait; none is lost.
     :ivar load_seconds: time to load all layers; fewer load in proportion.
     """
 
@@ -172,7 +171,7 @@
             collections.defaultdict(repeats.RepeatAccount)
         )
         self._unread: list[tuple[StandinUpstream, str]] = []
-        self.is_cut_off = False
+        self.is_link_stalled = False
         self.events = 20
         self.event_seconds = 0.02
         self.load_seconds = 0.0
@@ -460,7 +459,7 @@
         raise _upstream_lost(verdicts.Verdict.MAY_HAVE_RUN)
 
     async def _wait_for_link(self) -> None:
-        while self.is_cut_off:
+        while self.is_link_stalled:
             await anyio.sleep(POLL_SECONDS)
 
     async def _wait_for_path(
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -309,9 +309,9 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.15)
-                system.fleet.is_cut_off = True
+                system.fleet.is_link_stalled = True
                 await anyio.sleep(0.3)
-                system.fleet.is_cut_off = False
+                system.fleet.is_link_stalled = False
             assert_whole(callers[0], request, system.fleet.events)
             assert system.registry.avoided() == ()
             assert len(system.fleet.runs_of(request.id)) == 1
