--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -508,29 +508,29 @@
 
 
 @attrs.frozen
-class Arrival:
+class SentMessage:
     """One message from an entry to an instance.
 
-    :ivar at: event loop time at which it was sent.
-    :ivar arrived: event loop time at which the caller's request had reached
-        the entry; 0 for other messages.
+    :ivar sent_at: event loop time in seconds.
+    :ivar request_arrived_at: event loop time at which the caller's request
+        reached the entry; 0 for other messages.
     """
 
     upstream: str
-    what: CallKind
-    at: float
-    arrived: float
+    kind: CallKind
+    sent_at: float
+    request_arrived_at: float
 
 
 class FleetClient:
     """One entry's client; implements ``relay.interfaces.Upstreams``.
 
-    :ivar arrivals: every message that the entry sent.
+    :ivar sent_messages: every message that the entry sent.
     """
 
     def __init__(self, fleet: ChainFleet) -> None:
         self._fleet = fleet
-        self.arrivals: list[Arrival] = []
+        self.sent_messages: list[SentMessage] = []
         self._listeners: list[interfaces.NoticeListener] = []
 
     def subscribe(self, listener: interfaces.NoticeListener) -> None:
@@ -572,10 +572,15 @@
         return outcome
 
     def _record(
-        self, upstream: chain.Upstream, what: CallKind, arrived: float = 0.0
+        self,
+        upstream: chain.Upstream,
+        kind: CallKind,
+        request_arrived_at: float = 0.0,
     ) -> None:
         now = anyio.current_time()
-        self.arrivals.append(Arrival(upstream.name, what, now, arrived))
+        self.sent_messages.append(
+            SentMessage(upstream.name, kind, now, request_arrived_at)
+        )
 
     def _notify_backpressure(self, upstream: chain.Upstream) -> None:
         current = self._fleet.at(upstream.address).backpressure
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -86,19 +86,19 @@
     upstream: chain.Upstream,
     since: float,
     until: float = float("inf"),
-) -> list[chain_fleet.Arrival]:
+) -> list[chain_fleet.SentMessage]:
     """Return what was sent to an instance within a time span."""
     return [
         one
-        for one in system.client.arrivals
-        if one.upstream == upstream.name and since <= one.at < until
+        for one in system.client.sent_messages
+        if one.upstream == upstream.name and since <= one.sent_at < until
     ]
 
 
 def busiest(system: System) -> chain_fleet.StandinUpstream:
     """Return the instance that got the most requests so far."""
     counts: dict[str, int] = {}
-    for one in system.client.arrivals:
+    for one in system.client.sent_messages:
         counts[one.upstream] = counts.get(one.upstream, 0) + 1
     name = max(counts, key=lambda one: counts[one])
     return system.fleet.at(system.listed[name].address)
@@ -294,7 +294,7 @@
             system.registry.back_off(backing_off.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await detector.check()
-            names = {one.upstream for one in asked.arrivals}
+            names = {one.upstream for one in asked.sent_messages}
             assert len(names) > 2
             assert backing_off.name not in names
 
@@ -306,9 +306,9 @@
             system.registry.avoid(one.name, "silent")
             system.registry.back_off(one.name, BACKOFF_SECONDS)
             await anyio.sleep(BACKOFF_SECONDS - 0.1)
-            assert not system.client.arrivals
+            assert not system.client.sent_messages
             await anyio.sleep(1.0)
-            assert system.client.arrivals
+            assert system.client.sent_messages
             assert system.registry.is_usable(one.name)
 
         run_scenario(work)
@@ -324,7 +324,7 @@
             system.registry.back_off(one.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await detector.check()
-            assert not asked.arrivals
+            assert not asked.sent_messages
             assert not detector.is_lost(one.name)
 
         run_scenario(work)
@@ -398,11 +398,12 @@
                     await anyio.sleep(0.001)
                 backoff_ends_at = anyio.current_time() + BACKOFF_SECONDS
             first = sent(system, target.listed, backoff_ends_at - 0.002)[0]
-            assert first.at <= backoff_ends_at + 1.0
+            assert first.sent_at <= backoff_ends_at + 1.0
             since, until = backoff_ends_at + 1.0, backoff_ends_at + 3.0
             count = len(sent(system, target.listed, since, until))
             total = sum(
-                since <= one.at < until for one in system.client.arrivals
+                since <= one.sent_at < until
+                for one in system.client.sent_messages
             )
             assert 0.25 <= count / total <= 0.75
 
@@ -423,8 +424,8 @@
             late = [
                 one
                 for one in sent(system, target.listed, announced_at)
-                if one.what is chain_fleet.CallKind.REQUEST
-                and one.arrived > announced_at + LEAVING_SECONDS
+                if one.kind is chain_fleet.CallKind.REQUEST
+                and one.request_arrived_at > announced_at + LEAVING_SECONDS
             ]
             assert not late
             assert all(one.error is None for one in callers)
