--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -126,15 +126,19 @@
 
 @attrs.frozen
 class Run:
-    """One run of a request at an upstream."""
+    """One run of a request at an upstream.
+
+    :ivar last_event_id: id of the last event that the caller already has.
+    :ivar started_at: event loop time in seconds.
+    """
 
     upstream: str
     request: str
-    after: int
+    last_event_id: int
     path: str
     team: str
     body: bytes = b""
-    at: float = 0.0
+    started_at: float = 0.0
 
 
 @attrs.frozen
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -139,7 +139,9 @@
         now = anyio.current_time()
         running = [one for one in self.fleet.upstreams if one.answers]
         busy = collections.Counter(
-            run.upstream for run in self.fleet.runs if now - run.at < 1.0
+            run.upstream
+            for run in self.fleet.runs
+            if now - run.started_at < 1.0
         )
         running.sort(key=lambda one: -busy[one.listed.name])
         for target in running[:count]:
@@ -208,7 +210,7 @@
         return sum(
             1
             for run in self.fleet.runs
-            if run.body == body and run.at >= since
+            if run.body == body and run.started_at >= since
         )
 
     def _begin(self, entry: fleet_system.FleetSystem) -> anyio.CancelScope:
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -116,7 +116,7 @@
             assert one.share == pytest.approx(1.0)
             since = anyio.current_time() - 5.0
             sent = sum(
-                run.upstream == one.upstream.name and run.at >= since
+                run.upstream == one.upstream.name and run.started_at >= since
                 for run in system.fleet.runs
             )
             assert one.used == pytest.approx(sent / 5.0, rel=0.1)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -91,9 +91,9 @@
     ) -> list[float]:
         """Return when an instance received requests since a time."""
         return [
-            run.at
+            run.started_at
             for run in self.fleet.runs
-            if run.upstream == target.listed.name and run.at >= since
+            if run.upstream == target.listed.name and run.started_at >= since
         ]
 
     def bounded_arrivals(
@@ -106,16 +106,19 @@
         learned_at: dict[str, float] = {}
         found = []
         for run in self.fleet.runs:
-            if run.upstream != target.listed.name or run.at < announced_at:
+            if (
+                run.upstream != target.listed.name
+                or run.started_at < announced_at
+            ):
                 continue
             entry = run.request.rpartition("r")[0]
-            entry_learned_at = learned_at.setdefault(entry, run.at)
+            entry_learned_at = learned_at.setdefault(entry, run.started_at)
             since = max(
                 announced_at + GRACE_SECONDS,
                 entry_learned_at + LEARNED_SECONDS,
             )
-            if run.at >= since:
-                found.append(run.at)
+            if run.started_at >= since:
+                found.append(run.started_at)
         return found
 
     @property
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -616,7 +616,7 @@
             assert_whole(caller, request, system.fleet.events)
             runs = system.fleet.runs_of(request.id)
             assert len(runs) == 2
-            assert runs[1].after > 0
+            assert runs[1].last_event_id > 0
 
         run_scenario(work)
 
