--- a/bench/soak/budget.py
+++ b/bench/soak/budget.py
@@ -69,26 +69,26 @@
     started_at = min(one.sent_at for one in outcomes)
     found = []
     for service, arrived in sorted(arrivals.items()):
-        peaks = _account(service, outcomes, arrived).peaks(allowance)
+        peaks = _build_counter(service, outcomes, arrived).peaks(allowance)
         peak = max(peaks, key=lambda one: one.repeats / one.allowed)
         found.append(ServicePeak(service, peak, peak.since - started_at))
     return found
 
 
-def _account(
+def _build_counter(
     service: str,
     outcomes: typing.Sequence[callers_module.Outcome],
     arrived: dict[str, list[float]],
-) -> repeats.RepeatAccount:
-    account = repeats.RepeatAccount()
+) -> repeats.RepeatCounter:
+    counter = repeats.RepeatCounter()
     sent = [
         one.sent_at
         for one in outcomes
         if one.is_sent and SERVICES[one.path] == service
     ]
     for time in sorted(sent):
-        account.note_request(time)
+        counter.count_request(time)
     for request, times in arrived.items():
         for time in times:
-            account.note_arrival(request, time)
-    return account
+            counter.count_arrival(request, time)
+    return counter
--- a/bench/soak/standin_platform.py
+++ b/bench/soak/standin_platform.py
@@ -231,8 +231,8 @@
 
     async def _arrivals(self, request: requests.Request) -> responses.Response:
         arrivals = {
-            service: account.arrivals
-            for service, account in self._fleet.accounts.items()
+            service: counter.arrivals
+            for service, counter in self._fleet.repeat_counters.items()
         }
         return responses.Response(orjson.dumps(arrivals))
 
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -157,7 +157,7 @@
     :ivar crashing_bodies: a request with one of these bodies crashes each
         upstream that begins it.
     :ivar crashes: the crashes so far.
-    :ivar accounts: arrivals by service name.
+    :ivar repeat_counters: requests and arrivals by service name.
     :ivar is_link_stalled: while set, messages wait; none is lost.
     :ivar load_seconds: time to load all layers; fewer load in proportion.
     """
@@ -171,8 +171,8 @@
         self.repaths: list[str] = []
         self.crashing_bodies: set[bytes] = set()
         self.crashes: list[EngineCrash] = []
-        self.accounts: dict[str, repeats.RepeatAccount] = (
-            collections.defaultdict(repeats.RepeatAccount)
+        self.repeat_counters: dict[str, repeats.RepeatCounter] = (
+            collections.defaultdict(repeats.RepeatCounter)
         )
         self._unread: list[tuple[StandinUpstream, str]] = []
         self.is_link_stalled = False
@@ -358,8 +358,8 @@
     def _record_arrival(
         self, target: StandinUpstream, request_id: str
     ) -> None:
-        account = self.accounts[target.listed.service]
-        account.note_arrival(request_id, anyio.current_time())
+        counter = self.repeat_counters[target.listed.service]
+        counter.count_arrival(request_id, anyio.current_time())
 
     def _find_misplaced_hop(self, path: chain.ChainPath | None) -> str | None:
         """Return the address of an engine that does not hold its layers.
--- a/src/crowdeck/standin/repeats.py
+++ b/src/crowdeck/standin/repeats.py
@@ -43,8 +43,8 @@
 
 
 @attrs.define
-class RepeatAccount:
-    """The requests and arrivals of one service, from all entries.
+class RepeatCounter:
+    """Counts the requests and arrivals of one service, from all entries.
 
     Every arrival of a request after its first is a repeat, even if it is
     rejected. Requests are counted when callers send them, whether or not
@@ -61,12 +61,12 @@
         """Times of arrival by request."""
         return dict(self._arrivals)
 
-    def note_request(self, at: float) -> None:
-        """Count a caller's request; call it in order of time."""
+    def count_request(self, at: float) -> None:
+        """Count a caller's request; call in order of ``at``."""
         self._requests.append(at)
 
-    def note_arrival(self, request: str, at: float) -> None:
-        """Count an arrival; call it in order of time."""
+    def count_arrival(self, request: str, at: float) -> None:
+        """Count an arrival; call in order of ``at``."""
         self._arrivals[request].append(at)
 
     def repeats(self) -> list[float]:
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -51,12 +51,12 @@
     @property
     def peak(self) -> repeats.Peak:
         """The window in which repeats most exceed their allowance."""
-        return self.account.peak(ALLOWANCE)
+        return self.counter.peak(ALLOWANCE)
 
     @property
-    def account(self) -> repeats.RepeatAccount:
+    def counter(self) -> repeats.RepeatCounter:
         """The requests that the service received."""
-        return self.entries.fleet.accounts[self.service]
+        return self.entries.fleet.repeat_counters[self.service]
 
     async def ask(
         self,
@@ -78,7 +78,7 @@
             if among:
                 entry = among[self._number % len(among)]
             self._number += 1
-            self.account.note_request(anyio.current_time())
+            self.counter.count_request(anyio.current_time())
             self.entries.start_request(entry, self._kind, b"x")
             await anyio.sleep(1.0 / per_second)
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -241,4 +241,4 @@
             await demand.ask(3.0)
 
         demand = repeats_system.simulate(body, 5)
-        assert len(demand.account.repeats()) >= 5
+        assert len(demand.counter.repeats()) >= 5
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -371,7 +371,7 @@
             _budget(membership=self._members) for _ in range(count)
         ]
         self._number = 0
-        self.account = repeats.RepeatAccount()
+        self.counter = repeats.RepeatCounter()
 
     async def execute(self, step: Step, tasks: anyio.abc.TaskGroup) -> None:
         """Execute one step."""
@@ -384,7 +384,7 @@
         budget = self._budgets[at]
         for _ in range(step.requests):
             budget.earn()
-            self.account.note_request(anyio.current_time())
+            self.counter.count_request(anyio.current_time())
         for _ in range(step.repeats):
             tracker = budget.track_sends()
             if not tracker.reserve():
@@ -397,9 +397,9 @@
     ) -> None:
         self._number += 1
         request = str(self._number)
-        self.account.note_arrival(request, anyio.current_time())
+        self.counter.count_arrival(request, anyio.current_time())
         await anyio.sleep(arrival_delay)
-        self.account.note_arrival(request, anyio.current_time())
+        self.counter.count_arrival(request, anyio.current_time())
         tracker.note_arrived()
 
 
@@ -420,7 +420,7 @@
                 for step in plan:
                     await entries.execute(step, tasks)
             allowance = repeats.Allowance(RATIO, SLACK, WINDOW_SECONDS)
-            return entries.account.peak(allowance)
+            return entries.counter.peak(allowance)
 
         peak = virtual.run(body)
         assert not peak.is_over, peak
