--- a/bench/soak/budget.py
+++ b/bench/soak/budget.py
@@ -13,7 +13,7 @@
 from crowdeck.standin import repeats
 
 # Small and over a short window, so that few callers exhaust it repeatedly.
-ALLOWANCE = repeats.Allowance(ratio=0.05, slack=40.0, window=5.0)
+ALLOWANCE = repeats.Allowance(ratio=0.05, slack=40.0, window_seconds=5.0)
 SERVICES = {
     callers_module.STREAM: "model",
     callers_module.ONCE: "plain",
@@ -28,12 +28,13 @@
 class ServicePeak:
     """The window in which a service got most repeats relative to its budget.
 
-    :ivar since: seconds from the first request to the start of the window.
+    :ivar start_seconds: time from the first request to the start of the
+        window.
     """
 
     service: str
     peak: repeats.Peak
-    since: float
+    start_seconds: float
 
     def __str__(self) -> str:
         """Return a line for the report."""
@@ -42,7 +43,7 @@
             return f"repeats: {self.service} got none"
         return (
             f"repeats: {self.service} got {peak.repeats} of "
-            f"{peak.allowed:.1f} in the window from {self.since:.2f} s"
+            f"{peak.allowed:.1f} in the window from {self.start_seconds:.2f} s"
         )
 
 
@@ -51,7 +52,7 @@
     return (
         f"retry_ratio = {allowance.ratio}\n"
         f"retry_slack = {allowance.slack}\n"
-        f"retry_window_seconds = {allowance.window}\n"
+        f"retry_window_seconds = {allowance.window_seconds}\n"
     )
 
 
@@ -70,8 +71,8 @@
     found = []
     for service, arrived in sorted(arrivals.items()):
         peaks = _build_counter(service, outcomes, arrived).peaks(allowance)
-        peak = max(peaks, key=lambda one: one.repeats / one.allowed)
-        found.append(ServicePeak(service, peak, peak.since - started_at))
+        peak = max(peaks, key=lambda peak: peak.repeats / peak.allowed)
+        found.append(ServicePeak(service, peak, peak.started_at - started_at))
     return found
 
 
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -194,7 +194,7 @@
                 tasks.start_soon(self.callers.run_crashing)
                 tasks.start_soon(self._engine_faults.restart_crashed)
             if allowance:
-                await self._run_bursts(allowance.window)
+                await self._run_bursts(allowance.window_seconds)
             else:
                 await self._inject_faults()
             violations = await self._check_recovery()
--- a/src/crowdeck/standin/repeats.py
+++ b/src/crowdeck/standin/repeats.py
@@ -17,22 +17,23 @@
 
     :ivar ratio: allowed repeats per request.
     :ivar slack: additional allowed repeats.
-    :ivar window: length of the sliding window in seconds.
+    :ivar window_seconds: length of the sliding window.
     """
 
     ratio: float
     slack: float
-    window: float
+    window_seconds: float
 
 
 @attrs.frozen
 class Peak:
     """The repeats in one window and how many it allows.
 
-    :ivar since: start of the window, on the clock of the arrivals.
+    :ivar started_at: start of the window in seconds, on the clock of the
+        arrivals.
     """
 
-    since: float
+    started_at: float
     repeats: int
     allowed: float
 
@@ -78,13 +79,13 @@
     def peak(self, allowance: Allowance) -> Peak:
         """Return the window that exceeds its allowance by most."""
         return max(
-            self.peaks(allowance), key=lambda one: one.repeats - one.allowed
+            self.peaks(allowance), key=lambda peak: peak.repeats - peak.allowed
         )
 
     def peaks(self, allowance: Allowance) -> list[Peak]:
         """Return all windows that start or end at a repeat, or start at 0."""
         repeats = self.repeats()
-        window = allowance.window
+        window = allowance.window_seconds
         starts = {*repeats, *(at - window for at in repeats), 0.0}
         return [
             self._measure_window(start, repeats, allowance) for start in starts
@@ -93,7 +94,7 @@
     def _measure_window(
         self, since: float, repeats: list[float], allowance: Allowance
     ) -> Peak:
-        window = allowance.window
+        window = allowance.window_seconds
         requests = max(
             _count_in_window(self._requests, since - offset, window)
             for offset in (0.0, window / 2, window)
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -15,7 +15,7 @@
 from tests import entries_system
 from tests import fleet_system
 
-ALLOWANCE = repeats.Allowance(ratio=0.2, slack=100.0, window=10.0)
+ALLOWANCE = repeats.Allowance(ratio=0.2, slack=100.0, window_seconds=10.0)
 FAILURE_FREE_SECONDS = 24.0
 FAILURES = 10**6
 # Longer than any attempt of these requests.
