--- a/bench/soak/standin_platform.py
+++ b/bench/soak/standin_platform.py
@@ -105,7 +105,7 @@
             port=one["port"],
             advertised_address=listed.address,
         )
-        self._fleet.at(listed.address).seconds = CALL_SECONDS
+        self._fleet.at(listed.address).call_seconds = CALL_SECONDS
 
     async def _back_up(self) -> None:
         while True:
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -66,11 +66,11 @@
     :ivar reset_connections: number of next connections to reset.
     :ivar refuses_repaths: refuses every new path without naming a culprit.
     :ivar backoff: seconds of backoff that rejections ask for.
-    :ivar announces_leaving: answers say that the instance is leaving.
+    :ivar announces_leaving: whether answers announce that the instance leaves.
     :ivar limit: limit that answers announce, in requests per second.
-    :ivar tells_load: answers report the load.
+    :ivar reports_load: whether answers report the load.
     :ivar running: number of requests in progress.
-    :ivar seconds: time that a call takes.
+    :ivar call_seconds: time that a call takes.
     :ivar loaded_at: event loop time at which all listed layers can serve.
     :ivar kept_layers: layers that can serve before that.
     """
@@ -92,9 +92,9 @@
     backoff: float = 0.0
     announces_leaving: bool = False
     limit: float | None = None
-    tells_load: bool = False
+    reports_load: bool = False
     running: int = 0
-    seconds: float = 0.02
+    call_seconds: float = 0.02
     late_orders: list[plan.Move] = attrs.field(factory=list)
     loaded_at: float = float("-inf")
     kept_layers: pipeline.LayerRange | None = None
@@ -119,7 +119,7 @@
     @property
     def load(self) -> interfaces.Load | None:
         """The load that answers report, or ``None``."""
-        if not self.tells_load:
+        if not self.reports_load:
             return None
         return interfaces.Load(self.running, 0, self.listed.slots)
 
@@ -420,7 +420,7 @@
     async def _work(
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
-        await anyio.sleep(target.seconds)
+        await anyio.sleep(target.call_seconds)
         await self._maybe_crash(target, request)
         if target.is_unresponsive:
             await anyio.sleep_forever()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -134,7 +134,7 @@
         async def work(system: System) -> None:
             for one in system.fleet.upstreams:
                 # Long enough that all instances are needed.
-                one.seconds = 0.5
+                one.call_seconds = 0.5
             await send(system, repeat, 1.0)
             target = busiest(system)
             target.backoff = BACKOFF_SECONDS
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -60,7 +60,7 @@
         self._rng = random.Random(7)
         self._sent = 0
         for target in self.fleet.upstreams:
-            target.tells_load = True
+            target.reports_load = True
 
     async def send(
         self, seconds: float, per_second: float, repeat: routes.RepeatPolicy
--- a/tests/test_relay_calls.py
+++ b/tests/test_relay_calls.py
@@ -66,7 +66,7 @@
 
     def test_silent_instance_ends_at_the_routes_timeout(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
-            set_state(system, seconds=60.0)
+            set_state(system, call_seconds=60.0)
             request = system.request(ONCE)
             caller = await system.ask(request)
             assert anyio.current_time() <= 1.5
@@ -176,7 +176,7 @@
     def test_silent_instance_leaves_time_for_another(self) -> None:
         async def work(system: fleet_system.FleetSystem) -> None:
             first = next(iter(system.listed.values()))
-            system.fleet.at(first.address).seconds = 60.0
+            system.fleet.at(first.address).call_seconds = 60.0
             for _ in range(3):
                 request = system.request(IDEMPOTENT)
                 caller = await system.ask(request)
