--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -32,14 +32,14 @@
 from crowdeck.standin import repeats
 from crowdeck import verdict as verdicts
 
-# Engines end a stream that has waited this long for a dead or silent engine.
+# A stream fails after waiting this long for a dead or unresponsive engine.
 STALL_SECONDS = 2.0
 POLL_SECONDS = 0.005
 # Time after which a head engine refuses a new path through an unresponsive
 # engine.
 UNRESPONSIVE_HOP_SECONDS = 0.085
-# A call takes several turns of the caller's event loop; a single sleep would
-# hide races between them.
+# Number of sleeps of one dial. A single sleep would hide races with other
+# tasks on the caller's event loop.
 DIAL_STEPS = 4
 DIAL_STEP_SECONDS = 0.0003
 # Time from the start of a crashing request to the crash.
@@ -71,8 +71,9 @@
     :ivar reports_load: whether answers report the load.
     :ivar running: number of requests in progress.
     :ivar call_seconds: time that a call takes.
-    :ivar loaded_at: event loop time at which all listed layers can serve.
-    :ivar kept_layers: layers that can serve before that.
+    :ivar loaded_at: event loop time in seconds at which loading ends.
+    :ivar kept_layers: layers held both before and after the last order; only
+        these serve while the others load.
     """
 
     listed: chain.Upstream
@@ -106,7 +107,7 @@
 
     @property
     def answers(self) -> bool:
-        """Whether it answers requests."""
+        """Whether it answers requests; neither dead nor unresponsive."""
         return not self.is_dead and not self.is_unresponsive
 
     @property
@@ -143,7 +144,10 @@
 
 @attrs.frozen
 class EngineCrash:
-    """One crash of an upstream, caused by a request that it ran."""
+    """One crash of an upstream, caused by a request that it ran.
+
+    :ivar at: event loop time of the crash, in seconds.
+    """
 
     target: StandinUpstream
     upstream: str
@@ -154,12 +158,17 @@
 class ChainFleet:
     """Stand-in upstreams by address, in one process.
 
+    :ivar rejected: number of rejections by upstream name.
+    :ivar repaths: ids of the requests that moved to another path.
     :ivar crashing_bodies: a request with one of these bodies crashes each
         upstream that begins it.
     :ivar crashes: the crashes so far.
     :ivar repeat_counters: requests and arrivals by service name.
     :ivar is_link_stalled: while set, messages wait; none is lost.
-    :ivar load_seconds: time to load all layers; fewer load in proportion.
+    :ivar events: number of events in each stream.
+    :ivar event_seconds: time between two events of a stream.
+    :ivar load_seconds: time to load all layers; the time for fewer layers is
+        proportional.
     """
 
     def __init__(self, layer_count: int = 80) -> None:
@@ -268,7 +277,11 @@
             started_ms=target.listed.started_ms,
         )
         if report.is_from_later_run(upstream.incarnation):
-            raise errors.InstanceGone("its process has started again")
+            raise errors.InstanceGone(
+                f"{upstream.name}: expected the process started at "
+                f"{upstream.incarnation.started_ms} ms, "
+                f"found one started at {report.started_ms} ms"
+            )
         return report
 
     async def repath(
@@ -309,7 +322,7 @@
         return True
 
     def carry_out(self, target: StandinUpstream, move: plan.Move) -> None:
-        """Replace the layers of an engine."""
+        """Replace the layers of an engine, as an accepted order does."""
         target.orders_taken += 1
         target.kept_layers = _intersect(target.listed.layers, move.layers)
         count = _size(move.layers) - _size(target.kept_layers)
@@ -328,7 +341,9 @@
                 await anyio.sleep(DIAL_STEP_SECONDS)
                 await self._wait_for_link()
         if target is None or target.is_dead:
-            raise errors.InstanceGone("the upstream was lost")
+            raise errors.InstanceGone(
+                f"the upstream at {upstream.address} refuses connections"
+            )
         if target.is_unresponsive:
             raise _upstream_lost(verdicts.Verdict.NOT_RUN)
         if target.reset_connections:
@@ -362,9 +377,10 @@
         counter.count_arrival(request_id, anyio.current_time())
 
     def _find_misplaced_hop(self, path: chain.ChainPath | None) -> str | None:
-        """Return the address of an engine that does not hold its layers.
+        """Return the address of the first hop that cannot run its layers.
 
-        ``None`` if the path is valid.
+        That hop does not continue the previous one, or its engine does not
+        hold its layers. ``None`` if the path is valid.
         """
         if path is None:
             return None
@@ -373,6 +389,7 @@
             if hop.layers.first != position or not self._holds(hop):
                 return str(hop.upstream.address)
             position = hop.layers.end
+        # If the path ends before the last layer, no engine is at fault.
         return None if position == self._layer_count else "0.0.0.0:0"
 
     def _holds(self, hop: chain.Hop) -> bool:
@@ -451,7 +468,7 @@
     async def _maybe_crash(
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
-        """Crash the upstream if the request is a crashing one."""
+        """Crash the upstream if the request has a crashing body."""
         if request.body not in self.crashing_bodies:
             return
         await anyio.sleep(CRASH_DELAY_SECONDS)
@@ -604,9 +621,13 @@
     return f"id: {number}\ndata: {request_id}:{number}\n\n".encode()
 
 
-def split_layers(layer_count: int, count: int) -> list[pipeline.LayerRange]:
-    """Return ``layer_count`` layers in ``parts`` ranges."""
-    bounds = [layer_count * index // count for index in range(count + 1)]
+def split_layers(
+    layer_count: int, range_count: int
+) -> list[pipeline.LayerRange]:
+    """Split layers 0 to ``layer_count - 1`` into adjacent ranges."""
+    bounds = [
+        layer_count * index // range_count for index in range(range_count + 1)
+    ]
     return [
         pipeline.LayerRange(first, end)
         for first, end in zip(bounds, bounds[1:], strict=False)
@@ -633,5 +654,7 @@
 
 def _upstream_lost(verdict: verdicts.Verdict) -> errors.CrowdeckError:
     return errors.CrowdeckError(
-        errors.Code.UPSTREAM_LOST, "the upstream was lost", verdict=verdict
+        errors.Code.UPSTREAM_LOST,
+        "the connection to the upstream was lost",
+        verdict=verdict,
     )
