--- a/src/crowdeck/standin/chain_answer.py
+++ b/src/crowdeck/standin/chain_answer.py
@@ -15,7 +15,10 @@
 
 
 class StandinAnswer:
-    """The answer to one request; implements ``relay.interfaces.Answer``."""
+    """The answer to one request; implements ``relay.interfaces.Answer``.
+
+    :param culprit: address of the engine that caused a rejection, or empty.
+    """
 
     def __init__(
         self,
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -62,7 +62,7 @@
             else:
                 await self._serve(scope, body, send)
         except errors.CrowdeckError:
-            # The instance was lost, so the response stays incomplete.
+            # An instance that fails does not finish its response.
             return
 
     @property
@@ -162,7 +162,7 @@
 async def heartbeat(
     fleet: chain_fleet.ChainFleet, store: standin_store.StandinStore
 ) -> None:
-    """Write each responsive instance's entry to the store periodically."""
+    """Write the store object of each responsive instance periodically."""
     while True:
         for target in fleet.upstreams:
             if target.answers:
@@ -173,7 +173,7 @@
 def write_entry(
     listed: chain.Upstream, store: standin_store.StandinStore
 ) -> None:
-    """Write an instance's entry to the store if it has changed."""
+    """Write the store object of an instance if it has changed."""
     content = {
         names.SERVICE: listed.service,
         names.ADDRESS: str(listed.address),
@@ -184,8 +184,8 @@
         names.LAYERS: _layers(listed.layers),
         **_start_time_fields(listed.started_ms),
     }
-    entry = listed.incarnation.id
-    store.write_if_new(names.UPSTREAM_KIND, entry, orjson.dumps(content))
+    name = listed.incarnation.id
+    store.write_if_changed(names.UPSTREAM_KIND, name, orjson.dumps(content))
 
 
 async def serve(
@@ -211,7 +211,7 @@
 
 
 class _DeferredApp:
-    """An application that is set once the port is known."""
+    """Forwards to ``app``, which is set once the port is known."""
 
     app: UpstreamApp
 
--- a/src/crowdeck/standin/cluster.py
+++ b/src/crowdeck/standin/cluster.py
@@ -187,7 +187,8 @@
     async def _start_engine(
         self, name: str, offer: pipeline.Offer, zone: str, replica: int
     ) -> None:
-        # Each replica has a slower accelerator than the one before.
+        # Replica N has an accelerator that is N + 1 times as slow as that of
+        # replica 0.
         speed = engines.EngineSpeed(
             batch_seconds=self._options.batch_seconds * (1 + replica)
         )
--- a/src/crowdeck/standin/engine.py
+++ b/src/crowdeck/standin/engine.py
@@ -118,7 +118,7 @@
             # continuous batching does. Its cancellation must not stop the
             # others' batches.
             with anyio.CancelScope(shield=True):
-                await self._drive_device()
+                await self._run_batches()
         for queued_step in queued:
             await queued_step.done.wait()
         self._raise_failure()
@@ -128,7 +128,7 @@
             for queued_step in queued
         )
 
-    async def _drive_device(self) -> None:
+    async def _run_batches(self) -> None:
         self._is_busy = True
         while self._queue:
             limit = self._speed.batch_limit
@@ -154,7 +154,7 @@
         self._raise_failure()
         held = self._sequences.get(sequence)
         if held is None:
-            raise _engine_error(f"no sequence {sequence}")
+            raise _engine_error(f"no KV cache for sequence {sequence!r}")
         return typing.cast(bytes, msgpack.packb(held.states))
 
     async def import_kv(self, sequence: str, kv: bytes) -> None:
@@ -180,6 +180,8 @@
         )
 
     def _token_count(self, step: upstream.EngineStep) -> int:
+        # A step of a head has a prompt or tokens, any other a number of
+        # hidden states.
         words = len(step.prompt.split())
         return words + len(step.tokens) + step.count
 
@@ -188,7 +190,10 @@
         if sequence.context < step.context:
             return upstream.EngineOutput(
                 sequence=step.sequence,
-                error=f"{sequence.context} tokens held, not {step.context}",
+                error=(
+                    f"expected at least {step.context} tokens in the KV "
+                    f"cache, found {sequence.context}"
+                ),
             )
         self.begun.setdefault(step.sequence, time.monotonic())
         del sequence.states[step.context :]
@@ -207,7 +212,7 @@
         if self._offer.is_head:
             tokens = self._model.tokenize(step.prompt) + step.tokens
             return [self._model.embed(token) for token in tokens]
-        size = models.HIDDEN_SIZE
+        size = models.HIDDEN_BYTES
         return [
             int.from_bytes(step.hidden[offset : offset + size], "little")
             for offset in range(0, len(step.hidden), size)
@@ -239,7 +244,8 @@
                 finish=choice.finish,
             )
         hidden = b"".join(
-            output.to_bytes(models.HIDDEN_SIZE, "little") for output in outputs
+            output.to_bytes(models.HIDDEN_BYTES, "little")
+            for output in outputs
         )
         return upstream.EngineOutput(
             sequence=step.sequence, hidden=hidden, count=len(outputs)
--- a/src/crowdeck/standin/engine_http.py
+++ b/src/crowdeck/standin/engine_http.py
@@ -41,7 +41,7 @@
                 routing.Route("/cancel", self._cancel, methods=post),
                 routing.Route("/kv/export", self._export, methods=post),
                 routing.Route("/kv/import", self._import, methods=post),
-                routing.Route("/standin/slowness", self._slow),
+                routing.Route("/standin/slowness", self._set_slowness),
                 routing.Route("/standin/begun", self._begun),
             ]
         )
@@ -64,7 +64,7 @@
         await self._engine.cancel(body["sequence"])
         return _reply({})
 
-    async def _slow(self, request: requests.Request) -> typing.Any:
+    async def _set_slowness(self, request: requests.Request) -> typing.Any:
         self._engine.slowness = float(request.query_params["to"])
         return responses.JSONResponse(self._engine.slowness)
 
--- a/src/crowdeck/standin/model.py
+++ b/src/crowdeck/standin/model.py
@@ -5,8 +5,8 @@
 
 """A deterministic stand-in for a model.
 
-Each layer keeps one number per token of context, hashed from its input and
-the number for the token before, and passes one number on. Skipping,
+The state of a layer for a token is a hash of its input and of its state for
+the previous token; its output is a hash of that state and its input. Skipping,
 repeating or reordering a layer, or running it on another request's context,
 changes all following tokens. An answer that equals
 :meth:`StandinModel.answer` therefore shows that each layer ran exactly once
@@ -16,7 +16,7 @@
 import attrs
 import xxhash
 
-HIDDEN_SIZE = 8
+HIDDEN_BYTES = 8
 WORDS = (
     "the recharge was accepted but its receipt came late so please wait "
     "for one more minute then ask the desk to fetch it again with same "
@@ -24,8 +24,8 @@
     "lost lot map boundary title stands clear of any charge on this date"
 ).split()
 VOCABULARY_SIZE = 4096
-# On average one token in this many ends the answer.
-STOP_ODDS = 997
+# Mean number of tokens until one ends the answer.
+MEAN_ANSWER_TOKENS = 997
 FINISH_STOP = "stop"
 
 LayerStates = tuple[int, ...]
@@ -33,7 +33,7 @@
 
 def _mix(*numbers: int) -> int:
     data = b"".join(
-        number.to_bytes(HIDDEN_SIZE, "little") for number in numbers
+        number.to_bytes(HIDDEN_BYTES, "little") for number in numbers
     )
     return xxhash.xxh3_64_intdigest(data)
 
@@ -87,7 +87,7 @@
         """Choose the token for the last layer's output."""
         token = hidden % VOCABULARY_SIZE
         word = WORDS[token % len(WORDS)]
-        is_last = hidden % STOP_ODDS == 0
+        is_last = hidden % MEAN_ANSWER_TOKENS == 0
         return Choice(token, word + " ", FINISH_STOP if is_last else "")
 
     def answer(self, prompt: str, max_tokens: int) -> list[Choice]:
--- a/src/crowdeck/standin/network.py
+++ b/src/crowdeck/standin/network.py
@@ -31,7 +31,10 @@
     def __call__(
         self, source: str, target: str, message: typing.Any
     ) -> abc.Iterable[float]:
-        """Return the extra delay of each copy; none loses the message."""
+        """Return the extra delay in seconds of each copy to deliver.
+
+        An empty result loses the message.
+        """
         ...
 
 
@@ -117,7 +120,9 @@
             return None
         return node
 
-    async def travel(self, source: str, target: str, delay: float) -> None:
+    async def wait_for_delivery(
+        self, source: str, target: str, delay: float
+    ) -> None:
         """Wait until a message from source to target is delivered."""
         await anyio.sleep(delay)
         for name in (source, target):
@@ -141,7 +146,7 @@
         self._sender, self._receiver = anyio.create_memory_object_stream[
             tuple[messages.Record, float]
         ](1_000_000)
-        self.twin: MemoryPeer | None = None
+        self.opposite: MemoryPeer | None = None
 
     @property
     def greeting(self) -> messages.Greeting:
@@ -166,7 +171,10 @@
         """Ask a question; the question or its reply can be lost."""
         source, target = self._names
         lost = errors.LinkLost(
-            f"no reply from {target}", was_sent=self.is_open, culprit=target
+            f"no reply from {target} within {timeout} s, "
+            "or the link to it closed",
+            was_sent=self.is_open,
+            culprit=target,
         )
         if not self.is_open:
             raise lost
@@ -190,18 +198,18 @@
         self._closed.set()
         self._sender.close()
         self._near.forget(self)
-        if self.twin is not None:
-            self.twin.close()
+        if self.opposite is not None:
+            self.opposite.close()
 
-    async def pump(self) -> None:
+    async def deliver_records(self) -> None:
         """Deliver this end's records to the far end's handler, in order."""
         source, target = self._names
         with contextlib.closing(self._receiver):
             async for record, extra_delay in self._receiver:
                 delay = self._network.delay + extra_delay
-                await self._network.travel(source, target, delay)
-                if self.twin is not None and self.twin.is_open:
-                    self._far.handler.on_record(self.twin, record)
+                await self._network.wait_for_delivery(source, target, delay)
+                if self.opposite is not None and self.opposite.is_open:
+                    self._far.handler.on_record(self.opposite, record)
 
     @property
     def _names(self) -> tuple[str, str]:
@@ -221,7 +229,7 @@
         was_delivered = False
         for extra_delay in self._network.fault(source, target, question):
             delay = self._network.delay + extra_delay
-            await self._network.travel(source, target, delay)
+            await self._network.wait_for_delivery(source, target, delay)
             # The far end handles the question even if the asker gives up.
             done = anyio.Event()
             result: list[questions.Reply] = []
@@ -232,7 +240,7 @@
         await done.wait()
         for extra_delay in self._network.fault(target, source, result[0]):
             delay = self._network.delay + extra_delay
-            await self._network.travel(target, source, delay)
+            await self._network.wait_for_delivery(target, source, delay)
             replies.append(result[0])
             tasks.cancel_scope.cancel()
 
@@ -242,12 +250,12 @@
         result: list[questions.Reply],
         done: anyio.Event,
     ) -> None:
-        if self.twin is None or not self.twin.is_open:
+        if self.opposite is None or not self.opposite.is_open:
             # The link or the process ended while the question was in transit.
             return
         try:
             result.append(
-                await self._far.handler.on_question(self.twin, question)
+                await self._far.handler.on_question(self.opposite, question)
             )
         except errors.CrowdeckError as error:
             result.append(questions.Refused.of(error))
@@ -283,7 +291,7 @@
             )
         near_peer = MemoryPeer(self._network, self, far)
         far_peer = MemoryPeer(self._network, far, self)
-        near_peer.twin, far_peer.twin = far_peer, near_peer
+        near_peer.opposite, far_peer.opposite = far_peer, near_peer
         far.add_peer(far_peer)
         self.add_peer(near_peer)
         return near_peer
@@ -292,7 +300,7 @@
         """Register a new link and start delivering its records."""
         self._peers.append(peer)
         self.handler.on_opened(peer)
-        self.tasks.start_soon(peer.pump)
+        self.tasks.start_soon(peer.deliver_records)
 
     def forget(self, peer: MemoryPeer) -> None:
         """Remove a closed link and notify the handler."""
--- a/src/crowdeck/standin/repeats.py
+++ b/src/crowdeck/standin/repeats.py
@@ -77,7 +77,7 @@
         )
 
     def peak(self, allowance: Allowance) -> Peak:
-        """Return the window that exceeds its allowance by most."""
+        """Return the window with the most repeats above its allowance."""
         return max(
             self.peaks(allowance), key=lambda peak: peak.repeats - peak.allowed
         )
@@ -95,6 +95,8 @@
         self, since: float, repeats: list[float], allowance: Allowance
     ) -> Peak:
         window = allowance.window_seconds
+        # Entries earn a window's repeats with the requests of the window
+        # before it.
         requests = max(
             _count_in_window(self._requests, since - offset, window)
             for offset in (0.0, window / 2, window)
--- a/src/crowdeck/standin/serve.py
+++ b/src/crowdeck/standin/serve.py
@@ -5,8 +5,11 @@
 
 """Runs stand-ins in a separate process, for load tests.
 
-``python -m crowdeck.standin.serve SPEC`` takes a JSON object with the
-stand-ins to serve. It prints one JSON line with their ports once all listen.
+``python -m crowdeck.standin.serve SPEC`` takes a JSON object with optional
+keys: ``store`` (arguments of :class:`~crowdeck.standin.store.StandinStore`),
+``services`` (delay in seconds by name) and ``engines`` (arguments of
+:func:`build_engine` by name). It prints one JSON line with the ports by name
+once all listen.
 """
 
 import json
--- a/src/crowdeck/standin/service.py
+++ b/src/crowdeck/standin/service.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A stand-in for plain services: receipts, and lots with map tiles."""
+"""A stand-in for plain services: receipts, and land parcels with map tiles."""
 
 import collections
 
@@ -17,7 +17,7 @@
 
 
 class StandinService:
-    """Serves receipts and lots, and counts their side effects.
+    """Serves receipts and land parcels (lots), and counts their side effects.
 
     :ivar runs: how often each receipt and lot was served.
     """
@@ -71,6 +71,7 @@
     ) -> responses.Response:
         number = request.path_params["number"]
         tile = request.path_params["tile"]
+        # The tiles of this lot cannot be fetched.
         if number == "torn":
             return responses.Response(status_code=404)
         return responses.Response(
--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -15,18 +15,22 @@
 from crowdeck.state import objects as stores
 from crowdeck import verdict as verdicts
 
-# A client's timeout beyond the wait of a watch.
+# Client timeout in addition to the requested wait of a watch.
 REPLY_TIMEOUT_SECONDS = 0.5
 DEFAULT_DELAY_SECONDS = 0.002
 
 
 @attrs.frozen
 class Backup:
-    """The contents of a store at one time."""
+    """The contents of a store at one time.
+
+    :ivar removals: version, kind and name of each removal.
+    :ivar forgotten_version: version up to which no history is kept.
+    """
 
     objects: dict[tuple[str, str], stores.StoredObject]
     removals: tuple[tuple[int, str, str], ...]
-    forgotten: int
+    forgotten_version: int
     version: int
 
 
@@ -40,7 +44,7 @@
     :ivar is_down: calls fail with ``STORE_DOWN``.
     :ivar lost_replies: number of next writes that take effect but whose reply
         is lost.
-    :ivar calls: number of calls by method, as the platform charges them.
+    :ivar calls: number of calls by method.
     """
 
     def __init__(self, delay: float = DEFAULT_DELAY_SECONDS) -> None:
@@ -53,8 +57,9 @@
         self._list_version = 0
         self._changed = anyio.Event()
         self.delay = delay
-        self._is_silent = False
-        self._silences = 0
+        self._is_unresponsive = False
+        # Differs from an earlier count if calls stopped being answered since.
+        self._unresponsive_count = 0
         self.is_down = False
         self.lost_replies = 0
         self.calls: collections.Counter[str] = collections.Counter()
@@ -97,7 +102,7 @@
         self, kind: str, after: stores.Position, wait: float
     ) -> stores.Changes:
         """Return the changes after a position; wait for them if none."""
-        silences = self._silences
+        unresponsive_count = self._unresponsive_count
         began = anyio.current_time()
         await self._simulate_call("watch", wait)
         self._raise_if_forgotten(after)
@@ -105,7 +110,7 @@
             while not self._has_changed(kind, after.version):
                 await self._changed.wait()
                 self._raise_if_down()
-        if silences != self._silences:
+        if unresponsive_count != self._unresponsive_count:
             await anyio.sleep_until(began + wait + REPLY_TIMEOUT_SECONDS)
             raise _store_down()
         self._raise_if_down()
@@ -155,8 +160,8 @@
         self._notify_watchers()
         return self._version
 
-    def write_if_new(self, kind: str, name: str, value: bytes) -> None:
-        """Write an object if its value differs."""
+    def write_if_changed(self, kind: str, name: str, value: bytes) -> None:
+        """Write an object if it does not have this value yet."""
         held = self._objects.get((kind, name))
         if held is None or held.value != value:
             self.write(kind, name, value)
@@ -191,19 +196,19 @@
         """
         self._objects = dict(backup.objects)
         self._removals = list(backup.removals)
-        self._forgotten_version = backup.forgotten
+        self._forgotten_version = backup.forgotten_version
         self._version = backup.version
         self._epoch += 1
         self._notify_watchers()
 
     def stop_answering(self) -> None:
         """Stop answering calls, including pending watches."""
-        self._is_silent = True
-        self._silences += 1
+        self._is_unresponsive = True
+        self._unresponsive_count += 1
 
     def resume_answering(self) -> None:
         """Answer new calls again."""
-        self._is_silent = False
+        self._is_unresponsive = False
 
     def _notify_watchers(self) -> None:
         self._changed.set()
@@ -232,7 +237,7 @@
 
     async def _simulate_call(self, call: str, wait: float = 0.0) -> None:
         self.calls[call] += 1
-        if self._is_silent:
+        if self._is_unresponsive:
             await anyio.sleep(wait + REPLY_TIMEOUT_SECONDS)
             raise _store_down()
         await anyio.sleep(self.delay)
@@ -242,7 +247,10 @@
         is_kept = self._forgotten_version <= after.version <= self._version
         if after.epoch != self._epoch or not is_kept:
             raise errors.CrowdeckError(
-                errors.Code.STORE_HISTORY, "the history is gone"
+                errors.Code.STORE_HISTORY,
+                f"expected a version from {self._forgotten_version} to "
+                f"{self._version} of epoch {self._epoch}, found version "
+                f"{after.version} of epoch {after.epoch}",
             )
 
     def _raise_if_down(self) -> None:
@@ -252,5 +260,5 @@
 
 def _store_down() -> errors.CrowdeckError:
     return errors.CrowdeckError(
-        errors.Code.STORE_DOWN, "the store does not answer", retry_after=1.0
+        errors.Code.STORE_DOWN, "the store is unavailable", retry_after=1.0
     )
--- a/src/crowdeck/standin/store_http.py
+++ b/src/crowdeck/standin/store_http.py
@@ -98,8 +98,8 @@
         query = request.query_params
         if names.WATCH in query:
             wait = int(query.get(names.WAIT_MS, "0")) / 1000.0
-            # A watch names no epoch. Like the platform, the stand-in takes
-            # its version as one of the current epoch.
+            # A watch request carries no epoch; as on the platform, its version
+            # is interpreted in the current epoch.
             after = stores.Position(int(query[names.WATCH]), self._store.epoch)
             changes = await self._store.watch(kind, after, wait)
             return _json(_events(changes))
@@ -111,7 +111,9 @@
 
     async def _list_instances(self) -> stores.Changes:
         listing = await self._store.list_instances()
-        assert listing is not None, "no known etag was given"
+        assert listing is not None, (
+            "expected a listing, found none although no etag was passed"
+        )
         etag = int(listing.etag)
         return stores.Changes(
             etag,
