--- a/spec/attempts.py
+++ b/spec/attempts.py
@@ -10,9 +10,9 @@
 
 from spec import model
 
-EPOCHS = "records of other epochs are refused"
-POSITIONS = "records of other positions are refused"
-LAYERS = "a token is accepted only from the model's last layer"
+REFUSES_OTHER_EPOCHS = "records of other epochs are refused"
+REFUSES_OTHER_POSITIONS = "records of other positions are refused"
+LAST_LAYER_ONLY = "a token is accepted only from the model's last layer"
 
 TOKENS = 2
 FULL_TOKENS = 3
@@ -47,7 +47,11 @@
     """Attempts, which the entry may abandon even while they make progress."""
 
     name = "attempts"
-    protections = (EPOCHS, POSITIONS, LAYERS)
+    protections = (
+        REFUSES_OTHER_EPOCHS,
+        REFUSES_OTHER_POSITIONS,
+        LAST_LAYER_ONLY,
+    )
 
     def initial(self) -> State:
         """Return the initial state."""
@@ -74,6 +78,8 @@
                 )
                 found.append((f"{label} is duplicated", duplicated))
             found.append((f"{label} is lost", received))
+            # A stage before the last may return its output as if it were a
+            # token.
             if message[0] == "step":
                 early = ("early token", message[1], message[2])
                 in_flight = received.in_flight | {early}
@@ -112,7 +118,7 @@
             case "answer":
                 return self._answer(state, epoch, position, protections)
             case "early token":
-                if LAYERS in protections:
+                if LAST_LAYER_ONLY in protections:
                     return state
         return self._token(state, epoch, position, protections, token_count)
 
@@ -123,7 +129,7 @@
         position: int,
         protections: frozenset[str],
     ) -> State:
-        if epoch <= state.head[0] and EPOCHS in protections:
+        if epoch <= state.head[0] and REFUSES_OTHER_EPOCHS in protections:
             return state
         return _run(state, epoch, position, 0)._replace(
             head=(epoch, position + 1)
@@ -136,11 +142,11 @@
         position: int,
         protections: frozenset[str],
     ) -> State:
-        held, expected = state.tail
-        if epoch < held and EPOCHS in protections:
+        tail_epoch, expected = state.tail
+        if epoch < tail_epoch and REFUSES_OTHER_EPOCHS in protections:
             return state
-        is_duplicate = epoch == held and position != expected
-        if is_duplicate and POSITIONS in protections:
+        has_other_position = epoch == tail_epoch and position != expected
+        if has_other_position and REFUSES_OTHER_POSITIONS in protections:
             return state
         after = _run(state, epoch, position, 1)
         return after._replace(tail=(epoch, position + 1))
@@ -153,10 +159,10 @@
         protections: frozenset[str],
         token_count: int,
     ) -> State:
-        held, expected = state.head
-        if epoch != held and EPOCHS in protections:
+        head_epoch, expected = state.head
+        if epoch != head_epoch and REFUSES_OTHER_EPOCHS in protections:
             return state
-        if position != expected - 1 and POSITIONS in protections:
+        if position != expected - 1 and REFUSES_OTHER_POSITIONS in protections:
             return state
         in_flight = state.in_flight | {("answer", epoch, position)}
         after = state._replace(in_flight=in_flight)
@@ -173,10 +179,10 @@
         position: int,
         protections: frozenset[str],
     ) -> State:
-        if epoch != state.epoch and EPOCHS in protections:
+        if epoch != state.epoch and REFUSES_OTHER_EPOCHS in protections:
             return state
         is_next = position == len(state.delivered)
-        if not is_next and POSITIONS in protections:
+        if not is_next and REFUSES_OTHER_POSITIONS in protections:
             return state
         return state._replace(delivered=(*state.delivered, (epoch, position)))
 
--- a/spec/check.py
+++ b/spec/check.py
@@ -29,7 +29,7 @@
     leases.Leases(),
     restored_leases.RestoredLeases(),
     corrupted_leases.CorruptedLeases(),
-    corrupted_leases.PromptLeases(),
+    corrupted_leases.UnpausedLeases(),
     copies.Copies(),
     orders.Orders(),
     rearrangements.Rearrangements(),
@@ -47,32 +47,37 @@
 
     name: str
     removed: str
-    verdict: model.Verdict
+    result: model.SearchResult
 
     @property
     def is_as_expected(self) -> bool:
         """Whether invariants hold, or one fails without the protection."""
         if self.removed:
-            return bool(self.verdict.violated)
-        return self.verdict.is_exhaustive and not self.verdict.violated
+            return bool(self.result.violated)
+        return self.result.is_exhaustive and not self.result.violated
 
     @property
     def line(self) -> str:
         """The report in one line."""
-        verdict = self.verdict
+        result = self.result
         if not self.removed:
             outcome = "all invariants hold"
-            if verdict.violated:
-                outcome = f"VIOLATED: {verdict.violated[0]}"
-            elif not verdict.is_exhaustive:
-                outcome = "NOT EXHAUSTIVE"
-            return f"{self.name}: {verdict.states} states, {outcome}"
-        if not verdict.violated:
-            return f"  without '{self.removed}': NOTHING IS VIOLATED"
-        steps = "; ".join(verdict.trace)
+            if result.violated:
+                outcome = f"VIOLATED: {result.violated[0]}"
+            elif not result.is_exhaustive:
+                outcome = (
+                    "expected all states to be visited, stopped at the limit"
+                )
+            return f"{self.name}: {result.state_count} states, {outcome}"
+        if not result.violated:
+            return (
+                f"  without '{self.removed}': "
+                "expected a violated invariant, found none"
+            )
+        steps = "; ".join(result.trace)
         return (
-            f"  without '{self.removed}': violates '{verdict.violated[0]}' "
-            f"in {len(verdict.trace)} steps: {steps}"
+            f"  without '{self.removed}': violates '{result.violated[0]}' "
+            f"in {len(result.trace)} steps: {steps}"
         )
 
 
@@ -87,10 +92,10 @@
         model.check(specification, all_protections, is_full),
     )
     for removed in specification.protections:
-        verdict = model.check(
+        result = model.check(
             specification, all_protections - {removed}, is_full
         )
-        yield Report(specification.name, removed, verdict)
+        yield Report(specification.name, removed, result)
 
 
 def check_all(is_full: bool = False) -> abc.Iterator[Report]:
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -20,7 +20,13 @@
 
 
 class Entry(typing.NamedTuple):
-    """One entry: its phase, and what it last read."""
+    """One entry: its phase, and what it last read.
+
+    Phases: ``start`` (reads next), ``claims`` (writes its claim), ``unsure``
+    (the reply to its write was lost), ``holds`` (runs its call), ``follows``
+    (read the claim of the other), ``replaces`` (writes over that claim); at
+    the end ``done``, ``refused`` or ``answered``.
+    """
 
     phase: str = "start"
     version: int = 0
@@ -78,7 +84,7 @@
                 phase = "start" if READ_BACK in protections else "holds"
                 return [
                     (
-                        f"{index} reads its write back",
+                        f"{index} handles the lost reply",
                         _set(state, index, phase=phase),
                     )
                 ]
@@ -144,10 +150,10 @@
         holder = _ENTRIES[entry.holder]
         if getattr(state, f"{holder}_runs"):
             return _set(state, index, phase="answered")
-        sealed = _set(state, index, phase="replaces")
+        replacing = _set(state, index, phase="replaces")
         if SEALS_FIRST in protections:
-            return sealed._replace(**{f"{holder}_sealed": True})
-        return sealed
+            return replacing._replace(**{f"{holder}_sealed": True})
+        return replacing
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the invariants by name."""
--- a/spec/copies.py
+++ b/spec/copies.py
@@ -35,15 +35,16 @@
 class State(typing.NamedTuple):
     """The store, its backup, and the copies: a reader and a follower.
 
-    ``written`` is the version at which the config was written, ``newest`` the
-    last config that the operator has written, even if a restore lost it.
+    ``config_version`` is the version at which the config was written,
+    ``newest_config`` the last config that the operator has written, even if a
+    restore lost it. ``backup`` has version, config_version and config.
     """
 
     epoch: int = 0
     version: int = 0
-    written: int = 0
+    config_version: int = 0
     config: int = 0
-    newest: int = 0
+    newest_config: int = 0
     backup: tuple[int, int, int] = (0, 0, 0)
     reader: Copy = Copy()
     follower: Copy = Copy()
@@ -66,11 +67,11 @@
         limit = FULL_VERSION_LIMIT if is_full else VERSION_LIMIT
         found: list[model.Transition] = []
         if state.version < limit:
-            if state.newest < limit:
+            if state.newest_config < limit:
                 found.append(("the operator writes", _write_config(state)))
             other = state._replace(version=state.version + 1)
             found.append(("something else is written", other))
-        backup = (state.version, state.written, state.config)
+        backup = (state.version, state.config_version, state.config)
         found.append(("the store is backed up", state._replace(backup=backup)))
         if state.epoch < 1:
             found.append(("the store is restored", _restore(state)))
@@ -99,21 +100,24 @@
 
 
 def _write_config(state: State) -> State:
-    newest = state.newest + 1
+    newest_config = state.newest_config + 1
     return state._replace(
         version=state.version + 1,
-        written=state.version + 1,
-        config=newest,
-        newest=newest,
+        config_version=state.version + 1,
+        config=newest_config,
+        newest_config=newest_config,
         reader=state.reader._replace(is_confirmed=False),
         follower=state.follower._replace(is_confirmed=False),
     )
 
 
 def _restore(state: State) -> State:
-    version, written, config = state.backup
+    version, config_version, config = state.backup
     return state._replace(
-        epoch=state.epoch + 1, version=version, written=written, config=config
+        epoch=state.epoch + 1,
+        version=version,
+        config_version=config_version,
+        config=config,
     )
 
 
@@ -124,7 +128,7 @@
     if is_other or copy.version > state.version:
         version = state.version
         return Copy(state.epoch, version, version, config, True)
-    if state.written <= copy.version:
+    if state.config_version <= copy.version:
         return copy._replace(version=state.version, is_confirmed=True)
     return copy._replace(
         version=state.version,
@@ -138,13 +142,13 @@
     """Ask the reader what changed after the follower's version."""
     if reader.epoch != follower.epoch and PEER_EPOCH in protections:
         return follower
-    told = follower._replace(
+    updated = follower._replace(
         version=max(follower.version, reader.version),
         is_confirmed=follower.is_confirmed or reader.is_confirmed,
     )
     if reader.config_learned_at <= follower.version:
-        return told
-    return told._replace(
-        config_learned_at=told.version,
+        return updated
+    return updated._replace(
+        config_learned_at=updated.version,
         config=max(follower.config, reader.config),
     )
--- a/spec/generations.py
+++ b/spec/generations.py
@@ -22,16 +22,16 @@
 class State(typing.NamedTuple):
     """The store's generation, each instance's, and those announced.
 
-    An instance's generation is 0 while it knows none; ``served`` is the
-    highest generation under which any of its processes has worked.
+    An instance's generation is 0 while it knows none; ``served_generations``
+    has the highest under which any of its processes has worked.
     """
 
     stored: int = 1
-    held: tuple[int, ...] = (0,) * INSTANCES
-    served: tuple[int, ...] = (0,) * INSTANCES
+    generations: tuple[int, ...] = (0,) * INSTANCES
+    served_generations: tuple[int, ...] = (0,) * INSTANCES
     reverted: bool = False
     announced: frozenset[int] = frozenset()
-    restarts: int = RESTARTS
+    restarts_left: int = RESTARTS
 
 
 class Generations:
@@ -69,23 +69,24 @@
         found: list[model.Transition] = [
             (
                 f"{instance} reads the store",
-                _with_held(state, instance, state.stored),
+                _with_generation(state, instance, state.stored),
             )
         ]
         for generation in sorted(state.announced):
             # An announcement may be outdated when a new process receives it.
             is_known = (
-                state.held[instance] > 0 or READS_FIRST not in protections
+                state.generations[instance] > 0
+                or READS_FIRST not in protections
             )
-            is_newer = generation > state.held[instance]
+            is_newer = generation > state.generations[instance]
             if is_known and (is_newer or ONLY_NEWER not in protections):
-                after = _with_held(state, instance, generation)
+                after = _with_generation(state, instance, generation)
                 found.append((f"{instance} receives {generation}", after))
-        if state.held[instance]:
+        if state.generations[instance]:
             found.append((f"{instance} works", _work(state, instance)))
-        if state.restarts:
-            after = _with_held(state, instance, 0)._replace(
-                restarts=state.restarts - 1
+        if state.restarts_left:
+            after = _with_generation(state, instance, 0)._replace(
+                restarts_left=state.restarts_left - 1
             )
             found.append((f"{instance} restarts", after))
         return found
@@ -99,16 +100,19 @@
         }
 
 
-def _with_held(state: State, instance: int, generation: int) -> State:
-    held = list(state.held)
-    held[instance] = generation
-    return state._replace(held=tuple(held))
+def _with_generation(state: State, instance: int, generation: int) -> State:
+    generations = list(state.generations)
+    generations[instance] = generation
+    return state._replace(generations=tuple(generations))
 
 
 def _work(state: State, instance: int) -> State:
-    served = list(state.served)
-    served[instance] = max(served[instance], state.held[instance])
-    is_older = state.held[instance] < state.served[instance]
+    served_generations = list(state.served_generations)
+    served_generations[instance] = max(
+        served_generations[instance], state.generations[instance]
+    )
+    is_older = state.generations[instance] < state.served_generations[instance]
     return state._replace(
-        served=tuple(served), reverted=state.reverted or is_older
+        served_generations=tuple(served_generations),
+        reverted=state.reverted or is_older,
     )
--- a/spec/leases.py
+++ b/spec/leases.py
@@ -21,16 +21,17 @@
 class State(typing.NamedTuple):
     """The store's lease, each holder's token, and the guard's highest one.
 
-    ``tokens`` are those that the holders believe to hold, 0 for none; a
-    paused holder does not notice that its lease lapsed. ``applied`` is the
+    The guard is the process that checks fencing tokens. ``holder_tokens`` are
+    those under which the holders believe that they hold the lease, 0 for none;
+    a paused holder does not notice that its lease lapsed. ``applied`` is the
     highest token of an order that took effect, ``reverted`` whether a lower
     one did later.
     """
 
-    token: int = 0
-    tokens: tuple[int, ...] = (0,) * HOLDERS
-    guard: int = 0
-    guard_ready: bool = True
+    lease_token: int = 0
+    holder_tokens: tuple[int, ...] = (0,) * HOLDERS
+    guard_token: int = 0
+    is_guard_ready: bool = True
     has_replaced: bool = False
     applied: int = 0
     reverted: bool = False
@@ -53,34 +54,43 @@
         limit = FULL_TOKEN_LIMIT if is_full else TOKEN_LIMIT
         found: list[model.Transition] = []
         for holder in range(HOLDERS):
-            if state.token < limit:
-                tokens = list(state.tokens)
-                tokens[holder] = state.token + 1
+            if state.lease_token < limit:
+                holder_tokens = list(state.holder_tokens)
+                holder_tokens[holder] = state.lease_token + 1
                 taken = state._replace(
-                    token=state.token + 1, tokens=tuple(tokens)
+                    lease_token=state.lease_token + 1,
+                    holder_tokens=tuple(holder_tokens),
                 )
                 found.append((f"{holder} takes the lapsed lease", taken))
-            if state.tokens[holder] and state.guard_ready:
-                after = self._order(state, state.tokens[holder], protections)
+            if state.holder_tokens[holder] and state.is_guard_ready:
+                after = self._order(
+                    state, state.holder_tokens[holder], protections
+                )
                 found.append((f"{holder} orders", after))
         if not state.has_replaced:
             found.append(("replace the guard", self._replace_guard(state)))
-        if not state.guard_ready:
-            guard = state.token if READS_FENCE in protections else 0
-            ready = state._replace(guard=guard, guard_ready=True)
+        if not state.is_guard_ready:
+            guard_token = (
+                state.lease_token if READS_FENCE in protections else 0
+            )
+            ready = state._replace(
+                guard_token=guard_token, is_guard_ready=True
+            )
             found.append(("the guard starts", ready))
         return found
 
     def _replace_guard(self, state: State) -> State:
-        return state._replace(has_replaced=True, guard=0, guard_ready=False)
+        return state._replace(
+            has_replaced=True, guard_token=0, is_guard_ready=False
+        )
 
     def _order(
         self, state: State, token: int, protections: frozenset[str]
     ) -> State:
-        if token < state.guard and CHECKS_FENCE in protections:
+        if token < state.guard_token and CHECKS_FENCE in protections:
             return state
         return state._replace(
-            guard=max(state.guard, token),
+            guard_token=max(state.guard_token, token),
             applied=max(state.applied, token),
             reverted=state.reverted or token < state.applied,
         )
--- a/spec/model.py
+++ b/spec/model.py
@@ -52,16 +52,17 @@
 
 
 @attrs.frozen
-class Verdict:
+class SearchResult:
     """Result of a search.
 
-    :ivar states: number of reachable states.
+    :ivar state_count: number of reachable states.
     :ivar is_exhaustive: whether the search visited all of them.
     :ivar violated: invariants that some reachable state violates.
-    :ivar trace: labels of the shortest path to a violation of the first one.
+    :ivar trace: labels of a shortest path to a state that violates the first
+        of them.
     """
 
-    states: int
+    state_count: int
     is_exhaustive: bool
     violated: tuple[str, ...]
     trace: tuple[str, ...]
@@ -71,7 +72,7 @@
     specification: Specification,
     protections: frozenset[str],
     is_full: bool = False,
-) -> Verdict:
+) -> SearchResult:
     """Search the reachable states, up to ``STATE_LIMIT``."""
     first = specification.initial()
     state_type = type(first)
@@ -102,8 +103,8 @@
             violated.append(name)
             steps = outcome["counterexample"]
             trace = trace or tuple(step["label"] for step in steps[1:])
-    return Verdict(
-        states=search["reachable_states"],
+    return SearchResult(
+        state_count=search["reachable_states"],
         is_exhaustive=bool(search["exhaustive"]),
         violated=tuple(violated),
         trace=trace,
--- a/spec/orders.py
+++ b/spec/orders.py
@@ -16,8 +16,12 @@
 from spec import model
 
 EXPECTS_COUNT = "an order names the number of orders its engine has executed"
-DOUBTS = "layers of an engine with an order in doubt are not relied on"
-WAITS = "an order is in doubt for as long as it may still be executed"
+AVOIDS_DOUBTFUL_ENGINES = (
+    "layers of an engine with an order in doubt are not relied on"
+)
+DOUBTS_WHILE_EXECUTABLE = (
+    "an order is in doubt for as long as it may still be executed"
+)
 HANDS_OVER = "the lease tells the next controller which orders are in doubt"
 
 ENGINES = 2
@@ -29,13 +33,13 @@
 class State(typing.NamedTuple):
     """Both engines, the unanswered orders, and those in doubt.
 
-    ``late`` is the count that an unanswered order to drop the layers names,
-    ``NONE`` where there is no such order.
+    ``unanswered_counts`` has the count that an engine's unanswered order to
+    drop the layers names, ``NONE`` where there is no such order.
     """
 
     holds: tuple[bool, ...] = (True,) * ENGINES
     counts: tuple[int, ...] = (0,) * ENGINES
-    late: tuple[int, ...] = (NONE,) * ENGINES
+    unanswered_counts: tuple[int, ...] = (NONE,) * ENGINES
     in_doubt: tuple[bool, ...] = (False,) * ENGINES
 
 
@@ -43,7 +47,12 @@
     """One controller after another, each of which plans from what it knows."""
 
     name = "orders"
-    protections = (EXPECTS_COUNT, DOUBTS, WAITS, HANDS_OVER)
+    protections = (
+        EXPECTS_COUNT,
+        AVOIDS_DOUBTFUL_ENGINES,
+        DOUBTS_WHILE_EXECUTABLE,
+        HANDS_OVER,
+    )
 
     def initial(self) -> State:
         """Return the initial state."""
@@ -79,23 +88,29 @@
         if state.counts[engine] >= limit:
             return []
         if not state.holds[engine]:
-            back = self._carry_out(state, engine, True)
-            return [(f"{engine} is ordered to load the layers again", back)]
+            reloaded = self._execute(state, engine, True)
+            return [
+                (f"{engine} is ordered to load the layers again", reloaded)
+            ]
         other = 1 - engine
-        is_other_in_doubt = state.in_doubt[other] and DOUBTS in protections
+        is_other_in_doubt = (
+            state.in_doubt[other] and AVOIDS_DOUBTFUL_ENGINES in protections
+        )
         if not state.holds[other] or is_other_in_doubt:
             return []
-        dropped = self._carry_out(state, engine, False)
+        dropped = self._execute(state, engine, False)
         found = [(f"{engine} is ordered to drop the layers", dropped)]
-        if state.late[engine] == NONE:
+        if state.unanswered_counts[engine] == NONE:
             unanswered = state._replace(
-                late=_with_item(state.late, engine, state.counts[engine]),
+                unanswered_counts=_with_item(
+                    state.unanswered_counts, engine, state.counts[engine]
+                ),
                 in_doubt=_with_item(state.in_doubt, engine, True),
             )
             found.append((f"an order to {engine} gets no answer", unanswered))
         return found
 
-    def _carry_out(self, state: State, engine: int, holds: bool) -> State:
+    def _execute(self, state: State, engine: int, holds: bool) -> State:
         """Execute an order and receive its answer.
 
         A late order names a lower count from then on and is refused, so it is
@@ -112,27 +127,35 @@
     ) -> list[model.Transition]:
         """Return what may become of an unanswered order."""
         found: list[model.Transition] = []
-        is_resolved = state.late[engine] == NONE
+        is_resolved = state.unanswered_counts[engine] == NONE
         if not is_resolved:
-            gone = state._replace(late=_with_item(state.late, engine, NONE))
-            found.append((f"the order to {engine} is lost", gone))
-            fits = state.late[engine] == state.counts[engine]
-            if fits or EXPECTS_COUNT not in protections:
-                done = gone._replace(
-                    holds=_with_item(gone.holds, engine, False),
+            without_order = state._replace(
+                unanswered_counts=_with_item(
+                    state.unanswered_counts, engine, NONE
+                )
+            )
+            found.append((f"the order to {engine} is lost", without_order))
+            matches_count = (
+                state.unanswered_counts[engine] == state.counts[engine]
+            )
+            if matches_count or EXPECTS_COUNT not in protections:
+                executed = without_order._replace(
+                    holds=_with_item(without_order.holds, engine, False),
                     counts=_with_item(
-                        gone.counts, engine, gone.counts[engine] + 1
+                        without_order.counts,
+                        engine,
+                        without_order.counts[engine] + 1,
                     ),
                 )
-                found.append((f"{engine} executes the order late", done))
+                found.append((f"{engine} executes the order late", executed))
         if state.in_doubt[engine] and (
-            is_resolved or WAITS not in protections
+            is_resolved or DOUBTS_WHILE_EXECUTABLE not in protections
         ):
-            settled = state._replace(
+            resolved = state._replace(
                 in_doubt=_with_item(state.in_doubt, engine, False)
             )
             found.append(
-                (f"the order to {engine} is no longer in doubt", settled)
+                (f"the order to {engine} is no longer in doubt", resolved)
             )
         return found
 
--- a/spec/rearrangements.py
+++ b/spec/rearrangements.py
@@ -24,12 +24,18 @@
 from spec import model
 
 HELD_FIRST = "layers are dropped only once other engines hold them"
-KEPT = "layers that others are about to drop are not relied on"
-DOUBTS = "layers of an engine with an order in doubt are not relied on"
-WAITS = "an order is in doubt for as long as it may still be executed"
+EXCLUDES_PLANNED_DROPS = (
+    "layers that others are about to drop are not relied on"
+)
+AVOIDS_DOUBTFUL_ENGINES = (
+    "layers of an engine with an order in doubt are not relied on"
+)
+DOUBTS_WHILE_EXECUTABLE = (
+    "an order is in doubt for as long as it may still be executed"
+)
 HANDS_OVER = "the lease tells the next controller which orders are in doubt"
 
-LAYERS = 4
+LAYER_COUNT = 4
 LAYER_LIMITS = (2, 2, 2)
 ENGINES = len(LAYER_LIMITS)
 ORDER_LIMIT = 3
@@ -42,10 +48,11 @@
 class State(typing.NamedTuple):
     """What the engines hold, and the orders to them.
 
-    ``targets`` has what an engine's order tells it to hold, ``None`` where
-    there is no order; ``awaiting`` tells whether the controller still waits
-    for the answer. ``lost_layers`` are those lost with the failed engine,
-    or held by none from the start, until an engine is certain to hold them.
+    ``ordered_layers`` has what an engine's order asks it to hold, ``None``
+    where there is no order; ``awaiting`` tells whether the controller still
+    waits for the answer. ``lost_layers`` are those lost with the failed engine
+    or held by none at the start; a layer leaves the set once an engine is
+    certain to hold it.
     """
 
     alive: tuple[bool, ...] = (True,) * ENGINES
@@ -54,20 +61,26 @@
         frozenset({1}),
         frozenset({0, 1}),
     )
-    targets: tuple[Layers | None, ...] = (None,) * ENGINES
+    ordered_layers: tuple[Layers | None, ...] = (None,) * ENGINES
     awaiting: tuple[bool, ...] = (False,) * ENGINES
     in_doubt: tuple[bool, ...] = (False,) * ENGINES
     lost_layers: Layers = frozenset({2, 3})
-    orders: int = 0
-    ends: int = 0
-    returns: int = 0
+    order_count: int = 0
+    failure_count: int = 0
+    return_count: int = 0
 
 
 class Rearrangements:
     """One controller after another, each planning from what engines hold."""
 
     name = "rearrangements"
-    protections = (HELD_FIRST, KEPT, DOUBTS, WAITS, HANDS_OVER)
+    protections = (
+        HELD_FIRST,
+        EXCLUDES_PLANNED_DROPS,
+        AVOIDS_DOUBTFUL_ENGINES,
+        DOUBTS_WHILE_EXECUTABLE,
+        HANDS_OVER,
+    )
 
     def initial(self) -> State:
         """Return the initial state."""
@@ -79,7 +92,7 @@
         """Return the transitions that are enabled in a state."""
         limit = FULL_ORDER_LIMIT if is_full else ORDER_LIMIT
         found: list[model.Transition] = []
-        if state.orders < limit:
+        if state.order_count < limit:
             found += [
                 (
                     f"{engine} is ordered to hold {sorted(target)}",
@@ -89,7 +102,7 @@
             ]
         for engine in range(ENGINES):
             found += self._order_transitions(state, engine, protections)
-            found += self._life_transitions(state, engine)
+            found += self._failure_transitions(state, engine)
         if not any(state.awaiting):
             in_doubt = state.in_doubt
             if HANDS_OVER not in protections:
@@ -106,56 +119,58 @@
         self, state: State, engine: int, protections: frozenset[str]
     ) -> list[model.Transition]:
         """Return what may become of an engine's order."""
-        target = state.targets[engine]
+        target = state.ordered_layers[engine]
         found: list[model.Transition] = []
         if target is not None:
-            over = state._replace(
-                targets=_with_item(state.targets, engine, None)
+            without_order = state._replace(
+                ordered_layers=_with_item(state.ordered_layers, engine, None)
+            )
+            executed = without_order._replace(
+                holds=_with_item(state.holds, engine, target)
             )
-            done = over._replace(holds=_with_item(state.holds, engine, target))
             if state.awaiting[engine]:
                 unanswered = state._replace(
                     awaiting=_with_item(state.awaiting, engine, False),
                     in_doubt=_with_item(state.in_doubt, engine, True),
                 )
                 found.append((f"{engine} does not answer", unanswered))
-                answered = done._replace(
+                answered = executed._replace(
                     awaiting=_with_item(state.awaiting, engine, False),
                     in_doubt=_with_item(state.in_doubt, engine, False),
                 )
                 found.append((f"{engine} executes the order", answered))
             else:
-                found.append((f"the order to {engine} is lost", over))
-                found.append((f"{engine} executes the order late", done))
+                found.append((f"the order to {engine} is lost", without_order))
+                found.append((f"{engine} executes the order late", executed))
         if state.in_doubt[engine] and (
-            target is None or WAITS not in protections
+            target is None or DOUBTS_WHILE_EXECUTABLE not in protections
         ):
-            settled = state._replace(
+            resolved = state._replace(
                 in_doubt=_with_item(state.in_doubt, engine, False)
             )
             found.append(
-                (f"the order to {engine} is no longer in doubt", settled)
+                (f"the order to {engine} is no longer in doubt", resolved)
             )
         return found
 
-    def _life_transitions(
+    def _failure_transitions(
         self, state: State, engine: int
     ) -> list[model.Transition]:
         """Return the failure of an engine, or its return."""
-        if state.alive[engine] and not state.ends:
+        if state.alive[engine] and not state.failure_count:
             ended = state._replace(
                 alive=_with_item(state.alive, engine, False),
                 holds=_with_item(state.holds, engine, NO_LAYERS),
-                targets=_with_item(state.targets, engine, None),
+                ordered_layers=_with_item(state.ordered_layers, engine, None),
                 awaiting=_with_item(state.awaiting, engine, False),
                 in_doubt=_with_item(state.in_doubt, engine, False),
-                ends=1,
+                failure_count=1,
             )
-            lost = frozenset(range(LAYERS)) - _certain_layers(ended)
+            lost = frozenset(range(LAYER_COUNT)) - _certain_layers(ended)
             return [(f"{engine} fails", ended._replace(lost_layers=lost))]
-        if not state.alive[engine] and not state.returns:
+        if not state.alive[engine] and not state.return_count:
             returned = state._replace(
-                alive=_with_item(state.alive, engine, True), returns=1
+                alive=_with_item(state.alive, engine, True), return_count=1
             )
             return [(f"{engine} comes back empty", returned)]
         return []
@@ -166,10 +181,10 @@
             "no order removes the last copy of a layer": (
                 lambda state: (
                     _held_layers(state) | state.lost_layers
-                    == frozenset(range(LAYERS))
+                    == frozenset(range(LAYER_COUNT))
                 )
             ),
-            "a model that can be completed is, or an order can be sent": (
+            "all layers are held if they can be, or an order can be sent": (
                 lambda state: not _is_stuck(state)
             ),
         }
@@ -192,7 +207,9 @@
     return NO_LAYERS.union(
         *(
             held if target is None else held & target
-            for held, target in zip(state.holds, state.targets, strict=True)
+            for held, target in zip(
+                state.holds, state.ordered_layers, strict=True
+            )
         )
     )
 
@@ -205,9 +222,9 @@
 
 def _send_order(state: State, engine: int, target: Layers) -> State:
     return state._replace(
-        targets=_with_item(state.targets, engine, target),
+        ordered_layers=_with_item(state.ordered_layers, engine, target),
         awaiting=_with_item(state.awaiting, engine, True),
-        orders=state.orders + 1,
+        order_count=state.order_count + 1,
     )
 
 
@@ -216,16 +233,16 @@
     return tuple(
         target if is_awaited and target is not None else held
         for held, target, is_awaited in zip(
-            state.holds, state.targets, state.awaiting, strict=True
+            state.holds, state.ordered_layers, state.awaiting, strict=True
         )
     )
 
 
 def _layer_ranges(engine: int, held: Layers) -> list[Layers]:
     found = {held}
-    for first in range(LAYERS):
+    for first in range(LAYER_COUNT):
         for end in range(
-            first + 1, min(LAYERS, first + LAYER_LIMITS[engine]) + 1
+            first + 1, min(LAYER_COUNT, first + LAYER_LIMITS[engine]) + 1
         ):
             found.add(frozenset(range(first, end)))
     return sorted(found, key=sorted)
@@ -235,7 +252,9 @@
     """Return the layouts that hold all layers and load the fewest."""
     is_free = tuple(
         is_alive and target is None
-        for is_alive, target in zip(state.alive, state.targets, strict=True)
+        for is_alive, target in zip(
+            state.alive, state.ordered_layers, strict=True
+        )
     )
     return _cheapest(_expected(state), is_free)
 
@@ -249,9 +268,9 @@
         for engine, held in enumerate(expected)
     ]
     best: list[tuple[Layers, ...]] = []
-    least = LAYERS * ENGINES
+    least = LAYER_COUNT * ENGINES
     for layout in itertools.product(*choices):
-        if len(NO_LAYERS.union(*layout)) < LAYERS:
+        if len(NO_LAYERS.union(*layout)) < LAYER_COUNT:
             continue
         cost = sum(
             len(after - before)
@@ -268,7 +287,7 @@
     state: State, protections: frozenset[str]
 ) -> list[tuple[int, Layers]]:
     """Return the orders that the controller may send now."""
-    if len(NO_LAYERS.union(*_expected(state))) == LAYERS:
+    if len(NO_LAYERS.union(*_expected(state))) == LAYER_COUNT:
         return []
     found = set()
     for layout in _layouts(state):
@@ -286,28 +305,33 @@
     engine: int,
     protections: frozenset[str],
 ) -> bool:
-    """Whether others hold all layers that an engine drops."""
-    others: Layers = NO_LAYERS
+    """Whether other engines hold all layers that ``engine`` would drop.
+
+    Only engines that can be relied on count.
+    """
+    held_by_others: Layers = NO_LAYERS
     for other in range(ENGINES):
         if other == engine or not state.alive[other]:
             continue
-        if state.in_doubt[other] and DOUBTS in protections:
+        if state.in_doubt[other] and AVOIDS_DOUBTFUL_ENGINES in protections:
             continue
         held = state.holds[other]
-        if KEPT in protections:
+        if EXCLUDES_PLANNED_DROPS in protections:
             held &= layout[other]
         if HELD_FIRST not in protections:
             held |= layout[other]
-        others |= held
-    return state.holds[engine] - layout[engine] <= others
+        held_by_others |= held
+    return state.holds[engine] - layout[engine] <= held_by_others
 
 
 def _is_stuck(state: State) -> bool:
-    """Whether the model can be completed, but no order leads to it."""
-    is_idle = not any(state.in_doubt) and state.targets == (None,) * ENGINES
+    """Whether missing layers can be held, but no order may be sent."""
+    is_idle = (
+        not any(state.in_doubt) and state.ordered_layers == (None,) * ENGINES
+    )
     if (
         not is_idle
-        or len(_held_layers(state)) == LAYERS
+        or len(_held_layers(state)) == LAYER_COUNT
         or not _layouts(state)
     ):
         return False
--- a/spec/restored_leases.py
+++ b/spec/restored_leases.py
@@ -10,12 +10,18 @@
 
 from spec import model
 
-WAITS = "nobody takes the lease for its duration after seeing a new epoch"
-START_WAITS = "a process that joins an existing fleet waits as long"
-DISREGARDS = "a write that is answered in another epoch is disregarded"
-TERMS = "terms of a later epoch are higher than all before"
-VERSIONS = (
-    "the first term taken in an epoch allows for one per earlier version"
+WAITS_AFTER_NEW_EPOCH = (
+    "nobody takes the lease for its duration after seeing a new epoch"
+)
+WAITS_AFTER_START = "a process that joins an existing fleet waits as long"
+DISREGARDS_OTHER_EPOCHS = (
+    "a write that is answered in another epoch is disregarded"
+)
+TERMS_INCLUDE_EPOCH = (
+    "terms of a later epoch are higher than those of earlier ones"
+)
+TERMS_INCLUDE_VERSION = (
+    "the first term of an epoch leaves room for one per version of the lease"
 )
 
 # Time steps for which a holder may act, and after which others may take an
@@ -42,34 +48,44 @@
     """What one process knows.
 
     ``hold_left`` counts the time steps for which it may still act,
-    ``unchanged`` those since it last saw the lease change, ``wait_left``
+    ``unchanged_steps`` those since it last saw the lease change, ``wait_left``
     those in which it must not take the lease.
     """
 
     epoch: int = UNKNOWN
     known: Stored = Stored()
     hold_left: int = 0
-    unchanged: int = 0
+    unchanged_steps: int = 0
     wait_left: int = 0
 
 
 class State(typing.NamedTuple):
-    """Store, backup, processes, and the highest term ever given."""
+    """Store, backup, processes, and the highest term a holder acted under.
+
+    ``is_term_reused`` tells whether a holder took a term that is not
+    higher than all earlier ones.
+    """
 
     epoch: int = 0
     stored: Stored = Stored()
     backup: Stored = Stored()
     processes: tuple[Process, ...] = (Process(),) * PROCESSES
     highest_term: int = 0
-    is_reused: bool = False
-    has_started: bool = False
+    is_term_reused: bool = False
+    has_restarted: bool = False
 
 
 class RestoredLeases:
     """Processes read, take and renew the lease; the store is restored."""
 
     name = "restored leases"
-    protections = (WAITS, START_WAITS, DISREGARDS, TERMS, VERSIONS)
+    protections = (
+        WAITS_AFTER_NEW_EPOCH,
+        WAITS_AFTER_START,
+        DISREGARDS_OTHER_EPOCHS,
+        TERMS_INCLUDE_EPOCH,
+        TERMS_INCLUDE_VERSION,
+    )
 
     def initial(self) -> State:
         """Return the initial state."""
@@ -88,7 +104,7 @@
         have_all_read = all(
             process.epoch != UNKNOWN for process in state.processes
         )
-        if state.epoch < 1 and (have_all_read or state.has_started):
+        if state.epoch < 1 and (have_all_read or state.has_restarted):
             restored = state._replace(epoch=1, stored=state.backup)
             found.append(("the store is restored", restored))
         for number, process in enumerate(state.processes):
@@ -96,9 +112,9 @@
             found.append(
                 (f"{number} reads", _with_process(state, number, read))
             )
-            if process.epoch != UNKNOWN and not state.has_started:
+            if process.epoch != UNKNOWN and not state.has_restarted:
                 restarted = _with_process(state, number, Process())
-                restarted = restarted._replace(has_started=True)
+                restarted = restarted._replace(has_restarted=True)
                 found.append((f"{number} restarts", restarted))
             if state.stored.version < limit and _may_write(process, number):
                 after = _write(state, number, process, protections)
@@ -117,7 +133,9 @@
                     <= 1
                 )
             ),
-            "a term is never given twice": lambda state: not state.is_reused,
+            "a term is never taken twice": lambda state: (
+                not state.is_term_reused
+            ),
         }
 
 
@@ -132,7 +150,7 @@
         processes=tuple(
             process._replace(
                 hold_left=max(0, process.hold_left - 1),
-                unchanged=min(LEASE_STEPS, process.unchanged + 1),
+                unchanged_steps=min(LEASE_STEPS, process.unchanged_steps + 1),
                 wait_left=max(0, process.wait_left - 1),
             )
             for process in state.processes
@@ -145,16 +163,18 @@
 ) -> Process:
     if process.epoch == UNKNOWN:
         # The first processes of a fleet know that no lease was held before.
-        is_old = state.has_started and START_WAITS in protections
-        wait_left = LEASE_STEPS if is_old else 0
+        is_existing_fleet = (
+            state.has_restarted and WAITS_AFTER_START in protections
+        )
+        wait_left = LEASE_STEPS if is_existing_fleet else 0
         return Process(state.epoch, state.stored, 0, 0, wait_left)
     if process.epoch != state.epoch:
-        wait_left = LEASE_STEPS if WAITS in protections else 0
+        wait_left = LEASE_STEPS if WAITS_AFTER_NEW_EPOCH in protections else 0
         return Process(
             state.epoch, state.stored, process.hold_left, 0, wait_left
         )
     if process.known != state.stored:
-        return process._replace(known=state.stored, unchanged=0)
+        return process._replace(known=state.stored, unchanged_steps=0)
     return process
 
 
@@ -167,7 +187,8 @@
     if process.wait_left:
         return False
     is_free = (
-        process.known.holder == NOBODY or process.unchanged >= LEASE_STEPS
+        process.known.holder == NOBODY
+        or process.unchanged_steps >= LEASE_STEPS
     )
     return process.known.holder == number or is_free
 
@@ -178,31 +199,39 @@
     """Write the lease if its version is the one last read."""
     if process.known.version != state.stored.version:
         # Refused: within the same epoch another process wrote the lease.
-        is_same = process.epoch == state.epoch
-        hold_left = 0 if is_same else process.hold_left
+        is_same_epoch = process.epoch == state.epoch
+        hold_left = 0 if is_same_epoch else process.hold_left
         read = _read(state, process._replace(hold_left=hold_left), protections)
         return _with_process(state, number, read)
-    floor = TERMS_PER_EPOCH * process.epoch if TERMS in protections else 0
+    floor = (
+        TERMS_PER_EPOCH * process.epoch
+        if TERMS_INCLUDE_EPOCH in protections
+        else 0
+    )
     term = process.known.term
-    is_new = process.known.holder != number or term <= floor
-    if is_new and not process.hold_left:
-        is_hidden = term <= floor and VERSIONS in protections
-        step = max(1, process.known.version) if is_hidden else 1
-        term = max(term, floor) + step
-    elif is_new:
-        # The holder writes its lease again, in its present term.
+    needs_new_term = process.known.holder != number or term <= floor
+    if needs_new_term and not process.hold_left:
+        leaves_room = term <= floor and TERMS_INCLUDE_VERSION in protections
+        increment = max(1, process.known.version) if leaves_room else 1
+        term = max(term, floor) + increment
+    elif needs_new_term:
+        # The holder rewrites its lease and keeps its term.
         term = state.highest_term
     stored = Stored(state.stored.version + 1, number, term)
     after = state._replace(stored=stored)
-    if process.epoch != state.epoch and DISREGARDS in protections:
+    if process.epoch != state.epoch and DISREGARDS_OTHER_EPOCHS in protections:
         return _with_process(after, number, _read(after, process, protections))
-    is_given = is_new and not process.hold_left
+    takes_new_term = needs_new_term and not process.hold_left
     after = after._replace(
         highest_term=max(state.highest_term, term),
-        is_reused=state.is_reused or is_given and term <= state.highest_term,
+        is_term_reused=state.is_term_reused
+        or takes_new_term
+        and term <= state.highest_term,
     )
     return _with_process(
         after,
         number,
-        process._replace(known=stored, hold_left=HOLD_STEPS, unchanged=0),
+        process._replace(
+            known=stored, hold_left=HOLD_STEPS, unchanged_steps=0
+        ),
     )
--- a/spec/seals.py
+++ b/spec/seals.py
@@ -20,15 +20,18 @@
 class State(typing.NamedTuple):
     """The call, the sidecar's gate, and what the entry knows.
 
-    ``is_recorded`` tells whether the gate has a record that the call ran.
+    ``call_phase``: ``unsent``, ``in flight``, ``gone``, ``refused`` or
+    ``ran``. ``entry_phase``: ``idle``, ``waiting``, ``lost`` (its link is),
+    ``answered``, ``not run`` or ``may have run``. ``is_recorded`` tells
+    whether the gate has a record that the call ran.
     """
 
-    call: str = "unsent"
+    call_phase: str = "unsent"
     incarnation: int = 0
     is_recorded: bool = False
     sealed: bool = False
     runs: int = 0
-    entry: str = "idle"
+    entry_phase: str = "idle"
     has_retried: bool = False
 
 
@@ -47,26 +50,28 @@
     ) -> list[model.Transition]:
         """Return the transitions that are enabled in a state."""
         found: list[model.Transition] = []
-        if state.entry == "idle":
-            sent = state._replace(entry="waiting", call="in flight")
+        if state.entry_phase == "idle":
+            sent = state._replace(
+                entry_phase="waiting", call_phase="in flight"
+            )
             found.append(("send", sent))
-        if state.call == "in flight":
-            found.append(("lose the call", state._replace(call="gone")))
+        if state.call_phase == "in flight":
+            found.append(("lose the call", state._replace(call_phase="gone")))
             found.append(("arrive", self._arrive(state, protections)))
-        if state.entry == "waiting":
+        if state.entry_phase == "waiting":
             # What was sent may still arrive after the link is given up.
-            found.append(("lose the link", state._replace(entry="lost")))
+            found.append(("lose the link", state._replace(entry_phase="lost")))
             if state.is_recorded:
-                answered = state._replace(entry="answered")
+                answered = state._replace(entry_phase="answered")
                 found.append(("reply", answered))
-        if state.entry == "lost":
+        if state.entry_phase == "lost":
             found.append(("seal", self._seal(state, protections)))
         if state.incarnation == 0:
             replaced = state._replace(
                 incarnation=1, is_recorded=False, sealed=False
             )
             found.append(("replace the sidecar", replaced))
-        if state.entry == "not run" and not state.has_retried:
+        if state.entry_phase == "not run" and not state.has_retried:
             retried = state._replace(has_retried=True, runs=state.runs + 1)
             found.append(("run it elsewhere", retried))
         return found
@@ -77,25 +82,25 @@
         )
         is_refused = state.sealed and REFUSES_SEALED in protections
         if is_for_other_incarnation or is_refused:
-            return state._replace(call="refused")
+            return state._replace(call_phase="refused")
         return state._replace(
-            call="ran", is_recorded=True, runs=state.runs + 1
+            call_phase="ran", is_recorded=True, runs=state.runs + 1
         )
 
     def _seal(self, state: State, protections: frozenset[str]) -> State:
         is_other_incarnation = state.incarnation != 0
         if is_other_incarnation and OTHER_INCARNATION_UNSURE in protections:
-            return state._replace(entry="may have run")
+            return state._replace(entry_phase="may have run")
         if state.is_recorded:
-            return state._replace(entry="may have run")
-        return state._replace(entry="not run", sealed=True)
+            return state._replace(entry_phase="may have run")
+        return state._replace(entry_phase="not run", sealed=True)
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the invariants by name."""
         return {
             "a request refused as not run did not run": lambda state: (
                 not (
-                    state.entry == "not run"
+                    state.entry_phase == "not run"
                     and not state.has_retried
                     and state.runs > 0
                 )
--- a/spec/turns.py
+++ b/spec/turns.py
@@ -3,14 +3,17 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Turns of one session across a crash of its home."""
+"""Turns of one session across a crash of its home.
+
+The home of a session is the instance that grants its turns.
+"""
 
 from collections import abc
 import typing
 
 from spec import model
 
-SETTLES = "a moved session waits until all entries noticed the crash"
+WAITS_FOR_NOTICE = "a moved session waits until all entries noticed the crash"
 REGISTERS = "the holder of a turn registers it at the new home"
 ONE_HOLDER = "a home grants one turn at a time"
 
@@ -28,19 +31,19 @@
     is_alive: bool = True
     old_holder: int = NOBODY
     new_holder: int = NOBODY
-    has_settled: bool = False
+    has_waited: bool = False
     phases: tuple[str, ...] = ("idle",) * FULL_ENTRIES
     noticed: tuple[bool, ...] = (False,) * FULL_ENTRIES
 
 
 class Turns:
-    """Turns granted by the old home, and by the new one once it settled.
+    """Turns granted by the old home, and by the new home after a wait.
 
-    The settling time is assumed to outlast failure detection.
+    The wait is assumed to outlast failure detection.
     """
 
     name = "turns"
-    protections = (SETTLES, REGISTERS, ONE_HOLDER)
+    protections = (WAITS_FOR_NOTICE, REGISTERS, ONE_HOLDER)
 
     def initial(self) -> State:
         """Return the initial state."""
@@ -55,10 +58,10 @@
         if state.is_alive:
             died = state._replace(is_alive=False, old_holder=NOBODY)
             found.append(("the home crashes", died))
-        if not state.is_alive and not state.has_settled:
+        if not state.is_alive and not state.has_waited:
             if all(state.noticed[entry] for entry in entries):
-                settled = state._replace(has_settled=True)
-                found.append(("the new home settles", settled))
+                waited = state._replace(has_waited=True)
+                found.append(("the new home has waited", waited))
         for entry in entries:
             found += self._entry_transitions(state, entry, protections)
         return found
@@ -90,7 +93,9 @@
                 return [(f"{entry} gets a turn", granted)]
             return []
         is_free = state.new_holder == NOBODY or not is_single
-        if is_free and (state.has_settled or SETTLES not in protections):
+        if is_free and (
+            state.has_waited or WAITS_FOR_NOTICE not in protections
+        ):
             granted = _with_phase(state, entry, "running")._replace(
                 new_holder=entry
             )
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -27,13 +27,13 @@
         for report in reports:
             assert report.is_as_expected, report.line
 
-    def test_a_removed_protection_is_reported_as_broken(self) -> None:
+    def test_unexpected_results_are_reported(self) -> None:
         """Guards against a report that passes whatever was found."""
-        specification = check.ALL[1]
-        broken = check.Report(
+        specification = check.ALL[1]  # any specification with protections
+        unprotected = check.Report(
             specification.name, "", model.check(specification, frozenset())
         )
-        assert not broken.is_as_expected
+        assert not unprotected.is_as_expected
         complete = model.check(
             specification, frozenset(specification.protections)
         )
