--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -50,12 +50,13 @@
     parser.add_argument(
         "--budget",
         action="store_true",
-        help="whether bursts of faults test the retry budget instead",
+        help="inject bursts of faults that exhaust the retry budget, "
+        "instead of single faults",
     )
     parser.add_argument(
         "--freezes",
         action="store_true",
-        help="whether these bursts also freeze all instances of a service",
+        help="let these bursts also freeze all instances of a service",
     )
     parser.add_argument("--callers", type=int, default=0)
     parser.add_argument(
@@ -70,7 +71,7 @@
     violations = 0
     for seed in range(options.seed, options.seed + options.seeds):
         folder = options.logs / str(seed) if options.logs else None
-        verdict = soak.run_seed(
+        result = soak.run_seed(
             soak.Options(
                 seed,
                 options.seconds,
@@ -84,19 +85,20 @@
             ),
             folder,
         )
-        violations += bool(verdict.violations)
+        violations += bool(result.violations)
         print(
-            f"seed {seed}: {verdict.served} of {verdict.asked} served, "
-            f"{len(verdict.faults)} faults, "
-            f"{len(verdict.violations)} guarantees violated",
+            f"seed {seed}: {result.served_count} of "
+            f"{result.request_count} served, "
+            f"{len(result.fault_log)} faults, "
+            f"{len(result.violations)} guarantees violated",
             flush=True,
         )
-        for finding in verdict.peaks:
+        for finding in result.budget_peaks:
             print(f"  {finding}", flush=True)
-        for one in verdict.violations:
+        for one in result.violations:
             print(f"  {one}", flush=True)
-        if verdict.violations or options.budget:
-            print("  faults: " + ", ".join(verdict.faults), flush=True)
+        if result.violations or options.budget:
+            print("  faults: " + ", ".join(result.fault_log), flush=True)
     return 1 if violations else 0
 
 
--- a/bench/soak/budget.py
+++ b/bench/soak/budget.py
@@ -15,9 +15,9 @@
 # Small and over a short window, so that few callers exhaust it repeatedly.
 ALLOWANCE = repeats.Allowance(ratio=0.05, slack=40.0, window_seconds=5.0)
 SERVICES = {
-    callers_module.STREAM: "model",
-    callers_module.ONCE: "plain",
-    callers_module.REPEATED: "plain",
+    callers_module.STREAM_PATH: "model",
+    callers_module.ONCE_PATH: "plain",
+    callers_module.IDEMPOTENT_PATH: "plain",
 }
 
 # When each request arrived at a service, by the service's name.
@@ -71,7 +71,9 @@
     found = []
     for service, arrived in sorted(arrivals.items()):
         peaks = _build_counter(service, outcomes, arrived).peaks(allowance)
-        peak = max(peaks, key=lambda peak: peak.repeats / peak.allowed)
+        peak = max(
+            peaks, key=lambda candidate: candidate.repeats / candidate.allowed
+        )
         found.append(ServicePeak(service, peak, peak.started_at - started_at))
     return found
 
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -15,13 +15,13 @@
 REQUEST_TIMEOUT_SECONDS = 6.0
 CONNECT_SECONDS = 1.0
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-STREAM, ONCE, REPEATED = "/stream/", "/once/", "/repeated/"
-PATHS = (STREAM, STREAM, ONCE)
+STREAM_PATH, ONCE_PATH, IDEMPOTENT_PATH = "/stream/", "/once/", "/repeated/"
+PATHS = (STREAM_PATH, STREAM_PATH, ONCE_PATH)
 # A request that crashes each engine which runs it, sent repeatedly.
 CRASHING_BODY = "ends whoever begins it"
 CRASHING_PAUSE_SECONDS = 0.4
-# Engines that it may crash: three, and those that receive it before all
-# entries know of it; a store that is down for seconds doubles both.
+# Most engines that the crashing request may crash before all entries refuse
+# it.
 CRASH_LIMIT = 10
 HOST_HEADER = b"desk.example"
 
@@ -48,8 +48,8 @@
 class Callers:
     """Sends requests to entries until cancelled.
 
-    :param name: prefix of the request ids; unique among callers, or runs of
-        one caller's requests count as runs of another's.
+    :param name: prefix of the request ids; must differ between callers,
+        because runs are counted by request id.
     :param paths: paths to choose from; a repeated path has more weight.
     :ivar ports: ports of the entries to send to.
     """
@@ -78,17 +78,17 @@
         async with pool:
             while True:
                 path = self._rng.choice(self._paths)
-                await self.ask(path, pool)
+                await self.send(path, pool)
                 await anyio.sleep(self._rng.uniform(0.2, 1.8) * pause)
 
     async def run_crashing(self) -> None:
         """Send the crashing request repeatedly, each time under a new id."""
         async with httpcore.AsyncConnectionPool() as pool:
             while True:
-                await self.ask(STREAM, pool, CRASHING_BODY.encode())
+                await self.send(STREAM_PATH, pool, CRASHING_BODY.encode())
                 await anyio.sleep(CRASHING_PAUSE_SECONDS)
 
-    async def ask(
+    async def send(
         self,
         path: str,
         pool: httpcore.AsyncConnectionPool,
@@ -103,7 +103,7 @@
         port = self._rng.choice(self.ports)
         try:
             with anyio.move_on_after(REQUEST_TIMEOUT_SECONDS):
-                await self._exchange(outcome, port, pool, body)
+                await self._send_and_receive(outcome, port, pool, body)
         except (httpcore.ConnectError, httpcore.ConnectTimeout):
             outcome.is_sent = False
         except httpcore.NetworkError:
@@ -113,7 +113,7 @@
         self._check_answer(outcome)
         return outcome
 
-    async def _exchange(
+    async def _send_and_receive(
         self,
         outcome: Outcome,
         port: int,
@@ -145,10 +145,11 @@
         if outcome.status != 200:
             return
         request = outcome.request
-        if outcome.path != STREAM:
+        if outcome.path != STREAM_PATH:
             if outcome.is_whole and outcome.body != request.encode():
                 self.violations.append(
-                    f"{request}: a wrong or truncated answer"
+                    f"{request}: expected the body {request.encode()!r}, "
+                    f"found {outcome.body!r}"
                 )
             return
         whole = b"".join(
@@ -157,11 +158,13 @@
         )
         if outcome.is_whole and outcome.body != whole:
             self.violations.append(
-                f"{request}: a wrong stream received as complete"
+                f"{request}: expected all {self._events} events, "
+                f"found {outcome.body!r} in a complete answer"
             )
         elif not whole.startswith(outcome.body):
             self.violations.append(
-                f"{request}: an event lost, duplicated or wrong"
+                f"{request}: expected a prefix of the stream, "
+                f"found {outcome.body!r}"
             )
 
     def find_violations(self, runs: list[list[str]]) -> typing.Iterator[str]:
@@ -172,11 +175,14 @@
             ran[request] = ran.get(request, 0) + 1
         for outcome in self.outcomes:
             times = ran.get(outcome.request, 0)
-            if outcome.path == ONCE and times > 1:
+            if outcome.path == ONCE_PATH and times > 1:
                 yield f"{outcome.request}: ran {times} times"
             if (
-                outcome.path == ONCE
+                outcome.path == ONCE_PATH
                 and times
                 and outcome.status in NOT_RUN_STATUSES
             ):
-                yield f"{outcome.request}: {outcome.status}, and it ran"
+                yield (
+                    f"{outcome.request}: status {outcome.status} means not "
+                    f"run, but it ran {times} times"
+                )
--- a/bench/soak/config.py
+++ b/bench/soak/config.py
@@ -66,8 +66,8 @@
     "tenants": [{"name": "team", "api_keys": ["key-0"]}],
 }
 
-# Idempotent calls, and how often each request may be sent.
-REPEATED: Spec = {
+# Idempotent calls, only in the config that tests the retry budget.
+IDEMPOTENT_ROUTE: Spec = {
     "name": "repeated",
     "host": "desk.example",
     "path_prefix": "/repeated/",
@@ -75,14 +75,15 @@
     "timeout_ms": 3000,
     "service": "plain",
 }
-ATTEMPTS = 4
+# How often each request may be sent.
+MAX_ATTEMPTS = 4
 
 
-def with_repeats() -> Spec:
+def build_retry_config() -> Spec:
     """Return the config of seeds that test the retry budget."""
-    found = copy.deepcopy(CONFIG)
-    found["routes"].append(copy.deepcopy(REPEATED))
-    for route in found["routes"]:
+    retry_config = copy.deepcopy(CONFIG)
+    retry_config["routes"].append(copy.deepcopy(IDEMPOTENT_ROUTE))
+    for route in retry_config["routes"]:
         if route["name"] != "once":
-            route["max_attempts"] = ATTEMPTS
-    return found
+            route["max_attempts"] = MAX_ATTEMPTS
+    return retry_config
--- a/bench/soak/engine_faults.py
+++ b/bench/soak/engine_faults.py
@@ -22,7 +22,8 @@
 class EngineFaults:
     """Injects faults into instances, and the proxies in front of them.
 
-    :ivar recovered_at: when the last instance was restarted.
+    :ivar recovered_at: event loop time in seconds of the last restart, or of
+        the start of the recovery check if that is later.
     """
 
     def __init__(
@@ -37,7 +38,7 @@
         self.recovered_at = 0.0
 
     async def fail_engine(self, seconds: float) -> None:
-        """Crash an instance, or have it not respond for some time."""
+        """Crash an instance, or make it unresponsive for some time."""
         number = self._rng.randrange(len(self._links))
         if self._rng.random() < 0.5:
             await self.restart(number, seconds)
@@ -50,7 +51,7 @@
         link.mode = proxies.Mode.PASS
 
     async def harm_engine(self, seconds: float) -> None:
-        """Have an instance lose answers or reject, and impair its link."""
+        """Make an instance lose answers or reject, and impair its link."""
         number = self._rng.randrange(len(self._links))
         what = self._rng.choice(("lose_answers", "reject"))
         await self._control.do(what, upstream=number)
@@ -66,8 +67,8 @@
         back = self._rng.choice(("back", "back_under_its_id"))
         await self._control.do(back, upstream=number)
         link.mode = proxies.Mode.PASS
-        # A request may crash engines after the last injected fault too, and
-        # remove the last copies of some layers.
+        # Recovery is timed from here: a request may crash an engine, and
+        # remove the last copies of layers, after the last injected fault.
         self.recovered_at = anyio.current_time()
 
     async def restart_crashed(self) -> None:
@@ -84,7 +85,11 @@
     async def apply_backpressure(
         self, rng: random.Random, seconds: float, fault_log: list[str]
     ) -> None:
-        """Have random instances apply backpressure for a while each."""
+        """Have random instances apply backpressure, each for some time.
+
+        The value of a fault is its duration in seconds, and also the limit in
+        requests per second or the back-off in seconds.
+        """
         ends_at = anyio.current_time() + seconds
         while True:
             await anyio.sleep(rng.expovariate(1 / BACKPRESSURE_PAUSE_SECONDS))
@@ -92,10 +97,10 @@
                 return
             number = rng.randrange(len(self._links))
             what = rng.choice(("limit", "rest", "leave"))
-            amount = rng.uniform(0.3, 2.5)
-            fault_log.append(f"{what} {amount:.1f} s")
-            await self._control.do(what, upstream=number, value=amount)
-            await anyio.sleep(amount)
+            value = rng.uniform(0.3, 2.5)
+            fault_log.append(f"{what} {value:.1f} s")
+            await self._control.do(what, upstream=number, value=value)
+            await anyio.sleep(value)
             if what == "leave":
                 await self.restart(number, 0.3)
             await self._control.do("calm", upstream=number)
--- a/bench/soak/entries.py
+++ b/bench/soak/entries.py
@@ -21,23 +21,23 @@
 ROOT = pathlib.Path(__file__).parent.parent.parent
 # A revoked key stops working within this time.
 REVOCATION_SECONDS = 5.0
-PORTS_EACH = 4
+PORTS_PER_ENTRY = 4
 
 
 @attrs.frozen
 class Endpoints:
     """Ports of one entry, and its proxy to the store."""
 
-    callers: int
-    status: int
-    peers: int
-    store: proxies.Proxy
+    caller_port: int
+    status_port: int
+    peer_port: int
+    store_proxy: proxies.Proxy
 
 
 class Entries:
     """Starts entries, and kills on exit those that still run.
 
-    :param ports: ``PORTS_EACH`` for each entry.
+    :param ports: ``PORTS_PER_ENTRY`` for each entry.
     :param has_peers: whether entries of a zone ask one another for the store.
     :param settings: further lines of each entry's ``[fleet]`` section.
     """
@@ -56,7 +56,7 @@
         self.endpoints = [
             Endpoints(callers, status, peers, proxies.Proxy(store, store_port))
             for callers, status, peers, store in zip(
-                *[iter(ports)] * PORTS_EACH, strict=True
+                *[iter(ports)] * PORTS_PER_ENTRY, strict=True
             )
         ]
         self.processes: dict[int, anyio.abc.Process] = {}
@@ -93,19 +93,19 @@
             stderr=log,
         )
         self.processes[number] = process
-        self._stack.push_async_callback(end, process)
+        self._stack.push_async_callback(kill, process)
 
     def _ini(self, number: int) -> str:
         zone = ("a", "b")[number % 2]
         endpoint = self.endpoints[number]
-        peers = f"peers = {HOST}:{endpoint.peers}\n"
+        peers = f"peers = {HOST}:{endpoint.peer_port}\n"
         return (
             f"[crowdeckd]\nrole = entry\nname = entry-{number}\n"
             f"availability_zone = {zone}\nhost = {HOST}\n"
-            f"[platform]\nurl = http://{HOST}:{endpoint.store.port}\n"
+            f"[platform]\nurl = http://{HOST}:{endpoint.store_proxy.port}\n"
             f"[entry]\nhttp_host = {HOST}\n"
-            f"[fleet]\ncallers = {HOST}:{endpoint.callers}\n"
-            f"status = {HOST}:{endpoint.status}\n"
+            f"[fleet]\ncallers = {HOST}:{endpoint.caller_port}\n"
+            f"status = {HOST}:{endpoint.status_port}\n"
             f"revocation_ms = {REVOCATION_SECONDS * 1000:.0f}\n"
             "grace_seconds = 4\n"
             + self._settings
@@ -113,7 +113,7 @@
         )
 
 
-async def end(process: anyio.abc.Process) -> None:
+async def kill(process: anyio.abc.Process) -> None:
     """Kill a process that still runs, and close its streams."""
     if process.returncode is None:
         process.kill()
--- a/bench/soak/entry_faults.py
+++ b/bench/soak/entry_faults.py
@@ -25,7 +25,7 @@
         """Kill an entry, and start it again after some time."""
         number, process = self._choose_entry()
         if process.returncode is None:
-            await entries.end(process)
+            await entries.kill(process)
             await anyio.sleep(seconds)
             await self._entries.start(number)
 
--- a/bench/soak/fault_bursts.py
+++ b/bench/soak/fault_bursts.py
@@ -21,9 +21,9 @@
 BURST_SECONDS = (2.0, 5.0)
 # Mean time between two faults of a burst.
 FAULT_PAUSE_SECONDS = 0.8
-KILLS_IN_A_ROW = 4
-# Most entries that are killed in turn, one a second.
-KILLS_IN_TURN = 6
+KILLS_OF_ONE_ENTRY = 4
+# Most entries that are killed one after another, a second apart.
+MAX_ENTRIES_KILLED_IN_TURN = 6
 CUT_MODES = (proxies.Mode.HOLD, proxies.Mode.HOLD_REPLIES, proxies.Mode.REFUSE)
 
 Faults = tuple[typing.Callable[[], typing.Awaitable[None]], ...]
@@ -49,8 +49,8 @@
 class FaultBursts:
     """Injects faults in bursts, several at once.
 
-    :param freezes: random generator of faults that freeze all instances of a
-        service, ``None`` for no such faults.
+    :param freeze_rng: random generator of faults that freeze all instances
+        of a service, ``None`` for no such faults.
     """
 
     def __init__(
@@ -58,10 +58,10 @@
         rng: random.Random,
         targets: Targets,
         fault_log: list[str],
-        freezes: random.Random | None,
+        freeze_rng: random.Random | None,
     ) -> None:
         self._rng = rng
-        self._freezes = freezes
+        self._freeze_rng = freeze_rng
         self._targets = targets
         self._entries = targets.entries
         self._control = targets.control
@@ -89,8 +89,8 @@
         """Start faults at random times; they overlap."""
         ends_at = anyio.current_time() + self._rng.uniform(*BURST_SECONDS)
         task_group.start_soon(self._fail_instances)
-        if self._freezes is not None:
-            task_group.start_soon(self._freeze_service, self._freezes)
+        if self._freeze_rng is not None:
+            task_group.start_soon(self._freeze_service, self._freeze_rng)
         while anyio.current_time() < ends_at:
             await anyio.sleep(self._rng.expovariate(1 / FAULT_PAUSE_SECONDS))
             task_group.start_soon(self._rng.choice(self._faults))
@@ -99,7 +99,7 @@
     def _faults(self) -> Faults:
         return (
             self._fail_instances,
-            self._silence_instances,
+            self._freeze_or_disconnect_instances,
             self._kill_all,
             self._kill_all,
             self._kill_all,
@@ -153,7 +153,7 @@
         for number in numbers:
             await self._control.do("mend", upstream=number)
 
-    async def _silence_instances(self) -> None:
+    async def _freeze_or_disconnect_instances(self) -> None:
         """Freeze instances, or disconnect them.
 
         A frozen instance reads what it was sent once it resumes; what a
@@ -165,7 +165,7 @@
         )
         is_frozen = self._rng.random() < 0.6
         seconds = self._rng.uniform(0.5, 4.0)
-        await self._silence(numbers, seconds, is_frozen)
+        await self._freeze_or_disconnect(numbers, seconds, is_frozen)
 
     async def _freeze_service(self, rng: random.Random) -> None:
         """Freeze all instances of one service."""
@@ -174,9 +174,11 @@
             self._targets.model_count,
         )
         numbers = rng.choice((range(model_count), range(model_count, count)))
-        await self._silence(list(numbers), rng.uniform(2.0, 8.0), True)
+        await self._freeze_or_disconnect(
+            list(numbers), rng.uniform(2.0, 8.0), True
+        )
 
-    async def _silence(
+    async def _freeze_or_disconnect(
         self, numbers: list[int], seconds: float, is_frozen: bool
     ) -> None:
         what = "freeze" if is_frozen else "disconnect"
@@ -195,7 +197,7 @@
     async def _kill(self, number: int, pause: float = 0.0) -> None:
         """Kill an entry and start it again; no two restarts of it overlap."""
         async with self._locks.setdefault(number, anyio.Lock()):
-            await entries_module.end(self._entries.processes[number])
+            await entries_module.kill(self._entries.processes[number])
             await anyio.sleep(pause)
             await self._entries.start(number)
 
@@ -215,7 +217,7 @@
         self._record("kill_in_turn")
         started = self._started_entries
         for number in self._rng.sample(
-            started, min(KILLS_IN_TURN, len(started))
+            started, min(MAX_ENTRIES_KILLED_IN_TURN, len(started))
         ):
             await self._kill(number)
             await anyio.sleep(1.0)
@@ -224,7 +226,7 @@
         number = self._rng.choice(self._started_entries)
         pause = self._rng.uniform(0.6, 1.6)
         self._record(f"kill_again {number} each {pause:.1f} s")
-        for _ in range(KILLS_IN_A_ROW):
+        for _ in range(KILLS_OF_ONE_ENTRY):
             await self._kill(number)
             await anyio.sleep(pause)
 
@@ -263,9 +265,12 @@
         seconds = self._rng.uniform(1.0, 4.0)
         is_down = self._rng.random() < 0.5
         self._record(
-            f"start_without_store {numbers} {is_down} {seconds:.1f} s"
+            f"start_without_store {numbers} store_down={is_down} "
+            f"{seconds:.1f} s"
         )
-        links = [self._entries.endpoints[number].store for number in numbers]
+        links = [
+            self._entries.endpoints[number].store_proxy for number in numbers
+        ]
         if is_down:
             await self._control.do("store", is_down=True)
         else:
@@ -281,7 +286,9 @@
         numbers = self._sample_entries()
         seconds = self._rng.uniform(1.0, 5.0)
         self._record(f"cut_store {numbers} {seconds:.1f} s")
-        links = [self._entries.endpoints[number].store for number in numbers]
+        links = [
+            self._entries.endpoints[number].store_proxy for number in numbers
+        ]
         self._cut_links(links)
         await anyio.sleep(seconds)
         for link in links:
@@ -320,5 +327,5 @@
         """Have callers send their requests to these entries."""
         endpoints = self._entries.endpoints
         self._targets.callers.ports = [
-            endpoints[number].callers for number in numbers
+            endpoints[number].caller_port for number in numbers
         ]
--- a/bench/soak/keys.py
+++ b/bench/soak/keys.py
@@ -32,12 +32,12 @@
         self._callers = callers
         self._revoked: dict[str, float] = {}
 
-    async def change_config(self, version: int) -> None:
+    async def change_config(self, version_increment: int) -> None:
         """Replace the key, and increase the config's version.
 
-        :param version: how much to add to the version.
+        :param version_increment: how much to add to the version.
         """
-        self._config["version"] += version
+        self._config["version"] += version_increment
         old = self._callers.key
         new = f"key-{self._config['version']}"
         team = self._config["tenants"][0]
@@ -53,8 +53,8 @@
     def find_violations(self) -> typing.Iterator[str]:
         """Yield each request that was served with a revoked key."""
         for one in self._callers.outcomes:
-            taken_at = self._revoked.get(one.key)
-            if taken_at is None or one.status != 200:
+            revoked_at = self._revoked.get(one.key)
+            if revoked_at is None or one.status != 200:
                 continue
-            if one.sent_at > taken_at + entries.REVOCATION_SECONDS:
+            if one.sent_at > revoked_at + entries.REVOCATION_SECONDS:
                 yield f"{one.request}: served with a revoked key"
--- a/bench/soak/ports.py
+++ b/bench/soak/ports.py
@@ -12,8 +12,8 @@
 HOST = "127.0.0.1"
 # Below the ephemeral ports of Linux, which begin at 32768.
 PORTS = range(10_000, 32_000)
-# Seeds that run at the same time draw from different shares of the ports: the
-# ports of a killed entry are free for a moment.
+# Concurrent seeds use disjoint ports: another seed could take the port of an
+# entry that is being restarted.
 PORT_SHARES = 20
 
 
--- a/bench/soak/proxy.py
+++ b/bench/soak/proxy.py
@@ -53,10 +53,10 @@
             task_status.started()
             await listener.serve(self._serve)
 
-    def reset(self, share: float, rng: random.Random) -> None:
-        """Reset a share of the open connections."""
+    def reset(self, probability: float, rng: random.Random) -> None:
+        """Reset each open socket with this probability."""
         for stream in tuple(self._streams):
-            if rng.random() < share:
+            if rng.random() < probability:
                 _reset(stream)
 
     async def impair(self, seconds: float, rng: random.Random) -> None:
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -36,8 +36,8 @@
 START_SECONDS = 30.0
 # Time from the end of the last fault until all requests are served again.
 RECOVERY_SECONDS = 8.0
-# More time after another writer corrupted the lease: nobody may take it for
-# its whole duration, and engines get no layers meanwhile.
+# Additional recovery time if a writer corrupted the lease: nobody may take it
+# for one lease duration, and engines get no layers meanwhile.
 CORRUPTED_LEASE_SECONDS = 6.0
 STREAM_EVENTS = 20
 # Mean pause of a caller between two requests.
@@ -45,12 +45,12 @@
 # The same for seeds that have to exhaust the retry budget.
 BUDGET_CALLER_PAUSE_SECONDS = 0.05
 BUDGET_PATHS = (
-    callers_module.STREAM,
-    callers_module.STREAM,
-    callers_module.STREAM,
-    callers_module.REPEATED,
-    callers_module.REPEATED,
-    callers_module.ONCE,
+    callers_module.STREAM_PATH,
+    callers_module.STREAM_PATH,
+    callers_module.STREAM_PATH,
+    callers_module.IDEMPOTENT_PATH,
+    callers_module.IDEMPOTENT_PATH,
+    callers_module.ONCE_PATH,
 )
 
 Spec = dict[str, typing.Any]
@@ -60,19 +60,19 @@
 class Options:
     """Size, duration and faults of one seed.
 
-    Optional faults have random generators of their own, so that a seed
-    injects the same other faults without them.
+    Optional faults have random generators of their own, so that enabling them
+    does not change the other faults of a seed.
 
     :ivar seconds: time during which faults are injected.
-    :ivar pause: mean seconds between two faults, which may overlap.
+    :ivar fault_pause_seconds: mean time between two faults, which may overlap.
     :ivar sends_crashing: whether a caller sends a request that crashes each
         engine it runs at.
     :ivar restores: whether the store is restored from older backups.
     :ivar has_backpressure: whether instances set limits, ask for back-off and
         announce in answers that they leave.
     :ivar peers: whether entries of a zone ask one another for the store.
-    :ivar allowance: terms of the retry budget, for a seed that tests it with
-        bursts of faults instead of single ones; ``None`` for other seeds.
+    :ivar allowance: retry budget to test with bursts of faults; ``None``
+        injects single faults.
     :ivar freezes: whether bursts freeze all instances of a service too.
     :ivar new_entries: entries under new names that may join in bursts.
     """
@@ -82,7 +82,7 @@
     entries: int = 3
     engines: int = 6
     callers: int = 6
-    pause: float = 0.7
+    fault_pause_seconds: float = 0.7
     sends_crashing: bool = True
     restores: bool = False
     has_backpressure: bool = False
@@ -93,28 +93,35 @@
 
 
 @attrs.define
-class Verdict:
-    """Result of one seed."""
+class SeedResult:
+    """Result of one seed.
+
+    :ivar violations: descriptions of the violated guarantees.
+    :ivar fault_log: the injected faults, in order.
+    """
 
     seed: int
-    asked: int
-    served: int
+    request_count: int
+    served_count: int
     violations: list[str]
-    faults: list[str]
-    peaks: list[budget.ServicePeak]
+    fault_log: list[str]
+    budget_peaks: list[budget.ServicePeak]
 
 
-class Soak:
+class SoakRun:
     """Runs one seed and checks the guarantees."""
 
     def __init__(self, options: Options, folder: pathlib.Path) -> None:
         self._options = options
         self._rng = random.Random(options.seed)
+        # Beside the engines, two plain instances, or four with bursts.
         count = options.engines + (4 if options.allowance else 2)
         new_entries = options.new_entries if options.allowance else 0
         entry_count = options.entries + new_entries
-        needed = entries_module.PORTS_EACH * entry_count
-        # Drawn in one call: a second one might return ports not yet in use.
+        needed = entries_module.PORTS_PER_ENTRY * entry_count
+        # Store and control port, two for each instance and its proxy, and
+        # those of the entries. A second call could return the same ports,
+        # because nothing listens on them yet.
         ports = iter(
             free_ports.find_free(2 + 2 * count + needed, options.seed)
         )
@@ -142,16 +149,18 @@
             options.peers,
             budget.ini(options.allowance) if options.allowance else "",
         )
-        self._store_proxies = [one.store for one in self._entries.endpoints]
+        self._store_proxies = [
+            endpoint.store_proxy for endpoint in self._entries.endpoints
+        ]
         self._config = config.CONFIG
         if options.allowance:
-            self._config = config.with_repeats()
+            self._config = config.build_retry_config()
         self._fault_log: list[str] = []
         self._probe_count = 0
         self.callers = callers_module.Callers(
             [
-                one.callers
-                for one in self._entries.endpoints[: options.entries]
+                endpoint.caller_port
+                for endpoint in self._entries.endpoints[: options.entries]
             ],
             random.Random(options.seed + 1),
             STREAM_EVENTS,
@@ -167,7 +176,7 @@
             self._rng, self._control, self._engine_proxies
         )
 
-    async def run(self) -> Verdict:
+    async def run(self) -> SeedResult:
         """Run the seed."""
         async with contextlib.AsyncExitStack() as stack:
             tasks = await stack.enter_async_context(anyio.create_task_group())
@@ -180,13 +189,13 @@
                 await self._entries.start(number)
             await self._await_service()
             allowance = self._options.allowance
-            pause = (
+            caller_pause_seconds = (
                 BUDGET_CALLER_PAUSE_SECONDS
                 if allowance
                 else CALLER_PAUSE_SECONDS
             )
             for _ in range(self._options.callers):
-                tasks.start_soon(self.callers.run, pause)
+                tasks.start_soon(self.callers.run, caller_pause_seconds)
             if self._options.sends_crashing and not allowance:
                 await self._control.do(
                     "ending", body=callers_module.CRASHING_BODY
@@ -206,20 +215,20 @@
             violations += [str(one) for one in peaks if one.peak.is_over]
             # Stop the callers before the platform that serves them.
             tasks.cancel_scope.cancel()
-            return self._verdict(violations, peaks)
+            return self._result(violations, peaks)
 
-    def _verdict(
+    def _result(
         self, violations: list[str], peaks: list[budget.ServicePeak]
-    ) -> Verdict:
-        served = sum(
+    ) -> SeedResult:
+        served_count = sum(
             1
             for one in self.callers.outcomes
             if one.status == 200 and one.is_whole
         )
-        return Verdict(
+        return SeedResult(
             self._options.seed,
             len(self.callers.outcomes),
-            served,
+            served_count,
             violations,
             self._fault_log,
             peaks,
@@ -270,7 +279,7 @@
             cwd=ROOT,
             stderr=None,
         )
-        stack.push_async_callback(entries_module.end, process)
+        stack.push_async_callback(entries_module.kill, process)
         assert process.stdout is not None
         with anyio.fail_after(START_SECONDS):
             await process.stdout.receive()
@@ -290,16 +299,16 @@
 
     async def _probe(self, port: int, served: list[bool]) -> None:
         self._probe_count += 1
-        one = callers_module.Callers(
+        probe_callers = callers_module.Callers(
             [port],
             random.Random(0),
             STREAM_EVENTS,
             f"check-{self._probe_count}-",
         )
-        one.key = self.callers.key
+        probe_callers.key = self.callers.key
         async with httpcore.AsyncConnectionPool() as pool:
-            for path in (callers_module.STREAM, callers_module.ONCE):
-                outcome = await one.ask(path, pool)
+            for path in (callers_module.STREAM_PATH, callers_module.ONCE_PATH):
+                outcome = await probe_callers.send(path, pool)
                 self._probe_outcomes.append(outcome)
                 served.append(outcome.status == 200 and outcome.is_whole)
 
@@ -313,13 +322,19 @@
             if await self._serves_all():
                 return []
             await anyio.sleep(0.2)
-        return [f"not served {seconds} s after the last fault"]
+        return [
+            f"expected every entry to serve within {seconds} s after the last "
+            "fault; at least one does not"
+        ]
 
     async def _check_crashes(self) -> list[str]:
         crash_count = len(await self._control.crashes())
         if crash_count <= callers_module.CRASH_LIMIT:
             return []
-        return [f"{crash_count} engines crashed under one request"]
+        return [
+            f"expected at most {callers_module.CRASH_LIMIT} engines to crash "
+            f"on one request, found {crash_count}"
+        ]
 
     async def _inject_faults(self) -> None:
         """Inject faults for the seed's time, and wait until all have ended."""
@@ -341,7 +356,9 @@
                         self._fault_log,
                     )
                 while True:
-                    await anyio.sleep(self._rng.expovariate(1 / options.pause))
+                    await anyio.sleep(
+                        self._rng.expovariate(1 / options.fault_pause_seconds)
+                    )
                     task_group.start_soon(self._inject_fault)
 
     async def _inject_fault(self) -> None:
@@ -367,10 +384,12 @@
         await self._keys.change_config(self._rng.randint(1, 3))
 
 
-def run_seed(options: Options, folder: pathlib.Path | None = None) -> Verdict:
+def run_seed(
+    options: Options, folder: pathlib.Path | None = None
+) -> SeedResult:
     """Run one seed; logs go to ``folder``, or to a temporary folder."""
     if folder is not None:
         folder.mkdir(parents=True, exist_ok=True)
-        return anyio.run(Soak(options, folder).run)
-    with tempfile.TemporaryDirectory() as made:
-        return anyio.run(Soak(options, pathlib.Path(made)).run)
+        return anyio.run(SoakRun(options, folder).run)
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        return anyio.run(SoakRun(options, pathlib.Path(temporary_folder)).run)
--- a/bench/soak/standin_platform.py
+++ b/bench/soak/standin_platform.py
@@ -5,7 +5,7 @@
 
 """The process that runs the stand-ins of the platform.
 
-A control port takes commands over HTTP, and tells which requests ran.
+A control port takes commands over HTTP, and reports which requests ran.
 """
 
 import collections
@@ -35,8 +35,8 @@
 HOST = "127.0.0.1"
 EVENT_SECONDS = 0.04
 CALL_SECONDS = 0.02
-# The store is backed up this often and restored from one of the last ten
-# backups, which loses the writes of up to five seconds.
+# The store is backed up this often, and restored from one of the last
+# BACKUPS_KEPT backups.
 BACKUP_SECONDS = 0.5
 BACKUPS_KEPT = 10
 # Time after which the operator writes its config again to a restored store.
@@ -55,7 +55,7 @@
         self._store = standin_store.StandinStore()
         self._fleet = chain_fleet.ChainFleet()
         self._fleet.event_seconds = EVENT_SECONDS
-        self._starts = 0
+        self._restart_count = 0
         self._config: Spec = spec["config"]
         self._backups: collections.deque[standin_store.Backup] = (
             collections.deque(maxlen=BACKUPS_KEPT)
@@ -65,8 +65,8 @@
         """Serve until the process is terminated."""
         self._put_config(self._config)
         async with anyio.create_task_group() as tasks:
-            for one in self._spec["upstreams"]:
-                await self._add_upstream(one, tasks)
+            for upstream_spec in self._spec["upstreams"]:
+                await self._add_upstream(upstream_spec, tasks)
             store = store_http.StoreApp(self._store).build()
             await tasks.start(
                 http_server.serve_http, store, HOST, self._spec["store"]
@@ -87,22 +87,22 @@
             print("ready", flush=True)
 
     async def _add_upstream(
-        self, one: Spec, tasks: anyio.abc.TaskGroup
+        self, upstream_spec: Spec, tasks: anyio.abc.TaskGroup
     ) -> None:
         listed = chain.Upstream(
-            name=one["name"],
-            service=one["service"],
-            address=instances.Address(HOST, one["known_as"]),
-            availability_zone=one["zone"],
+            name=upstream_spec["name"],
+            service=upstream_spec["service"],
+            address=instances.Address(HOST, upstream_spec["known_as"]),
+            availability_zone=upstream_spec["zone"],
             slots=8,
             is_leaving=False,
-            card=one["card"],
+            card=upstream_spec["card"],
         )
         await chain_http.serve(
             self._fleet,
             listed,
             tasks,
-            port=one["port"],
+            port=upstream_spec["port"],
             advertised_address=listed.address,
         )
         self._fleet.at(listed.address).call_seconds = CALL_SECONDS
@@ -112,11 +112,16 @@
             self._backups.append(self._store.back_up())
             await anyio.sleep(BACKUP_SECONDS)
 
-    async def _restore(self, age: int, seconds: float) -> None:
-        """Have the store down for some time, then restored from a backup."""
+    async def _restore(self, backups_back: int, seconds: float) -> None:
+        """Stop the store for some time, then restore a backup.
+
+        :param backups_back: which backup to restore, 1 for the latest.
+        """
         self._store.is_down = True
         await anyio.sleep(seconds)
-        self._store.restore(self._backups[-min(age, len(self._backups))])
+        self._store.restore(
+            self._backups[-min(backups_back, len(self._backups))]
+        )
         self._store.is_down = False
         await anyio.sleep(REWRITE_SECONDS)
         self._put_config(self._config)
@@ -128,64 +133,64 @@
         )
 
     async def _execute(self, request: requests.Request) -> responses.Response:
-        order = orjson.loads(await request.body())
-        what = order["what"]
-        if what == "config":
-            self._put_config(order["body"])
-        elif what == "store":
-            self._store.is_down = order["is_down"]
-        elif what == "restore":
-            await self._restore(order["age"], order["seconds"])
-        elif what == "forget":
+        command = orjson.loads(await request.body())
+        name = command["what"]
+        if name == "config":
+            self._put_config(command["body"])
+        elif name == "store":
+            self._store.is_down = command["is_down"]
+        elif name == "restore":
+            await self._restore(command["age"], command["seconds"])
+        elif name == "forget":
             self._store.forget_history()
-        elif what == "lose":
-            self._store.lost_replies += order["count"]
-        elif what == "foreign":
-            self._write_foreign(order["number"])
-        elif what == "ending":
-            self._fleet.crashing_bodies.add(order["body"].encode())
+        elif name == "lose":
+            self._store.lost_replies += command["count"]
+        elif name == "foreign":
+            self._write_foreign(command["number"])
+        elif name == "ending":
+            self._fleet.crashing_bodies.add(command["body"].encode())
         else:
-            target = self._fleet.upstreams[order["upstream"]]
-            self._strike(what, target, float(order.get("value", 0.0)))
+            target = self._fleet.upstreams[command["upstream"]]
+            self._apply_fault(name, target, float(command.get("value", 0.0)))
         return responses.Response()
 
-    def _strike(
-        self, what: str, target: chain_fleet.StandinUpstream, value: float
+    def _apply_fault(
+        self, name: str, target: chain_fleet.StandinUpstream, value: float
     ) -> None:
-        if what == "dark":
+        if name == "dark":
             target.is_unresponsive = True
-        elif what == "dead":
+        elif name == "dead":
             target.is_dead = True
             self._store.remove(
                 names.UPSTREAM_KIND, target.listed.incarnation.id
             )
-        elif what == "back":
+        elif name == "back":
             self._restart(target, keeps_id=False)
-        elif what == "back_under_its_id":
+        elif name == "back_under_its_id":
             self._restart(target, keeps_id=True)
-        elif what == "lose_answers":
+        elif name == "lose_answers":
             target.lost_answers += 2
-        elif what == "reject":
+        elif name == "reject":
             target.rejected_requests += 3
-        elif what == "limit":
+        elif name == "limit":
             target.limit = value
-        elif what == "rest":
+        elif name == "rest":
             target.rejected_requests, target.backoff = 3, value
-        elif what == "leave":
+        elif name == "leave":
             target.announces_leaving = True
-        elif what == "fail_all":
+        elif name == "fail_all":
             target.failed_calls, target.break_stream_after = UNLIMITED, 1
             target.breaks_every_stream = True
-        elif what == "lose_all":
+        elif name == "lose_all":
             target.lost_answers = UNLIMITED
-        elif what == "reject_all":
+        elif name == "reject_all":
             target.rejected_requests = UNLIMITED
-        elif what == "mend":
+        elif name == "mend":
             target.failed_calls = target.lost_answers = (
                 target.rejected_requests
             ) = 0
             target.break_stream_after, target.breaks_every_stream = -1, False
-        elif what == "calm":
+        elif name == "calm":
             target.limit = None
             target.rejected_requests, target.backoff = 0, 0.0
             target.announces_leaving = False
@@ -193,16 +198,19 @@
     def _restart(
         self, target: chain_fleet.StandinUpstream, keeps_id: bool
     ) -> None:
-        """Restart an instance; one that was dead has a new incarnation."""
+        """Restart an instance; a dead one gets a new incarnation."""
         if target.is_dead:
-            self._starts += 1
+            # Any increasing number serves as a start time.
+            self._restart_count += 1
             listed = target.listed
             incarnation = chain.Incarnation(
-                listed.incarnation.id, self._starts
+                listed.incarnation.id, self._restart_count
             )
             if not keeps_id:
                 name = listed.incarnation.id.partition(".")[0]
-                incarnation = chain.Incarnation(f"{name}.{self._starts}")
+                incarnation = chain.Incarnation(
+                    f"{name}.{self._restart_count}"
+                )
             target.listed = attrs.evolve(
                 listed,
                 name=incarnation.name,
@@ -214,7 +222,10 @@
         target.is_dead = target.is_unresponsive = False
 
     def _write_foreign(self, number: int) -> None:
-        """Write foreign values to an upstream's key and to the lease."""
+        """Write invalid values to an upstream's object and to the lease.
+
+        Another program might write such values.
+        """
         values = (
             b"7",
             b'{"service": 1}',
@@ -226,7 +237,7 @@
         self._store.write(leases.KIND, "placement", value)
 
     async def _runs(self, request: requests.Request) -> responses.Response:
-        runs = [[one.request, one.upstream] for one in self._fleet.runs]
+        runs = [[run.request, run.upstream] for run in self._fleet.runs]
         return responses.Response(orjson.dumps(runs))
 
     async def _arrivals(self, request: requests.Request) -> responses.Response:
@@ -239,11 +250,12 @@
     async def _crashes(self, request: requests.Request) -> responses.Response:
         """Return which instances crashed under a request, in order."""
         numbers = {
-            id(one): number for number, one in enumerate(self._fleet.upstreams)
+            id(upstream): number
+            for number, upstream in enumerate(self._fleet.upstreams)
         }
         return responses.Response(
             orjson.dumps(
-                [numbers[id(one.target)] for one in self._fleet.crashes]
+                [numbers[id(crash.target)] for crash in self._fleet.crashes]
             )
         )
 
--- a/bench/soak/store_faults.py
+++ b/bench/soak/store_faults.py
@@ -35,7 +35,10 @@
         await self._rng.choice(self._links).impair(seconds, self._rng)
 
     async def fail_store(self, seconds: float) -> None:
-        """Have the store lose a reply, and be down for some time."""
+        """Make the store lose a reply and be down for some time.
+
+        Half of the time it also drops its history.
+        """
         if self._rng.random() < 0.5:
             await self._control.do("forget")
         await self._control.do("lose", count=1)
@@ -44,7 +47,7 @@
         await self._control.do("store", is_down=False)
 
     async def write_foreign(self, seconds: float) -> None:
-        """Write foreign values to the store, as another program might."""
+        """Write invalid values to the store, as another program might."""
         for _ in range(3):
             number = self._rng.randrange(8)
             await self._control.do("foreign", number=number)
@@ -59,8 +62,8 @@
             await anyio.sleep(rng.expovariate(1 / RESTORE_PAUSE_SECONDS))
             if anyio.current_time() >= ends_at:
                 return
-            away = rng.uniform(0.0, 2.5)
-            fault_log.append(f"restore_store {away:.1f} s")
+            down_seconds = rng.uniform(0.0, 2.5)
+            fault_log.append(f"restore_store {down_seconds:.1f} s")
             await self._control.do(
-                "restore", age=rng.randint(1, 10), seconds=away
+                "restore", age=rng.randint(1, 10), seconds=down_seconds
             )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -38,22 +38,22 @@
 
     @pytest.mark.parametrize("seed", [SHORT.seed, *REGRESSIONS])
     def test_guarantees_hold(self, seed: int) -> None:
-        verdict = soak.run_seed(attrs.evolve(SHORT, seed=seed))
-        assert verdict.violations == []
+        result = soak.run_seed(attrs.evolve(SHORT, seed=seed))
+        assert result.violations == []
 
     def test_guarantees_hold_while_store_is_restored(self) -> None:
-        verdict = soak.run_seed(
+        result = soak.run_seed(
             attrs.evolve(SHORT, seed=2, restores=True, peers=True)
         )
-        assert any(one.startswith("restore") for one in verdict.faults)
-        assert verdict.violations == []
+        assert any(one.startswith("restore") for one in result.fault_log)
+        assert result.violations == []
 
     def test_guarantees_hold_under_backpressure(self) -> None:
-        verdict = soak.run_seed(
+        result = soak.run_seed(
             attrs.evolve(SHORT, seed=5, has_backpressure=True)
         )
-        assert any(one.startswith("limit") for one in verdict.faults)
-        assert verdict.violations == []
+        assert any(one.startswith("limit") for one in result.fault_log)
+        assert result.violations == []
 
     def test_repeats_keep_to_the_budget(self) -> None:
         """Guards against restarted entries that spend a retry budget again.
@@ -61,22 +61,23 @@
         An entry does not know at its start what its predecessor spent, nor
         how many entries share the budget.
         """
-        verdict = soak.run_seed(BUDGET)
-        assert any("kill_all" in one for one in verdict.faults)
-        assert any(one.peak.repeats for one in verdict.peaks)
-        assert verdict.violations == []
+        result = soak.run_seed(BUDGET)
+        assert any("kill_all" in one for one in result.fault_log)
+        assert any(one.peak.repeats for one in result.budget_peaks)
+        assert result.violations == []
 
 
 class TestBudget:
     """The retry budget of a service, over all entries and processes."""
 
     SENT = 20
+    # 0.05 repeats for each of 20 requests, and 40 more.
     ALLOWED = 41
 
     def is_over(self, repeats: int, is_sent: bool = True) -> bool:
         outcomes = [
             callers.Outcome(
-                f"q{number}", callers.ONCE, "key", 0.1, is_sent=is_sent
+                f"q{number}", callers.ONCE_PATH, "key", 0.1, is_sent=is_sent
             )
             for number in range(self.SENT)
         ]
@@ -96,7 +97,7 @@
         assert self.is_over(self.ALLOWED, is_sent=False)
 
 
-class TestOracle:
+class TestCallerChecks:
     """Answers that the callers report as violations."""
 
     def find_violations(self, *outcomes: callers.Outcome) -> list[str]:
@@ -108,7 +109,7 @@
         return list(one.find_violations(runs))
 
     def outcome(self, request: str, **changes: object) -> callers.Outcome:
-        base = callers.Outcome(request, callers.ONCE, "key", 0.0)
+        base = callers.Outcome(request, callers.ONCE_PATH, "key", 0.0)
         return attrs.evolve(base, **changes)  # type: ignore[arg-type]
 
     def test_second_run_of_a_call_is_reported(self) -> None:
@@ -118,13 +119,15 @@
 
     def test_refused_request_that_ran_is_reported(self) -> None:
         violations = self.find_violations(self.outcome("b", status=503))
-        assert violations == ["b: 503, and it ran"]
+        assert violations == [
+            "b: status 503 means not run, but it ran 1 times"
+        ]
 
     def test_wrong_answer_is_reported(self) -> None:
         violations = self.find_violations(
             self.outcome("c", status=200, body=b"d", is_whole=True)
         )
-        assert violations == ["c: a wrong or truncated answer"]
+        assert violations == ["c: expected the body b'c', found b'd'"]
 
     @pytest.mark.parametrize(
         ("body", "is_whole", "is_violation"),
@@ -140,7 +143,7 @@
     ) -> None:
         outcome = self.outcome(
             "s",
-            path=callers.STREAM,
+            path=callers.STREAM_PATH,
             status=200,
             body=body,
             is_whole=is_whole,
