--- a/bench/soak/budget.py
+++ b/bench/soak/budget.py
@@ -67,7 +67,7 @@
 
     :param outcomes: all requests of callers, to any entry.
     """
-    started_at = min(one.sent_at for one in outcomes)
+    started_at = min(outcome.sent_at for outcome in outcomes)
     found = []
     for service, arrived in sorted(arrivals.items()):
         peaks = _build_counter(service, outcomes, arrived).peaks(allowance)
@@ -85,9 +85,9 @@
 ) -> repeats.RepeatCounter:
     counter = repeats.RepeatCounter()
     sent = [
-        one.sent_at
-        for one in outcomes
-        if one.is_sent and SERVICES[one.path] == service
+        outcome.sent_at
+        for outcome in outcomes
+        if outcome.is_sent and SERVICES[outcome.path] == service
     ]
     for time in sorted(sent):
         counter.count_request(time)
--- a/bench/soak/control.py
+++ b/bench/soak/control.py
@@ -21,13 +21,13 @@
     def __init__(self, port: int) -> None:
         self.port = port
 
-    async def do(self, what: str, **order: typing.Any) -> None:
+    async def do(self, command: str, **fields: typing.Any) -> None:
         """Send a command."""
         async with httpcore.AsyncConnectionPool() as pool:
             await pool.request(
                 "POST",
                 f"http://{HOST}:{self.port}/do",
-                content=orjson.dumps({"what": what, **order}),
+                content=orjson.dumps({"what": command, **fields}),
             )
 
     async def runs(self) -> list[list[str]]:
@@ -45,9 +45,9 @@
         found: budget.Arrivals = await self._fetch("arrivals")
         return found
 
-    async def _fetch(self, what: str) -> typing.Any:
+    async def _fetch(self, path: str) -> typing.Any:
         async with httpcore.AsyncConnectionPool() as pool:
             response = await pool.request(
-                "GET", f"http://{HOST}:{self.port}/{what}"
+                "GET", f"http://{HOST}:{self.port}/{path}"
             )
         return orjson.loads(response.content)
--- a/bench/soak/keys.py
+++ b/bench/soak/keys.py
@@ -46,15 +46,15 @@
         await anyio.sleep(OVERLAP_SECONDS)
         self._callers.key = new
         self._config["version"] += 1
-        team["api_keys"] = [one for one in team["api_keys"] if one != old]
+        team["api_keys"] = [key for key in team["api_keys"] if key != old]
         await self._control.do("config", body=self._config)
         self._revoked[old] = anyio.current_time()
 
     def find_violations(self) -> typing.Iterator[str]:
         """Yield each request that was served with a revoked key."""
-        for one in self._callers.outcomes:
-            revoked_at = self._revoked.get(one.key)
-            if revoked_at is None or one.status != 200:
+        for outcome in self._callers.outcomes:
+            revoked_at = self._revoked.get(outcome.key)
+            if revoked_at is None or outcome.status != 200:
                 continue
-            if one.sent_at > revoked_at + entries.REVOCATION_SECONDS:
-                yield f"{one.request}: served with a revoked key"
+            if outcome.sent_at > revoked_at + entries.REVOCATION_SECONDS:
+                yield f"{outcome.request}: served with a revoked key"
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -139,8 +139,8 @@
             for number in range(count)
         ]
         self._engine_proxies = [
-            proxies.Proxy(one["known_as"], one["port"])
-            for one in self._upstreams
+            proxies.Proxy(upstream["known_as"], upstream["port"])
+            for upstream in self._upstreams
         ]
         self._entries = entries_module.Entries(
             folder,
@@ -182,8 +182,8 @@
             tasks = await stack.enter_async_context(anyio.create_task_group())
             stack.callback(tasks.cancel_scope.cancel)
             await self._start_platform(stack)
-            for one in (*self._engine_proxies, *self._store_proxies):
-                await tasks.start(one.run)
+            for proxy in (*self._engine_proxies, *self._store_proxies):
+                await tasks.start(proxy.run)
             await stack.enter_async_context(self._entries)
             for number in range(self._options.entries):
                 await self._entries.start(number)
@@ -212,7 +212,7 @@
             violations += await self._check_crashes()
             violations += self._keys.find_violations()
             peaks = await self._find_peaks()
-            violations += [str(one) for one in peaks if one.peak.is_over]
+            violations += [str(found) for found in peaks if found.peak.is_over]
             # Stop the callers before the platform that serves them.
             tasks.cancel_scope.cancel()
             return self._result(violations, peaks)
@@ -222,8 +222,8 @@
     ) -> SeedResult:
         served_count = sum(
             1
-            for one in self.callers.outcomes
-            if one.status == 200 and one.is_whole
+            for outcome in self.callers.outcomes
+            if outcome.status == 200 and outcome.is_whole
         )
         return SeedResult(
             self._options.seed,
