--- a/bench/soak/budget.py
+++ b/bench/soak/budget.py
@@ -13,11 +13,11 @@
 from crowdeck.standin import repeats
 
 # Small and over a short window, so that few callers exhaust it repeatedly.
-ALLOWANCE = repeats.Allowance(ratio=0.05, slack=40.0, window=5.0)
+ALLOWANCE = repeats.Allowance(ratio=0.05, slack=40.0, window_seconds=5.0)
 SERVICES = {
-    callers_module.STREAM: "model",
-    callers_module.ONCE: "plain",
-    callers_module.REPEATED: "plain",
+    callers_module.STREAM_PATH: "model",
+    callers_module.ONCE_PATH: "plain",
+    callers_module.IDEMPOTENT_PATH: "plain",
 }
 
 # When each request arrived at a service, by the service's name.
@@ -28,12 +28,13 @@
 class ServicePeak:
     """The window in which a service got most repeats relative to its budget.
 
-    :ivar since: seconds from the first request to the start of the window.
+    :ivar start_seconds: time from the first request to the start of the
+        window.
     """
 
     service: str
     peak: repeats.Peak
-    since: float
+    start_seconds: float
 
     def __str__(self) -> str:
         """Return a line for the report."""
@@ -42,7 +43,7 @@
             return f"repeats: {self.service} got none"
         return (
             f"repeats: {self.service} got {peak.repeats} of "
-            f"{peak.allowed:.1f} in the window from {self.since:.2f} s"
+            f"{peak.allowed:.1f} in the window from {self.start_seconds:.2f} s"
         )
 
 
@@ -51,7 +52,7 @@
     return (
         f"retry_ratio = {allowance.ratio}\n"
         f"retry_slack = {allowance.slack}\n"
-        f"retry_window_seconds = {allowance.window}\n"
+        f"retry_window_seconds = {allowance.window_seconds}\n"
     )
 
 
@@ -66,29 +67,31 @@
 
     :param outcomes: all requests of callers, to any entry.
     """
-    started_at = min(one.sent_at for one in outcomes)
+    started_at = min(outcome.sent_at for outcome in outcomes)
     found = []
     for service, arrived in sorted(arrivals.items()):
-        peaks = _account(service, outcomes, arrived).peaks(allowance)
-        peak = max(peaks, key=lambda one: one.repeats / one.allowed)
-        found.append(ServicePeak(service, peak, peak.since - started_at))
+        peaks = _build_counter(service, outcomes, arrived).peaks(allowance)
+        peak = max(
+            peaks, key=lambda candidate: candidate.repeats / candidate.allowed
+        )
+        found.append(ServicePeak(service, peak, peak.started_at - started_at))
     return found
 
 
-def _account(
+def _build_counter(
     service: str,
     outcomes: typing.Sequence[callers_module.Outcome],
     arrived: dict[str, list[float]],
-) -> repeats.RepeatAccount:
-    account = repeats.RepeatAccount()
+) -> repeats.RepeatCounter:
+    counter = repeats.RepeatCounter()
     sent = [
-        one.sent_at
-        for one in outcomes
-        if one.is_sent and SERVICES[one.path] == service
+        outcome.sent_at
+        for outcome in outcomes
+        if outcome.is_sent and SERVICES[outcome.path] == service
     ]
     for time in sorted(sent):
-        account.note_request(time)
+        counter.count_request(time)
     for request, times in arrived.items():
         for time in times:
-            account.note_arrival(request, time)
-    return account
+            counter.count_arrival(request, time)
+    return counter
--- a/src/crowdeck/standin/repeats.py
+++ b/src/crowdeck/standin/repeats.py
@@ -17,22 +17,23 @@
 
     :ivar ratio: allowed repeats per request.
     :ivar slack: additional allowed repeats.
-    :ivar window: length of the sliding window in seconds.
+    :ivar window_seconds: length of the sliding window.
     """
 
     ratio: float
     slack: float
-    window: float
+    window_seconds: float
 
 
 @attrs.frozen
 class Peak:
     """The repeats in one window and how many it allows.
 
-    :ivar since: start of the window, on the clock of the arrivals.
+    :ivar started_at: start of the window in seconds, on the clock of the
+        arrivals.
     """
 
-    since: float
+    started_at: float
     repeats: int
     allowed: float
 
@@ -43,8 +44,8 @@
 
 
 @attrs.define
-class RepeatAccount:
-    """The requests and arrivals of one service, from all entries.
+class RepeatCounter:
+    """Counts the requests and arrivals of one service, from all entries.
 
     Every arrival of a request after its first is a repeat, even if it is
     rejected. Requests are counted when callers send them, whether or not
@@ -61,12 +62,12 @@
         """Times of arrival by request."""
         return dict(self._arrivals)
 
-    def note_request(self, at: float) -> None:
-        """Count a caller's request; call it in order of time."""
+    def count_request(self, at: float) -> None:
+        """Count a caller's request; call in order of ``at``."""
         self._requests.append(at)
 
-    def note_arrival(self, request: str, at: float) -> None:
-        """Count an arrival; call it in order of time."""
+    def count_arrival(self, request: str, at: float) -> None:
+        """Count an arrival; call in order of ``at``."""
         self._arrivals[request].append(at)
 
     def repeats(self) -> list[float]:
@@ -76,15 +77,15 @@
         )
 
     def peak(self, allowance: Allowance) -> Peak:
-        """Return the window that exceeds its allowance by most."""
+        """Return the window with the most repeats above its allowance."""
         return max(
-            self.peaks(allowance), key=lambda one: one.repeats - one.allowed
+            self.peaks(allowance), key=lambda peak: peak.repeats - peak.allowed
         )
 
     def peaks(self, allowance: Allowance) -> list[Peak]:
         """Return all windows that start or end at a repeat, or start at 0."""
         repeats = self.repeats()
-        window = allowance.window
+        window = allowance.window_seconds
         starts = {*repeats, *(at - window for at in repeats), 0.0}
         return [
             self._measure_window(start, repeats, allowance) for start in starts
@@ -93,7 +94,9 @@
     def _measure_window(
         self, since: float, repeats: list[float], allowance: Allowance
     ) -> Peak:
-        window = allowance.window
+        window = allowance.window_seconds
+        # Entries earn a window's repeats with the requests of the window
+        # before it.
         requests = max(
             _count_in_window(self._requests, since - offset, window)
             for offset in (0.0, window / 2, window)
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -141,7 +141,9 @@
         now = anyio.current_time()
         running = [target for target in self.fleet.upstreams if target.answers]
         busy = collections.Counter(
-            run.upstream for run in self.fleet.runs if now - run.at < 1.0
+            run.upstream
+            for run in self.fleet.runs
+            if now - run.started_at < 1.0
         )
         running.sort(key=lambda target: -busy[target.listed.name])
         for target in running[:count]:
@@ -221,7 +223,7 @@
         return sum(
             1
             for run in self.fleet.runs
-            if run.body == body and run.at >= since
+            if run.body == body and run.started_at >= since
         )
 
     def _begin(self, entry: fleet_system.FleetSystem) -> anyio.CancelScope:
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -15,7 +15,7 @@
 from tests import entries_system
 from tests import fleet_system
 
-ALLOWANCE = repeats.Allowance(ratio=0.2, slack=100.0, window=10.0)
+ALLOWANCE = repeats.Allowance(ratio=0.2, slack=100.0, window_seconds=10.0)
 FAILURE_FREE_SECONDS = 24.0
 # More calls than a simulation sends.
 FAILURES = 10**6
@@ -52,12 +52,12 @@
     @property
     def peak(self) -> repeats.Peak:
         """The window in which repeats most exceed their allowance."""
-        return self.account.peak(ALLOWANCE)
+        return self.counter.peak(ALLOWANCE)
 
     @property
-    def account(self) -> repeats.RepeatAccount:
+    def counter(self) -> repeats.RepeatCounter:
         """The requests that the service received."""
-        return self.entries.fleet.accounts[self.service]
+        return self.entries.fleet.repeat_counters[self.service]
 
     async def ask(
         self,
@@ -79,7 +79,7 @@
             if among:
                 entry = among[self._number % len(among)]
             self._number += 1
-            self.account.note_request(anyio.current_time())
+            self.counter.count_request(anyio.current_time())
             self.entries.start_request(entry, self._kind, b"x")
             await anyio.sleep(1.0 / per_second)
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -87,20 +87,21 @@
     upstream: chain.Upstream,
     since: float,
     until: float = float("inf"),
-) -> list[chain_fleet.Arrival]:
+) -> list[chain_fleet.SentMessage]:
     """Return the messages sent to an instance in a time span."""
     return [
-        arrival
-        for arrival in system.client.arrivals
-        if arrival.upstream == upstream.name and since <= arrival.at < until
+        message
+        for message in system.client.sent_messages
+        if message.upstream == upstream.name
+        and since <= message.sent_at < until
     ]
 
 
 def busiest(system: System) -> chain_fleet.StandinUpstream:
     """Return the instance that got the most requests so far."""
     counts: dict[str, int] = {}
-    for arrival in system.client.arrivals:
-        counts[arrival.upstream] = counts.get(arrival.upstream, 0) + 1
+    for message in system.client.sent_messages:
+        counts[message.upstream] = counts.get(message.upstream, 0) + 1
     name = max(counts, key=lambda upstream: counts[upstream])
     return system.fleet.at(system.listed[name].address)
 
@@ -135,7 +136,7 @@
         async def work(system: System) -> None:
             for upstream in system.fleet.upstreams:
                 # Long enough that all instances are needed.
-                upstream.seconds = 0.5
+                upstream.call_seconds = 0.5
             await send(system, repeat, 1.0)
             target = busiest(system)
             target.backoff = BACKOFF_SECONDS
@@ -297,7 +298,7 @@
             system.registry.back_off(backing_off.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await detector.check()
-            names = {arrival.upstream for arrival in client.arrivals}
+            names = {message.upstream for message in client.sent_messages}
             assert len(names) > 2
             assert backing_off.name not in names
 
@@ -309,9 +310,9 @@
             system.registry.avoid(upstream.name, "silent")
             system.registry.back_off(upstream.name, BACKOFF_SECONDS)
             await anyio.sleep(BACKOFF_SECONDS - 0.1)
-            assert not system.client.arrivals
+            assert not system.client.sent_messages
             await anyio.sleep(1.0)
-            assert system.client.arrivals
+            assert system.client.sent_messages
             assert system.registry.is_usable(upstream.name)
 
         run_scenario(work)
@@ -327,7 +328,7 @@
             system.registry.back_off(upstream.name, BACKOFF_SECONDS)
             for _ in range(failure_detector.FAILURE_THRESHOLD_PROBES + 1):
                 await detector.check()
-            assert not client.arrivals
+            assert not client.sent_messages
             assert not detector.is_lost(upstream.name)
 
         run_scenario(work)
@@ -405,12 +406,12 @@
                     await anyio.sleep(0.001)
                 backoff_ends_at = anyio.current_time() + BACKOFF_SECONDS
             first = sent(system, target.listed, backoff_ends_at - 0.002)[0]
-            assert first.at <= backoff_ends_at + 1.0
+            assert first.sent_at <= backoff_ends_at + 1.0
             since, until = backoff_ends_at + 1.0, backoff_ends_at + 3.0
             count = len(sent(system, target.listed, since, until))
             total = sum(
-                since <= arrival.at < until
-                for arrival in system.client.arrivals
+                since <= message.sent_at < until
+                for message in system.client.sent_messages
             )
             assert 0.25 <= count / total <= 0.75
 
@@ -429,10 +430,10 @@
             announced_at = anyio.current_time()
             callers = await send(system, repeat, 5.0)
             late = [
-                arrival
-                for arrival in sent(system, target.listed, announced_at)
-                if arrival.what is chain_fleet.CallKind.REQUEST
-                and arrival.arrived > announced_at + LEAVING_SECONDS
+                message
+                for message in sent(system, target.listed, announced_at)
+                if message.kind is chain_fleet.CallKind.REQUEST
+                and message.request_arrived_at > announced_at + LEAVING_SECONDS
             ]
             assert not late
             assert all(caller.error is None for caller in callers)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -27,8 +27,8 @@
         for report in reports:
             assert report.is_as_expected, report.line
 
-    def test_a_removed_protection_is_reported_as_broken(self) -> None:
-        """Guards against a report that always passes."""
+    def test_unexpected_results_are_reported(self) -> None:
+        """Guards against a report that passes whatever was found."""
         specification = check.ALL[1]
         unprotected = check.Report(
             specification.name, "", model.check(specification, frozenset())
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -118,7 +118,8 @@
             assert signal.share == pytest.approx(1.0)
             since = anyio.current_time() - 5.0
             sent = sum(
-                run.upstream == signal.upstream.name and run.at >= since
+                run.upstream == signal.upstream.name
+                and run.started_at >= since
                 for run in system.fleet.runs
             )
             assert signal.used == pytest.approx(sent / 5.0, rel=0.1)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -60,7 +60,7 @@
         self._random = random.Random(7)
         self._sent = 0
         for target in self.fleet.upstreams:
-            target.tells_load = True
+            target.reports_load = True
 
     async def send(
         self, seconds: float, per_second: float, repeat: routes.RepeatPolicy
@@ -93,9 +93,9 @@
     ) -> list[float]:
         """Return when an instance received requests, from ``since`` on."""
         return [
-            run.at
+            run.started_at
             for run in self.fleet.runs
-            if run.upstream == target.listed.name and run.at >= since
+            if run.upstream == target.listed.name and run.started_at >= since
         ]
 
     def bounded_arrivals(
@@ -110,16 +110,19 @@
         learned_at: dict[str, float] = {}
         times = []
         for run in self.fleet.runs:
-            if run.upstream != target.listed.name or run.at < announced_at:
+            if (
+                run.upstream != target.listed.name
+                or run.started_at < announced_at
+            ):
                 continue
             entry = run.request.rpartition("r")[0]
-            entry_learned_at = learned_at.setdefault(entry, run.at)
+            entry_learned_at = learned_at.setdefault(entry, run.started_at)
             since = max(
                 announced_at + GRACE_SECONDS,
                 entry_learned_at + LEARNED_SECONDS,
             )
-            if run.at >= since:
-                times.append(run.at)
+            if run.started_at >= since:
+                times.append(run.started_at)
         return times
 
     @property
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -311,9 +311,9 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ask)
                 await anyio.sleep(0.15)
-                system.fleet.is_cut_off = True
+                system.fleet.is_link_stalled = True
                 await anyio.sleep(0.3)
-                system.fleet.is_cut_off = False
+                system.fleet.is_link_stalled = False
             assert_whole(callers[0], request, system.fleet.events)
             assert system.registry.failed() == ()
             assert len(system.fleet.runs_of(request.id)) == 1
@@ -620,7 +620,7 @@
             assert_whole(caller, request, system.fleet.events)
             runs = system.fleet.runs_of(request.id)
             assert len(runs) == 2
-            assert runs[1].after > 0
+            assert runs[1].last_event_id > 0
 
         run_scenario(work)
 
