--- a/src/crowdeck/state/claims.py
+++ b/src/crowdeck/state/claims.py
@@ -97,7 +97,7 @@
 def digest_key(team: str, service: str, key: str) -> str:
     """Return the digest under which a caller's key is stored.
 
-    Request fingerprints are made in the same way, of other texts.
+    Fingerprints of requests are computed by it as well, from other texts.
     """
     qualified_key = f"{team}\0{service}\0{key}"
     return xxhash.xxh3_128_hexdigest(qualified_key.encode())
@@ -111,7 +111,7 @@
 @attrs.frozen
 class _RecentClaim:
     claim: Claim
-    until: float
+    rewrite_until: float
 
 
 class ClaimsLedger:
@@ -129,18 +129,19 @@
         store: stores.ObjectStore,
         clock: timers.Clock,
         wall_clock: WallClock,
-        linger: float = LINGER_SECONDS,
+        linger_seconds: float = LINGER_SECONDS,
     ) -> None:
         self._store = store
         self._clock = clock
         self._wall_clock = wall_clock
-        self._linger = linger
+        self._linger_seconds = linger_seconds
         self._queues: dict[int, list[_PendingClaim]] = {}
         self._writing: set[int] = set()
         self._epoch: int | None = None
+        # Free keys are refused until this time, in monotonic seconds.
         self._settles_at = 0.0
         self._recent_claims: dict[str, _RecentClaim] = {}
-        self._outdated: set[int] = set()
+        self._outdated_shards: set[int] = set()
 
     async def check_epoch(self) -> None:
         """Rewrite the claims that a restored store may have lost.
@@ -149,10 +150,10 @@
         when there are claims to rewrite.
         """
         self._observe_epoch()
-        for shard in sorted(self._outdated):
-            if shard not in self._writing:
-                await self._write_shard(shard)
-            if shard in self._outdated:
+        for shard_number in sorted(self._outdated_shards):
+            if shard_number not in self._writing:
+                await self._write_shard(shard_number)
+            if shard_number in self._outdated_shards:
                 # Not rewritten yet; the next check tries again.
                 return
 
@@ -168,27 +169,27 @@
             ``OVERLOADED`` with ``NOT_RUN``, since requests run only after
             their claim.
         """
-        shard = _shard_of(claim.key)
+        shard_number = _shard_number(claim.key)
         pending = _PendingClaim(claim, replaces)
-        self._queues.setdefault(shard, []).append(pending)
+        self._queues.setdefault(shard_number, []).append(pending)
         while not pending.done.is_set():
-            if shard in self._writing:
+            if shard_number in self._writing:
                 await pending.done.wait()
             else:
-                await self._write_shard(shard)
+                await self._write_shard(shard_number)
         if pending.error is not None:
             raise pending.error
         assert pending.holder is not None
         return pending.holder
 
-    async def _write_shard(self, shard: int) -> None:
+    async def _write_shard(self, shard_number: int) -> None:
         """Write all pending claims on a shard in one batch."""
-        self._writing.add(shard)
+        self._writing.add(shard_number)
         batch: list[_PendingClaim] = []
         try:
-            await anyio.sleep(self._linger)
-            batch = self._queues.pop(shard, [])
-            await self._commit(shard, batch)
+            await anyio.sleep(self._linger_seconds)
+            batch = self._queues.pop(shard_number, [])
+            await self._commit(shard_number, batch)
         except errors.CrowdeckError as error:
             for pending in batch:
                 pending.error = error
@@ -199,30 +200,32 @@
                 pending.error = _unsure_error()
             raise
         finally:
-            self._writing.discard(shard)
+            self._writing.discard(shard_number)
             for pending in batch:
                 pending.done.set()
-            self._wake_pending(shard)
+            self._wake_pending(shard_number)
 
-    def _wake_pending(self, shard: int) -> None:
+    def _wake_pending(self, shard_number: int) -> None:
         # Wake the callers that queued during the write. ``done`` is replaced
         # first, so they find it unset, and the first one to run writes the
         # next batch.
-        for pending in self._queues.get(shard, ()):
+        for pending in self._queues.get(shard_number, ()):
             event, pending.done = pending.done, anyio.Event()
             event.set()
 
-    async def _commit(self, number: int, batch: list[_PendingClaim]) -> None:
-        name = f"shard-{number}"
+    async def _commit(
+        self, shard_number: int, batch: list[_PendingClaim]
+    ) -> None:
+        name = f"shard-{shard_number}"
         for _ in range(MAX_WRITE_ATTEMPTS):
             found = await self._store.get(KIND, name)
             if self._observe_epoch():
                 # The value may still be from the previous epoch.
                 continue
             shard = _decode(found.value if found is not None else None)
-            merged = self._merge(shard, number, batch)
+            merged = self._merge(shard, shard_number, batch)
             if merged == shard:
-                self._remember(number, batch)
+                self._remember(shard_number, batch)
                 return
             value = _encode(merged)
             if len(value) > MAX_SHARD_BYTES:
@@ -239,7 +242,7 @@
                     # version in the new epoch.
                     continue
                 counters.COUNTERS.add("claims.written", len(batch))
-                self._remember(number, batch)
+                self._remember(shard_number, batch)
                 return
             except errors.CrowdeckError as error:
                 if error.code == errors.Code.STORE_DOWN:
@@ -250,15 +253,17 @@
         raise _unsure_error()
 
     def _merge(
-        self, shard: Shard, number: int, batch: list[_PendingClaim]
+        self, shard: Shard, shard_number: int, batch: list[_PendingClaim]
     ) -> Shard:
         """Add the batch's claims; the first claim on a key wins."""
         now = self._wall_clock()
-        held = {one.key: one for one in shard.claims if one.expires > now}
-        for one in self._claims_to_rewrite(number):
-            if held.setdefault(one.key, one).nonce != one.nonce:
+        held = {
+            claim.key: claim for claim in shard.claims if claim.expires > now
+        }
+        for claim in self._claims_to_rewrite(shard_number):
+            if held.setdefault(claim.key, claim).nonce != claim.nonce:
                 counters.COUNTERS.add("claims.lost")
-                logs.change("claim_lost", request=one.request)
+                logs.change("claim_lost", request=claim.request)
         is_settled = self._clock.now() >= self._settles_at
         for pending in batch:
             key = pending.claim.key
@@ -283,26 +288,27 @@
         self._settles_at = self._clock.now() + SETTLE_SECONDS
         if previous is None:
             return False
-        self._outdated = set(map(_shard_of, self._recent_claims))
+        self._outdated_shards = set(map(_shard_number, self._recent_claims))
         logs.change(
             "claims_outdated", epoch=epoch, known=len(self._recent_claims)
         )
         return True
 
-    def _claims_to_rewrite(self, number: int) -> list[Claim]:
+    def _claims_to_rewrite(self, shard_number: int) -> list[Claim]:
         """Return the claims on a shard that have to be rewritten."""
-        if number not in self._outdated:
+        if shard_number not in self._outdated_shards:
             return []
         now = self._clock.now()
         return [
-            one.claim
-            for key, one in self._recent_claims.items()
-            if _shard_of(key) == number and one.until > now
+            recent.claim
+            for key, recent in self._recent_claims.items()
+            if _shard_number(key) == shard_number
+            and recent.rewrite_until > now
         ]
 
-    def _remember(self, number: int, batch: list[_PendingClaim]) -> None:
+    def _remember(self, shard_number: int, batch: list[_PendingClaim]) -> None:
         """Remember the holders of the keys of a written batch."""
-        self._outdated.discard(number)
+        self._outdated_shards.discard(shard_number)
         now = self._clock.now()
         for pending in batch:
             holder = pending.holder
@@ -314,7 +320,7 @@
                 )
         while self._recent_claims:
             oldest = next(iter(self._recent_claims))
-            if self._recent_claims[oldest].until > now:
+            if self._recent_claims[oldest].rewrite_until > now:
                 return
             del self._recent_claims[oldest]
 
@@ -327,7 +333,7 @@
         )
 
 
-def _shard_of(key: str) -> int:
+def _shard_number(key: str) -> int:
     return int(key[:8], 16) % SHARD_COUNT
 
 
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -46,7 +46,7 @@
 
     :ivar holder: name of the holder's run, empty when it was released.
     :ivar term: the fencing token, which grows with each change of holder.
-    :ivar memo: notes of a holder for the next one.
+    :ivar memo: data that a holder leaves for the next one.
     :ivar successor: name of the object that holds the lease instead of this
         one; empty while this one does.
     """
@@ -67,7 +67,7 @@
     released or taken by another since. So nobody takes the lease for
     ``LEASE_SECONDS`` after a new epoch. A process that held it before the
     restore keeps it meanwhile and may write it back, since all others wait
-    longer than its time runs.
+    until it would have expired.
 
     Another writer may corrupt the object, and it is then unknown whether the
     lease had been renewed or taken by another. So a corrupted object never
@@ -78,13 +78,16 @@
     current holder moves there at once. An object that has a next one is
     never taken, whatever is written to it later.
 
+    :param duty: name of the work that only the holder does; the lease's
+        objects are named after it.
     :param holder: unique to this run of the process, so that a restarted
         process does not mistake itself for the holder.
     :param is_candidate: whether this process is to read the lease and take
         it when free. A few candidates are enough, and each read is charged
         for. A holder keeps the lease in any case.
     :param is_new_fleet: whether no process of the fleet can have run before
-        this one; otherwise the lease may be free only in an old backup.
+        this one; otherwise a lease that looks free may come from an old
+        backup, and is not taken for the first ``LEASE_SECONDS``.
     """
 
     def __init__(
@@ -215,8 +218,8 @@
 
     async def _step(self) -> None:
         if self._record is None or not self._is_mine or self._is_outdated:
-            # A stale answer only makes a take-over fail at its conditional
-            # write, and most calls of other processes are such reads.
+            # A stale answer can only make a take-over fail at its conditional
+            # write, and it is cheaper: most calls of candidates are reads.
             is_needed = self._record is None or self._is_outdated
             allow_stale = not (is_needed or self.is_held)
             await self._refresh(allow_stale=allow_stale)
@@ -240,7 +243,7 @@
     async def _take(self) -> None:
         """Take the lease in the current object, or move it there."""
         if not self._may_take:
-            # The lease held here expired while the next object was read.
+            # The lease expired here while the next object was read.
             return
         if not self.is_held and not self._is_mine:
             self._memo = self._record.memo if self._record else ()
@@ -331,9 +334,9 @@
             self._record and self._record.holder == UNREADABLE_HOLDER
         )
         if stored <= epoch_base or is_unreadable:
-            # There may be terms that were overwritten unread, by another
-            # writer or by a write that raced with a restore. No term exceeds
-            # the version that it was written over.
+            # Terms that were never read here may have been overwritten, by
+            # another writer or by a write that raced with a restore. No term
+            # is higher than the version that its write replaced.
             return epoch_base + max(1, self._version, self._closed_version)
         return stored if self._is_mine else stored + 1
 
@@ -348,7 +351,7 @@
             if not self._is_outdated:
                 await self._handle_conflict()
         elif error.code is errors.Code.STORE_UNSURE:
-            # Our write may have been stored under an unknown version.
+            # The write may have been stored under an unknown version.
             await self._read_back()
 
     async def _handle_conflict(self) -> None:
@@ -429,8 +432,9 @@
     async def _write(self, record: LeaseRecord) -> None:
         sent_at = anyio.current_time()
         value = orjson.dumps(attrs.asdict(record))
-        # A write that does not change the value may keep its version, by
-        # which the others notice a renewal.
+        # Makes each value differ from the last one. The store may keep the
+        # version of an unchanged value, and the others would not notice the
+        # renewal.
         value = value[:-1] + f',"sent":{sent_at:.6f}}}'.encode()
         try:
             version = await self._store.put(
@@ -439,7 +443,8 @@
         finally:
             is_outdated = self._observe_epoch()
         if is_outdated:
-            # It may have replaced another's write of the same version.
+            # The write may have replaced one by another process that has the
+            # same version in the new epoch.
             raise errors.CrowdeckError(
                 errors.Code.STORE_CONFLICT,
                 f"the store was restored between reading and writing the "
@@ -471,7 +476,7 @@
     try:
         body = orjson.loads(value)
         holder, term = str(body["holder"]), int(body["term"])
-        memo = tuple(str(one) for one in body.get("memo", ()))
+        memo = tuple(str(item) for item in body.get("memo", ()))
         return LeaseRecord(holder, term, memo, str(body.get("successor", "")))
     except (
         AttributeError,
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -32,7 +32,7 @@
     """Receives the objects of a mirror and their changes."""
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
-        """Receive all objects of the kind; any others are gone."""
+        """Receive all objects of the kind; no others exist any more."""
         ...
 
     def on_changed(
@@ -52,7 +52,8 @@
     ) -> stores.PeerChanges | None:
         """Return what changed after a position, or ``None`` if it failed.
 
-        :raises CrowdeckError: when only the store can tell.
+        :raises CrowdeckError: if the peer does not know the changes, so that
+            the store has to be asked.
         """
         ...
 
@@ -112,6 +113,7 @@
         self._health = health or store_health.StoreHealth()
         self._peers = peers or NoPeers()
         self._replica = replicas.Replica()
+        # Latest event-loop time at which the copy is known to be current.
         self._current_at: float | None = None
         self._must_list = True
         self._must_ask_store = False
@@ -229,8 +231,8 @@
             return
         if answer is not None:
             self._apply(answer.changes, sent_at - answer.age)
-        # When the peer that a zone follows stops answering, all copies are
-        # old until the next peer has asked the store.
+        # When the peer that the others in a zone ask stops answering, their
+        # copies are old until the next peer has asked the store.
         self._has_failed = answer is None or answer.age > self._wait
         if self._has_failed:
             await anyio.sleep(PEER_RETRY_SECONDS)
--- a/src/crowdeck/state/replica.py
+++ b/src/crowdeck/state/replica.py
@@ -7,8 +7,8 @@
 
 from crowdeck.state import objects as stores
 
-# Removals that are remembered. Whoever asks for changes since before the
-# oldest of them has to list the kind again.
+# Number of removals that are remembered. A process that asks for changes from
+# before the oldest of them has to list the kind again.
 MAX_REMOVALS = 1_000
 
 
@@ -16,9 +16,9 @@
     """A copy that can tell what changed after a version.
 
     It keeps, for each name, the version up to which it was current when it
-    learned of the change. An object's own version would not do: a listing
-    of several pages may hold objects that are newer than the version from
-    which it is followed.
+    learned of the change. An object's own version cannot be used, since a
+    listing of several pages may hold objects that are newer than the version
+    of the listing.
 
     All versions are of one epoch. Versions of different epochs cannot be
     compared, so the changes since a position of another epoch are unknown.
@@ -39,7 +39,7 @@
 
     def reset(self, listing: stores.Changes) -> None:
         """Replace the copy by a listing of the whole kind."""
-        self._objects = {one.name: one for one in listing.objects}
+        self._objects = {stored.name: stored for stored in listing.objects}
         self._learned_versions = dict.fromkeys(self._objects, listing.version)
         self._removed_versions.clear()
         self._history_start = self._version = listing.version
@@ -48,10 +48,10 @@
     def apply(self, changes: stores.Changes) -> None:
         """Apply the changes since the last position, in the same epoch."""
         self._version = max(self._version, changes.version)
-        for one in changes.objects:
-            self._objects[one.name] = one
-            self._learned_versions[one.name] = self._version
-            self._removed_versions.pop(one.name, None)
+        for stored in changes.objects:
+            self._objects[stored.name] = stored
+            self._learned_versions[stored.name] = self._version
+            self._removed_versions.pop(stored.name, None)
         for name in changes.removed:
             self._objects.pop(name, None)
             self._learned_versions.pop(name, None)
@@ -71,8 +71,8 @@
         return stores.Changes(
             self._version,
             tuple(
-                one
-                for name, one in self._objects.items()
+                stored
+                for name, stored in self._objects.items()
                 if self._learned_versions[name] > after.version
             ),
             tuple(
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -79,8 +79,8 @@
     async def acquire(self) -> CallPermit:
         """Wait until the store may be called.
 
-        A probe is ended by :meth:`record_success` or
-        :meth:`record_failure`.
+        A caller that gets a probe has to end it with :meth:`record_success`
+        or :meth:`record_failure`.
         """
         ticket = object()
         self._queue.append(ticket)
