--- a/src/crowdeck/quarantine/attribution.py
+++ b/src/crowdeck/quarantine/attribution.py
@@ -21,13 +21,13 @@
 
 # Number of ends at which a request must have been present to be quarantined.
 QUARANTINE_THRESHOLD = 3
-# The same for requests that rank equally. One more end may tell them apart; if
-# not, all of them are quarantined. One that is served meanwhile is cleared.
+# The same for requests that rank equally. One more end may distinguish them;
+# if not, all of them are quarantined, except those that are served meanwhile.
 QUARANTINE_THRESHOLD_TIED = QUARANTINE_THRESHOLD + 1
-# Ends within this time after a request was served are not held against it.
+# An end within this time after a request was served is not attributed to it.
 # That protects identical requests sent by many callers, which are present at
-# every end. A request that crashes only a new release of the engines is found
-# this much later.
+# every end. It delays the quarantine of a request that crashes only a new
+# release of the engines by the same time.
 SERVED_EXEMPTION_SECONDS = 30.0
 
 
@@ -59,8 +59,8 @@
 ) -> list[UnexplainedEnd]:
     """Return the ends without the suspects that were served lately.
 
-    The cause is never served. So ends before a request was served, or soon
-    after, are not held against it.
+    The cause is never served. So an end before a request was served, or soon
+    after, is not attributed to it.
 
     :param ends: one per instance, merged from all entries.
     :param served_at: wall-clock times at which suspects were last served.
@@ -69,18 +69,18 @@
 
     def unserved(suspects: Requests, at: float) -> Requests:
         return frozenset(
-            one
-            for one in suspects
-            if served_at.get(one, never) + SERVED_EXEMPTION_SECONDS < at
+            request
+            for request in suspects
+            if served_at.get(request, never) + SERVED_EXEMPTION_SECONDS < at
         )
 
     return [
         UnexplainedEnd(
-            one.at,
-            unserved(one.unbegun, one.at),
-            unserved(one.begun, one.at),
+            end.at,
+            unserved(end.unbegun, end.at),
+            unserved(end.begun, end.at),
         )
-        for one in ends
+        for end in ends
     ]
 
 
@@ -93,8 +93,8 @@
         suspects of later ends yet.
     """
     return [
-        one if one.at <= before else attrs.evolve(one, begun=frozenset())
-        for one in unexplained
+        end if end.at <= before else attrs.evolve(end, begun=frozenset())
+        for end in unexplained
     ]
 
 
@@ -103,7 +103,7 @@
 ) -> collections.Counter[fingerprint.Fingerprint]:
     """Return the number of ends at which each suspect was present."""
     return collections.Counter(
-        one for end in unexplained for one in end.suspects
+        suspect for end in unexplained for suspect in end.suspects
     )
 
 
@@ -121,7 +121,9 @@
     while True:
         ranks = _rank(remaining)
         top_suspect = max(
-            ranks, key=lambda one: (ranks[one], str(one)), default=None
+            ranks,
+            key=lambda suspect: (ranks[suspect], str(suspect)),
+            default=None,
         )
         if top_suspect is None or ranks[top_suspect][0] < threshold:
             return found
@@ -146,22 +148,23 @@
         *(end.suspects for end in unexplained if top_suspect in end.suspects)
     )
     return frozenset(
-        one for one in present if ranks[one] == ranks[top_suspect]
+        suspect for suspect in present if ranks[suspect] == ranks[top_suspect]
     )
 
 
 def _rank(
     unexplained: list[UnexplainedEnd],
 ) -> dict[fingerprint.Fingerprint, tuple[int, int]]:
-    """Return, for each suspect, its ends and those before its first event.
+    """Return, for each suspect, two numbers of ends by which it is ranked.
 
-    Both are counts. The cause ends its engine before its first event, while
+    The first counts all ends at which it was present, the second those before
+    its first event. The cause ends its engine before its first event, while
     other requests mostly had one at some of the ends.
     """
-    without = collections.Counter(
-        one for end in unexplained for one in end.unbegun
+    unbegun_ends = collections.Counter(
+        suspect for end in unexplained for suspect in end.unbegun
     )
     return {
-        one: (ends, without[one])
-        for one, ends in count_ends(unexplained).items()
+        suspect: (ends, unbegun_ends[suspect])
+        for suspect, ends in count_ends(unexplained).items()
     }
--- a/src/crowdeck/quarantine/evidence.py
+++ b/src/crowdeck/quarantine/evidence.py
@@ -11,12 +11,12 @@
 
 from crowdeck.quarantine import fingerprint
 
-# Ends and served requests that one entry reports; the newest are kept. They
-# bound the size of its record in the store.
+# Numbers of ends and served requests that one entry reports; the newest are
+# kept. They bound the size of its record in the store.
 MAX_ENDS = 32
 MAX_SERVED = 32
-# Suspects reported per end: those at the most ends first, then those that had
-# not produced an event.
+# Number of suspects reported per end: those at the most ends first, then those
+# that had not produced an event.
 MAX_SUSPECTS = 24
 
 Rank = typing.Callable[[fingerprint.Fingerprint], int]
@@ -59,7 +59,7 @@
 class ServedRequest:
     """A suspect that was served completely.
 
-    :ivar at: wall-clock time in seconds; ends before it are not held against
+    :ivar at: wall-clock time in seconds; ends before it are not attributed to
         the request.
     """
 
@@ -77,8 +77,8 @@
     @property
     def newest(self) -> float:
         """Wall-clock time of the newest item, 0 if there is none."""
-        ended = max((one.at for one in self.ends), default=0.0)
-        served = max((one.at for one in self.served), default=0.0)
+        ended = max((end.at for end in self.ends), default=0.0)
+        served = max((request.at for request in self.served), default=0.0)
         return max(ended, served)
 
     def __bool__(self) -> bool:
@@ -88,8 +88,12 @@
     def between(self, first: float, last: float) -> "Evidence":
         """Return the evidence between two wall-clock times, inclusive."""
         return Evidence(
-            tuple(one for one in self.ends if first <= one.at <= last),
-            tuple(one for one in self.served if first <= one.at <= last),
+            tuple(end for end in self.ends if first <= end.at <= last),
+            tuple(
+                request
+                for request in self.served
+                if first <= request.at <= last
+            ),
         )
 
     def with_end(self, end: InstanceEnd, rank: Rank) -> "Evidence":
@@ -97,7 +101,7 @@
 
         :param rank: returns the number of known ends of a request.
         """
-        by_instance = {one.instance: one for one in self.ends}
+        by_instance = {known.instance: known for known in self.ends}
         if end.instance in by_instance:
             end = by_instance[end.instance].merged_with(end)
         by_instance[end.instance] = _truncated(end, rank)
@@ -105,10 +109,10 @@
 
     def with_served(self, served: ServedRequest) -> "Evidence":
         """Return the evidence with a served request added."""
-        by_request = {one.request: one for one in self.served}
+        by_request = {known.request: known for known in self.served}
         before = by_request.get(served.request, served)
         by_request[served.request] = max(
-            before, served, key=lambda one: one.at
+            before, served, key=lambda request: request.at
         )
         return attrs.evolve(
             self, served=tuple(by_request.values())[-MAX_SERVED:]
@@ -121,7 +125,11 @@
         return end
     order = sorted(
         end.suspects,
-        key=lambda one: (-rank(one), one not in end.unbegun, str(one)),
+        key=lambda request: (
+            -rank(request),
+            request not in end.unbegun,
+            str(request),
+        ),
     )
     kept = frozenset(order[:MAX_SUSPECTS])
     return attrs.evolve(
@@ -134,14 +142,16 @@
     return {
         "ends": [
             {
-                "instance": one.instance,
-                "at": one.at,
-                "unbegun": sorted(map(str, one.unbegun)),
-                "begun": sorted(map(str, one.begun)),
+                "instance": end.instance,
+                "at": end.at,
+                "unbegun": sorted(map(str, end.unbegun)),
+                "begun": sorted(map(str, end.begun)),
             }
-            for one in evidence.ends
+            for end in evidence.ends
+        ],
+        "served": [
+            [str(served.request), served.at] for served in evidence.served
         ],
-        "served": [[str(one.request), one.at] for one in evidence.served],
     }
 
 
@@ -153,7 +163,7 @@
     try:
         fields = typing.cast(dict[str, typing.Any], body or {})
         return Evidence(
-            tuple(_decode_end(one) for one in fields.get("ends", ())),
+            tuple(_decode_end(end) for end in fields.get("ends", ())),
             tuple(
                 ServedRequest(fingerprint.Fingerprint(str(request)), float(at))
                 for request, at in fields.get("served", ())
@@ -169,10 +179,16 @@
         raise ValueError(f"evidence is malformed ({error!r})") from None
 
 
-def _decode_end(one: dict[str, typing.Any]) -> InstanceEnd:
+def _decode_end(fields: dict[str, typing.Any]) -> InstanceEnd:
     return InstanceEnd(
-        str(one["instance"]),
-        float(one["at"]),
-        frozenset(fingerprint.Fingerprint(str(it)) for it in one["unbegun"]),
-        frozenset(fingerprint.Fingerprint(str(it)) for it in one["begun"]),
+        str(fields["instance"]),
+        float(fields["at"]),
+        frozenset(
+            fingerprint.Fingerprint(str(request))
+            for request in fields["unbegun"]
+        ),
+        frozenset(
+            fingerprint.Fingerprint(str(request))
+            for request in fields["begun"]
+        ),
     )
--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -25,12 +25,12 @@
 from crowdeck.quarantine import fingerprint
 from crowdeck import verdict as verdicts
 
-# An end is held against a request for this long. It bounds how many instances
-# a request can crash in an hour, and also how long a request stays refused
-# after the engines have been fixed.
+# How long an end counts as evidence. Bounds how many instances a request can
+# crash in an hour, and also how long it stays refused after the engines have
+# been fixed.
 EVIDENCE_TTL_SECONDS = 3600.0
-# An attempt whose first event came longer ago than this is not a suspect: a
-# request that crashes its engine does so soon after it has begun.
+# An attempt whose first event is older than this is not a suspect: a request
+# that crashes its engine does so soon after it has begun.
 MAX_SUSPECT_EVENT_AGE_SECONDS = 0.5
 # A lost connection counts if the end of its instance becomes known within this
 # time; the instance's record is removed from the store some heartbeats after
@@ -41,10 +41,10 @@
 # The evidence of the other entries arrives within this time after an end.
 # Until then only requests that had not begun count as suspects of that end.
 SETTLE_SECONDS = 0.5
-# Recently served requests that are remembered.
+# Number of recently served requests that are remembered.
 MAX_SERVED = 1_024
 # Clocks of entries may differ. Evidence that is further in the future than
-# this is malformed, and would never expire.
+# this is dropped, since it would not expire in time.
 CLOCK_SKEW_SECONDS = 600.0
 # Interval at which outdated evidence is dropped.
 REVIEW_SECONDS = 60.0
@@ -94,8 +94,10 @@
         self._suspects: collections.Counter[fingerprint.Fingerprint] = (
             collections.Counter()
         )
+        # Wall-clock time of the next review.
         self._review_at = float("inf")
         self._served: dict[fingerprint.Fingerprint, float] = {}
+        # Wall-clock time of the last end that any entry has reported.
         self._last_end = 0.0
         self._own_listeners: list[Listener] = []
         self._listeners: list[Listener] = []
@@ -174,7 +176,9 @@
         now = anyio.current_time()
         pending = self._pending.pop(instance, ())
         attempt_records = [
-            one.attempt_record for one in pending if one.expires_at >= now
+            attempt.attempt_record
+            for attempt in pending
+            if attempt.expires_at >= now
         ]
         self._add_end(instance, attempt_records)
 
@@ -248,11 +252,13 @@
         if not attempt_records:
             return
         unbegun = frozenset(
-            one.request
-            for one in attempt_records
-            if one.seconds_since_first_event is None
+            record.request
+            for record in attempt_records
+            if record.seconds_since_first_event is None
+        )
+        begun = (
+            frozenset(record.request for record in attempt_records) - unbegun
         )
-        begun = frozenset(one.request for one in attempt_records) - unbegun
         now = self._clock()
         end = evidence.InstanceEnd(instance, now, unbegun, begun)
         self._own = self._valid(self._own).with_end(end, self._rank)
@@ -307,8 +313,8 @@
         now = self._clock()
         ends: dict[str, evidence.InstanceEnd] = {}
         served_at: dict[fingerprint.Fingerprint, float] = {}
-        for one in (self._own, *self._others.values()):
-            valid = self._valid(one)
+        for reported in (self._own, *self._others.values()):
+            valid = self._valid(reported)
             for end in valid.ends:
                 known = ends.get(end.instance)
                 ends[end.instance] = known.merged_with(end) if known else end
@@ -319,13 +325,15 @@
             ends.values(), served_at
         )
         self._suspects = attribution.count_ends(unexplained)
-        self._last_end = max((one.at for one in ends.values()), default=0.0)
+        self._last_end = max(
+            (instance_end.at for instance_end in ends.values()), default=0.0
+        )
         settled = attribution.drop_unsettled(unexplained, now - SETTLE_SECONDS)
         self._review_at = self._next_review(now)
         self._set_culprits(attribution.find_culprits(settled))
 
     def _next_review(self, now: float) -> float:
-        """Return when the result may change without new evidence."""
+        """Return when the result may next change without new evidence."""
         if not self._suspects:
             return float("inf")
         settles_at = self._last_end + SETTLE_SECONDS
@@ -335,12 +343,14 @@
 
     def _set_culprits(self, found: dict[fingerprint.Fingerprint, int]) -> None:
         before, self._culprits = self._culprits, found
-        for one in before.keys() - found.keys():
-            logs.change("quarantine_ended", content=str(one))
+        for request in before.keys() - found.keys():
+            logs.change("quarantine_ended", content=str(request))
         new = found.keys() - before.keys()
-        for one in new:
+        for request in new:
             counters.COUNTERS.add("quarantine.begun")
-            logs.change("quarantined", content=str(one), ends=found[one])
+            logs.change(
+                "quarantined", content=str(request), ends=found[request]
+            )
         if new:
             for listener in self._listeners:
                 listener()
