--- a/src/crowdeck/entry/admission.py
+++ b/src/crowdeck/entry/admission.py
@@ -48,7 +48,6 @@
         """Count a request while it is in progress.
 
         :param weight: the team's share relative to other teams.
-
         :raises CrowdeckError: with ``NOT_RUN`` and a time to retry.
         """
         self._require_room(team, team_limit)
--- a/src/crowdeck/entry/answers.py
+++ b/src/crowdeck/entry/answers.py
@@ -48,6 +48,9 @@
 
     The head sends no more than its window, so the inbox overflows only if
     the head breaks the protocol.
+
+    :param limit: number of arrivals that the inbox holds at most.
+    :ivar source: the link whose records are accepted.
     """
 
     def __init__(self, limit: int) -> None:
@@ -113,7 +116,7 @@
             return
         inbox = self._inboxes.get(record.request)
         if inbox is None or inbox.source is not peer:
-            # Late, or from a head that no longer answers this request.
+            # The record is late, or its head no longer answers the request.
             counters.COUNTERS.add("entry.record_late")
             if not isinstance(record, messages.Failure):
                 peer.send(messages.Cancel(record.request, record.epoch))
--- a/src/crowdeck/entry/arrival_watch.py
+++ b/src/crowdeck/entry/arrival_watch.py
@@ -36,7 +36,10 @@
         self._token_at = 0.0
 
     def note_token(self, at: float) -> None:
-        """Update the answer's average gap between tokens."""
+        """Update the answer's average gap between tokens.
+
+        :param at: monotonic seconds at which the token was received.
+        """
         if self._token_at:
             gap = at - self._token_at
             self._gap_seconds += GAP_EWMA_WEIGHT * (gap - self._gap_seconds)
@@ -57,7 +60,9 @@
             with anyio.move_on_after(probe_after):
                 return await self._inbox.get()
             if path is not None:
-                await self._fleet.probe(one.instance for one in path.stages)
+                await self._fleet.probe(
+                    stage.instance for stage in path.stages
+                )
         raise errors.CrowdeckError(
             errors.Code.STALLED,
             f"the path was silent for {timeout:g} s",
--- a/src/crowdeck/entry/context.py
+++ b/src/crowdeck/entry/context.py
@@ -14,7 +14,12 @@
 
 @attrs.frozen
 class RequestContext:
-    """The caller, settings and limits of one request."""
+    """The caller, settings and limits of one request.
+
+    :ivar sequence: the caller's number of the session's turn, -1 for none.
+    :ivar seconds_left: time to the deadline when the request was received.
+    :ivar key: the caller's idempotency key, empty for none.
+    """
 
     caller: teams.Caller
     tree: trees.Tree
--- a/src/crowdeck/entry/delivery.py
+++ b/src/crowdeck/entry/delivery.py
@@ -51,7 +51,8 @@
     async def take(self, answer: messages.Answer, epoch: int) -> bool:
         """Deliver a token if it is the next one of an attempt.
 
-        :raises CrowdeckError: ``WRONG_POSITION`` when one is missing.
+        :raises CrowdeckError: ``WRONG_POSITION`` if an earlier token is
+            missing.
         """
         position = len(self._pieces)
         if answer.epoch != epoch or answer.position < position:
--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -52,7 +52,8 @@
 RESUME_TIMEOUT_SECONDS = 4.0
 # How long an answer is kept running after its caller has disconnected.
 RECONNECT_GRACE_SECONDS = 5.0
-# Room beyond the window, for an end, failures and changes of stages.
+# Arrivals that an inbox holds beyond the window: the answer's end, failures
+# and changes of stages.
 INBOX_SLACK_RECORDS = 16
 
 # Errors that are not retried: another entry drives the request, the answer
@@ -70,7 +71,7 @@
 
 
 class _AttemptMoved(Exception):
-    """The attempt is continued by another one, with this opening."""
+    """Raised when another attempt, with this opening, continues this one."""
 
     def __init__(self, opening: messages.Opening) -> None:
         super().__init__(opening.request)
@@ -203,12 +204,14 @@
 
     def _plan(self) -> messages.Opening:
         # Only a new answer may be refused because paths are slow.
-        limit = self._request.gap_limit_seconds if self._epoch < 0 else 0.0
+        gap_limit_seconds = (
+            self._request.gap_limit_seconds if self._epoch < 0 else 0.0
+        )
         path = self._dependencies.planner.choose(
             self._request.model,
             frozenset(self._avoided),
             self._request.adapter,
-            limit,
+            gap_limit_seconds,
         )
         return self._opening(path)
 
@@ -434,8 +437,8 @@
     ) -> None:
         await anyio.sleep(RECONNECT_GRACE_SECONDS)
         request = self._request.request
-        # Once another entry has attached, the head ignores this one. So it
-        # is enough to check whether the caller has resumed at this entry.
+        # Once another entry has attached, the head ignores records from this
+        # entry. So only a resumption at this entry has to be checked.
         if not self._dependencies.answers.is_open(request):
             head.send(messages.Cancel(request, epoch))
 
@@ -473,7 +476,7 @@
         view = self._dependencies.fleet.find(leaving)
         if path is None or view is None or view.peer is None:
             return None
-        index = [one.instance for one in self._path.stages].index(leaving)
+        index = [stage.instance for stage in self._path.stages].index(leaving)
         question = questions.MoveOut(
             request=self._request.request,
             epoch=self._epoch,
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -104,13 +104,13 @@
         limit = tree.integer(settings_scope, "concurrency")
         weight = tree.number(settings_scope, "weight")
         with self._admission.enter(team, limit, weight):
-            gap = tree.number(settings_scope, "token_gap_seconds")
+            gap_seconds = tree.number(settings_scope, "token_gap_seconds")
             factor = self._admission.share_factor(team)
             self._model_request = attrs.evolve(
-                self._model_request, gap_limit_seconds=gap * factor
+                self._model_request, gap_limit_seconds=gap_seconds * factor
             )
             if self._resume is not None:
-                # The first connection has taken the session's turn.
+                # The request's first connection took the session's turn.
                 return await self._drive(sink).run(
                     self._resume.to_resume_point()
                 )
--- a/src/crowdeck/entry/model_request.py
+++ b/src/crowdeck/entry/model_request.py
@@ -13,6 +13,8 @@
     """One request for a model's answer.
 
     :ivar seconds_left: time to its deadline when it was received.
+    :ivar window: number of tokens that may be generated before the caller
+        has taken them.
     :ivar gap_limit_seconds: time between tokens above which a new answer
         is refused rather than begun; 0 for never.
     """
--- a/src/crowdeck/entry/replies.py
+++ b/src/crowdeck/entry/replies.py
@@ -57,17 +57,25 @@
 def _multipart(called: questions.Called) -> responses.Response:
     """Return an answer and its companions in one multipart body."""
     body_digest = digest.digest_answer(
-        "companions", [(len(one.body), one.path) for one in called.companions]
+        "companions",
+        [
+            (len(companion.body), companion.path)
+            for companion in called.companions
+        ],
     )
     boundary = f"crowdeck-{uuid.uuid4().hex}-{body_digest:x}"
     main_type = next(
-        (one.value for one in called.headers if one.name == "content-type"),
+        (
+            header.value
+            for header in called.headers
+            if header.name == "content-type"
+        ),
         "application/octet-stream",
     )
     parts = [_part(boundary, main_type, "", called.body)]
     parts += [
-        _part(boundary, one.content_type, one.path, one.body)
-        for one in called.companions
+        _part(boundary, companion.content_type, companion.path, companion.body)
+        for companion in called.companions
     ]
     parts.append(f"--{boundary}--\r\n".encode())
     return responses.Response(
--- a/src/crowdeck/entry/service_calls.py
+++ b/src/crowdeck/entry/service_calls.py
@@ -136,7 +136,9 @@
 
     def _pick(self, service: str, avoided: set[str]) -> _Target:
         targets = self._candidates(service)
-        preferred = [one for one in targets if one.name not in avoided]
+        preferred = [
+            target for target in targets if target.name not in avoided
+        ]
         if not targets:
             raise errors.CrowdeckError(
                 errors.Code.NO_PATH,
@@ -150,7 +152,8 @@
         views = [
             view for view in self._fleet.usable if view.has_service(service)
         ]
-        # Random order among equals, so that entries spread their calls.
+        # Sidecars with equal load get a random order, so that entries spread
+        # their calls.
         self._random.shuffle(views)
         views.sort(key=lambda view: view.inflight)
         return [_Target(view.name, view.incarnation) for view in views]
@@ -287,8 +290,8 @@
             fingerprint=call.fingerprint,
             request=call.request,
             nonce=claims_module.new_nonce(),
-            sidecars=tuple(one.name for one in targets),
-            incarnations=tuple(one.incarnation for one in targets),
+            sidecars=tuple(target.name for target in targets),
+            incarnations=tuple(target.incarnation for target in targets),
             expires=self._wall_clock() + claims_module.CLAIM_TTL_SECONDS,
         )
 
--- a/src/crowdeck/entry/turns.py
+++ b/src/crowdeck/entry/turns.py
@@ -85,20 +85,22 @@
                 self._tasks.start_soon(self._retake_at_new_home, held)
 
     def _home(self, session: str) -> tuple[fleets.SidecarView | None, bool]:
-        """Return a session's home, and whether others may see another one."""
+        """Return a session's home, and whether others may see another home."""
         views = {view.name: view for view in self._fleet.views}
         now = self._clock.now()
         is_moved = False
         for name in rendezvous.rank(session, views):
             view = views[name]
             is_recent = now - view.changed_at < HOME_CONVERGENCE_SECONDS
-            is_moved = is_moved or (is_recent and self._has_history(view))
+            is_moved = is_moved or (
+                is_recent and self._has_changed_since_start(view)
+            )
             if view.is_usable:
                 return view, is_moved
             is_moved = True
         return None, is_moved
 
-    def _has_history(self, view: fleets.SidecarView) -> bool:
+    def _has_changed_since_start(self, view: fleets.SidecarView) -> bool:
         # To an entry that has just started, every sidecar has changed
         # recently. That must not delay sessions which have not moved.
         return view.state is not fleets.State.UP or view.change_count > 1
@@ -147,8 +149,8 @@
                 is_holding=True,
             )
         except errors.CrowdeckError:
-            # The request goes on, and the session's next turn waits until
-            # the new home has settled.
+            # The request continues without its turn. The new home waits for
+            # holders of turns before it grants the session's next one.
             counters.COUNTERS.add("turns.not_kept")
 
     async def _end(self, held: _HeldTurn) -> None:
