--- a/src/crowdeck/sidecar/attempt.py
+++ b/src/crowdeck/sidecar/attempt.py
@@ -18,9 +18,12 @@
 class Attempt:
     """One attempt of a request, as one stage keeps it.
 
+    :ivar index: number of the stage in the path, from 0.
     :ivar sequence: id of its sequence, and so of its KV cache, on the engine.
     :ivar source: link on which it arrived: the entry's for the head, the
         previous stage's for the others; ``None`` once that link is gone.
+    :ivar deadline: monotonic seconds.
+    :ivar touched_at: monotonic seconds at which the attempt last changed.
     :ivar forward: link to the next stage, or from the tail to the head.
     :ivar next_position: the only position this stage will run next.
     :ivar context: tokens of context the engine holds for it.
@@ -101,7 +104,8 @@
     def check_position(self, position: int, context: int) -> bool:
         """Return whether a record is the next one; false for a repeat.
 
-        :raises CrowdeckError: ``WRONG_POSITION`` when one is missing.
+        :raises CrowdeckError: ``WRONG_POSITION`` if an earlier record is
+            missing or the context differs.
         """
         if position < self.next_position:
             return False
--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -55,7 +55,7 @@
     @property
     def running(self) -> int:
         """Number of attempts in progress."""
-        return sum(one.is_running for one in self._attempts.values())
+        return sum(attempt.is_running for attempt in self._attempts.values())
 
     @property
     def all_attempts(self) -> tuple[attempts.Attempt, ...]:
@@ -91,7 +91,7 @@
     def find_current(
         self, request: str, epoch: int
     ) -> attempts.Attempt | None:
-        """Return an attempt if this is its latest epoch."""
+        """Return a request's latest attempt if it has this epoch."""
         attempt = self._attempts.get(request)
         if attempt is None or attempt.epoch != epoch:
             return None
@@ -158,7 +158,7 @@
             counters.COUNTERS.add("engine.cancel_failed")
 
     def on_closed(self, peer: link.Peer) -> None:
-        """Fail attempts that send on a lost link; keep those it delivered."""
+        """Fail attempts that send on a lost link, not those received on it."""
         for attempt in tuple(self._attempts.values()):
             if attempt.forward is peer:
                 attempt.forward = None
@@ -188,10 +188,12 @@
         self._drop_surplus()
 
     def _drop_imports(self, now: float) -> None:
-        for request, held in tuple(self._imports.items()):
-            if now - held.imported_at > ORPHAN_TTL_SECONDS:
+        for request, pending_import in tuple(self._imports.items()):
+            if now - pending_import.imported_at > ORPHAN_TTL_SECONDS:
                 del self._imports[request]
-                self._tasks.start_soon(self.cancel_engine, held.sequence)
+                self._tasks.start_soon(
+                    self.cancel_engine, pending_import.sequence
+                )
 
     def _sweep_head(self, attempt: attempts.Attempt, now: float) -> None:
         if attempt.is_running and now > attempt.deadline:
@@ -228,6 +230,8 @@
         surplus = len(self._attempts) - MAX_ATTEMPTS
         if surplus <= 0:
             return
-        ended = [one for one in self._attempts.values() if not one.is_running]
+        ended = [
+            kept for kept in self._attempts.values() if not kept.is_running
+        ]
         for attempt in ended[:surplus]:
             self.drop(attempt, "surplus")
--- a/src/crowdeck/sidecar/batcher.py
+++ b/src/crowdeck/sidecar/batcher.py
@@ -37,13 +37,14 @@
     """Estimates how a batch's duration depends on its size.
 
     Fits a line to the batches by least squares, with weights that decay. A
-    plain average would take a loaded engine for a slow one.
+    plain average would make a loaded engine look slow.
     """
 
     # Factor on the weight of all earlier batches at each new one.
     DECAY_PER_BATCH = 0.99
 
     def __init__(self) -> None:
+        # Weighted sums over all batches.
         self._count = 0.0
         self._sizes = 0.0
         self._squares = 0.0
--- a/src/crowdeck/sidecar/calls.py
+++ b/src/crowdeck/sidecar/calls.py
@@ -48,7 +48,9 @@
         """Size of the answer's bodies in bytes."""
         if not isinstance(self.reply, questions.Called):
             return 0
-        companions = sum(len(one.body) for one in self.reply.companions)
+        companions = sum(
+            len(companion.body) for companion in self.reply.companions
+        )
         return len(self.reply.body) + companions
 
 
@@ -262,7 +264,7 @@
 
 
 def _header(headers: tuple[http_header.Header, ...], name: str) -> str:
-    """Return a header's value, by default a generic content type."""
+    """Return a header's value, or a generic content type without one."""
     for header in headers:
         if header.name == name:
             return header.value
--- a/src/crowdeck/sidecar/gate.py
+++ b/src/crowdeck/sidecar/gate.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Admits attempts to an upstream, and tells whether they have run.
+"""Admits attempts to an upstream, and reports whether they have run.
 
 Each attempt passes the gate before anything of it reaches the upstream. The
 gate remembers which attempts were admitted and which were sealed, so that
@@ -111,7 +111,7 @@
         """Refuse attempts up to ``epoch``, and return whether one has run.
 
         ``NOT_RUN`` is returned only by the incarnation that the attempt was
-        sent to. Another one cannot know what that one did.
+        sent to. Another incarnation cannot know what that one did.
         """
         if incarnation != self._incarnation:
             return verdicts.Verdict.MAY_HAVE_RUN
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -53,7 +53,7 @@
     def take_token(
         self, attempt: attempts.Attempt, record: messages.Token
     ) -> None:
-        """Add the next token to an answer, and start the one after it."""
+        """Add a token to its answer, and start to generate the next one."""
         position = len(attempt.pieces)
         if record.position < position:
             counters.COUNTERS.add("stage.refused.repeated_record")
--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -78,10 +78,10 @@
     ) -> None:
         """End an earlier attempt, also at a next stage the new path omits.
 
-        Stages on both paths receive the new opening. A ``Cancel`` would race
-        with it and drop the KV cache that a warm opening needs.
+        Stages that are on both paths receive the new opening instead. A
+        ``Cancel`` could drop the KV cache that a warm opening needs.
         """
-        remaining = {one.instance for one in opening.path.stages}
+        remaining = {stage.instance for stage in opening.path.stages}
         forward = earlier.forward
         if forward is not None and forward.greeting.instance not in remaining:
             self._registry.send_to_next(
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -30,8 +30,8 @@
 from crowdeck.wire import questions
 
 IDLE_POLL_SECONDS = 0.05
-# Interval of load reports. Each is sent to one entry, whose last report had
-# another number of running attempts and calls.
+# Interval of load reports. Each is sent to one entry, and only if the number
+# of running attempts and calls differs from that in the entry's last report.
 REPORT_SECONDS = 0.25
 
 
@@ -72,8 +72,8 @@
         self._kv_transfers: kv_transfer.KvTransfers | None = None
         self._drained = anyio.Event()
         self._peers: set[link.Peer] = set()
-        # For each entry, the number running at its last report, and the
-        # count of reports sent from which it may get the next one.
+        # For each entry, the number of running attempts and calls in its last
+        # report, and the value of _reports_sent from which it gets the next.
         self._reported: dict[str, tuple[int, int]] = {}
         self._reports_sent = 0
 
@@ -125,7 +125,7 @@
             "stage", stages.SWEEP_SECONDS, self._stage.registry.sweep
         )
 
-    # The link handler.
+    # Implementation of link.Handler.
 
     def on_opened(self, peer: link.Peer) -> None:
         """Add a new link."""
@@ -233,7 +233,7 @@
             self._gate.leave()
             self._turns.leave()
             logs.change("leaving", instance=self._name)
-            # Heartbeats may be far apart, so every entry is told at once.
+            # Heartbeats may be far apart, so all entries are notified at once.
             for peer in self._entry_peers:
                 peer.send(self._load())
         with anyio.move_on_after(limit):
@@ -264,7 +264,8 @@
         """
         load = self._load()
         for peer in sorted(
-            self._entry_peers, key=lambda one: one.greeting.instance
+            self._entry_peers,
+            key=lambda entry_peer: entry_peer.greeting.instance,
         ):
             reported = self._reported.get(peer.greeting.instance, (-1, 0))
             if (
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -127,7 +127,7 @@
         except errors.CrowdeckError as error:
             counters.COUNTERS.add(f"stage.refused.{error.code.lower()}")
             # A repeat on the same link is dropped. The same epoch on another
-            # link comes from a second driver, which has to be told.
+            # link comes from a second driver, which has to be notified.
             current = self._registry.find_current(
                 opening.request, opening.epoch
             )
--- a/src/crowdeck/sidecar/turns.py
+++ b/src/crowdeck/sidecar/turns.py
@@ -28,7 +28,7 @@
 # How long a turn is kept for a holder whose entry is lost, as its caller may
 # reconnect at another entry.
 LOST_HOLDER_GRACE_SECONDS = 5.0
-# Sessions that are idle for this long are dropped with their numbering.
+# Sessions that are idle for this long are dropped, with the last number used.
 SESSION_TTL_SECONDS = 900.0
 
 
@@ -41,6 +41,13 @@
 
 @attrs.define(eq=False)
 class _Session:
+    """The turn of one session; times are monotonic seconds.
+
+    :ivar settled_at: time before which no new turn is granted.
+    :ivar lost_at: time at which the holder's link was lost.
+    :ivar last_sequence: highest number of a turn so far, -1 for none.
+    """
+
     touched_at: float
     settled_at: float
     holder: _TurnRequest | None = None
@@ -211,10 +218,12 @@
         a number are granted in order of arrival.
         """
         first = session.waiting[0]
-        numbered = [one for one in session.waiting if _is_numbered(one)]
+        numbered = [
+            waiter for waiter in session.waiting if _is_numbered(waiter)
+        ]
         if not numbered:
             return first
-        lowest = min(numbered, key=lambda one: one.question.sequence)
+        lowest = min(numbered, key=lambda waiter: waiter.question.sequence)
         is_next = lowest.question.sequence == session.last_sequence + 1
         if is_next or session.last_sequence < 0:
             return lowest
