--- a/src/crowdeck/entry/admission.py
+++ b/src/crowdeck/entry/admission.py
@@ -23,14 +23,14 @@
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
-        self._by_team: collections.Counter[str] = collections.Counter()
+        self._running_by_team: collections.Counter[str] = collections.Counter()
         self._weights: dict[str, float] = {}
         self._is_leaving = False
 
     @property
     def running(self) -> int:
         """Requests in progress."""
-        return self._by_team.total()
+        return self._running_by_team.total()
 
     @property
     def is_leaving(self) -> bool:
@@ -51,15 +51,15 @@
         :raises CrowdeckError: with ``NOT_RUN`` and a time to retry.
         """
         self._require_room(team, team_limit)
-        self._by_team[team] += 1
+        self._running_by_team[team] += 1
         self._weights[team] = weight
         counters.COUNTERS.add("admission.admitted")
         try:
             yield
         finally:
-            self._by_team[team] -= 1
-            if not self._by_team[team]:
-                del self._by_team[team]
+            self._running_by_team[team] -= 1
+            if not self._running_by_team[team]:
+                del self._running_by_team[team]
                 del self._weights[team]
 
     def share_factor(self, team: str) -> float:
@@ -72,7 +72,9 @@
         total = self.running
         weights = sum(self._weights.values())
         share = total * self._weights[team] / weights
-        return OVER_SHARE_FACTOR if self._by_team[team] > share else 1.0
+        return (
+            OVER_SHARE_FACTOR if self._running_by_team[team] > share else 1.0
+        )
 
     def _require_room(self, team: str, team_limit: int) -> None:
         if self._is_leaving:
@@ -82,7 +84,7 @@
                 errors.Code.OVERLOADED,
                 "this entry has reached its request limit",
             )
-        if self._by_team[team] >= team_limit:
+        if self._running_by_team[team] >= team_limit:
             raise _refusal(
                 errors.Code.TEAM_LIMIT,
                 f"team {team} has {team_limit} requests in progress",
--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -286,7 +286,7 @@
     # Common to all requests.
 
     def _context(
-        self, request: requests.Request, name: str
+        self, request: requests.Request, span_name: str
     ) -> context_module.RequestContext:
         if len(request.headers) > HEADER_LIMIT:
             raise errors.CrowdeckError(
@@ -303,7 +303,7 @@
             request, "x-deadline-seconds", limit
         )
         span = self._tracer.begin(
-            name,
+            span_name,
             request.headers.get("traceparent", ""),
             {"team": caller.team},
         )
--- a/src/crowdeck/entry/service_calls.py
+++ b/src/crowdeck/entry/service_calls.py
@@ -382,6 +382,7 @@
 def _key_spent_error(reason: str) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.KEY_SPENT,
-        f"the key's call may have run, its answer is unavailable: {reason}",
+        f"the call with this key may have run, and its answer is not "
+        f"available: {reason}",
         verdict=_MAY_HAVE_RUN,
     )
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -52,6 +52,7 @@
     ) -> stores.PeerChanges | None:
         """Return what changed after a position, or ``None`` if it failed.
 
+        :param wait: seconds to wait at most for a change.
         :raises CrowdeckError: if the peer does not know the changes, so that
             the store has to be asked.
         """
@@ -181,7 +182,7 @@
         if self._health.is_lost or self._current_at is None:
             raise errors.CrowdeckError(
                 errors.Code.STORE_DOWN,
-                "this process has no current copy of the store either",
+                "this process has no current copy of the store",
             )
         if after.epoch > self.position.epoch:
             self._health.observe_epoch(after.epoch)
--- a/src/crowdeck/state/replica.py
+++ b/src/crowdeck/state/replica.py
@@ -13,7 +13,7 @@
 
 
 class Replica:
-    """A copy that can tell what changed after a version.
+    """A copy that knows what changed after a version.
 
     It keeps, for each name, the version up to which it was current when it
     learned of the change. An object's own version cannot be used, since a
