--- a/tests/system.py
+++ b/tests/system.py
@@ -62,7 +62,11 @@
 
 
 class Caller:
-    """The sink of a caller, which records what it receives."""
+    """An answer sink that records what its caller receives.
+
+    :ivar on_position: functions that are called once, when the token at
+        their position arrives.
+    """
 
     def __init__(self, seconds_per_piece: float = 0.0) -> None:
         self.seconds_per_piece = seconds_per_piece
@@ -90,6 +94,8 @@
 
 @attrs.define(eq=False)
 class Node:
+    """A running process, and the scope whose cancellation ends it."""
+
     scope: anyio.CancelScope
     process: typing.Any
 
@@ -190,7 +196,7 @@
         return process
 
     def expected(self, prompt: str, count: int) -> list[str]:
-        return [one.text for one in self.model.answer(prompt, count)]
+        return [piece.text for piece in self.model.answer(prompt, count)]
 
     def request(
         self, prompt: str, count: int = 20, **changes: typing.Any
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -291,9 +291,9 @@
                 def open_for_other_team() -> None:
                     head = _stage_of(system, 0)
                     own = next(
-                        one
-                        for one in head.registry.all_attempts
-                        if one.is_running
+                        attempt
+                        for attempt in head.registry.all_attempts
+                        if attempt.is_running
                     )
                     other_opening = attrs.evolve(
                         own.opening, epoch=5, team="x"
@@ -435,8 +435,8 @@
                 head = system.sidecar(caller.location[0])
                 assert head._stage is not None
                 generated_count = max(
-                    len(one.pieces)
-                    for one in head._stage.registry.all_attempts
+                    len(attempt.pieces)
+                    for attempt in head._stage.registry.all_attempts
                 )
                 assert (
                     len(caller.pieces)
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -25,11 +25,11 @@
         assert fingerprint.of_request(*other) != fingerprint.of_request(*PARTS)
 
     def test_does_not_depend_on_id_key_or_headers(self) -> None:
-        one = make_request(id="a", key="first", headers=[(b"x", b"1")])
-        other = make_request(id="b", key="second", headers=[])
+        request = make_request(id="a", key="first", headers=[(b"x", b"1")])
+        repeat = make_request(id="b", key="second", headers=[])
         assert requests.fingerprint_of(
-            one, "kiosks"
-        ) == requests.fingerprint_of(other, "kiosks")
+            request, "kiosks"
+        ) == requests.fingerprint_of(repeat, "kiosks")
 
     @hypothesis.given(
         strategies.text(strategies.characters(codec="latin-1"), max_size=3),
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -28,7 +28,7 @@
 
 def fingerprints(text: str) -> frozenset[fingerprint.Fingerprint]:
     """Return one fingerprint per letter."""
-    return frozenset(fingerprint.Fingerprint(one) for one in text)
+    return frozenset(fingerprint.Fingerprint(letter) for letter in text)
 
 
 CAUSE = fingerprint.Fingerprint("c")
@@ -44,7 +44,7 @@
 
 def culprits(*ends: evidence.InstanceEnd, **served: float) -> str:
     served_at = {
-        fingerprint.Fingerprint(one): at for one, at in served.items()
+        fingerprint.Fingerprint(letter): at for letter, at in served.items()
     }
     found = attribution.find_culprits(
         attribution.without_served_suspects(ends, served_at)
@@ -64,7 +64,7 @@
     def test_requests_that_ran_beside_the_cause_are_not_quarantined(
         self,
     ) -> None:
-        # b was retried twice and met the cause again.
+        # b was retried twice, both times at an instance that ran the cause.
         ends = [
             end("1", "cab"),
             end("2", "cb"),
@@ -140,21 +140,25 @@
         # Each end has the cause and four of 60 others. Half of the others are
         # retried at the next engine to end, and half of those have an event.
         others = [chr(200 + number) for number in range(60)]
-        wrong = 0
+        wrong_count = 0
         for seed in range(200):
             rng = random.Random(seed)
             ends = []
             lost: set[str] = set()
             for number in range(4):
-                lost = {one for one in sorted(lost) if rng.random() < 0.5}
+                lost = {
+                    request for request in sorted(lost) if rng.random() < 0.5
+                }
                 lost |= set(rng.sample(others, 4))
-                begun = {one for one in sorted(lost) if rng.random() < 0.5}
+                begun = {
+                    request for request in sorted(lost) if rng.random() < 0.5
+                }
                 unbegun = "c" + "".join(lost - begun)
                 ends.append(end(str(number), unbegun, "".join(begun)))
             found = culprits(*ends)
             assert "c" in found
-            wrong += found != "c"
-        assert wrong <= 2
+            wrong_count += found != "c"
+        assert wrong_count <= 2
 
 
 class Clock:
@@ -284,7 +288,9 @@
             tracker.set_peer_evidence(
                 "malformed",
                 evidence.Evidence(
-                    tuple(end(str(it), "c", at=future) for it in range(3)),
+                    tuple(
+                        end(str(number), "c", at=future) for number in range(3)
+                    ),
                     (evidence.ServedRequest(CAUSE, future),),
                 ),
             )
@@ -413,12 +419,12 @@
     """The encoding of evidence, and its bounds."""
 
     def test_decodes_to_what_was_encoded(self) -> None:
-        one = evidence.Evidence(
+        original = evidence.Evidence(
             (end("1", "ab", "c", 3.25), end("2", "c")),
             (evidence.ServedRequest(CAUSE, 4.5),),
         )
-        body = orjson.loads(orjson.dumps(evidence.encode(one)))
-        assert evidence.decode(body) == one
+        body = orjson.loads(orjson.dumps(evidence.encode(original)))
+        assert evidence.decode(body) == original
         assert evidence.decode(None) == evidence.Evidence()
 
     @hypothesis.settings(derandomize=True, database=None, deadline=None)
@@ -451,17 +457,17 @@
 
     def test_is_bounded_and_keeps_the_most_likely(self) -> None:
         many = "".join(chr(200 + number) for number in range(100))
-        one = evidence.Evidence()
+        reported = evidence.Evidence()
         for number in range(200):
-            one = one.with_end(
-                end(str(number), "c" + many), lambda it: it == CAUSE
+            reported = reported.with_end(
+                end(str(number), "c" + many), lambda request: request == CAUSE
             )
-        assert len(one.ends) == evidence.MAX_ENDS
-        assert one.ends[-1].instance == "199"
-        for each in one.ends:
-            assert len(each.suspects) == evidence.MAX_SUSPECTS
-            assert CAUSE in each.suspects
-        assert len(orjson.dumps(evidence.encode(one))) < 20_000
+        assert len(reported.ends) == evidence.MAX_ENDS
+        assert reported.ends[-1].instance == "199"
+        for instance_end in reported.ends:
+            assert len(instance_end.suspects) == evidence.MAX_SUSPECTS
+            assert CAUSE in instance_end.suspects
+        assert len(orjson.dumps(evidence.encode(reported))) < 20_000
 
 
 class TestExchange:
@@ -490,7 +496,7 @@
                 peers[number].note_end(f"e{number}")
                 await anyio.sleep(0.01)
             await anyio.sleep(0.5)
-            assert all(one.is_quarantined(CAUSE) for one in peers)
+            assert all(tracker.is_quarantined(CAUSE) for tracker in peers)
 
         self.run_with_entries(6, body)
 
@@ -526,7 +532,7 @@
             assert not peers[0].is_quarantined(CAUSE)
             store.is_down = False
             await anyio.sleep(2.5)
-            assert all(one.is_quarantined(CAUSE) for one in peers)
+            assert all(tracker.is_quarantined(CAUSE) for tracker in peers)
 
         self.run_with_entries(3, body)
 
--- a/tests/test_restored_lease.py
+++ b/tests/test_restored_lease.py
@@ -212,7 +212,7 @@
                     if rng.random() < 0.003:
                         store.restore(rng.choice(backups[-5:]))
                     if rng.random() < 0.01:
-                        # Takes a version that was lost in a restore.
+                        # Assigns a version that was lost in a restore.
                         store.write("other", "o", b"1")
                     await anyio.sleep(0.01)
                     candidates.check_one_holder()
@@ -296,8 +296,10 @@
             self._connections.remove(connection)
 
     def check_one_holder(self) -> None:
-        holding = [one for one in self._leases if one.is_held]
+        holding = [
+            candidate for candidate in self._leases if candidate.is_held
+        ]
         assert len(holding) <= 1
-        for one in holding:
-            assert self._holders.setdefault(one.term, one) is one
-            assert one.term == max(self._holders)
+        for holder in holding:
+            assert self._holders.setdefault(holder.term, holder) is holder
+            assert holder.term == max(self._holders)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -45,7 +45,7 @@
 async def restore_from_backup(
     store: standin_store.StandinStore,
     lost_writes: int = 8,
-    outage: float = OUTAGE_SECONDS,
+    outage_seconds: float = OUTAGE_SECONDS,
 ) -> None:
     """Restore the store after an outage, without its last writes."""
     backup = store.back_up()
@@ -53,7 +53,7 @@
         await anyio.sleep(BACKUP_AGE_SECONDS / lost_writes)
         store.write(zone_system.KIND, "main", f"{number}".encode())
     store.is_down = True
-    await anyio.sleep(outage)
+    await anyio.sleep(outage_seconds)
     store.restore(backup)
     store.is_down = False
 
@@ -62,8 +62,10 @@
     """Write a value, and check that every entry knows it in time."""
     zone.store.write(zone_system.KIND, "main", value)
     await anyio.sleep(IN_FORCE_SECONDS)
-    known = [one.follower.values.get("main") for one in zone.entries.values()]
-    assert known == [value] * len(known)
+    known_values = [
+        entry.follower.values.get("main") for entry in zone.entries.values()
+    ]
+    assert known_values == [value] * len(known_values)
 
 
 class TestZone:
@@ -92,8 +94,8 @@
         zone_system.run_scenario(14, work)
 
     def test_peer_that_missed_the_restore_is_not_trusted(self) -> None:
-        # The peer that all ask is cut off unnoticed, and answers from its
-        # copy until its own watch fails.
+        # The peer that all entries ask is cut off without noticing it, and
+        # answers from its copy until its own watch fails.
         async def work(zone: zone_system.Zone) -> None:
             backup = zone.store.back_up()
             zone.write()
@@ -336,7 +338,7 @@
             fleet.store.restore(fleet.empty)
             await fleet.settle()
             listing = await fleet.store.list(rosters.KIND)
-            names = sorted(one.name for one in listing.objects)
+            names = sorted(stored.name for stored in listing.objects)
             assert names == ["entry-0", "entry-1", "entry-2"]
 
         run_with_fleet(work)
@@ -351,7 +353,8 @@
             fleet.start("late", 1.0)
             await fleet.settle()
             assert all(
-                one.is_quarantined(CAUSE) for one in fleet.trackers.values()
+                tracker.is_quarantined(CAUSE)
+                for tracker in fleet.trackers.values()
             )
 
         run_with_fleet(work)
@@ -366,7 +369,8 @@
             fleet.store.restore(backup)
             await fleet.settle()
             assert all(
-                one.is_quarantined(CAUSE) for one in fleet.trackers.values()
+                tracker.is_quarantined(CAUSE)
+                for tracker in fleet.trackers.values()
             )
 
         run_with_fleet(work)
@@ -381,7 +385,9 @@
             await fleet.settle()
             fleet.start("late", 7.0)
             await fleet.settle()
-            first = [one.ranking()[0].name for one in fleet.rosters.values()]
+            first = [
+                roster.ranking()[0].name for roster in fleet.rosters.values()
+            ]
             assert set(first) == {"late"}
 
         run_with_fleet(work)
@@ -401,34 +407,36 @@
     def test_old_entry_does_not_revive_a_leaving_instance(self) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
-            one = fleet_system.upstream("a")
-            system.add(one)
-            system.list_instance(attrs.evolve(one, is_leaving=True))
-            system.listed["a"] = one
+            instance = fleet_system.upstream("a")
+            system.add(instance)
+            system.list_instance(attrs.evolve(instance, is_leaving=True))
+            system.listed["a"] = instance
             old = stores.StoredObject("upstreams", "a", 1, b"{}")
             system.registry.on_listed((old,))
-            assert system.registry.usable(one.service) == ()
+            assert system.registry.usable(instance.service) == ()
             await anyio.sleep(registries.LEAVING_GRACE_SECONDS)
-            assert system.registry.usable_while_leaving(one.service) == ()
+            assert system.registry.usable_while_leaving(instance.service) == ()
             # An entry that it writes later is trusted.
-            system.list_instance(one)
-            assert system.registry.usable(one.service) == (one,)
+            system.list_instance(instance)
+            assert system.registry.usable(instance.service) == (instance,)
 
         virtual.run(body)
 
     def test_new_run_of_the_same_name_is_used(self) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
-            one = attrs.evolve(fleet_system.upstream("a"), is_leaving=True)
-            system.add(one)
+            instance = attrs.evolve(
+                fleet_system.upstream("a"), is_leaving=True
+            )
+            system.add(instance)
             new_run = attrs.evolve(
-                one, name="a#7", started_ms=7, is_leaving=False
+                instance, name="a#7", started_ms=7, is_leaving=False
             )
             new_run = attrs.evolve(new_run, instance_id="a")
             system.listed["a"] = new_run
             entry = stores.StoredObject("upstreams", "a", 2, b"{}")
             system.registry.on_listed((entry,))
-            assert system.registry.usable(one.service) == (new_run,)
+            assert system.registry.usable(instance.service) == (new_run,)
 
         virtual.run(body)
 
@@ -440,7 +448,7 @@
             health = store_health.StoreHealth()
             listed = {"a": fleet_system.upstream("a")}
             registry = registries.UpstreamRegistry(
-                lambda one: listed[one.name]
+                lambda stored: listed[stored.name]
             )
             registry.set_store_failure_source(lambda: health.disrupted_at)
             mirror = mirrors.Mirror(
@@ -454,9 +462,9 @@
                 await anyio.sleep(1.0)
                 store.restore(backup)
                 await anyio.sleep(1.0)
-                assert [one.name for one in registry.listed("assistant")] == [
-                    "a"
-                ]
+                assert [
+                    instance.name for instance in registry.listed("assistant")
+                ] == ["a"]
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -29,7 +29,8 @@
 CALLS = 6
 TOKENS = 60
 
-# More schedules than CI has time for: CROWDECK_SCHEDULES=500 make unit.
+# Number of schedules per test. For more than CI has time for, run
+# CROWDECK_SCHEDULES=500 make unit.
 EXAMPLES = int(os.environ.get("CROWDECK_SCHEDULES", "12"))
 # Time after which all messages have arrived; the longest fault takes 3 s.
 SETTLE_SECONDS = 6.0
@@ -86,8 +87,8 @@
         self.failures: list[errors.CrowdeckError] = []
         self.calls: list[Outcome] = []
 
-    async def play(self, schedule: list[Fault]) -> None:
-        """Make requests while the schedule's faults happen."""
+    async def make_requests(self, schedule: list[Fault]) -> None:
+        """Make requests while the faults of a schedule are injected."""
         async with anyio.create_task_group() as tasks:
             for number in range(ANSWERS):
                 tasks.start_soon(self._answer, number)
@@ -97,7 +98,7 @@
                     tasks.start_soon(self._call, f"k{number}", entry)
             for fault in schedule:
                 tasks.start_soon(self._inject, fault)
-        # Lets the messages that are still under way arrive.
+        # Lets the messages that are still in transit arrive.
         await anyio.sleep(SETTLE_SECONDS)
 
     async def _answer(self, number: int) -> None:
@@ -165,11 +166,11 @@
             expected = self.system.expected(prompt, TOKENS)
             texts = caller.texts if caller.pieces else []
             assert texts == expected[: len(texts)], "a wrong token"
-        whole = sum(
+        complete_count = sum(
             len(caller.pieces) == len(self.system.expected(prompt, TOKENS))
             for prompt, caller in self.answers.items()
         )
-        assert whole + len(self.failures) >= len(self.answers), (
+        assert complete_count + len(self.failures) >= len(self.answers), (
             "an answer neither completed nor failed"
         )
 
@@ -194,14 +195,14 @@
         async def check() -> None:
             async with systems.System(seed=seed) as system:
                 run = ScheduleRun(system)
-                await run.play(schedule)
+                await run.make_requests(schedule)
                 run.check_guarantees()
 
         virtual.run(check)
 
 
 class TestOneFault:
-    """One fault, with a spare of everything: no answer may fail."""
+    """One fault, with a spare process of each kind: no answer may fail."""
 
     @SETTINGS
     @hypothesis.given(fault=faults(), seed=strategies.integers(0, 1000))
@@ -209,7 +210,7 @@
         async def check() -> None:
             async with systems.System(seed=seed) as system:
                 run = ScheduleRun(system)
-                await run.play([fault])
+                await run.make_requests([fault])
                 run.check_guarantees()
                 assert not run.failures
 
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A lease whose object another program overwrites again and again.
+"""A lease whose object another program overwrites repeatedly.
 
 Each overwrite must not restart the wait for the lease to expire, or nobody
 ever holds it. Nor may two processes hold it, as the overwritten value may have
@@ -97,7 +97,7 @@
             value = b'{"holder":"another","term":9}'
             store.write(leases.KIND, "duty", value)
             await anyio.sleep(leases.RENEW_SECONDS + 0.1)
-            assert not any(one.is_held for one in candidates)
+            assert not any(candidate.is_held for candidate in candidates)
 
         _run_with_candidates(work)
 
@@ -114,7 +114,9 @@
             )
             await candidates[0].release()
             await anyio.sleep(leases.RENEW_SECONDS + 0.1)
-            held = next(one for one in candidates if one.is_held)
+            held = next(
+                candidate for candidate in candidates if candidate.is_held
+            )
             assert held.memo == ("e0@3",)
 
         _run_with_candidates(work)
@@ -150,9 +152,9 @@
                 with anyio.fail_after(
                     leases.RENEW_SECONDS + MAX_TAKEOVER_SECONDS
                 ):
-                    while not any(one.is_held for one in candidates):
+                    while not any(lease.is_held for lease in candidates):
                         await _check_holder([dead_holder, *candidates], 0.01)
-                held = next(one for one in candidates if one.is_held)
+                held = next(lease for lease in candidates if lease.is_held)
                 assert held.term > term
                 await _check_holder(
                     [dead_holder, *candidates], 20.0, holder=held
@@ -239,23 +241,23 @@
         # free lease and found no next object.
         async def work(
             store: standin_store.StandinStore,
-            one: _DelayedProcess,
+            first: _DelayedProcess,
             slow: _DelayedProcess,
         ) -> None:
             closed = b'{"holder":"?","term":1,"successor":"duty.1"}'
             store.write(leases.KIND, "duty", closed)
-            one.delay("duty.1", is_write=True)
+            first.delay("duty.1", is_write=True)
             slow.delay("duty.1")
-            one.start()
+            first.start()
             await anyio.sleep(1.0)
             store.write(leases.KIND, "duty", b'{"holder":"","term":1}')
             slow.start()
             await anyio.sleep(1.0)
-            one.resume()
-            await _check_holder(one.leases_with(slow), 10.0)
-            assert one.lease.is_held
+            first.resume()
+            await _check_holder(first.leases_with(slow), 10.0)
+            assert first.lease.is_held
             slow.resume()
-            await _check_holder(one.leases_with(slow), 10.0)
+            await _check_holder(first.leases_with(slow), 10.0)
 
         _run_with_delayed_processes(work)
 
@@ -263,85 +265,87 @@
         # The slow process has read an expired lease and found no next object.
         async def work(
             store: standin_store.StandinStore,
-            one: _DelayedProcess,
+            first: _DelayedProcess,
             slow: _DelayedProcess,
         ) -> None:
             store.write(leases.KIND, "duty", b"7")
-            one.delay("duty.1", is_write=True)
+            first.delay("duty.1", is_write=True)
             slow.delay("duty.1")
-            one.start()
+            first.start()
             await anyio.sleep(1.0)
             store.write(leases.KIND, "duty", b'{"holder":"old","term":1}')
             slow.start()
             await anyio.sleep(MAX_TAKEOVER_SECONDS)
-            one.resume()
-            await _check_holder(one.leases_with(slow), 10.0)
-            assert one.lease.is_held
+            first.resume()
+            await _check_holder(first.leases_with(slow), 10.0)
+            assert first.lease.is_held
             slow.resume()
-            await _check_holder(one.leases_with(slow), 10.0, holder=one.lease)
+            await _check_holder(
+                first.leases_with(slow), 10.0, holder=first.lease
+            )
 
         _run_with_delayed_processes(work)
 
     def test_term_follows_one_that_was_overwritten_unread(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            one: _DelayedProcess,
+            first: _DelayedProcess,
             slow: _DelayedProcess,
         ) -> None:
             store.write(leases.KIND, "duty", b"7")
-            one.delay("duty", is_write=True)
-            one.start()
+            first.delay("duty", is_write=True)
+            first.start()
             await anyio.sleep(1.0)
             found = await store.get(leases.KIND, "duty.1")
             assert found is not None
             for _ in range(5):
                 store.write("other", "o", b"1")
-            # No term exceeds the version that it was written over.
+            # No term is higher than the version that its write replaced.
             unread_term = found.version + 5
             value = f'{{"holder":"unseen","term":{unread_term}}}'.encode()
             store.write(leases.KIND, "duty", value)
             store.write(leases.KIND, "duty", b"7")
-            one.resume()
+            first.resume()
             await anyio.sleep(2 * MAX_TAKEOVER_SECONDS)
-            assert one.lease.is_held
-            assert one.lease.term > unread_term
+            assert first.lease.is_held
+            assert first.lease.term > unread_term
 
         _run_with_delayed_processes(work)
 
     def test_does_not_take_a_lease_that_expired_meanwhile(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            one: _DelayedProcess,
+            first: _DelayedProcess,
             slow: _DelayedProcess,
         ) -> None:
-            one.start()
+            first.start()
             await anyio.sleep(1.0)
-            one.delay("duty.2")
+            first.delay("duty.2")
             store.write(leases.KIND, "duty", b"7")
             await anyio.sleep(4.2)
-            assert not one.lease.is_held
-            one.resume()
+            assert not first.lease.is_held
+            first.resume()
             await anyio.sleep(0.3)
-            assert not one.lease.is_held
+            assert not first.lease.is_held
             await anyio.sleep(MAX_TAKEOVER_SECONDS)
-            assert one.lease.is_held
+            assert first.lease.is_held
 
         _run_with_delayed_processes(work)
 
     def test_receives_the_memo_of_the_last_holder(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            one: _DelayedProcess,
+            first: _DelayedProcess,
             slow: _DelayedProcess,
         ) -> None:
             value = b'{"holder":"gone","term":1,"memo":["e0@3"]}'
             store.write(leases.KIND, "duty", value)
-            one.start()
+            first.start()
             await anyio.sleep(1.0)
             store.write(leases.KIND, "duty", b"7")
             await anyio.sleep(2 * MAX_TAKEOVER_SECONDS)
-            assert one.lease.is_held
-            assert one.lease.memo == ("e0@3",)
+            assert first.lease.is_held
+            assert first.lease.memo == ("e0@3",)
 
         _run_with_delayed_processes(work)
 
@@ -364,7 +368,9 @@
                 await _check_holder(
                     candidates, MAX_TAKEOVER_SECONDS + leases.RENEW_SECONDS
                 )
-                held = [one for one in candidates if one.is_held]
+                held = [
+                    candidate for candidate in candidates if candidate.is_held
+                ]
                 assert held and held[0].term > term
                 term = held[0].term
             assert await _object_names(store) == ["duty", "duty.1"]
@@ -384,7 +390,9 @@
             store.write(leases.KIND, "duty", value)
             store.write(leases.KIND, "duty", b"7")
             await _check_holder(candidates, 2 * MAX_TAKEOVER_SECONDS)
-            held = next(one for one in candidates if one.is_held)
+            held = next(
+                candidate for candidate in candidates if candidate.is_held
+            )
             assert held.term > unread_term
 
         _run_with_candidates(work)
@@ -412,7 +420,7 @@
     def test_one_process_takes_it_without_its_holder(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            one: _DelayedProcess,
+            first: _DelayedProcess,
             slow: _DelayedProcess,
         ) -> None:
             value = b'{"holder":"gone","term":1}'
@@ -422,23 +430,23 @@
             slow.start()
             await anyio.sleep(1.0)
             store.restore(backup)
-            one.start()
-            await _check_holder(one.leases_with(slow), 20.0)
-            assert one.lease.is_held or slow.lease.is_held
+            first.start()
+            await _check_holder(first.leases_with(slow), 20.0)
+            assert first.lease.is_held or slow.lease.is_held
 
         _run_with_delayed_processes(work)
 
     def test_object_with_a_successor_is_not_written_back(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            one: _DelayedProcess,
+            first: _DelayedProcess,
             slow: _DelayedProcess,
         ) -> None:
-            one.start()
+            first.start()
             await anyio.sleep(1.0)
             store.write(leases.KIND, "duty.1", b'{"holder":"","term":0}')
             store.restore(store.back_up())
-            await _check_holder([one.lease], 3.0, holder=one.lease)
+            await _check_holder([first.lease], 3.0, holder=first.lease)
             found = await store.get(leases.KIND, "duty")
             assert found is not None
             assert orjson.loads(found.value)["successor"] == "duty.1"
@@ -449,38 +457,38 @@
         # The term after a corrupted lease follows from the version.
         async def work(
             store: standin_store.StandinStore,
-            one: _DelayedProcess,
+            first: _DelayedProcess,
             slow: _DelayedProcess,
         ) -> None:
             backup = store.back_up()
             for _ in range(1_000):
                 store.write("other", "o", b"1")
             store.write(leases.KIND, "duty", b"7")
-            one.start()
+            first.start()
             await anyio.sleep(1.0)
             store.restore(backup)
             await anyio.sleep(2 * MAX_TAKEOVER_SECONDS)
-            assert one.lease.is_held
+            assert first.lease.is_held
             latest = store.write("other", "o", b"2")
-            assert one.lease.term <= leases.TERMS_PER_EPOCH + latest
+            assert first.lease.term <= leases.TERMS_PER_EPOCH + latest
 
         _run_with_delayed_processes(work)
 
     def test_restore_during_a_move_leaves_one_object(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            one: _DelayedProcess,
+            first: _DelayedProcess,
             slow: _DelayedProcess,
         ) -> None:
-            one.start()
+            first.start()
             await anyio.sleep(1.0)
             backup = store.back_up()
-            one.delay("duty.1", is_write=True)
+            first.delay("duty.1", is_write=True)
             store.write(leases.KIND, "duty", b"7")
             await anyio.sleep(1.0)
-            one.after_put = lambda: store.restore(backup)
-            one.resume()
-            await _check_holder([one.lease], 10.0, holder=one.lease)
+            first.after_put = lambda: store.restore(backup)
+            first.resume()
+            await _check_holder([first.lease], 10.0, holder=first.lease)
             assert await _object_names(store) == ["duty"]
 
         _run_with_delayed_processes(work)
@@ -546,10 +554,13 @@
     seconds: float,
     holder: leases.Lease | None = None,
 ) -> None:
-    """Check for some seconds that at most one, or a given one, holds it."""
+    """Check for some seconds that at most one candidate holds the lease.
+
+    :param holder: the only candidate that may and must hold it.
+    """
     for _ in range(max(1, int(seconds * 100))):
         await anyio.sleep(0.01)
-        holding = [one for one in candidates if one.is_held]
+        holding = [candidate for candidate in candidates if candidate.is_held]
         assert len(holding) <= 1
         if holder is not None:
             assert holding == [holder]
@@ -563,7 +574,7 @@
 
 async def _object_names(store: standin_store.StandinStore) -> list[str]:
     changes = await store.list(leases.KIND)
-    return sorted(one.name for one in changes.objects)
+    return sorted(stored.name for stored in changes.objects)
 
 
 class _StaleConnection(zone_system.StoreConnection):
@@ -586,9 +597,9 @@
         if not allow_stale:
             return found
         old = None
-        for at, its_name, one in self._history:
-            if its_name == name and at <= now - 6.0:
-                old = one
+        for read_at, read_name, stored in self._history:
+            if read_name == name and read_at <= now - 6.0:
+                old = stored
         return old
 
 
@@ -660,9 +671,9 @@
     async def body() -> None:
         store = standin_store.StandinStore()
         async with anyio.create_task_group() as tasks:
-            one = _DelayedProcess(store, "one", tasks)
+            first = _DelayedProcess(store, "one", tasks)
             slow = _DelayedProcess(store, "slow", tasks)
-            await work(store, one, slow)
+            await work(store, first, slow)
             tasks.cancel_scope.cancel()
 
     virtual.run(body)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -104,7 +104,8 @@
 
     @pytest.mark.parametrize("after_report", [True, False])
     def test_expired_holder_sends_no_order(self, after_report: bool) -> None:
-        # It is suspended while an engine reports its layers, or just before.
+        # The machine is suspended while an engine reports its layers, or just
+        # before.
         async def body() -> None:
             system = fleet_system.FleetSystem()
             system.install(system.config)
@@ -256,23 +257,25 @@
             system.install(system.config)
             system.add_model()
 
-            async def work(one: fleet_system.FleetSystem) -> None:
-                request = one.request(routes.RepeatPolicy.STREAM)
+            async def work(tested_system: fleet_system.FleetSystem) -> None:
+                request = tested_system.request(routes.RepeatPolicy.STREAM)
                 done: list[fleet_system.Caller] = []
 
                 async def ask() -> None:
-                    done.append(await one.ask(request))
+                    done.append(await tested_system.ask(request))
 
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(ask)
                     await anyio.sleep(0.2)
                     suspend(seconds)
-                whole = fleet_system.whole_answer(request.id, one.fleet.events)
+                whole = fleet_system.whole_answer(
+                    request.id, tested_system.fleet.events
+                )
                 caller = done[0]
                 assert whole.startswith(caller.body)
                 assert caller.is_whole is (caller.body == whole)
                 # No upstream is avoided because of the suspension.
-                assert one.registry.failed() == ()
+                assert tested_system.registry.failed() == ()
 
             await fleet_system.run_with(system, work)
 
@@ -285,9 +288,9 @@
         async def body() -> None:
             system = fleet_system.FleetSystem()
             system.install(system.config)
-            one = fleet_system.upstream("e", layers=(0, 80), card="large")
-            system.add(one)
-            leaving = fleet_system.attrs.evolve(one, is_leaving=True)
+            engine = fleet_system.upstream("e", layers=(0, 80), card="large")
+            system.add(engine)
+            leaving = fleet_system.attrs.evolve(engine, is_leaving=True)
             system.list_instance(leaving)
             assert system.registry.usable_while_leaving(fleet_system.MODEL)
             suspend(seconds)
