--- a/src/crowdeck/entry/admission.py
+++ b/src/crowdeck/entry/admission.py
@@ -19,7 +19,10 @@
 
 
 class Admission:
-    """Counts requests in progress, per team and in all."""
+    """Counts requests in progress, per team and in total.
+
+    :ivar limit: requests in progress, of all teams together.
+    """
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -47,8 +47,8 @@
 # Timeout for the first token of an attempt that continues an answer, which
 # the caller is already reading.
 REPLAY_TIMEOUT_SECONDS = 5.0
-# Timeout for the first token of a resumed answer. Its path is not known
-# here, so its stages are not probed.
+# Timeout for the first token of a resumed answer. The entry does not know its
+# path, so the stages are not probed.
 RESUME_TIMEOUT_SECONDS = 4.0
 # How long an answer is kept running after its caller has disconnected.
 RECONNECT_GRACE_SECONDS = 5.0
--- a/src/crowdeck/quarantine/attribution.py
+++ b/src/crowdeck/quarantine/attribution.py
@@ -6,9 +6,9 @@
 """Attribution of instances' unplanned ends to the requests that cause them.
 
 A request that ran at an instance when it ended need not be the cause. Many
-others ran there too, and those that are retried may meet the cause again at
-another instance. So each end is attributed to the request that was present
-at the most ends, and to no other.
+others ran there too, and those that are retried may run beside the cause
+again at another instance. So each end is attributed to the request that was
+present at the most ends, and to no other.
 """
 
 import collections
@@ -159,7 +159,7 @@
 
     The first counts all ends at which it was present, the second those before
     its first event. The cause ends its engine before its first event, while
-    other requests mostly had one at some of the ends.
+    most other requests have had their first event at some of the ends.
     """
     unbegun_ends = collections.Counter(
         suspect for end in unexplained for suspect in end.unbegun
--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -104,7 +104,7 @@
 
     @property
     def own(self) -> evidence.Evidence:
-        """The evidence of this entry, for the others."""
+        """This entry's own evidence, which is published to the others."""
         return self._own
 
     @property
--- a/src/crowdeck/sidecar/__init__.py
+++ b/src/crowdeck/sidecar/__init__.py
@@ -3,4 +3,4 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The sidecar: the process beside an upstream that runs its requests."""
+"""The sidecar: the process beside an upstream, which sends requests to it."""
--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -154,7 +154,7 @@
         try:
             await self._engine.cancel(sequence)
         except errors.CrowdeckError:
-            # The engine drops an unused KV cache by itself in time.
+            # The engine itself drops a KV cache that is unused for some time.
             counters.COUNTERS.add("engine.cancel_failed")
 
     def on_closed(self, peer: link.Peer) -> None:
--- a/src/crowdeck/sidecar/batcher.py
+++ b/src/crowdeck/sidecar/batcher.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Batches an engine's decode steps, and runs prefills beside them.
+"""Batches an engine's decode steps, and runs prefills concurrently.
 
 Decode steps that arrive while a batch runs form the next one, so batches
 grow with the load and never wait to fill up. Each prefill is a call of its
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -279,7 +279,7 @@
     ) -> upstream.EngineOutput | None:
         attempt.is_in_engine = False
         if self._registry.find(attempt.request) is not attempt:
-            # The attempt was dropped while the engine ran the step, which
+            # The attempt was dropped while the engine ran the step. The step
             # may have created the KV cache again.
             self._tasks.start_soon(
                 self._registry.cancel_engine, attempt.sequence
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -67,16 +67,17 @@
     released or taken by another since. So nobody takes the lease for
     ``LEASE_SECONDS`` after a new epoch. A process that held it before the
     restore keeps it meanwhile and may write it back, since all others wait
-    until it would have expired.
+    until that lease has expired.
 
     Another writer may corrupt the object, and it is then unknown whether the
-    lease had been renewed or taken by another. So a corrupted object never
-    holds the lease again. Whoever finds it creates the next object, under
-    another name, and closes the corrupted one by a conditional write. From
-    then on nobody renews the lease in the closed object, so its holder has
-    expired when others may take the next one, ``LEASE_SECONDS`` later. A
-    current holder moves there at once. An object that has a next one is
-    never taken, whatever is written to it later.
+    lease had been renewed or taken by another process. So a corrupted object
+    never holds the lease again. A process that finds it creates the next
+    object, under another name, and closes the corrupted one by a conditional
+    write. From then on nobody renews the lease in the closed object. It has
+    expired ``LEASE_SECONDS`` later, and only then may other processes take
+    the lease in the next object. A current holder moves there at once. The
+    lease is never taken in an object that has a next one, whatever is written
+    to it later.
 
     :param duty: name of the work that only the holder does; the lease's
         objects are named after it.
@@ -282,8 +283,9 @@
         epoch = self._epoch
         if not await self._has_next():
             await self._create_next()
-        # Read only now that the next object exists. Others that read this
-        # one from here on find the next one, and do not take the lease here.
+        # Read only now that the next object exists: a process that reads the
+        # current object later finds the next one, and does not take the lease
+        # in the current one.
         await self._refresh()
         if self._epoch != epoch:
             # A new epoch begins with the first object again.
