--- a/src/crowdeck/entry/arrival_watch.py
+++ b/src/crowdeck/entry/arrival_watch.py
@@ -46,17 +46,17 @@
         self._token_at = at
 
     async def next(
-        self, path: pipeline.Path | None, timeout: float
+        self, path: pipeline.Path | None, timeout_seconds: float
     ) -> answers.Arrival:
         """Return the next record, probing the path's stages meanwhile.
 
         A stage that a probe finds lost is returned as an arrival.
 
-        :raises CrowdeckError: ``STALLED`` after ``timeout`` seconds.
+        :raises CrowdeckError: ``STALLED`` after ``timeout_seconds``.
         """
         started = self._clock.now()
         probe_after = self._probe_after_seconds()
-        while self._clock.now() - started < timeout:
+        while self._clock.now() - started < timeout_seconds:
             with anyio.move_on_after(probe_after):
                 return await self._inbox.get()
             if path is not None:
@@ -65,7 +65,7 @@
                 )
         raise errors.CrowdeckError(
             errors.Code.STALLED,
-            f"the path was silent for {timeout:g} s",
+            f"the path was silent for {timeout_seconds:g} s",
             verdict=verdicts.Verdict.MAY_HAVE_RUN,
             culprit=self._find_unusable(path),
         )
--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -365,14 +365,14 @@
         self._head = view.peer
         return reply
 
-    async def _consume(self, timeout: float) -> str:
+    async def _consume(self, timeout_seconds: float) -> str:
         """Process arrivals until the answer ends."""
         while True:
-            arrival = await self._next(timeout)
+            arrival = await self._next(timeout_seconds)
             match arrival:
                 case messages.Answer():
                     if await self._take(arrival):
-                        timeout = TOKEN_TIMEOUT_SECONDS
+                        timeout_seconds = TOKEN_TIMEOUT_SECONDS
                 case messages.AnswerEnd():
                     if arrival.epoch == self._epoch:
                         return self._take_end(arrival)
@@ -388,9 +388,9 @@
                 case answers_module.StageChanged():
                     await self._on_stage_changed(arrival)
 
-    async def _next(self, timeout: float) -> answers_module.Arrival:
+    async def _next(self, timeout_seconds: float) -> answers_module.Arrival:
         assert self._arrivals is not None
-        return await self._arrivals.next(self._path, timeout)
+        return await self._arrivals.next(self._path, timeout_seconds)
 
     async def _take(self, answer: messages.Answer) -> bool:
         """Deliver a token if it is the next one of this attempt."""
--- a/src/crowdeck/sidecar/calls.py
+++ b/src/crowdeck/sidecar/calls.py
@@ -144,11 +144,11 @@
         return record
 
     async def _wait(
-        self, record: _CallRecord, team: str, timeout: float
+        self, record: _CallRecord, team: str, timeout_seconds: float
     ) -> questions.Called:
         if record.team != team:
             raise _gone_error()
-        with anyio.move_on_after(timeout):
+        with anyio.move_on_after(timeout_seconds):
             await record.done.wait()
         if record.reply is None:
             raise errors.CrowdeckError(
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -167,8 +167,8 @@
                 if held.nonce == own_claim.nonce:
                     winners.append(held.nonce)
 
-            async def inject_fault(delay: float, fault: str) -> None:
-                await anyio.sleep(delay)
+            async def inject_fault(delay_seconds: float, fault: str) -> None:
+                await anyio.sleep(delay_seconds)
                 if fault == "lose":
                     store.lost_replies += 1
                 else:
@@ -177,8 +177,8 @@
             async with anyio.create_task_group() as tasks:
                 for number in range(8):
                     tasks.start_soon(claim, number)
-                for delay, fault in faults:
-                    tasks.start_soon(inject_fault, delay, fault)
+                for delay_seconds, fault in faults:
+                    tasks.start_soon(inject_fault, delay_seconds, fault)
             assert len(winners) <= 1
 
         virtual.run(check)
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -37,16 +37,18 @@
     """A holder whose lease is corrupted keeps it."""
 
     @pytest.mark.parametrize("corrupted", CORRUPTED)
-    @pytest.mark.parametrize("pause", [0.05, 0.7, 1.5, 4.4])
+    @pytest.mark.parametrize("pause_seconds", [0.05, 0.7, 1.5, 4.4])
     def test_keeps_it_however_often_it_is_corrupted(
-        self, corrupted: bytes, pause: float
+        self, corrupted: bytes, pause_seconds: float
     ) -> None:
         async def work(
             store: standin_store.StandinStore, candidates: list[leases.Lease]
         ) -> None:
-            for _ in range(int(30.0 / pause)):
+            for _ in range(int(30.0 / pause_seconds)):
                 store.write(leases.KIND, "duty", corrupted)
-                await _check_holder(candidates, pause, holder=candidates[0])
+                await _check_holder(
+                    candidates, pause_seconds, holder=candidates[0]
+                )
 
         _run_with_candidates(work)
 
@@ -125,10 +127,10 @@
 class TestTakeover:
     """Another process takes a corrupted lease whose holder has died."""
 
-    @pytest.mark.parametrize("pause", [0.05, 0.7, 1.5, 4.4])
-    @pytest.mark.parametrize("delay_before_corruption", [0.0, 1.0, 4.0, 4.4])
+    @pytest.mark.parametrize("pause_seconds", [0.05, 0.7, 1.5, 4.4])
+    @pytest.mark.parametrize("corruption_delay_seconds", [0.0, 1.0, 4.0, 4.4])
     def test_takes_it_in_time(
-        self, pause: float, delay_before_corruption: float
+        self, pause_seconds: float, corruption_delay_seconds: float
     ) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
@@ -146,9 +148,9 @@
                             tasks.start_soon(candidate.run)
                         await anyio.sleep(3.0)
                         holder_scope.cancel()
-                await anyio.sleep(delay_before_corruption)
+                await anyio.sleep(corruption_delay_seconds)
                 term = dead_holder.term
-                tasks.start_soon(_corrupt, store, pause)
+                tasks.start_soon(_corrupt, store, pause_seconds)
                 with anyio.fail_after(
                     leases.RENEW_SECONDS + MAX_TAKEOVER_SECONDS
                 ):
@@ -401,8 +403,10 @@
 class TestRestoredStore:
     """A store restored from a backup that is older than the lease's move."""
 
-    @pytest.mark.parametrize("age", [0.05, 0.5, 1.0, 2.0, 3.0, 5.0, 6.0])
-    def test_holder_keeps_it(self, age: float) -> None:
+    @pytest.mark.parametrize(
+        "age_seconds", [0.05, 0.5, 1.0, 2.0, 3.0, 5.0, 6.0]
+    )
+    def test_holder_keeps_it(self, age_seconds: float) -> None:
         async def work(
             store: standin_store.StandinStore, candidates: list[leases.Lease]
         ) -> None:
@@ -412,7 +416,7 @@
                     store.write(leases.KIND, "duty", b"7")
                 await _check_holder(candidates, 0.1, holder=candidates[0])
                 backups.append(store.back_up())
-            store.restore(backups[-int(age * 10) - 1])
+            store.restore(backups[-int(age_seconds * 10) - 1])
             await _check_holder(candidates, 20.0, holder=candidates[0])
 
         _run_with_candidates(work)
@@ -566,10 +570,12 @@
             assert holding == [holder]
 
 
-async def _corrupt(store: standin_store.StandinStore, pause: float) -> None:
+async def _corrupt(
+    store: standin_store.StandinStore, pause_seconds: float
+) -> None:
     while True:
         store.write(leases.KIND, "duty", b"7")
-        await anyio.sleep(pause)
+        await anyio.sleep(pause_seconds)
 
 
 async def _object_names(store: standin_store.StandinStore) -> list[str]:
