--- a/tests/system.py
+++ b/tests/system.py
@@ -88,7 +88,7 @@
     def texts(self) -> list[str]:
         assert [at for at, _ in self.pieces] == list(
             range(self.pieces[0][0], self.pieces[0][0] + len(self.pieces))
-        ), "positions must follow each other"
+        ), "positions must be consecutive"
         return [text for _, text in self.pieces]
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -372,7 +372,7 @@
 
     @pytest.mark.parametrize("stage", [0, 1, 2])
     def test_answer_moves_while_engines_are_busy(self, stage: int) -> None:
-        """A busy stage must not refuse the move, which costs a replay."""
+        """If a busy stage refused the move, the answer would be replayed."""
 
         async def check() -> None:
             async with systems.System() as system:
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -44,7 +44,7 @@
 
 
 def make_request(**parts: object) -> requests.CallerRequest:
-    whole = {
+    fields = {
         "method": "POST",
         "target": "/stream/x",
         "path": "/stream/x",
@@ -54,4 +54,4 @@
         "arrived": 0.0,
         **parts,
     }
-    return requests.CallerRequest(**whole)  # type: ignore[arg-type]
+    return requests.CallerRequest(**fields)  # type: ignore[arg-type]
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -180,7 +180,7 @@
 
 
 async def _inject_faults(zone: zone_system.Zone, rng: random.Random) -> None:
-    """Cut entries off, silence them, and stop and restart them."""
+    """Cut entries off, make them or the store silent, and restart them."""
     while True:
         number = rng.randrange(len(zone.entries))
         fault = rng.choice(("is_silent", "is_down", "cut", "store", "restart"))
@@ -268,7 +268,7 @@
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self.store = standin_store.StandinStore()
-        self.empty = self.store.back_up()
+        self.empty_backup = self.store.back_up()
         self.rosters: dict[str, rosters.Roster] = {}
         self.trackers: dict[str, trackers.QuarantineTracker] = {}
         self.scopes: dict[str, anyio.CancelScope] = {}
@@ -335,7 +335,7 @@
 
     def test_lost_record_is_written_again(self) -> None:
         async def work(fleet: _Fleet) -> None:
-            fleet.store.restore(fleet.empty)
+            fleet.store.restore(fleet.empty_backup)
             await fleet.settle()
             listing = await fleet.store.list(rosters.KIND)
             names = sorted(stored.name for stored in listing.objects)
@@ -360,7 +360,8 @@
         run_with_fleet(work)
 
     def test_older_record_does_not_end_a_quarantine(self) -> None:
-        # The entry that found the cause has stopped and cannot repeat it.
+        # The entry that found the cause has stopped, so it cannot write its
+        # evidence again.
         async def work(fleet: _Fleet) -> None:
             backup = fleet.store.back_up()
             fleet.report_crashes("entry-0")
@@ -381,7 +382,7 @@
                 fleet.store.write("other", f"o{number}", b"1")
             fleet.start("late", 1.0)
             await fleet.settle()
-            fleet.store.restore(fleet.empty)
+            fleet.store.restore(fleet.empty_backup)
             await fleet.settle()
             fleet.start("late", 7.0)
             await fleet.settle()
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -122,7 +122,7 @@
 
 
 class TestChangeOfHome:
-    """The session's home dies, leaves, or is cut off."""
+    """The session's home leaves or dies, or an entry with a turn is lost."""
 
     @pytest.mark.parametrize("is_planned", [True, False])
     def test_holder_keeps_its_turn(self, is_planned: bool) -> None:
