--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -47,12 +47,13 @@
 # Timeout for the first token of an attempt that continues an answer, which
 # the caller is already reading.
 REPLAY_TIMEOUT_SECONDS = 5.0
-# Timeout for the first token of a resumed answer. Its path is not known
-# here, so its stages are not probed.
+# Timeout for the first token of a resumed answer. The entry does not know its
+# path, so the stages are not probed.
 RESUME_TIMEOUT_SECONDS = 4.0
 # How long an answer is kept running after its caller has disconnected.
 RECONNECT_GRACE_SECONDS = 5.0
-# Room beyond the window, for an end, failures and changes of stages.
+# Arrivals that an inbox holds beyond the window: the answer's end, failures
+# and changes of stages.
 INBOX_SLACK_RECORDS = 16
 
 # Errors that are not retried: another entry drives the request, the answer
@@ -70,7 +71,7 @@
 
 
 class _AttemptMoved(Exception):
-    """The attempt is continued by another one, with this opening."""
+    """Raised when another attempt, with this opening, continues this one."""
 
     def __init__(self, opening: messages.Opening) -> None:
         super().__init__(opening.request)
@@ -203,12 +204,14 @@
 
     def _plan(self) -> messages.Opening:
         # Only a new answer may be refused because paths are slow.
-        limit = self._request.gap_limit_seconds if self._epoch < 0 else 0.0
+        gap_limit_seconds = (
+            self._request.gap_limit_seconds if self._epoch < 0 else 0.0
+        )
         path = self._dependencies.planner.choose(
             self._request.model,
             frozenset(self._avoided),
             self._request.adapter,
-            limit,
+            gap_limit_seconds,
         )
         return self._opening(path)
 
@@ -362,14 +365,14 @@
         self._head = view.peer
         return reply
 
-    async def _consume(self, timeout: float) -> str:
+    async def _consume(self, timeout_seconds: float) -> str:
         """Process arrivals until the answer ends."""
         while True:
-            arrival = await self._next(timeout)
+            arrival = await self._next(timeout_seconds)
             match arrival:
                 case messages.Answer():
                     if await self._take(arrival):
-                        timeout = TOKEN_TIMEOUT_SECONDS
+                        timeout_seconds = TOKEN_TIMEOUT_SECONDS
                 case messages.AnswerEnd():
                     if arrival.epoch == self._epoch:
                         return self._take_end(arrival)
@@ -385,9 +388,9 @@
                 case answers_module.StageChanged():
                     await self._on_stage_changed(arrival)
 
-    async def _next(self, timeout: float) -> answers_module.Arrival:
+    async def _next(self, timeout_seconds: float) -> answers_module.Arrival:
         assert self._arrivals is not None
-        return await self._arrivals.next(self._path, timeout)
+        return await self._arrivals.next(self._path, timeout_seconds)
 
     async def _take(self, answer: messages.Answer) -> bool:
         """Deliver a token if it is the next one of this attempt."""
@@ -434,8 +437,8 @@
     ) -> None:
         await anyio.sleep(RECONNECT_GRACE_SECONDS)
         request = self._request.request
-        # Once another entry has attached, the head ignores this one. So it
-        # is enough to check whether the caller has resumed at this entry.
+        # Once another entry has attached, the head ignores records from this
+        # entry. So only a resumption at this entry has to be checked.
         if not self._dependencies.answers.is_open(request):
             head.send(messages.Cancel(request, epoch))
 
@@ -473,7 +476,7 @@
         view = self._dependencies.fleet.find(leaving)
         if path is None or view is None or view.peer is None:
             return None
-        index = [one.instance for one in self._path.stages].index(leaving)
+        index = [stage.instance for stage in self._path.stages].index(leaving)
         question = questions.MoveOut(
             request=self._request.request,
             epoch=self._epoch,
--- a/src/crowdeck/sidecar/batcher.py
+++ b/src/crowdeck/sidecar/batcher.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Batches an engine's decode steps, and runs prefills beside them.
+"""Batches an engine's decode steps, and runs prefills concurrently.
 
 Decode steps that arrive while a batch runs form the next one, so batches
 grow with the load and never wait to fill up. Each prefill is a call of its
@@ -37,13 +37,14 @@
     """Estimates how a batch's duration depends on its size.
 
     Fits a line to the batches by least squares, with weights that decay. A
-    plain average would take a loaded engine for a slow one.
+    plain average would make a loaded engine look slow.
     """
 
     # Factor on the weight of all earlier batches at each new one.
     DECAY_PER_BATCH = 0.99
 
     def __init__(self) -> None:
+        # Weighted sums over all batches.
         self._count = 0.0
         self._sizes = 0.0
         self._squares = 0.0
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -127,7 +127,7 @@
         except errors.CrowdeckError as error:
             counters.COUNTERS.add(f"stage.refused.{error.code.lower()}")
             # A repeat on the same link is dropped. The same epoch on another
-            # link comes from a second driver, which has to be told.
+            # link comes from a second driver, which has to be notified.
             current = self._registry.find_current(
                 opening.request, opening.epoch
             )
@@ -279,7 +279,7 @@
     ) -> upstream.EngineOutput | None:
         attempt.is_in_engine = False
         if self._registry.find(attempt.request) is not attempt:
-            # The attempt was dropped while the engine ran the step, which
+            # The attempt was dropped while the engine ran the step. The step
             # may have created the KV cache again.
             self._tasks.start_soon(
                 self._registry.cancel_engine, attempt.sequence
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -291,9 +291,9 @@
                 def open_for_other_team() -> None:
                     head = _stage_of(system, 0)
                     own = next(
-                        one
-                        for one in head.registry.all_attempts
-                        if one.is_running
+                        attempt
+                        for attempt in head.registry.all_attempts
+                        if attempt.is_running
                     )
                     other_opening = attrs.evolve(
                         own.opening, epoch=5, team="x"
@@ -372,7 +372,7 @@
 
     @pytest.mark.parametrize("stage", [0, 1, 2])
     def test_answer_moves_while_engines_are_busy(self, stage: int) -> None:
-        """A busy stage must not refuse the move, which costs a replay."""
+        """If a busy stage refused the move, the answer would be replayed."""
 
         async def check() -> None:
             async with systems.System() as system:
@@ -435,8 +435,8 @@
                 head = system.sidecar(caller.location[0])
                 assert head._stage is not None
                 generated_count = max(
-                    len(one.pieces)
-                    for one in head._stage.registry.all_attempts
+                    len(attempt.pieces)
+                    for attempt in head._stage.registry.all_attempts
                 )
                 assert (
                     len(caller.pieces)
