--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -35,7 +35,7 @@
 _HOST = b"host"
 _EVENT_ID = re.compile(rb"(?:^|[\r\n])id:[ ]?(\d+)[ ]*(?=[\r\n]|$)")
 MIN_DEADLINE_MS = 1
-# The least urgent priority that engines know.
+# The least urgent priority that engines accept.
 LOWEST_PRIORITY = 9
 
 
@@ -47,7 +47,10 @@
     body: bytes,
     arrived: float,
 ) -> requests.CallerRequest | None:
-    """Return a caller's request, or ``None`` if it has no request id."""
+    """Return a caller's request, or ``None`` if it has no request id.
+
+    :param arrived: loop time at which the headers had been read, in seconds.
+    """
     first_values: dict[bytes, bytes] = {}
     for name, value in headers:
         first_values.setdefault(name, value)
@@ -135,11 +138,11 @@
 
 
 def _connection_headers(headers: http.RawHeaders) -> frozenset[bytes]:
-    found: set[bytes] = set()
+    listed: set[bytes] = set()
     for name, value in headers:
         if name == _CONNECTION:
-            found.update(one.strip().lower() for one in value.split(b","))
-    return frozenset(found)
+            listed.update(part.strip().lower() for part in value.split(b","))
+    return frozenset(listed)
 
 
 def _api_key(authorization: bytes) -> str:
@@ -155,7 +158,7 @@
     counts = first_values.get(names.TOKEN_COUNTS, b"").split(b",")
     if len(counts) != 2:
         return None
-    prompt, max_answer = (_parse_number(one.strip()) for one in counts)
+    prompt, max_answer = (_parse_number(count.strip()) for count in counts)
     if prompt is None or max_answer is None:
         return None
     answer_hint = _parse_number(first_values.get(names.LENGTH_HINT, b"")) or 0
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -104,8 +104,11 @@
     if not body.get(names.LAYERS):
         return None
     models = body.get(names.MODELS) or [{}]
-    usual = body.get(names.MEAN_LENGTHS) or {}
-    cards = (_card(one) for one in body.get(names.ACCELERATOR_TYPES) or ())
+    mean_lengths = body.get(names.MEAN_LENGTHS) or {}
+    accelerator_types = (
+        _accelerator_type(one)
+        for one in body.get(names.ACCELERATOR_TYPES) or ()
+    )
     return chain.EngineProfile(
         layer_count=int(body[names.LAYERS]),
         layer_mb=float(body[names.LAYER_MB]),
@@ -119,13 +122,17 @@
         load_seconds=float(models[0].get(names.LOAD_SECONDS, 0.0)),
         concurrent_loads=int(body.get(names.CONCURRENT_LOADS) or 1),
         slots=int(body[names.SLOTS]),
-        mean_prompt_tokens=float(usual.get(names.MEAN_PROMPT_TOKENS, 0.0)),
-        mean_answer_tokens=float(usual.get(names.MEAN_ANSWER_TOKENS, 0.0)),
-        cards={one.name: one for one in cards},
+        mean_prompt_tokens=float(
+            mean_lengths.get(names.MEAN_PROMPT_TOKENS, 0.0)
+        ),
+        mean_answer_tokens=float(
+            mean_lengths.get(names.MEAN_ANSWER_TOKENS, 0.0)
+        ),
+        cards={one.name: one for one in accelerator_types},
     )
 
 
-def _card(body: Json) -> chain.AcceleratorType:
+def _accelerator_type(body: Json) -> chain.AcceleratorType:
     return chain.AcceleratorType(
         name=str(body[names.NAME]),
         memory_mb=float(body[names.MEMORY_MB]),
@@ -144,16 +151,17 @@
 
 
 def _limits(body: Json) -> routes.Limits:
-    default = routes.Limits()
+    defaults = routes.Limits()
     return routes.Limits(
-        header_bytes=int(body.get(names.HEADER_BYTES, default.header_bytes)),
-        body_bytes=int(body.get(names.BODY_BYTES, default.body_bytes)),
+        header_bytes=int(body.get(names.HEADER_BYTES, defaults.header_bytes)),
+        body_bytes=int(body.get(names.BODY_BYTES, defaults.body_bytes)),
         header_seconds=float(
-            body.get(names.HEADER_TIMEOUT_MS, default.header_seconds * 1000)
+            body.get(names.HEADER_TIMEOUT_MS, defaults.header_seconds * 1000)
             / 1000
         ),
         idle_seconds=float(
-            body.get(names.IDLE_TIMEOUT_MS, default.idle_seconds * 1000) / 1000
+            body.get(names.IDLE_TIMEOUT_MS, defaults.idle_seconds * 1000)
+            / 1000
         ),
     )
 
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -32,8 +32,8 @@
 _MISDIRECTED = 421
 _UNAVAILABLE = 503
 _NOT_RUN_STATUSES = frozenset({_MISDIRECTED})
-_IS_LEAVING = b"1"
-# How much of an unreadable header is logged.
+_LEAVING_VALUE = b"1"
+# Longest part of an unreadable header that is logged.
 _LOGGED_BYTES = 40
 
 
@@ -174,7 +174,8 @@
         """Order an engine to hold ``layers`` and no others.
 
         :param expected_orders: the engine accepts the order only if it has
-            accepted this many before, so that a late copy is refused.
+            accepted this many before, so that it refuses a delayed
+            duplicate.
         :param stops_streams: whether to interrupt streams that use layers
             which it gives up. Otherwise it first waits for them to end.
         """
@@ -285,7 +286,7 @@
     return pressures.Backpressure(
         requests_per_second=_decimal_header(response, names.LIMIT),
         backoff_seconds=backoff or 0.0,
-        is_leaving=response.find(names.LEAVING).strip() == _IS_LEAVING,
+        is_leaving=response.find(names.LEAVING).strip() == _LEAVING_VALUE,
     )
 
 
--- a/src/crowdeck/platform/fields.py
+++ b/src/crowdeck/platform/fields.py
@@ -13,7 +13,7 @@
 
 Json = dict[str, typing.Any]
 
-# The largest integer that every JSON reader keeps exact.
+# JSON readers that parse numbers as doubles are exact up to here.
 MAX_EXACT_INTEGER = 2**53
 _REQUIRED: typing.Any = object()
 
--- a/src/crowdeck/platform/names.py
+++ b/src/crowdeck/platform/names.py
@@ -58,7 +58,7 @@
 UPSTREAM_KIND = "servers"
 INSTANCE_KIND = "instances"
 
-# An engine's entry and report.
+# An upstream's stored object and an engine's report.
 SERVICE = "service"
 ADDRESS = "address"
 ZONE = "zone"
@@ -67,22 +67,22 @@
 STATE_READY = "ready"
 STATE_DRAINING = "draining"
 ACCELERATOR_TYPE = (
-    "route_kind"  # in an entry or a report: the accelerator's kind
+    "route_kind"  # in an upstream's object or report: the accelerator type
 )
-LAYERS = "layers"  # a range in entries and reports, a count in profiles
+LAYERS = "layers"  # a range, but in profiles a count
 FIRST_LAYER = "from"
 END_LAYER = "target_version"  # in a layer range: its exclusive end
 MODELS = "models"
 BUSY = "busy"
-ORDERS_TAKEN = "sequence_number"  # in a report; in an entry: heartbeats
+ORDERS_TAKEN = "sequence_number"  # in a report; in an object: heartbeats
 RUNNING = "running"
 WAITING = "waiting"
 CACHE_USED = "kv_cache_used"  # tokens times layers
 CACHE_TOTAL = "kv_cache_total"  # tokens times layers
-SLOWDOWN = "pace"  # in a report: above 1 while slow
+SLOWDOWN = "pace"  # in a report: relative step time, above 1 if slow
 STALLED = "stalled"
 ID = "id"
-STARTED_MS = "born"  # milliseconds since 1970, in entries and reports
+STARTED_MS = "born"  # milliseconds since 1970
 
 # Orders.
 OPERATION = "operation"
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -19,9 +19,9 @@
 from crowdeck import upstream
 from crowdeck import verdict as verdicts
 
-# A call without an answer for this long is taken for an outage.
+# A call that is not answered within this time counts as an outage.
 REQUEST_TIMEOUT_SECONDS = 1.0
-# Added to the wait of a watch for a slow store and slow connections.
+# Added to the timeout of a watch, as a store or a connection may be slow.
 WATCH_SLACK_SECONDS = 0.5
 MAX_PAGES = 1_000
 
@@ -129,7 +129,9 @@
             response = await self._read(_path(kind, query=query))
             body = _decode_body(response)
             if epoch not in (None, self._epoch_of(response)):
-                raise _store_down("the store was restored while it was listed")
+                raise _store_down_error(
+                    "the store was restored while it was listed"
+                )
             epoch = self._epoch_of(response)
             found += _decode_objects(kind, body.get(names.ITEMS))
             if version is None:
@@ -147,15 +149,22 @@
         :param known: the etag of the listing that the caller has.
         """
         changes = await self.list(names.INSTANCE_KIND)
-        # The store's version also rises with writes to other objects.
-        etag = str(max((one.version for one in changes.objects), default=0))
+        # Not the store's version, which also rises with writes to objects of
+        # other kinds.
+        etag = str(
+            max((stored.version for stored in changes.objects), default=0)
+        )
         etag = f"{changes.epoch}-{len(changes.objects)}-{etag}"
         if etag == known:
             return None
         try:
-            listed = tuple(_decode_instance(one) for one in changes.objects)
+            listed = tuple(
+                _decode_instance(stored) for stored in changes.objects
+            )
         except (KeyError, TypeError, ValueError) as error:
-            raise _store_down("the instance list is malformed") from error
+            raise _store_down_error(
+                "the instance list is malformed"
+            ) from error
         return stores.Listing(etag, listed)
 
     async def _read(
@@ -164,9 +173,9 @@
         try:
             response = await self._client.send("GET", path, [], b"", timeout)
         except errors.CrowdeckError as error:
-            raise _store_down(error.message) from None
+            raise _store_down_error(error.message) from None
         if response.status not in (200, 404, 410):
-            raise _store_down(
+            raise _store_down_error(
                 f"the store answered with status {response.status}"
             )
         self._epoch = self._epoch_of(response)
@@ -180,18 +189,18 @@
                 method, path, [_JSON_TYPE], body, REQUEST_TIMEOUT_SECONDS
             )
         except errors.CrowdeckError as error:
-            raise _write_lost(error.verdict) from None
+            raise _write_error(error.verdict) from None
         if response.status in (429, 503):
-            raise _write_lost(_NOT_RUN)
+            raise _write_error(_NOT_RUN)
         if response.status not in (200, 201, 404, 409):
-            raise _write_lost(_MAY_HAVE_RUN)
+            raise _write_error(_MAY_HAVE_RUN)
         self._epoch = self._epoch_of(response)
         return response
 
     def _epoch_of(self, response: upstream.ServiceResponse) -> int:
         """Return the epoch in an answer, or 0 if there is none.
 
-        If it is unreadable this is the last epoch known.
+        An unreadable epoch is logged; the last known epoch is returned.
         """
         value = response.find(_EPOCH)
         if not value:
@@ -222,21 +231,23 @@
             stores.encode_json(body.get(names.SPECIFICATION)),
         )
     except _DECODE_ERRORS as error:
-        raise _store_down("an object of the store is malformed") from error
+        raise _store_down_error(
+            "an object of the store is malformed"
+        ) from error
 
 
 def _decode_objects(kind: str, items: object) -> list[stores.StoredObject]:
     """Return the objects of a list that can be decoded.
 
-    Objects of other writers are in the same lists. A malformed one is logged
-    and must not prevent the others from being read.
+    A list also contains objects of other writers. A malformed object is
+    logged and must not prevent the others from being read.
     """
     if not isinstance(items, list):
-        raise _store_down("the store's list is malformed")
+        raise _store_down_error("the store's list is malformed")
     found = []
-    for one in items:
+    for item in items:
         try:
-            found.append(_decode_object(kind, one))
+            found.append(_decode_object(kind, item))
         except errors.CrowdeckError as error:
             logs.change("object_unread", kind=kind, reason=error.message)
     return found
@@ -246,20 +257,20 @@
     """Return the last state of each object in the events of a watch."""
     events = body.get(names.EVENTS) or []
     if not isinstance(events, list):
-        raise _store_down("the store's events are malformed")
+        raise _store_down_error("the store's events are malformed")
     written: dict[str, stores.StoredObject] = {}
     removed: dict[str, None] = {}
     for event in events:
         if not isinstance(event, dict):
             logs.change("object_unread", kind=kind, reason="not an event")
             continue
-        for one in _decode_objects(kind, [event.get(names.OBJECT)]):
-            written.pop(one.name, None)
-            removed.pop(one.name, None)
+        for stored in _decode_objects(kind, [event.get(names.OBJECT)]):
+            written.pop(stored.name, None)
+            removed.pop(stored.name, None)
             if event.get(names.REMOVED):
-                removed[one.name] = None
+                removed[stored.name] = None
             else:
-                written[one.name] = one
+                written[stored.name] = stored
     return stores.Changes(
         _decode_version(body), tuple(written.values()), tuple(removed), epoch
     )
@@ -270,7 +281,7 @@
     try:
         return int(body[names.STORE_REVISION])
     except _DECODE_ERRORS as error:
-        raise _store_down("the store's answer has no version") from error
+        raise _store_down_error("the store's answer has no version") from error
 
 
 def _decode_instance(stored: stores.StoredObject) -> instances.Instance:
@@ -288,9 +299,9 @@
     try:
         body = stores.decode_json(response.body)
     except (ValueError, RecursionError) as error:
-        raise _store_down("the store's answer is malformed") from error
+        raise _store_down_error("the store's answer is malformed") from error
     if not isinstance(body, dict):
-        raise _store_down("the store's answer is malformed")
+        raise _store_down_error("the store's answer is malformed")
     return body
 
 
@@ -298,18 +309,18 @@
     try:
         return _decode_body(response)
     except errors.CrowdeckError:
-        raise _write_lost(_MAY_HAVE_RUN) from None
+        raise _write_error(_MAY_HAVE_RUN) from None
 
 
-def _store_down(message: str) -> errors.CrowdeckError:
+def _store_down_error(message: str) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.STORE_DOWN, message, retry_after=1.0
     )
 
 
-def _write_lost(verdict: verdicts.Verdict) -> errors.CrowdeckError:
+def _write_error(verdict: verdicts.Verdict) -> errors.CrowdeckError:
     if verdict is _NOT_RUN:
-        return _store_down("the store did not accept the write")
+        return _store_down_error("the store did not accept the write")
     return errors.CrowdeckError(
         errors.Code.STORE_UNSURE,
         "the store's reply to a write was lost",
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Decodes entries of upstream instances and reports of engines."""
+"""Decodes stored objects of upstream instances and reports of engines."""
 
 import orjson
 
@@ -30,10 +30,10 @@
 
 
 def decode(stored: stores.StoredObject) -> chain.Upstream:
-    """Return the upstream instance that an entry describes.
+    """Return the upstream instance that a stored object describes.
 
-    :raises CrowdeckError: ``MALFORMED`` if it is not a valid entry, such as
-        an object of another writer, which has no instance state.
+    :raises CrowdeckError: ``MALFORMED`` if it is invalid, such as an object of
+        another writer, which has no instance state.
     """
     try:
         body = orjson.loads(stored.value)
@@ -54,7 +54,7 @@
             layers=_layers(body),
         )
     except _DECODE_ERRORS as error:
-        raise _malformed(f"entry {stored.name!r:.80}", error) from None
+        raise _malformed_error(f"entry {stored.name!r:.80}", error) from None
 
 
 def decode_report(content: bytes) -> chain.EngineReport:
@@ -83,7 +83,7 @@
             started_ms=_start_time_ms(body),
         )
     except _DECODE_ERRORS as error:
-        raise _malformed("an engine's report", error) from None
+        raise _malformed_error("an engine's report", error) from None
 
 
 def _state(body: fields.Json) -> str:
@@ -95,7 +95,7 @@
 
 
 def _start_time_ms(body: fields.Json) -> int:
-    """Return the start time in an entry or a report, 0 if it is missing.
+    """Return the start time in a stored object or a report, or 0.
 
     :raises TypeError: if it is null.
     """
@@ -115,9 +115,9 @@
     return pipeline.LayerRange(first, end) if end > first else None
 
 
-def _malformed(what: str, error: Exception) -> errors.CrowdeckError:
+def _malformed_error(subject: str, error: Exception) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.MALFORMED,
-        f"{what} is malformed ({error!r})",
+        f"{subject} is malformed ({error!r})",
         verdict=verdicts.Verdict.MAY_HAVE_RUN,
     )
