--- a/src/crowdeck/observe/counters.py
+++ b/src/crowdeck/observe/counters.py
@@ -33,8 +33,8 @@
         ...
 
 
-# Timings that are kept between two flushes. Further ones are left out of
-# the statsd timers, but counted in the histograms.
+# Maximum number of timings kept between two flushes. Further ones are left
+# out of the statsd timers but counted in the histograms.
 TIMING_LIMIT = 1_000
 
 
--- a/src/crowdeck/observe/explain.py
+++ b/src/crowdeck/observe/explain.py
@@ -34,7 +34,7 @@
     "request was sent",
     "WRONG_ANSWER": "the upstream's answer could not be forwarded unchanged",
 }
-# Events that report a change of state and can have decided a request.
+# State changes that can affect the outcome of a request.
 _STATE_EVENTS = frozenset(
     {
         "config_in_force",
@@ -57,8 +57,8 @@
         "upstream_paused",
     }
 )
-# Events that end a request.
-ENDS = frozenset(
+# Events that report the end of a request.
+END_EVENTS = frozenset(
     {
         "answer_cut",
         "call_answered",
@@ -99,6 +99,7 @@
 class Explanation:
     """What the logs contain on one request.
 
+    :ivar request: id of the request.
     :ivar lines: log lines of the request, by time.
     :ivar context: state changes that may have affected it.
     :ivar cause: why it failed, empty if unknown.
@@ -137,13 +138,14 @@
 def explain(
     request: str, texts: typing.Iterable[str], max_pause: float = 0.2
 ) -> Explanation:
-    """Collect the lines of a request and determine its cause of failure.
+    """Collect the lines of a request and determine why it failed.
 
+    :param request: id of the request.
     :param texts: log lines of any number of processes, in any order.
     :param max_pause: longest pause, in seconds, for which a stream is in time.
     """
     own: list[Line] = []
-    # Bounded, as the logs may be too long to keep all state changes.
+    # Bounded, as the logs may contain more state changes than fit in memory.
     recent: collections.deque[Line] = collections.deque(maxlen=5_000)
     for text in texts:
         line = parse(text)
@@ -166,7 +168,7 @@
 ) -> tuple[Line, ...]:
     if not own:
         return ()
-    text = " ".join(str(line) for line in own)
+    request_text = " ".join(str(line) for line in own)
     sources = {line.source for line in own}
     first, last = own[0].at - CONTEXT_SECONDS, own[-1].at
     found = [
@@ -174,7 +176,7 @@
         for line in changes
         if first <= line.at <= last
         and line.source in sources
-        and _is_relevant(line, text)
+        and _is_relevant(line, request_text)
     ]
     found.sort(key=lambda line: line.at)
     return tuple(found[-CONTEXT_LINES:])
@@ -186,21 +188,21 @@
     return tuple(dict.fromkeys(names))
 
 
-def _is_relevant(line: Line, text: str) -> bool:
+def _is_relevant(line: Line, request_text: str) -> bool:
     """Whether a state change can have affected the request.
 
-    :param text: the lines of the request, in which the upstream or address
-        of the change is searched.
+    :param request_text: the lines of the request; a change of an upstream is
+        relevant only if they contain its name or address.
     """
     fields = (line.fields.get("upstream"), line.fields.get("address"))
     names = [name for name in fields if name]
     if not names:
         return True
-    return any(str(name) in text for name in names)
+    return any(str(name) in request_text for name in names)
 
 
 def _find_cause(own: list[Line], max_pause: float) -> tuple[str, bool]:
-    ends = [line for line in own if line.kind in ENDS]
+    ends = [line for line in own if line.kind in END_EVENTS]
     if not ends:
         return "", bool(own)
     end = ends[-1]
--- a/src/crowdeck/observe/logs.py
+++ b/src/crowdeck/observe/logs.py
@@ -21,7 +21,7 @@
 
 from crowdeck.observe import counters
 
-# Fields that must never be logged, whatever their value.
+# Fields that must never be logged, as they hold secrets or caller content.
 SECRET_FIELDS = frozenset(
     {"authorization", "prompt", "body", "key", "bearer", "password"}
 )
--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -13,7 +13,7 @@
 from crowdeck.observe import explain
 from crowdeck.observe import reroutes
 
-# Error codes of requests that the caller made wrongly.
+# Error codes of requests that were refused because of a caller's mistake.
 _CALLER_ERRORS = frozenset({"UNAUTHORIZED", "NOT_FOUND", "BAD_REQUEST"})
 # What happened to a late stream, by event; the first match is reported.
 _REACTIONS = {
@@ -27,9 +27,11 @@
 MIN_WAIT_SECONDS = 0.1
 IN_TIME = "in time"
 CALLER_LEFT = "the caller left"
+# Marks refusals because of a caller's mistake in the report.
 _CALLER_ERROR = "by right"
 UNNAMED = "(the logs do not name it)"
-# Placeholder for a number in a reason until the range of all is known.
+# Placeholder for a number in a reason until the range of all such numbers is
+# known.
 _PLACEHOLDER = "\0"
 _NOT_LOST = frozenset({IN_TIME, CALLER_LEFT})
 
@@ -48,7 +50,7 @@
 
 @attrs.frozen
 class Span:
-    """The requests that ended within one span of time.
+    """The requests that ended within one interval.
 
     :ivar since: start, in seconds after the first line of the logs.
     :ivar causes: number of requests by outcome.
@@ -66,7 +68,7 @@
     :ivar turned_away: number of failed attempts by reason.
     :ivar lost_by_source: number of requests that were refused, failed or
         late, by the entry that logged their end; without those that the
-        caller ended or made wrongly.
+        caller ended or that were refused because of a caller's mistake.
     :ivar reroutes: streams that were moved to another path.
     """
 
@@ -80,7 +82,7 @@
 
 @attrs.define(eq=False)
 class _Range:
-    """Range of the numbers at one place of a reason."""
+    """Range of the numbers at one position in a reason."""
 
     lowest: float = float("inf")
     highest: float = float("-inf")
@@ -98,7 +100,11 @@
 
 @attrs.define(eq=False)
 class _Request:
-    """State of one request from the lines so far."""
+    """What the lines so far contain on one request.
+
+    :ivar shortage: the latest line about a missing path or instance.
+    :ivar reactions: keys of ``_REACTIONS``.
+    """
 
     end: explain.Line | None = None
     shortage: explain.Line | None = None
@@ -123,11 +129,11 @@
         """Count one line."""
         self._start = min(self._start, line.at)
         self._reroutes.add(line)
-        name = line.fields.get("request")
-        if not name:
+        request_id = line.fields.get("request")
+        if not request_id:
             return
-        request = self._requests.setdefault(str(name), _Request())
-        if line.kind in explain.ENDS:
+        request = self._requests.setdefault(str(request_id), _Request())
+        if line.kind in explain.END_EVENTS:
             if request.end is None or request.end.at <= line.at:
                 request.end = line
         elif line.kind in ("no_path", "no_instance"):
@@ -142,7 +148,10 @@
             self._failed_attempts[self._normalize_reason(line)] += 1
 
     def report(self, span_seconds: float) -> LossReport:
-        """Return the counts, in total and for each ``span_seconds``."""
+        """Return the counts, in total and per interval.
+
+        :param span_seconds: length of an interval.
+        """
         causes: collections.Counter[str] = collections.Counter()
         sources: collections.Counter[str] = collections.Counter()
         spans: dict[int, collections.Counter[str]] = {}
@@ -227,8 +236,8 @@
         return dict(filled.most_common())
 
     def _fill_cause(self, cause: str) -> str:
-        # A reason may be a suffix of another one: the longest applies.
-        matches = [one for one in self._ranges if cause.endswith(one)]
+        # A reason may be a suffix of another reason; the longest applies.
+        matches = [reason for reason in self._ranges if cause.endswith(reason)]
         for number_range in (
             self._ranges[max(matches, key=len)] if matches else ()
         ):
--- a/src/crowdeck/observe/reroutes.py
+++ b/src/crowdeck/observe/reroutes.py
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Percentiles:
-    """Percentiles over streams, in seconds; 0 without any.
+    """Percentiles over streams, in seconds; 0 if there are none.
 
     :ivar nine_in_ten: the 90th percentile.
     """
@@ -57,11 +57,11 @@
 
     Accepts the lines of any processes in any order.
 
-    :param allowed: longest pause that is in time, in seconds.
+    :param max_pause: longest pause that is in time, in seconds.
     """
 
-    def __init__(self, allowed: float) -> None:
-        self._allowed = allowed
+    def __init__(self, max_pause: float) -> None:
+        self._max_pause = max_pause
         self._noticed: list[float] = []
         self._agreed: dict[str, float] = {}
         self._longest_pause: dict[str, float] = {}
@@ -80,7 +80,7 @@
                 self._longest_pause[request] = pause
 
     def summary(self) -> Reroutes:
-        """Return the result over the lines so far."""
+        """Return the results for the lines so far."""
         agreed = {
             request: seconds
             for request, seconds in self._agreed.items()
@@ -89,7 +89,7 @@
         pauses = [self._longest_pause[request] for request in agreed]
         return Reroutes(
             streams=len(agreed),
-            in_time=sum(1 for pause in pauses if pause <= self._allowed),
+            in_time=sum(1 for pause in pauses if pause <= self._max_pause),
             noticed=Percentiles.of(self._noticed),
             agreed=Percentiles.of(list(agreed.values())),
             pause=Percentiles.of(pauses),
