--- a/src/crowdeck/cmd/checks.py
+++ b/src/crowdeck/cmd/checks.py
@@ -15,7 +15,7 @@
 def check(path: pathlib.Path) -> configs.Config:
     """Load a configuration and its TLS files.
 
-    :raises ConfigError: with a message of one line.
+    :raises ConfigError: with a one-line message.
     """
     config = configs.load(path)
     config.tls.load()
--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -86,7 +86,7 @@
 
 
 def _backpressure_lines(rows: list[dict[str, Data]]) -> list[str]:
-    """Return the lines about the backpressure that instances ask for."""
+    """Return the lines about the backpressure of instances."""
     sums = entry_status.sum_backpressure(rows)
     if not sums:
         return []
@@ -161,7 +161,9 @@
         f"{(int(span['start_ns']) - started) / 1e6:10.3f} ms  "
         f"{span['seconds'] * 1000:10.3f} ms  "
         f"{span['instance']}  {span['name']}  "
-        + " ".join(f"{k}={v}" for k, v in span["attributes"].items())
+        + " ".join(
+            f"{name}={value}" for name, value in span["attributes"].items()
+        )
         for span in spans
     ]
     return Result(spans, "\n".join(lines))
@@ -173,7 +175,10 @@
     limit_seconds: float,
     wait_until_idle: bool,
 ) -> Result:
-    """Begin a planned stop of an instance; optionally wait until idle."""
+    """Begin a planned stop of an instance; optionally wait until it is idle.
+
+    :param limit_seconds: limits the stop and the wait.
+    """
     await operator.ask(name, questions.Drain(limit_seconds))
     if not wait_until_idle:
         return Result({"instance": name}, f"{name} is draining")
@@ -306,7 +311,7 @@
 def check_file(path: pathlib.Path) -> Result:
     """Check a daemon's configuration or a settings tree.
 
-    A file with a daemon section is taken as a configuration.
+    A file with a daemon section is checked as a configuration.
     """
     text = _read_text(path)
     if f"[{configs.DAEMON}]" in text:
--- a/src/crowdeck/cmd/daemon.py
+++ b/src/crowdeck/cmd/daemon.py
@@ -60,8 +60,8 @@
 class HangupRecorder:
     """Records a SIGHUP that arrives before the daemon handles signals.
 
-    The default action would end the process. Ignoring the signal would miss
-    a change made while the configuration was being read.
+    The default action would end the process. If the signal were ignored, a
+    change made while the configuration is being read would be missed.
     """
 
     def __init__(self) -> None:
--- a/src/crowdeck/cmd/demo.py
+++ b/src/crowdeck/cmd/demo.py
@@ -38,7 +38,7 @@
 
 
 async def run(stay: bool) -> str:
-    """Run the demo and return what failed, or an empty string.
+    """Run the demo; return why it failed, or an empty string.
 
     :param stay: keep the system running afterwards.
     """
@@ -99,7 +99,7 @@
         """Drain a stage in the middle of an answer."""
         _print(f"\n4. A stage is drained after token {DRAIN_AFTER_TOKENS}:")
         await self._stream(
-            "summarise the dispute", self._drain, DRAIN_AFTER_TOKENS
+            "summarise the dispute", self._drain_stage, DRAIN_AFTER_TOKENS
         )
 
     def _kill_stage(self) -> None:
@@ -108,7 +108,7 @@
         self._cluster.kill(name)
         self._cluster.unlist(name)
 
-    def _drain(self) -> None:
+    def _drain_stage(self) -> None:
         name = self._find_running_sidecar(2)
         sys.stdout.write(f"[{name} drains] ")
         component = self._cluster.sidecars[name].running.component
--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -34,18 +34,20 @@
     """Read the status of every entry that is registered in the store.
 
     An entry that cannot be reached has the state ``lost``.
+
+    :param timeout: longest wait for each reply, in seconds.
     """
     listing = await store.list(rosters.KIND)
     limiter = anyio.CapacityLimiter(MAX_CONCURRENT_QUERIES)
     rows: list[Row] = []
 
-    async def ask(stored: stores.StoredObject) -> None:
+    async def read_entry(stored: stores.StoredObject) -> None:
         async with limiter:
             rows.append(await _read_entry(client, stored, timeout))
 
     async with anyio.create_task_group() as tasks:
-        for one in listing.objects:
-            tasks.start_soon(ask, one)
+        for stored in listing.objects:
+            tasks.start_soon(read_entry, stored)
     return sorted(rows, key=lambda row: str(row["instance"]))
 
 
@@ -88,7 +90,13 @@
 
 @attrs.define
 class _BackpressureGroup:
-    """The backpressure of one kind in one zone of a service."""
+    """The backpressure of one kind in one zone of a service.
+
+    :ivar instances: by address, the seconds for which it has lasted.
+    :ivar limits: requests per second that an instance accepts, by address.
+    :ivar used: requests per second that all entries send.
+    :ivar entries: names of the entries that report it.
+    """
 
     instances: dict[str, float] = attrs.field(factory=dict)
     limits: dict[str, float] = attrs.field(factory=dict)
@@ -140,7 +148,9 @@
         for row in rows
         for need in row.get("needs", ())
     ]
-    needs.sort(key=lambda one: (one["service"], one["zone"], one["upstream"]))
+    needs.sort(
+        key=lambda need: (need["service"], need["zone"], need["upstream"])
+    )
     return needs
 
 
@@ -156,4 +166,4 @@
             known = longest.get(key)
             if known is None or gap["seconds"] > known["seconds"]:
                 longest[key] = gap
-    return [one for _, one in sorted(longest.items())]
+    return [gap for _, gap in sorted(longest.items())]
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -41,8 +41,8 @@
 # Keep it well below the process's limit of open files.
 UPSTREAM_CONNECTIONS = 1_000
 # API keys are accepted for this fraction of the revocation time after the
-# config was last proved current. Less than one, since a watch may stay silent
-# for a while before it reports that changes were lost.
+# config was last known to be current. Less than one, since a watch may receive
+# nothing for a while before it reports that changes were lost.
 CONFIG_TRUST_FRACTION = 0.78
 # Load balancers probe once a second and remove an instance after two failed
 # probes; new connections arrive until then.
@@ -104,7 +104,7 @@
     def reconfigure(self, config: configs.Config) -> None:
         """Apply a reloaded configuration.
 
-        After the start only the grace period changes.
+        After the start, this changes only the grace period.
         """
         self._config = config
         logs.change("reconfigured", instance=config.name)
@@ -119,7 +119,7 @@
         if self._relay is None or self._server is None:
             self._stopped.set()
             return
-        grace = (
+        grace_seconds = (
             float(self._config.fleet["grace_seconds"]) - STOP_MARGIN_SECONDS
         )
         if force:
@@ -133,9 +133,11 @@
         logs.change("stopping", in_progress=self._relay.in_progress)
         if self._lease is not None:
             await self._lease.release()
-        await anyio.sleep_until(began + min(UNREADY_SECONDS, grace / 2))
+        await anyio.sleep_until(
+            began + min(UNREADY_SECONDS, grace_seconds / 2)
+        )
         self._server.should_exit = True
-        with anyio.move_on_at(began + grace):
+        with anyio.move_on_at(began + grace_seconds):
             await self._relay.wait_idle()
         logs.change("stop_ends", left=self._relay.in_progress)
         self._stopped.set()
@@ -147,7 +149,7 @@
         store: platform_store.HttpStore,
     ) -> None:
         fleet = self._config.fleet
-        revocation = float(fleet["revocation_ms"]) / 1000.0
+        revocation_seconds = float(fleet["revocation_ms"]) / 1000.0
         peers = peer_http.HttpPeerClient(self._open_client(stack, ""))
         view = store_view.StoreView(store, self._config, peers)
         upstreams = self._open_upstreams(stack)
@@ -158,7 +160,7 @@
             view.holder,
             monitor,
             view.config_age,
-            CONFIG_TRUST_FRACTION * revocation,
+            CONFIG_TRUST_FRACTION * revocation_seconds,
         )
         holder_name = f"{self._config.name}/{secrets.token_hex(8)}"
         lease = leases.Lease(
@@ -194,10 +196,10 @@
         view: store_view.StoreView,
         status: peer_http.StatusSource,
     ) -> None:
-        peers = str(self._config.fleet["peers"])
-        if not peers:
+        peer_address = str(self._config.fleet["peers"])
+        if not peer_address:
             return
-        address = instances.Address.parse(peers)
+        address = instances.Address.parse(peer_address)
         mirrors_by_kind = {one.kind: one for one in view.mirrors}
         app = peer_http.PeerApp(mirrors_by_kind, view.peer_selector, status)
         server = http_server.build(app, address.host, address.port)
--- a/src/crowdeck/cmd/http_server.py
+++ b/src/crowdeck/cmd/http_server.py
@@ -19,8 +19,8 @@
 
 GRACEFUL_SHUTDOWN_SECONDS = 2
 START_POLL_SECONDS = 0.005
-# How often a server checks whether to exit. Longer than uvicorn's interval,
-# so that an idle process wakes less often.
+# Interval at which a server checks whether to exit. Longer than uvicorn's, so
+# that an idle process wakes less often.
 TICK_SECONDS = 0.25
 TICKS_PER_DATE_HEADER = 4
 
@@ -28,7 +28,7 @@
 class _LogForwarder(logging.Handler):
     """Forwards uvicorn's log records to crowdeck's log.
 
-    Cancelled requests are left out: they occur only at shutdown.
+    Cancelled requests are not logged, as they occur only at shutdown.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -52,11 +52,11 @@
 
     @contextlib.contextmanager
     def capture_signals(self) -> typing.Iterator[None]:
-        """Leave signals alone."""
+        """Install no signal handlers."""
         yield
 
     async def main_loop(self) -> None:
-        """Wait until told to exit; update the date header every second."""
+        """Wait for the exit flag; update the date header every second."""
         tick = 0
         # on_tick updates the date header if its argument is a multiple of
         # ten: it gets 0 once a second, and 1 otherwise.
@@ -91,7 +91,7 @@
     *,
     task_status: anyio.abc.TaskStatus[int] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until told to exit or cancelled.
+    """Serve until the server's exit flag is set or the task is cancelled.
 
     :param listener: a listening socket to use instead of a new one.
     :param task_status: reports the port.
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -48,13 +48,15 @@
         lines += _table(report.lost_by_source, total)
     if report.reroutes.streams:
         lines += ["", *_reroute_lines(report.reroutes)]
-    for report_span in report.spans:
+    for span in report.spans:
         lost = {
-            k: n for k, n in report_span.causes.items() if k != losses.IN_TIME
+            cause: count
+            for cause, count in span.causes.items()
+            if cause != losses.IN_TIME
         }
         if lost:
-            ended = sum(report_span.causes.values())
-            lines += ["", f"from second {report_span.since:g}, {ended} ended:"]
+            ended = sum(span.causes.values())
+            lines += ["", f"from second {span.since:g}, {ended} ended:"]
             lines += _table(lost, ended)
     return commands.Result(attrs.asdict(report), "\n".join(lines))
 
@@ -69,9 +71,9 @@
         f"{report.streams} streams led around an engine, "
         f"{report.in_time} in time; ms after the last event:",
         *(
-            f"{1000 * spread.median:7.0f} (nine in ten: "
-            f"{1000 * spread.nine_in_ten:.0f})  {name}"
-            for name, spread in steps
+            f"{1000 * percentiles.median:7.0f} (nine in ten: "
+            f"{1000 * percentiles.nine_in_ten:.0f})  {name}"
+            for name, percentiles in steps
         ),
     ]
 
@@ -105,34 +107,37 @@
 def _prefix_file_name(
     path: pathlib.Path, texts: typing.Iterable[str]
 ) -> typing.Iterator[str]:
-    # The log parser takes everything from the first brace as the record.
+    # The log parser reads JSON from the first brace of a line on.
     name = "-".join(path.name.replace("{", "").replace("}", "").split())
     for text in texts:
         yield f"{name} {text}" if text.startswith("{") else text
 
 
 def explain_request(
-    request: str, files: list[pathlib.Path], gap: float
+    request: str, files: list[pathlib.Path], max_pause: float
 ) -> commands.Result:
     """Explain the outcome of one request from its log lines.
 
     The exit code is zero if it was answered in time or a cause was found.
+
+    :param request: id of the request.
+    :param max_pause: longest pause, in seconds, for which a stream is in time.
     """
     with _open_logs(files) as texts:
-        explanation = explaining.explain(request, texts, gap)
+        explanation = explaining.explain(request, texts, max_pause)
     lines = [str(line) for line in explanation.lines]
     if explanation.context:
         lines += ["", "known to the entry at that time:"]
         lines += [f"  {line}" for line in explanation.context]
     if not explanation.lines:
-        verdict = "the logs hold nothing of it"
+        conclusion = "the logs hold nothing of it"
     elif not explanation.has_failed:
-        verdict = "it was answered in time"
+        conclusion = "it was answered in time"
     else:
-        verdict = explanation.cause or "not found in the logs"
+        conclusion = explanation.cause or "not found in the logs"
     if explanation.held_back:
         lines += ["", f"in need meanwhile: {', '.join(explanation.held_back)}"]
-    lines += ["", f"cause: {verdict}"]
+    lines += ["", f"cause: {conclusion}"]
     is_known = bool(explanation.lines) and bool(
         explanation.cause or not explanation.has_failed
     )
@@ -165,10 +170,10 @@
 
 
 def add_epoch(status: commands.Result, epoch: int | None) -> commands.Result:
-    """Add how often the store was restored from a backup.
+    """Add the store's epoch, which counts its restores from a backup.
 
-    :param epoch: of the store's latest reply to this command. An instance
-        that has not noticed a restore may still report an earlier one.
+    :param epoch: the epoch in the store's latest reply to this command. An
+        instance that has not noticed a restore may report an earlier epoch.
     """
     data = [{**row, "store_epoch": epoch} for row in status.data]
     label = "unknown" if epoch is None else str(epoch)
--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -37,13 +37,13 @@
     """Ignores records and refuses questions."""
 
     def on_opened(self, peer: link.Peer) -> None:
-        """There is nothing to do."""
+        """Do nothing."""
 
     def on_closed(self, peer: link.Peer) -> None:
-        """There is nothing to do."""
+        """Do nothing."""
 
     def on_record(self, peer: link.Peer, record: messages.Record) -> None:
-        """There is nothing to do."""
+        """Do nothing."""
 
     async def on_question(
         self, peer: link.Peer, question: questions.Question
@@ -59,6 +59,8 @@
     """Reads the platform and asks instances; an async context manager.
 
     Use it inside ``capnp.kj_loop()``.
+
+    :param timeout: longest wait for each reply, in seconds.
     """
 
     def __init__(
@@ -134,7 +136,7 @@
         """
         replies: list[InstanceReply] = []
 
-        async def ask_one(name: str) -> None:
+        async def ask_instance(name: str) -> None:
             try:
                 reply = await self.ask(name, question)
                 replies.append(InstanceReply(name, reply, None))
@@ -143,6 +145,6 @@
 
         listed = await self.instances()
         async with anyio.create_task_group() as tasks:
-            for one in listed:
-                tasks.start_soon(ask_one, one.name)
+            for instance in listed:
+                tasks.start_soon(ask_instance, instance.name)
         return sorted(replies, key=lambda instance_reply: instance_reply.name)
--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -123,8 +123,8 @@
 
     async def stop(self, force: bool = False) -> None:
         """Let running requests finish, then stop; ``force`` skips the wait."""
-        limit = 0.0 if force else self._config.stop_seconds
-        await self.running.component.drain(limit)
+        limit_seconds = 0.0 if force else self._config.stop_seconds
+        await self.running.component.drain(limit_seconds)
 
     def _greeting(self) -> messages.Greeting:
         return messages.Greeting(
@@ -268,7 +268,7 @@
 async def _start_when_ready(
     sidecar: sidecars.Sidecar, transport: link.Transport
 ) -> None:
-    """Start a sidecar; retry if that fails, as while its engine loads."""
+    """Start a sidecar; retry on errors, since its engine may be loading."""
     while True:
         try:
             await sidecar.start(transport)
--- a/src/crowdeck/cmd/start.py
+++ b/src/crowdeck/cmd/start.py
@@ -6,8 +6,8 @@
 """Starts ``crowdeckd``: opens the socket for callers, then imports the rest.
 
 Importing the daemon may take more than a second, and callers are refused
-until the socket listens. Opened first, it keeps them waiting in its backlog
-instead.
+until the socket listens. As it is opened first, their connections wait in its
+backlog instead.
 
 This module must import nothing that is slow to load, such as the daemon or
 attrs.
@@ -44,7 +44,7 @@
     """Import the daemon and return its main function.
 
     Imported modules are never freed, so garbage collection is off while they
-    load and skips their objects afterwards.
+    load and ignores their objects afterwards.
     """
     gc.disable()
     # Imported after the socket is open.
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -22,8 +22,8 @@
 from crowdeck.state import store_health
 
 # The config's watch is renewed after this fraction of the revocation time;
-# each renewal proves the copy current. It must leave time to replace a silent
-# peer before the copy's age makes the entry refuse callers.
+# each renewal confirms that the copy is current. It must leave time to replace
+# a silent peer before the entry refuses callers because the copy is too old.
 CONFIG_WAIT_FRACTION = 0.16
 UPSTREAM_WAIT_SECONDS = 10.0
 CONFIG_LINGER_SECONDS = 0.1
@@ -68,11 +68,11 @@
             lambda: self._health.disrupted_at
         )
         self._store = store
-        revocation = float(config.fleet["revocation_ms"]) / 1000.0
+        revocation_seconds = float(config.fleet["revocation_ms"]) / 1000.0
         self._config_mirror = self._mirror(
             names.CONFIG_KIND,
             self.holder,
-            CONFIG_WAIT_FRACTION * revocation,
+            CONFIG_WAIT_FRACTION * revocation_seconds,
             lambda: CONFIG_LINGER_SECONDS,
         )
         roster_mirror = self._mirror(
@@ -99,21 +99,21 @@
         return (*(one.run for one in self.mirrors), self.roster.run)
 
     def config_age(self) -> float:
-        """Return the seconds since the config was last proved current."""
+        """Return the seconds since the config was last known to be current."""
         return self._config_mirror.age()
 
     def _mirror(
         self,
         kind: str,
         listener: mirrors.ChangeListener,
-        wait: float,
+        wait_seconds: float,
         linger: mirrors.Linger,
     ) -> mirrors.Mirror:
         return mirrors.Mirror(
             self._store,
             kind,
             listener,
-            wait,
+            wait_seconds,
             linger,
             self._health,
             self.peer_selector,
