--- a/src/crowdeck/settings/config.py
+++ b/src/crowdeck/settings/config.py
@@ -113,7 +113,7 @@
 
 @attrs.frozen
 class TlsFiles:
-    """Paths of PEM files; all empty for unencrypted TCP."""
+    """Paths of PEM files for mutual TLS; empty for unencrypted TCP."""
 
     certificate: str
     key: str
@@ -196,6 +196,7 @@
     :raises CrowdeckError: with a message that names the section, the option
         and the allowed values.
     """
+    # No file can contain this name, so [DEFAULT] has no special meaning.
     parser = configparser.ConfigParser(
         interpolation=None, default_section="\0none"
     )
--- a/src/crowdeck/settings/editor.py
+++ b/src/crowdeck/settings/editor.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Edits of the settings, safe against races and lost replies."""
+"""Edits of the settings, safe against concurrent edits and lost replies."""
 
 import difflib
 import uuid
@@ -112,7 +112,7 @@
     async def _resolve_failed_write(
         self, base: SettingsRevision, change: str, error: errors.CrowdeckError
     ) -> SettingsRevision:
-        """Return our own change if it was stored, else raise.
+        """Return the revision if this change was stored, else raise.
 
         Distinguishes a lost reply, a concurrent edit and a failed write.
         """
--- a/src/crowdeck/settings/holder.py
+++ b/src/crowdeck/settings/holder.py
@@ -17,10 +17,10 @@
 
 KIND = "settings"
 NAME = "tree"
-# Each process holds one long-polling watch, renewed at this interval.
+# Each process has one long-polling watch, which is renewed at this interval.
 WATCH_SECONDS = 20.0
 # Number of change ids that are remembered. Must exceed the number of edits
-# that are lost when the store is restored from a backup.
+# lost by a restore of the store from a backup.
 MAX_REMEMBERED_CHANGES = 64
 
 
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class StoredTree:
-    """A tree and the id of the change that made it."""
+    """A tree and the id of the change that created it."""
 
     tree: trees.Tree
     change: str
@@ -87,7 +87,7 @@
         """The tree in force.
 
         :raises CrowdeckError: ``STORE_DOWN`` until the settings have been
-            read once; the process takes no work before.
+            read once; until then the process accepts no requests.
         """
         if self._tree is None:
             raise errors.CrowdeckError(
@@ -98,7 +98,7 @@
         return self._tree
 
     def apply(self, tree: trees.Tree, change: str = "") -> bool:
-        """Put a tree in force unless it was seen before.
+        """Put a tree in force unless its change was seen before.
 
         :param change: id of the change that made it; if empty, only a higher
             generation is applied.
@@ -157,7 +157,7 @@
             stored = decode(changed.value)
             self.apply(stored.tree, stored.change)
         except errors.SettingsError as error:
-            # Invalid settings written past the editor must not stop the
-            # process: the last valid generation stays in force.
+            # Invalid settings that were not written by the editor must not
+            # stop the process: the last valid generation stays in force.
             counters.COUNTERS.add("settings.refused")
             logs.change("settings_refused", reason=error.message)
--- a/src/crowdeck/settings/tree.py
+++ b/src/crowdeck/settings/tree.py
@@ -85,7 +85,7 @@
 
 @attrs.frozen
 class SettingsScope:
-    """Path of a node in the tree; empty names for the levels below it."""
+    """Path of a node in the tree; the names of deeper levels are empty."""
 
     team: str = ""
     service: str = ""
@@ -209,6 +209,7 @@
     :raises SettingsError: with a message that names the section, the option
         and the allowed values.
     """
+    # No file can contain this name, so [DEFAULT] has no special meaning.
     parser = configparser.ConfigParser(
         interpolation=None, default_section="\0none", strict=True
     )
@@ -259,8 +260,8 @@
     services: dict[str, contracts.Contract],
 ) -> None:
     for section, node in nodes.items():
-        named = str(node.get("services", "")).split()
-        for name in named:
+        allowed = str(node.get("services", "")).split()
+        for name in allowed:
             if name != "*" and name not in services:
                 raise errors.SettingsError(
                     f"[{section}] services: no section [service:{name}]"
@@ -286,23 +287,27 @@
     if header not in [line.strip() for line in lines]:
         if setting is None:
             raise _not_set_error(section, option)
-        gap = [""] if lines else []
-        return "\n".join([*lines, *gap, header, setting]) + "\n"
-    start = next(at for at, line in enumerate(lines) if line.strip() == header)
+        blank = [""] if lines else []
+        return "\n".join([*lines, *blank, header, setting]) + "\n"
+    start = next(
+        index for index, line in enumerate(lines) if line.strip() == header
+    )
     end = next(
         (
-            at
-            for at in range(start + 1, len(lines))
-            if lines[at].lstrip().startswith("[")
+            index
+            for index in range(start + 1, len(lines))
+            if lines[index].lstrip().startswith("[")
         ),
         len(lines),
     )
     found = [
-        at for at in range(start + 1, end) if _option_name(lines[at]) == option
+        index
+        for index in range(start + 1, end)
+        if _option_name(lines[index]) == option
     ]
     if setting is None and not found:
         raise _not_set_error(section, option)
-    kept = [line for at, line in enumerate(lines) if at not in found]
+    kept = [line for index, line in enumerate(lines) if index not in found]
     if setting is not None:
         kept.insert(found[0] if found else start + 1, setting)
     return "\n".join(kept) + "\n"
--- a/src/crowdeck/wire/codec.py
+++ b/src/crowdeck/wire/codec.py
@@ -64,8 +64,8 @@
             cls, converter, **_field_overrides(cls)
         ),
     )
-    # Cap'n Proto carries bytes as such; by default, cattrs would take them
-    # for base64 text.
+    # Cap'n Proto has a type for bytes; by default, cattrs would convert them
+    # from and to base64 text.
     converter.register_structure_hook(bytes, lambda value, _: bytes(value))
     converter.register_unstructure_hook(bytes, lambda value: value)
     return converter
@@ -154,7 +154,10 @@
 
 
 def encode_runs(records: abc.Iterable[messages.Record]) -> list[_Struct]:
-    """Return a batch as dicts of runs, in the order of the records."""
+    """Return the runs of a batch as dicts, in the order of the records.
+
+    A run contains consecutive records of one class.
+    """
     runs: list[_Struct] = []
     for cls, group in itertools.groupby(records, type):
         name = _COLUMN_NAMES.get(cls)
--- a/src/crowdeck/wire/link.py
+++ b/src/crowdeck/wire/link.py
@@ -33,8 +33,8 @@
         """Queue a record; a full queue closes the link.
 
         Records arrive in order until the link is lost. Delivery is not
-        acknowledged: protocols that need to know the outcome report it
-        themselves.
+        acknowledged; a protocol that needs to know the outcome sends
+        its own acknowledgement.
         """
         ...
 
@@ -44,7 +44,7 @@
         """Send a question and wait for its reply.
 
         :param timeout: time to wait, in seconds.
-        :raises LinkLost: if there was no reply; its ``was_sent`` tells
+        :raises LinkLost: if there was no reply; its ``was_sent`` states
             whether the question may have arrived.
         """
         ...
--- a/src/crowdeck/wire/messages.py
+++ b/src/crowdeck/wire/messages.py
@@ -63,7 +63,8 @@
     """The first record of an attempt, passed from stage to stage.
 
     :ivar next_layer: the layer to run next.
-    :ivar context: tokens of context before the ``count`` of this record.
+    :ivar context: tokens of context before this record.
+    :ivar count: tokens in this record.
     :ivar hidden: the previous layer's output, opaque to crowdeck.
     """
 
--- a/src/crowdeck/wire/questions.py
+++ b/src/crowdeck/wire/questions.py
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class Seal:
-    """Asks that an attempt which has not run yet never runs.
+    """Asks to prevent an attempt from running, unless it has run already.
 
     The reply is ``Sealed``.
     """
--- a/src/crowdeck/wire/rpc.py
+++ b/src/crowdeck/wire/rpc.py
@@ -30,7 +30,7 @@
 from crowdeck.wire import questions
 from crowdeck.wire import security
 
-# Also limits the wait for the greeting of a peer that connects.
+# Also limits the wait for the greeting of an accepted connection.
 DIAL_TIMEOUT_SECONDS = 2.0
 # Maximum number of records in one call.
 BATCH_LIMIT = 512
@@ -230,7 +230,7 @@
 
 def _report_internal_error(error: Exception) -> None:
     counters.COUNTERS.add("link.internal_error")
-    # Only type and place: the text may contain content of a caller.
+    # Only the type and the place, as the text may contain caller content.
     frames = traceback.extract_tb(error.__traceback__)
     place = f"{frames[-1].name}:{frames[-1].lineno}" if frames else ""
     logs.change("internal_error", error=type(error).__name__, place=place)
@@ -374,8 +374,8 @@
             peer = await endpoint.wait_greeted()
         if peer is None:
             counters.COUNTERS.add("link.closed.foreign")
-            # Let the reply to the greeting be sent before closing, so that
-            # the peer learns of the other cluster.
+            # The reply to the greeting must be sent before the link closes: it
+            # names the cluster, so the peer can report the mismatch.
             await anyio.sleep(0)
             return
         await peer.run(server.on_disconnect())
