--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -296,7 +296,9 @@
         difference = editors.show_difference(previous.text, revision.text)
         lines.append(f"generation {revision.generation}  {revision.change}")
         lines.extend(f"    {line}" for line in difference.splitlines()[2:])
-    return Result([attrs.asdict(one) for one in revisions], "\n".join(lines))
+    return Result(
+        [attrs.asdict(revision) for revision in revisions], "\n".join(lines)
+    )
 
 
 async def roll_back(
--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -142,7 +142,7 @@
 
 
 def list_backpressure(rows: list[Row]) -> list[Row]:
-    """Return each instance's needs, as each entry knows them."""
+    """Return the needs of each instance, as reported by each entry."""
     needs = [
         {"entry": row["instance"], **need}
         for row in rows
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -37,7 +37,7 @@
 from crowdeck.state import leases
 
 PLACEMENT_LEASE = "placement"
-# Each request in progress takes one connection, as do reports and orders.
+# Each request in progress uses one connection, as do reports and orders.
 # Keep it well below the process's limit of open files.
 UPSTREAM_CONNECTIONS = 1_000
 # API keys are accepted for this fraction of the revocation time after the
@@ -200,7 +200,7 @@
         if not peer_address:
             return
         address = instances.Address.parse(peer_address)
-        mirrors_by_kind = {one.kind: one for one in view.mirrors}
+        mirrors_by_kind = {mirror.kind: mirror for mirror in view.mirrors}
         app = peer_http.PeerApp(mirrors_by_kind, view.peer_selector, status)
         server = http_server.build(app, address.host, address.port)
         await tasks.start(_run_server, server)
--- a/src/crowdeck/cmd/http_server.py
+++ b/src/crowdeck/cmd/http_server.py
@@ -42,7 +42,9 @@
 
 def _forward_uvicorn_logs() -> None:
     logger = logging.getLogger("uvicorn.error")
-    if not any(isinstance(one, _LogForwarder) for one in logger.handlers):
+    if not any(
+        isinstance(handler, _LogForwarder) for handler in logger.handlers
+    ):
         logger.addHandler(_LogForwarder())
         logger.propagate = False
 
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -208,12 +208,12 @@
         raise errors.CrowdeckError(
             errors.Code.NOT_FOUND, "the store has no config"
         )
-    found = [platform_upstreams.decode(one) for one in listing.objects]
+    found = [platform_upstreams.decode(stored) for stored in listing.objects]
     return [
         _Model(
             service,
             service.profile,
-            [one for one in found if one.service == service.name],
+            [engine for engine in found if engine.service == service.name],
         )
         for service in platform_config.decode(config.value).services
         if service.profile is not None
@@ -235,11 +235,15 @@
     """Show the maximum throughput of engines, by service and zone."""
     rows: list[dict[str, commands.Data]] = []
     for model in await _list_models(store):
-        available = [one for one in model.engines if not one.is_leaving]
+        available = [
+            engine for engine in model.engines if not engine.is_leaving
+        ]
         rows.append(_bound_row(model, "all", available))
         for zone in model.zones():
             in_zone = [
-                one for one in model.engines_in(zone) if not one.is_leaving
+                engine
+                for engine in model.engines_in(zone)
+                if not engine.is_leaving
             ]
             rows.append(_bound_row(model, zone, in_zone))
     columns = ("service", "zone", "at once", "a second", "binds", "layers")
@@ -274,10 +278,10 @@
         counts = chain.coverage(engines, profile.layer_count)
         missing = counts.count(0)
         lines.append(f"  {zone}  copies of each layer, {missing} missing:")
-        lines.append("    " + "".join(str(min(9, one)) for one in counts))
+        lines.append("    " + "".join(str(min(9, count)) for count in counts))
         rows: list[dict[str, commands.Data]] = [
-            _engine_row(one, profile)
-            for one in sorted(engines, key=_by_first_layer)
+            _engine_row(engine, profile)
+            for engine in sorted(engines, key=_by_first_layer)
         ]
         table = commands.format_table(
             rows, ("engine", "card", "layers", "room", "state")
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -62,7 +62,7 @@
         )
         self._health.set_probe_interval(self.peer_selector.store_retry_seconds)
         self.registry.set_services_source(
-            lambda: frozenset(one.name for one in self.holder.services)
+            lambda: frozenset(service.name for service in self.holder.services)
         )
         self.registry.set_store_failure_source(
             lambda: self._health.disrupted_at
@@ -96,7 +96,7 @@
     @property
     def background_tasks(self) -> tuple[BackgroundTask, ...]:
         """Coroutine functions that keep the copies up to date."""
-        return (*(one.run for one in self.mirrors), self.roster.run)
+        return (*(mirror.run for mirror in self.mirrors), self.roster.run)
 
     def config_age(self) -> float:
         """Return the seconds since the config was last known to be current."""
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -42,9 +42,9 @@
         body = orjson.loads(value)
         return routes.FleetConfig(
             version=int(body[names.VERSION]),
-            routes=tuple(_route(one) for one in body[names.ROUTES]),
-            services=tuple(_service(one) for one in body[names.SERVICES]),
-            teams=tuple(_team(one) for one in body.get(names.TEAMS) or ()),
+            routes=tuple(_route(item) for item in body[names.ROUTES]),
+            services=tuple(_service(item) for item in body[names.SERVICES]),
+            teams=tuple(_team(item) for item in body.get(names.TEAMS) or ()),
             limits=_limits(body.get(names.LIMITS) or {}),
         )
     except _DECODE_ERRORS as error:
@@ -86,8 +86,10 @@
     if not split:
         return (routes.TrafficShare(str(body[names.SERVICE]), 1.0),)
     return tuple(
-        routes.TrafficShare(str(one[names.SERVICE]), float(one[names.WEIGHT]))
-        for one in split
+        routes.TrafficShare(
+            str(share[names.SERVICE]), float(share[names.WEIGHT])
+        )
+        for share in split
     )
 
 
@@ -106,8 +108,8 @@
     models = body.get(names.MODELS) or [{}]
     mean_lengths = body.get(names.MEAN_LENGTHS) or {}
     accelerator_types = (
-        _accelerator_type(one)
-        for one in body.get(names.ACCELERATOR_TYPES) or ()
+        _accelerator_type(item)
+        for item in body.get(names.ACCELERATOR_TYPES) or ()
     )
     return chain.EngineProfile(
         layer_count=int(body[names.LAYERS]),
@@ -128,7 +130,7 @@
         mean_answer_tokens=float(
             mean_lengths.get(names.MEAN_ANSWER_TOKENS, 0.0)
         ),
-        cards={one.name: one for one in accelerator_types},
+        cards={card.name: card for card in accelerator_types},
     )
 
 
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -75,10 +75,10 @@
             slowdown=fields.number(body, names.SLOWDOWN, 1.0) or 1.0,
             stalls=tuple(
                 chain.Stall(
-                    fields.text(one, names.ID),
-                    fields.text(one, names.ADDRESS),
+                    fields.text(stall, names.ID),
+                    fields.text(stall, names.ADDRESS),
                 )
-                for one in fields.list_field(body, names.STALLED)
+                for stall in fields.list_field(body, names.STALLED)
             ),
             started_ms=_start_time_ms(body),
         )
