--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The programs over TCP, as callers and operators use them."""
+"""Tests of the programs over TCP, as callers and operators use them."""
 
 import contextlib
 import io
@@ -30,7 +30,7 @@
 
 
 def run(check: typing.Any, options: clusters.ClusterOptions = FAST) -> None:
-    """Run a check on a cluster of its own."""
+    """Run a check on a new cluster."""
 
     async def run_check() -> None:
         async with clusters.Cluster(options) as cluster:
@@ -49,14 +49,14 @@
     entry: int = 0,
 ) -> httpcore.Response:
     """Send one request to an entry."""
-    given = {"authorization": bearer, **(headers or {})}
+    all_headers = {"authorization": bearer, **(headers or {})}
     async with httpcore.AsyncConnectionPool() as pool:
         return await pool.request(
             method,
             cluster.urls[entry] + path,
             headers=[
                 (name.encode(), value.encode())
-                for name, value in given.items()
+                for name, value in all_headers.items()
             ],
             content=body,
         )
@@ -74,13 +74,14 @@
 
 
 class TestOpenAiClient:
-    """The ``openai`` package, unchanged, as a caller."""
+    """The unmodified ``openai`` package as a caller."""
 
     def test_streamed_and_whole_answers(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             prompt = "explain a failed recharge"
             expected = "".join(
-                one.text for one in cluster.model.answer(f"user: {prompt}", 25)
+                token.text
+                for token in cluster.model.answer(f"user: {prompt}", 25)
             )
             async with openai.AsyncOpenAI(
                 base_url=cluster.urls[0] + "/v1", api_key=clusters.KIOSKS_KEY
@@ -105,7 +106,7 @@
                 assert "".join(texts) == expected
                 assert len(texts) == 26
                 models = await client.models.list()
-                assert [one.id for one in models.data] == [clusters.MODEL]
+                assert [model.id for model in models.data] == [clusters.MODEL]
 
         run(check)
 
@@ -119,7 +120,7 @@
                 )
                 expected = cluster.model.answer("balance", 5)
                 assert answer.choices[0].text == "".join(
-                    one.text for one in expected
+                    token.text for token in expected
                 )
 
         run(check)
@@ -149,7 +150,7 @@
                 cluster, body, {"last-event-id": last}, stop_at=1000
             )
             expected = cluster.model.answer("user: draft a reply", 60)
-            assert texts + more == [one.text for one in expected]
+            assert texts + more == [token.text for token in expected]
 
         run(check)
 
@@ -183,7 +184,9 @@
                 )
                 for entry in (0, 1, 0)
             ]
-            assert {one.content for one in answers} == {b"receipt 7, copy 1\n"}
+            assert {answer.content for answer in answers} == {
+                b"receipt 7, copy 1\n"
+            }
             assert cluster.service.runs["receipt 7"] == 1
 
         run(check)
@@ -287,10 +290,10 @@
             assert response.status == 400
             assert error["code"] == "BAD_REQUEST"
             assert error["verdict"] == "not_run"
-            fine = await send_request(
+            valid = await send_request(
                 cluster, "POST", "/v1/chat/completions", chat_body("hello")
             )
-            assert fine.status == 200
+            assert valid.status == 200
 
         run(check)
 
@@ -395,7 +398,7 @@
                 *cluster.sidecars.values(),
             ):
                 tracer = getattr(member.running.component, "_tracer")
-                spans += [json.loads(one) for one in tracer.find(trace)]
+                spans += [json.loads(span) for span in tracer.find(trace)]
             assert {span["name"] for span in spans} == {"entry", "stage"}
             stages = {span["attributes"].get("stage") for span in spans}
             assert stages == {None, 0, 1, 2}
@@ -420,7 +423,7 @@
         )
         config = tmp_path / "one.ini"
         config.write_text(text)
-        awaited = "started" if role == "entry" else "starting"
+        awaited_event = "started" if role == "entry" else "starting"
         with subprocess.Popen(
             [sys.executable, "-m", "crowdeck.cmd.daemon", "--config", config],
             stdout=subprocess.PIPE,
@@ -428,7 +431,10 @@
         ) as daemon:
             assert daemon.stdout is not None
             for line in daemon.stdout:
-                if json.loads(line)["message_type"] == f"crowdeck:{awaited}":
+                if (
+                    json.loads(line)["message_type"]
+                    == f"crowdeck:{awaited_event}"
+                ):
                     daemon.send_signal(signal.SIGTERM)
                     break
             daemon.stdout.read()
@@ -446,16 +452,21 @@
     headers: dict[str, str],
     stop_at: int,
 ) -> tuple[list[str], str]:
-    """Read a stream's texts, up to a number, and the last event's id."""
+    """Return a stream's texts and the id of the last event read.
+
+    :param stop_at: number of texts after which the stream is closed.
+    """
     texts: list[str] = []
     last = ""
-    given = [(b"authorization", KIOSKS.encode())]
-    given += [(name.encode(), one.encode()) for name, one in headers.items()]
+    raw_headers = [(b"authorization", KIOSKS.encode())]
+    raw_headers += [
+        (name.encode(), value.encode()) for name, value in headers.items()
+    ]
     async with httpcore.AsyncConnectionPool() as pool:
         async with pool.stream(
             "POST",
             cluster.urls[0] + "/v1/chat/completions",
-            headers=given,
+            headers=raw_headers,
             content=body,
         ) as response:
             assert response.status == 200
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -39,7 +39,7 @@
         ]
 
     def test_entry_before_chaining_engines_loads_no_sidecar(self) -> None:
-        # Modules that an entry does not need would delay its start.
+        # Modules that a fleet entry does not need would delay its start.
         code = (
             "import sys; import crowdeck.cmd.daemon;"
             "print(*[m for m in sys.modules if m.startswith('crowdeck')])"
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -50,7 +50,7 @@
 
     def test_refusal_has_its_cause_and_earlier_failures(self) -> None:
         found = explain.explain("r1", REFUSED)
-        assert [one.kind for one in found.lines] == [
+        assert [shown.kind for shown in found.lines] == [
             "path_chosen",
             "attempt_failed",
             "refused",
@@ -87,9 +87,7 @@
         cause = explain.explain("r1", [full, end]).cause
         assert "lacked room for 900 tokens" in cause
 
-    def test_layers_that_no_engine_holds_are_explained(
-        self,
-    ) -> None:
+    def test_layers_that_no_engine_holds_are_explained(self) -> None:
         common = {"request": "r1", "usable": 3, "tokens": 900}
         missing = line(
             1.0,
@@ -105,7 +103,7 @@
         found = explain.explain("r1", [unheld, missing, refusal])
         assert "no engine holds layers 20-40" in found.cause
         assert "a load of about 3.5 s" in found.cause
-        assert [one.kind for one in found.context] == ["layers_unheld"]
+        assert [shown.kind for shown in found.context] == ["layers_unheld"]
 
     def test_error_status_of_the_upstream_is_the_cause(self) -> None:
         texts = [
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -60,7 +60,7 @@
         found = losses.account(LOG, OBJECTIVES, 2.0)
         assert found.requests == 10
         assert sum(found.causes.values()) == 10
-        assert sum(sum(s.causes.values()) for s in found.spans) == 10
+        assert sum(sum(span.causes.values()) for span in found.spans) == 10
 
     def test_causes_are_distinguished(self) -> None:
         assert losses.account(LOG, OBJECTIVES, 2.0).causes == {
@@ -81,7 +81,7 @@
 
     def test_first_span_begins_with_the_logs(self) -> None:
         spans = losses.account(LOG, OBJECTIVES, 2.0).spans
-        assert [one.since for one in spans] == [0.0, 2.0]
+        assert [span.since for span in spans] == [0.0, 2.0]
         assert sum(spans[0].causes.values()) == 3
 
     def test_latest_end_of_a_request_counts(self) -> None:
@@ -102,7 +102,10 @@
         found = losses.account(log, OBJECTIVES, 2.0)
         cause = "refused: DEADLINE, no answer within 0.75 to 1.5 s"
         assert found.causes == {cause: 2}
-        assert [one.causes for one in found.spans] == [{cause: 1}, {cause: 1}]
+        assert [span.causes for span in found.spans] == [
+            {cause: 1},
+            {cause: 1},
+        ]
 
     def test_equal_numbers_are_reported_once(self) -> None:
         log = [
@@ -201,7 +204,7 @@
     ) -> None:
         path = tmp_path / "entry.log"
         path.write_text("".join(LOG))
-        # Lines without a source are attributed to their file.
+        # Lines without a source are counted under the name of their file.
         bare = tmp_path / "entry {0}.log"
         text = ended(12.0, "r20", 0.7, 0.1)
         bare.write_text(text[text.index("{") :])
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -126,7 +126,7 @@
 
 
 class TestEntries:
-    """Entries of upstream instances."""
+    """Stored objects of upstream instances and reports of engines."""
 
     def test_end_of_layers_is_read_from_target_version(self) -> None:
         found = upstreams.decode(stored(ENTRY))
@@ -180,7 +180,7 @@
         assert stream.repeat is routes.RepeatPolicy.STREAM
         assert stream.is_resumable and stream.may_repeat
         assert stream.host == "desk.example"
-        assert [one.weight for one in stream.shares] == [90.0, 10.0]
+        assert [share.weight for share in stream.shares] == [90.0, 10.0]
         assert (
             stream.timeout_seconds == 20.0 and stream.max_pause_seconds == 0.2
         )
@@ -406,7 +406,7 @@
         [engines.UpstreamClient, chain.Upstream], typing.Awaitable[object]
     ],
 ) -> list[interfaces.Notice]:
-    """Return the notices of an answer to the call that ``ask`` makes."""
+    """Return the notices caused by ``answer`` to the call in ``ask``."""
     client = client_of(answer)
     notices: list[interfaces.Notice] = []
     client.subscribe(lambda _, notice: notices.append(notice))
@@ -575,7 +575,7 @@
         changes = virtual.run(store.list, "k")
         # A watch from the first page's revision misses nothing.
         assert changes.version == 9
-        assert [one.name for one in changes.objects] == ["a", "b"]
+        assert [changed.name for changed in changes.objects] == ["a", "b"]
         assert calls.sent[1][1] == "/api/objects/k?after_revision=a"
 
     def test_watch_keeps_each_objects_last_state(self) -> None:
@@ -588,7 +588,7 @@
         store, _ = make_store([(200, {"events": events, "timestamp": 7})])
         changes = virtual.run(store.watch, "k", stores.Position(3), 1.0)
         assert changes.removed == ("a",)
-        assert [one.name for one in changes.objects] == ["b"]
+        assert [changed.name for changed in changes.objects] == ["b"]
         assert changes.version == 7
 
     def test_lost_history_is_an_error(self) -> None:
@@ -677,10 +677,10 @@
 
 
 class TestNames:
-    """Names of the platform are used only in the adapter."""
+    """The platform's names are used only in its adapter package."""
 
-    # Names that no other module can use in another sense. The others are
-    # common words.
+    # Names that no other module uses in another sense; the rest are common
+    # words.
     DISTINCTIVE = tuple(
         value.decode() if isinstance(value, bytes) else value
         for name, value in vars(names).items()
@@ -706,7 +706,7 @@
                 if name in self.SHARED:
                     continue
                 quoted = (f'"{name}"', f'"{name}', f"'{name}'")
-                if any(one in text for one in quoted[:1] + quoted[2:]):
+                if any(form in text for form in quoted[:1] + quoted[2:]):
                     found.append(f"{path.name}: {name}")
         assert found == []
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -88,9 +88,9 @@
     @hypothesis.settings(derandomize=True, database=None, deadline=None)
     @hypothesis.given(strategies.text(max_size=200))
     def test_any_text_is_parsed_or_rejected(self, text: str) -> None:
-        for read in (lambda one: trees.parse(one, 1), configs.parse):
+        for parse in (lambda given: trees.parse(given, 1), configs.parse):
             try:
-                read(text)
+                parse(text)
             except errors.CrowdeckError as error:
                 assert error.code in (errors.Code.SETTINGS, errors.Code.CONFIG)
 
@@ -122,7 +122,7 @@
             retried = await editor.apply(editors.EMPTY, TEXT, "change-1")
             assert retried.generation == 1
             history = await editor.history()
-            assert [one.generation for one in history] == [1]
+            assert [revision.generation for revision in history] == [1]
             assert await editor.text_of(1) == TEXT
 
         virtual.run(check)
@@ -192,11 +192,9 @@
 
         virtual.run(check)
 
-    def test_restored_store_neither_reverts_nor_hides_edits(
-        self,
-    ) -> None:
+    def test_restored_store_neither_reverts_nor_hides_edits(self) -> None:
         # A restored store reuses the generation numbers of lost edits. A new
-        # edit must apply even where the lost ones were seen.
+        # edit must apply even if the process has seen the lost edits.
         async def check() -> None:
             store = stores.StandinStore()
             holder = holders.SettingsHolder(store)
@@ -215,7 +213,7 @@
                 await anyio.sleep(1.0)
                 assert holder.tree.text == TEXT + "# 3\n"
                 await editor.apply(await editor.read(), TEXT + "# 4\n")
-                # The watch from before the restoration is still open.
+                # The watch from before the restore is still open.
                 await anyio.sleep(holders.WATCH_SECONDS)
                 assert holder.tree.text == TEXT + "# 4\n"
                 assert holder.generation == 2
@@ -247,7 +245,7 @@
 
 
 class TestConfig:
-    """Valid samples, and one-line errors for invalid files."""
+    """Sample files are valid; invalid files give one-line errors."""
 
     @pytest.mark.parametrize("name", ["entry", "sidecar"])
     def test_samples_are_valid_and_complete(self, name: str) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -112,8 +112,12 @@
             return
 
 
-class _Echo:
-    """Answers every question but ``Drain``, which raises; keeps records."""
+class _RecordingHandler:
+    """Answers every question except ``Drain``, on which it raises.
+
+    :ivar records: the records that have arrived.
+    :ivar fault: raised on the next records, if set.
+    """
 
     def __init__(self) -> None:
         self.records: list[messages.Record] = []
@@ -151,7 +155,10 @@
 ) -> None:
     async def run_check() -> None:
         async with capnp.kj_loop(), anyio.create_task_group() as tasks:
-            server_handler, client_handler = _Echo(), _Echo()
+            server_handler, client_handler = (
+                _RecordingHandler(),
+                _RecordingHandler(),
+            )
             async with (
                 rpc.RpcTransport(
                     _greeting("far"), server_handler, server_tls
@@ -177,7 +184,7 @@
         async def check(
             client: rpc.RpcTransport,
             address: instances.Address,
-            server_handler: _Echo,
+            server_handler: _RecordingHandler,
         ) -> None:
             peer = await client.dial(address)
             assert peer.greeting.instance == "far"
@@ -196,7 +203,7 @@
         async def check(
             client: rpc.RpcTransport,
             address: instances.Address,
-            server_handler: _Echo,
+            server_handler: _RecordingHandler,
         ) -> None:
             peer = await client.dial(address)
             reply = await peer.ask(questions.Drain(1.0), 5)
@@ -213,7 +220,7 @@
         async def check(
             client: rpc.RpcTransport,
             address: instances.Address,
-            server_handler: _Echo,
+            server_handler: _RecordingHandler,
         ) -> None:
             before = counters.COUNTERS.get("link.internal_error")
             server_handler.fault = RuntimeError("secret detail")
@@ -229,7 +236,7 @@
         async def check(
             client: rpc.RpcTransport,
             address: instances.Address,
-            server_handler: _Echo,
+            server_handler: _RecordingHandler,
         ) -> None:
             with pytest.raises(errors.LinkLost) as caught:
                 await client.dial(address)
@@ -241,7 +248,7 @@
         async def check(
             client: rpc.RpcTransport,
             address: instances.Address,
-            server_handler: _Echo,
+            server_handler: _RecordingHandler,
         ) -> None:
             peer = await client.dial(address)
             peer.close()
@@ -262,25 +269,25 @@
         ours = _security(tmp_path / "ours")
         theirs = _security(tmp_path / "theirs")
 
-        async def passes(
+        async def check_accepted(
             client: rpc.RpcTransport,
             address: instances.Address,
-            server_handler: _Echo,
+            server_handler: _RecordingHandler,
         ) -> None:
             peer = await client.dial(address)
             assert peer.greeting.instance == "far"
 
-        async def fails(
+        async def check_refused(
             client: rpc.RpcTransport,
             address: instances.Address,
-            server_handler: _Echo,
+            server_handler: _RecordingHandler,
         ) -> None:
             with pytest.raises(errors.LinkLost):
                 await client.dial(address)
 
-        _with_link(passes, ours, ours)
-        _with_link(fails, ours, theirs)
-        _with_link(fails, ours, None)
+        _with_link(check_accepted, ours, ours)
+        _with_link(check_refused, ours, theirs)
+        _with_link(check_refused, ours, None)
 
 
 def _security(folder: pathlib.Path) -> rpc.TlsContexts:
