--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -26,6 +26,7 @@
 # a silent peer before the entry refuses callers because the copy is too old.
 CONFIG_WAIT_FRACTION = 0.16
 UPSTREAM_WAIT_SECONDS = 10.0
+# Pause between two watches of the config.
 CONFIG_LINGER_SECONDS = 0.1
 # Shorter than the store's history; otherwise each watch would need a new
 # listing.
--- a/src/crowdeck/observe/logs.py
+++ b/src/crowdeck/observe/logs.py
@@ -52,15 +52,17 @@
         self._write = write
         self._clock = clock
         self._second = 0
-        self._written: collections.Counter[str] = collections.Counter()
+        self._messages_this_second: collections.Counter[str] = (
+            collections.Counter()
+        )
         self._dropped: collections.Counter[str] = collections.Counter()
 
     def __call__(self, message: dict[str, typing.Any]) -> None:
         """Write one message, or count it as dropped."""
         kind = str(message.get(_KIND, "eliot"))
         self._roll_second()
-        self._written[kind] += 1
-        if self._written[kind] > LINES_PER_SECOND:
+        self._messages_this_second[kind] += 1
+        if self._messages_this_second[kind] > LINES_PER_SECOND:
             self._drop(kind)
             return
         self._write_line(kind, _encode_line(kind, message))
@@ -70,7 +72,7 @@
         if second == self._second:
             return
         self._second = second
-        self._written.clear()
+        self._messages_this_second.clear()
         if self._dropped:
             dropped = dict(self._dropped)
             self._dropped.clear()
--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -191,12 +191,12 @@
                 return self._refusal_cause(request, end)
 
     def _stream_cause(self, request: _Request, end: explain.Line) -> str:
-        first = float(end.fields.get("first_event") or 0.0)
+        first_event = float(end.fields.get("first_event") or 0.0)
         pause = float(end.fields.get("longest_pause") or 0.0)
-        if first > self._objectives.first:
-            what = "late: its first event"
+        if first_event > self._objectives.first:
+            lateness = "late: its first event"
         elif pause > self._objectives.pause:
-            what = "late: a pause"
+            lateness = "late: a pause"
         else:
             return IN_TIME
         reactions = [
@@ -204,18 +204,18 @@
             for kind, text in _REACTIONS.items()
             if kind in request.reactions
         ]
-        return f"{what}; {reactions[0]}" if reactions else what
+        return f"{lateness}; {reactions[0]}" if reactions else lateness
 
     def _refusal_cause(self, request: _Request, end: explain.Line) -> str:
         code = str(end.fields.get("code", ""))
-        what = "cut" if end.kind == "answer_cut" else "refused"
+        outcome = "cut" if end.kind == "answer_cut" else "refused"
         if code in _CALLER_ERRORS:
-            return f"{what} {_CALLER_ERROR}: {code}"
+            return f"{outcome} {_CALLER_ERROR}: {code}"
         if code == "NO_PATH" and request.shortage is not None:
             if request.shortage.kind == "no_instance":
-                return f"{what}: {code}, {_call_shortage(request.shortage)}"
-            return f"{what}: {code}, {_path_shortage(request.shortage)}"
-        return f"{what}: {code}, {self._normalize_reason(end)}"
+                return f"{outcome}: {code}, {_call_shortage(request.shortage)}"
+            return f"{outcome}: {code}, {_path_shortage(request.shortage)}"
+        return f"{outcome}: {code}, {self._normalize_reason(end)}"
 
     def _normalize_reason(self, line: explain.Line) -> str:
         """Return the general form of a line's reason.
