--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -22,10 +22,11 @@
 from crowdeck.state import store_health
 
 # The config's watch is renewed after this fraction of the revocation time;
-# each renewal proves the copy current. It must leave time to replace a silent
-# peer before the copy's age makes the entry refuse callers.
+# each renewal confirms that the copy is current. It must leave time to replace
+# a silent peer before the entry refuses callers because the copy is too old.
 CONFIG_WAIT_FRACTION = 0.16
 UPSTREAM_WAIT_SECONDS = 10.0
+# Pause between two watches of the config.
 CONFIG_LINGER_SECONDS = 0.1
 # Shorter than the store's history; otherwise each watch would need a new
 # listing.
@@ -62,17 +63,17 @@
         )
         self._health.set_probe_interval(self.peer_selector.store_retry_seconds)
         self.registry.set_services_source(
-            lambda: frozenset(one.name for one in self.holder.services)
+            lambda: frozenset(service.name for service in self.holder.services)
         )
         self.registry.set_store_failure_source(
             lambda: self._health.disrupted_at
         )
         self._store = store
-        revocation = float(config.fleet["revocation_ms"]) / 1000.0
+        revocation_seconds = float(config.fleet["revocation_ms"]) / 1000.0
         self._config_mirror = self._mirror(
             names.CONFIG_KIND,
             self.holder,
-            CONFIG_WAIT_FRACTION * revocation,
+            CONFIG_WAIT_FRACTION * revocation_seconds,
             lambda: CONFIG_LINGER_SECONDS,
         )
         roster_mirror = self._mirror(
@@ -96,24 +97,24 @@
     @property
     def background_tasks(self) -> tuple[BackgroundTask, ...]:
         """Coroutine functions that keep the copies up to date."""
-        return (*(one.run for one in self.mirrors), self.roster.run)
+        return (*(mirror.run for mirror in self.mirrors), self.roster.run)
 
     def config_age(self) -> float:
-        """Return the seconds since the config was last proved current."""
+        """Return the seconds since the config was last known to be current."""
         return self._config_mirror.age()
 
     def _mirror(
         self,
         kind: str,
         listener: mirrors.ChangeListener,
-        wait: float,
+        wait_seconds: float,
         linger: mirrors.Linger,
     ) -> mirrors.Mirror:
         return mirrors.Mirror(
             self._store,
             kind,
             listener,
-            wait,
+            wait_seconds,
             linger,
             self._health,
             self.peer_selector,
