--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -29,38 +29,38 @@
     "rolling_replace",
     "stage_death+store_outage",
 )
-SLOWNESS_SCALE = 4.0
+STEP_TIME_FACTOR = 4.0
 IDLE_SECONDS = 4.0
 WARM_UP_SECONDS = 2.0
 
 
-def make_shape(policy: str, engines: int, scenario: str) -> fleets.Shape:
-    """Return the shape of a system of 3 stages and 3 entries.
+def make_spec(policy: str, engines: int, scenario: str) -> fleets.FleetSpec:
+    """Return the specification of a system of 3 stages and 3 entries.
 
     :param policy: routing policy of the entries.
     :param engines: number of engines, rounded down to a multiple of 12.
     """
-    slowness = {"a": 1.0, "b": 1.5, "c": 2.0}
+    step_time_ratios = {"a": 1.0, "b": 1.5, "c": 2.0}
     if scenarios.find(scenario).has_mixed_speeds:
-        slowness = {"a": 1.0, "b": 2.5, "c": 5.0}
+        step_time_ratios = {"a": 1.0, "b": 2.5, "c": 5.0}
     names = "abcb" * max(1, engines // 12)
     gap_seconds = reports.TOKEN_GAP_TARGET_SECONDS
-    return fleets.Shape(
-        stages=3,
+    return fleets.FleetSpec(
+        stage_count=3,
         kinds=tuple(
-            fleets.make_kind(name, slowness[name], SLOWNESS_SCALE)
+            fleets.make_kind(name, step_time_ratios[name], STEP_TIME_FACTOR)
             for name in names
         ),
-        entries=3,
-        services=2,
-        settings=f"token_gap_seconds = {gap_seconds}",
-        entry_options=f"policy = {policy}\n",
+        entry_count=3,
+        service_count=2,
+        extra_default_lines=f"token_gap_seconds = {gap_seconds}",
+        extra_entry_lines=f"policy = {policy}\n",
     )
 
 
-def throughput_bound(shape: fleets.Shape) -> float:
+def throughput_bound(spec: fleets.FleetSpec) -> float:
     """Return the tokens a second that the devices of a stage allow."""
-    return sum(kind.speed.tokens_per_second for kind in shape.kinds)
+    return sum(kind.speed.tokens_per_second for kind in spec.kinds)
 
 
 async def _run_load(
@@ -89,12 +89,14 @@
     :param rate: requests a second, ``None`` for the scenario's load.
     """
     scenario = scenarios.find(name)
-    shape = make_shape(policy, engines, name)
-    bound = throughput_bound(shape)
+    spec = make_spec(policy, engines, name)
+    bound_tokens_per_second = throughput_bound(spec)
     faults = scenarios.FaultLog()
-    with fleets.Fleet(shape) as fleet:
+    with fleets.Fleet(spec) as fleet:
         control = _measure_control(fleet)
-        requests_per_second = rate or scenario.load * bound / loads.MEAN_TOKENS
+        requests_per_second = (
+            rate or scenario.load * bound_tokens_per_second / loads.MEAN_TOKENS
+        )
         callers = loads.Callers(
             fleet, seed, requests_per_second, scenario.greedy_factor
         )
@@ -106,10 +108,10 @@
             policy=policy,
             started_at=started_at,
             seconds=seconds,
-            bound=bound,
+            bound_tokens_per_second=bound_tokens_per_second,
             answers=callers.answers,
             calls=callers.calls,
-            service_runs=fleet.service_runs(),
+            execution_counts=fleet.execution_counts(),
             sequence_starts=fleet.sequence_starts(),
             faults=faults,
             control_bytes_per_s=control[0],
@@ -120,7 +122,10 @@
 
 
 def _measure_control(fleet: fleets.Fleet) -> tuple[float, float]:
-    """Return mean bytes a second and core share of an idle daemon."""
+    """Return the mean use of resources by an idle daemon.
+
+    These are its loopback traffic in bytes a second, and its share of a core.
+    """
     time.sleep(WARM_UP_SECONDS)
     daemons = [fleet.children[name] for name in fleet.daemon_names]
     before = sum(child.cpu_seconds for child in daemons)
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -62,10 +62,13 @@
 ) -> dict[str, float]:
     """Return the mean resources that processes of an idle system use."""
     fast = fleets.make_kind("fast", 0.05)
-    shape = fleets.Shape(
-        stages=1, kinds=(fast,) * sidecars, entries=entries, services=0
+    spec = fleets.FleetSpec(
+        stage_count=1,
+        kinds=(fast,) * sidecars,
+        entry_count=entries,
+        service_count=0,
     )
-    with fleets.Fleet(shape) as fleet:
+    with fleets.Fleet(spec) as fleet:
         time.sleep(SETTLE_SECONDS)
         before = {
             name: child.cpu_seconds for name, child in fleet.children.items()
@@ -78,7 +81,7 @@
         memory_mb: dict[str, list[float]] = {"entry": [], "engine": []}
         for name, child in fleet.children.items():
             role = name.split("-")[0]
-            # Processes named "engines-N" are stand-ins.
+            # Skips the stand-in processes, which are named "engines-N".
             if role in core_percent and "engines" not in name:
                 core_share = (child.cpu_seconds - before[name]) / elapsed
                 core_percent[role].append(core_share * 100)
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -41,53 +41,53 @@
 
 
 def make_kind(
-    name: str, slowness: float, scale: float = 1.0
+    name: str, step_time_ratio: float, step_time_factor: float = 1.0
 ) -> AcceleratorKind:
     """Return a kind of accelerator.
 
-    :param slowness: step time relative to the fastest kind.
-    :param scale: factor on the step times of all kinds.
+    :param step_time_ratio: step time relative to the fastest kind.
+    :param step_time_factor: factor on the step times of all kinds.
     """
-    factor = slowness * scale
+    total_factor = step_time_ratio * step_time_factor
     return AcceleratorKind(
         name,
         engines.EngineSpeed(
-            batch_seconds=0.008 * factor,
-            token_seconds=0.0005 * factor,
-            prefill_token_seconds=0.00005 * factor,
+            batch_seconds=0.008 * total_factor,
+            token_seconds=0.0005 * total_factor,
+            prefill_token_seconds=0.00005 * total_factor,
             batch_limit=16,
         ),
     )
 
 
 @attrs.frozen
-class Shape:
-    """Numbers and kinds of the processes of a system, and their options.
+class FleetSpec:
+    """Numbers, kinds and options of the processes of a system.
 
     :ivar kinds: accelerators of the engines of each stage.
-    :ivar entries: number of entries.
-    :ivar services: number of instances of the service ``records``.
-    :ivar settings: lines added to section ``[defaults]`` of the settings.
-    :ivar entry_options: lines added to section ``[entry]`` of each entry.
+    :ivar service_count: number of instances of the service ``records``.
+    :ivar extra_default_lines: lines added to section ``[defaults]`` of the
+        settings.
+    :ivar extra_entry_lines: lines added to section ``[entry]`` of each entry.
     """
 
-    stages: int = 3
+    stage_count: int = 3
     kinds: tuple[AcceleratorKind, ...] = (
         make_kind("a", 1.0),
         make_kind("b", 1.5),
     )
-    entries: int = 1
-    services: int = 1
+    entry_count: int = 1
+    service_count: int = 1
     team_count: int = 10
-    settings: str = ""
-    entry_options: str = ""
+    extra_default_lines: str = ""
+    extra_entry_lines: str = ""
 
     @property
     def engine_names(self) -> list[str]:
         """Names of all engines, stage by stage."""
         return [
             f"engine-{stage}-{index}"
-            for stage in range(self.stages)
+            for stage in range(self.stage_count)
             for index in range(len(self.kinds))
         ]
 
@@ -130,8 +130,8 @@
     It is a context manager: it starts the processes, and kills them at exit.
     """
 
-    def __init__(self, shape: Shape) -> None:
-        self.shape = shape
+    def __init__(self, spec: FleetSpec) -> None:
+        self.spec = spec
         self.children: dict[str, Child] = {}
         self.store_url = ""
         self.entry_urls: list[str] = []
@@ -160,29 +160,32 @@
         ports = self._start_standins("store", {"store": {"delay": 0.002}})
         self.store_url = f"http://{HOST}:{ports['store']}"
         self._write_settings()
-        for stage in range(self.shape.stages):
+        for stage in range(self.spec.stage_count):
             specs = self._engine_specs(stage)
             ports = self._start_standins(
                 f"engines-{stage}", {"engines": specs}
             )
             self._upstream_ports.update(ports)
-        service_delays = {
-            f"records-{number}": 0.02 for number in range(self.shape.services)
+        service_delay_seconds = {
+            f"records-{number}": 0.02
+            for number in range(self.spec.service_count)
         }
-        if service_delays:
+        if service_delay_seconds:
             self._upstream_ports.update(
-                self._start_standins("services", {"services": service_delays})
+                self._start_standins(
+                    "services", {"services": service_delay_seconds}
+                )
             )
         for index, name in enumerate(self._upstream_ports):
             self.start_sidecar(name, ZONES[index % len(ZONES)])
-        for number in range(self.shape.entries):
+        for number in range(self.spec.entry_count):
             self._start_entry(number)
         for name in self._upstream_ports:
             self._register(name)
         self._wait_ready()
 
     def _engine_specs(self, stage: int) -> dict[str, typing.Any]:
-        layers_per_stage = LAYER_COUNT // self.shape.stages
+        layers_per_stage = LAYER_COUNT // self.spec.stage_count
         return {
             f"engine-{stage}-{index}": {
                 "model": MODEL,
@@ -193,15 +196,15 @@
                 "accelerator": kind.name,
                 **attrs.asdict(kind.speed),
             }
-            for index, kind in enumerate(self.shape.kinds)
+            for index, kind in enumerate(self.spec.kinds)
         }
 
     def _start_standins(
-        self, name: str, spec: dict[str, typing.Any]
+        self, name: str, standin_spec: dict[str, typing.Any]
     ) -> dict[str, int]:
         child = self._spawn(
             name,
-            ["-m", "crowdeck.standin.serve", json.dumps(spec)],
+            ["-m", "crowdeck.standin.serve", json.dumps(standin_spec)],
         )
         assert child.process.stdout is not None
         ports: dict[str, int] = json.loads(child.process.stdout.readline())
@@ -212,23 +215,25 @@
             "[defaults]",
             "concurrency = 100000",
             "deadline_seconds = 60",
-            self.shape.settings,
+            self.spec.extra_default_lines,
             "[service:records]",
         ]
-        for number in range(self.shape.team_count):
+        for number in range(self.spec.team_count):
             lines += [
                 f"[team:team-{number}]",
                 f"keys_sha256 = {teams.hash_key(team_key(number))}",
                 "services = *",
             ]
         text = "\n".join(lines) + "\n"
-        self._send(
+        self._send_to_store(
             "PUT",
             f"/objects/{holder.KIND}/{holder.NAME}",
             holder.encode(1, "bench", text),
         )
 
-    def _send(self, method: str, path: str, body: bytes = b"") -> None:
+    def _send_to_store(
+        self, method: str, path: str, body: bytes = b""
+    ) -> None:
         request = urllib.request.Request(
             self.store_url + path, data=body or None, method=method
         )
@@ -252,7 +257,7 @@
             name,
             ZONES[number % len(ZONES)],
             f"[entry]\nhttp_host = {HOST}\nhttp_port = {port}\n"
-            "request_limit = 100000\n" + self.shape.entry_options,
+            "request_limit = 100000\n" + self.spec.extra_entry_lines,
         )
         self.entry_urls.append(f"http://{HOST}:{port}")
         self._register(name)
@@ -281,7 +286,9 @@
             "availability_zone": self.zone_of(name),
             "address": {"host": HOST, "port": child.port},
         }
-        self._send("PUT", f"/instances/{name}", json.dumps(body).encode())
+        self._send_to_store(
+            "PUT", f"/instances/{name}", json.dumps(body).encode()
+        )
 
     def _spawn(self, name: str, arguments: list[str]) -> Child:
         log = self._stack.enter_context(
@@ -347,28 +354,33 @@
 
     def slow_engine(self, name: str, slowness: float) -> None:
         """Multiply an engine's step time; 1 restores the normal speed."""
-        self._ask_upstream(name, f"/standin/slowness?to={slowness}")
+        self._get_from_standin(name, f"/standin/slowness?to={slowness}")
 
-    def service_runs(self) -> dict[str, int]:
-        """Return how often services executed each operation."""
-        runs: collections.Counter[str] = collections.Counter()
+    def execution_counts(self) -> dict[str, int]:
+        """Return the number of executions of each service operation."""
+        counts: collections.Counter[str] = collections.Counter()
         for name in self._upstream_ports:
             if name.startswith("records"):
-                runs.update(self._ask_upstream(name, "/standin/runs"))
-        return dict(runs)
+                counts.update(self._get_from_standin(name, "/standin/runs"))
+        return dict(counts)
 
     def sequence_starts(self) -> dict[str, list[tuple[str, float]]]:
-        """Return, by engine, its sequences and the times they began."""
+        """Return, by engine, sequence IDs with their start times.
+
+        Times are monotonic, in seconds.
+        """
         return {
             name: [
-                (sequence, at)
-                for sequence, at in self._ask_upstream(name, "/standin/begun")
+                (sequence_id, started_at)
+                for sequence_id, started_at in self._get_from_standin(
+                    name, "/standin/begun"
+                )
             ]
             for name in self._upstream_ports
             if name.startswith("engine")
         }
 
-    def _ask_upstream(self, name: str, path: str) -> typing.Any:
+    def _get_from_standin(self, name: str, path: str) -> typing.Any:
         url = f"http://{HOST}:{self._upstream_ports[name]}{path}"
         with urllib.request.urlopen(url, timeout=10) as response:
             return json.load(response)
@@ -388,10 +400,13 @@
 
     def deregister(self, name: str) -> None:
         """Remove an instance from the platform's list."""
-        self._send("DELETE", f"/instances/{name}")
+        self._send_to_store("DELETE", f"/instances/{name}")
 
     def replace(self, name: str) -> None:
-        """Restart an instance whose process ends, with the same config."""
+        """Wait for an instance's process to end, then start it again.
+
+        The new process has the same configuration.
+        """
         previous = self.children[name]
         previous.process.wait()
         assert previous.config is not None
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -5,8 +5,8 @@
 
 """Compares ways to share an instance's rate limit among entries.
 
-Run as ``python -m bench.limits``. Entries share the limit with the code that
-they run in service; requests, answers and one instance that announces a limit
+Run as ``python -m bench.limits``. The limit is shared by the code that entries
+run in production; requests, answers and one instance that announces a limit
 are simulated in virtual time. In the mode ``even`` the instance does not
 report its load, so that all entries have equal shares; in the mode ``seen``
 it does. Both modes use the same seeds.
@@ -26,19 +26,21 @@
 from crowdeck.routing import rate_limits
 from tests import virtual
 
-# An instance with a limit of L requests a second accepts at most 6 L + 5 in
-# any window, beginning with the grace time after the limit is announced.
+# In any window that starts at least the grace time after the limit is
+# announced, an instance should receive at most
+# BOUND_FACTOR * WINDOW_SECONDS * limit + BOUND_EXTRA_REQUESTS requests.
 WINDOW_SECONDS = 4.0
 GRACE_SECONDS = 3.0
 BOUND_FACTOR = 1.5
 BOUND_EXTRA_REQUESTS = 5.0
-# An entry's requests count from this time after its first answer with a limit.
+# Requests of an entry count towards the bound only when this time has passed
+# since its first answer with a limit.
 ENTRY_GRACE_SECONDS = 0.5
 ANSWER_SECONDS = 0.05
 # Times from the start of the simulation.
 ANNOUNCED_AT_SECONDS = 5.0
 SIMULATED_SECONDS = 60.0
-SURGE_SECONDS = (30.0, 40.0)
+SURGE_INTERVAL_SECONDS = (30.0, 40.0)
 
 MODES = ("even", "seen")
 
@@ -47,33 +49,36 @@
 class Case:
     """Parameters of a simulation.
 
-    :ivar entries: number of entries.
+    :ivar entry_count: number of entries.
     :ivar busiest_share: share of the requests that come to the first entry.
-    :ivar limit: requests a second that the instance announces.
-    :ivar offered: requests a second that the entries have for the instance.
+    :ivar limit_per_second: requests a second that the instance announces.
+    :ivar offered_per_second: requests a second that the entries have for the
+        instance.
     :ivar request_seconds: mean duration of a request after its answer began.
-    :ivar surge_factor: factor on ``offered`` during the surge.
+    :ivar surge_factor: factor on ``offered_per_second`` during the surge.
     """
 
-    entries: int
+    entry_count: int
     busiest_share: float
-    limit: float
-    offered: float
+    limit_per_second: float
+    offered_per_second: float
     request_seconds: float
     surge_factor: float = 1.0
 
     @property
     def weights(self) -> list[float]:
         """Share of the requests that comes to each entry."""
-        if self.entries == 1:
+        if self.entry_count == 1:
             return [1.0]
-        other_share = (1.0 - self.busiest_share) / (self.entries - 1)
-        return [self.busiest_share, *[other_share] * (self.entries - 1)]
+        other_share = (1.0 - self.busiest_share) / (self.entry_count - 1)
+        return [self.busiest_share, *[other_share] * (self.entry_count - 1)]
 
     def __str__(self) -> str:
         return (
-            f"{self.entries:3d} entries, {self.busiest_share:4.2f} at one, "
-            f"limit {self.limit:4.1f}, asked {self.offered:4.1f}, "
+            f"{self.entry_count:3d} entries, "
+            f"{self.busiest_share:4.2f} at one, "
+            f"limit {self.limit_per_second:4.1f}, "
+            f"asked {self.offered_per_second:4.1f}, "
             f"{self.request_seconds:4.2f} s, surge {self.surge_factor:3.1f}"
         )
 
@@ -94,9 +99,9 @@
 class _Entry:
     """An entry with its number of requests in progress."""
 
-    def __init__(self, entries: int, rng: random.Random) -> None:
+    def __init__(self, entry_count: int, rng: random.Random) -> None:
         self.limits = rate_limits.RateLimits(self, rng)
-        self.limits.set_entry_count(entries)
+        self.limits.set_entry_count(entry_count)
         self.in_progress = 0
         self.limit_known_at = float("inf")
 
@@ -120,12 +125,12 @@
             is_leaving=False,
         )
         self._entries = [
-            _Entry(case.entries, random.Random(self._random.random()))
-            for _ in range(case.entries)
+            _Entry(case.entry_count, random.Random(self._random.random()))
+            for _ in range(case.entry_count)
         ]
         self._events: list[tuple[float, int, typing.Callable[[], None]]] = []
         self._counted_times: list[float] = []
-        self._sent = 0
+        self._sent_after_grace = 0
 
     async def run(self) -> Result:
         self._schedule(0.0, self._on_arrival)
@@ -137,12 +142,15 @@
             callback()
         case = self._case
         bound = (
-            BOUND_FACTOR * WINDOW_SECONDS * case.limit + BOUND_EXTRA_REQUESTS
+            BOUND_FACTOR * WINDOW_SECONDS * case.limit_per_second
+            + BOUND_EXTRA_REQUESTS
         )
         seconds = SIMULATED_SECONDS - ANNOUNCED_AT_SECONDS - GRACE_SECONDS
         return Result(
             _max_in_window(self._counted_times) / bound,
-            self._sent / seconds / min(case.limit, case.offered),
+            self._sent_after_grace
+            / seconds
+            / min(case.limit_per_second, case.offered_per_second),
         )
 
     def _schedule(
@@ -154,8 +162,8 @@
 
     def _on_arrival(self) -> None:
         now = anyio.current_time()
-        is_surge = SURGE_SECONDS[0] <= now < SURGE_SECONDS[1]
-        rate = self._case.offered * (
+        is_surge = SURGE_INTERVAL_SECONDS[0] <= now < SURGE_INTERVAL_SECONDS[1]
+        rate = self._case.offered_per_second * (
             self._case.surge_factor if is_surge else 1.0
         )
         self._schedule(now + self._random.expovariate(rate), self._on_arrival)
@@ -164,10 +172,12 @@
             return
         entry.limits.take(self._upstream)
         entry.in_progress += 1
-        since = ANNOUNCED_AT_SECONDS + GRACE_SECONDS
-        if now >= since:
-            self._sent += 1
-        if now >= max(since, entry.limit_known_at + ENTRY_GRACE_SECONDS):
+        count_from_seconds = ANNOUNCED_AT_SECONDS + GRACE_SECONDS
+        if now >= count_from_seconds:
+            self._sent_after_grace += 1
+        if now >= max(
+            count_from_seconds, entry.limit_known_at + ENTRY_GRACE_SECONDS
+        ):
             self._counted_times.append(now)
         self._schedule(now + ANSWER_SECONDS, lambda: self._on_answer(entry))
         duration = self._random.expovariate(1.0 / self._case.request_seconds)
@@ -182,7 +192,9 @@
         entry.limit_known_at = min(entry.limit_known_at, now)
         in_progress = sum(each.in_progress for each in self._entries)
         load = in_progress if self._reports_load else None
-        entry.limits.note_limit(self._upstream, self._case.limit, load)
+        entry.limits.note_limit(
+            self._upstream, self._case.limit_per_second, load
+        )
 
     def _on_end(self, entry: _Entry) -> None:
         entry.in_progress -= 1
@@ -204,14 +216,16 @@
 
 
 def make_cases() -> list[Case]:
-    """Return the compared cases, without a surge."""
+    """Return the cases to compare, with a surge factor of 1."""
     cases = []
-    for entries in (1, 4, 29, 70):
-        shares = {1.0} if entries == 1 else {1.0 / entries, 0.9}
+    for entry_count in (1, 4, 29, 70):
+        shares = {1.0} if entry_count == 1 else {1.0 / entry_count, 0.9}
         for share in sorted(shares):
             for limit, offered in ((1.6, 10.0), (3.2, 30.0), (15.0, 60.0)):
                 for seconds in (2.5, 0.04):
-                    cases.append(Case(entries, share, limit, offered, seconds))
+                    cases.append(
+                        Case(entry_count, share, limit, offered, seconds)
+                    )
     return cases
 
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -49,7 +49,7 @@
         return bool(self.finish_reason)
 
     @property
-    def gaps(self) -> list[float]:
+    def gap_seconds(self) -> list[float]:
         """Seconds between tokens."""
         return [
             after - before
@@ -115,7 +115,7 @@
     def _start_requests(self, tasks: anyio.abc.TaskGroup) -> None:
         # Team 0 sends most requests, teams 1 and 2 more than the others.
         weights = [3.0 * self._greedy_factor, 2.0, 2.0]
-        weights += [1.0] * (self._fleet.shape.team_count - len(weights))
+        weights += [1.0] * (self._fleet.spec.team_count - len(weights))
         team = self._random.choices(range(len(weights)), weights)[0]
         answer = Answer(
             team=team,
@@ -125,13 +125,13 @@
         )
         self.answers.append(answer)
         tasks.start_soon(self._request_answer, answer)
-        if self._fleet.shape.services and self._random.random() < 0.3:
+        if self._fleet.spec.service_count and self._random.random() < 0.3:
             call = Call(len(self.calls), self._random.random() < 0.5)
             self.calls.append(call)
             tasks.start_soon(self._make_call, call, team)
 
     def _make_prompt(self, team: int) -> str:
-        """Return a prompt whose prefix other prompts of the team may have."""
+        """Return a prompt that may share a prefix with others of the team."""
         conversation = self._random.randrange(20)
         prefix_words = min(200, int(self._random.paretovariate(1.3) * 8))
         words = [f"t{team}c{conversation}w{n}" for n in range(prefix_words)]
@@ -142,7 +142,7 @@
         return urls[(self._random.randrange(len(urls)) + attempt) % len(urls)]
 
     async def _request_answer(self, answer: Answer) -> None:
-        """Read an answer, resuming after its last event if cut off."""
+        """Read an answer; resume it after a connection is lost."""
         for attempt in range(MAX_ATTEMPTS):
             with contextlib.suppress(OSError, anyio.EndOfStream):
                 with anyio.move_on_after(READ_TIMEOUT_SECONDS):
@@ -163,7 +163,7 @@
         headers = ""
         if answer.last_event_id:
             headers = f"last-event-id: {answer.last_event_id}\r\n"
-        request = _request(
+        request = _encode_request(
             "POST", "/v1/completions", answer.team, headers, body
         )
         async with await _connect(url) as stream:
@@ -190,7 +190,8 @@
 
     def _handle_event(self, answer: Answer, event: bytes, now: float) -> bool:
         """Record one event. Return whether it is the last one."""
-        # Sizes of HTTP chunks, which are not decoded here, precede events.
+        # The chunked encoding is not decoded: skips the chunk's size, which
+        # precedes the event.
         data_start = event.find(b"data: ")
         if data_start < 0:
             return False
@@ -230,7 +231,9 @@
         self, call: Call, url: str, path: str, team: int, key_header: str
     ) -> None:
         async with await _connect(url) as stream:
-            await stream.send(_request("POST", path, team, key_header, b""))
+            await stream.send(
+                _encode_request("POST", path, team, key_header, b"")
+            )
             head, rest = await _read_head(stream)
             body = await _read_rest(stream, rest)
             call.status = int(head.split(b" ", 2)[1])
@@ -240,7 +243,7 @@
                 call.verdict = orjson.loads(body)["error"]["verdict"]
 
 
-def _request(
+def _encode_request(
     method: str, path: str, team: int, headers: str, body: bytes
 ) -> bytes:
     return (
--- a/bench/logs.py
+++ b/bench/logs.py
@@ -69,7 +69,7 @@
 
 
 def make_unlimited_clock() -> Clock:
-    """Return a clock that advances so fast that no line exceeds the limit."""
+    """Return a clock that advances 1 s a reading, to stay below the limit."""
     seconds = iter(range(10**9))
     return lambda: float(next(seconds))
 
--- a/bench/paths.py
+++ b/bench/paths.py
@@ -23,8 +23,9 @@
 
 LAYER_COUNT = 80
 ZONES = ("plateau", "almadies", "pikine", "rufisque", "guediawaye")
-# Engines with the card, of 130; the card with its memory in MB and its factors
-# on step and prefill time; the most layers an engine with it holds.
+# Columns: weight of the card in the random choice; the card, with its memory
+# in MB and its factors on step and prefill time; maximum number of layers of
+# an engine with it.
 CARDS = (
     (3, chain.AcceleratorType("h100", 72_000.0, 1.4, 1.0), 38),
     (11, chain.AcceleratorType("a100s", 36_000.0, 3.1, 3.2), 18),
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -5,8 +5,9 @@
 
 """Compares layouts of layers by simulating streams on them.
 
-Run as ``python -m bench.placement``. Planner, usage estimates and layouts are
-the code that entries run; an engine is simulated by its step time alone.
+Run as ``python -m bench.placement``. Path planning, usage estimates and
+placement are the code that entries run in production; an engine is simulated
+only by its step time.
 Streams arrive at random and end after their last token, in virtual time. The
 fleets are those of ``fleets.toml`` and random ones, so that a layout is not
 fitted to a few known fleets. All layouts are simulated with the same seeds.
@@ -41,7 +42,7 @@
 SERVICE = "assistant"
 
 Engines = list[chain.Upstream]
-Layout = typing.Callable[[Engines, chain.EngineProfile], Engines]
+PlacementFunction = typing.Callable[[Engines, chain.EngineProfile], Engines]
 
 
 @attrs.frozen
@@ -166,17 +167,17 @@
     rng: random.Random, cards: dict[str, dict[str, float]]
 ) -> dict[str, int]:
     """Return counts of cards that hold 1.3 to 3 copies of the model."""
-    missing_mb = rng.uniform(1.3, 3.0) * LAYER_COUNT * 1750.0
+    remaining_mb = rng.uniform(1.3, 3.0) * LAYER_COUNT * 1750.0
     counts = dict.fromkeys(cards, 0)
-    while missing_mb > 0.0:
+    while remaining_mb > 0.0:
         card = rng.choice(sorted(cards))
         counts[card] += 1
-        missing_mb -= 0.9 * cards[card]["memory_mb"]
+        remaining_mb -= 0.9 * cards[card]["memory_mb"]
     return counts
 
 
 def place_in_tiers(engines: Engines, profile: chain.EngineProfile) -> Engines:
-    """Place layers with the planner of the entries."""
+    """Place layers with the moves that the placement controller orders."""
     moves = plan.next_moves(engines, profile, lambda _: True)
     layout = {move.upstream.name: move.layers for move in moves}
     return [
@@ -209,20 +210,23 @@
     return placed
 
 
-LAYOUTS: dict[str, Layout] = {
+PLACEMENT_FUNCTIONS: dict[str, PlacementFunction] = {
     "together": place_as_one_group,
     "tiers": place_in_tiers,
 }
 
 
 def simulate(
-    fleet: Fleet, layout: Layout, seed: int = 1, rate_factor: float = 1.0
+    fleet: Fleet,
+    place: PlacementFunction,
+    seed: int = 1,
+    rate_factor: float = 1.0,
 ) -> Result:
-    """Send streams over the paths that the entries' planner chooses.
+    """Send streams over the paths that entries choose.
 
     :param rate_factor: factor on the fleet's streams per second.
     """
-    placed = layout(list(fleet.engines), fleet.profile)
+    placed = place(list(fleet.engines), fleet.profile)
 
     async def run() -> Result:
         return _send_streams(fleet, placed, random.Random(seed), rate_factor)
@@ -237,14 +241,16 @@
     usage = usages.InFlight()
     planner = hops.HopPlanner(usage)
     zones = sorted({engine.availability_zone for engine in placed})
-    ends: list[tuple[float, int, chain.ChainPath]] = []
+    active_streams: list[tuple[float, int, chain.ChainPath]] = []
     token_times_ms: list[float] = []
     hop_counts: list[int] = []
     refused, now = 0, 0.0
     while now < SIMULATED_SECONDS:
         now += rng.expovariate(rate_factor * fleet.streams_per_second)
-        while ends and ends[0][0] < now:
-            usage.remove_request(heapq.heappop(ends)[2], fleet.mean_tokens)
+        while active_streams and active_streams[0][0] < now:
+            usage.remove_request(
+                heapq.heappop(active_streams)[2], fleet.mean_tokens
+            )
         request = hops.PathRequest(
             fleet.profile, fleet.mean_tokens, rng.choice(zones)
         )
@@ -256,10 +262,12 @@
         token_ms = _token_ms(path, fleet.profile)
         seconds = token_ms * fleet.profile.mean_answer_tokens / 1000.0
         end = now + FIRST_EVENT_SECONDS + seconds
-        heapq.heappush(ends, (end, len(token_times_ms), path))
+        heapq.heappush(active_streams, (end, len(token_times_ms), path))
         token_times_ms.append(token_ms)
-        hop_counts.append(sum(len(active.hops) for _, _, active in ends))
-    # The number of streams still grows in the first half.
+        hop_counts.append(
+            sum(len(active_path.hops) for _, _, active_path in active_streams)
+        )
+    # Leaves out the first half, in which the number of streams still grows.
     steady = hop_counts[len(hop_counts) // 2 :]
     return Result(
         refused / (refused + len(token_times_ms)),
@@ -281,8 +289,8 @@
 class Comparison:
     """Mean results of two layouts on one fleet, with the same seeds.
 
-    :ivar fewer_cut: mean relative decrease of ``cut`` from first to second.
-    :ivar error: standard error of ``fewer_cut`` over the seeds.
+    :ivar fewer_cut: mean over the seeds of ``1 - second.cut / first.cut``.
+    :ivar error: standard error of ``fewer_cut``, 0 for one seed.
     """
 
     fleet: str
@@ -293,7 +301,11 @@
 
 
 def compare(
-    fleet: Fleet, first: Layout, second: Layout, seeds: int, rate_factor: float
+    fleet: Fleet,
+    first: PlacementFunction,
+    second: PlacementFunction,
+    seeds: int,
+    rate_factor: float,
 ) -> Comparison:
     """Simulate a fleet with two layouts, with the same seeds."""
     pairs = [
@@ -303,11 +315,13 @@
         )
         for seed in range(1, seeds + 1)
     ]
-    decreases = [1.0 - after.cut / before.cut for before, after in pairs]
+    decreases = [
+        1.0 - in_second.cut / in_first.cut for in_first, in_second in pairs
+    ]
     return Comparison(
         fleet.name,
-        _mean([before for before, _ in pairs]),
-        _mean([after for _, after in pairs]),
+        _mean([in_first for in_first, _ in pairs]),
+        _mean([in_second for _, in_second in pairs]),
         statistics.fmean(decreases),
         statistics.stdev(decreases) / len(decreases) ** 0.5
         if seeds > 1
@@ -326,7 +340,7 @@
 def main() -> None:
     """Print one line for each fleet."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    names = sorted(LAYOUTS)
+    names = sorted(PLACEMENT_FUNCTIONS)
     parser.add_argument("--first", choices=names, default="together")
     parser.add_argument("--second", choices=names, default="tiers")
     parser.add_argument("--seeds", type=int, default=5)
@@ -335,7 +349,10 @@
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
     fleets = [*load_fleets(), *map(random_fleet, range(1, options.drawn + 1))]
-    first, second = LAYOUTS[options.first], LAYOUTS[options.second]
+    first, second = (
+        PLACEMENT_FUNCTIONS[options.first],
+        PLACEMENT_FUNCTIONS[options.second],
+    )
     for fleet in fleets:
         result = compare(fleet, first, second, options.seeds, options.times)
         if options.json:
--- a/bench/rearrangement.py
+++ b/bench/rearrangement.py
@@ -28,12 +28,14 @@
 SIMULATED_SECONDS = 60.0
 STEP_SECONDS = 0.05
 ENGINE_COUNT = 8
-# Engines hold ten layers initially; any six have the memory for all layers.
+# Each engine holds ten layers initially. The memory of any six engines is
+# enough for all layers.
 PROFILE = attrs.evolve(
     fleet_system.PROFILE,
     cards={"card": chain.AcceleratorType("card", 27_000.0, 1.4, 1.0)},
 )
-# Not at all, as configured, as long as an engine loads, and without end.
+# Times to wait for a restart: none, the default, a longer time, and longer
+# than the simulation.
 WAIT_SECONDS = (0.0, 2.3, 8.0, 1e9)
 # Seconds from the loss of an engine to its restart, None for no restart.
 RESTART_SECONDS = (2.0, 8.0, 30.0, None)
@@ -85,26 +87,26 @@
     loaded_layers, unserved_seconds = 0, 0.0
     carry_out = system.fleet.carry_out
 
-    def count_layers(target: typing.Any, move: typing.Any) -> None:
+    def carry_out_and_count(standin: typing.Any, move: typing.Any) -> None:
         nonlocal loaded_layers
-        carry_out(target, move)
-        kept_layers = target.kept_layers
+        carry_out(standin, move)
+        kept_layers = standin.kept_layers
         loaded_layers += move.layers.end - move.layers.first
         loaded_layers -= (
             kept_layers.end - kept_layers.first if kept_layers else 0
         )
 
-    system.fleet.carry_out = count_layers  # type: ignore[method-assign]
+    system.fleet.carry_out = carry_out_and_count  # type: ignore[method-assign]
 
     async def lose_engine(name: str, delay_seconds: float) -> None:
         await anyio.sleep(delay_seconds)
-        target = system.fleet.at(system.listed.pop(name).address)
-        target.is_dead = True
+        standin = system.fleet.at(system.listed.pop(name).address)
+        standin.is_dead = True
         system.registry.on_changed((), (name,))
         if restart_seconds is None:
             return
         await anyio.sleep(restart_seconds)
-        layers = target.listed.layers if keeps_layers else None
+        layers = standin.listed.layers if keeps_layers else None
         restarted = fleet_system.upstream(
             f"{name}-again", "zone", None, "card"
         )
@@ -117,17 +119,21 @@
             tasks.start_soon(lose_engine, name, 1.0 + rng.random())
         for _ in range(int(SIMULATED_SECONDS / STEP_SECONDS)):
             await anyio.sleep(STEP_SECONDS)
-            serving = []
-            for target in system.fleet.upstreams:
-                if target.answers:
-                    known = system.listed.get(target.listed.name)
-                    if known not in (None, target.listed):
-                        system.list_instance(target.listed)
-                    held = target.listed.layers
-                    if target.is_loading:
-                        held = target.kept_layers
-                    serving.append(attrs.evolve(target.listed, layers=held))
-            if 0 in chain.coverage(serving, PROFILE.layer_count):
+            serving_engines = []
+            for standin in system.fleet.upstreams:
+                if standin.answers:
+                    listed_engine = system.listed.get(standin.listed.name)
+                    # Lists the new state if the listed one is outdated.
+                    if listed_engine not in (None, standin.listed):
+                        system.list_instance(standin.listed)
+                    # A loading engine serves only the layers that it kept.
+                    served_layers = standin.listed.layers
+                    if standin.is_loading:
+                        served_layers = standin.kept_layers
+                    serving_engines.append(
+                        attrs.evolve(standin.listed, layers=served_layers)
+                    )
+            if 0 in chain.coverage(serving_engines, PROFILE.layer_count):
                 unserved_seconds += STEP_SECONDS
         tasks.cancel_scope.cancel()
     return unserved_seconds, loaded_layers
@@ -140,20 +146,33 @@
         "lost restart keeps | "
         + " | ".join(f"wait {wait:g}" for wait in WAIT_SECONDS)
     )
-    for lost in (1, 2):
-        for restart in RESTART_SECONDS:
-            for keeps in (False, True) if restart else (False,):
+    for lost_engines in (1, 2):
+        for restart_seconds in RESTART_SECONDS:
+            for keeps_layers in (False, True) if restart_seconds else (False,):
                 cells = []
-                for wait in WAIT_SECONDS:
-                    rearrangement_delay.RESTART_GRACE_SECONDS = wait
+                for wait_seconds in WAIT_SECONDS:
+                    rearrangement_delay.RESTART_GRACE_SECONDS = wait_seconds
                     results = [
-                        virtual.run(_simulate, seed, lost, restart, keeps)
+                        virtual.run(
+                            _simulate,
+                            seed,
+                            lost_engines,
+                            restart_seconds,
+                            keeps_layers,
+                        )
                         for seed in range(SEEDS)
                     ]
                     seconds = sum(result[0] for result in results) / SEEDS
                     layers = sum(result[1] for result in results) / SEEDS
                     cells.append(f"{seconds:.1f} s, {layers:.0f}")
-                print(lost, restart, keeps, "|", " | ".join(cells), flush=True)
+                print(
+                    lost_engines,
+                    restart_seconds,
+                    keeps_layers,
+                    "|",
+                    " | ".join(cells),
+                    flush=True,
+                )
     rearrangement_delay.RESTART_GRACE_SECONDS = configured
 
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -17,8 +17,9 @@
 from bench import scenarios
 from crowdeck.standin import model as models
 
-# How much longer stand-in devices take than the ones that the targets of
-# 0.59 s and 41 ms are for, so that the bench's machine is not the bottleneck.
+# Factor by which stand-in devices are slower than the devices that the targets
+# of 0.59 s and 41 ms apply to; at full speed the machine that runs the
+# benchmark would be the bottleneck.
 SCALE = 20.0
 FIRST_TOKEN_TARGET_SECONDS = 0.59 * SCALE
 TOKEN_GAP_TARGET_SECONDS = 0.041 * SCALE
@@ -31,9 +32,9 @@
     """Everything recorded in one run.
 
     :ivar started_at: monotonic time, as are all times here.
-    :ivar bound: tokens a second that the devices of a stage allow.
-    :ivar service_runs: by operation, how often services executed it.
-    :ivar sequence_starts: by engine, sequences with the times they began.
+    :ivar bound_tokens_per_second: maximum rate of the devices of a stage.
+    :ivar execution_counts: number of executions of each service operation.
+    :ivar sequence_starts: by engine, sequence IDs with their start times.
     """
 
     scenario: str
@@ -41,10 +42,10 @@
     policy: str
     started_at: float
     seconds: float
-    bound: float
+    bound_tokens_per_second: float
     answers: list[loads.Answer]
     calls: list[loads.Call]
-    service_runs: dict[str, int]
+    execution_counts: dict[str, int]
     sequence_starts: dict[str, list[tuple[str, float]]]
     faults: scenarios.FaultLog
     control_bytes_per_s: float
@@ -65,20 +66,21 @@
         for answer in run.answers
         if answer.token_texts
     }
-    wrong = [
+    mismatched = [
         answer
         for answer in run.answers
         if answer.token_texts
         and answer.token_texts
         != expected[id(answer)][: len(answer.token_texts)]
     ]
-    # The tokens are those of another request's answer.
+    # Answers that equal the start of another request's answer. Up to three
+    # tokens are not counted, as they can be equal by chance.
     crossed = sum(
         any(
             answer.token_texts == other[: len(answer.token_texts)]
             for other in expected.values()
         )
-        for answer in wrong
+        for answer in mismatched
         if len(answer.token_texts) > 3
     )
     correct = [
@@ -98,19 +100,22 @@
         "scenario": run.scenario,
         "seed": run.seed,
         "policy": run.policy,
-        "bound_tokens_per_s": round(run.bound, 1),
-        "throughput_ratio": round(_goodput(run, correct) / run.bound, 4),
+        "bound_tokens_per_s": round(run.bound_tokens_per_second, 1),
+        "throughput_ratio": round(
+            _goodput(run, correct) / run.bound_tokens_per_second, 4
+        ),
         "first_token_p95_s": _p95(
             [answer.token_times[0] - answer.sent_at for answer in correct]
         ),
         "token_gap_p95_s": _p95(
-            [gap for answer in correct for gap in answer.gaps]
+            [gap for answer in correct for gap in answer.gap_seconds]
         ),
         "recovery_p50_s": _quantile(recovery_seconds, 0.5),
         "recovery_p95_s": _quantile(recovery_seconds, 0.95),
         "worst_gap_s": round(
             max(
-                (gap for answer in correct for gap in answer.gaps), default=0.0
+                (gap for answer in correct for gap in answer.gap_seconds),
+                default=0.0,
             ),
             3,
         ),
@@ -119,13 +124,15 @@
         + sum(call.status == 200 for call in run.calls),
         "refused_not_run": len(refused),
         "lost": len(run.answers) - len(correct) - len(refused),
-        "duplicated": sum(count - 1 for count in run.service_runs.values()),
+        "duplicated": sum(
+            count - 1 for count in run.execution_counts.values()
+        ),
         "crossed": crossed,
-        "layer_violations": len(wrong) - crossed,
+        "layer_violations": len(mismatched) - crossed,
         "false_not_run": sum(
             call.verdict == "not_run"
             and not call.has_key
-            and run.service_runs.get(f"receipt {call.number}", 0) > 0
+            and run.execution_counts.get(f"receipt {call.number}", 0) > 0
             for call in run.calls
         ),
         "streams_cut_by_stop": _interrupted_streams(run)
@@ -144,36 +151,40 @@
 def _goodput(run: RunRecord, correct: list[loads.Answer]) -> float:
     """Return tokens a second of answers that met both latency targets.
 
-    The first part of the run, in which the number of streams grows, does not
-    count.
+    Leaves out the start of the run, in which the number of streams grows.
     """
     start = run.started_at + 0.4 * run.seconds
     end = run.started_at + run.seconds
     count = 0
     for answer in correct:
-        is_early = (
+        met_first_token_target = (
             answer.token_times[0] - answer.sent_at
             <= FIRST_TOKEN_TARGET_SECONDS
         )
-        mean_gap = statistics.mean(answer.gaps) if answer.gaps else 0.0
-        if is_early and mean_gap <= TOKEN_GAP_TARGET_SECONDS:
+        mean_gap_seconds = (
+            statistics.mean(answer.gap_seconds) if answer.gap_seconds else 0.0
+        )
+        if (
+            met_first_token_target
+            and mean_gap_seconds <= TOKEN_GAP_TARGET_SECONDS
+        ):
             count += sum(start <= at < end for at in answer.token_times)
     return count / (end - start)
 
 
 def _recovery_seconds(run: RunRecord) -> list[float]:
-    """Return, for each fault, the time until service was as before it.
+    """Return, for each fault, the seconds until the token rate recovered.
 
-    Service is the number of tokens in a bucket for each answer in progress,
-    so that fewer arrivals do not count as a failure.
+    The rate is the number of tokens in a bucket divided by the number of
+    streams active in it, so that fewer arrivals do not count as a failure.
     """
     if not run.faults.times:
         return []
-    tokens: collections.Counter[int] = collections.Counter()
-    active: collections.Counter[int] = collections.Counter()
+    tokens_by_bucket: collections.Counter[int] = collections.Counter()
+    active_by_bucket: collections.Counter[int] = collections.Counter()
     for answer in run.answers:
         for at in answer.token_times:
-            tokens[int((at - run.started_at) / BUCKET_SECONDS)] += 1
+            tokens_by_bucket[int((at - run.started_at) / BUCKET_SECONDS)] += 1
         if answer.token_times:
             first = int(
                 (answer.token_times[0] - run.started_at) / BUCKET_SECONDS
@@ -182,14 +193,14 @@
                 (answer.token_times[-1] - run.started_at) / BUCKET_SECONDS
             )
             for bucket in range(first, last + 1):
-                active[bucket] += 1
+                active_by_bucket[bucket] += 1
     recovery_seconds = []
     for at in run.faults.times:
         fault_bucket = int((at - run.started_at) / BUCKET_SECONDS)
         before = [
-            tokens[earlier] / active[earlier]
+            tokens_by_bucket[earlier] / active_by_bucket[earlier]
             for earlier in range(max(0, fault_bucket - 12), fault_bucket)
-            if active[earlier]
+            if active_by_bucket[earlier]
         ]
         if not before:
             continue
@@ -197,22 +208,31 @@
         # buckets before the fault.
         threshold = sorted(before)[len(before) // 10] * RECOVERED_SHARE
         recovery_seconds.append(
-            _seconds_below(tokens, active, fault_bucket, threshold)
+            _seconds_below(
+                tokens_by_bucket, active_by_bucket, fault_bucket, threshold
+            )
         )
     return recovery_seconds
 
 
 def _seconds_below(
-    tokens: collections.Counter[int],
-    active: collections.Counter[int],
+    tokens_by_bucket: collections.Counter[int],
+    active_by_bucket: collections.Counter[int],
     fault_bucket: int,
     threshold: float,
 ) -> float:
-    """Return the time from a fault until service stays above a threshold."""
-    end = max(tokens, default=fault_bucket)
+    """Return the seconds from a fault until the token rate recovers.
+
+    It has recovered when four buckets in a row are not below the threshold.
+    No more than 40 buckets are examined.
+    """
+    end = max(tokens_by_bucket, default=fault_bucket)
     last_below = fault_bucket - 1
     for bucket in range(fault_bucket, min(end, fault_bucket + 40)):
-        if active[bucket] and tokens[bucket] / active[bucket] < threshold:
+        if (
+            active_by_bucket[bucket]
+            and tokens_by_bucket[bucket] / active_by_bucket[bucket] < threshold
+        ):
             last_below = bucket
         elif bucket - last_below >= 4:
             break
@@ -227,16 +247,17 @@
 
 
 def _work_after_stop_seconds(run: RunRecord) -> float:
-    """Return the longest time after its stop that an instance got new work.
+    """Return the longest time from a planned stop to the start of new work.
 
-    The process that replaces it has the same name, so only work that began
-    before the stopped process ended counts.
+    The time is in seconds. The process that replaces a stopped one has the
+    same name, so only work that began before the stopped one ended counts.
     """
     longest = 0.0
     for name, stopped_at in run.faults.stopped_at.items():
         ended_at = run.faults.ended_at.get(name, float("inf"))
-        for sequence, at in run.sequence_starts.get(name, []):
-            if sequence.endswith(".0") and stopped_at < at <= ended_at:
+        for sequence_id, at in run.sequence_starts.get(name, []):
+            # Epoch 0 is a request's first attempt; retries are not counted.
+            if sequence_id.endswith(".0") and stopped_at < at <= ended_at:
                 longest = max(longest, at - stopped_at)
     return round(longest, 3)
 
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -15,9 +15,9 @@
 
 from bench import fleet as fleets
 
-# Shares of the measured time: before the first fault, so that service before
-# and after it can be compared, and during a fault that ends.
+# Share of the run before the first fault, the baseline for recovery.
 FAULT_START_SHARE = 0.35
+# Share of the run that a temporary fault lasts.
 OUTAGE_SHARE = 0.25
 
 
@@ -52,7 +52,8 @@
     :ivar load: offered load relative to the throughput bound.
     :ivar faults: injected concurrently.
     :ivar greedy_factor: factor on the requests of team 0.
-    :ivar has_mixed_speeds: whether the speeds of engines differ more.
+    :ivar has_mixed_speeds: whether the engine speeds differ by a
+        factor of 5 instead of 2.
     """
 
     name: str
@@ -76,14 +77,14 @@
 async def kill_stage(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
-    """Kill an instance of a middle stage."""
+    """Kill the sidecar of an engine of a middle stage."""
     await _kill(fleet, ["engine-1-0"], seconds, log)
 
 
 async def kill_head(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
-    """Kill an instance of the first stage."""
+    """Kill the sidecar of an engine of the first stage."""
     await _kill(fleet, ["engine-0-0"], seconds, log)
 
 
@@ -143,7 +144,7 @@
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
     """Stop an instance of each stage and replace it, one after another."""
-    names = [f"engine-{stage}-1" for stage in range(fleet.shape.stages)]
+    names = [f"engine-{stage}-1" for stage in range(fleet.spec.stage_count)]
     pause_seconds = seconds * (1 - FAULT_START_SHARE) / (len(names) + 1)
     await anyio.sleep(seconds * FAULT_START_SHARE)
     for name in names:
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -6,8 +6,8 @@
 """Measures how evenly consistent and rendezvous hashing distribute keys.
 
 ``python -m bench.spread`` prints the coefficient of variation of the number
-of keys of each member: expected by chance, on a hash ring by formula and as
-measured, and measured with rendezvous hashing.
+of keys of each member: for random assignment, for a hash ring (by formula and
+measured), and for rendezvous hashing (measured).
 """
 
 import bisect
--- a/bench/token_path.py
+++ b/bench/token_path.py
@@ -41,13 +41,13 @@
                 "messages": [{"role": "user", "content": f"desk {number}"}],
             }
         )
+        # Written by hand: an HTTP client needs more processor time per event
+        # than the measured processes, and would be the bottleneck.
         request = (
             f"POST /v1/chat/completions HTTP/1.1\r\nhost: bench\r\n"
             f"authorization: Bearer {fleets.team_key(number % 10)}\r\n"
             f"content-length: {len(body)}\r\nconnection: close\r\n\r\n"
         ).encode() + body
-        # An HTTP client would be the bottleneck: it needs more processor time
-        # per event than the measured processes.
         while True:
             async with await anyio.connect_tcp(
                 self._host, self._port
@@ -90,8 +90,8 @@
     parser.add_argument("--seconds", type=float, default=6.0)
     options = parser.parse_args()
     fast = fleets.make_kind("fast", 0.05)
-    shape = fleets.Shape(kinds=(fast,), services=0)
-    with fleets.Fleet(shape) as fleet:
+    spec = fleets.FleetSpec(kinds=(fast,), service_count=0)
+    with fleets.Fleet(spec) as fleet:
         idle = {
             name: round(child.memory_bytes / 1e6, 1)
             for name, child in fleet.children.items()
