--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -46,7 +46,9 @@
 
 
 # Returns the capacity of an engine for its layers, in the unit of the caller.
-LayerCapacity = typing.Callable[[chain.Upstream, pipeline.LayerRange], float]
+CapacityFunction = typing.Callable[
+    [chain.Upstream, pipeline.LayerRange], float
+]
 
 
 def compute_bound(
@@ -117,9 +119,9 @@
 def _find_bottleneck(
     engines: list[chain.Upstream],
     profile: chain.EngineProfile,
-    capacity_of: LayerCapacity,
+    capacity_of: CapacityFunction,
 ) -> tuple[float, pipeline.LayerRange]:
-    """Return the least capacity of a layer, and the first layers with it."""
+    """Return the least capacity of a layer, and the first run with it."""
     capacities = [0.0] * profile.layer_count
     for engine in engines:
         assert engine.layers is not None
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -193,7 +193,8 @@
     ) -> list[chain.Hop] | None:
         """Return hops that cover ``layers``, or ``None``.
 
-        Each hop is at the engine with the least cost per layer it runs.
+        Each hop is at the engine with the least cost per layer from the
+        hop's first layer to the end of the engine's range.
 
         :param previous: the hop before them, if there is one.
         """
--- a/src/crowdeck/routing/planner.py
+++ b/src/crowdeck/routing/planner.py
@@ -25,8 +25,8 @@
 # Largest relative jitter. Reports are too old to show smaller differences of
 # cost; see docs/decisions/0007.
 COST_JITTER = 0.1
-# Ratio of the 95th percentile of the times between tokens, which limits refer
-# to, to their predicted mean.
+# 95th percentile of the time between tokens, divided by its predicted mean.
+# Limits refer to the 95th percentile.
 GAP_P95_FACTOR = 1.4
 
 
@@ -95,8 +95,8 @@
         """Return a path for a new attempt.
 
         :param avoid: instances not to use.
-        :param gap_limit_seconds: longest predicted time between tokens;
-            0 for any.
+        :param gap_limit_seconds: limit on the predicted 95th percentile of
+            the time between tokens; 0 for none.
         :raises CrowdeckError: ``NO_PATH`` when none covers every layer,
             ``OVERLOADED`` when all would be too slow.
         """
@@ -153,8 +153,8 @@
             # retries of requests that were refused together.
             raise errors.CrowdeckError(
                 errors.Code.OVERLOADED,
-                f"the predicted time between tokens is {gap_seconds:.2f} s, "
-                f"over the limit of {gap_limit_seconds:g} s",
+                "the predicted 95th percentile of the time between tokens is "
+                f"{gap_seconds:.2f} s, the limit is {gap_limit_seconds:g} s",
                 retry_after=self._random.uniform(1.0, 3.0),
             )
 
--- a/src/crowdeck/routing/policies.py
+++ b/src/crowdeck/routing/policies.py
@@ -14,8 +14,8 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    # The config module needs only the names, also in processes without
-    # sidecars, which must not import the code for them.
+    # The config module uses only the names of policies. A process without
+    # sidecars must not load these modules for that.
     from crowdeck.membership import fleet as fleets
     from crowdeck import pipeline
 
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -143,7 +143,10 @@
         return used / max(1.0, capacity)
 
     def _existing_token_layers(self, name: str) -> float:
-        """Return what still counts of an engine's load at the start."""
+        """Return what still counts of the load that an engine had at first.
+
+        The load is in tokens times layers.
+        """
         existing = self._existing.get(name)
         if existing is None:
             return 0.0
@@ -168,7 +171,10 @@
                 crossings.append((anyio.current_time(), tokens))
 
     def remove_request(self, path: chain.ChainPath, tokens: float) -> None:
-        """Undo :meth:`add_request`."""
+        """Stop counting a request on a path.
+
+        Its transfers between zones still count.
+        """
         self._add(path, tokens, -1)
 
     def add_call(self, upstream: chain.Upstream) -> None:
@@ -204,7 +210,10 @@
             del self._own_requests[head]
 
     def _estimate(self, own_by_head: collections.Counter[str] | None) -> float:
-        """Return the load of all entries for that of this entry."""
+        """Estimate the load of all entries from this entry's own load.
+
+        :param own_by_head: this entry's load, by first engine.
+        """
         if not own_by_head:
             return 0.0
         return sum(
