--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -20,8 +20,9 @@
 from crowdeck.routing import rate_limits
 
 POLL_SECONDS = 0.5
-# Changes that one check logs in a line each. The rest are summarized in
-# another line, since all instances of a service may signal at once.
+# Maximum number of changes that one check logs in a line each. The rest are
+# summarized in another line, since all instances of a service may signal at
+# once.
 MAX_LOG_LINES = 20
 # Maximum number of addresses in the log line of a request.
 MAX_LOGGED_ADDRESSES = 5
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -115,7 +115,10 @@
             for name in sorted(self.profile.cards)
             if (capacity := max_layers(name, self.profile))
         ]
-        engines = " or ".join(options) or "no known kind"
+        engines = (
+            " or ".join(options)
+            or "no accelerator type of the profile can hold a layer"
+        )
         return f"engines for {lacking_layers} more layers: {engines}"
 
 
--- a/src/crowdeck/relay/loop_lag.py
+++ b/src/crowdeck/relay/loop_lag.py
@@ -13,7 +13,8 @@
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 
-# Default length of a tick. An engine counts as silent only after several.
+# Default length of a tick. An engine counts as silent after
+# probes.SILENT_TICKS ticks on time.
 TICK_SECONDS = 0.009
 # Length of the meter's ticks: longer delays of the loop are always noticed,
 # and shorter ones do not make a stream look silent.
@@ -28,8 +29,7 @@
 SETTLE_SECONDS = 0.03
 # How long the peak lag is remembered.
 RECENT_SECONDS = 0.3
-# Lag above which an entry counts as overloaded. Reading a large config causes
-# less.
+# Lag above which an entry counts as overloaded.
 OVERLOAD_SECONDS = 0.15
 
 
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -23,7 +23,7 @@
 # How many attempts engines may refuse without running them, before the
 # request fails.
 MAX_REFUSALS = 4
-# The same once a part of the answer was sent, which the caller would lose.
+# Limit once a part of the answer was sent, since the caller would lose it.
 # Each further attempt waits for a path and for the retry budget.
 MAX_REFUSALS_STARTED = 12
 # Errors reach the caller this long before its own deadline.
