--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -177,7 +177,7 @@
 
 
 def _holders_score(capacities: tuple[float, ...]) -> float:
-    """Return the score of a layer whose holders have such capacities.
+    """Return the score of a layer whose holders have the given capacities.
 
     This is the expected score when at most one holder is unavailable.
 
--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -34,9 +34,10 @@
 # An engine reports its new layers with its next heartbeat. Until then its
 # order counts as outstanding.
 ORDER_SETTLE_SECONDS = 2.5
-# The first plan of a service waits until no engine was added for the quiet
-# time, or for the maximum in total. A starting fleet lists its engines one by
-# one, and a plan for the first few would not suit all of them.
+# The first plan of a service waits until no engine was added for
+# LIST_QUIET_SECONDS, or for LIST_MAX_SECONDS in total. A starting fleet
+# lists its engines one by one, and a plan for the first few would not suit all
+# of them.
 LIST_QUIET_SECONDS = 1.2
 LIST_MAX_SECONDS = 5.0
 # A new engine waits this long for layers while all layers are held. In a
@@ -505,7 +506,7 @@
             self._store_in_doubt()
 
     def _note_pending(self, move: plan.Move, seconds: float) -> None:
-        """Count an order as outstanding for so many seconds."""
+        """Count an order as outstanding for the given time."""
         self._pending_orders[move.upstream.name] = _PendingOrder(
             attrs.evolve(move.upstream, layers=move.layers),
             anyio.current_time() + seconds,
--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -46,7 +46,7 @@
 
 
 class FailureDetector:
-    """Probes engines that failed a request, and all once one is lost."""
+    """Probes engines that failed a request, and all engines after a loss."""
 
     def __init__(
         self,
--- a/src/crowdeck/placement/initial_layout.py
+++ b/src/crowdeck/placement/initial_layout.py
@@ -34,7 +34,7 @@
     """Assigns layers to engines that serve one model together.
 
     :param layer_limit: returns how many layers an engine can hold and still
-        have capacity for so many tokens.
+        have capacity for the given number of tokens.
     :param min_tokens: token capacity that every engine keeps.
     """
 
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -51,7 +51,7 @@
 def fitting_layer_count(
     engine: chain.Upstream, profile: chain.EngineProfile, token_capacity: float
 ) -> int:
-    """Return how many layers fit beside the KV cache of so many tokens.
+    """Return how many layers fit beside the KV cache of a number of tokens.
 
     An engine of unknown accelerator type counts as able to hold all layers.
 
@@ -82,9 +82,10 @@
     :param engines: engines that are alive and not leaving, in any order, with
         the layers that they hold or were ordered to hold.
     :param is_idle: whether an engine can be ordered now.
-    :param guaranteed: the same engines with the layers that they hold whatever
-        becomes of outstanding orders. An engine gives up only layers that
-        others are guaranteed to hold. By default the same as ``engines``.
+    :param guaranteed: the same engines with the layers that they hold,
+        regardless of the outcome of outstanding orders. An engine gives
+        up only layers that others are guaranteed to hold. By default the
+        same as ``engines``.
     """
     batches = iter_moves(engines, profile, is_idle, guaranteed)
     return [move for batch in batches for move in batch]
--- a/src/crowdeck/placement/rearrangement.py
+++ b/src/crowdeck/placement/rearrangement.py
@@ -61,8 +61,8 @@
     :param engines: engines that are alive and not leaving, with the layers
         that they hold or were ordered to hold.
     :param can_be_ordered: whether an engine can be ordered now.
-    :param guaranteed: the same engines with the layers that they hold whatever
-        becomes of outstanding orders.
+    :param guaranteed: the same engines with the layers that they hold,
+        regardless of the outcome of outstanding orders.
     :param interrupts_streams: whether to interrupt the streams that use layers
         which are given up.
     """
--- a/src/crowdeck/placement/tiers.py
+++ b/src/crowdeck/placement/tiers.py
@@ -30,7 +30,7 @@
     """A group of engines split by speed, fastest first.
 
     :param layer_limit: returns how many layers an engine can hold and still
-        have capacity for so many tokens.
+        have capacity for the given number of tokens.
     :ivar complete: tiers that can hold the whole model each.
     :ivar remainder: slower engines that cannot; they add copies to the tiers.
     """
