--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Peer:
-    """Another entry of this availability zone."""
+    """An entry of this availability zone."""
 
     name: str
     address: instances.Address
--- a/src/crowdeck/membership/upstream_records.py
+++ b/src/crowdeck/membership/upstream_records.py
@@ -16,7 +16,9 @@
 
 
 class UpstreamRecordReader:
-    """Decodes records, and logs once per record why it is rejected.
+    """Decodes records, and logs why a record is rejected.
+
+    A rejection for the same reason as the record's last one is not logged.
 
     :param decode: turns a stored record into an instance; raises
         ``CrowdeckError`` if the record is malformed.
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -350,7 +350,8 @@
         """Give an instance that refused a request no work for a time.
 
         :param seconds: time after a first refusal; doubled at each refusal
-            that follows soon, up to :data:`MAX_REFUSAL_BACKOFF_SECONDS`.
+            that follows soon, up to :data:`MAX_REFUSAL_BACKOFF_SECONDS`, but
+            never less than ``seconds``.
         """
         state = self._states.get(name)
         now = anyio.current_time()
@@ -464,8 +465,8 @@
         """Drop all other instances at the address of the newest one.
 
         The record of a crashed instance may stay for a while after another
-        instance has taken its address, and the latter refuses requests that
-        are sent to the former.
+        instance has taken its address, which refuses requests that are sent
+        to the crashed one.
 
         Records of services that the config does not name replace no other
         records: they were written by something else.
