--- a/src/crowdeck/quarantine/attribution.py
+++ b/src/crowdeck/quarantine/attribution.py
@@ -26,8 +26,8 @@
 QUARANTINE_THRESHOLD_TIED = QUARANTINE_THRESHOLD + 1
 # An end within this time after a request was served is not attributed to it.
 # That protects identical requests sent by many callers, which are present at
-# every end. It delays the quarantine of a request that crashes only a new
-# release of the engines by the same time.
+# every end. If a new engine release crashes on a request that was served
+# before, the quarantine of that request is delayed by the same time.
 SERVED_EXEMPTION_SECONDS = 30.0
 
 
@@ -59,8 +59,9 @@
 ) -> list[UnexplainedEnd]:
     """Return the ends without the suspects that were served lately.
 
-    The cause is never served. So an end before a request was served, or soon
-    after, is not attributed to it.
+    A request that crashes its engine is never served. So a request is not a
+    suspect of ends before it was served, or within
+    ``SERVED_EXEMPTION_SECONDS`` after.
 
     :param ends: one per instance, merged from all entries.
     :param served_at: wall-clock times at which suspects were last served.
--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -39,7 +39,7 @@
 # A cancelled attempt counts if its instance ends within this time.
 CANCELLED_ATTEMPT_TTL_SECONDS = 1.0
 # The evidence of the other entries arrives within this time after an end.
-# Until then only requests that had not begun count as suspects of that end.
+# Until then only requests without an event count as suspects of that end.
 SETTLE_SECONDS = 0.5
 # Number of recently served requests that are remembered.
 MAX_SERVED = 1_024
@@ -146,10 +146,10 @@
         if has_run:
             verdict = verdicts.Verdict.MAY_HAVE_RUN
         counters.COUNTERS.add("quarantine.refused")
-        ended = self._culprits.get(request, 0)
+        crash_count = self._culprits.get(request, 0)
         return errors.CrowdeckError(
             errors.Code.QUARANTINED,
-            f"{ended} instances crashed while running this request",
+            f"{crash_count} instances crashed while running this request",
             verdict=verdict,
             retry_after=EVIDENCE_TTL_SECONDS,
         )
--- a/src/crowdeck/state/claims.py
+++ b/src/crowdeck/state/claims.py
@@ -37,8 +37,8 @@
 # new keys, since no request may run without a written claim.
 MAX_SHARD_BYTES = 900_000
 # Claims written within this time are written again after the store has been
-# restored from a backup. Has to exceed the age of the backup: an older claim
-# that the backup lacks is lost.
+# restored from a backup. Must exceed the age of the backup: claims written
+# earlier than this are not rewritten, so they must be in the backup.
 REWRITE_WINDOW_SECONDS = 60.0
 # Interval at which entries check whether the store has been restored.
 EPOCH_CHECK_SECONDS = 0.2
@@ -277,7 +277,7 @@
         return Shard(tuple(held.values()))
 
     def _observe_epoch(self) -> bool:
-        """Note the store's epoch and return whether it has changed."""
+        """Record the store's epoch; return whether it replaced a known one."""
         epoch = self._store.epoch
         if epoch is None or epoch == self._epoch:
             return False
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -362,13 +362,14 @@
             self._record = None
             await self._read_back()
             if self._must_move_on:
-                # Nobody else can hold the lease before it expires here, so
-                # it is moved.
+                # No other process can take the lease before it has expired
+                # in this object, so this process keeps it and moves it to
+                # the next object.
                 return
         self._drop("another process wrote the lease")
 
     def _observe_epoch(self) -> bool:
-        """Note the store's epoch and return whether it has changed."""
+        """Record the store's epoch; return whether it replaced a known one."""
         epoch = self._store.epoch
         if epoch is None or epoch == self._epoch:
             return False
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -232,8 +232,9 @@
             return
         if answer is not None:
             self._apply(answer.changes, sent_at - answer.age)
-        # When the peer that the others in a zone ask stops answering, their
-        # copies are old until the next peer has asked the store.
+        # An old copy counts as a failure: after the peer that queries the
+        # store for its zone fails, the copies of the other peers stay old
+        # until its successor has queried the store.
         self._has_failed = answer is None or answer.age > self._wait
         if self._has_failed:
             await anyio.sleep(PEER_RETRY_SECONDS)
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -151,7 +151,8 @@
         :param expected: the version read before, or ``NO_VERSION`` to create
             the object.
         :return: the new version.
-        :raises CrowdeckError: ``STORE_CONFLICT`` when another wrote first.
+        :raises CrowdeckError: ``STORE_CONFLICT`` if the object has another
+            version.
         """
         ...
 
