--- a/src/crowdeck/entry/answers.py
+++ b/src/crowdeck/entry/answers.py
@@ -131,7 +131,7 @@
         """Refuse the question, as entries answer none from sidecars."""
         raise errors.CrowdeckError(
             errors.Code.MALFORMED,
-            "an entry does not answer this question",
+            f"an entry does not answer {type(question).__name__}",
             verdict=verdicts.Verdict.NOT_RUN,
         )
 
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -111,7 +111,7 @@
             )
             if self._resume is not None:
                 # The request's first connection took the session's turn.
-                return await self._drive(sink).run(
+                return await self._make_driver(sink).run(
                     self._resume.to_resume_point()
                 )
             return await self._run_in_turn(sink)
@@ -126,7 +126,7 @@
             deadline,
         ):
             if not self._context.key:
-                return await self._drive(sink).run()
+                return await self._make_driver(sink).run()
             return await self._run_keyed(sink)
 
     async def _run_keyed(self, sink: "_Collector | _Streamer") -> str:
@@ -137,22 +137,27 @@
             claimed_request = attrs.evolve(
                 self._model_request, request=claimed.request
             )
-            drive = driver.RequestDriver(
+            request_driver = driver.RequestDriver(
                 self._dependencies, claimed_request, sink, self._context.span
             )
             try:
-                return await drive.run(claimed.resume)
+                return await request_driver.run(claimed.resume)
             except errors.CrowdeckError as error:
-                if error.code != errors.Code.ANSWER_GONE or drive.pieces:
+                if (
+                    error.code != errors.Code.ANSWER_GONE
+                    or request_driver.pieces
+                ):
                     raise
             # That answer is no longer kept. A model's answer may be computed
             # again, so the key is claimed for a new one.
             claimed = await self._keys.claim(
                 self._model_request, key, claimed.nonce
             )
-        return await self._drive(sink).run(path=claimed.path)
+        return await self._make_driver(sink).run(path=claimed.path)
 
-    def _drive(self, sink: "_Collector | _Streamer") -> driver.RequestDriver:
+    def _make_driver(
+        self, sink: "_Collector | _Streamer"
+    ) -> driver.RequestDriver:
         return driver.RequestDriver(
             self._dependencies, self._model_request, sink, self._context.span
         )
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -73,7 +73,8 @@
         self._drained = anyio.Event()
         self._peers: set[link.Peer] = set()
         # For each entry, the number of running attempts and calls in its last
-        # report, and the value of _reports_sent from which it gets the next.
+        # report, and the value that _reports_sent must reach before it gets
+        # the next report.
         self._reported: dict[str, tuple[int, int]] = {}
         self._reports_sent = 0
 
