--- a/src/crowdeck/standin/repeats.py
+++ b/src/crowdeck/standin/repeats.py
@@ -95,8 +95,7 @@
         self, since: float, repeats: list[float], allowance: Allowance
     ) -> Peak:
         window = allowance.window_seconds
-        # Entries earn a window's repeats with the requests of the window
-        # before it.
+        # Requests of the preceding window also allow repeats in this one.
         requests = max(
             _count_in_window(self._requests, since - offset, window)
             for offset in (0.0, window / 2, window)
--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -58,7 +58,8 @@
         self._changed = anyio.Event()
         self.delay = delay
         self._is_unresponsive = False
-        # Differs from an earlier count if calls stopped being answered since.
+        # Incremented by each stop_answering(), so that a pending watch
+        # notices it.
         self._unresponsive_count = 0
         self.is_down = False
         self.lost_replies = 0
--- a/src/crowdeck/wire/questions.py
+++ b/src/crowdeck/wire/questions.py
@@ -181,14 +181,14 @@
 
 @attrs.frozen
 class Done:
-    """The question was carried out."""
+    """The receiver did what the question asks for."""
 
     detail: str = ""
 
 
 @attrs.frozen
 class Refused:
-    """The question was not carried out.
+    """The receiver did not do what the question asks for.
 
     :ivar retry_after: time in seconds, -1 if unknown.
     """
--- a/src/crowdeck/wire/rpc.py
+++ b/src/crowdeck/wire/rpc.py
@@ -211,7 +211,10 @@
         return codec.REPLIES.encode(reply)
 
     async def wait_greeted(self) -> RpcPeer | None:
-        """Return the peer, or ``None`` if it is of another cluster."""
+        """Wait for the greeting and return the peer.
+
+        :return: ``None`` if the peer belongs to another cluster.
+        """
         await self._greeted.wait()
         return self.peer
 
