--- a/src/crowdeck/chain.py
+++ b/src/crowdeck/chain.py
@@ -254,7 +254,7 @@
     """Return the engines whose layers are within the model's.
 
     An engine whose layers end beyond the model's serves another model,
-    whatever its directory entry says.
+    even if its stored object names this service.
     """
     return [
         engine
--- a/src/crowdeck/errors.py
+++ b/src/crowdeck/errors.py
@@ -118,8 +118,8 @@
 class LinkLost(CrowdeckError):
     """A link closed or became silent before a reply arrived.
 
-    :ivar was_sent: whether the question may have reached the peer; only
-        if not, the verdict is ``NOT_RUN``.
+    :ivar was_sent: whether the question may have reached the peer; if
+        false, the verdict is ``NOT_RUN``, else ``MAY_HAVE_RUN``.
     """
 
     def __init__(self, message: str, *, was_sent: bool, culprit: str) -> None:
@@ -163,7 +163,7 @@
 
 @attrs.frozen
 class ErrorReport:
-    """The body of an error answer, as OpenAI clients expect it."""
+    """The fields of an error that callers and operators are shown."""
 
     code: str
     message: str
--- a/src/crowdeck/pipeline.py
+++ b/src/crowdeck/pipeline.py
@@ -108,4 +108,6 @@
         for index, stage in enumerate(self.stages):
             if (stage.instance, stage.incarnation) == (instance, incarnation):
                 return index
-        raise LookupError(f"{instance} is not a stage of this path")
+        raise LookupError(
+            f"incarnation {incarnation} of {instance} is not in this path"
+        )
