--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -53,9 +53,13 @@
 }
 
 
-def free_port() -> int:
-    """Return a free port outside the ephemeral port range."""
-    return ports.find_free(1, os.getpid())[0]
+def free_ports(count: int) -> list[int]:
+    """Return free ports, all different, outside the ephemeral port range.
+
+    The ports of one process come from one call: two calls may return the same
+    port, because nothing listens on it yet.
+    """
+    return ports.find_free(count, os.getpid())
 
 
 def render_template(template: str, values: dict[str, str]) -> str:
@@ -130,13 +134,13 @@
         body = make_config(fleet_system.MODEL, fleet_system.PLAIN)
         store.write(names.CONFIG_KIND, names.CONFIG_NAME, orjson.dumps(body))
         tasks.start_soon(chain_http.heartbeat, fleet, store)
-        callers, status = free_port(), free_port()
+        callers, status, internal = free_ports(3)
         text = render_template(
             TEMPLATE.read_text(),
             {
                 **SETTINGS,
                 "platform.address": f"{HOST}:{port}",
-                "internal_port_range.0": str(free_port()),
+                "internal_port_range.0": str(internal),
                 "listen_addresses.frontend": f"{HOST}:{callers}",
                 "listen_addresses.readiness": f"{HOST}:{status}",
             },
@@ -320,15 +324,16 @@
         self, tmp_path: pathlib.Path
     ) -> None:
         async def body() -> None:
+            platform, callers, status = free_ports(3)
             path = tmp_path / "entry.ini"
             path.write_text(
                 render_template(
                     TEMPLATE.read_text(),
                     {
                         **SETTINGS,
-                        "platform.address": f"{HOST}:{free_port()}",
-                        "listen_addresses.frontend": f"{HOST}:{free_port()}",
-                        "listen_addresses.readiness": f"{HOST}:{free_port()}",
+                        "platform.address": f"{HOST}:{platform}",
+                        "listen_addresses.frontend": f"{HOST}:{callers}",
+                        "listen_addresses.readiness": f"{HOST}:{status}",
                     },
                 )
             )
@@ -437,17 +442,17 @@
         self, tmp_path: pathlib.Path
     ) -> None:
         async def body() -> None:
-            port = free_port()
+            platform, internal, port, status = free_ports(4)
             path = tmp_path / "entry.ini"
             path.write_text(
                 render_template(
                     TEMPLATE.read_text(),
                     {
                         **SETTINGS,
-                        "platform.address": f"{HOST}:{free_port()}",
-                        "internal_port_range.0": str(free_port()),
+                        "platform.address": f"{HOST}:{platform}",
+                        "internal_port_range.0": str(internal),
                         "listen_addresses.frontend": f"{HOST}:{port}",
-                        "listen_addresses.readiness": f"{HOST}:{free_port()}",
+                        "listen_addresses.readiness": f"{HOST}:{status}",
                     },
                 )
             )
