--- a/src/crowdeck/placement/exposure.py
+++ b/src/crowdeck/placement/exposure.py
@@ -88,7 +88,7 @@
         if holder.first == 0:
             assert holder.engine.layers is not None
             hop = chain.Hop(holder.engine, holder.engine.layers)
-            cost = holder.token_ms * holder.end
+            cost = holder.layer_ms * holder.end
             search.offer(cheapest.PartialPath(cost, 1, hop, None))
     return search.run()
 
--- a/src/crowdeck/routing/cheapest.py
+++ b/src/crowdeck/routing/cheapest.py
@@ -36,16 +36,16 @@
 
 @attrs.frozen
 class Holder:
-    """The cheapest engine of one zone that holds a given range of layers.
+    """An engine that holds a range of layers, and its cost.
 
-    :ivar token_ms: cost of a token for each layer, in ms.
+    :ivar layer_ms: cost of a token in each of its layers, in ms.
     """
 
     engine: chain.Upstream
     first: int
     end: int
     zone: str
-    token_ms: float
+    layer_ms: float
 
 
 # Returns the cost of going from one zone to another, in ms a token.
@@ -136,7 +136,7 @@
         )
         for holder in self._holders_at(first_layer):
             end = holder.end
-            cost_ms = cost_ms_by_zone[holder.zone] + holder.token_ms * (
+            cost_ms = cost_ms_by_zone[holder.zone] + holder.layer_ms * (
                 end - first_layer
             )
             if cost_ms + least_remaining_ms[end] >= self._least_total_ms:
@@ -166,10 +166,10 @@
     """Return a lower bound on the cost from each layer on, in ms a token."""
     least_ms = [float("inf")] * layer_count
     for holder in holders:
-        token_ms = holder.token_ms
+        layer_ms = holder.layer_ms
         for layer in range(holder.first, min(holder.end, layer_count)):
-            if token_ms < least_ms[layer]:
-                least_ms[layer] = token_ms
+            if layer_ms < least_ms[layer]:
+                least_ms[layer] = layer_ms
     remaining_ms = [0.0] * (layer_count + 1)
     for layer in reversed(range(layer_count)):
         remaining_ms[layer] = remaining_ms[layer + 1] + least_ms[layer]
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -344,10 +344,10 @@
                 continue
             zone = engine.availability_zone
             key = (layers.first, layers.end, zone)
-            token_ms = self._layer_ms(engine, request)
+            layer_ms = self._layer_ms(engine, request)
             known = cheapest_engines.get(key)
-            if known is None or token_ms < known.token_ms:
-                cheapest_engines[key] = cheapest.Holder(engine, *key, token_ms)
+            if known is None or layer_ms < known.layer_ms:
+                cheapest_engines[key] = cheapest.Holder(engine, *key, layer_ms)
         return list(cheapest_engines.values())
 
     def _engine_ms(
