--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -41,8 +41,8 @@
     :ivar is_sure: whether a missing report is due to the engine and not to
         the lag of this entry.
     :ivar at: loop time of the result.
-    :ivar was_refused: whether the connection failed in a way that shows that
-        the network works, such as a refusal or a reset.
+    :ivar has_error: whether the request failed instead of staying
+        unanswered, as by a refused or reset connection.
     :ivar is_gone: whether its process is known to have ended.
     """
 
@@ -51,7 +51,7 @@
     reason: str
     is_sure: bool
     at: float
-    was_refused: bool = False
+    has_error: bool = False
     is_gone: bool = False
 
     @property
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -217,7 +217,7 @@
         """
         if not probe.is_silent:
             return False
-        if probe.was_refused:
+        if probe.has_error:
             return True
         usable = self._context.registry.usable(probe.upstream.service)
         controls = [*others, *probes.pick_controls(probe.upstream, usable)]
@@ -230,8 +230,7 @@
             for control in controls:
                 tasks.start_soon(ask, control)
         return any(
-            answer.report is not None or answer.was_refused
-            for answer in answers
+            answer.report is not None or answer.has_error for answer in answers
         )
 
     def _claim_check(self, stream: live.LiveStream, now: float) -> bool:
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -140,7 +140,7 @@
             prober = probes.Prober(client, lambda _: True)
             probe = await prober.probe(make_run(7))
             assert not probe.is_silent
-            assert not probe.was_refused
+            assert not probe.has_error
             assert not probe.is_gone
 
         virtual.run(body)
