--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -97,7 +97,7 @@
         self._update_ranking()
 
     @property
-    def entries(self) -> int:
+    def entry_count(self) -> int:
         """Number of all entries, 0 before the first listing."""
         return self.known_entry_count if self._listed.is_set() else 0
 
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -160,7 +160,7 @@
             service=service,
             left=round(budget.remaining, 2),
             requests=budget.requests,
-            entries=self.membership.entries,
+            entries=self.membership.entry_count,
             running=round(anyio.current_time() - self.started_at, 3),
         )
 
@@ -240,8 +240,8 @@
         assert not self._budgets, "budgets are in use already"
 
         def apply_shares() -> None:
-            self.usage.set_entry_count(roster.zone_count, roster.entries)
-            self.limits.set_entry_count(roster.entries)
+            self.usage.set_entry_count(roster.zone_count, roster.entry_count)
+            self.limits.set_entry_count(roster.entry_count)
 
         self.membership = roster
         roster.subscribe(apply_shares)
--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -37,7 +37,7 @@
     """What an entry knows about the entries that share its budget."""
 
     @property
-    def entries(self) -> int:
+    def entry_count(self) -> int:
         """Number of entries, this one included; 0 while unknown."""
         ...
 
@@ -56,7 +56,7 @@
 class FixedMembership:
     """A constant number of entries."""
 
-    entries: int = 1
+    entry_count: int = 1
     since: float = float("-inf")
     is_settled: bool = True
 
@@ -258,7 +258,7 @@
                 anyio.current_time() * WINDOW_BUCKETS / self._window_seconds
             ),
             self._retries.changes,
-            self._membership.entries,
+            self._membership.entry_count,
             self._membership.is_settled,
         )
         if cache_key != self._cache_key:
@@ -334,14 +334,14 @@
         It is 0 while the number of entries is unknown, and no more than
         a new process gets while some entries may not be counted.
         """
-        entries = self._membership.entries
-        if not entries:
+        entry_count = self._membership.entry_count
+        if not entry_count:
             return 0.0
         since = max(self._began, self._membership.since)
         share = self._share_since(since)
         if not self._membership.is_settled:
             share = min(share, RESTART_SHARE)
-        return share * self._slack / entries
+        return share * self._slack / entry_count
 
     def _share_since(self, since: float) -> float:
         """Return the part of a share that may be spent now, 0 to 1.
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -124,7 +124,7 @@
     async def wait_until_listed(self) -> None:
         """Wait until each entry has listed the others."""
         while not all(
-            entry.context.membership.entries for entry in self._entries
+            entry.context.membership.entry_count for entry in self._entries
         ):
             await anyio.sleep(0.001)
 
--- a/tests/test_hops.py
+++ b/tests/test_hops.py
@@ -302,7 +302,7 @@
         async def body() -> None:
             membership = budgets.FixedMembership(4)
             spent = 0
-            for _ in range(membership.entries):
+            for _ in range(membership.entry_count):
                 budget = budgets.SharedRetryBudget(
                     0.2, 100.0, 10.0, membership=membership
                 )
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -29,7 +29,7 @@
 class Members:
     """A :class:`budgets.Membership` that a test changes."""
 
-    entries: int = 1
+    entry_count: int = 1
     since: float = float("-inf")
     is_settled: bool = True
 
@@ -75,17 +75,17 @@
 
     def test_is_none_while_the_number_of_entries_is_unknown(self) -> None:
         async def body() -> None:
-            members = Members(entries=0)
+            members = Members(entry_count=0)
             budget = _budget(membership=members)
             assert not _spend_all(budget)
-            members.entries = 2
+            members.entry_count = 2
             assert _spend_all(budget)
 
         virtual.run(body)
 
     def test_grows_from_when_others_count_this_entry(self) -> None:
         async def body() -> None:
-            members = Members(entries=2, since=float("inf"))
+            members = Members(entry_count=2, since=float("inf"))
             budget = _budget(membership=members)
             await anyio.sleep(30.0)
             assert not _spend_all(budget)
@@ -132,7 +132,7 @@
 
     def test_is_small_until_entries_started_together_are_counted(self) -> None:
         async def body() -> None:
-            members = Members(entries=1, is_settled=False)
+            members = Members(entry_count=1, is_settled=False)
             budget = _budget(membership=members)
             assert _spend_all(budget) <= budgets.RESTART_SHARE * SLACK
 
@@ -140,10 +140,10 @@
 
     def test_shrinks_as_others_join(self) -> None:
         async def body() -> None:
-            members = Members(entries=1)
+            members = Members(entry_count=1)
             budget = _budget(membership=members)
             assert _spend_all(budget) == 80
-            members.entries = 10
+            members.entry_count = 10
             await anyio.sleep(WINDOW_SECONDS + BUCKET_SECONDS)
             assert _spend_all(budget) == 8
 
