--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -91,7 +91,7 @@
         self._ranking: tuple[peer_selection.Peer, ...] = ()
         self._listed = anyio.Event()
         self._listeners: list[Listener] = []
-        self._since = float("inf")
+        self._registered_at = float("inf")
         self._is_settled = False
         self._get_age: AgeSource = lambda: float("inf")
         self._update_ranking()
@@ -102,9 +102,9 @@
         return self.known_entry_count if self._listed.is_set() else 0
 
     @property
-    def since(self) -> float:
+    def registered_at(self) -> float:
         """Event loop time since which this entry's record is in the store."""
-        return self._since
+        return self._registered_at
 
     @property
     def is_settled(self) -> bool:
@@ -115,7 +115,9 @@
         """
         if not self._is_settled:
             current_at = anyio.current_time() - self._get_age()
-            self._is_settled = current_at >= self._since + SETTLE_SECONDS
+            self._is_settled = (
+                current_at >= self._registered_at + SETTLE_SECONDS
+            )
         return self._is_settled
 
     @property
@@ -210,7 +212,7 @@
             stored.name == self._name for stored in objects
         ):
             # Registered by an earlier process, so all other entries count it.
-            self._since = float("-inf")
+            self._registered_at = float("-inf")
         self._listed.set()
         self._versions.clear()
         self.on_changed(objects, ())
@@ -252,7 +254,7 @@
         self._publish_evidence()
 
     def _note_stored(self) -> None:
-        self._since = min(self._since, anyio.current_time())
+        self._registered_at = min(self._registered_at, anyio.current_time())
 
     def _is_registered(self) -> bool:
         is_stored = self._name in self._versions
--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -42,7 +42,7 @@
         ...
 
     @property
-    def since(self) -> float:
+    def registered_at(self) -> float:
         """Loop time from which the other entries count this one."""
         ...
 
@@ -57,7 +57,7 @@
     """A constant number of entries."""
 
     entry_count: int = 1
-    since: float = float("-inf")
+    registered_at: float = float("-inf")
     is_settled: bool = True
 
 
@@ -337,7 +337,7 @@
         entry_count = self._membership.entry_count
         if not entry_count:
             return 0.0
-        since = max(self._began, self._membership.since)
+        since = max(self._began, self._membership.registered_at)
         share = self._share_since(since)
         if not self._membership.is_settled:
             share = min(share, RESTART_SHARE)
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -132,7 +132,8 @@
         """Wait until the record of each entry is in the store."""
         never = float("inf")
         while any(
-            entry.context.membership.since == never for entry in self._entries
+            entry.context.membership.registered_at == never
+            for entry in self._entries
         ):
             await anyio.sleep(0.001)
 
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -30,7 +30,7 @@
     """A :class:`budgets.Membership` that a test changes."""
 
     entry_count: int = 1
-    since: float = float("-inf")
+    registered_at: float = float("-inf")
     is_settled: bool = True
 
 
@@ -85,11 +85,11 @@
 
     def test_grows_from_when_others_count_this_entry(self) -> None:
         async def body() -> None:
-            members = Members(entry_count=2, since=float("inf"))
+            members = Members(entry_count=2, registered_at=float("inf"))
             budget = _budget(membership=members)
             await anyio.sleep(30.0)
             assert not _spend_all(budget)
-            members.since = anyio.current_time()
+            members.registered_at = anyio.current_time()
             assert not _spend_all(budget)
             await anyio.sleep(5.0)
             few = _spend_all(budget)
