--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -61,7 +61,7 @@
     :ivar failures: failures since it was last healthy.
     :ivar refusals: refusals that followed soon after one another.
     :ivar is_probed: whether a probe of it may be in progress.
-    :ivar is_gone: whether its process is known to have ended.
+    :ivar has_ended: whether its process is known to have ended.
     :ivar leaving_at: when it announced that it leaves, as known here.
     :ivar lapsed_at: when its record was removed around an outage.
     """
@@ -72,7 +72,7 @@
     failures: int = 0
     refusals: int = 0
     is_probed: bool = False
-    is_gone: bool = False
+    has_ended: bool = False
     leaving_at: float | None = None
     lapsed_at: float | None = None
 
@@ -312,25 +312,27 @@
         answer may still execute requests that it received.
         """
         state = self._states.get(name)
-        return state is None or state.is_gone
+        return state is None or state.has_ended
 
-    def avoid(self, name: str, reason: str, *, is_gone: bool = False) -> None:
+    def avoid(
+        self, name: str, reason: str, *, has_ended: bool = False
+    ) -> None:
         """Give a failed instance no work for a time, longer at each failure.
 
-        :param is_gone: whether its process is known to have ended.
+        :param has_ended: whether its process is known to have ended.
         """
         state = self._states.get(name)
         now = anyio.current_time()
         if state is None:
             return
-        if is_gone and not state.is_gone:
+        if has_ended and not state.has_ended:
             # Listeners are notified even if it is avoided already.
-            state.is_gone = True
+            state.has_ended = True
             self._notify_end(state.upstream)
         if state.avoided_until > now and not state.is_probed:
             return
         state.is_probed = False
-        state.is_gone = is_gone
+        state.has_ended = has_ended
         state.failures += 1
         avoid_seconds = AVOID_SECONDS * 2.0 ** (state.failures - 1)
         state.avoided_until = now + min(avoid_seconds, MAX_AVOID_SECONDS)
@@ -342,7 +344,7 @@
             reason=reason,
             seconds=state.avoided_until - now,
             failures=state.failures,
-            has_ended=is_gone,
+            has_ended=has_ended,
         )
         self._notify()
 
@@ -378,7 +380,7 @@
         if state is None or not state.failures:
             return
         state.failures = 0
-        state.is_gone = False
+        state.has_ended = False
         state.avoided_until = 0.0
         logs.change(
             "upstream_trusted",
@@ -490,7 +492,7 @@
         if self._name_by_record.get(record_name) == upstream.name:
             del self._name_by_record[record_name]
         self._log(event, upstream, 0)
-        if not state.is_gone:
+        if not state.has_ended:
             self._notify_end(upstream)
 
     def _notify_end(self, upstream: chain.Upstream) -> None:
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -114,7 +114,7 @@
         probe = await self._prober.probe(upstream)
         if probe.is_gone:
             self._context.registry.avoid(
-                upstream.name, probe.reason, is_gone=True
+                upstream.name, probe.reason, has_ended=True
             )
             await self._rerouter.reroute_around(upstream)
         elif upstream.card:
@@ -198,7 +198,7 @@
         probe = await self._prober.probe(upstream)
         if await self._is_lost(probe, ()):
             self._context.registry.avoid(
-                upstream.name, probe.reason, is_gone=probe.is_gone
+                upstream.name, probe.reason, has_ended=probe.is_gone
             )
             await self._rerouter.reroute_around(upstream)
         elif probe.report is not None:
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -151,7 +151,7 @@
             with anyio.move_on_after(0.05):
                 await entry.ask(request)
             name = entries.fleet.runs_of(request.id)[0].upstream
-            entry.registry.avoid(name, "nobody listens", is_gone=True)
+            entry.registry.avoid(name, "nobody listens", has_ended=True)
             request_fingerprint = requests.fingerprint_of(request, "kiosks")
             assert entry.context.quarantine.is_suspect(request_fingerprint)
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -99,7 +99,7 @@
     async def test_resets_what_was_known_before(self) -> None:
         recorder = RecordingRegistry()
         recorder.apply(stored_record(1, born=100))
-        recorder.registry.avoid("e#100", "failed", is_gone=True)
+        recorder.registry.avoid("e#100", "failed", has_ended=True)
         assert recorder.usable == []
         recorder.apply(stored_record(2, born=200, layers=None))
         assert [upstream.name for upstream in recorder.usable] == ["e#200"]
@@ -138,7 +138,7 @@
     async def test_end_known_already_is_not_reported_again(self) -> None:
         recorder = RecordingRegistry()
         recorder.apply(stored_record(1, born=100))
-        recorder.registry.avoid("e#100", "connection refused", is_gone=True)
+        recorder.registry.avoid("e#100", "connection refused", has_ended=True)
         recorder.apply(stored_record(2, born=200))
         assert recorder.ends == ["e#100"]
 
@@ -148,7 +148,7 @@
         recorder.apply(stored_record(1, born=100))
         recorder.registry.avoid("e#100", "silent")
         assert recorder.ends == []
-        recorder.registry.avoid("e#100", "connection refused", is_gone=True)
+        recorder.registry.avoid("e#100", "connection refused", has_ended=True)
         assert recorder.ends == ["e#100"]
 
     @hypothesis.settings(
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -281,7 +281,7 @@
 
     def test_ended_engine_counts_as_gone_while_listed(self) -> None:
         async def work(system: System) -> None:
-            system.registry.avoid("e-1", "refused", is_gone=True)
+            system.registry.avoid("e-1", "refused", has_ended=True)
             await anyio.sleep(0.6)
             assert [str(gap) for gap in system.context.gaps.current_gaps] == [
                 "20-40"
