--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -124,7 +124,7 @@
     async def wait_until_listed(self) -> None:
         """Wait until each entry has listed the others."""
         while not all(
-            entry.context.membership.entries for entry in self._entries
+            entry.context.membership.entry_count for entry in self._entries
         ):
             await anyio.sleep(0.001)
 
@@ -132,7 +132,8 @@
         """Wait until the record of each entry is in the store."""
         never = float("inf")
         while any(
-            entry.context.membership.since == never for entry in self._entries
+            entry.context.membership.registered_at == never
+            for entry in self._entries
         ):
             await anyio.sleep(0.001)
 
