--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -176,7 +176,7 @@
 
     def _publish_evidence(self) -> None:
         self._record = attrs.evolve(
-            self._record, evidence=self._quarantine.own
+            self._record, evidence=self._quarantine.own_evidence
         )
         self._must_write.set()
 
--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -103,7 +103,7 @@
         self._listeners: list[Listener] = []
 
     @property
-    def own(self) -> evidence.Evidence:
+    def own_evidence(self) -> evidence.Evidence:
         """This entry's own evidence, which is published to the others."""
         return self._own
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -216,7 +216,7 @@
         def body() -> None:
             tracker = trackers.QuarantineTracker(Clock())
             tracker.note_end("e")
-            assert tracker.has_no_suspects and not tracker.own
+            assert tracker.has_no_suspects and not tracker.own_evidence
 
         run_in_virtual_time(body)
 
@@ -308,9 +308,9 @@
             clock.now -= 2 * attribution.SERVED_EXEMPTION_SECONDS
             tracker.note_served(CAUSE)
             assert tracker.has_no_suspects
-            before = tracker.own.served
+            before = tracker.own_evidence.served
             tracker.note_served(CAUSE)
-            assert tracker.own.served == before
+            assert tracker.own_evidence.served == before
 
         run_in_virtual_time(body)
 
@@ -340,7 +340,7 @@
                     name, trackers.AttemptRecord(CAUSE, None)
                 )
                 other.note_end(name)
-            tracker.set_peer_evidence("other", other.own)
+            tracker.set_peer_evidence("other", other.own_evidence)
             assert tracker.is_quarantined(CAUSE)
             assert not other.is_quarantined(CAUSE)
 
@@ -354,10 +354,10 @@
                 tracker_after(3, clock),
             )
             tracker.note_served(CAUSE)
-            assert not tracker.own
-            tracker.set_peer_evidence("other", other.own)
+            assert not tracker.own_evidence
+            tracker.set_peer_evidence("other", other.own_evidence)
             assert not tracker.is_quarantined(CAUSE)
-            other.set_peer_evidence("one", tracker.own)
+            other.set_peer_evidence("one", tracker.own_evidence)
             assert not other.is_quarantined(CAUSE)
 
         run_in_virtual_time(body)
@@ -395,7 +395,7 @@
         def body() -> None:
             clock = Clock()
             tracker, other = tracker_after(2, clock), tracker_after(2, clock)
-            tracker.set_peer_evidence("other", other.own)
+            tracker.set_peer_evidence("other", other.own_evidence)
             assert not tracker.is_quarantined(CAUSE)
 
         run_in_virtual_time(body)
