--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -85,7 +85,7 @@
         self._record = record
         self._quarantine = quarantine or trackers.QuarantineTracker()
         self._must_write = anyio.Event()
-        self._quarantine.subscribe_own(self._publish_evidence)
+        self._quarantine.subscribe_own_evidence(self._publish_evidence)
         self._records: dict[str, EntryRecord] = {name: record}
         self._versions: dict[str, int] = {}
         self._ranking: tuple[peer_selection.Peer, ...] = ()
--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -112,7 +112,7 @@
         """Whether no request is a suspect."""
         return not self._suspects
 
-    def subscribe_own(self, listener: Listener) -> None:
+    def subscribe_own_evidence(self, listener: Listener) -> None:
         """Call ``listener`` when this entry's evidence is to be published."""
         self._own_listeners.append(listener)
 
