--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -103,7 +103,7 @@
         self._listeners: list[Listener] = []
 
     @property
-    def own(self) -> evidence.Evidence:
+    def own_evidence(self) -> evidence.Evidence:
         """This entry's own evidence, which is published to the others."""
         return self._own
 
@@ -112,7 +112,7 @@
         """Whether no request is a suspect."""
         return not self._suspects
 
-    def subscribe_own(self, listener: Listener) -> None:
+    def subscribe_own_evidence(self, listener: Listener) -> None:
         """Call ``listener`` when this entry's evidence is to be published."""
         self._own_listeners.append(listener)
 
