--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -36,7 +36,7 @@
     :param interval: length of the reported intervals in seconds.
     """
     with _open_logs(files, with_file_names=True) as texts:
-        report = losses.account(texts, objectives, interval)
+        report = losses.build_report(texts, objectives, interval)
     lines = [f"{report.requests} requests ended"]
     lines += _table(report.causes, report.requests)
     if report.turned_away:
--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -245,10 +245,10 @@
         return cause
 
 
-def account(
+def build_report(
     texts: typing.Iterable[str], objectives: Objectives, span_seconds: float
 ) -> LossReport:
-    """Return the counts for some log lines; ignores other lines."""
+    """Count the requests in log lines; other lines are ignored."""
     counter = LossCounter(objectives)
     for text in texts:
         line = explain.parse(text)
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -53,17 +53,17 @@
 ]
 
 
-class TestAccount:
+class TestReport:
     """Counts by cause and by time."""
 
     def test_each_request_is_counted_once(self) -> None:
-        found = losses.account(LOG, OBJECTIVES, 2.0)
+        found = losses.build_report(LOG, OBJECTIVES, 2.0)
         assert found.requests == 10
         assert sum(found.causes.values()) == 10
         assert sum(sum(span.causes.values()) for span in found.spans) == 10
 
     def test_causes_are_distinguished(self) -> None:
-        assert losses.account(LOG, OBJECTIVES, 2.0).causes == {
+        assert losses.build_report(LOG, OBJECTIVES, 2.0).causes == {
             "in time": 2,
             "late: its first event": 1,
             "late: a pause; its path was changed": 1,
@@ -76,18 +76,20 @@
         }
 
     def test_failed_attempts_are_counted_by_reason(self) -> None:
-        found = losses.account(LOG, OBJECTIVES, 2.0)
+        found = losses.build_report(LOG, OBJECTIVES, 2.0)
         assert found.turned_away == {"refused": 2}
 
     def test_first_span_begins_with_the_logs(self) -> None:
-        spans = losses.account(LOG, OBJECTIVES, 2.0).spans
+        spans = losses.build_report(LOG, OBJECTIVES, 2.0).spans
         assert [span.since for span in spans] == [0.0, 2.0]
         assert sum(spans[0].causes.values()) == 3
 
     def test_latest_end_of_a_request_counts(self) -> None:
         # Lines of several processes may be out of order.
         log = [ended(20.0, "r1", 0.1, 0.1), refused(19.0, "r1", "X", "why")]
-        assert losses.account(log, OBJECTIVES, 2.0).causes == {"in time": 1}
+        assert losses.build_report(log, OBJECTIVES, 2.0).causes == {
+            "in time": 1
+        }
 
 
 class TestNumberRanges:
@@ -99,7 +101,7 @@
             refused(1.0, "r1", "DEADLINE", "no answer within 1.50 s"),
             refused(5.0, "r2", "DEADLINE", "no answer within 0.75 s"),
         ]
-        found = losses.account(log, OBJECTIVES, 2.0)
+        found = losses.build_report(log, OBJECTIVES, 2.0)
         cause = "refused: DEADLINE, no answer within 0.75 to 1.5 s"
         assert found.causes == {cause: 2}
         assert [span.causes for span in found.spans] == [
@@ -117,7 +119,7 @@
             )
             for number in range(2)
         ]
-        found = losses.account(log, OBJECTIVES, 2.0)
+        found = losses.build_report(log, OBJECTIVES, 2.0)
         assert found.turned_away == {"gave no answer within 1.5 s": 2}
 
     def test_whole_and_fractional_numbers_are_counted_together(self) -> None:
@@ -130,7 +132,7 @@
             refused(1.0, f"r{number}", "LOST", reason)
             for number, reason in enumerate(reasons)
         ]
-        assert losses.account(log, OBJECTIVES, 2.0).causes == {
+        assert losses.build_report(log, OBJECTIVES, 2.0).causes == {
             "refused: LOST, silent for 2 s": 2,
             "refused: LOST, was silent for 3.5 s": 1,
         }
@@ -141,7 +143,7 @@
             refused(1.0, f"r{number}", "LOST", reason)
             for number, reason in enumerate(reasons)
         ]
-        assert losses.account(log, OBJECTIVES, 2.0).causes == {
+        assert losses.build_report(log, OBJECTIVES, 2.0).causes == {
             "refused: LOST, silent for 0.3 to 0.4 s of 1 to 2 s": 2
         }
 
@@ -162,7 +164,7 @@
     ]
 
     def test_only_completed_changes_of_ended_streams_count(self) -> None:
-        found = losses.account(self.LOG, OBJECTIVES, 2.0).reroutes
+        found = losses.build_report(self.LOG, OBJECTIVES, 2.0).reroutes
         assert found.streams == 2
         assert found.in_time == 1
         assert found.noticed.median == pytest.approx(0.12)
@@ -170,7 +172,9 @@
         assert found.pause.median == pytest.approx(0.25)
 
     def test_no_path_changes_give_zeros(self) -> None:
-        found = losses.account([ended(1.0, "r1", 0.1, 0.1)], OBJECTIVES, 2.0)
+        found = losses.build_report(
+            [ended(1.0, "r1", 0.1, 0.1)], OBJECTIVES, 2.0
+        )
         assert found.reroutes.streams == 0
         assert found.reroutes.pause.median == 0.0
 
@@ -186,13 +190,13 @@
             line(1.0, "call_answered", "b", request="r4", status=200),
             line(1.0, "caller_left", "b", request="r5"),
         ]
-        found = losses.account(log, OBJECTIVES, 2.0)
+        found = losses.build_report(log, OBJECTIVES, 2.0)
         assert found.lost_by_source == {"a": 2, "b": 1}
 
     def test_lines_without_a_source_are_counted_as_unnamed(self) -> None:
         text = ended(1.0, "r1", 0.7, 0.1)
         bare = text[text.index("{") :]
-        found = losses.account([bare], OBJECTIVES, 2.0)
+        found = losses.build_report([bare], OBJECTIVES, 2.0)
         assert found.lost_by_source == {losses.UNNAMED: 1}
 
 
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -284,7 +284,9 @@
         texts = [*serialize(lines), refusal]
         found = explain.explain("r1", texts)
         assert "wanted rest" in found.cause
-        assert losses.account(texts, test_losses.OBJECTIVES, 2.0).causes == {
+        assert losses.build_report(
+            texts, test_losses.OBJECTIVES, 2.0
+        ).causes == {
             "refused: NO_PATH, instances at their limits or in rest": 1,
             # The retried request.
             "in time": 1,
@@ -317,7 +319,9 @@
         ]
         for name in ("r1", "r2", "r3"):
             log.append(test_losses.refused(2.0, name, "NO_PATH", "x"))
-        assert losses.account(log, test_losses.OBJECTIVES, 2.0).causes == {
+        assert losses.build_report(
+            log, test_losses.OBJECTIVES, 2.0
+        ).causes == {
             "refused: NO_PATH, no instance": 1,
             "refused: NO_PATH, the instances left were in need": 1,
             "refused: NO_PATH, instances at their limits or in rest": 1,
@@ -342,7 +346,7 @@
         assert found.held_back
         assert found.held_back[0] in found.cause
         assert "more is taken in 3.0 s" in found.cause
-        causes = losses.account(texts, test_losses.OBJECTIVES, 2.0).causes
+        causes = losses.build_report(texts, test_losses.OBJECTIVES, 2.0).causes
         assert causes == {
             "refused: NO_PATH, instances at their limits or in rest": 1
         }
@@ -354,7 +358,7 @@
             await system.ask(system.request(STREAM))
 
         run_scenario(work)
-        causes = losses.account(
+        causes = losses.build_report(
             serialize(lines), test_losses.OBJECTIVES, 2.0
         ).causes
         assert causes == {
@@ -389,7 +393,7 @@
 
         refusals: list[str] = []
         run_scenario(work)
-        found = losses.account(
+        found = losses.build_report(
             [*serialize(lines), *refusals], test_losses.OBJECTIVES, 2
         )
         assert found.requests == 300
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -421,7 +421,7 @@
 
 
 class TestOperators:
-    """The log, the gauge and the account of losses."""
+    """The log, the gauge and the report of losses."""
 
     def test_begin_and_end_are_logged_once(
         self, lines: list[dict[str, typing.Any]]
@@ -476,7 +476,7 @@
             test_losses.line(1.0, "no_path", request="r2", missing_layers=3),
             test_losses.refused(1.0, "r2", "NO_PATH", "no path"),
         ]
-        found = losses.account(log, test_losses.OBJECTIVES, 2.0)
+        found = losses.build_report(log, test_losses.OBJECTIVES, 2.0)
         assert found.causes == {
             "refused: NO_PATH, no engine holds some layers": 1,
             "refused: NO_PATH, layers were missing": 1,
