--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -26,7 +26,7 @@
 )
 # Sent by upstreams to entries, not to callers.
 _ENTRY_HEADERS = frozenset(
-    {names.CULPRIT, names.LEAVING, names.LIMIT, names.LOAD}
+    {names.CULPRIT, names.LEAVING, names.RATE_LIMIT, names.LOAD}
 )
 _HOP_BY_HOP_HEADERS = frozenset(
     name.encode() for name in http.HOP_BY_HOP_HEADERS
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -284,7 +284,7 @@
     if response.status == _UNAVAILABLE:
         backoff = _decimal_header(response, names.RETRY_AFTER)
     return pressures.Backpressure(
-        requests_per_second=_decimal_header(response, names.LIMIT),
+        requests_per_second=_decimal_header(response, names.RATE_LIMIT),
         backoff_seconds=backoff or 0.0,
         is_leaving=response.find(names.LEAVING).strip() == _LEAVING_VALUE,
     )
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -251,7 +251,7 @@
         headers.append((names.LOAD, load_text.encode()))
     if backpressure.requests_per_second is not None:
         headers.append(
-            (names.LIMIT, str(backpressure.requests_per_second).encode())
+            (names.RATE_LIMIT, str(backpressure.requests_per_second).encode())
         )
     if backpressure.backoff_seconds:
         seconds = str(backpressure.backoff_seconds).encode()
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -288,7 +288,7 @@
             for answer in refused:
                 assert float(dict(answer.headers)[names.RETRY_AFTER]) > 0.0
             header_names = {name.lower() for name, _ in answers[0].headers}
-            assert names.LIMIT not in header_names
+            assert names.RATE_LIMIT not in header_names
 
         anyio.run(run_entry, scenario)
 
