--- a/bench/soak/budget.py
+++ b/bench/soak/budget.py
@@ -33,7 +33,7 @@
     """
 
     service: str
-    peak: repeats.Peak
+    peak: repeats.RepeatWindow
     start_seconds: float
 
     def __str__(self) -> str:
@@ -70,10 +70,8 @@
     started_at = min(outcome.sent_at for outcome in outcomes)
     found = []
     for service, arrived in sorted(arrivals.items()):
-        peaks = _build_counter(service, outcomes, arrived).peaks(allowance)
-        peak = max(
-            peaks, key=lambda candidate: candidate.repeats / candidate.allowed
-        )
+        windows = _build_counter(service, outcomes, arrived).windows(allowance)
+        peak = max(windows, key=lambda window: window.repeats / window.allowed)
         found.append(ServicePeak(service, peak, peak.started_at - started_at))
     return found
 
--- a/src/crowdeck/standin/repeats.py
+++ b/src/crowdeck/standin/repeats.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class Peak:
+class RepeatWindow:
     """The repeats in one window and how many it allows.
 
     :ivar started_at: start of the window in seconds, on the clock of the
@@ -76,13 +76,14 @@
             at for times in self._arrivals.values() for at in times[1:]
         )
 
-    def peak(self, allowance: Allowance) -> Peak:
+    def peak(self, allowance: Allowance) -> RepeatWindow:
         """Return the window with the most repeats above its allowance."""
         return max(
-            self.peaks(allowance), key=lambda peak: peak.repeats - peak.allowed
+            self.windows(allowance),
+            key=lambda peak: peak.repeats - peak.allowed,
         )
 
-    def peaks(self, allowance: Allowance) -> list[Peak]:
+    def windows(self, allowance: Allowance) -> list[RepeatWindow]:
         """Return all windows that start or end at a repeat, or start at 0."""
         repeats = self.repeats()
         window = allowance.window_seconds
@@ -93,7 +94,7 @@
 
     def _measure_window(
         self, since: float, repeats: list[float], allowance: Allowance
-    ) -> Peak:
+    ) -> RepeatWindow:
         window = allowance.window_seconds
         # Requests of the preceding window also allow repeats in this one.
         requests = max(
@@ -101,7 +102,9 @@
             for offset in (0.0, window / 2, window)
         )
         allowed = allowance.ratio * requests + allowance.slack
-        return Peak(since, _count_in_window(repeats, since, window), allowed)
+        return RepeatWindow(
+            since, _count_in_window(repeats, since, window), allowed
+        )
 
 
 def _count_in_window(times: list[float], since: float, seconds: float) -> int:
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -50,7 +50,7 @@
         return SERVICES[self._kind]
 
     @property
-    def peak(self) -> repeats.Peak:
+    def peak(self) -> repeats.RepeatWindow:
         """The window in which repeats most exceed their allowance."""
         return self.counter.peak(ALLOWANCE)
 
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -419,7 +419,7 @@
     def test_no_window_exceeds_the_budget(
         self, count: int, plan: list[Step]
     ) -> None:
-        async def body() -> repeats.Peak:
+        async def body() -> repeats.RepeatWindow:
             entries = Entries(count)
             async with anyio.create_task_group() as tasks:
                 for step in plan:
