--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -362,7 +362,7 @@
             return
         self._record_arrival(target, request.id)
 
-    def thaw(self, target: StandinUpstream) -> None:
+    def resume(self, target: StandinUpstream) -> None:
         """Resume a suspended instance; it reads all pending requests."""
         target.is_suspended = False
         for unread_target, request_id in self._unread:
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -91,7 +91,7 @@
     def thaw(self) -> None:
         """Let all instances read the requests that arrived, and continue."""
         for target in self._instances():
-            self.entries.fleet.thaw(target)
+            self.entries.fleet.resume(target)
 
     async def wait_until_ended(self) -> None:
         """Wait until the last attempts have ended."""
