--- a/src/crowdeck/state/claims.py
+++ b/src/crowdeck/state/claims.py
@@ -36,9 +36,8 @@
 # The platform limits values to one megabyte. A shard near that limit refuses
 # new keys, since no request may run without a written claim.
 MAX_SHARD_BYTES = 900_000
-# Claims written within this time are written again after the store has been
-# restored from a backup. Must exceed the age of the backup: claims written
-# earlier than this are not rewritten, so they must be in the backup.
+# How long after its write a claim is rewritten if the store is restored from a
+# backup. Must exceed the age of the backup, which has to hold older claims.
 REWRITE_WINDOW_SECONDS = 60.0
 # Interval at which entries check whether the store has been restored.
 EPOCH_CHECK_SECONDS = 0.2
@@ -54,7 +53,8 @@
     :ivar key: digest of team, service and key; the key itself is secret.
     :ivar fingerprint: digest of the request that the key was used for.
     :ivar request: id under which the request runs.
-    :ivar nonce: unique to the claimant, which recognises its claim by it.
+    :ivar nonce: unique to this claim; the claimant recognises its claim by
+        it.
     :ivar sidecars: names of the sidecars that may run the request, in the
         order in which they are tried.
     :ivar incarnations: the incarnation of each of these sidecars.
@@ -97,7 +97,8 @@
 def digest_key(team: str, service: str, key: str) -> str:
     """Return the digest under which a caller's key is stored.
 
-    Fingerprints of requests are computed by it as well, from other texts.
+    Fingerprints of service calls are computed with it as well, from the
+    call's method, path and body.
     """
     qualified_key = f"{team}\0{service}\0{key}"
     return xxhash.xxh3_128_hexdigest(qualified_key.encode())
@@ -257,24 +258,27 @@
     ) -> Shard:
         """Add the batch's claims; the first claim on a key wins."""
         now = self._wall_clock()
-        held = {
+        claims_by_key = {
             claim.key: claim for claim in shard.claims if claim.expires > now
         }
         for claim in self._claims_to_rewrite(shard_number):
-            if held.setdefault(claim.key, claim).nonce != claim.nonce:
+            if claims_by_key.setdefault(claim.key, claim).nonce != claim.nonce:
                 counters.COUNTERS.add("claims.lost")
                 logs.change("claim_lost", request=claim.request)
         is_settled = self._clock.now() >= self._settles_at
         for pending in batch:
             key = pending.claim.key
             pending.holder = pending.error = None
-            if key in held and held[key].nonce == pending.replaces:
-                del held[key]
-            if key not in held and not is_settled:
+            if (
+                key in claims_by_key
+                and claims_by_key[key].nonce == pending.replaces
+            ):
+                del claims_by_key[key]
+            if key not in claims_by_key and not is_settled:
                 pending.error = self._unsettled_error()
                 continue
-            pending.holder = held.setdefault(key, pending.claim)
-        return Shard(tuple(held.values()))
+            pending.holder = claims_by_key.setdefault(key, pending.claim)
+        return Shard(tuple(claims_by_key.values()))
 
     def _observe_epoch(self) -> bool:
         """Record the store's epoch; return whether it replaced a known one."""
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -17,16 +17,15 @@
 from crowdeck.state import objects as stores
 
 KIND = "crowdeck-leases"
-# Long enough to outlast two lost renewals, short enough that another holder
-# takes over while requests that depend on the duty still have time.
+# A lease whose object has not changed for this long has expired.
 LEASE_SECONDS = 4.5
 RENEW_SECONDS = 1.5
-# The holder retries this soon while the store does not answer, so that it
-# renews the lease before it expires if the outage is short.
+# Interval between a holder's steps after one has failed, so that it may still
+# renew the lease before it expires.
 HOLDER_RETRY_SECONDS = 0.5
-# Size of the range of terms reserved for each epoch of the store. Has to
-# exceed the number of versions in an epoch, so that the terms of a later epoch
-# are higher even if the store has lost the latest ones.
+# Size of the range of terms reserved for each epoch of the store. Must exceed
+# the number of versions in an epoch, so that the terms of a later epoch are
+# higher than all earlier ones, including those that a restore has lost.
 TERMS_PER_EPOCH = 2**40
 # The holder stops this long before others may take over, so that a request
 # that it has already sent arrives before the next holder acts. Clocks need not
@@ -58,7 +57,7 @@
 
 
 class Lease:
-    """One process's side of a lease.
+    """A process's handle on a lease: takes, renews and releases it.
 
     Each process times the lease by its own monotonic clock: a lease whose
     object has not been seen to change for ``LEASE_SECONDS`` has expired.
@@ -171,7 +170,11 @@
         while not self._is_released:
             epoch, self._has_failed = self._epoch, False
             try:
-                if self.is_held or self._is_mine or self._is_candidate():
+                if (
+                    self.is_held
+                    or self._is_recorded_holder
+                    or self._is_candidate()
+                ):
                     await self._step()
             except errors.CrowdeckError as error:
                 self._has_failed = True
@@ -203,7 +206,7 @@
         self._log_change()
 
     @property
-    def _is_mine(self) -> bool:
+    def _is_recorded_holder(self) -> bool:
         return self._record is not None and self._record.holder == self._holder
 
     @property
@@ -218,7 +221,11 @@
         return self._is_closed or self._record.holder == UNREADABLE_HOLDER
 
     async def _step(self) -> None:
-        if self._record is None or not self._is_mine or self._is_outdated:
+        if (
+            self._record is None
+            or not self._is_recorded_holder
+            or self._is_outdated
+        ):
             # A stale answer can only make a take-over fail at its conditional
             # write, and it is cheaper: most calls of candidates are reads.
             is_needed = self._record is None or self._is_outdated
@@ -246,7 +253,7 @@
         if not self._may_take:
             # The lease expired here while the next object was read.
             return
-        if not self.is_held and not self._is_mine:
+        if not self.is_held and not self._is_recorded_holder:
             self._memo = self._record.memo if self._record else ()
         keeps_term = self.is_held and self._index == 0
         term = self._highest_term if keeps_term else self._next_term()
@@ -266,7 +273,7 @@
             record is None
             or not record.holder
             # Nobody else can have held it since: writes are conditional.
-            or self._is_mine
+            or self._is_recorded_holder
             or now - self._record_seen_at >= LEASE_SECONDS
         )
 
@@ -340,7 +347,7 @@
             # another writer or by a write that raced with a restore. No term
             # is higher than the version that its write replaced.
             return epoch_base + max(1, self._version, self._closed_version)
-        return stored if self._is_mine else stored + 1
+        return stored if self._is_recorded_holder else stored + 1
 
     def _step_interval(self) -> float:
         """Return the seconds until the next step."""
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -109,7 +109,7 @@
         self._store = store
         self._kind = kind
         self._listener = listener
-        self._wait = wait
+        self._wait_seconds = wait
         self._linger = linger
         self._health = health or store_health.StoreHealth()
         self._peers = peers or NoPeers()
@@ -216,12 +216,14 @@
 
     async def _ask_peer(self, peer: PeerReplica) -> None:
         """Ask a peer for changes and apply them."""
-        wait = (
-            0.0 if self._has_failed else self._wait + PEER_WATCH_SLACK_SECONDS
+        wait_seconds = (
+            0.0
+            if self._has_failed
+            else self._wait_seconds + PEER_WATCH_SLACK_SECONDS
         )
         sent_at = anyio.current_time()
         try:
-            answer = await peer.watch(self._kind, self.position, wait)
+            answer = await peer.watch(self._kind, self.position, wait_seconds)
         except errors.CrowdeckError as error:
             logs.change(
                 "store_asked_instead", kind=self._kind, reason=error.message
@@ -235,7 +237,7 @@
         # An old copy counts as a failure: after the peer that queries the
         # store for its zone fails, the copies of the other peers stay old
         # until its successor has queried the store.
-        self._has_failed = answer is None or answer.age > self._wait
+        self._has_failed = answer is None or answer.age > self._wait_seconds
         if self._has_failed:
             await anyio.sleep(PEER_RETRY_SECONDS)
 
@@ -243,8 +245,10 @@
         """Call the store once and apply its answer."""
         # The first call after a failure or a suspension does not wait for
         # changes, so that its answer confirms the copy at once.
-        is_stale = self.age() > MAX_CONFIRMED_AGE_WATCHES * self._wait
-        wait = 0.0 if self._has_failed or is_stale else self._wait
+        is_stale = self.age() > MAX_CONFIRMED_AGE_WATCHES * self._wait_seconds
+        wait_seconds = (
+            0.0 if self._has_failed or is_stale else self._wait_seconds
+        )
         sent_at = anyio.current_time()
         if self._must_list:
             listing = await self._store.list(self._kind)
@@ -257,7 +261,9 @@
             return
         changes: stores.Changes | None = None
         with self._health.watch_scope():
-            changes = await self._store.watch(self._kind, self.position, wait)
+            changes = await self._store.watch(
+                self._kind, self.position, wait_seconds
+            )
         if changes is None:
             # The watch was cancelled; send it again.
             self._has_failed = True
@@ -266,7 +272,7 @@
         self._health.record_success()
         if not changes.objects and not changes.removed:
             # Without a change, the copy was current until the watch ended.
-            sent_at += min(anyio.current_time() - sent_at, wait)
+            sent_at += min(anyio.current_time() - sent_at, wait_seconds)
             self._apply(changes, sent_at)
             return
         self._apply(changes, sent_at)
--- a/src/crowdeck/state/replica.py
+++ b/src/crowdeck/state/replica.py
@@ -15,10 +15,10 @@
 class Replica:
     """A copy that knows what changed after a version.
 
-    It keeps, for each name, the version up to which it was current when it
-    learned of the change. An object's own version cannot be used, since a
-    listing of several pages may hold objects that are newer than the version
-    of the listing.
+    For each name it keeps the version that the copy had reached once the
+    name's last change was applied. An object's own version cannot be used,
+    since a listing of several pages may hold objects that are newer than the
+    version of the listing.
 
     All versions are of one epoch. Versions of different epochs cannot be
     compared, so the changes since a position of another epoch are unknown.
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -101,9 +101,8 @@
     ) -> typing.AsyncIterator[CallPermit]:
         """Hold a permit for a block, as returned by :meth:`acquire`.
 
-        A probe ends with the block at the latest. A caller that is cancelled
-        during its probe records no outcome, and the others would wait for it
-        forever.
+        A probe ends with the block at the latest. Otherwise the other callers
+        would wait forever for one that is cancelled during its probe.
 
         :param timeout: seconds to wait at most, after which the permit is
             ``NONE``.
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -38,7 +38,7 @@
 
 
 class TestLedger:
-    """Holders of keys, and the store calls to find them out."""
+    """Who holds a key, and how many store calls it takes to decide that."""
 
     def test_many_claims_share_few_writes(self) -> None:
         async def check() -> None:
@@ -267,7 +267,7 @@
 
         virtual.run(check)
 
-    def test_epoch_check_makes_no_call(self) -> None:
+    def test_epoch_check_without_a_restore_makes_no_call(self) -> None:
         async def check() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -34,8 +34,7 @@
 from tests import virtual
 from tests import zone_system
 
-# A change of the config has to be in force this long after the store has
-# acknowledged it.
+# Every entry has to know a change this long after the store acknowledged it.
 IN_FORCE_SECONDS = 2.0
 # Length of the store's outage, and age of the backup.
 OUTAGE_SECONDS = 2.5
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -5,9 +5,9 @@
 
 """A lease whose object another program overwrites repeatedly.
 
-Each overwrite must not restart the wait for the lease to expire, or nobody
-ever holds it. Nor may two processes hold it, as the overwritten value may have
-been another's renewal.
+No overwrite may restart the wait for the lease to expire, or nobody would ever
+hold it. Nor may two processes hold it at once, although the overwritten value
+may have been another process's renewal.
 """
 
 import random
