--- a/src/crowdeck/quarantine/attribution.py
+++ b/src/crowdeck/quarantine/attribution.py
@@ -25,9 +25,8 @@
 # if not, all of them are quarantined, except those that are served meanwhile.
 QUARANTINE_THRESHOLD_TIED = QUARANTINE_THRESHOLD + 1
 # An end within this time after a request was served is not attributed to it.
-# That protects identical requests sent by many callers, which are present at
-# every end. If a new engine release crashes on a request that was served
-# before, the quarantine of that request is delayed by the same time.
+# Otherwise identical requests of many callers, which are present at every end,
+# would be quarantined.
 SERVED_EXEMPTION_SECONDS = 30.0
 
 
@@ -88,7 +87,7 @@
 def drop_unsettled(
     unexplained: list[UnexplainedEnd], before: float
 ) -> list[UnexplainedEnd]:
-    """Drop suspects that had begun from ends that are too recent.
+    """Return the ends, the recent ones without the suspects that had begun.
 
     :param before: wall-clock time; other entries may not have reported their
         suspects of later ends yet.
@@ -129,9 +128,9 @@
         if top_suspect is None or ranks[top_suspect][0] < threshold:
             return found
         tied = _tied(top_suspect, ranks, remaining)
-        ends = ranks[top_suspect][0]
-        if len(tied) == 1 or ends >= threshold_tied:
-            found |= dict.fromkeys(tied, ends)
+        end_count = ranks[top_suspect][0]
+        if len(tied) == 1 or end_count >= threshold_tied:
+            found |= dict.fromkeys(tied, end_count)
         # These ends are explained, so they count for no other request.
         remaining = [end for end in remaining if not end.suspects & tied]
 
@@ -166,6 +165,6 @@
         suspect for end in unexplained for suspect in end.unbegun
     )
     return {
-        suspect: (ends, unbegun_ends[suspect])
-        for suspect, ends in count_ends(unexplained).items()
+        suspect: (end_count, unbegun_ends[suspect])
+        for suspect, end_count in count_ends(unexplained).items()
     }
--- a/src/crowdeck/quarantine/evidence.py
+++ b/src/crowdeck/quarantine/evidence.py
@@ -15,11 +15,11 @@
 # kept. They bound the size of its record in the store.
 MAX_ENDS = 32
 MAX_SERVED = 32
-# Number of suspects reported per end: those at the most ends first, then those
-# that had not produced an event.
+# Number of suspects reported per end. Those that were present at the most ends
+# are kept, and among equals those that had not produced an event.
 MAX_SUSPECTS = 24
 
-Rank = typing.Callable[[fingerprint.Fingerprint], int]
+EndCounter = typing.Callable[[fingerprint.Fingerprint], int]
 
 
 @attrs.frozen
@@ -96,15 +96,16 @@
             ),
         )
 
-    def with_end(self, end: InstanceEnd, rank: Rank) -> "Evidence":
+    def with_end(self, end: InstanceEnd, count_ends: EndCounter) -> "Evidence":
         """Return the evidence with an end added or merged.
 
-        :param rank: returns the number of known ends of a request.
+        :param count_ends: returns the number of known ends at which a
+            request was present.
         """
         by_instance = {known.instance: known for known in self.ends}
         if end.instance in by_instance:
             end = by_instance[end.instance].merged_with(end)
-        by_instance[end.instance] = _truncated(end, rank)
+        by_instance[end.instance] = _truncated(end, count_ends)
         return attrs.evolve(self, ends=tuple(by_instance.values())[-MAX_ENDS:])
 
     def with_served(self, served: ServedRequest) -> "Evidence":
@@ -119,14 +120,14 @@
         )
 
 
-def _truncated(end: InstanceEnd, rank: Rank) -> InstanceEnd:
+def _truncated(end: InstanceEnd, count_ends: EndCounter) -> InstanceEnd:
     """Return an end with its most likely suspects only."""
     if len(end.suspects) <= MAX_SUSPECTS:
         return end
     order = sorted(
         end.suspects,
         key=lambda request: (
-            -rank(request),
+            -count_ends(request),
             request not in end.unbegun,
             str(request),
         ),
--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -25,9 +25,8 @@
 from crowdeck.quarantine import fingerprint
 from crowdeck import verdict as verdicts
 
-# How long an end counts as evidence. Bounds how many instances a request can
-# crash in an hour, and also how long it stays refused after the engines have
-# been fixed.
+# How long an end counts as evidence, and so about how long a request may
+# stay quarantined after the last end at which it was present.
 EVIDENCE_TTL_SECONDS = 3600.0
 # An attempt whose first event is older than this is not a suspect: a request
 # that crashes its engine does so soon after it has begun.
@@ -96,9 +95,9 @@
         )
         # Wall-clock time of the next review.
         self._review_at = float("inf")
-        self._served: dict[fingerprint.Fingerprint, float] = {}
+        self._served_at: dict[fingerprint.Fingerprint, float] = {}
         # Wall-clock time of the last end that any entry has reported.
-        self._last_end = 0.0
+        self._last_end_at = 0.0
         self._own_listeners: list[Listener] = []
         self._listeners: list[Listener] = []
 
@@ -132,7 +131,7 @@
 
     def seconds_to_settle(self) -> float:
         """Return the seconds until all entries have reported the last end."""
-        settles_at = self._last_end + SETTLE_SECONDS
+        settles_at = self._last_end_at + SETTLE_SECONDS
         return min(max(0.0, settles_at - self._clock()), SETTLE_SECONDS)
 
     def refusal_error(
@@ -189,9 +188,9 @@
     def note_served(self, request: fingerprint.Fingerprint) -> None:
         """Note a request that was served completely."""
         # This clock may be behind that of the entry that saw the last end.
-        now = max(self._clock(), self._last_end)
-        self._served.pop(request, None)
-        self._served[request] = now
+        now = max(self._clock(), self._last_end_at)
+        self._served_at.pop(request, None)
+        self._served_at[request] = now
         self._prune_served(now)
         if request in self._suspects and self._record_served_suspects():
             self._publish_and_review()
@@ -225,18 +224,18 @@
     ) -> evidence.Evidence:
         reported = self._valid(reported)
         for end in reported.ends:
-            known = known.with_end(end, self._rank)
+            known = known.with_end(end, self._count_ends_of)
         for served in reported.served:
             known = known.with_served(served)
         return known
 
     def _add_pending(
-        self, instance: str, attempt_record: AttemptRecord, seconds: float
+        self, instance: str, attempt_record: AttemptRecord, ttl_seconds: float
     ) -> None:
         if not attempt_record.is_suspect:
             return
         self._prune_pending()
-        expires_at = anyio.current_time() + seconds
+        expires_at = anyio.current_time() + ttl_seconds
         attempts = self._pending.setdefault(instance, [])
         attempts.append(_PendingAttempt(attempt_record, expires_at))
 
@@ -261,7 +260,7 @@
         )
         now = self._clock()
         end = evidence.InstanceEnd(instance, now, unbegun, begun)
-        self._own = self._valid(self._own).with_end(end, self._rank)
+        self._own = self._valid(self._own).with_end(end, self._count_ends_of)
         counters.COUNTERS.add("quarantine.ends")
         logs.change(
             "ended_under_requests",
@@ -284,7 +283,7 @@
         """Add served suspects to the evidence; return whether it changed."""
         before = self._own
         for request in self._suspects:
-            at = self._served.get(request)
+            at = self._served_at.get(request)
             if at is not None:
                 served = evidence.ServedRequest(request, at)
                 self._own = self._own.with_served(served)
@@ -293,14 +292,14 @@
 
     def _prune_served(self, now: float) -> None:
         since = now - attribution.SERVED_EXEMPTION_SECONDS
-        while self._served:
-            oldest = next(iter(self._served))
-            is_full = len(self._served) > MAX_SERVED
-            if not is_full and self._served[oldest] >= since:
+        while self._served_at:
+            oldest = next(iter(self._served_at))
+            is_full = len(self._served_at) > MAX_SERVED
+            if not is_full and self._served_at[oldest] >= since:
                 return
-            del self._served[oldest]
+            del self._served_at[oldest]
 
-    def _rank(self, request: fingerprint.Fingerprint) -> int:
+    def _count_ends_of(self, request: fingerprint.Fingerprint) -> int:
         return self._suspects[request]
 
     def _publish_and_review(self) -> None:
@@ -325,7 +324,7 @@
             ends.values(), served_at
         )
         self._suspects = attribution.count_ends(unexplained)
-        self._last_end = max(
+        self._last_end_at = max(
             (instance_end.at for instance_end in ends.values()), default=0.0
         )
         settled = attribution.drop_unsettled(unexplained, now - SETTLE_SECONDS)
@@ -336,7 +335,7 @@
         """Return when the result may next change without new evidence."""
         if not self._suspects:
             return float("inf")
-        settles_at = self._last_end + SETTLE_SECONDS
+        settles_at = self._last_end_at + SETTLE_SECONDS
         if now < settles_at < now + REVIEW_SECONDS:
             return settles_at
         return now + REVIEW_SECONDS
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -379,7 +379,9 @@
 
         run_in_virtual_time(body)
 
-    def test_seconds_to_settle(self) -> None:
+    def test_seconds_to_settle_are_limited_if_the_clock_goes_back(
+        self,
+    ) -> None:
         def body() -> None:
             clock = Clock()
             tracker = tracker_after(3, clock)
