--- a/src/crowdeck/entry/admission.py
+++ b/src/crowdeck/entry/admission.py
@@ -12,9 +12,9 @@
 from crowdeck import errors
 from crowdeck.observe import counters
 
-RETRY_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
 # The part of the capacity that teams above their share may use. The rest is
-# kept for requests of the other teams until the next load reports.
+# reserved for the requests of the other teams.
 OVER_SHARE_FACTOR = 0.9
 
 
@@ -81,19 +81,19 @@
 
     def _require_room(self, team: str, team_limit: int) -> None:
         if self._is_leaving:
-            raise _refusal(errors.Code.LEAVING, "this entry is leaving")
+            raise _refusal_error(errors.Code.LEAVING, "this entry is leaving")
         if self.running >= self.limit:
-            raise _refusal(
+            raise _refusal_error(
                 errors.Code.OVERLOADED,
                 "this entry has reached its request limit",
             )
         if self._running_by_team[team] >= team_limit:
-            raise _refusal(
+            raise _refusal_error(
                 errors.Code.TEAM_LIMIT,
                 f"team {team} has {team_limit} requests in progress",
             )
 
 
-def _refusal(code: errors.Code, message: str) -> errors.CrowdeckError:
+def _refusal_error(code: errors.Code, message: str) -> errors.CrowdeckError:
     counters.COUNTERS.add(f"admission.{code.lower()}")
-    return errors.CrowdeckError(code, message, retry_after=RETRY_SECONDS)
+    return errors.CrowdeckError(code, message, retry_after=RETRY_AFTER_SECONDS)
--- a/src/crowdeck/entry/arrival_watch.py
+++ b/src/crowdeck/entry/arrival_watch.py
@@ -14,9 +14,9 @@
 from crowdeck import timers
 from crowdeck import verdict as verdicts
 
-# A path's stages are probed after this much silence, or after this many
-# average token gaps, whichever is longer, but at most after the maximum. The
-# longer one is used so that a loaded system is not flooded with probes.
+# Silence after which a path's stages are probed: a fixed time or a number of
+# average token gaps, whichever is longer, up to a maximum. A loaded system has
+# longer gaps, and is not to be flooded with probes.
 PROBE_AFTER_SECONDS = 0.4
 PROBE_AFTER_GAPS = 5.0
 MAX_PROBE_AFTER_SECONDS = 2.0
@@ -32,18 +32,20 @@
         self._fleet = fleet
         self._clock = clock
         self._inbox = inbox
-        self._gap_seconds = 0.0
-        self._token_at = 0.0
+        self._average_gap_seconds = 0.0
+        self._last_token_at = 0.0
 
     def note_token(self, at: float) -> None:
         """Update the answer's average gap between tokens.
 
         :param at: monotonic seconds at which the token was received.
         """
-        if self._token_at:
-            gap = at - self._token_at
-            self._gap_seconds += GAP_EWMA_WEIGHT * (gap - self._gap_seconds)
-        self._token_at = at
+        if self._last_token_at:
+            gap = at - self._last_token_at
+            self._average_gap_seconds += GAP_EWMA_WEIGHT * (
+                gap - self._average_gap_seconds
+            )
+        self._last_token_at = at
 
     async def next(
         self, path: pipeline.Path | None, timeout_seconds: float
@@ -71,7 +73,7 @@
         )
 
     def _probe_after_seconds(self) -> float:
-        by_gaps = PROBE_AFTER_GAPS * self._gap_seconds
+        by_gaps = PROBE_AFTER_GAPS * self._average_gap_seconds
         return min(MAX_PROBE_AFTER_SECONDS, max(PROBE_AFTER_SECONDS, by_gaps))
 
     def _find_unusable(self, path: pipeline.Path | None) -> str:
--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -181,13 +181,13 @@
         resume: model_requests.ResumePoint | None,
         path: pipeline.Path | None,
     ) -> str:
-        opening = self._opening(path) if path is not None else None
+        opening = self._make_opening(path) if path is not None else None
         while True:
             try:
                 if resume is not None:
                     pending, resume = resume, None
                     return await self._resume(pending)
-                return await self._attempt(opening or self._plan())
+                return await self._run_attempt(opening or self._plan_opening())
             except _AttemptMoved as moved:
                 opening = moved.opening
             except errors.CrowdeckError as error:
@@ -202,7 +202,7 @@
                 opening = None
                 await self._recover(error)
 
-    def _plan(self) -> messages.Opening:
+    def _plan_opening(self) -> messages.Opening:
         # Only a new answer may be refused because paths are slow.
         gap_limit_seconds = (
             self._request.gap_limit_seconds if self._epoch < 0 else 0.0
@@ -213,9 +213,9 @@
             self._request.adapter,
             gap_limit_seconds,
         )
-        return self._opening(path)
+        return self._make_opening(path)
 
-    def _opening(self, path: pipeline.Path) -> messages.Opening:
+    def _make_opening(self, path: pipeline.Path) -> messages.Opening:
         request = self._request
         return messages.Opening(
             request=request.request,
@@ -261,7 +261,7 @@
         self._span.set_attribute(f"retry.{self._epoch + 1}", str(error.code))
         await anyio.sleep(self._backoff.next())
 
-    async def _attempt(self, opening: messages.Opening) -> str:
+    async def _run_attempt(self, opening: messages.Opening) -> str:
         """Run one attempt to the end of the answer."""
         assert self._inbox is not None
         self._inbox.clear()
@@ -273,7 +273,7 @@
         reply = await head.ask(questions.Open(opening), OPEN_TIMEOUT_SECONDS)
         if isinstance(reply, questions.Refused):
             raise reply.as_error()
-        self._cancel_former()
+        self._cancel_at_former_head()
         path = opening.path
         self._sink.set_location(
             opening.epoch, path.head.instance, path.tail.instance
@@ -291,7 +291,7 @@
             self._dependencies.planner.acquire(path)
         self._path = path
 
-    def _cancel_former(self) -> None:
+    def _cancel_at_former_head(self) -> None:
         """Cancel the attempt at a head that has been replaced."""
         if self._former_head is not None:
             peer, epoch = self._former_head
@@ -307,6 +307,7 @@
                 culprit=path.head.instance,
             )
         if view.peer.greeting.incarnation != path.head.incarnation:
+            # The new run may be used, so the instance is not a culprit.
             raise errors.LinkLost(
                 f"{path.head.instance} was replaced",
                 was_sent=False,
@@ -368,10 +369,10 @@
     async def _consume(self, timeout_seconds: float) -> str:
         """Process arrivals until the answer ends."""
         while True:
-            arrival = await self._next(timeout_seconds)
+            arrival = await self._next_arrival(timeout_seconds)
             match arrival:
                 case messages.Answer():
-                    if await self._take(arrival):
+                    if await self._take_token(arrival):
                         timeout_seconds = TOKEN_TIMEOUT_SECONDS
                 case messages.AnswerEnd():
                     if arrival.epoch == self._epoch:
@@ -388,11 +389,13 @@
                 case answers_module.StageChanged():
                     await self._on_stage_changed(arrival)
 
-    async def _next(self, timeout_seconds: float) -> answers_module.Arrival:
+    async def _next_arrival(
+        self, timeout_seconds: float
+    ) -> answers_module.Arrival:
         assert self._arrivals is not None
         return await self._arrivals.next(self._path, timeout_seconds)
 
-    async def _take(self, answer: messages.Answer) -> bool:
+    async def _take_token(self, answer: messages.Answer) -> bool:
         """Deliver a token if it is the next one of this attempt."""
         received_at = self._dependencies.clock.now()
         if not await self._delivery.take(answer, self._epoch):
@@ -496,7 +499,7 @@
         if index == 0:
             self._former_head = (view.peer, self._epoch)
         return attrs.evolve(
-            self._opening(path),
+            self._make_opening(path),
             warm_position=reply.position,
             warm_context=reply.context,
         )
@@ -504,10 +507,10 @@
     async def _receive_until(self, position: int) -> None:
         """Receive the tokens that were sent before the stage paused."""
         while len(self._delivery) < position:
-            arrival = await self._next(TOKEN_TIMEOUT_SECONDS)
+            arrival = await self._next_arrival(TOKEN_TIMEOUT_SECONDS)
             match arrival:
                 case messages.Answer():
-                    await self._take(arrival)
+                    await self._take_token(arrival)
                 case answers_module.StageChanged():
                     continue
                 case _:
--- a/src/crowdeck/entry/openai.py
+++ b/src/crowdeck/entry/openai.py
@@ -59,7 +59,10 @@
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int) or value < 1:
-        raise _bad_request("'max_tokens' must be a positive integer")
+        raise _bad_request(
+            "'max_tokens' or 'max_completion_tokens' must be a positive "
+            "integer"
+        )
     return value
 
 
--- a/src/crowdeck/entry/service_calls.py
+++ b/src/crowdeck/entry/service_calls.py
@@ -366,7 +366,7 @@
         raise reply.as_error()
     raise errors.CrowdeckError(
         errors.Code.MALFORMED,
-        "unexpected reply to a call",
+        f"the reply to a call is {type(reply).__name__}, expected Called",
         verdict=_MAY_HAVE_RUN,
     )
 
--- a/src/crowdeck/entry/turns.py
+++ b/src/crowdeck/entry/turns.py
@@ -27,7 +27,7 @@
 # Processes may disagree on a session's home for this long after a sidecar's
 # state has changed.
 HOME_CONVERGENCE_SECONDS = 10.0
-RETRY_SECONDS = 0.2
+RETRY_INTERVAL_SECONDS = 0.2
 
 
 @attrs.define(eq=False)
@@ -114,7 +114,7 @@
             if home is None or home.peer is None or seconds_left <= 0:
                 raise errors.CrowdeckError(
                     errors.Code.ORDER,
-                    "the session's turn could not be taken at any sidecar",
+                    "no sidecar could grant the session's turn in time",
                     retry_after=1.0,
                 )
             question = questions.TakeTurn(
@@ -131,11 +131,11 @@
                     home.peer, question, seconds_left
                 )
             except errors.LinkLost:
-                await anyio.sleep(RETRY_SECONDS)
+                await anyio.sleep(RETRY_INTERVAL_SECONDS)
                 continue
             if isinstance(reply, questions.Refused):
                 if reply.code == errors.Code.LEAVING:
-                    await anyio.sleep(RETRY_SECONDS)
+                    await anyio.sleep(RETRY_INTERVAL_SECONDS)
                     continue
                 raise reply.as_error()
             return
