--- a/src/crowdeck/sidecar/attempt.py
+++ b/src/crowdeck/sidecar/attempt.py
@@ -31,7 +31,8 @@
     :ivar credit_limit: positions below this one may be generated.
     :ivar is_waiting_for_credit: whether the next step waits for the caller's
         credit.
-    :ivar is_moved: whether its KV cache was handed to another stage.
+    :ivar is_moved: whether its KV cache was or is being sent to another
+        sidecar.
     :ivar is_in_engine: whether the engine has a step of it.
     :ivar finish: the finish reason, empty while the answer runs.
     """
@@ -112,7 +113,8 @@
         if position > self.next_position or context != self.context:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_POSITION,
-                f"received position {position}, not {self.next_position}",
+                f"received position {position} after {context} tokens, "
+                f"expected {self.next_position} after {self.context}",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
         return True
--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -147,9 +147,9 @@
             del self._attempts[attempt.request]
         attempt.span.end(outcome)
         self._gate.finish(attempt.request)
-        self._tasks.start_soon(self.cancel_engine, attempt.sequence)
+        self._tasks.start_soon(self.cancel_sequence, attempt.sequence)
 
-    async def cancel_engine(self, sequence: str) -> None:
+    async def cancel_sequence(self, sequence: str) -> None:
         """Have the engine drop a KV cache."""
         try:
             await self._engine.cancel(sequence)
@@ -192,7 +192,7 @@
             if now - pending_import.imported_at > ORPHAN_TTL_SECONDS:
                 del self._imports[request]
                 self._tasks.start_soon(
-                    self.cancel_engine, pending_import.sequence
+                    self.cancel_sequence, pending_import.sequence
                 )
 
     def _sweep_head(self, attempt: attempts.Attempt, now: float) -> None:
--- a/src/crowdeck/sidecar/batcher.py
+++ b/src/crowdeck/sidecar/batcher.py
@@ -189,7 +189,8 @@
     if result.sequence != step.sequence:
         return errors.CrowdeckError(
             errors.Code.UPSTREAM_FAILED,
-            "the engine answered for another sequence",
+            f"the engine's result for sequence {step.sequence} is of another "
+            f"sequence",
             verdict=verdicts.Verdict.MAY_HAVE_RUN,
         )
     if result.error:
--- a/src/crowdeck/sidecar/calls.py
+++ b/src/crowdeck/sidecar/calls.py
@@ -93,14 +93,16 @@
         record = self._records.get(call.request)
         if record is None or self._is_retry(call, record):
             record = self._begin(call)
-        return await self._wait(record, call.team, call.seconds_left)
+        return await self._wait_for_reply(record, call.team, call.seconds_left)
 
     async def collect(self, question: questions.Collect) -> questions.Called:
         """Return the answer of an earlier call, waiting while it runs."""
         record = self._records.get(question.request)
         if record is None:
             raise _gone_error()
-        return await self._wait(record, question.team, ANSWER_TTL_SECONDS)
+        return await self._wait_for_reply(
+            record, question.team, ANSWER_TTL_SECONDS
+        )
 
     async def sweep(self) -> None:
         """Drop the answers that are too old or exceed the total size."""
@@ -143,7 +145,7 @@
         self._tasks.start_soon(self._run, call, service, record)
         return record
 
-    async def _wait(
+    async def _wait_for_reply(
         self, record: _CallRecord, team: str, timeout_seconds: float
     ) -> questions.Called:
         if record.team != team:
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -118,7 +118,9 @@
         self._registry.send_to_next(
             attempt, messages.Cancel(attempt.request, attempt.epoch)
         )
-        self._tasks.start_soon(self._registry.cancel_engine, attempt.sequence)
+        self._tasks.start_soon(
+            self._registry.cancel_sequence, attempt.sequence
+        )
 
     def _send_end(self, attempt: attempts.Attempt) -> None:
         pairs = [(piece.token, piece.text) for piece in attempt.pieces]
@@ -204,7 +206,8 @@
 def _wrong_token_error(got: int, expected: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_POSITION,
-        f"received token {got} instead of {expected}",
+        f"received token {got} instead of {expected}, or a token with a "
+        f"wrong context length",
         verdict=_MAY_HAVE_RUN,
     )
 
--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -122,7 +122,8 @@
         except LookupError:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_INCARNATION,
-                f"the path is for another incarnation of {self._instance}",
+                f"the path does not contain this incarnation of "
+                f"{self._instance}",
                 culprit=self._instance,
             ) from None
 
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -215,7 +215,7 @@
             case _:
                 raise errors.CrowdeckError(
                     errors.Code.MALFORMED,
-                    "a sidecar does not answer this question",
+                    f"a sidecar does not answer {type(question).__name__}",
                 )
 
     # Planned stop.
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -282,7 +282,7 @@
             # The attempt was dropped while the engine ran the step. The step
             # may have created the KV cache again.
             self._tasks.start_soon(
-                self._registry.cancel_engine, attempt.sequence
+                self._registry.cancel_sequence, attempt.sequence
             )
             return None
         if not attempt.is_running:
--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -76,7 +76,7 @@
         self._scopes: list[anyio.CancelScope] = []
         self._connections: dict[str, zone_system.StoreConnection] = {}
         self._listed: dict[str, chain.Upstream] = {}
-        self._starts = 0
+        self._restart_count = 0
         self._add_fleet(copies, parts)
         for _ in range(count):
             entry = self.start()
@@ -263,11 +263,13 @@
     async def _restart(self, name: str) -> None:
         await anyio.sleep(RESTART_SECONDS)
         target = self.fleet.at(self._listed[name].address)
-        self._starts += 1
-        new_run = attrs.evolve(target.listed, name=f"{name}.{self._starts}")
+        self._restart_count += 1
+        new_run = attrs.evolve(
+            target.listed, name=f"{name}.{self._restart_count}"
+        )
         if self.keeps_ids:
             incarnation = chain.Incarnation(
-                target.listed.incarnation.id, self._starts
+                target.listed.incarnation.id, self._restart_count
             )
             new_run = attrs.evolve(
                 new_run,
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -25,13 +25,12 @@
 
 SIDECARS = ("s0-0", "s0-1", "s1-0", "s1-1", "s2-0", "s2-1", "r0", "r1")
 ENTRIES = ("e0", "e1")
-ANSWERS = 5
-CALLS = 6
-TOKENS = 60
+ANSWER_COUNT = 5
+CALL_COUNT = 6
+TOKEN_COUNT = 60
 
-# Number of schedules per test. For more than CI has time for, run
-# CROWDECK_SCHEDULES=500 make unit.
-EXAMPLES = int(os.environ.get("CROWDECK_SCHEDULES", "12"))
+# Schedules per test; CROWDECK_SCHEDULES=500 make unit runs more of them.
+SCHEDULE_COUNT = int(os.environ.get("CROWDECK_SCHEDULES", "12"))
 # Time after which all messages have arrived; the longest fault takes 3 s.
 SETTLE_SECONDS = 6.0
 
@@ -39,7 +38,7 @@
     derandomize=True,
     database=None,
     deadline=None,
-    max_examples=EXAMPLES,
+    max_examples=SCHEDULE_COUNT,
     suppress_health_check=list(hypothesis.HealthCheck),
     print_blob=False,
 )
@@ -90,9 +89,9 @@
     async def make_requests(self, schedule: list[Fault]) -> None:
         """Make requests while the faults of a schedule are injected."""
         async with anyio.create_task_group() as tasks:
-            for number in range(ANSWERS):
+            for number in range(ANSWER_COUNT):
                 tasks.start_soon(self._answer, number)
-            for number in range(CALLS):
+            for number in range(CALL_COUNT):
                 # Two callers for each key, at different entries.
                 for entry in (0, 1):
                     tasks.start_soon(self._call, f"k{number}", entry)
@@ -106,7 +105,7 @@
         prompt = f"question {number}"
         caller = self.answers[prompt] = systems.Caller()
         try:
-            await self.system.answer(prompt, caller, TOKENS, number % 2)
+            await self.system.answer(prompt, caller, TOKEN_COUNT, number % 2)
         except errors.CrowdeckError as error:
             self.failures.append(error)
 
@@ -163,11 +162,12 @@
 
     def _check_answers(self) -> None:
         for prompt, caller in self.answers.items():
-            expected = self.system.expected(prompt, TOKENS)
+            expected = self.system.expected(prompt, TOKEN_COUNT)
             texts = caller.texts if caller.pieces else []
             assert texts == expected[: len(texts)], "a wrong token"
         complete_count = sum(
-            len(caller.pieces) == len(self.system.expected(prompt, TOKENS))
+            len(caller.pieces)
+            == len(self.system.expected(prompt, TOKEN_COUNT))
             for prompt, caller in self.answers.items()
         )
         assert complete_count + len(self.failures) >= len(self.answers), (
@@ -180,7 +180,7 @@
         for outcome in self.calls:
             if outcome.error is None:
                 assert outcome.body == f"{outcome.name} run 1".encode()
-        assert len(self.calls) == 2 * CALLS, "a call has no outcome"
+        assert len(self.calls) == 2 * CALL_COUNT, "a call has no outcome"
 
 
 class TestAnyFaults:
