--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -76,7 +76,7 @@
         opening: messages.Opening,
         keeps_kv: bool,
     ) -> None:
-        """End an earlier attempt, also at a next stage the new path omits.
+        """End an earlier attempt, and cancel a next stage not on the new path.
 
         Stages that are on both paths receive the new opening instead. A
         ``Cancel`` could drop the KV cache that a warm opening needs.
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -69,14 +69,13 @@
     until that lease has expired.
 
     Another writer may corrupt the object, and it is then unknown whether the
-    lease had been renewed or taken by another process. So a corrupted object
-    never holds the lease again. A process that finds it creates the next
+    lease had been renewed or taken by another process. So the lease continues
+    in another object: a process that finds the corruption creates the next
     object, under another name, and closes the corrupted one by a conditional
-    write. From then on nobody renews the lease in the closed object. It has
-    expired ``LEASE_SECONDS`` later, and only then may other processes take
-    the lease in the next object. A current holder moves there at once. The
-    lease is never taken in an object that has a next one, whatever is written
-    to it later.
+    write. Nobody renews the lease in a closed object, so it has expired there
+    ``LEASE_SECONDS`` later, and only then may other processes take it in the
+    next object. A current holder moves there at once. The lease is never
+    taken in an object that has a next one, whatever is written to it later.
 
     :param duty: name of the work that only the holder does; the lease's
         objects are named after it.
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -106,10 +106,10 @@
 
     :ivar age: seconds from when the peer's copy was known to be current
         until the question arrived; negative if the copy became current
-        while the question waited. Subtracted from the time at which the
-        question was sent, it gives a time at which the asker's copy was
-        current. Clocks of two processes are not compared, and the result is
-        never too recent, since a question arrives after it was sent.
+        while the question waited. The asker subtracts it from the time at
+        which it sent the question, which gives a time at which its own copy
+        was current. This compares no clocks of two processes, and never
+        gives too late a time, since a question arrives after it was sent.
     """
 
     changes: Changes
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -37,12 +37,17 @@
 def end(
     instance: str, unbegun: str = "", begun: str = "", at: float = 0.0
 ) -> evidence.InstanceEnd:
+    """Return an end; each letter stands for one request."""
     return evidence.InstanceEnd(
         instance, at, fingerprints(unbegun), fingerprints(begun)
     )
 
 
 def culprits(*ends: evidence.InstanceEnd, **served: float) -> str:
+    """Return the letters of the requests to quarantine.
+
+    :param served: times at which requests were served, by their letters.
+    """
     served_at = {
         fingerprint.Fingerprint(letter): at for letter, at in served.items()
     }
