--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -74,7 +74,7 @@
             body.get(names.OBJECTIVE_MS)
             or body.get(names.TIMEOUT_MS, DEFAULT_TIMEOUT_MS)
         ),
-        max_pause_seconds=_seconds(body.get(names.GAP_MS) or 0),
+        max_pause_seconds=_seconds(body.get(names.MAX_PAUSE_MS) or 0),
         priority=int(body.get(names.CONFIG_PRIORITY) or 0),
         is_anonymous=bool(body.get(names.ANONYMOUS, False)),
         is_resumable=is_resumable,
@@ -97,7 +97,7 @@
     engine = body.get(names.ENGINE)
     return routes.Service(
         name=str(body[names.NAME]),
-        connection_limit=int(body.get(names.CONNECTIONS) or 0),
+        connection_limit=int(body.get(names.CONNECTION_LIMIT) or 0),
         profile=_profile(engine) if engine else None,
     )
 
@@ -114,10 +114,12 @@
     return chain.EngineProfile(
         layer_count=int(body[names.LAYERS]),
         layer_mb=float(body[names.LAYER_MB]),
-        kv_bytes_per_token=float(body[names.TOKEN_BYTES]),
+        kv_bytes_per_token=float(body[names.KV_BYTES_PER_TOKEN]),
         step_ms=float(body[names.STEP_MS]),
-        sequence_ms=float(body[names.SEQUENCE_MS]),
-        context_ms_per_1000_tokens=float(body[names.CONTEXT_MS]),
+        sequence_ms=float(body[names.MS_PER_SEQUENCE]),
+        context_ms_per_1000_tokens=float(
+            body[names.CONTEXT_MS_PER_1000_TOKENS]
+        ),
         prefill_tokens_per_second=float(body[names.PREFILL_TOKENS_PER_SECOND]),
         activation_bytes=float(body[names.ACTIVATION_BYTES]),
         zone_link_bytes_per_second=float(body[names.ZONE_LINK_MBPS]) * 1e6 / 8,
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -34,7 +34,7 @@
 _NOT_RUN_STATUSES = frozenset({_MISDIRECTED})
 _LEAVING_VALUE = b"1"
 # Longest part of an unreadable header that is logged.
-_LOGGED_BYTES = 40
+_MAX_LOGGED_BYTES = 40
 
 
 class UpstreamAnswer:
@@ -155,7 +155,8 @@
         if status != 200:
             raise errors.CrowdeckError(
                 errors.Code.UPSTREAM_FAILED,
-                f"a report was answered with status {status}",
+                f"the engine answered a report request with status {status}; "
+                "expected 200",
             )
         report = upstreams.decode_report(body)
         if report.is_from_later_run(upstream.incarnation):
@@ -306,7 +307,7 @@
         logs.change(
             "header_unread",
             name=name.decode("latin-1"),
-            value=text[:_LOGGED_BYTES].decode("latin-1"),
+            value=text[:_MAX_LOGGED_BYTES].decode("latin-1"),
         )
         return None
     return value
--- a/src/crowdeck/platform/fields.py
+++ b/src/crowdeck/platform/fields.py
@@ -30,7 +30,7 @@
     return value
 
 
-def token(body: Json, name: str) -> str:
+def header_text(body: Json, name: str) -> str:
     """Return a string field that can be sent in an HTTP header.
 
     :raises KeyError: if it is missing.
@@ -39,7 +39,9 @@
     """
     value = text(body, name)
     if not value or not value.isascii() or not value.isprintable():
-        raise ValueError(f"{name} is {value!r:.40}, not printable ASCII")
+        raise ValueError(
+            f"{name} is {value!r:.40}; expected non-empty printable ASCII"
+        )
     return value
 
 
@@ -54,7 +56,9 @@
     if type(value) is not int:
         raise TypeError(f"{name} is {value!r:.40}, not an integer")
     if not 0 <= value <= MAX_EXACT_INTEGER:
-        raise ValueError(f"{name} is {value}, out of range")
+        raise ValueError(
+            f"{name} is {value}; expected 0 to {MAX_EXACT_INTEGER}"
+        )
     return value
 
 
@@ -69,7 +73,9 @@
     if type(value) not in (int, float):
         raise TypeError(f"{name} is {value!r:.40}, not a number")
     if not 0 <= value <= MAX_EXACT_INTEGER:
-        raise ValueError(f"{name} is {value}, out of range")
+        raise ValueError(
+            f"{name} is {value}; expected 0 to {MAX_EXACT_INTEGER}"
+        )
     return float(value)
 
 
--- a/src/crowdeck/platform/names.py
+++ b/src/crowdeck/platform/names.py
@@ -66,9 +66,8 @@
 STATE = "state"
 STATE_READY = "ready"
 STATE_DRAINING = "draining"
-ACCELERATOR_TYPE = (
-    "route_kind"  # in an upstream's object or report: the accelerator type
-)
+# In an upstream's object: its accelerator type.
+ACCELERATOR_TYPE = "route_kind"
 LAYERS = "layers"  # a range, but in profiles a count
 FIRST_LAYER = "from"
 END_LAYER = "target_version"  # in a layer range: its exclusive end
@@ -82,7 +81,7 @@
 SLOWDOWN = "pace"  # in a report: relative step time, above 1 if slow
 STALLED = "stalled"
 ID = "id"
-STARTED_MS = "born"  # milliseconds since 1970
+STARTED_MS = "born"  # milliseconds since the Unix epoch
 
 # Orders.
 OPERATION = "operation"
@@ -109,7 +108,7 @@
 KIND_STREAMING = "streaming"
 TIMEOUT_MS = "timeout_ms"
 OBJECTIVE_MS = "target_latency_ms"
-GAP_MS = "target_gap_ms"
+MAX_PAUSE_MS = "target_gap_ms"
 MAX_ATTEMPTS = "max_attempts"
 CONFIG_PRIORITY = "priority"
 ANONYMOUS = "allow_anonymous"
@@ -120,13 +119,13 @@
 BODY_BYTES = "max_body_bytes"
 HEADER_TIMEOUT_MS = "header_timeout_ms"
 IDLE_TIMEOUT_MS = "idle_timeout_ms"
-CONNECTIONS = "connection_limit"
+CONNECTION_LIMIT = "connection_limit"
 
 # A service's engine profile.
 ENGINE = "engine"
 STEP_MS = "step_ms"
-SEQUENCE_MS = "per_seq_ms"
-CONTEXT_MS = "context_per_k"
+MS_PER_SEQUENCE = "per_seq_ms"
+CONTEXT_MS_PER_1000_TOKENS = "context_per_k"
 PREFILL_TOKENS_PER_SECOND = "read_per_s"
 PAIRS_MS = "pairs_per_m"
 CHUNK = "chunk"
@@ -135,7 +134,7 @@
 MEMORY_MB = "size_mb"
 STEP_FACTOR = "pace"  # in an accelerator type: relative step time
 PREFILL_FACTOR = "read_factor"
-TOKEN_BYTES = "kv_token_bytes"  # noqa: S105
+KV_BYTES_PER_TOKEN = "kv_token_bytes"  # noqa: S105
 ACTIVATION_BYTES = "activation_bytes"
 ZONE_LINK_MBPS = "pipeline_mbps"
 LOAD_SECONDS = "load_time_s"
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -88,7 +88,7 @@
         if response.status in (404, 409):
             raise errors.CrowdeckError(
                 errors.Code.STORE_CONFLICT,
-                f"{kind}/{name} has another version than expected",
+                f"{kind}/{name} is not at the expected version {expected}",
             )
         return _decode_object(kind, _decode_written(response)).version
 
@@ -200,7 +200,7 @@
     def _epoch_of(self, response: upstream.ServiceResponse) -> int:
         """Return the epoch in an answer, or 0 if there is none.
 
-        An unreadable epoch is logged; the last known epoch is returned.
+        If it is unreadable, this is logged and the last known epoch returned.
         """
         value = response.find(_EPOCH)
         if not value:
@@ -243,7 +243,7 @@
     logged and must not prevent the others from being read.
     """
     if not isinstance(items, list):
-        raise _store_down_error("the store's list is malformed")
+        raise _store_down_error("the store's answer has no list of objects")
     found = []
     for item in items:
         try:
@@ -323,6 +323,6 @@
         return _store_down_error("the store did not accept the write")
     return errors.CrowdeckError(
         errors.Code.STORE_UNSURE,
-        "the store's reply to a write was lost",
+        "no valid reply from the store; the write may have been stored",
         verdict=verdict,
     )
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -38,7 +38,7 @@
     try:
         body = orjson.loads(stored.value)
         incarnation = chain.Incarnation(
-            fields.token({names.ID: stored.name}, names.ID),
+            fields.header_text({names.ID: stored.name}, names.ID),
             _start_time_ms(body),
         )
         return chain.Upstream(
@@ -54,7 +54,9 @@
             layers=_layers(body),
         )
     except _DECODE_ERRORS as error:
-        raise _malformed_error(f"entry {stored.name!r:.80}", error) from None
+        raise _malformed_error(
+            f"the stored upstream {stored.name!r:.80}", error
+        ) from None
 
 
 def decode_report(content: bytes) -> chain.EngineReport:
@@ -90,7 +92,9 @@
     # Every instance writes its state; other writers' objects have none.
     state = fields.text(body, names.STATE)
     if state not in _STATES:
-        raise ValueError(f"the state {state!r:.40} is unknown")
+        raise ValueError(
+            f"the state is {state!r:.40}; expected one of {sorted(_STATES)}"
+        )
     return state
 
 
@@ -111,7 +115,9 @@
     first = fields.integer(value, names.FIRST_LAYER)
     end = fields.integer(value, names.END_LAYER)
     if end > MAX_LAYER_COUNT:
-        raise ValueError(f"a model cannot have {end} layers")
+        raise ValueError(
+            f"the layers end at {end}; expected at most {MAX_LAYER_COUNT}"
+        )
     return pipeline.LayerRange(first, end) if end > first else None
 
 
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -125,7 +125,7 @@
     return stores.StoredObject("k", name, 3, orjson.dumps(body))
 
 
-class TestEntries:
+class TestUpstreams:
     """Stored objects of upstream instances and reports of engines."""
 
     def test_end_of_layers_is_read_from_target_version(self) -> None:
