--- a/src/crowdeck/settings/config.py
+++ b/src/crowdeck/settings/config.py
@@ -164,7 +164,7 @@
 
     @property
     def is_fleet(self) -> bool:
-        """Whether engines chain their stages, without sidecars."""
+        """Whether this is an entry whose engines call the next stage."""
         return bool(self.fleet["callers"])
 
     @property
@@ -196,7 +196,8 @@
     :raises CrowdeckError: with a message that names the section, the option
         and the allowed values.
     """
-    # No file can contain this name, so [DEFAULT] has no special meaning.
+    # No file can have a section of this name, so [DEFAULT] has no special
+    # meaning.
     parser = configparser.ConfigParser(
         interpolation=None, default_section="\0none"
     )
@@ -288,11 +289,14 @@
 
 
 def _require(
-    section: str, known: options.Options, values: Section, *names: str
+    section: str,
+    section_options: options.Options,
+    values: Section,
+    *names: str,
 ) -> None:
     for name in names:
         if not values[name]:
-            allowed = known.get(name).allowed
+            allowed = section_options.get(name).allowed
             raise errors.ConfigError(
                 f"[{section}] {name}: required; expected {allowed}"
             )
--- a/src/crowdeck/settings/editor.py
+++ b/src/crowdeck/settings/editor.py
@@ -116,8 +116,11 @@
 
         Distinguishes a lost reply, a concurrent edit and a failed write.
         """
-        ambiguous = (errors.Code.STORE_CONFLICT, errors.Code.STORE_UNSURE)
-        if error.code not in ambiguous:
+        ambiguous_codes = (
+            errors.Code.STORE_CONFLICT,
+            errors.Code.STORE_UNSURE,
+        )
+        if error.code not in ambiguous_codes:
             raise error
         current = await self.read()
         if current.change == change:
--- a/src/crowdeck/settings/fleet_options.py
+++ b/src/crowdeck/settings/fleet_options.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Options of an entry whose engines chain their stages themselves."""
+"""Options of an entry whose engines call the next stage."""
 
 from crowdeck.settings import options
 
--- a/src/crowdeck/settings/tree.py
+++ b/src/crowdeck/settings/tree.py
@@ -209,7 +209,8 @@
     :raises SettingsError: with a message that names the section, the option
         and the allowed values.
     """
-    # No file can contain this name, so [DEFAULT] has no special meaning.
+    # No file can have a section of this name, so [DEFAULT] has no special
+    # meaning.
     parser = configparser.ConfigParser(
         interpolation=None, default_section="\0none", strict=True
     )
@@ -319,5 +320,5 @@
 
 def _not_set_error(section: str, option: str) -> errors.SettingsError:
     return errors.SettingsError(
-        f"[{section}] {option}: not set in this section, thus inherited"
+        f"[{section}] {option}: not set in this section, so it cannot be unset"
     )
