--- a/src/crowdeck/observe/counters.py
+++ b/src/crowdeck/observe/counters.py
@@ -3,11 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Counters, gauges and timers of one process, exported through statsd.
+"""Counters, gauges and timers of one process.
 
-Updates only change a table in memory, as they occur for every token; a
-periodic flush sends the changes as statsd packets. ``docs/METRICS.md``
-lists the names.
+Updates only change a table in memory, as they occur for every token. A
+periodic flush sends the changes as statsd packets; the table is also
+available in the Prometheus text format. ``docs/METRICS.md`` lists the names.
 """
 
 import bisect
@@ -37,7 +37,6 @@
 # out of the statsd timers but counted in the histograms.
 TIMING_LIMIT = 1_000
 
-
 # Upper bounds of the histogram buckets, in seconds.
 BUCKET_BOUNDS_SECONDS = (
     *(0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.35),
@@ -69,7 +68,7 @@
 
     def __init__(self) -> None:
         self._counts: collections.Counter[str] = collections.Counter()
-        self._sent: collections.Counter[str] = collections.Counter()
+        self._sent_counts: collections.Counter[str] = collections.Counter()
         self._gauges: dict[str, float] = {}
         self._timings: list[tuple[str, float]] = []
         self._histograms: dict[str, Histogram] = {}
@@ -114,10 +113,10 @@
     def flush(self, client: StatsdClient) -> None:
         """Send the changes since the last flush, and all gauges."""
         for name, value in self._counts.items():
-            change = value - self._sent[name]
+            change = value - self._sent_counts[name]
             if change:
                 client.incr(name, change)
-                self._sent[name] = value
+                self._sent_counts[name] = value
         for name, level in self._gauges.items():
             client.gauge(name, level)
         for name, seconds in self._timings:
--- a/src/crowdeck/observe/explain.py
+++ b/src/crowdeck/observe/explain.py
@@ -104,8 +104,8 @@
     :ivar context: state changes that may have affected it.
     :ivar cause: why it failed, empty if unknown.
     :ivar has_failed: whether it failed, was late or was abandoned.
-    :ivar held_back: instances that it was not sent to because of their rate
-        limit, a back-off or a shutdown.
+    :ivar held_back: addresses of instances that it was not sent to because
+        of their rate limit, a backoff or a shutdown.
     """
 
     request: str
@@ -121,18 +121,18 @@
 
     Text before the JSON is kept as the source of the line.
     """
-    begin = text.find("{")
-    if begin < 0:
+    json_start = text.find("{")
+    if json_start < 0:
         return None
     try:
-        body = orjson.loads(text[begin:])
+        body = orjson.loads(text[json_start:])
         kind = str(body.pop("message_type"))
         at = float(body.pop("timestamp"))
     except (KeyError, TypeError, ValueError, AttributeError):
         return None
     if not kind.startswith(PREFIX):
         return None
-    return Line(at, kind[len(PREFIX) :], text[:begin].strip(), body)
+    return Line(at, kind[len(PREFIX) :], text[:json_start].strip(), body)
 
 
 def explain(
@@ -144,36 +144,41 @@
     :param texts: log lines of any number of processes, in any order.
     :param max_pause: longest pause, in seconds, for which a stream is in time.
     """
-    own: list[Line] = []
+    request_lines: list[Line] = []
     # Bounded, as the logs may contain more state changes than fit in memory.
-    recent: collections.deque[Line] = collections.deque(maxlen=5_000)
+    state_changes: collections.deque[Line] = collections.deque(maxlen=5_000)
     for text in texts:
         line = parse(text)
         if line is None:
             continue
         if line.fields.get("request") == request:
-            own.append(line)
+            request_lines.append(line)
         elif line.kind in _STATE_EVENTS:
-            recent.append(line)
-    own.sort(key=lambda line: line.at)
-    context = _context(own, recent)
-    cause, has_failed = _find_cause(own, max_pause)
+            state_changes.append(line)
+    request_lines.sort(key=lambda line: line.at)
+    context = _context(request_lines, state_changes)
+    cause, has_failed = _find_cause(request_lines, max_pause)
     return Explanation(
-        request, tuple(own), context, cause, has_failed, _held_back(own)
+        request,
+        tuple(request_lines),
+        context,
+        cause,
+        has_failed,
+        _held_back(request_lines),
     )
 
 
 def _context(
-    own: list[Line], changes: typing.Iterable[Line]
+    request_lines: list[Line], state_changes: typing.Iterable[Line]
 ) -> tuple[Line, ...]:
-    if not own:
+    if not request_lines:
         return ()
-    request_text = " ".join(str(line) for line in own)
-    sources = {line.source for line in own}
-    first, last = own[0].at - CONTEXT_SECONDS, own[-1].at
+    request_text = " ".join(str(line) for line in request_lines)
+    sources = {line.source for line in request_lines}
+    first, last = request_lines[0].at - CONTEXT_SECONDS, request_lines[-1].at
     found = [
         line
-        for line in changes
+        for line in state_changes
         if first <= line.at <= last
         and line.source in sources
         and _is_relevant(line, request_text)
@@ -182,8 +187,8 @@
     return tuple(found[-CONTEXT_LINES:])
 
 
-def _held_back(own: list[Line]) -> tuple[str, ...]:
-    lists = [str(line.fields.get("held_back") or "") for line in own]
+def _held_back(request_lines: list[Line]) -> tuple[str, ...]:
+    lists = [str(line.fields.get("held_back") or "") for line in request_lines]
     names = [name for text in lists for name in text.split(",") if name]
     return tuple(dict.fromkeys(names))
 
@@ -201,14 +206,16 @@
     return any(str(name) in request_text for name in names)
 
 
-def _find_cause(own: list[Line], max_pause: float) -> tuple[str, bool]:
-    ends = [line for line in own if line.kind in END_EVENTS]
+def _find_cause(
+    request_lines: list[Line], max_pause: float
+) -> tuple[str, bool]:
+    ends = [line for line in request_lines if line.kind in END_EVENTS]
     if not ends:
-        return "", bool(own)
+        return "", bool(request_lines)
     end = ends[-1]
     match end.kind:
         case "refused" | "answer_cut":
-            return _refusal_cause(own, end), True
+            return _refusal_cause(request_lines, end), True
         case "caller_left":
             after = end.fields.get("after")
             return f"the caller left after {after} s", True
@@ -219,21 +226,23 @@
                 return f"{upstream} itself answered {status}", True
             return "", False
         case _:
-            return _stream_cause(own, end, max_pause)
+            return _stream_cause(request_lines, end, max_pause)
 
 
-def _refusal_cause(own: list[Line], end: Line) -> str:
+def _refusal_cause(request_lines: list[Line], end: Line) -> str:
     code = str(end.fields.get("code", ""))
     cause = _CAUSES.get(code, f"error {code}")
     cause += f": {end.fields.get('reason', '')}"
     shortages = [
-        line for line in own if line.kind in ("no_path", "no_instance")
+        line
+        for line in request_lines
+        if line.kind in ("no_path", "no_instance")
     ]
     if shortages:
         cause += "; " + _describe_shortage(shortages[-1])
     failures = [
         str(line.fields.get("reason", ""))
-        for line in own
+        for line in request_lines
         if line.kind in ("attempt_failed", "call_failed")
     ]
     if failures:
@@ -258,8 +267,15 @@
             f"more is taken in {ready_in} s"
         )
     if line.kind == "no_instance":
-        held = f"; {held_back} were held back" if held_back else ""
-        return f"{line.fields.get('listed')} instances were listed{held}"
+        unavailable = (
+            f"; {held_back} were unavailable because of a rate limit, a "
+            "backoff or a shutdown"
+            if held_back
+            else ""
+        )
+        return (
+            f"{line.fields.get('listed')} instances were listed{unavailable}"
+        )
     if missing:
         first = line.fields.get("first_missing")
         return (
@@ -273,14 +289,14 @@
 
 
 def _stream_cause(
-    own: list[Line], end: Line, max_pause: float
+    request_lines: list[Line], end: Line, max_pause: float
 ) -> tuple[str, bool]:
     pause = float(end.fields.get("longest_pause") or 0.0)
     if pause <= max_pause:
         return "", False
     reasons = [
         f"{line.kind}: {line.fields.get('reason') or _describe_culprits(line)}"
-        for line in own
+        for line in request_lines
         if line.kind in ("attempt_failed", "stream_silent", "path_changed")
     ]
     cause = f"the stream paused for {pause} s"
--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -27,8 +27,9 @@
 MIN_WAIT_SECONDS = 0.1
 IN_TIME = "in time"
 CALLER_LEFT = "the caller left"
-# Marks refusals because of a caller's mistake in the report.
+# Marks the causes of refusals that a caller's mistake explains.
 _CALLER_ERROR = "by right"
+# Stands for the process of log lines without a source.
 UNNAMED = "(the logs do not name it)"
 # Placeholder for a number in a reason until the range of all such numbers is
 # known.
@@ -49,8 +50,8 @@
 
 
 @attrs.frozen
-class Span:
-    """The requests that ended within one interval.
+class Interval:
+    """The requests that ended within one interval of time.
 
     :ivar since: start, in seconds after the first line of the logs.
     :ivar causes: number of requests by outcome.
@@ -66,6 +67,7 @@
 
     :ivar causes: number of requests by outcome, most common first.
     :ivar turned_away: number of failed attempts by reason.
+    :ivar spans: counts by interval of time.
     :ivar lost_by_source: number of requests that were refused, failed or
         late, by the entry that logged their end; without those that the
         caller ended or that were refused because of a caller's mistake.
@@ -75,7 +77,7 @@
     requests: int
     causes: dict[str, int]
     turned_away: dict[str, int]
-    spans: tuple[Span, ...]
+    spans: tuple[Interval, ...]
     lost_by_source: dict[str, int]
     reroutes: reroutes.Reroutes
 
@@ -147,14 +149,14 @@
         if line.kind == "attempt_failed":
             self._failed_attempts[self._normalize_reason(line)] += 1
 
-    def report(self, span_seconds: float) -> LossReport:
+    def report(self, interval_seconds: float) -> LossReport:
         """Return the counts, in total and per interval.
 
-        :param span_seconds: length of an interval.
+        :param interval_seconds: length of an interval.
         """
         causes: collections.Counter[str] = collections.Counter()
         sources: collections.Counter[str] = collections.Counter()
-        spans: dict[int, collections.Counter[str]] = {}
+        intervals: dict[int, collections.Counter[str]] = {}
         for request in self._requests.values():
             if request.end is None:
                 continue
@@ -162,15 +164,15 @@
             causes[cause] += 1
             if cause not in _NOT_LOST and _CALLER_ERROR not in cause:
                 sources[_process_name(request.end.source)] += 1
-            index = int((request.end.at - self._start) / span_seconds)
-            spans.setdefault(index, collections.Counter())[cause] += 1
+            index = int((request.end.at - self._start) / interval_seconds)
+            intervals.setdefault(index, collections.Counter())[cause] += 1
         return LossReport(
             requests=sum(causes.values()),
             causes=self._fill_ranges(causes),
             turned_away=self._fill_ranges(self._failed_attempts),
             spans=tuple(
-                Span(index * span_seconds, self._fill_ranges(found))
-                for index, found in sorted(spans.items())
+                Interval(index * interval_seconds, self._fill_ranges(counts))
+                for index, counts in sorted(intervals.items())
             ),
             lost_by_source=dict(sources.most_common()),
             reroutes=self._reroutes.summary(),
@@ -246,7 +248,9 @@
 
 
 def build_report(
-    texts: typing.Iterable[str], objectives: Objectives, span_seconds: float
+    texts: typing.Iterable[str],
+    objectives: Objectives,
+    interval_seconds: float,
 ) -> LossReport:
     """Count the requests in log lines; other lines are ignored."""
     counter = LossCounter(objectives)
@@ -254,7 +258,7 @@
         line = explain.parse(text)
         if line is not None:
             counter.add(line)
-    return counter.report(span_seconds)
+    return counter.report(interval_seconds)
 
 
 def _path_shortage(line: explain.Line) -> str:
--- a/src/crowdeck/observe/reroutes.py
+++ b/src/crowdeck/observe/reroutes.py
@@ -30,8 +30,8 @@
         if not values:
             return cls(0.0, 0.0)
         ordered = sorted(values)
-        high = ordered[int(0.9 * (len(ordered) - 1))]
-        return cls(statistics.median(ordered), high)
+        percentile_90 = ordered[int(0.9 * (len(ordered) - 1))]
+        return cls(statistics.median(ordered), percentile_90)
 
 
 @attrs.frozen
@@ -69,12 +69,12 @@
     def add(self, line: explain.Line) -> None:
         """Count one line."""
         request = str(line.fields.get("request", ""))
-        silent = float(line.fields.get("silent") or 0.0)
+        silent_seconds = float(line.fields.get("silent") or 0.0)
         match line.kind:
             case "stream_silent" if line.fields.get("culprits"):
-                self._noticed.append(silent)
+                self._noticed.append(silent_seconds)
             case "path_changed" if line.fields.get("outcome") == _DONE:
-                self._agreed[request] = silent
+                self._agreed[request] = silent_seconds
             case "stream_ended":
                 pause = float(line.fields.get("longest_pause") or 0.0)
                 self._longest_pause[request] = pause
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -79,7 +79,7 @@
         found = losses.build_report(LOG, OBJECTIVES, 2.0)
         assert found.turned_away == {"refused": 2}
 
-    def test_first_span_begins_with_the_logs(self) -> None:
+    def test_first_interval_begins_with_the_logs(self) -> None:
         spans = losses.build_report(LOG, OBJECTIVES, 2.0).spans
         assert [span.since for span in spans] == [0.0, 2.0]
         assert sum(spans[0].causes.values()) == 3
