--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -95,7 +95,7 @@
     shown = needs[: entry_status.MAX_SHOWN_ROWS]
     lines = [
         "",
-        "instances in need:",
+        "backpressure of instances:",
         format_table(sums, tuple(sums[0])),
     ]
     lines += ["", format_table(shown, columns)]
@@ -333,6 +333,7 @@
 
 
 def format_table(rows: list[dict[str, Data]], columns: tuple[str, ...]) -> str:
+    """Return rows as lines of aligned columns under a header line."""
     cells = [[str(row.get(name, "-")) for name in columns] for row in rows]
     widths = [
         max(len(name), *(len(line[column]) for line in cells), 0)
--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -92,32 +92,34 @@
 class _BackpressureGroup:
     """The backpressure of one kind in one zone of a service.
 
-    :ivar instances: by address, the seconds for which it has lasted.
-    :ivar limits: requests per second that an instance accepts, by address.
+    :ivar seconds_by_address: longest time that an entry reports, for each
+        instance.
+    :ivar limit_by_address: requests per second that each instance accepts.
     :ivar used: requests per second that all entries send.
     :ivar entries: names of the entries that report it.
     """
 
-    instances: dict[str, float] = attrs.field(factory=dict)
-    limits: dict[str, float] = attrs.field(factory=dict)
+    seconds_by_address: dict[str, float] = attrs.field(factory=dict)
+    limit_by_address: dict[str, float] = attrs.field(factory=dict)
     used: float = 0.0
     entries: set[str] = attrs.field(factory=set)
 
     def merge(self, entry: str, need: Row) -> None:
         address = str(need["address"])
         seconds = float(need["seconds"])
-        longest = self.instances.get(address, 0.0)
-        self.instances[address] = max(longest, seconds)
+        longest = self.seconds_by_address.get(address, 0.0)
+        self.seconds_by_address[address] = max(longest, seconds)
         self.entries.add(entry)
         if "per_second" in need:
-            self.limits[address] = float(need["per_second"])
+            self.limit_by_address[address] = float(need["per_second"])
         self.used += float(need.get("used") or 0.0)
 
 
 def sum_backpressure(rows: list[Row]) -> list[Row]:
-    """Return the needs of instances, summed by service, zone and kind.
+    """Return the backpressure of instances by service, zone and kind.
 
-    The use of a limit is summed over all entries that replied.
+    The limits are summed over the instances, and their use over all entries
+    that replied.
     """
     groups: dict[tuple[str, str, str], _BackpressureGroup] = (
         collections.defaultdict(_BackpressureGroup)
@@ -131,9 +133,9 @@
             "service": service,
             "zone": zone,
             "need": need,
-            "instances": len(group.instances),
-            "longest s": round(max(group.instances.values()), 1),
-            "limit a s": round(sum(group.limits.values()), 2),
+            "instances": len(group.seconds_by_address),
+            "longest s": round(max(group.seconds_by_address.values()), 1),
+            "limit a s": round(sum(group.limit_by_address.values()), 2),
             "used a s": round(group.used, 2),
             "told by": len(group.entries),
         }
@@ -142,7 +144,7 @@
 
 
 def list_backpressure(rows: list[Row]) -> list[Row]:
-    """Return the needs of each instance, as reported by each entry."""
+    """Return the backpressure of each instance, as reported by each entry."""
     needs = [
         {"entry": row["instance"], **need}
         for row in rows
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -255,8 +255,8 @@
         )
         status_server = http_server.build(app, status.host, status.port)
         await tasks.start(_run_server, status_server)
-        # Until the survey ends or this time has passed, connections wait in
-        # the listener's backlog instead of being refused.
+        # Until the initial sync ends or this time has passed, connections
+        # wait in the listener's backlog instead of being refused.
         with anyio.move_on_after(MAX_INITIAL_SYNC_SECONDS):
             await self._surveyed.wait()
         address = instances.Address.parse(str(fleet["callers"]))
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -62,18 +62,18 @@
 
 
 def _reroute_lines(report: reroutes.Reroutes) -> list[str]:
-    steps = (
-        ("engine found at fault", report.noticed),
-        ("new path agreed", report.agreed),
+    intervals = (
+        ("engine identified as the cause", report.noticed),
+        ("new path set up", report.agreed),
         ("next event", report.pause),
     )
     return [
-        f"{report.streams} streams led around an engine, "
+        f"{report.streams} streams moved to another path, "
         f"{report.in_time} in time; ms after the last event:",
         *(
-            f"{1000 * percentiles.median:7.0f} (nine in ten: "
+            f"{1000 * percentiles.median:7.0f} (90th percentile: "
             f"{1000 * percentiles.nine_in_ten:.0f})  {name}"
-            for name, percentiles in steps
+            for name, percentiles in intervals
         ),
     ]
 
@@ -127,16 +127,20 @@
         explanation = explaining.explain(request, texts, max_pause)
     lines = [str(line) for line in explanation.lines]
     if explanation.context:
-        lines += ["", "known to the entry at that time:"]
+        lines += ["", "state changes of the same processes at that time:"]
         lines += [f"  {line}" for line in explanation.context]
     if not explanation.lines:
-        conclusion = "the logs hold nothing of it"
+        conclusion = "the logs contain no lines of this request"
     elif not explanation.has_failed:
         conclusion = "it was answered in time"
     else:
         conclusion = explanation.cause or "not found in the logs"
     if explanation.held_back:
-        lines += ["", f"in need meanwhile: {', '.join(explanation.held_back)}"]
+        lines += [
+            "",
+            "unavailable because of a rate limit, a backoff or a shutdown: "
+            f"{', '.join(explanation.held_back)}",
+        ]
     lines += ["", f"cause: {conclusion}"]
     is_known = bool(explanation.lines) and bool(
         explanation.cause or not explanation.has_failed
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -136,7 +136,7 @@
             "cause: no engines with free capacity" in capsys.readouterr().out
         )
         assert cli.main(["explain", "r9", str(log)]) == commands.EXIT_FAILED
-        assert "hold nothing of it" in capsys.readouterr().out
+        assert "contain no lines of this request" in capsys.readouterr().out
 
     def test_json_output(
         self, tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -222,7 +222,7 @@
         assert "10 requests ended" in text
         assert "refused: NO_PATH, layers were missing" in text
         assert "lost, by entry:" in text
-        assert "1 streams led around an engine, 0 in time" in text
+        assert "1 streams moved to another path, 0 in time" in text
         assert cli.main([*arguments, "--json"]) == commands.EXIT_OK
         data = orjson.loads(capsys.readouterr().out)
         assert data["causes"]["in time"] == 2
