--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -109,7 +109,7 @@
         reason = (
             instance_reply.error.message
             if instance_reply.error
-            else "no status"
+            else "no status in its reply"
         )
         return {
             "instance": instance_reply.name,
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -38,14 +38,16 @@
     with _open_logs(files, with_file_names=True) as texts:
         report = losses.build_report(texts, objectives, interval)
     lines = [f"{report.requests} requests ended"]
-    lines += _table(report.causes, report.requests)
+    lines += _format_counts(report.causes, report.requests)
     if report.turned_away:
         lines += ["", "attempts that failed:"]
-        lines += _table(report.turned_away, sum(report.turned_away.values()))
+        lines += _format_counts(
+            report.turned_away, sum(report.turned_away.values())
+        )
     if report.lost_by_source:
         lines += ["", "lost, by entry:"]
         total = sum(report.lost_by_source.values())
-        lines += _table(report.lost_by_source, total)
+        lines += _format_counts(report.lost_by_source, total)
     if report.reroutes.streams:
         lines += ["", *_reroute_lines(report.reroutes)]
     for span in report.spans:
@@ -57,7 +59,7 @@
         if lost:
             ended = sum(span.causes.values())
             lines += ["", f"from second {span.since:g}, {ended} ended:"]
-            lines += _table(lost, ended)
+            lines += _format_counts(lost, ended)
     return commands.Result(attrs.asdict(report), "\n".join(lines))
 
 
@@ -78,7 +80,7 @@
     ]
 
 
-def _table(counts: dict[str, int], total: int) -> list[str]:
+def _format_counts(counts: dict[str, int], total: int) -> list[str]:
     return [
         f"{count:7d} {count / max(1, total):6.1%}  {name}"
         for name, count in counts.items()
--- a/src/crowdeck/observe/logs.py
+++ b/src/crowdeck/observe/logs.py
@@ -60,14 +60,15 @@
     def __call__(self, message: dict[str, typing.Any]) -> None:
         """Write one message, or count it as dropped."""
         kind = str(message.get(_KIND, "eliot"))
-        self._roll_second()
+        self._begin_second_if_new()
         self._messages_this_second[kind] += 1
         if self._messages_this_second[kind] > LINES_PER_SECOND:
             self._drop(kind)
             return
         self._write_line(kind, _encode_line(kind, message))
 
-    def _roll_second(self) -> None:
+    def _begin_second_if_new(self) -> None:
+        """In a new second, restart the counts and report dropped lines."""
         second = int(self._clock())
         if second == self._second:
             return
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -95,7 +95,7 @@
     async def watch(
         self, kind: str, after: stores.Position, wait: float
     ) -> stores.Changes:
-        """Return the changes after a position, waiting for ``wait`` seconds.
+        """Return the changes after a position, waiting up to ``wait`` seconds.
 
         :raises CrowdeckError: ``STORE_HISTORY`` if the store does not have
             these changes.
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""An entry over real sockets with stand-in upstreams."""
+"""Tests of an entry over real sockets with stand-in upstreams."""
 
 import gc
 import os
@@ -163,6 +163,7 @@
             all_layers = [
                 upstream.listed.layers for upstream in running.fleet.upstreams
             ]
+            # The instance of the plain service never holds layers.
             if not running.process.is_running or all_layers.count(None) > 1:
                 continue
             response = await running.send("/a/warm", "warm")
