--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -38,14 +38,16 @@
     with _open_logs(files, with_file_names=True) as texts:
         report = losses.build_report(texts, objectives, interval)
     lines = [f"{report.requests} requests ended"]
-    lines += _table(report.causes, report.requests)
+    lines += _format_counts(report.causes, report.requests)
     if report.turned_away:
         lines += ["", "attempts that failed:"]
-        lines += _table(report.turned_away, sum(report.turned_away.values()))
+        lines += _format_counts(
+            report.turned_away, sum(report.turned_away.values())
+        )
     if report.lost_by_source:
         lines += ["", "lost, by entry:"]
         total = sum(report.lost_by_source.values())
-        lines += _table(report.lost_by_source, total)
+        lines += _format_counts(report.lost_by_source, total)
     if report.reroutes.streams:
         lines += ["", *_reroute_lines(report.reroutes)]
     for span in report.spans:
@@ -57,28 +59,28 @@
         if lost:
             ended = sum(span.causes.values())
             lines += ["", f"from second {span.since:g}, {ended} ended:"]
-            lines += _table(lost, ended)
+            lines += _format_counts(lost, ended)
     return commands.Result(attrs.asdict(report), "\n".join(lines))
 
 
 def _reroute_lines(report: reroutes.Reroutes) -> list[str]:
-    steps = (
-        ("engine found at fault", report.noticed),
-        ("new path agreed", report.agreed),
+    intervals = (
+        ("engine identified as the cause", report.noticed),
+        ("new path set up", report.agreed),
         ("next event", report.pause),
     )
     return [
-        f"{report.streams} streams led around an engine, "
+        f"{report.streams} streams moved to another path, "
         f"{report.in_time} in time; ms after the last event:",
         *(
-            f"{1000 * percentiles.median:7.0f} (nine in ten: "
+            f"{1000 * percentiles.median:7.0f} (90th percentile: "
             f"{1000 * percentiles.nine_in_ten:.0f})  {name}"
-            for name, percentiles in steps
+            for name, percentiles in intervals
         ),
     ]
 
 
-def _table(counts: dict[str, int], total: int) -> list[str]:
+def _format_counts(counts: dict[str, int], total: int) -> list[str]:
     return [
         f"{count:7d} {count / max(1, total):6.1%}  {name}"
         for name, count in counts.items()
@@ -127,16 +129,20 @@
         explanation = explaining.explain(request, texts, max_pause)
     lines = [str(line) for line in explanation.lines]
     if explanation.context:
-        lines += ["", "known to the entry at that time:"]
+        lines += ["", "state changes of the same processes at that time:"]
         lines += [f"  {line}" for line in explanation.context]
     if not explanation.lines:
-        conclusion = "the logs hold nothing of it"
+        conclusion = "the logs contain no lines of this request"
     elif not explanation.has_failed:
         conclusion = "it was answered in time"
     else:
         conclusion = explanation.cause or "not found in the logs"
     if explanation.held_back:
-        lines += ["", f"in need meanwhile: {', '.join(explanation.held_back)}"]
+        lines += [
+            "",
+            "unavailable because of a rate limit, a backoff or a shutdown: "
+            f"{', '.join(explanation.held_back)}",
+        ]
     lines += ["", f"cause: {conclusion}"]
     is_known = bool(explanation.lines) and bool(
         explanation.cause or not explanation.has_failed
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -79,7 +79,7 @@
         found = losses.build_report(LOG, OBJECTIVES, 2.0)
         assert found.turned_away == {"refused": 2}
 
-    def test_first_span_begins_with_the_logs(self) -> None:
+    def test_first_interval_begins_with_the_logs(self) -> None:
         spans = losses.build_report(LOG, OBJECTIVES, 2.0).spans
         assert [span.since for span in spans] == [0.0, 2.0]
         assert sum(spans[0].causes.values()) == 3
@@ -222,7 +222,7 @@
         assert "10 requests ended" in text
         assert "refused: NO_PATH, layers were missing" in text
         assert "lost, by entry:" in text
-        assert "1 streams led around an engine, 0 in time" in text
+        assert "1 streams moved to another path, 0 in time" in text
         assert cli.main([*arguments, "--json"]) == commands.EXIT_OK
         data = orjson.loads(capsys.readouterr().out)
         assert data["causes"]["in time"] == 2
