--- a/src/crowdeck/placement/capacity.py
+++ b/src/crowdeck/placement/capacity.py
@@ -20,7 +20,7 @@
 
 # Each layer should have memory for this share of the requests that one engine
 # has slots for.
-NEED_SHARE = 0.5
+NEEDED_SLOT_SHARE = 0.5
 # Probability that an engine is unavailable because it is lost, being replaced
 # or loading.
 LOSS_PROBABILITY = 0.1
@@ -33,7 +33,7 @@
 # the needed tokens; beyond the range more capacity gains nothing.
 _STEPS_PER_NEED = 32
 _MAX_RELATIVE_CAPACITY = 12
-# Bound on cached layer scores; they take a few MB.
+# Bounds the memory of the cache of layer scores.
 _MAX_CACHED_SCORES = 20_000
 
 
@@ -67,7 +67,9 @@
 
 def needed_tokens(profile: chain.EngineProfile) -> float:
     """Return for how many tokens each layer should have capacity."""
-    return max(1.0, NEED_SHARE * profile.slots * request_tokens(profile))
+    return max(
+        1.0, NEEDED_SLOT_SHARE * profile.slots * request_tokens(profile)
+    )
 
 
 @attrs.frozen
@@ -92,7 +94,7 @@
         self._capacities_by_layer: list[tuple[float, ...]] = [
             ()
         ] * profile.layer_count
-        # A search evaluates the same holders' capacities many times.
+        # A search evaluates the same combinations of capacities many times.
         self._score_cache: dict[tuple[float, ...], float] = {}
 
     @property
--- a/src/crowdeck/placement/controller.py
+++ b/src/crowdeck/placement/controller.py
@@ -28,8 +28,8 @@
 from crowdeck import route as routes
 from crowdeck.state import leases
 
-# The plan is checked this often without any notification, because a lost
-# engine or order is only detected after some time.
+# Interval of reconciliations without a change of the registry. Timeouts of
+# orders and delays of engines cause no such change.
 RECONCILE_INTERVAL_SECONDS = 0.5
 # An engine reports its new layers with its next heartbeat. Until then its
 # order counts as outstanding.
@@ -40,9 +40,9 @@
 # of them.
 LIST_QUIET_SECONDS = 1.2
 LIST_MAX_SECONDS = 5.0
-# A new engine waits this long for layers while all layers are held. In a
-# planned replacement the old engine leaves soon after, and the new one can
-# load its layers directly.
+# An empty engine waits this long before it gets layers that others hold too.
+# In a planned replacement the old engine leaves soon after, and the new one
+# can load its layers directly.
 EMPTY_ENGINE_DELAY_SECONDS = 2.0
 # An engine whose order is not confirmed is asked again after this time, at the
 # earliest. The order may still arrive much later.
@@ -131,18 +131,18 @@
         self,
         lease: leases.Lease,
         registry: registries.UpstreamRegistry,
-        orders: OrderClient,
+        order_client: OrderClient,
         services: typing.Callable[[], tuple[routes.Service, ...]],
     ) -> None:
         self._lease = lease
         self._registry = registry
-        self._orders = orders
+        self._order_client = order_client
         self._services = services
         self._pending_orders: dict[str, _PendingOrder] = {}
         self._in_doubt: dict[str, _InDoubtOrder] = {}
         self._adopted_term = 0
         self._failure_detector = failure_detector.FailureDetector(
-            registry, orders, services
+            registry, order_client, services
         )
         self._listing_times: dict[str, _ListingTimes] = {}
         self._empty_since: dict[str, dict[str, float]] = {}
@@ -313,10 +313,11 @@
     def _is_listing_settled(
         self, service: str, engines: list[chain.Upstream]
     ) -> bool:
-        """Whether the engines of a service can be planned.
+        """Whether the list of a service's engines is complete enough to plan.
 
-        This holds once an engine has layers, or once no engine was added for
-        a while. Records which engines are listed now.
+        This holds if an engine has layers, once no engine was added for
+        ``LIST_QUIET_SECONDS``, or ``LIST_MAX_SECONDS`` after the first call.
+        Records which engines are listed now.
         """
         now = anyio.current_time()
         listed = frozenset(engine.name for engine in engines)
@@ -341,9 +342,9 @@
         moves: list[plan.Move],
         gaps: plan.CoverageGaps,
     ) -> list[plan.Move]:
-        """Return the moves without those of empty engines that should wait.
+        """Return the moves without those of empty engines that still wait.
 
-        Engines that fill a gap do not wait, nor does any while all are empty.
+        An engine does not wait if it fills a gap or if all engines are empty.
         """
         now = anyio.current_time()
         empty = {engine.name for engine in engines if engine.layers is None}
@@ -390,9 +391,9 @@
         )
 
     def _adopt_in_doubt(self) -> None:
-        """Take over the orders in doubt of the lease's previous holder.
+        """Take over orders in doubt from the lease's previous holder.
 
-        Does so once per term of the lease.
+        The memo of the lease lists them; it is read once per term.
         """
         if self._lease.term == self._adopted_term:
             return
@@ -447,7 +448,7 @@
             return _Outcome.NOT_SENT
         self._note_pending(move, RECHECK_SECONDS)
         try:
-            report = await self._orders.report(move.upstream)
+            report = await self._order_client.report(move.upstream)
         except errors.CrowdeckError as error:
             self._registry.avoid(name, f"no report: {error.message}")
             return _Outcome.NOT_SENT
@@ -461,7 +462,7 @@
         self._resolve_in_doubt(name, report.orders_taken)
         is_accepted = False
         try:
-            is_accepted = await self._orders.place(
+            is_accepted = await self._order_client.place(
                 move, report.orders_taken, self._lease.term
             )
         except errors.CrowdeckError as error:
--- a/src/crowdeck/placement/exposure.py
+++ b/src/crowdeck/placement/exposure.py
@@ -100,8 +100,9 @@
 
 
 def _token_ms(path: chain.ChainPath, profile: chain.EngineProfile) -> float:
-    steps = sum(
+    """Return the milliseconds per token on a path of idle engines."""
+    compute_ms = sum(
         _layer_ms(hop.upstream, profile) * (hop.layers.end - hop.layers.first)
         for hop in path.hops
     )
-    return steps + cheapest.HOP_MS * (len(path.hops) - 1)
+    return compute_ms + cheapest.HOP_MS * (len(path.hops) - 1)
--- a/src/crowdeck/placement/failure_detector.py
+++ b/src/crowdeck/placement/failure_detector.py
@@ -21,10 +21,10 @@
 # one in each check. To take over its layers, other engines have to load them,
 # and serve no requests meanwhile.
 FAILURE_THRESHOLD_PROBES = 2
-# Checks that probe all engines after one was lost. Engines often fail
-# together, for example with a rack or a switch, and probes find the others
-# before their requests fail.
-SWEEPS = 2
+# Number of checks that probe all engines after one was lost. Engines often
+# fail together, for example with a rack or a switch, and probes find the
+# others before their requests fail.
+SWEEPS_AFTER_LOSS = 2
 # More probes at once could time out because this process is too busy to handle
 # their answers.
 MAX_CONCURRENT_PROBES = 32
@@ -134,7 +134,7 @@
                     address=str(upstream.address),
                     reason=error.message,
                 )
-                self._sweeps_left = SWEEPS
+                self._sweeps_left = SWEEPS_AFTER_LOSS
             return
         self._registry.note_healthy(upstream.name)
 
--- a/src/crowdeck/placement/initial_layout.py
+++ b/src/crowdeck/placement/initial_layout.py
@@ -18,10 +18,10 @@
 START_CAPACITY_FACTORS = (0.0, 0.5, 1.0, 2.0, 4.0)
 # Passes over all engines that improve a starting layout.
 MAX_PASSES = 4
-# Larger groups get one starting layout and one pass: the search time grows
-# with the square of the number of engines, and it blocks the event loop.
+# Groups of more engines, or of engines that can hold more layers in total, get
+# one starting layout and one pass: the search time grows with the square of
+# the number of engines, and it blocks the event loop.
 MAX_SEARCHED_ENGINES = 24
-# Bound on the layers that all engines may hold in total, for the same reason.
 MAX_SEARCHED_LAYERS = 500
 LARGE_START_CAPACITY_FACTORS = (1.0,)
 LARGE_MAX_PASSES = 1
--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -97,10 +97,10 @@
     is_idle: typing.Callable[[chain.Upstream], bool],
     guaranteed: typing.Sequence[chain.Upstream] | None = None,
 ) -> typing.Iterator[list[Move]]:
-    """Yield what :func:`next_moves` returns in batches.
+    """Yield the moves of :func:`next_moves` in batches.
 
-    Planning a batch may block the event loop for 0.1 seconds. Callers should
-    let other tasks run between batches.
+    Planning a batch blocks the event loop, so callers should let other tasks
+    run between batches. A batch may be empty.
     """
     guaranteed_by_name = {
         engine.name: engine
@@ -116,18 +116,21 @@
         for moves in _cell_moves(cell, profile, is_idle, guaranteed_cell):
             yield [
                 attrs.evolve(
-                    move, is_urgent=_is_missing(move.layers, holder_counts)
+                    move,
+                    is_urgent=_has_unheld_layer(move.layers, holder_counts),
                 )
                 for move in moves
             ]
 
 
-def _is_missing(layers: pipeline.LayerRange, holder_counts: list[int]) -> bool:
+def _has_unheld_layer(
+    layers: pipeline.LayerRange, holder_counts: list[int]
+) -> bool:
     """Whether any of the layers is held in no availability zone.
 
     Nothing is served then, so streams may be interrupted. If only one zone
     lacks a layer, its requests go to other zones, and interrupting streams
-    would cost more.
+    would do more harm than waiting for their end.
     """
     return 0 in holder_counts[layers.first : layers.end]
 
--- a/src/crowdeck/placement/rearrangement.py
+++ b/src/crowdeck/placement/rearrangement.py
@@ -22,8 +22,8 @@
 from crowdeck.placement import relayout
 
 # Token capacity to keep on each engine, as shares of the needed tokens. The
-# first share that needs little more loading is used. Without this a restored
-# model could refuse most requests for lack of memory.
+# first share that needs little more loading is used. With less capacity, most
+# requests could be refused for lack of memory.
 CAPACITY_SHARES = (1.0, 0.75, 0.5, 0.35, 0.2)
 
 
@@ -98,7 +98,10 @@
 def _layer_limits(
     engines: typing.Sequence[chain.Upstream], profile: chain.EngineProfile
 ) -> list[dict[str, int]]:
-    """Return sets of layer limits by engine name, most free memory first."""
+    """Return layer limits by engine name, for each of ``CAPACITY_SHARES``.
+
+    Limits with which the engines cannot hold the model are left out.
+    """
     needed_tokens = capacity.needed_tokens(profile)
     limit_sets = []
     for share in CAPACITY_SHARES:
@@ -173,7 +176,7 @@
     """Return the possible steps, sorted so that each follows its ``after``.
 
     Steps that wait for one another, as in an exchange of layers, come last and
-    do not wait for each other. The model is not served in the meantime anyway.
+    do not wait for each other.
     """
     remaining = [
         Step(move, required_takers)
--- a/src/crowdeck/placement/rearrangement_delay.py
+++ b/src/crowdeck/placement/rearrangement_delay.py
@@ -43,7 +43,7 @@
         """Note the missing layers, and return whether their delay is over.
 
         :param is_announced: whether the holders of the missing layers
-            announced that they leave. No restart is waited for then.
+            announced that they leave. They are not expected to restart.
         :param missing: the layers that no engine holds. The delay starts again
             when another layer goes missing.
         """
--- a/src/crowdeck/placement/relayout.py
+++ b/src/crowdeck/placement/relayout.py
@@ -19,10 +19,10 @@
 
 # A layout may load up to this many times as many layers as the cheapest one
 # found, to leave more memory for requests and to reduce the largest load of an
-# engine, which decides when the model is served again. The search is exact
-# only for small groups, so larger groups get less slack.
-EXACT_SLACK = 1.25
-LOAD_SLACK = 1.13
+# engine, which decides when the model is served again. Only the search of
+# small groups is exact; after an inexact one less slack is allowed.
+EXACT_LOAD_SLACK = 1.25
+INEXACT_LOAD_SLACK = 1.13
 # The limit on the layers that all engines load is raised until it is this many
 # times the layers of the model.
 MAX_TOTAL_LOAD_FACTOR = 4
@@ -146,12 +146,12 @@
         return {}
     search = yield from _first_search(members, layer_count)
     if search is None:
-        return _in_order(members, layer_count)
+        return _consecutive_layout(members, layer_count)
     search = yield from _with_more_unconstrained(members, search, layer_count)
     if not search.is_found:
         return {}
     is_exact = len(members) <= MAX_EXACT_ENGINES
-    slack = EXACT_SLACK if is_exact else LOAD_SLACK
+    slack = EXACT_LOAD_SLACK if is_exact else INEXACT_LOAD_SLACK
     max_total_load = int(slack * search.cost[0])
     for limits in layer_limits:
         limited = search.with_limits(limits)
@@ -172,7 +172,7 @@
     Starts again with fewer of them whenever the budget is used up. Returns
     ``None`` if the budget does not even suffice without any.
     """
-    unconstrained = _unconstrained(members, layer_count)
+    unconstrained = _select_unconstrained(members, layer_count)
     while True:
         search = _Search(
             members, unconstrained, layer_count, _SearchBudget(MAX_TRIES)
@@ -190,7 +190,7 @@
 def _with_more_unconstrained(
     members: typing.Sequence[Member], best: "_Search", layer_count: int
 ) -> Cooperative["_Search"]:
-    """Make other engines unconstrained too where that reduces loading."""
+    """Make more engines unconstrained, one by one, while that loads less."""
     budget = best.budget
     # Unheld layers have to be loaded in any layout.
     missing = _holder_counts(members, layer_count).count(0)
@@ -220,7 +220,7 @@
     return best
 
 
-def _unconstrained(
+def _select_unconstrained(
     members: typing.Sequence[Member], layer_count: int
 ) -> list[Member]:
     """Return engines that can move without leaving a layer unheld.
@@ -250,7 +250,9 @@
     return unconstrained
 
 
-def _in_order(members: typing.Sequence[Member], layer_count: int) -> Layout:
+def _consecutive_layout(
+    members: typing.Sequence[Member], layer_count: int
+) -> Layout:
     """Assign consecutive ranges in the order of the layers held.
 
     This is the fallback when the search exceeds its budget.
@@ -300,7 +302,7 @@
             (member for member in others if member.held), key=_sort_key
         )
         holder_counts = _holder_counts(others, layer_count)
-        self._is_each_redundant = all(
+        self._are_unconstrained_redundant = all(
             holder_counts[layer]
             for member in unconstrained
             for layer in _layers(member)
@@ -396,7 +398,7 @@
         frontier: _Frontier = {(0, 0): _State((0, 0))}
         yield from self._add_unconstrained(frontier, max_load)
         for member in self._ordered_members:
-            self._drop_unreachable(frontier, member)
+            self._drop_too_costly(frontier, member)
             reached = dict(frontier)
             for key, state in frontier.items():
                 for layers, load in self._ranges(member, key[0], max_load):
@@ -413,7 +415,7 @@
         ]
         return min(complete, key=lambda final: final.cost, default=None)
 
-    def _drop_unreachable(self, frontier: _Frontier, member: Member) -> None:
+    def _drop_too_costly(self, frontier: _Frontier, member: Member) -> None:
         """Drop states from which every layout would load too much.
 
         ``member`` and all later engines hold no layer before the first one of
@@ -421,7 +423,7 @@
         no bound if an unconstrained engine is the only holder of a layer.
         """
         assert member.held is not None
-        if not self._is_each_redundant:
+        if not self._are_unconstrained_redundant:
             return
         for key, state in list(frontier.items()):
             gap = member.held.first - key[0]
@@ -502,7 +504,7 @@
             frontier[key] = _State(cost, state, member.name, layers)
 
     def _changed_layout(self, final_state: _State) -> Layout:
-        """Return the engines that change, with held layers they can keep."""
+        """Return the changed engines' ranges, extended by held layers."""
         layout: Layout = {}
         state: _State | None = final_state
         while state is not None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -144,7 +144,7 @@
             ]
             assert min(chain.coverage(inside, PROFILE.layer_count)) >= 1
 
-    def test_busy_engines_are_left_alone(self) -> None:
+    def test_busy_engines_get_no_moves(self) -> None:
         fleet = make_engines([("large", "plateau")] * 5)
         moves = plan.next_moves(
             fleet, PROFILE, lambda engine: engine.name != "e0"
@@ -732,20 +732,22 @@
 class TestLease:
     """Holding, renewal and release of the lease."""
 
-    def test_only_one_of_many_holds_it(self) -> None:
+    def test_has_at_most_one_holder(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            rivals = [
+            candidates = [
                 leases.Lease(store, "duty", f"run-{number}")
                 for number in range(4)
             ]
             async with anyio.create_task_group() as tasks:
-                for rival in rivals:
-                    tasks.start_soon(rival.run)
+                for candidate in candidates:
+                    tasks.start_soon(candidate.run)
                 for _ in range(200):
                     await anyio.sleep(0.1)
-                    assert sum(rival.is_held for rival in rivals) <= 1
-                assert any(rival.is_held for rival in rivals)
+                    assert (
+                        sum(candidate.is_held for candidate in candidates) <= 1
+                    )
+                assert any(candidate.is_held for candidate in candidates)
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -772,7 +774,7 @@
 
         virtual.run(body)
 
-    def test_passes_on_with_a_higher_term_when_its_holder_dies(self) -> None:
+    def test_next_holder_after_a_crash_has_a_higher_term(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             first = leases.Lease(store, "duty", "first")
@@ -812,7 +814,7 @@
 
         virtual.run(body)
 
-    def test_lost_reply_to_its_own_write_is_read_back(self) -> None:
+    def test_is_held_after_a_lost_reply_to_its_own_write(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             lease = leases.Lease(store, "duty", "one")
@@ -825,7 +827,7 @@
 
         virtual.run(body)
 
-    def test_passes_on_at_once_when_given_up(self) -> None:
+    def test_released_lease_is_acquired_by_another_soon(self) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             first = leases.Lease(store, "duty", "first")
@@ -844,7 +846,7 @@
 
         virtual.run(body)
 
-    def test_malformed_lease_counts_as_held_for_its_whole_length(self) -> None:
+    def test_malformed_lease_counts_as_held_until_it_expires(self) -> None:
         # A malformed object must not block the lease without end.
         async def body() -> None:
             store = standin_store.StandinStore()
@@ -861,9 +863,7 @@
         virtual.run(body)
 
 
-def test_unreachable_store_grants_no_lease() -> None:
-    """A store that cannot be reached grants nothing."""
-
+def test_lease_is_not_held_if_the_store_was_never_reached() -> None:
     async def body() -> None:
         store = standin_store.StandinStore()
         store.is_down = True
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -261,6 +261,7 @@
     """Forwards and records orders, and loses the first ones.
 
     :ivar lost: how many of the next orders are lost.
+    :ivar sent: all orders, including those that were lost.
     :ivar unheld: layers that an order gave up without another holder.
     :ivar late: lost orders, with the count of orders that each expects.
     """
@@ -361,7 +362,9 @@
 
     @pytest.mark.parametrize("is_late", (True, False))
     @pytest.mark.parametrize("lost_orders", (1, 2, 5))
-    def test_unanswered_orders(self, lost_orders: int, is_late: bool) -> None:
+    def test_model_is_held_after_unanswered_orders(
+        self, lost_orders: int, is_late: bool
+    ) -> None:
         async def work(
             simulation: Simulation,
             orders: RecordingOrderClient,
@@ -380,7 +383,7 @@
         run_with_orders(work, lost_orders)
 
     @pytest.mark.parametrize("order_count", (1, 2, 3))
-    def test_a_controller_that_is_killed_midway(
+    def test_next_controller_completes_what_a_killed_one_began(
         self, order_count: int
     ) -> None:
         # Its successor knows only the memo of the lease.
@@ -406,7 +409,7 @@
 
         run_with_orders(work)
 
-    def test_an_engine_that_is_lost_midway(self) -> None:
+    def test_second_engine_is_lost_during_a_rearrangement(self) -> None:
         # The new empty engine and the remaining ones can hold the model.
         async def work(
             simulation: Simulation,
@@ -696,7 +699,7 @@
             (300, 600, 1, 5),
         ),
     )
-    def test_several_engines_are_lost(
+    def test_model_is_held_after_several_engines_are_lost(
         self, count: int, layer_count: int, spare_layers: int, lost: int
     ) -> None:
         max_layers = layer_count // count + spare_layers
@@ -737,7 +740,7 @@
             profile=profile,
         )
 
-    def test_a_whole_zone_is_lost(self) -> None:
+    def test_model_is_held_after_a_zone_is_lost(self) -> None:
         # Each of 12 engines can hold 28 layers. Each zone holds a third of the
         # model.
         async def work(
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -161,17 +161,17 @@
 
 
 class TestLoad:
-    """Streams under the load that the fleet is sized for."""
+    """Streams under multiples of the load that the fleet is sized for."""
 
-    @pytest.mark.parametrize("times", [1.0, 1.7])
+    @pytest.mark.parametrize("rate_factor", [1.0, 1.7])
     def test_streams_are_faster_and_a_loss_interrupts_fewer(
-        self, times: float
+        self, rate_factor: float
     ) -> None:
         before = placement.simulate(
-            MIXED, placement.place_as_one_group, rate_factor=times
+            MIXED, placement.place_as_one_group, rate_factor=rate_factor
         )
         after = placement.simulate(
-            MIXED, placement.place_in_tiers, rate_factor=times
+            MIXED, placement.place_in_tiers, rate_factor=rate_factor
         )
         assert after.refused == 0
         assert after.token_ms < 0.88 * before.token_ms
