--- a/src/crowdeck/membership/backoffs.py
+++ b/src/crowdeck/membership/backoffs.py
@@ -60,7 +60,7 @@
         """Claim the single probe that is allowed in a backoff period.
 
         :return: whether the instance may be contacted to save a stalled
-            stream, which it always may outside a backoff period.
+            stream; always true outside a backoff period.
         """
         if not self.is_active(name):
             return True
--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -188,8 +188,8 @@
             view.instance = instance
 
     def _is_unreachable(self, name: str) -> bool:
-        # The list may be out of date: a sidecar that answers heartbeats stays
-        # in use even if it is not listed.
+        # A sidecar that answers heartbeats stays in use even if it is not
+        # listed, because the list may be outdated.
         return self._views[name].state in (State.DOWN, State.UNKNOWN)
 
     async def _watch(self, view: SidecarView) -> None:
@@ -300,7 +300,9 @@
     def _apply_report(self, view: SidecarView, reply: questions.Reply) -> None:
         if not isinstance(reply, messages.Load):
             raise errors.CrowdeckError(
-                errors.Code.MALFORMED, "the reply to a heartbeat is not a Load"
+                errors.Code.MALFORMED,
+                f"{view.name} replied to a heartbeat with a "
+                f"{type(reply).__name__} instead of a Load",
             )
         is_leaving = reply.is_leaving or view.instance.is_leaving
         view.load = reply
--- a/src/crowdeck/membership/links.py
+++ b/src/crowdeck/membership/links.py
@@ -77,11 +77,11 @@
                 error.message, was_sent=False, culprit=name
             ) from None
         if peer.greeting.instance != name:
-            # The list is outdated: the address belongs to another instance
-            # now.
+            # The list is outdated.
             peer.close()
             raise errors.LinkLost(
-                f"{listed.address} is no longer the address of {name}",
+                f"{listed.address} is the address of "
+                f"{peer.greeting.instance} instead of {name}",
                 was_sent=False,
                 culprit=name,
             )
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -27,8 +27,8 @@
 CONNECT_TIMEOUT_SECONDS = 0.25
 # Added to the wait of a watch for the round trip and for a busy entry.
 RESPONSE_SLACK_SECONDS = 0.4
-# Larger changes are read from the store: serving them to all entries of a
-# zone would saturate this entry's link.
+# Peers read larger changes from the store: serving them to all entries of a
+# zone would saturate this entry's network link.
 MAX_RESPONSE_BYTES = 64 * 1024
 
 _STATUS_BY_CODE = {
@@ -151,7 +151,9 @@
         )
     except (KeyError, ValueError) as error:
         raise errors.CrowdeckError(
-            errors.Code.BAD_REQUEST, f"the query is malformed ({error!r})"
+            errors.Code.BAD_REQUEST,
+            "expected numbers as 'after', 'seconds' and optional 'epoch' in "
+            f"the query ({error!r})",
         ) from None
 
 
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -11,10 +11,10 @@
 entry calls the store.
 
 There is no election: an entry reads the store itself for as long as others
-ask it. If a peer does not answer or has lost the store, which means that it
-cannot reach the store, the next peer of the ranking is asked. An entry calls
-the store itself if it comes next in the ranking, if several peers have lost
-the store, or if no peer is left.
+ask it. If a peer does not answer or cannot reach the store ("has lost" it),
+the next peer of the ranking is asked. An entry calls the store itself if it
+comes next in the ranking, if several peers have lost the store, or if no peer
+is left.
 """
 
 import contextlib
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -26,9 +26,9 @@
 # without one.
 LIST_TIMEOUT_SECONDS = 2.0
 # Each change of an upstream ends the watches of all entries. The more entries
-# there are, the longer each waits for further changes before its next watch,
-# so that all entries together call the store less often. The maximum is well
-# below the two seconds for which a leaving upstream may still get work.
+# there are, the longer each waits before its next watch, so that all entries
+# together call the store less often. The maximum is well below the two seconds
+# for which a leaving upstream may still get work.
 LINGER_SECONDS_PER_ENTRY = 0.04
 MIN_LINGER_SECONDS = 0.2
 MAX_LINGER_SECONDS = 0.6
@@ -148,7 +148,7 @@
         return self._ranking
 
     def linger_seconds(self) -> float:
-        """Return the seconds between two watches of the upstreams."""
+        """Return the seconds to wait between two watches of the upstreams."""
         seconds = LINGER_SECONDS_PER_ENTRY * self.known_entry_count
         return min(MAX_LINGER_SECONDS, max(MIN_LINGER_SECONDS, seconds))
 
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -36,12 +36,12 @@
 # work for this long, within which the record is updated.
 STALE_RECORD_BACKOFF_SECONDS = 2.0
 # A leaving instance gets new work for this long at most, and only if no other
-# can serve it. It may get work for two seconds after its announcement, which
-# may arrive late.
+# can serve it. Shorter than the two seconds after its announcement in which it
+# may get work, because the announcement may arrive late.
 LEAVING_GRACE_SECONDS = 1.0
 # How long an instance stays listed after its record was removed around an
-# outage of the store. An instance that left unannounced must get no work after
-# two seconds.
+# outage of the store. Shorter than the two seconds after which an instance
+# that left unannounced must get no work.
 LAPSE_SECONDS = 1.8
 # A removal that is reported within this time after a failed call to the store
 # may be due to an outage. Instances write their records again within two
@@ -62,7 +62,7 @@
     :ivar refusals: refusals that followed soon after one another.
     :ivar is_probed: whether a probe of it may be in progress.
     :ivar has_ended: whether its process is known to have ended.
-    :ivar leaving_at: when it announced that it leaves, as known here.
+    :ivar leaving_at: when this process learned that it is leaving.
     :ivar lapsed_at: when its record was removed around an outage.
     """
 
@@ -300,7 +300,7 @@
         """Claim the single probe that is allowed in a backoff period.
 
         :return: whether the instance may be contacted to save a stalled
-            stream, which it always may outside a backoff period.
+            stream; always true outside a backoff period.
         """
         return self._backoffs.claim_probe(name)
 
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -133,7 +133,7 @@
 
         self.run_scenario(work)
 
-    def test_lingers_between_watches(self) -> None:
+    def test_waits_between_watches(self) -> None:
         async def work(
             store: standin_store.StandinStore,
             follower: _Follower,
@@ -208,7 +208,7 @@
 
         self.run_scenario(work)
 
-    def test_copy_is_proved_current_soon_after_the_silence(self) -> None:
+    def test_copy_is_current_soon_after_the_silence(self) -> None:
         # The first watch afterwards must not wait for a change.
         async def work(
             store: standin_store.StandinStore,
@@ -327,7 +327,7 @@
 class TestUpstreamRegistry:
     """Upstream instances that get new work, and those that do not."""
 
-    def test_leaving_instances_get_none(self) -> None:
+    def test_leaving_instances_get_no_work(self) -> None:
         async def body() -> None:
             registry, listed = make_registry()
             apply_record(registry, listed, "a")
@@ -401,7 +401,7 @@
 
         virtual.run(body)
 
-    def test_full_instances_are_paused_longer_while_they_refuse(self) -> None:
+    def test_instances_are_paused_longer_at_each_refusal(self) -> None:
         async def body() -> None:
             registry, listed = make_registry()
             apply_record(registry, listed, "a")
@@ -433,7 +433,7 @@
 
         virtual.run(body)
 
-    def test_lapsed_instance_is_used_once_it_has_answered(self) -> None:
+    def test_lapsed_engine_is_used_once_it_is_healthy(self) -> None:
         async def body() -> None:
             registry, listed = make_registry()
             registry.set_store_failure_source(anyio.current_time)
@@ -455,7 +455,7 @@
         virtual.run(body)
 
     @pytest.mark.parametrize("card", ["", "large"])
-    def test_instance_that_left_unannounced_gets_none_after_two_seconds(
+    def test_instance_that_left_unannounced_gets_no_work_after_two_seconds(
         self, card: str
     ) -> None:
         # Also if its record seemed to have lapsed after a failed store call.
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -183,7 +183,7 @@
     @pytest.mark.parametrize(
         "state", ["loading", "", 7, None, ["ready"], {"state": "ready"}]
     )
-    def test_unknown_states(self, state: object) -> None:
+    def test_unknown_states_are_rejected(self, state: object) -> None:
         with pytest.raises(errors.CrowdeckError):
             upstreams.decode(test_lives.stored_record(1, state=state))
 
@@ -197,7 +197,9 @@
     @pytest.mark.parametrize(
         "address", ["example.org:80", "10.0.0.1:0", "10.0.0.1:65536", "1:2:3"]
     )
-    def test_addresses_that_cannot_be_dialled(self, address: str) -> None:
+    def test_addresses_that_cannot_be_dialled_are_rejected(
+        self, address: str
+    ) -> None:
         with pytest.raises(errors.CrowdeckError):
             upstreams.decode(test_lives.stored_record(1, address=address))
 
@@ -246,7 +248,7 @@
             b"null",
         ],
     )
-    def test_the_others_are_read(self, malformed: bytes) -> None:
+    def test_the_other_objects_are_read(self, malformed: bytes) -> None:
         async def body() -> None:
             good = orjson.dumps(UPSTREAM_RECORD)
             content = listing(item("a", good), malformed, item("z", good))
@@ -263,7 +265,9 @@
     @pytest.mark.parametrize(
         "malformed", [b'"\\ud800"', b'"\xff"', b"1" * 400]
     )
-    def test_the_others_are_sent_to_peers(self, malformed: bytes) -> None:
+    def test_the_other_objects_are_sent_to_peers(
+        self, malformed: bytes
+    ) -> None:
         async def body() -> None:
             good = orjson.dumps(UPSTREAM_RECORD)
             content = listing(item("a", good), item("bad", malformed))
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -157,7 +157,7 @@
     @hypothesis.given(
         strategies.lists(
             strategies.one_of(
-                strategies.integers(1, 4), strategies.just("gone")
+                strategies.integers(1, 4), strategies.just("removed")
             ),
             max_size=12,
         )
@@ -169,7 +169,7 @@
             recorder = RecordingRegistry()
             newest = 0
             for version, step in enumerate(steps, 1):
-                if step == "gone":
+                if step == "removed":
                     recorder.registry.on_changed((), ("e",))
                     newest = 0
                     assert recorder.usable == []
@@ -182,7 +182,7 @@
                 ] == [newest]
             assert (
                 len(recorder.ends) == len(set(recorder.ends))
-                or "gone" in steps
+                or "removed" in steps
             )
 
         virtual.run(body)
@@ -194,16 +194,16 @@
     def incarnation(self, born: int) -> chain.Incarnation:
         return chain.Incarnation("e", born)
 
-    def test_of_this_process(self) -> None:
+    def test_report_of_this_process_is_not_from_a_later_run(self) -> None:
         report = upstreams.decode_report(encoded_report(born=100))
         assert not report.is_from_later_run(self.incarnation(100))
 
-    def test_of_a_later_process(self) -> None:
+    def test_report_of_a_later_process_is_from_a_later_run(self) -> None:
         report = upstreams.decode_report(encoded_report(born=101))
         assert report.is_from_later_run(self.incarnation(100))
 
     @pytest.mark.parametrize("changes", [{"born": 99}, {}])
-    def test_of_an_earlier_process_or_without_start_time(
+    def test_report_of_an_earlier_or_unknown_process_is_malformed(
         self, changes: dict[str, object]
     ) -> None:
         report = upstreams.decode_report(encoded_report(**changes))
@@ -211,12 +211,12 @@
             report.is_from_later_run(self.incarnation(100))
         assert caught.value.code is errors.Code.MALFORMED
 
-    def test_without_any_start_time(self) -> None:
+    def test_neither_report_nor_record_has_a_start_time(self) -> None:
         report = upstreams.decode_report(encoded_report())
         assert not report.is_from_later_run(self.incarnation(0))
 
     @pytest.mark.parametrize("born", ["100", 1.5, True, None, -1, [], {}])
-    def test_malformed_start_times(self, born: object) -> None:
+    def test_malformed_start_times_are_rejected(self, born: object) -> None:
         with pytest.raises(errors.CrowdeckError):
             upstreams.decode_report(encoded_report(born=born))
         with pytest.raises(errors.CrowdeckError):
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -457,15 +457,15 @@
             0.0,
         )
 
-        class Copy:
+        class FixedMirror:
             async def changes_since(
                 self, after: stores.Position, wait_seconds: float
             ) -> stores.PeerChanges:
                 return peer_changes
 
         async def body() -> None:
-            copy = typing.cast(mirrors.Mirror, Copy())
-            await peer_http.read_changes(copy, stores.Position(1), 1.0)
+            mirror = typing.cast(mirrors.Mirror, FixedMirror())
+            await peer_http.read_changes(mirror, stores.Position(1), 1.0)
 
         with pytest.raises(errors.CrowdeckError) as caught:
             anyio.run(body)
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -7,7 +7,8 @@
 
 Twice as many requests arrive as the limits allow. At least three quarters of
 the limits must be used, however callers are spread over entries, and no
-instance may receive more requests in a window than ``BOUND``.
+instance may receive more requests in a window than
+``MAX_REQUESTS_PER_WINDOW``.
 """
 
 import collections
@@ -31,15 +32,16 @@
 # Requests that an instance may receive in any window, from
 # COUNTED_FROM_SECONDS on.
 WINDOW_SECONDS = 4.0
-BOUND = 1.5 * WINDOW_SECONDS * LIMIT_PER_SECOND + 5.0
+MAX_REQUESTS_PER_WINDOW = 1.5 * WINDOW_SECONDS * LIMIT_PER_SECOND + 5.0
 # From the start of the simulation.
 ANNOUNCED_AT_SECONDS = 5.0
 COUNTED_FROM_SECONDS = 8.0
 SIMULATED_SECONDS = 60.0
 # Time from the arrival of a request to the head of its answer.
 ANSWER_SECONDS = 0.05
-# Time after an instance's first answer from which an entry's requests count.
-LEARNED_SECONDS = 0.5
+# An entry's requests to an instance must keep to the limit from this time
+# after the instance's first answer that announced it.
+LEARNING_SECONDS = 0.5
 EVEN_LOAD, SKEWED_LOAD = "even", "skewed"
 SHORT_CALL_SECONDS, LONG_CALL_SECONDS = 0.04, 2.5
 
@@ -111,7 +113,7 @@
         if now >= COUNTED_FROM_SECONDS:
             self.received[chosen.name].append(now)
             learned_at = entry.learned_at.get(chosen.name, float("inf"))
-            if now >= learned_at + LEARNED_SECONDS:
+            if now >= learned_at + LEARNING_SECONDS:
                 self.bounded[chosen.name].append(now)
         answered_at = now + ANSWER_SECONDS
         ended_at = answered_at + self.randomness.expovariate(
@@ -219,4 +221,4 @@
             for last, at in enumerate(times):
                 while at - times[first] > WINDOW_SECONDS:
                     first += 1
-                assert last + 1 - first <= BOUND
+                assert last + 1 - first <= MAX_REQUESTS_PER_WINDOW
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -66,8 +66,8 @@
     ) -> stores.Changes:
         self._count_call()
         # A request over HTTP has only the version; the response has the epoch.
-        asked = stores.Position(after.version, self._store.epoch)
-        changes = await self._store.watch(kind, asked, wait_seconds)
+        position = stores.Position(after.version, self._store.epoch)
+        changes = await self._store.watch(kind, position, wait_seconds)
         self._require_connection()
         if changes.epoch != after.epoch:
             raise errors.CrowdeckError(
@@ -203,17 +203,17 @@
         entry = self.entries[peer.name]
         await anyio.sleep(0.001)
         if entry.is_down:
-            raise _lost()
+            raise _no_response()
         if entry.is_silent:
             await anyio.sleep(wait_seconds + TIMEOUT_SLACK_SECONDS)
-            raise _lost()
+            raise _no_response()
         entry.selector.note_peer_request()
         peer_changes = await entry.mirror.changes_since(after, wait_seconds)
         if entry.is_too_large and peer_changes.changes.objects:
             raise errors.CrowdeckError(errors.Code.TOO_LARGE, "too large")
         if entry.is_silent:
             await anyio.sleep(TIMEOUT_SLACK_SECONDS)
-            raise _lost()
+            raise _no_response()
         await anyio.sleep(0.001)
         return peer_changes
 
@@ -229,7 +229,7 @@
         )
 
 
-def _lost() -> errors.CrowdeckError:
+def _no_response() -> errors.CrowdeckError:
     return errors.CrowdeckError(errors.Code.UPSTREAM_LOST, "no response")
 
 
