--- a/src/crowdeck/placement/plan.py
+++ b/src/crowdeck/placement/plan.py
@@ -70,7 +70,7 @@
     is_idle: typing.Callable[[chain.Upstream], bool],
     guaranteed: typing.Sequence[chain.Upstream] | None = None,
 ) -> list[Move]:
-    """Return moves that bring a fleet of engines closer to the plan.
+    """Return the moves to order next in a fleet of engines.
 
     Each cell holds the whole model, so that requests need not cross between
     availability zones. A cell is one zone if its cards suffice. Engines
--- a/src/crowdeck/placement/rearrangement_delay.py
+++ b/src/crowdeck/placement/rearrangement_delay.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Delays rearrangements while a lost engine may still come back."""
+"""Delays rearrangements while a lost engine may still restart."""
 
 import typing
 
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -409,7 +409,7 @@
 
         run_with_orders(work)
 
-    def test_second_engine_is_lost_during_a_rearrangement(self) -> None:
+    def test_model_is_held_after_a_loss_during_a_rearrangement(self) -> None:
         # The new empty engine and the remaining ones can hold the model.
         async def work(
             simulation: Simulation,
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -83,19 +83,21 @@
     events: list[tuple[float, float, typing.Callable[[], None]]]
 
     async def run(self) -> None:
-        self._at(0.0, self._arrive)
+        self._schedule(0.0, self._arrive)
         while self.events[0][0] <= SIMULATED_SECONDS:
-            at, _, act = heapq.heappop(self.events)
+            at, _, action = heapq.heappop(self.events)
             await anyio.sleep(max(0.0, at - anyio.current_time()))
-            act()
+            action()
 
-    def _at(self, at: float, act: typing.Callable[[], None]) -> None:
-        heapq.heappush(self.events, (at, self.randomness.random(), act))
+    def _schedule(self, at: float, action: typing.Callable[[], None]) -> None:
+        heapq.heappush(self.events, (at, self.randomness.random(), action))
 
     def _arrive(self) -> None:
         now = anyio.current_time()
         per_second = DEMAND_FACTOR * LIMIT_PER_SECOND * INSTANCES
-        self._at(now + self.randomness.expovariate(per_second), self._arrive)
+        self._schedule(
+            now + self.randomness.expovariate(per_second), self._arrive
+        )
         (entry,) = self.randomness.choices(self.entries, self.weights)
         allowed = [
             upstream
@@ -119,8 +121,10 @@
         ended_at = answered_at + self.randomness.expovariate(
             1.0 / self.mean_seconds
         )
-        self._at(answered_at, lambda: self._answer(entry, chosen))
-        self._at(ended_at, lambda: entry.requests.subtract([chosen.name]))
+        self._schedule(answered_at, lambda: self._answer(entry, chosen))
+        self._schedule(
+            ended_at, lambda: entry.requests.subtract([chosen.name])
+        )
 
     def _draw(self) -> float:
         return self.randomness.random()
