--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -7,7 +7,8 @@
 
 Twice as many requests arrive as the limits allow. At least three quarters of
 the limits must be used, however callers are spread over entries, and no
-instance may receive more requests in a window than ``BOUND``.
+instance may receive more requests in a window than
+``MAX_REQUESTS_PER_WINDOW``.
 """
 
 import collections
@@ -31,15 +32,16 @@
 # Requests that an instance may receive in any window, from
 # COUNTED_FROM_SECONDS on.
 WINDOW_SECONDS = 4.0
-BOUND = 1.5 * WINDOW_SECONDS * LIMIT_PER_SECOND + 5.0
+MAX_REQUESTS_PER_WINDOW = 1.5 * WINDOW_SECONDS * LIMIT_PER_SECOND + 5.0
 # From the start of the simulation.
 ANNOUNCED_AT_SECONDS = 5.0
 COUNTED_FROM_SECONDS = 8.0
 SIMULATED_SECONDS = 60.0
 # Time from the arrival of a request to the head of its answer.
 ANSWER_SECONDS = 0.05
-# Time after an instance's first answer from which an entry's requests count.
-LEARNED_SECONDS = 0.5
+# An entry's requests to an instance must keep to the limit from this time
+# after the instance's first answer that announced it.
+LEARNING_SECONDS = 0.5
 EVEN_LOAD, SKEWED_LOAD = "even", "skewed"
 SHORT_CALL_SECONDS, LONG_CALL_SECONDS = 0.04, 2.5
 
@@ -81,19 +83,21 @@
     events: list[tuple[float, float, typing.Callable[[], None]]]
 
     async def run(self) -> None:
-        self._at(0.0, self._arrive)
+        self._schedule(0.0, self._arrive)
         while self.events[0][0] <= SIMULATED_SECONDS:
-            at, _, act = heapq.heappop(self.events)
+            at, _, action = heapq.heappop(self.events)
             await anyio.sleep(max(0.0, at - anyio.current_time()))
-            act()
+            action()
 
-    def _at(self, at: float, act: typing.Callable[[], None]) -> None:
-        heapq.heappush(self.events, (at, self.randomness.random(), act))
+    def _schedule(self, at: float, action: typing.Callable[[], None]) -> None:
+        heapq.heappush(self.events, (at, self.randomness.random(), action))
 
     def _arrive(self) -> None:
         now = anyio.current_time()
         per_second = DEMAND_FACTOR * LIMIT_PER_SECOND * INSTANCES
-        self._at(now + self.randomness.expovariate(per_second), self._arrive)
+        self._schedule(
+            now + self.randomness.expovariate(per_second), self._arrive
+        )
         (entry,) = self.randomness.choices(self.entries, self.weights)
         allowed = [
             upstream
@@ -111,14 +115,16 @@
         if now >= COUNTED_FROM_SECONDS:
             self.received[chosen.name].append(now)
             learned_at = entry.learned_at.get(chosen.name, float("inf"))
-            if now >= learned_at + LEARNED_SECONDS:
+            if now >= learned_at + LEARNING_SECONDS:
                 self.bounded[chosen.name].append(now)
         answered_at = now + ANSWER_SECONDS
         ended_at = answered_at + self.randomness.expovariate(
             1.0 / self.mean_seconds
         )
-        self._at(answered_at, lambda: self._answer(entry, chosen))
-        self._at(ended_at, lambda: entry.requests.subtract([chosen.name]))
+        self._schedule(answered_at, lambda: self._answer(entry, chosen))
+        self._schedule(
+            ended_at, lambda: entry.requests.subtract([chosen.name])
+        )
 
     def _draw(self) -> float:
         return self.randomness.random()
@@ -219,4 +225,4 @@
             for last, at in enumerate(times):
                 while at - times[first] > WINDOW_SECONDS:
                     first += 1
-                assert last + 1 - first <= BOUND
+                assert last + 1 - first <= MAX_REQUESTS_PER_WINDOW
