--- a/src/crowdeck/errors.py
+++ b/src/crowdeck/errors.py
@@ -116,7 +116,7 @@
 
 
 class LinkLost(CrowdeckError):
-    """A link closed or became silent before a reply arrived.
+    """A link could not be opened, was lost, or delivered no reply in time.
 
     :ivar was_sent: whether the question may have reached the peer; if
         false, the verdict is ``NOT_RUN``, else ``MAY_HAVE_RUN``.
--- a/src/crowdeck/http.py
+++ b/src/crowdeck/http.py
@@ -92,7 +92,7 @@
         return self._response.headers
 
     def find(self, name: bytes) -> bytes:
-        """Return a header's value by its lower-case name, or an empty one."""
+        """Return a header's value by its lower-case name, empty if absent."""
         for key, value in self._response.headers:
             if key.lower() == name:
                 return value
@@ -134,8 +134,8 @@
 
     :param base_url: prefix of every path; empty if paths are whole URLs.
     :param keep_alive: whether connections are reused. Without reuse each
-        request costs a handshake, but none is lost because the server closes
-        an idle connection, and no leftover bytes are read as an answer.
+        request needs a handshake, but cannot fail because the server closes
+        an idle connection, nor receive the rest of an earlier answer.
     :param connection_limit: maximum number of open connections.
     """
 
@@ -233,9 +233,10 @@
 
 
 def _is_refused(error: BaseException) -> bool:
-    """Whether the system refused the connection.
+    """Whether the connection was refused.
 
-    Its error is the cause of those that the libraries raise.
+    httpcore raises its own error, with the ``ConnectionRefusedError`` as a
+    direct or indirect cause.
     """
     cause: BaseException | None = error
     while cause is not None:
--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -115,9 +115,9 @@
     ) -> None:
         self._clock = clock or LoopClock()
         self._monotonic_clock = monotonic_clock or MonotonicClock()
-        self._order = itertools.count()
-        self._due: list[tuple[float, int, Subscription]] = []
-        self._new: list[Subscription] = []
+        self._tie_breakers = itertools.count()
+        self._scheduled: list[tuple[float, int, Subscription]] = []
+        self._unscheduled: list[Subscription] = []
         self._wake = anyio.Event()
 
     def now(self) -> float:
@@ -142,7 +142,7 @@
                 f"timer {name}: interval must be above zero, not {interval:g}"
             )
         subscription = Subscription(name, interval, callback)
-        self._new.append(subscription)
+        self._unscheduled.append(subscription)
         self._wake.set()
         return subscription
 
@@ -150,23 +150,25 @@
         """Serve subscribers until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                self._take_new()
+                self._schedule_new()
                 self._start_due(tasks)
                 await self._sleep_until_due()
 
-    def _take_new(self) -> None:
+    def _schedule_new(self) -> None:
         self._wake = anyio.Event()
-        for subscription in self._new:
+        for subscription in self._unscheduled:
             self._schedule(subscription)
-        self._new.clear()
+        self._unscheduled.clear()
 
     def _schedule(self, subscription: Subscription) -> None:
         due = self.now() + subscription.interval_seconds
-        heapq.heappush(self._due, (due, next(self._order), subscription))
+        heapq.heappush(
+            self._scheduled, (due, next(self._tie_breakers), subscription)
+        )
 
     def _start_due(self, tasks: anyio.abc.TaskGroup) -> None:
-        while self._due and self._due[0][0] <= self.now():
-            subscription = heapq.heappop(self._due)[2]
+        while self._scheduled and self._scheduled[0][0] <= self.now():
+            subscription = heapq.heappop(self._scheduled)[2]
             if subscription.is_cancelled:
                 continue
             self._schedule(subscription)
@@ -190,8 +192,8 @@
 
     async def _sleep_until_due(self) -> None:
         wake = self._wake
-        if not self._due:
+        if not self._scheduled:
             await wake.wait()
             return
-        with anyio.move_on_at(self._due[0][0]):
+        with anyio.move_on_at(self._scheduled[0][0]):
             await wake.wait()
--- a/src/crowdeck/upstream.py
+++ b/src/crowdeck/upstream.py
@@ -113,7 +113,7 @@
     body: bytes
 
     def find(self, name: str) -> str:
-        """Return a header's value by its lower-case name, or an empty one."""
+        """Return a header's value by its lower-case name, empty if absent."""
         for header in self.headers:
             if header.name == name:
                 return header.value
--- a/src/crowdeck/upstream_http.py
+++ b/src/crowdeck/upstream_http.py
@@ -92,14 +92,18 @@
         try:
             return msgpack.unpackb(response.body)
         except ValueError as error:
-            raise _bad_answer("the engine's answer is malformed") from error
+            raise _bad_answer(
+                "the engine's answer is not valid MessagePack"
+            ) from error
 
     def _structure(self, body: typing.Any, cls: typing.Any) -> typing.Any:
         try:
             return _CONVERTER.structure(body, cls)
         except Exception as error:
             # cattrs raises exception groups as well as plain exceptions.
-            raise _bad_answer("the engine's answer is malformed") from error
+            raise _bad_answer(
+                "the fields of the engine's answer are missing or invalid"
+            ) from error
 
 
 def _bad_answer(message: str) -> errors.CrowdeckError:
