--- a/src/crowdeck/standin/chain_answer.py
+++ b/src/crowdeck/standin/chain_answer.py
@@ -3,8 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-
-"""Answers of stand-in upstreams that chain their own stages."""
+"""Answers of the stand-ins in :mod:`crowdeck.standin.chain_fleet`."""
 
 import typing
 
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -3,12 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Stand-ins for upstreams that chain their own stages.
+"""Stand-ins for upstreams that need no sidecars, see :mod:`crowdeck.chain`.
 
-They serve the relay in process, over ``relay.interfaces.Upstreams``, and
-record where and how often each request ran. Event N of request R has
-``id: N`` and ``data: R:N``, so that missing, repeated or misrouted events
-are detected.
+The relay calls them in process, through :class:`FleetClient`. They record
+where and how often each request ran. Event N of request R has ``id: N`` and
+``data: R:N``, so that tests detect missing, repeated and misrouted events.
 """
 
 import collections
@@ -354,7 +353,10 @@
     async def _arrive(
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
-        """Wait until the instance reads a request, and record its arrival."""
+        """Wait until the instance reads a request, and record its arrival.
+
+        :meth:`resume` records the arrivals at a suspended instance.
+        """
         if target.is_suspended:
             self._unread.append((target, request.id))
             while target.is_suspended:
@@ -389,7 +391,8 @@
             if hop.layers.first != position or not self._holds(hop):
                 return str(hop.upstream.address)
             position = hop.layers.end
-        # If the path ends before the last layer, no engine is at fault.
+        # No engine is at fault if the path ends before the last layer; the
+        # address is one that no engine has.
         return None if position == self._layer_count else "0.0.0.0:0"
 
     def _holds(self, hop: chain.Hop) -> bool:
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -3,10 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Stand-in upstreams that chain their own stages, served over HTTP.
+"""The stand-ins in :mod:`crowdeck.standin.chain_fleet`, served over HTTP.
 
-Each instance listens on its own port and speaks the platform's protocol, so
-that a complete entry can run against it.
+Each instance listens on its own port and implements the platform's protocol,
+so that a complete entry can run against it.
 """
 
 import typing
--- a/src/crowdeck/standin/engine.py
+++ b/src/crowdeck/standin/engine.py
@@ -180,8 +180,8 @@
         )
 
     def _token_count(self, step: upstream.EngineStep) -> int:
-        # A step of a head has a prompt or tokens, any other a number of
-        # hidden states.
+        # Steps of a head have a prompt or tokens; steps of later stages have
+        # the number of tokens that their hidden states cover.
         words = len(step.prompt.split())
         return words + len(step.tokens) + step.count
 
--- a/src/crowdeck/standin/repeats.py
+++ b/src/crowdeck/standin/repeats.py
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class RepeatWindow:
-    """The repeats in one window and how many it allows.
+    """The number of repeats in one window, and the number allowed in it.
 
     :ivar started_at: start of the window in seconds, on the clock of the
         arrivals.
@@ -80,7 +80,7 @@
         """Return the window with the most repeats above its allowance."""
         return max(
             self.windows(allowance),
-            key=lambda peak: peak.repeats - peak.allowed,
+            key=lambda found: found.repeats - found.allowed,
         )
 
     def windows(self, allowance: Allowance) -> list[RepeatWindow]:
@@ -96,7 +96,8 @@
         self, since: float, repeats: list[float], allowance: Allowance
     ) -> RepeatWindow:
         window = allowance.window_seconds
-        # Requests of the preceding window also allow repeats in this one.
+        # Requests of the preceding window also allow repeats in this one, so
+        # the largest of the three counts is used.
         requests = max(
             _count_in_window(self._requests, since - offset, window)
             for offset in (0.0, window / 2, window)
--- a/src/crowdeck/wire/codec.py
+++ b/src/crowdeck/wire/codec.py
@@ -24,7 +24,7 @@
 from crowdeck.wire import messages
 from crowdeck.wire import questions
 
-# Loaded at import, without generated code.
+# pycapnp reads the schema at import; there is no generated code.
 SCHEMA: typing.Any = capnp.load(
     str(importlib.resources.files("crowdeck.wire") / "crowdeck.capnp")
 )
--- a/src/crowdeck/wire/rpc.py
+++ b/src/crowdeck/wire/rpc.py
@@ -233,7 +233,7 @@
 
 def _report_internal_error(error: Exception) -> None:
     counters.COUNTERS.add("link.internal_error")
-    # Only the type and the place, as the text may contain caller content.
+    # The error's text is not logged: it may contain content of callers.
     frames = traceback.extract_tb(error.__traceback__)
     place = f"{frames[-1].name}:{frames[-1].lineno}" if frames else ""
     logs.change("internal_error", error=type(error).__name__, place=place)
@@ -296,7 +296,7 @@
                 return peer
         except (OSError, TimeoutError, capnp.KjException) as error:
             raise errors.LinkLost(
-                f"no link to {address}: {type(error).__name__}",
+                f"cannot open a link to {address}: {type(error).__name__}",
                 was_sent=False,
                 culprit="",
             ) from None
