--- a/spec/corrupted_leases.py
+++ b/spec/corrupted_leases.py
@@ -54,6 +54,7 @@
 
     ``object_index``: the object that it uses.
     ``known_content``: the object's content when last read.
+    ``has_read``: it has read the object at least once.
     ``was_present``: it knows that the object existed.
     ``is_current``: nobody wrote the object since it was read, so a
     conditional write succeeds.
@@ -135,7 +136,9 @@
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
         """Return the invariants by name."""
-        return {"two processes never hold the lease at once": _has_one_holder}
+        return {
+            "two processes never hold the lease at once": _at_most_one_holder
+        }
 
 
 class UnpausedLeases:
@@ -210,11 +213,11 @@
             "the lease does not stay without a holder": (
                 lambda state: state.idle_steps <= IDLE_LIMIT_STEPS
             ),
-            "two processes never hold the lease at once": _has_one_holder,
+            "two processes never hold the lease at once": _at_most_one_holder,
         }
 
 
-def _has_one_holder(state: State) -> bool:
+def _at_most_one_holder(state: State) -> bool:
     holders = [
         process
         for process in state.processes
@@ -244,7 +247,8 @@
                     copied,
                 )
             )
-        # Only if all have seen it: to the others it would never have existed.
+        # To a process that has not seen the object, a removed object is the
+        # same as one that was never created.
         was_seen_by_all = all(
             process.was_present for process in state.processes
         )
--- a/spec/leases.py
+++ b/spec/leases.py
@@ -19,13 +19,13 @@
 
 
 class State(typing.NamedTuple):
-    """The store's lease, each holder's token, and the guard's highest one.
+    """The store's lease, each holder's token, and the guard's highest token.
 
     The guard is the process that checks fencing tokens. ``holder_tokens`` are
     those under which the holders believe that they hold the lease, 0 for none;
     a paused holder does not notice that its lease lapsed. ``applied`` is the
-    highest token of an order that took effect, ``reverted`` whether a lower
-    one did later.
+    highest token of an order that took effect; ``reverted`` tells whether an
+    order with a lower token took effect later.
     """
 
     lease_token: int = 0
--- a/spec/restored_leases.py
+++ b/spec/restored_leases.py
@@ -11,9 +11,13 @@
 from spec import model
 
 WAITS_AFTER_NEW_EPOCH = (
-    "nobody takes the lease for its duration after seeing a new epoch"
+    "a process that sees a new epoch waits a lease duration before it takes "
+    "the lease"
+)
+WAITS_AFTER_START = (
+    "a process that joins an existing fleet waits a lease duration before it "
+    "takes the lease"
 )
-WAITS_AFTER_START = "a process that joins an existing fleet waits as long"
 DISREGARDS_OTHER_EPOCHS = (
     "a write that is answered in another epoch is disregarded"
 )
@@ -60,10 +64,11 @@
 
 
 class State(typing.NamedTuple):
-    """Store, backup, processes, and the highest term a holder acted under.
+    """Store, backup, processes, and the highest term of any holder.
 
     ``is_term_reused`` tells whether a holder took a term that is not
-    higher than all earlier ones.
+    higher than all earlier ones; ``has_restarted`` whether a process
+    restarted, which makes the fleet an existing one to a new process.
     """
 
     epoch: int = 0
--- a/spec/turns.py
+++ b/spec/turns.py
@@ -13,8 +13,10 @@
 
 from spec import model
 
-WAITS_FOR_NOTICE = "a moved session waits until all entries noticed the crash"
-REGISTERS = "the holder of a turn registers it at the new home"
+WAITS_FOR_NOTICE = (
+    "the new home grants no turn until all entries noticed the crash"
+)
+REGISTERS_AT_NEW_HOME = "the holder of a turn registers it at the new home"
 ONE_HOLDER = "a home grants one turn at a time"
 
 ENTRIES = 2
@@ -43,7 +45,7 @@
     """
 
     name = "turns"
-    protections = (WAITS_FOR_NOTICE, REGISTERS, ONE_HOLDER)
+    protections = (WAITS_FOR_NOTICE, REGISTERS_AT_NEW_HOME, ONE_HOLDER)
 
     def initial(self) -> State:
         """Return the initial state."""
@@ -117,7 +119,7 @@
         noticed[entry] = True
         after = state._replace(noticed=tuple(noticed))
         is_running = state.phases[entry] == "running"
-        if is_running and REGISTERS in protections:
+        if is_running and REGISTERS_AT_NEW_HOME in protections:
             return after._replace(new_holder=entry)
         return after
 
