--- a/examples/claim_a_key.py
+++ b/examples/claim_a_key.py
@@ -33,7 +33,7 @@
     if holder.nonce == claim.nonce:
         print(f"{name} holds the key and does the work")
     else:
-        print(f"{name} finds the work with {holder.sidecars[0]}")
+        print(f"{name} leaves the work to {holder.sidecars[0]}")
 
 
 async def main() -> None:
--- a/examples/seal_a_call.py
+++ b/examples/seal_a_call.py
@@ -24,14 +24,19 @@
 def main() -> None:
     """Seal one call before it arrives, and one after it has run."""
     gate = crowdeck.Gate(incarnation=7, clock=WallClock())
-    print("late:", gate.seal("late-call", 0, incarnation=7))
+    print(
+        "sealed before it arrived:", gate.seal("late-call", 0, incarnation=7)
+    )
     try:
         gate.admit("late-call", 0, is_new_work=True)
     except crowdeck.CrowdeckError as error:
-        print("its late arrival:", error.code)
-    gate.admit("prompt-call", 0, is_new_work=True)
-    gate.finish("prompt-call")
-    print("prompt:", gate.seal("prompt-call", 0, incarnation=7))
+        print("arrived after its seal:", error.code)
+    gate.admit("completed-call", 0, is_new_work=True)
+    gate.finish("completed-call")
+    print(
+        "sealed after it ran:",
+        gate.seal("completed-call", 0, incarnation=7),
+    )
 
 
 if __name__ == "__main__":
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -33,12 +33,12 @@
     ) -> None:
         runpy.run_path(str(EXAMPLES / "seal_a_call.py"), run_name="__main__")
         assert capsys.readouterr().out.splitlines() == [
-            "late: not_run",
-            "its late arrival: SEALED",
-            "prompt: ran",
+            "sealed before it arrived: not_run",
+            "arrived after its seal: SEALED",
+            "sealed after it ran: ran",
         ]
 
-    def test_entry_before_chaining_engines_loads_no_sidecar(self) -> None:
+    def test_daemon_import_loads_no_sidecar_modules(self) -> None:
         # Modules that a fleet entry does not need would delay its start.
         code = (
             "import sys; import crowdeck.cmd.daemon;"
