--- a/bench/limits.py
+++ b/bench/limits.py
@@ -8,8 +8,8 @@
 Run as ``python -m bench.limits``. The limit is shared by the code that entries
 run in production; requests, answers and one instance that announces a limit
 are simulated in virtual time. In the mode ``even`` the instance does not
-report its load, so that all entries have equal shares; in the mode ``seen``
-it does. Both modes use the same seeds.
+report its load, and all entries have equal shares of the limit; in the mode
+``seen`` it reports its load. Both modes use the same seeds.
 """
 
 import argparse
@@ -78,7 +78,7 @@
             f"{self.entry_count:3d} entries, "
             f"{self.busiest_share:4.2f} at one, "
             f"limit {self.limit_per_second:4.1f}, "
-            f"asked {self.offered_per_second:4.1f}, "
+            f"offered {self.offered_per_second:4.1f}, "
             f"{self.request_seconds:4.2f} s, surge {self.surge_factor:3.1f}"
         )
 
--- a/bench/logs.py
+++ b/bench/logs.py
@@ -106,14 +106,14 @@
         return len(line)
 
     print(
-        f"nowhere: {measure(record_size, make_unlimited_clock()):.1f} "
+        f"discarded: {measure(record_size, make_unlimited_clock()):.1f} "
         "us a request"
     )
     print(f"size: {sum(sizes) / REQUESTS:.0f} bytes a request")
     print(f"pipe that is read: {measure_pipe(True):.1f} us a request")
     print(f"full pipe: {measure_pipe(False):.1f} us a request")
     limited = measure(record_size, time.monotonic)
-    print(f"over the bound of lines a second: {limited:.1f} us a request")
+    print(f"above the limit of lines a second: {limited:.1f} us a request")
 
 
 if __name__ == "__main__":
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -7,10 +7,10 @@
 
 Run as ``python -m bench.placement``. Path planning, usage estimates and
 placement are the code that entries run in production; an engine is simulated
-only by its step time.
-Streams arrive at random and end after their last token, in virtual time. The
-fleets are those of ``fleets.toml`` and random ones, so that a layout is not
-fitted to a few known fleets. All layouts are simulated with the same seeds.
+only by its step time. Streams arrive at random and end after their last token,
+in virtual time. The fleets are those of ``fleets.toml`` and random ones, so
+that a layout is not fitted to a few known fleets. All layouts are simulated
+with the same seeds.
 """
 
 import argparse
--- a/bench/report.py
+++ b/bench/report.py
@@ -17,9 +17,9 @@
 from bench import scenarios
 from crowdeck.standin import model as models
 
-# Factor by which stand-in devices are slower than the devices that the targets
-# of 0.59 s and 41 ms apply to; at full speed the machine that runs the
-# benchmark would be the bottleneck.
+# Factor by which stand-in devices are slower than the devices that the latency
+# targets apply to; at full speed, the machine that runs the benchmark would be
+# the bottleneck.
 SCALE = 20.0
 FIRST_TOKEN_TARGET_SECONDS = 0.59 * SCALE
 TOKEN_GAP_TARGET_SECONDS = 0.041 * SCALE
