--- a/bench/soak/config.py
+++ b/bench/soak/config.py
@@ -75,7 +75,7 @@
     "timeout_ms": 3000,
     "service": "plain",
 }
-# How often each request may be sent.
+# Maximum number of upstreams for each request.
 MAX_ATTEMPTS = 4
 
 
--- a/bench/soak/engine_faults.py
+++ b/bench/soak/engine_faults.py
@@ -67,8 +67,8 @@
         back = self._rng.choice(("back", "back_under_its_id"))
         await self._control.do(back, upstream=number)
         link.mode = proxies.Mode.PASS
-        # Recovery is timed from here: a request may crash an engine, and
-        # remove the last copies of layers, after the last injected fault.
+        # The time for recovery starts again here, as a request may crash the
+        # only engine with some layers after the last injected fault.
         self.recovered_at = anyio.current_time()
 
     async def restart_crashed(self) -> None:
