--- a/bench/soak/budget.py
+++ b/bench/soak/budget.py
@@ -47,7 +47,7 @@
         )
 
 
-def ini(allowance: repeats.Allowance) -> str:
+def to_ini(allowance: repeats.Allowance) -> str:
     """Return the budget as settings of an entry."""
     return (
         f"retry_ratio = {allowance.ratio}\n"
--- a/bench/soak/engine_faults.py
+++ b/bench/soak/engine_faults.py
@@ -53,8 +53,8 @@
     async def harm_engine(self, seconds: float) -> None:
         """Make an instance lose answers or reject, and impair its link."""
         number = self._rng.randrange(len(self._links))
-        what = self._rng.choice(("lose_answers", "reject"))
-        await self._control.do(what, upstream=number)
+        command = self._rng.choice(("lose_answers", "reject"))
+        await self._control.do(command, upstream=number)
         await self._links[number].impair(seconds, self._rng)
 
     async def restart(self, number: int, seconds: float) -> None:
@@ -64,8 +64,8 @@
         link.reset(1.0, self._rng)
         await self._control.do("dead", upstream=number)
         await anyio.sleep(seconds)
-        back = self._rng.choice(("back", "back_under_its_id"))
-        await self._control.do(back, upstream=number)
+        restart_command = self._rng.choice(("back", "back_under_its_id"))
+        await self._control.do(restart_command, upstream=number)
         link.mode = proxies.Mode.PASS
         # The time for recovery starts again here, as a request may crash the
         # only engine with some layers after the last injected fault.
@@ -96,11 +96,11 @@
             if anyio.current_time() >= ends_at:
                 return
             number = rng.randrange(len(self._links))
-            what = rng.choice(("limit", "rest", "leave"))
+            command = rng.choice(("limit", "rest", "leave"))
             value = rng.uniform(0.3, 2.5)
-            fault_log.append(f"{what} {value:.1f} s")
-            await self._control.do(what, upstream=number, value=value)
+            fault_log.append(f"{command} {value:.1f} s")
+            await self._control.do(command, upstream=number, value=value)
             await anyio.sleep(value)
-            if what == "leave":
+            if command == "leave":
                 await self.restart(number, 0.3)
             await self._control.do("calm", upstream=number)
--- a/bench/soak/fault_bursts.py
+++ b/bench/soak/fault_bursts.py
@@ -118,9 +118,9 @@
     def _started_entries(self) -> list[int]:
         return sorted(self._entries.processes)
 
-    def _record(self, what: str) -> None:
+    def _record(self, description: str) -> None:
         at = anyio.current_time() - self._started_at
-        self._fault_log.append(f"{at:.1f} {what}")
+        self._fault_log.append(f"{at:.1f} {description}")
 
     def _sample_entries(self, least: int = 1) -> list[int]:
         started = self._started_entries
@@ -142,13 +142,15 @@
                 range(count),
             )
         )
-        what = self._rng.choice(
+        command = self._rng.choice(
             ("fail_all", "fail_all", "fail_all", "lose_all", "reject_all")
         )
         seconds = self._rng.uniform(2.0, 6.0)
-        self._record(f"{what} {numbers.start}-{numbers.stop} {seconds:.1f} s")
+        self._record(
+            f"{command} {numbers.start}-{numbers.stop} {seconds:.1f} s"
+        )
         for number in numbers:
-            await self._control.do(what, upstream=number)
+            await self._control.do(command, upstream=number)
         await anyio.sleep(seconds)
         for number in numbers:
             await self._control.do("mend", upstream=number)
@@ -181,8 +183,8 @@
     async def _freeze_or_disconnect(
         self, numbers: list[int], seconds: float, is_frozen: bool
     ) -> None:
-        what = "freeze" if is_frozen else "disconnect"
-        self._record(f"{what} {numbers} {seconds:.1f} s")
+        action = "freeze" if is_frozen else "disconnect"
+        self._record(f"{action} {numbers} {seconds:.1f} s")
         for number in numbers:
             self._targets.links[number].mode = proxies.Mode.HOLD
             await self._control.do("dark", upstream=number)
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -148,7 +148,7 @@
             self._store_port,
             list(ports),
             options.peers,
-            budget.ini(options.allowance) if options.allowance else "",
+            budget.to_ini(options.allowance) if options.allowance else "",
         )
         self._store_proxies = [
             endpoint.store_proxy for endpoint in self._entries.endpoints
@@ -188,7 +188,7 @@
             await stack.enter_async_context(self._entries)
             for number in range(self._options.entries):
                 await self._entries.start(number)
-            await self._await_service()
+            await self._wait_until_served()
             allowance = self._options.allowance
             caller_pause_seconds = (
                 BUDGET_CALLER_PAUSE_SECONDS
@@ -285,7 +285,7 @@
         with anyio.fail_after(START_SECONDS):
             await process.stdout.receive()
 
-    async def _await_service(self) -> None:
+    async def _wait_until_served(self) -> None:
         with anyio.fail_after(START_SECONDS):
             while not await self._serves_all():
                 await anyio.sleep(0.3)
--- a/spec/claims.py
+++ b/spec/claims.py
@@ -85,7 +85,7 @@
                 return [
                     (
                         f"{index} handles the lost reply",
-                        _set(state, index, phase=phase),
+                        _with_entry(state, index, phase=phase),
                     )
                 ]
             case "holds":
@@ -107,7 +107,7 @@
             phase = "claims"
         else:
             phase = "follows"
-        return _set(
+        return _with_entry(
             state,
             index,
             phase=phase,
@@ -123,23 +123,29 @@
         protections: frozenset[str],
     ) -> list[model.Transition]:
         is_current = state.version == entry.version
-        lost = (f"{index}'s write is lost", _set(state, index, phase="unsure"))
+        lost = (
+            f"{index}'s write is lost",
+            _with_entry(state, index, phase="unsure"),
+        )
         if not is_current and CONDITIONAL in protections:
-            conflict = _set(state, index, phase="start")
+            conflict = _with_entry(state, index, phase="start")
             return [(f"{index} conflicts", conflict), lost]
         written = state._replace(version=state.version + 1, holder=index)
         return [
-            (f"{index} writes", _set(written, index, phase="holds")),
-            (f"{index}'s reply is lost", _set(written, index, phase="unsure")),
+            (f"{index} writes", _with_entry(written, index, phase="holds")),
+            (
+                f"{index}'s reply is lost",
+                _with_entry(written, index, phase="unsure"),
+            ),
             lost,
         ]
 
     def _run_call(self, state: State, index: int) -> State:
         name = _ENTRIES[index]
         if getattr(state, f"{name}_sealed"):
-            return _set(state, index, phase="refused")
+            return _with_entry(state, index, phase="refused")
         runs = getattr(state, f"{name}_runs") + 1
-        return _set(state, index, phase="done")._replace(
+        return _with_entry(state, index, phase="done")._replace(
             **{f"{name}_runs": runs}
         )
 
@@ -149,8 +155,8 @@
         entry: Entry = getattr(state, _ENTRIES[index])
         holder = _ENTRIES[entry.holder]
         if getattr(state, f"{holder}_runs"):
-            return _set(state, index, phase="answered")
-        replacing = _set(state, index, phase="replaces")
+            return _with_entry(state, index, phase="answered")
+        replacing = _with_entry(state, index, phase="replaces")
         if SEALS_FIRST in protections:
             return replacing._replace(**{f"{holder}_sealed": True})
         return replacing
@@ -164,6 +170,6 @@
         }
 
 
-def _set(state: State, index: int, **changes: typing.Any) -> State:
+def _with_entry(state: State, index: int, **changes: typing.Any) -> State:
     name = _ENTRIES[index]
     return state._replace(**{name: getattr(state, name)._replace(**changes)})
--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -245,7 +245,7 @@
             if dispatch.path is not None:
                 self._paths[request.id] = dispatch.path
             else:
-                await self._work(target, request)
+                await self._run_call(target, request)
             if target.lost_answers:
                 target.lost_answers -= 1
                 raise _upstream_lost(verdicts.Verdict.MAY_HAVE_RUN)
@@ -437,11 +437,11 @@
             load=target.load,
         )
 
-    async def _work(
+    async def _run_call(
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
         await anyio.sleep(target.call_seconds)
-        await self._maybe_crash(target, request)
+        await self._crash_if_requested(target, request)
         if target.is_unresponsive:
             await anyio.sleep_forever()
 
@@ -455,7 +455,7 @@
         if target.hanging_streams:
             target.hanging_streams -= 1
             await anyio.sleep_forever()
-        await self._maybe_crash(target, request)
+        await self._crash_if_requested(target, request)
         for number in range(dispatch.last_event_id + 1, self.events):
             await anyio.sleep(self.event_seconds)
             await self._wait_for_path(target, request.id)
@@ -468,7 +468,7 @@
             yield event(request.id, number)
             sent += 1
 
-    async def _maybe_crash(
+    async def _crash_if_requested(
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
         """Crash the upstream if the request has a crashing body."""
