--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -3,12 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Stand-ins for upstreams that chain their own stages.
+"""Stand-ins for upstreams that need no sidecars, see :mod:`crowdeck.chain`.
 
-They serve the relay in process, over ``relay.interfaces.Upstreams``, and
-record where and how often each request ran. Event N of request R has
-``id: N`` and ``data: R:N``, so that missing, repeated or misrouted events
-are detected.
+The relay calls them in process, through :class:`FleetClient`. They record
+where and how often each request ran. Event N of request R has ``id: N`` and
+``data: R:N``, so that tests detect missing, repeated and misrouted events.
 """
 
 import collections
@@ -246,7 +245,7 @@
             if dispatch.path is not None:
                 self._paths[request.id] = dispatch.path
             else:
-                await self._work(target, request)
+                await self._run_call(target, request)
             if target.lost_answers:
                 target.lost_answers -= 1
                 raise _upstream_lost(verdicts.Verdict.MAY_HAVE_RUN)
@@ -354,7 +353,10 @@
     async def _arrive(
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
-        """Wait until the instance reads a request, and record its arrival."""
+        """Wait until the instance reads a request, and record its arrival.
+
+        :meth:`resume` records the arrivals at a suspended instance.
+        """
         if target.is_suspended:
             self._unread.append((target, request.id))
             while target.is_suspended:
@@ -389,7 +391,8 @@
             if hop.layers.first != position or not self._holds(hop):
                 return str(hop.upstream.address)
             position = hop.layers.end
-        # If the path ends before the last layer, no engine is at fault.
+        # No engine is at fault if the path ends before the last layer; the
+        # address is one that no engine has.
         return None if position == self._layer_count else "0.0.0.0:0"
 
     def _holds(self, hop: chain.Hop) -> bool:
@@ -434,11 +437,11 @@
             load=target.load,
         )
 
-    async def _work(
+    async def _run_call(
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
         await anyio.sleep(target.call_seconds)
-        await self._maybe_crash(target, request)
+        await self._crash_if_requested(target, request)
         if target.is_unresponsive:
             await anyio.sleep_forever()
 
@@ -452,7 +455,7 @@
         if target.hanging_streams:
             target.hanging_streams -= 1
             await anyio.sleep_forever()
-        await self._maybe_crash(target, request)
+        await self._crash_if_requested(target, request)
         for number in range(dispatch.last_event_id + 1, self.events):
             await anyio.sleep(self.event_seconds)
             await self._wait_for_path(target, request.id)
@@ -465,7 +468,7 @@
             yield event(request.id, number)
             sent += 1
 
-    async def _maybe_crash(
+    async def _crash_if_requested(
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
         """Crash the upstream if the request has a crashing body."""
