--- a/src/crowdeck/routing/balance.py
+++ b/src/crowdeck/routing/balance.py
@@ -29,7 +29,8 @@
 # Costs that differ from the least by no more than this count as equal. Of
 # these instances the least recently chosen one is taken.
 COST_TOLERANCE = 0.02
-# Maximum number of records; replaced instances leave theirs behind.
+# Maximum number of records. Those of replaced instances are dropped only once
+# it is exceeded.
 MAX_RECORDS = 2_000
 
 
@@ -54,7 +55,7 @@
     :ivar failure_rate: moving average of the share of failed calls.
     :ivar outcome_at: when a call was last answered or failed.
     :ivar load: requests in progress and waiting, as last reported.
-    :ivar pick_number: number of the choice by which it was last taken.
+    :ivar pick_number: number of the last pick that chose it, 0 if none did.
     """
 
     mean_latency_seconds: float = 0.0
@@ -124,7 +125,10 @@
         self._add_outcome(self._record(upstream), 1.0)
 
     def _add_outcome(self, record: _Record, failure: float) -> None:
-        """Add an outcome, 1 for a failure and 0 for none, to the average."""
+        """Add a call's outcome to the failure rate.
+
+        :param failure: 1 if the call failed, else 0.
+        """
         failure_rate = self._failure_rate(record)
         record.failure_rate = failure_rate + EWMA_WEIGHT * (
             failure - failure_rate
--- a/src/crowdeck/routing/bound.py
+++ b/src/crowdeck/routing/bound.py
@@ -32,7 +32,8 @@
     """The most that a group of engines can serve.
 
     :ivar concurrent_requests: requests in progress.
-    :ivar answer_seconds: duration of a mean answer at that concurrency.
+    :ivar answer_seconds: time to generate an answer of mean length at that
+        concurrency.
     :ivar per_second: requests served in a second.
     :ivar limiting_resource: the resource whose shortage sets the bound.
     :ivar bottleneck: the layers for which that resource is short.
@@ -45,7 +46,7 @@
     bottleneck: pipeline.LayerRange
 
 
-# Returns the capacity of an engine for its layers, in the unit of the caller.
+# Returns an engine's capacity for its layers: requests, or requests a second.
 CapacityFunction = typing.Callable[
     [chain.Upstream, pipeline.LayerRange], float
 ]
@@ -121,7 +122,10 @@
     profile: chain.EngineProfile,
     capacity_of: CapacityFunction,
 ) -> tuple[float, pipeline.LayerRange]:
-    """Return the least capacity of a layer, and the first run with it."""
+    """Return the least total capacity of a layer, and the layers that have it.
+
+    Of these layers, only the first group of adjacent ones is returned.
+    """
     capacities = [0.0] * profile.layer_count
     for engine in engines:
         assert engine.layers is not None
@@ -143,8 +147,9 @@
 ) -> float:
     """Return the seconds that an answer of mean length takes.
 
-    The requests of a layer are spread evenly over its engines. Transfers
-    between stages are left out, which keeps the result a bound.
+    Assumes that the requests of a layer are spread evenly over its engines,
+    and that transfers between engines take no time, which can only raise the
+    bound.
     """
     context_ms = profile.context_ms_per_1000_tokens * mean_tokens / 1000.0
     token_ms = 0.0
@@ -172,7 +177,10 @@
 def _accelerator_type(
     engine: chain.Upstream, profile: chain.EngineProfile
 ) -> chain.AcceleratorType:
-    """Return an engine's type; an unknown type has the profile's speed."""
+    """Return an engine's accelerator type.
+
+    An unknown type gets the speed that the profile states.
+    """
     return profile.cards.get(
         engine.card, chain.AcceleratorType(engine.card, 0.0, 1.0, 1.0)
     )
--- a/src/crowdeck/routing/budget.py
+++ b/src/crowdeck/routing/budget.py
@@ -20,16 +20,16 @@
 STEADY_SHARE = 0.8
 RESTART_SHARE = 1.0 - STEADY_SHARE
 
-# Buckets per window. Of the bucket in which a window begins, all retries
-# count and no request earns, so that the window never spends too much.
+# Buckets per window. In the bucket in which a window begins, all retries count
+# and no request earns, so that rounding never allows too many retries.
 WINDOW_BUCKETS = 40
 
 # Retries in flight count in the windows that begin up to this many buckets
 # from now, as they may still arrive there.
 BUCKETS_AHEAD = WINDOW_BUCKETS // 2
 
-# Number of windows after a process's end in which the retries that it left in
-# flight count.
+# How long retries that a process left in flight may count after its end, in
+# windows.
 RESTART_WINDOWS = 1.0 + BUCKETS_AHEAD / WINDOW_BUCKETS
 
 
@@ -104,8 +104,8 @@
 class _CacheKey:
     """Key of the cached number of remaining retries.
 
-    Requests and time within a bucket do not change it: what they earn counts
-    in the next bucket at the latest.
+    New requests and the time within a bucket do not change the key: what they
+    earn is counted in the next bucket at the latest.
 
     :ivar bucket: number of the current bucket.
     :ivar changes: see :class:`_RetryCounts`.
@@ -138,7 +138,10 @@
         self._abandoned: list[float] = []
 
     def counts_since(self) -> list[int]:
-        """Return the retries since each bucket, the newest bucket first."""
+        """Return the retries that count from each bucket on, newest first.
+
+        Those in flight count from every bucket on.
+        """
         self._settle_abandoned()
         in_flight = len(self._in_flight) + len(self._abandoned)
         arrived = itertools.accumulate(self._arrived.newest_first())
@@ -190,7 +193,7 @@
         now = anyio.current_time()
         expired_count = bisect.bisect_right(self._abandoned, now)
         for until in self._abandoned[:expired_count]:
-            # This may run long after that time.
+            # That time may lie in an earlier bucket.
             self._arrived.add(now - until)
         del self._abandoned[:expired_count]
 
--- a/src/crowdeck/routing/cheapest.py
+++ b/src/crowdeck/routing/cheapest.py
@@ -58,8 +58,8 @@
 
     A partial path is ranked by its cost so far plus a lower bound on the cost
     of the remaining layers: each at the cheapest engine that holds it, without
-    the costs of hops and crossings. The search blocks the event loop, and this
-    order saves it from extending paths to most engines of a large fleet.
+    the costs of hops and crossings. The search blocks the event loop, and in
+    this order it extends few partial paths, even in a large fleet.
 
     :param crossing: cost of going from one zone to another, in ms a token;
         infinite where that is not possible.
@@ -123,12 +123,11 @@
     def _extend(
         self, partial: PartialPath, first_layer: int, zone: str
     ) -> None:
-        # Each engine runs to the end of its range. An engine whose range
-        # begins earlier than ``first_layer`` can also run from there on, or
-        # is not needed.
+        # Each engine runs from ``first_layer`` to the end of its range, which
+        # may begin earlier.
         cost_ms_by_zone = {
-            after: partial.cost_ms + HOP_MS + self._crossing(zone, after)
-            for after in self._zones
+            to_zone: partial.cost_ms + HOP_MS + self._crossing(zone, to_zone)
+            for to_zone in self._zones
         }
         least_cost_ms, least_remaining_ms = (
             self._least_cost_ms,
--- a/src/crowdeck/routing/heads.py
+++ b/src/crowdeck/routing/heads.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""How first engines have served this entry's recent streams.
+"""Records of how first engines served this entry's recent streams.
 
 An engine may answer status checks and still fail or delay its streams, so
 only the outcomes of real streams count.
@@ -22,8 +22,9 @@
 # Failure rate at which an engine is barred; two failures in quick succession
 # reach it.
 BARRED_FAILURE_RATE = 0.4
-# Duration of the first bar; each further one lasts twice as long. After a bar
-# the engine gets one stream at a time until one has had its first event.
+# Duration of the first bar; each further one lasts twice as long as the last.
+# After a bar the engine gets one stream at a time until one has had its first
+# event.
 BARRED_SECONDS = 1.0
 MAX_BARRED_SECONDS = 8.0
 # Time after the end of a bar from which a first event resets the duration.
@@ -52,8 +53,8 @@
     :ivar barred_until: end of the last bar.
     :ivar bar_count: number of bars since it last recovered, which sets the
         duration of the next one.
-    :ivar needs_probe: whether no stream has had its first event since the
-        engine was barred.
+    :ivar awaits_first_event: whether no stream has had its first event since
+        the engine was barred.
     :ivar waiting: start times of attempts without an event, by the
         attempt's key, oldest first.
     """
@@ -64,7 +65,7 @@
     outcome_at: float = float("-inf")
     barred_until: float = float("-inf")
     bar_count: int = 0
-    needs_probe: bool = False
+    awaits_first_event: bool = False
     waiting: dict[typing.Hashable, float] = attrs.field(factory=dict)
 
 
@@ -105,7 +106,7 @@
         record.first_event_at = now
         record.failure_rate = self._failure_rate(record) * (1.0 - EWMA_WEIGHT)
         record.outcome_at = now
-        record.needs_probe = False
+        record.awaits_first_event = False
         if now - record.barred_until > RECOVERY_SECONDS:
             record.bar_count = 0
 
@@ -124,7 +125,7 @@
         record.outcome_at = anyio.current_time()
         if (
             record.failure_rate < BARRED_FAILURE_RATE
-            and not record.needs_probe
+            and not record.awaits_first_event
         ):
             return False
         return self.bar(name)
@@ -141,13 +142,13 @@
         seconds = BARRED_SECONDS * 2.0**record.bar_count
         record.barred_until = now + min(seconds, MAX_BARRED_SECONDS)
         record.bar_count += 1
-        record.needs_probe = True
+        record.awaits_first_event = True
         return True
 
     def is_barred(self, name: str) -> bool:
         """Whether an engine may get no new stream now."""
         record = self._records.get(name)
-        if record is None or not record.needs_probe:
+        if record is None or not record.awaits_first_event:
             return False
         if anyio.current_time() < record.barred_until:
             return True
--- a/src/crowdeck/routing/hops.py
+++ b/src/crowdeck/routing/hops.py
@@ -111,7 +111,9 @@
         search = cheapest.CheapestPathSearch(
             holders,
             request.profile.layer_count,
-            lambda before, after: self._crossing_ms(before, after, request),
+            lambda from_zone, to_zone: self._crossing_ms(
+                from_zone, to_zone, request
+            ),
         )
         if head is not None:
             search.offer(cheapest.PartialPath(0.0, 1, head, None))
@@ -258,26 +260,26 @@
         return best
 
     def _crossing_ms(
-        self, before: str, after: str, request: PathRequest
+        self, from_zone: str, to_zone: str, request: PathRequest
     ) -> float:
         """Return the cost of going from one zone to another, in ms a token.
 
         It is infinite while the link between them is full: another prompt
         would delay every stream that crosses it.
         """
-        if before == after:
+        if from_zone == to_zone:
             return 0.0
-        cost_ms = self._crossing_ms_by_zones.get((before, after))
+        cost_ms = self._crossing_ms_by_zones.get((from_zone, to_zone))
         if cost_ms is None:
             utilization = self._usage.zone_link_utilization(
-                before, after, request.profile
+                from_zone, to_zone, request.profile
             )
             cost_ms = float("inf")
             if utilization <= MAX_LINK_UTILIZATION:
                 cost_ms = _idle_crossing_ms(request.profile) * (
                     1.0 + utilization
                 )
-            self._crossing_ms_by_zones[before, after] = cost_ms
+            self._crossing_ms_by_zones[from_zone, to_zone] = cost_ms
         return cost_ms
 
     def _has_capacity(
@@ -330,10 +332,9 @@
     ) -> list[cheapest.Holder]:
         """Return the cheapest engine of each zone and range of layers.
 
-        An engine's cost is proportional to the number of layers it runs, and
-        the cost of reaching it depends only on its zone. So of the engines
-        with the same zone and layers, the same one is the cheapest for
-        every path.
+        The others cannot make any path cheaper: an engine's cost is
+        proportional to the number of layers it runs, and the cost of reaching
+        it depends only on its zone.
         """
         cheapest_engines: dict[tuple[int, int, str], cheapest.Holder] = {}
         for engine in usable:
--- a/src/crowdeck/routing/policies.py
+++ b/src/crowdeck/routing/policies.py
@@ -14,8 +14,8 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    # The config module uses only the names of policies. A process without
-    # sidecars must not load these modules for that.
+    # Processes without sidecars import this module for the policies' names
+    # and must not load these modules.
     from crowdeck.membership import fleet as fleets
     from crowdeck import pipeline
 
--- a/src/crowdeck/routing/rate_limits.py
+++ b/src/crowdeck/routing/rate_limits.py
@@ -18,7 +18,7 @@
 # Share of a limit that all entries together use. The rest is a margin, as
 # entries know each other's requests only with a delay.
 USED_SHARE = 0.85
-# All entries together send at least this many requests a second, as only
+# All entries together may send at least this many requests a second, as only
 # answers show that a limit was lifted.
 MIN_PER_SECOND = 0.25
 # An idle entry accumulates tokens for this long at most, so that many idle
@@ -280,10 +280,10 @@
     """Return the recent rate at which requests were sent."""
     now = anyio.current_time()
     sent = limit.sent * _decay(now - limit.sent_at)
-    # At a constant rate the decayed number is the rate times the mean lifetime
-    # of a count, or less while the limit is recent.
-    decayed_share = 1.0 - _decay(now - limit.since)
-    lifetime_seconds = HALF_LIFE_SECONDS / math.log(2.0) * decayed_share
+    # At a constant rate the decayed number approaches the rate times the mean
+    # lifetime of a count. A recent limit has reached only a share of that.
+    reached_share = 1.0 - _decay(now - limit.since)
+    lifetime_seconds = HALF_LIFE_SECONDS / math.log(2.0) * reached_share
     return sent / max(1.0, lifetime_seconds)
 
 
--- a/src/crowdeck/routing/usage.py
+++ b/src/crowdeck/routing/usage.py
@@ -143,9 +143,9 @@
         return used / max(1.0, capacity)
 
     def _existing_token_layers(self, name: str) -> float:
-        """Return what still counts of the load that an engine had at first.
+        """Return the part of an engine's existing load that still counts.
 
-        The load is in tokens times layers.
+        The result is in tokens times layers.
         """
         existing = self._existing.get(name)
         if existing is None:
