--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -161,11 +161,11 @@
     def _handle_refusal(
         self, answer: interfaces.Answer
     ) -> errors.CrowdeckError:
-        """Pause the engine that refused, and return the error."""
+        """Pause the engine that caused a refusal, and return the error."""
         culprit = self._culprit(answer)
         if culprit.name != self._path.head.name:
             self._monitor.check_now(culprit)
-            # It may be full or gone; the probe shows which.
+            # The probe shows whether it is full or gone.
             self._monitor.verify(culprit)
         is_misdirected = answer.status == MISDIRECTED_STATUS
         self._context.registry.pause(
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -37,7 +37,7 @@
 RESTART_RESERVE_SHARE = 0.3
 # Connection timeout while the event loop is on time.
 CONNECT_SECONDS = 0.25
-# A connection takes two turns of the event loop, each of which may be late.
+# A connection takes two iterations of the event loop, and each may be late.
 LAG_FACTOR = 2.0
 
 
@@ -45,8 +45,9 @@
 class RetryBudgetSettings:
     """The operator's settings of the retry budget.
 
-    :ivar ratio: retries allowed for each request.
-    :ivar slack: retries allowed on top, by all entries together.
+    :ivar ratio: retries that each request earns.
+    :ivar slack: further retries that all entries together may send in a
+        window.
     :ivar window_seconds: length of the sliding window.
     """
 
@@ -203,20 +204,22 @@
         :param ahead: number of requests that are sent before this one.
         """
         instances = list(upstreams)
-        next_times = [
+        waits = [
             (
                 self._seconds_until_accepted(upstream),
                 1.0 / self.limits.per_second(upstream),
             )
             for upstream in instances
         ]
-        if not min(next_times, default=(0.0, 0.0))[0]:
+        if not min(waits, default=(0.0, 0.0))[0]:
             return 0.0
-        heapq.heapify(next_times)
+        heapq.heapify(waits)
         for _ in range(ahead):
-            soonest, interval = next_times[0]
-            heapq.heapreplace(next_times, (soonest + interval, interval))
-        return next_times[0][0]
+            wait_seconds, interval_seconds = waits[0]
+            heapq.heapreplace(
+                waits, (wait_seconds + interval_seconds, interval_seconds)
+            )
+        return waits[0][0]
 
     def _seconds_until_accepted(self, upstream: chain.Upstream) -> float:
         return max(
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -22,8 +22,8 @@
 # ``placement.plan.MIN_CONCURRENT_REQUESTS``, which is not imported because an
 # entry loads the placement only when it holds the lease.
 MIN_CONCURRENT_REQUESTS = 4.0
-# Time beyond the longest load until the layers are held again: detecting the
-# loss, ordering the loads and reporting them.
+# Time that closing a gap takes besides the longest load: to detect the loss,
+# order the loads and report that they are done.
 ORDER_DELAY_SECONDS = 3.0
 POLL_SECONDS = 0.5
 # How long a result is reused, since every request looks for a gap while layers
@@ -45,7 +45,8 @@
     :ivar engines_since: loop time at which ``engines`` last changed; the
         loads that close the gap are assumed to begin then.
     :ivar layer_capacity: how many layers these engines can hold together.
-    :ivar load_seconds: duration of the longest load that closes the gap.
+    :ivar load_seconds: time of the longest load that is needed to close the
+        gap.
     :ivar was_complete: whether all layers were held before.
     """
 
@@ -120,7 +121,7 @@
 
 
 def max_layers(card: str, profile: chain.EngineProfile) -> int:
-    """Return how many layers a card can hold beside its KV cache.
+    """Return how many layers an accelerator can hold beside its KV cache.
 
     The cache must suffice for ``MIN_CONCURRENT_REQUESTS``.
     """
--- a/src/crowdeck/relay/interfaces.py
+++ b/src/crowdeck/relay/interfaces.py
@@ -65,8 +65,8 @@
     """What an instance reports about itself in an answer's headers.
 
     :ivar load: the reported load, if any.
-    :ivar answers_request: whether it came with the answer to a request. A
-        signal that other answers lack may still be in force.
+    :ivar answers_request: whether it came with the answer to a request. If
+        not, a signal that it lacks may still be in force.
     """
 
     backpressure: pressures.Backpressure
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -18,20 +18,19 @@
 from crowdeck.routing import budget as budgets
 from crowdeck.routing import usage as usages
 
-# Weight of the newest pause in a stream's moving average.
-NEWEST_WEIGHT = 0.1
+# Weight of the newest pause in a stream's mean pause.
+EWMA_WEIGHT = 0.1
 
 
 @attrs.define(eq=False)
 class LiveStream:
     """One stream in progress.
 
-    Durations are in seconds, points in time in seconds of the event loop's
-    clock.
+    Points in time are loop times.
 
     :ivar profile: profile of the engines that serve it.
-    :ivar max_pause: maximum allowed pause between events.
-    :ivar objective: latency objective for the first event.
+    :ivar max_pause_seconds: maximum allowed pause between events.
+    :ivar objective_seconds: latency objective for the first event.
     :ivar tokens: mean number of tokens that the request holds while it runs.
     :ivar sends: its sends, as the retry budget counts them.
     :ivar check_may_resume: returns whether it may resume at another first
@@ -39,11 +38,11 @@
     :ivar last_event_id: id of the last event forwarded, -1 for none.
     :ivar has_events: whether an event was forwarded in any attempt.
     :ivar progress_at: when its last event arrived or its attempt began.
-    :ivar next_check: earliest time of its next check for a stall.
-    :ivar checks: number of checks since ``progress_at``.
+    :ivar next_check_at: earliest time of its next check for a stall.
+    :ivar check_count: number of checks since ``progress_at``.
     :ivar needs_check: whether to check it now though it is not silent.
-    :ivar usual_pause: moving average of the pauses between its events.
-    :ivar longest_pause: longest pause between its events.
+    :ivar mean_pause_seconds: moving average of the pauses between its events.
+    :ivar longest_pause: longest pause between its events, in seconds.
     :ivar first_event_at: when its first event arrived.
     :ivar is_starting: whether the current attempt has had no event yet.
     :ivar abandon_reason: why the current attempt was abandoned, or empty.
@@ -53,8 +52,8 @@
     request: requests.CallerRequest
     service: routes.Service
     profile: chain.EngineProfile
-    max_pause: float
-    objective: float
+    max_pause_seconds: float
+    objective_seconds: float
     tokens: float
     _usage: usages.InFlight
     sends: budgets.SendTracker
@@ -62,10 +61,10 @@
     last_event_id: int = -1
     has_events: bool = False
     progress_at: float = 0.0
-    next_check: float = 0.0
-    checks: int = 0
+    next_check_at: float = 0.0
+    check_count: int = 0
     needs_check: bool = False
-    usual_pause: float = 0.0
+    mean_pause_seconds: float = 0.0
     longest_pause: float = 0.0
     first_event_at: float | None = None
     is_starting: bool = True
@@ -108,17 +107,17 @@
         return self._path
 
     def note_waiting(self, scope: anyio.CancelScope) -> None:
-        """Note that it waits for a path; ``abandon`` cancels ``scope``."""
+        """Note that it waits for a path; :meth:`abandon` cancels ``scope``."""
         self._scope = scope
 
     def begin_attempt(
         self, path: chain.ChainPath, scope: anyio.CancelScope
     ) -> None:
-        """Begin an attempt; ``abandon`` cancels ``scope``."""
+        """Begin an attempt; :meth:`abandon` cancels ``scope``."""
         self._scope = scope
         self.abandon_reason = ""
         self.progress_at = anyio.current_time()
-        self.next_check = 0.0
+        self.next_check_at = 0.0
         self.is_starting = True
         self._attempt_first_event_at = None
         self.switch_path(path)
@@ -130,7 +129,7 @@
         self._usage.add_request(path, self.tokens)
 
     def end_attempt(self) -> None:
-        """End the attempt."""
+        """End the attempt, and stop counting its load on the path."""
         self._scope = None
         self._release_path()
 
@@ -147,14 +146,16 @@
             self.first_event_at = now
         else:
             pause = now - self.progress_at
-            self.usual_pause += NEWEST_WEIGHT * (pause - self.usual_pause)
+            self.mean_pause_seconds += EWMA_WEIGHT * (
+                pause - self.mean_pause_seconds
+            )
             self.longest_pause = max(self.longest_pause, pause)
         if self.is_starting:
             self._attempt_first_event_at = now
         self.is_starting = False
         self.progress_at = now
-        self.next_check = 0.0
-        self.checks = 0
+        self.next_check_at = 0.0
+        self.check_count = 0
 
     def _release_path(self) -> None:
         if self._path is not None:
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -240,7 +240,7 @@
             self._stream.profile,
             self._stream.tokens,
             self._context.zone,
-            self._stream.objective,
+            self._stream.objective_seconds,
             self._context.limits.allows,
         )
         usable = [
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Probes of engines, shared by all tasks that ask at the same time."""
+"""Probes of engines; simultaneous probes of an engine share one request."""
 
 import typing
 
@@ -40,9 +40,10 @@
     :ivar reason: why there is no report, or empty.
     :ivar is_sure: whether a missing report is due to the engine and not to
         the lag of this entry.
-    :ivar at: loop time of the result.
+    :ivar completed_at: loop time of the result.
     :ivar has_error: whether the request failed instead of staying
-        unanswered, as by a refused or reset connection.
+        unanswered. A failure, such as a refused connection, counts as a sign
+        that the network works.
     :ivar is_gone: whether its process is known to have ended.
     """
 
@@ -50,7 +51,7 @@
     report: chain.EngineReport | None
     reason: str
     is_sure: bool
-    at: float
+    completed_at: float
     has_error: bool = False
     is_gone: bool = False
 
@@ -84,20 +85,20 @@
         return bool(self._in_progress)
 
     async def probe(
-        self, upstream: chain.Upstream, max_age: float = REUSE_SECONDS
+        self, upstream: chain.Upstream, max_age_seconds: float = REUSE_SECONDS
     ) -> Probe:
         """Return a new or recent probe of an engine.
 
-        :param max_age: seconds for which a probe with a report is reused.
+        :param max_age_seconds: how long a probe with a report is reused.
         """
         while True:
             known = self._known.get(upstream.name)
             now = anyio.current_time()
             if known is not None:
                 reuse_seconds = (
-                    REUSE_SECONDS if known.report is None else max_age
+                    REUSE_SECONDS if known.report is None else max_age_seconds
                 )
-                if now - known.at < reuse_seconds:
+                if now - known.completed_at < reuse_seconds:
                     return known
             probe_done = self._in_progress.get(upstream.name)
             if probe_done is None:
@@ -123,7 +124,9 @@
         """Drop probes that are too old to be reused."""
         since = anyio.current_time() - STARTING_REUSE_SECONDS
         for stale in [
-            name for name, probe in self._known.items() if probe.at < since
+            name
+            for name, probe in self._known.items()
+            if probe.completed_at < since
         ]:
             del self._known[stale]
 
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -102,7 +102,8 @@
 class Relay:
     """Serves callers' requests.
 
-    :param age: returns the seconds since the config was known to be current.
+    :param age: returns the seconds since the config was last known to be
+        current.
     :param max_config_age: age in seconds beyond which keys may have been
         revoked, so that requests that need a key are refused.
     """
@@ -238,6 +239,7 @@
     def _outdated_config_error(self, age: float) -> errors.CrowdeckError:
         return errors.CrowdeckError(
             errors.Code.STORE_DOWN,
-            f"the config was last known to be current {age:.1f} s ago",
+            f"the config was last known to be current {age:.1f} s ago, the "
+            f"limit is {self._max_config_age:g} s",
             retry_after=retry_advice.OTHER_ENTRY_DELAY_SECONDS,
         )
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -19,7 +19,6 @@
 from crowdeck.relay import probes
 from crowdeck.routing import hops
 
-
 Verify = typing.Callable[[chain.Upstream], None]
 
 
@@ -209,7 +208,7 @@
             stream.profile,
             stream.tokens,
             self._context.zone,
-            stream.objective,
+            stream.objective_seconds,
         )
         subset = self._context.subset.pick(usable)
         return self._context.planner.replace_failed_hops(
@@ -238,4 +237,4 @@
         return "done"
     if not outcome.is_known:
         return "its first engine does not know the request"
-    return f"refused because of {outcome.culprit or 'itself'}"
+    return f"refused because of {outcome.culprit or 'the first engine'}"
--- a/src/crowdeck/relay/retry_advice.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -10,8 +10,8 @@
 
 import anyio
 
-# Window in which refusals and ended streams are counted, about the duration of
-# a stream.
+# Length of the window in which refusals and ended streams are counted, about
+# the duration of a stream.
 WINDOW_SECONDS = 2.0
 # Delay for a single refusal.
 MIN_DELAY_SECONDS = 0.3
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -22,9 +22,9 @@
 # Maximum time between two checks. An idle entry checks only avoided engines,
 # and should use little processor time.
 IDLE_CHECK_SECONDS = 0.2
-# A stream is checked after PAUSE_FACTOR usual pauses without an event, bounded
-# by EARLIEST_SHARE and LATEST_SHARE of its maximum pause. The rest of that
-# pause is for probing and rerouting.
+# A stream is checked after PAUSE_FACTOR mean pauses without an event, but no
+# earlier than EARLIEST_SHARE and no later than LATEST_SHARE of its maximum
+# pause. The rest of that pause is for probing and rerouting.
 PAUSE_FACTOR = 2.5
 EARLIEST_SHARE = 0.3
 LATEST_SHARE = 0.45
@@ -45,7 +45,7 @@
 QUICK_SHARE = 0.5
 # After this share of the objective the first event is late.
 LATE_SHARE = 1.2
-# Another stream with an event within this many of its usual pauses shows that
+# Another stream with an event within this many of its mean pauses shows that
 # the engine works.
 SIBLING_PAUSES = 3.0
 # Engines that an event passed within this time are not probed. Longer than an
@@ -146,7 +146,7 @@
         for stream in self._streams:
             path = stream.path
             if path is not None and path.passes(upstream.name):
-                stream.next_check = 0.0
+                stream.next_check_at = 0.0
                 stream.needs_check = True
                 self._woken.set()
 
@@ -172,11 +172,11 @@
     async def _wait_for_check(self) -> None:
         """Sleep until a stream may have been silent for too long."""
         await anyio.sleep(CHECK_SECONDS)
-        with anyio.move_on_at(self._next_check()):
+        with anyio.move_on_at(self._next_check_at()):
             await self._woken.wait()
         self._woken = anyio.Event()
 
-    def _next_check(self) -> float:
+    def _next_check_at(self) -> float:
         """Return the loop time before which no stream has to be checked.
 
         A first event may shorten a stream's limit to EARLIEST_SHARE of its
@@ -189,7 +189,9 @@
         for stream in self._streams:
             if stream in self._checking:
                 continue
-            wait_seconds = min(wait_seconds, EARLIEST_SHARE * stream.max_pause)
+            wait_seconds = min(
+                wait_seconds, EARLIEST_SHARE * stream.max_pause_seconds
+            )
             if stream.path is not None:
                 wait_seconds = min(wait_seconds, self._silent_at(stream) - now)
         return now + wait_seconds
@@ -207,7 +209,7 @@
     async def _is_lost(
         self, probe: probes.Probe, others: tuple[chain.Upstream, ...]
     ) -> bool:
-        """Whether an engine that did not answer is lost.
+        """Whether a probed engine is lost.
 
         Silence counts only if other engines answer: when the entry's own
         network fails, all engines are silent, and abandoning them would
@@ -245,24 +247,28 @@
     def _silent_at(self, stream: live.LiveStream) -> float:
         """Return when a stream counts as silent if no event arrives."""
         if stream.has_events:
-            limit_seconds = PAUSE_FACTOR * stream.usual_pause
+            limit_seconds = PAUSE_FACTOR * stream.mean_pause_seconds
             limit_seconds = max(
-                limit_seconds, EARLIEST_SHARE * stream.max_pause
+                limit_seconds, EARLIEST_SHARE * stream.max_pause_seconds
+            )
+            limit_seconds = min(
+                limit_seconds, LATEST_SHARE * stream.max_pause_seconds
             )
-            limit_seconds = min(limit_seconds, LATEST_SHARE * stream.max_pause)
         else:
-            limit_seconds = FIRST_EVENT_SHARE * stream.objective
-        return max(stream.progress_at + limit_seconds, stream.next_check)
+            limit_seconds = FIRST_EVENT_SHARE * stream.objective_seconds
+        return max(stream.progress_at + limit_seconds, stream.next_check_at)
 
     async def _check(self, stream: live.LiveStream) -> None:
         try:
             await self._handle_silence(stream)
         finally:
-            stream.checks += 1
+            stream.check_count += 1
             delay = (
-                RECHECK_SHARE * stream.max_pause * 2.0 ** (stream.checks - 1)
+                RECHECK_SHARE
+                * stream.max_pause_seconds
+                * 2.0 ** (stream.check_count - 1)
             )
-            stream.next_check = anyio.current_time() + delay
+            stream.next_check_at = anyio.current_time() + delay
             self._checking.discard(stream)
 
     async def _handle_silence(self, stream: live.LiveStream) -> None:
@@ -277,7 +283,7 @@
             "stream_silent",
             stream.request.id,
             silent=round(anyio.current_time() - silent_since, 3),
-            usual=round(stream.usual_pause, 4),
+            usual=round(stream.mean_pause_seconds, 4),
             after=stream.last_event_id,
             culprits=[str(engine.address) for engine in finding.culprits],
             is_sure=finding.is_sure,
@@ -302,9 +308,9 @@
             return False
         if finding.head_report is None or not finding.is_sure:
             return False
-        limit_seconds = HUNG_PAUSES * stream.max_pause
+        limit_seconds = HUNG_PAUSES * stream.max_pause_seconds
         if stream.is_starting:
-            limit_seconds = HUNG_SHARE * stream.objective
+            limit_seconds = HUNG_SHARE * stream.objective_seconds
         now = anyio.current_time()
         if now - stream.progress_at < limit_seconds:
             return False
@@ -316,7 +322,8 @@
             other.path is not None
             and other.path.head.name == path.head.name
             and other.has_events
-            and now - other.progress_at < SIBLING_PAUSES * other.usual_pause
+            and now - other.progress_at
+            < SIBLING_PAUSES * other.mean_pause_seconds
             for other in self._streams
             if other is not stream
         )
@@ -333,14 +340,18 @@
         name = path.head.name
         if heads.has_first_event_since(name, stream.progress_at):
             return False
-        if heads.has_fast_alternative(name, QUICK_SHARE * stream.objective):
+        if heads.has_fast_alternative(
+            name, QUICK_SHARE * stream.objective_seconds
+        ):
             return True
         # An entry with few streams may have no record of other first engines.
         # A late stream is then moved, unless one of them is known to be slow.
         waited = anyio.current_time() - stream.progress_at
         return (
-            waited > LATE_SHARE * stream.objective
-            and not heads.is_another_engine_slow(name, stream.objective)
+            waited > LATE_SHARE * stream.objective_seconds
+            and not heads.is_another_engine_slow(
+                name, stream.objective_seconds
+            )
         )
 
     def _abandon_hung(
@@ -366,10 +377,10 @@
         report may be slightly old. If it names no engine for this request,
         the other engines of the path are probed.
         """
-        max_age = probes.REUSE_SECONDS
+        max_age_seconds = probes.REUSE_SECONDS
         if stream.is_starting:
-            max_age = probes.STARTING_REUSE_SECONDS
-        head = await self._prober.probe(path.head, max_age)
+            max_age_seconds = probes.STARTING_REUSE_SECONDS
+        head = await self._prober.probe(path.head, max_age_seconds)
         if head.report is None:
             others = tuple(hop.upstream for hop in path.hops[1:])
             if await self._is_lost(head, others):
@@ -386,7 +397,7 @@
         answers: list[probes.Probe] = []
 
         async def ask(upstream: chain.Upstream) -> None:
-            answers.append(await self._prober.probe(upstream, max_age))
+            answers.append(await self._prober.probe(upstream, max_age_seconds))
 
         active = self._recently_active()
         async with anyio.create_task_group() as tasks:
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -20,10 +20,10 @@
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
 
-# How many attempts engines may refuse without running them, before the
-# request fails.
+# Number of attempts that engines may refuse without running them. The request
+# fails at the next such refusal.
 MAX_REFUSALS = 4
-# Limit once a part of the answer was sent, since the caller would lose it.
+# The limit once a part of the answer was sent, which the caller would lose.
 # Each further attempt waits for a path and for the retry budget.
 MAX_REFUSALS_STARTED = 12
 # Errors reach the caller this long before its own deadline.
@@ -70,9 +70,9 @@
             request=request,
             service=service,
             profile=service.profile,
-            max_pause=admitted.route.max_pause_seconds
+            max_pause_seconds=admitted.route.max_pause_seconds
             or admitted.route.objective_seconds,
-            objective=admitted.route.objective_seconds,
+            objective_seconds=admitted.route.objective_seconds,
             tokens=token_counts.mean_tokens(
                 service.profile.mean_answer_tokens
             ),
@@ -232,7 +232,7 @@
         )
 
     def _note_send(self, error: errors.CrowdeckError) -> None:
-        """Record in the retry budget whether a failed attempt arrived."""
+        """Tell the retry budget whether a failed attempt reached an engine."""
         sends = self._stream.sends
         if error.code is not errors.Code.UPSTREAM_LOST:
             sends.note_abandoned()
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -23,7 +23,7 @@
 from tests import entries_system
 from tests import fleet_system
 
-BODY = b"ends whoever begins it"
+BODY = b"crashes each instance that begins it"
 # Interval at which callers send the request.
 PAUSE_SECONDS = 0.4
 # All entries have received the evidence this long after the third crash.
@@ -287,7 +287,7 @@
 class TestOtherRequests:
     """Requests that ran at the same engines and are not the cause."""
 
-    def test_none_is_quarantined_when_first_engines_are_crowded(self) -> None:
+    def test_none_is_quarantined_when_many_share_a_first_engine(self) -> None:
         # All streams of a zone begin at the same first engine, where streams
         # that were interrupted run beside the cause again.
         async def work(entries: entries_system.Entries) -> None:
