--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -110,7 +110,7 @@
         )
 
     async def _forward(self, answer: interfaces.Answer) -> None:
-        self._stream.sends.note_arrived()
+        self._stream.send_tracker.note_arrived()
         if answer.load is not None:
             self._context.usage.note_load(self._path.head, answer.load.running)
         if answer.has_not_run:
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -84,7 +84,7 @@
         """
         budget = self._context.budget(service.name)
         budget.earn()
-        sends = budget.track_sends()
+        send_tracker = budget.track_sends()
         call = _Call(
             self._context,
             self._monitor,
@@ -92,9 +92,9 @@
             request,
             admitted,
             service,
-            sends,
+            send_tracker,
         )
-        with contextlib.closing(sends):
+        with contextlib.closing(send_tracker):
             answer = await call.run()
         await sink.reply(answer.status, answer.headers, answer.body)
 
@@ -102,8 +102,8 @@
 class _Call:
     """One call in progress.
 
-    ``_sent`` counts the instances that may have received it; ``_verdict``
-    combines the verdicts of all tries.
+    ``_send_count`` counts the tries, except those that could not connect;
+    ``_verdict`` combines the verdicts of all tries.
     """
 
     def __init__(
@@ -114,12 +114,12 @@
         request: requests.CallerRequest,
         admitted: tables.AdmittedRequest,
         service: routes.Service,
-        sends: budgets.SendTracker,
+        send_tracker: budgets.SendTracker,
     ) -> None:
         self._context = context
         self._monitor = monitor
         self._balancer = balancer
-        self._sends = sends
+        self._send_tracker = send_tracker
         self._request = request
         self._admitted = admitted
         self._service = service
@@ -132,9 +132,9 @@
             request.arrived + limit_seconds - ANSWER_MARGIN_SECONDS
         )
         self._tried: set[str] = set()
-        self._sent = 0
+        self._send_count = 0
         self._verdict = verdicts.Verdict.NOT_RUN
-        self._unavailable = ""
+        self._unavailable_addresses = ""
 
     async def run(self) -> _Answer:
         failed_answer: _Answer | None = None
@@ -209,8 +209,10 @@
             self._request.arrived
             + QUEUE_WAIT_SHARE * self._route.objective_seconds
         )
-        self._unavailable = self._context.backpressure.unavailable_addresses(
-            self._service.name
+        self._unavailable_addresses = (
+            self._context.backpressure.unavailable_addresses(
+                self._service.name
+            )
         )
         wait_queue = self._context.wait_queue(self._service.name)
         # A retried call does not join the queue: it can use only untried
@@ -299,7 +301,7 @@
             with anyio.fail_after(seconds):
                 answer = await self._exchange(upstream)
         except TimeoutError:
-            self._sends.note_abandoned()
+            self._send_tracker.note_abandoned()
             self._balancer.note_failure(upstream)
             raise errors.CrowdeckError(
                 errors.Code.DEADLINE,
@@ -318,14 +320,14 @@
             upstream=upstream.name,
             status=answer.status,
             seconds=round(elapsed, 4),
-            tries=self._sent,
-            held_back=self._unavailable,
+            tries=self._send_count,
+            held_back=self._unavailable_addresses,
         )
         return answer
 
     def _attempt_seconds(self) -> float:
         left = self._seconds_left()
-        if self._route.may_repeat and self._sent < self._max_sends:
+        if self._route.may_repeat and self._send_count < self._max_sends:
             return min(left, self._route.timeout_seconds * FIRST_ATTEMPT_SHARE)
         return left
 
@@ -339,12 +341,12 @@
         timeouts = http.Timeouts(
             self._context.connect_seconds, self._seconds_left()
         )
-        self._sent += 1
-        self._sends.note_sent()
+        self._send_count += 1
+        self._send_tracker.note_sent()
         async with self._context.client.open(
             upstream, self._request, dispatch, timeouts
         ) as answer:
-            self._sends.note_arrived()
+            self._send_tracker.note_arrived()
             return await self._read(upstream, answer)
 
     async def _read(
@@ -381,11 +383,11 @@
         if error.verdict is not verdicts.Verdict.NOT_RUN:
             self._verdict = verdicts.Verdict.MAY_HAVE_RUN
             self._balancer.note_failure(upstream)
-            self._sends.note_arrived()
+            self._send_tracker.note_arrived()
         elif error.code is errors.Code.UPSTREAM_LOST:
             # There was no connection, so the request was not sent.
-            self._sent -= 1
-            self._sends.note_send_failed()
+            self._send_count -= 1
+            self._send_tracker.note_send_failed()
             self._context.registry.avoid(upstream.name, error.message)
         elif not self._context.registry.backoff_seconds_left(upstream.name):
             # An instance that refuses has no calls in progress and would
@@ -397,7 +399,7 @@
             upstream=upstream.name,
             reason=error.message,
             verdict=str(error.verdict),
-            tries=self._sent,
+            tries=self._send_count,
             content=str(self._fingerprint),
         )
 
@@ -410,12 +412,12 @@
         if verdict is not verdicts.Verdict.NOT_RUN:
             if not self._route.may_repeat:
                 return False
-        if self._sent >= self._max_sends:
+        if self._send_count >= self._max_sends:
             return False
-        if not self._sent:
+        if not self._send_count:
             return True
         service = self._service.name
-        if not self._sends.reserve():
+        if not self._send_tracker.reserve():
             self._context.log_retry_refused(service, self._request.id)
             return False
         counters.COUNTERS.add("relay.call.repeated")
@@ -432,7 +434,7 @@
             self._request.id,
             service=self._service.name,
             listed=len(self._context.registry.listed(self._service.name)),
-            held_back=self._unavailable,
+            held_back=self._unavailable_addresses,
             ready_in=round(seconds, 3) if seconds else None,
             waited=round(anyio.current_time() - self._request.arrived, 3),
         )
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -32,7 +32,7 @@
     :ivar max_pause_seconds: maximum allowed pause between events.
     :ivar objective_seconds: latency objective for the first event.
     :ivar tokens: mean number of tokens that the request holds while it runs.
-    :ivar sends: its sends, as the retry budget counts them.
+    :ivar send_tracker: counts its sends in the retry budget.
     :ivar check_may_resume: returns whether it may resume at another first
         engine.
     :ivar last_event_id: id of the last event forwarded, -1 for none.
@@ -56,7 +56,7 @@
     objective_seconds: float
     tokens: float
     _usage: usages.InFlight
-    sends: budgets.SendTracker
+    send_tracker: budgets.SendTracker
     check_may_resume: typing.Callable[[], bool] = lambda: False
     last_event_id: int = -1
     has_events: bool = False
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -76,7 +76,7 @@
     ) -> None:
         self._upstreams = upstreams
         self._may_probe = may_probe
-        self._known: dict[str, Probe] = {}
+        self._results: dict[str, Probe] = {}
         self._in_progress: dict[str, anyio.Event] = {}
 
     @property
@@ -92,7 +92,7 @@
         :param max_age_seconds: how long a probe with a report is reused.
         """
         while True:
-            known = self._known.get(upstream.name)
+            known = self._results.get(upstream.name)
             now = anyio.current_time()
             if known is not None:
                 reuse_seconds = (
@@ -114,7 +114,7 @@
         try:
             probe = await self._exchange(upstream)
             self._forget()
-            self._known[upstream.name] = probe
+            self._results[upstream.name] = probe
             return probe
         finally:
             del self._in_progress[upstream.name]
@@ -125,10 +125,10 @@
         since = anyio.current_time() - STARTING_REUSE_SECONDS
         for stale in [
             name
-            for name, probe in self._known.items()
+            for name, probe in self._results.items()
             if probe.completed_at < since
         ]:
-            del self._known[stale]
+            del self._results[stale]
 
     async def _exchange(self, upstream: chain.Upstream) -> Probe:
         counters.COUNTERS.add("relay.probed")
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -64,7 +64,7 @@
         assert service.profile is not None
         budget = self._context.budget(service.name)
         budget.earn()
-        sends = budget.track_sends()
+        send_tracker = budget.track_sends()
         token_counts = request.token_counts or requests.TokenCounts(0, 0)
         stream = live.LiveStream(
             request=request,
@@ -77,7 +77,7 @@
                 service.profile.mean_answer_tokens
             ),
             usage=self._context.usage,
-            sends=sends,
+            send_tracker=send_tracker,
             last_event_id=request.last_event_id,
             team=admitted.team,
         )
@@ -85,7 +85,7 @@
         try:
             await self._create_run(stream, admitted, sink).run()
         finally:
-            sends.close()
+            send_tracker.close()
             stream.end_attempt()
             self._monitor.drop(stream)
 
@@ -125,7 +125,7 @@
         )
         self._ran_on: set[str] = set()
         self._refusals = 0
-        self._paths = paths.PathSearch(
+        self._path_search = paths.PathSearch(
             context, stream, self._deadline - MIN_ATTEMPT_SECONDS
         )
 
@@ -149,11 +149,13 @@
         path = None
         with anyio.CancelScope() as scope:
             self._stream.note_waiting(scope)
-            path = await self._paths.find(has_started=self._sink.has_started)
+            path = await self._path_search.find(
+                has_started=self._sink.has_started
+            )
         await self._refuse_if_quarantined()
         if path is not None:
             return path
-        raise self._final_error(self._paths.refusal_error())
+        raise self._final_error(self._path_search.refusal_error())
 
     async def _refuse_if_quarantined(self) -> None:
         """Refuse a request that is known to crash engines.
@@ -189,14 +191,14 @@
             tokens=int(self._stream.tokens),
             refusals=self._refusals,
             waited=round(anyio.current_time() - self._request.arrived, 3),
-            held_back=self._paths.unavailable_addresses(),
+            held_back=self._path_search.unavailable_addresses(),
             config=self._admitted.config_version,
         )
         try:
             with anyio.CancelScope() as scope:
                 self._stream.begin_attempt(path, scope)
                 self._context.heads.note_begun(path.head.name, self._stream)
-                self._stream.sends.note_sent()
+                self._stream.send_tracker.note_sent()
                 self._stream.check_may_resume = lambda: (
                     self._route.is_resumable
                     and self._runs_left(path.head.name) > 0
@@ -223,7 +225,7 @@
         finally:
             self._stream.end_attempt()
             self._context.heads.note_ended(path.head.name, self._stream)
-        self._stream.sends.note_abandoned()
+        self._stream.send_tracker.note_abandoned()
         return errors.CrowdeckError(
             errors.Code.STALLED,
             self._stream.abandon_reason or "abandoned",
@@ -233,13 +235,13 @@
 
     def _note_send(self, error: errors.CrowdeckError) -> None:
         """Tell the retry budget whether a failed attempt reached an engine."""
-        sends = self._stream.sends
+        send_tracker = self._stream.send_tracker
         if error.code is not errors.Code.UPSTREAM_LOST:
-            sends.note_abandoned()
+            send_tracker.note_abandoned()
         elif error.verdict is _MAY_HAVE_RUN:
-            sends.note_arrived()
+            send_tracker.note_arrived()
         else:
-            sends.note_send_failed()
+            send_tracker.note_send_failed()
 
     def _note_completed(self, path: chain.ChainPath) -> None:
         stream = self._stream
@@ -269,9 +271,9 @@
             self._note_failed(path.head)
         if error.verdict is _MAY_HAVE_RUN:
             self._ran_on.add(path.head.name)
-            self._paths.exclude(path.head.name)
+            self._path_search.exclude(path.head.name)
         elif error.culprit:
-            self._paths.exclude(error.culprit)
+            self._path_search.exclude(error.culprit)
         logs.decision(
             "attempt_failed",
             self._request.id,
@@ -328,7 +330,7 @@
             if not self._may_resume():
                 return False
         elif error.code is errors.Code.UPSTREAM_LOST:
-            self._paths.exclude(path.head.name)
+            self._path_search.exclude(path.head.name)
             # Nothing was sent, so the retry that was reserved for this
             # attempt is used by the next.
             return True
@@ -354,7 +356,7 @@
         until = anyio.current_time()
         if self._sink.has_started:
             until = min(until + paths.STARTED_WAIT_SECONDS, self._deadline)
-        while not self._stream.sends.reserve():
+        while not self._stream.send_tracker.reserve():
             if anyio.current_time() >= until:
                 self._context.log_retry_refused(service, self._request.id)
                 return False
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -23,7 +23,7 @@
 from tests import entries_system
 from tests import fleet_system
 
-BODY = b"crashes each instance that begins it"
+BODY = b"ends whoever begins it"
 # Interval at which callers send the request.
 PAUSE_SECONDS = 0.4
 # All entries have received the evidence this long after the third crash.
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -362,7 +362,7 @@
             ]
             for upstream in system.fleet.upstreams:
                 upstream.hanging_streams = 0 if upstream in elsewhere else 100
-            # A stream in the other zone shows that it starts at once there.
+            # A stream in the other zone shows that streams start fast there.
             zone = system.context.zone
             system.context.zone = fleet_system.ZONES[1]
             await system.ask(system.request(STREAM))
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -77,11 +77,13 @@
             wait_queue = waiting.WaitQueue()
             outcomes: list[tuple[str, bool]] = []
 
-            async def wait(name: str, until: float, hold: float) -> None:
+            async def wait(
+                name: str, until: float, hold_seconds: float
+            ) -> None:
                 async with wait_queue.turn(until) as is_first:
                     outcomes.append((name, is_first))
                     if is_first:
-                        await anyio.sleep(hold)
+                        await anyio.sleep(hold_seconds)
 
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(wait, "holds", 5.0, 1.0)
