--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -97,13 +97,13 @@
             "ready_in": None if left is None else round(left, 3),
         }
 
-    def closes_by(self, moment: float) -> bool:
-        """Whether the gap is expected to be closed by ``moment``.
+    def closes_by(self, deadline: float) -> bool:
+        """Whether the gap is expected to be closed by ``deadline``.
 
-        :param moment: a loop time.
+        :param deadline: a loop time.
         """
         left = self.seconds_left
-        return left is not None and anyio.current_time() + left <= moment
+        return left is not None and anyio.current_time() + left <= deadline
 
     @property
     def needed(self) -> str:
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -196,7 +196,7 @@
             budget_settings=contexts.RetryBudgetSettings(0.2, 100.0, 10.0),
             started_at=started_at,
             name=name,
-            # Entries with the same seed would act in lockstep.
+            # Entries with the same seed would make the same random choices.
             rng=random.Random(name or 1),
             quarantine=trackers.QuarantineTracker(anyio.current_time),
         )
@@ -211,11 +211,12 @@
             lambda: self.config_age_seconds,
             3.5,
         )
-        # A restarted entry must not reuse the ids of its former run.
+        # A restarted entry must not reuse the request ids of its earlier
+        # process.
         self._prefix = (
             f"{name}r" if started_at < 0.0 else f"{name}@{started_at:.3f}r"
         )
-        self._ids = 0
+        self._request_count = 0
 
     def install(self, config: routes.FleetConfig) -> None:
         """Deliver a config as the store would."""
@@ -260,9 +261,9 @@
 
         :param changes: fields of the request that differ from the defaults.
         """
-        self._ids += 1
+        self._request_count += 1
         request = requests.CallerRequest(
-            id=f"{self._prefix}{self._ids}",
+            id=f"{self._prefix}{self._request_count}",
             method="POST",
             target=f"/{repeat}/x",
             path=f"/{repeat}/x",
@@ -288,11 +289,11 @@
 
 def spend_retry(budget: budgets.SharedRetryBudget) -> bool:
     """Spend one retry of a budget; return false if it is spent."""
-    with contextlib.closing(budget.track_sends()) as sends:
-        if not sends.reserve():
+    with contextlib.closing(budget.track_sends()) as send_tracker:
+        if not send_tracker.reserve():
             return False
-        sends.note_sent()
-        sends.note_arrived()
+        send_tracker.note_sent()
+        send_tracker.note_arrived()
         return True
 
 
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -29,7 +29,7 @@
 }
 
 
-class Demand:
+class Traffic:
     """Requests at a constant rate, to one entry after another.
 
     :param kind: whether to send repeatable calls or streams.
@@ -59,7 +59,7 @@
         """The requests that the service received."""
         return self.entries.fleet.repeat_counters[self.service]
 
-    async def ask(
+    async def send(
         self,
         seconds: float,
         per_second: float = 60.0,
@@ -74,7 +74,7 @@
         """
         until = anyio.current_time() + seconds
         while anyio.current_time() < until:
-            self._fail(fails)
+            self._set_failing(fails)
             entry = self._number
             if among:
                 entry = among[self._number % len(among)]
@@ -83,12 +83,12 @@
             self.entries.start_request(entry, self._kind, b"x")
             await anyio.sleep(1.0 / per_second)
 
-    def freeze(self) -> None:
-        """Freeze all instances, so that they read no requests."""
+    def suspend(self) -> None:
+        """Suspend all instances, so that they read no requests."""
         for target in self._instances():
             target.is_suspended = True
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Let all instances read the requests that arrived, and continue."""
         for target in self._instances():
             self.entries.fleet.resume(target)
@@ -104,13 +104,13 @@
             if target.listed.service == self.service
         ]
 
-    def _fail(self, fails: bool) -> None:
+    def _set_failing(self, fails: bool) -> None:
         for target in self.entries.fleet.upstreams:
             target.failed_calls = FAILURES if fails else 0
             target.break_stream_after = 1 if fails else -1
 
 
-Scenario = typing.Callable[[Demand], typing.Awaitable[None]]
+Scenario = typing.Callable[[Traffic], typing.Awaitable[None]]
 
 
 def simulate(
@@ -119,21 +119,21 @@
     kind: routes.RepeatPolicy = routes.RepeatPolicy.IDEMPOTENT,
     *,
     are_registered: bool = True,
-) -> Demand:
-    """Run a scenario with ``count`` entries, and return its demand.
+) -> Traffic:
+    """Run a scenario with ``count`` entries, and return its traffic.
 
     :param are_registered: whether the store knows the entries at the start.
     """
-    demands: list[Demand] = []
+    all_traffic: list[Traffic] = []
 
     async def run(entries: entries_system.Entries) -> None:
         entries.fleet.events = STREAM_EVENTS
-        demand = Demand(entries, kind)
-        demands.append(demand)
-        await scenario(demand)
-        await demand.wait_until_ended()
+        traffic = Traffic(entries, kind)
+        all_traffic.append(traffic)
+        await scenario(traffic)
+        await traffic.wait_until_ended()
 
     entries_system.run_scenario(
         run, count=count, copies=2, are_registered=are_registered
     )
-    return demands[0]
+    return all_traffic[0]
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -170,7 +170,9 @@
 ALONE = (1.0,)
 
 
-@pytest.mark.parametrize("weights", [ALONE, EVEN, UNEVEN])
+@pytest.mark.parametrize(
+    "weights", [ALONE, EVEN, UNEVEN], ids=["one_entry", "even", "uneven"]
+)
 class TestOneInstance:
     """One instance of several announces a limit."""
 
@@ -212,7 +214,7 @@
 
 
 class TestManyEntries:
-    """Entries that know of each other only their number."""
+    """Many entries, each of which knows only how many there are."""
 
     @pytest.mark.parametrize("share", [1.0 / 70, 0.9])
     def test_seventy_entries_keep_a_limit_together(self, share: float) -> None:
@@ -254,7 +256,9 @@
     """All instances of a service announce limits."""
 
     @pytest.mark.parametrize("repeat", [STREAM, IDEMPOTENT])
-    @pytest.mark.parametrize("weights", [ALONE, EVEN])
+    @pytest.mark.parametrize(
+        "weights", [ALONE, EVEN], ids=["one_entry", "even"]
+    )
     def test_limits_are_used_and_the_rest_is_refused_at_once(
         self, weights: tuple[float, ...], repeat: routes.RepeatPolicy
     ) -> None:
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -6,7 +6,7 @@
 """Tests of the retry budget, with repeats counted at the service.
 
 A service must not receive more repeats in any window than its budget allows,
-also while entries restart, join or lose the store, or instances freeze.
+also while entries restart, join or lose the store, or instances are suspended.
 """
 
 import anyio
@@ -27,15 +27,15 @@
 counts = pytest.mark.parametrize("count", COUNTS)
 
 
-async def _spend_all(demand: repeats_system.Demand) -> None:
+async def _spend_all(traffic: repeats_system.Traffic) -> None:
     """Spend the whole budget after a time without failures."""
-    await demand.ask(FAILURE_FREE_SECONDS, fails=False)
-    await demand.ask(3.0)
+    await traffic.send(FAILURE_FREE_SECONDS, fails=False)
+    await traffic.send(3.0)
 
 
-def _restart_all(demand: repeats_system.Demand, count: int) -> None:
+def _restart_all(traffic: repeats_system.Traffic, count: int) -> None:
     for number in range(count):
-        demand.entries.restart(number)
+        traffic.entries.restart(number)
 
 
 class TestRestartedEntries:
@@ -46,34 +46,34 @@
     def test_restart_together(
         self, count: int, kind: routes.RepeatPolicy
     ) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
-            await _spend_all(demand)
-            _restart_all(demand, count)
-            await demand.ask(15.0)
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await _spend_all(traffic)
+            _restart_all(traffic, count)
+            await traffic.send(15.0)
 
         peak = repeats_system.simulate(body, count, kind).peak
         assert not peak.is_over, peak
 
     @counts
     def test_restart_one_each_second(self, count: int) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
-            await _spend_all(demand)
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await _spend_all(traffic)
             for number in range(10):
-                demand.entries.restart(number % count)
-                await demand.ask(1.0)
-            await demand.ask(5.0)
+                traffic.entries.restart(number % count)
+                await traffic.send(1.0)
+            await traffic.send(5.0)
 
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
     @counts
     def test_restart_together_many_times(self, count: int) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
-            await _spend_all(demand)
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await _spend_all(traffic)
             for _ in range(10):
-                _restart_all(demand, count)
-                await demand.ask(1.0)
-            await demand.ask(5.0)
+                _restart_all(traffic, count)
+                await traffic.send(1.0)
+            await traffic.send(5.0)
 
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
@@ -87,24 +87,24 @@
     def test_all_start_during_a_store_outage(
         self, count: int, kind: routes.RepeatPolicy
     ) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
-            demand.entries.store.is_down = True
-            _restart_all(demand, count)
-            await demand.ask(15.0)
-            demand.entries.store.is_down = False
-            await demand.ask(5.0)
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await traffic.send(FAILURE_FREE_SECONDS, fails=False)
+            traffic.entries.store.is_down = True
+            _restart_all(traffic, count)
+            await traffic.send(15.0)
+            traffic.entries.store.is_down = False
+            await traffic.send(5.0)
 
         peak = repeats_system.simulate(body, count, kind).peak
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (5, 70))
     def test_store_outage_before_all_have_registered(self, count: int) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
-            await demand.entries.wait_until_registered()
-            demand.entries.store.is_down = True
-            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
-            await demand.ask(12.0)
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await traffic.entries.wait_until_registered()
+            traffic.entries.store.is_down = True
+            await traffic.send(FAILURE_FREE_SECONDS, fails=False)
+            await traffic.send(12.0)
 
         peak = repeats_system.simulate(body, count, are_registered=False).peak
         assert not peak.is_over, peak
@@ -115,11 +115,11 @@
 
     @pytest.mark.parametrize("count", (1, 5))
     def test_double_the_entries(self, count: int) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
-            await _spend_all(demand)
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await _spend_all(traffic)
             for _ in range(count):
-                demand.entries.start()
-            await demand.ask(25.0)
+                traffic.entries.start()
+            await traffic.send(25.0)
 
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
@@ -127,12 +127,12 @@
     @pytest.mark.parametrize("count", (1, 5))
     def test_join_during_a_store_outage(self, count: int) -> None:
         # A new entry registers in the store before it takes a share.
-        async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
-            demand.entries.store.is_down = True
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await traffic.send(FAILURE_FREE_SECONDS, fails=False)
+            traffic.entries.store.is_down = True
             for _ in range(count):
-                demand.entries.start()
-            await demand.ask(25.0)
+                traffic.entries.start()
+            await traffic.send(25.0)
 
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
@@ -140,14 +140,14 @@
     @pytest.mark.parametrize("count", (1, 5, 12))
     def test_while_those_there_are_cut_off(self, count: int) -> None:
         # Entries that are cut off from the store do not count the new one.
-        async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await traffic.send(FAILURE_FREE_SECONDS, fails=False)
             for number in range(count):
-                demand.entries.cut_off(number)
+                traffic.entries.cut_off(number)
             for _ in range(max(1, count // 4)):
-                demand.entries.start()
-            await demand.ask(30.0, LOW_PER_SECOND, fails=False)
-            await demand.ask(12.0, LOW_PER_SECOND)
+                traffic.entries.start()
+            await traffic.send(30.0, LOW_PER_SECOND, fails=False)
+            await traffic.send(12.0, LOW_PER_SECOND)
 
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
@@ -161,58 +161,58 @@
     def test_from_one_entry_to_all_others(
         self, count: int, per_second: float
     ) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
+        async def body(traffic: repeats_system.Traffic) -> None:
             others = range(1, count)
-            await demand.ask(20.0, fails=False, among=[0])
-            await demand.ask(10.0, per_second, fails=False, among=[0])
-            await demand.ask(1.0, per_second, among=[0])
-            await demand.ask(14.0, per_second, among=others)
+            await traffic.send(20.0, fails=False, among=[0])
+            await traffic.send(10.0, per_second, fails=False, among=[0])
+            await traffic.send(1.0, per_second, among=[0])
+            await traffic.send(14.0, per_second, among=others)
 
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
 
-class TestFrozenInstances:
+class TestSuspendedInstances:
     """A repeat counts until a window after it has arrived."""
 
     @pytest.mark.parametrize("count", (1, 5))
     def test_late_arrivals_count_with_new_repeats(self, count: int) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
-            demand.freeze()
-            await demand.ask(8.0)
-            demand.thaw()
-            await demand.ask(12.0)
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await traffic.send(FAILURE_FREE_SECONDS, fails=False)
+            traffic.suspend()
+            await traffic.send(8.0)
+            traffic.resume()
+            await traffic.send(12.0)
 
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (2, 5))
     def test_late_arrivals_count_after_callers_moved(self, count: int) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
+        async def body(traffic: repeats_system.Traffic) -> None:
             others = range(1, count)
-            await demand.ask(
+            await traffic.send(
                 FAILURE_FREE_SECONDS, HIGH_PER_SECOND, fails=False, among=[0]
             )
-            demand.freeze()
-            await demand.ask(2.0, HIGH_PER_SECOND, among=[0])
-            await demand.ask(6.0, HIGH_PER_SECOND, among=others)
-            demand.thaw()
-            await demand.ask(12.0, HIGH_PER_SECOND, among=others)
+            traffic.suspend()
+            await traffic.send(2.0, HIGH_PER_SECOND, among=[0])
+            await traffic.send(6.0, HIGH_PER_SECOND, among=others)
+            traffic.resume()
+            await traffic.send(12.0, HIGH_PER_SECOND, among=others)
 
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
     @pytest.mark.parametrize("count", (1, 5))
     def test_late_arrivals_count_after_restarts(self, count: int) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
-            demand.freeze()
-            await demand.ask(3.0)
-            _restart_all(demand, count)
-            await demand.ask(5.0)
-            demand.thaw()
-            await demand.ask(15.0)
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await traffic.send(FAILURE_FREE_SECONDS, fails=False)
+            traffic.suspend()
+            await traffic.send(3.0)
+            _restart_all(traffic, count)
+            await traffic.send(5.0)
+            traffic.resume()
+            await traffic.send(15.0)
 
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
@@ -226,19 +226,19 @@
     def test_most_of_the_budget_is_used(
         self, count: int, kind: routes.RepeatPolicy
     ) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
-            await demand.ask(12.0)
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await traffic.send(FAILURE_FREE_SECONDS, fails=False)
+            await traffic.send(12.0)
 
         peak = repeats_system.simulate(body, count, kind).peak
         assert 0.6 * peak.allowed <= peak.repeats <= peak.allowed, peak
 
     def test_a_restarted_entry_repeats_soon(self) -> None:
-        async def body(demand: repeats_system.Demand) -> None:
-            await demand.ask(FAILURE_FREE_SECONDS, fails=False)
-            _restart_all(demand, 5)
+        async def body(traffic: repeats_system.Traffic) -> None:
+            await traffic.send(FAILURE_FREE_SECONDS, fails=False)
+            _restart_all(traffic, 5)
             await anyio.sleep(2.0)
-            await demand.ask(3.0)
+            await traffic.send(3.0)
 
-        demand = repeats_system.simulate(body, 5)
-        assert len(demand.counter.repeats()) >= 5
+        traffic = repeats_system.simulate(body, 5)
+        assert len(traffic.counter.repeats()) >= 5
