--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -110,7 +110,7 @@
         )
 
     async def _forward(self, answer: interfaces.Answer) -> None:
-        self._stream.sends.note_arrived()
+        self._stream.send_tracker.note_arrived()
         if answer.load is not None:
             self._context.usage.note_load(self._path.head, answer.load.running)
         if answer.has_not_run:
@@ -161,11 +161,11 @@
     def _handle_refusal(
         self, answer: interfaces.Answer
     ) -> errors.CrowdeckError:
-        """Pause the engine that refused, and return the error."""
+        """Pause the engine that caused a refusal, and return the error."""
         culprit = self._culprit(answer)
         if culprit.name != self._path.head.name:
             self._monitor.check_now(culprit)
-            # It may be full or gone; the probe shows which.
+            # The probe shows whether it is full or gone.
             self._monitor.verify(culprit)
         is_misdirected = answer.status == MISDIRECTED_STATUS
         self._context.registry.pause(
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -20,10 +20,10 @@
 from crowdeck.routing import routes as tables
 from crowdeck import verdict as verdicts
 
-# How many attempts engines may refuse without running them, before the
-# request fails.
+# Number of attempts that engines may refuse without running them. The request
+# fails at the next such refusal.
 MAX_REFUSALS = 4
-# Limit once a part of the answer was sent, since the caller would lose it.
+# The limit once a part of the answer was sent, which the caller would lose.
 # Each further attempt waits for a path and for the retry budget.
 MAX_REFUSALS_STARTED = 12
 # Errors reach the caller this long before its own deadline.
@@ -64,20 +64,20 @@
         assert service.profile is not None
         budget = self._context.budget(service.name)
         budget.earn()
-        sends = budget.track_sends()
+        send_tracker = budget.track_sends()
         token_counts = request.token_counts or requests.TokenCounts(0, 0)
         stream = live.LiveStream(
             request=request,
             service=service,
             profile=service.profile,
-            max_pause=admitted.route.max_pause_seconds
+            max_pause_seconds=admitted.route.max_pause_seconds
             or admitted.route.objective_seconds,
-            objective=admitted.route.objective_seconds,
+            objective_seconds=admitted.route.objective_seconds,
             tokens=token_counts.mean_tokens(
                 service.profile.mean_answer_tokens
             ),
             usage=self._context.usage,
-            sends=sends,
+            send_tracker=send_tracker,
             last_event_id=request.last_event_id,
             team=admitted.team,
         )
@@ -85,7 +85,7 @@
         try:
             await self._create_run(stream, admitted, sink).run()
         finally:
-            sends.close()
+            send_tracker.close()
             stream.end_attempt()
             self._monitor.drop(stream)
 
@@ -125,7 +125,7 @@
         )
         self._ran_on: set[str] = set()
         self._refusals = 0
-        self._paths = paths.PathSearch(
+        self._path_search = paths.PathSearch(
             context, stream, self._deadline - MIN_ATTEMPT_SECONDS
         )
 
@@ -149,11 +149,13 @@
         path = None
         with anyio.CancelScope() as scope:
             self._stream.note_waiting(scope)
-            path = await self._paths.find(has_started=self._sink.has_started)
+            path = await self._path_search.find(
+                has_started=self._sink.has_started
+            )
         await self._refuse_if_quarantined()
         if path is not None:
             return path
-        raise self._final_error(self._paths.refusal_error())
+        raise self._final_error(self._path_search.refusal_error())
 
     async def _refuse_if_quarantined(self) -> None:
         """Refuse a request that is known to crash engines.
@@ -189,14 +191,14 @@
             tokens=int(self._stream.tokens),
             refusals=self._refusals,
             waited=round(anyio.current_time() - self._request.arrived, 3),
-            held_back=self._paths.unavailable_addresses(),
+            held_back=self._path_search.unavailable_addresses(),
             config=self._admitted.config_version,
         )
         try:
             with anyio.CancelScope() as scope:
                 self._stream.begin_attempt(path, scope)
                 self._context.heads.note_begun(path.head.name, self._stream)
-                self._stream.sends.note_sent()
+                self._stream.send_tracker.note_sent()
                 self._stream.check_may_resume = lambda: (
                     self._route.is_resumable
                     and self._runs_left(path.head.name) > 0
@@ -223,7 +225,7 @@
         finally:
             self._stream.end_attempt()
             self._context.heads.note_ended(path.head.name, self._stream)
-        self._stream.sends.note_abandoned()
+        self._stream.send_tracker.note_abandoned()
         return errors.CrowdeckError(
             errors.Code.STALLED,
             self._stream.abandon_reason or "abandoned",
@@ -232,14 +234,14 @@
         )
 
     def _note_send(self, error: errors.CrowdeckError) -> None:
-        """Record in the retry budget whether a failed attempt arrived."""
-        sends = self._stream.sends
+        """Tell the retry budget whether a failed attempt reached an engine."""
+        send_tracker = self._stream.send_tracker
         if error.code is not errors.Code.UPSTREAM_LOST:
-            sends.note_abandoned()
+            send_tracker.note_abandoned()
         elif error.verdict is _MAY_HAVE_RUN:
-            sends.note_arrived()
+            send_tracker.note_arrived()
         else:
-            sends.note_send_failed()
+            send_tracker.note_send_failed()
 
     def _note_completed(self, path: chain.ChainPath) -> None:
         stream = self._stream
@@ -269,9 +271,9 @@
             self._note_failed(path.head)
         if error.verdict is _MAY_HAVE_RUN:
             self._ran_on.add(path.head.name)
-            self._paths.exclude(path.head.name)
+            self._path_search.exclude(path.head.name)
         elif error.culprit:
-            self._paths.exclude(error.culprit)
+            self._path_search.exclude(error.culprit)
         logs.decision(
             "attempt_failed",
             self._request.id,
@@ -328,7 +330,7 @@
             if not self._may_resume():
                 return False
         elif error.code is errors.Code.UPSTREAM_LOST:
-            self._paths.exclude(path.head.name)
+            self._path_search.exclude(path.head.name)
             # Nothing was sent, so the retry that was reserved for this
             # attempt is used by the next.
             return True
@@ -354,7 +356,7 @@
         until = anyio.current_time()
         if self._sink.has_started:
             until = min(until + paths.STARTED_WAIT_SECONDS, self._deadline)
-        while not self._stream.sends.reserve():
+        while not self._stream.send_tracker.reserve():
             if anyio.current_time() >= until:
                 self._context.log_retry_refused(service, self._request.id)
                 return False
