--- a/src/crowdeck/sidecar/attempt.py
+++ b/src/crowdeck/sidecar/attempt.py
@@ -25,15 +25,17 @@
     :ivar deadline: monotonic seconds.
     :ivar touched_at: monotonic seconds at which the attempt last changed.
     :ivar forward: link to the next stage, or from the tail to the head.
-    :ivar next_position: the only position this stage will run next.
-    :ivar context: tokens of context the engine holds for it.
-    :ivar pieces: the answer so far, at the head and at the tail.
+    :ivar next_position: the next position that this stage runs.
+    :ivar context: number of tokens of context that the engine holds for it,
+        including the one of a queued decode step.
+    :ivar pieces: the answer so far; kept up to date at the head and the tail
+        only.
     :ivar credit_limit: positions below this one may be generated.
     :ivar is_waiting_for_credit: whether the next step waits for the caller's
         credit.
     :ivar is_moved: whether its KV cache was or is being sent to another
         sidecar.
-    :ivar is_in_engine: whether the engine has a step of it.
+    :ivar is_in_engine: whether a step of it is queued or runs.
     :ivar finish: the finish reason, empty while the answer runs.
     """
 
@@ -77,7 +79,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the answer still grows."""
+        """Whether the attempt has neither finished nor failed."""
         return not self.finish and not self.is_failed
 
     @property
@@ -98,7 +100,8 @@
         if next_layer != self.first_layer:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_LAYER,
-                f"received layer {next_layer} instead of {self.first_layer}",
+                f"the record continues at layer {next_layer}, this stage "
+                f"begins at layer {self.first_layer}",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
             )
 
--- a/src/crowdeck/sidecar/attempt_registry.py
+++ b/src/crowdeck/sidecar/attempt_registry.py
@@ -6,7 +6,7 @@
 """The attempts at a sidecar, both running and ended.
 
 An answer is kept for a while after its attempt, for a caller whose entry has
-died, and so is the KV cache of a stage whose predecessor was lost.
+stopped, and so is a KV cache that the next attempt may continue with.
 """
 
 import anyio
@@ -23,12 +23,13 @@
 from crowdeck.wire import messages
 from crowdeck.wire import questions
 
-# How long a stage without a predecessor keeps its KV cache for the next
-# attempt. Must exceed the time in which a failure is detected.
-ORPHAN_TTL_SECONDS = 5.0
-# How long an answer is kept for a caller whose entry has died.
+# How long an unused KV cache, imported or at a later stage, is kept for the
+# next attempt. Must exceed the time in which a failure is detected.
+UNUSED_KV_TTL_SECONDS = 5.0
+# How long an answer is kept for a caller whose entry has stopped.
 ANSWER_TTL_SECONDS = 60.0
-MAX_ATTEMPTS = 10_000
+# Above this number, ended attempts are dropped; running ones are not.
+MAX_KEPT_ATTEMPTS = 10_000
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
@@ -158,7 +159,10 @@
             counters.COUNTERS.add("engine.cancel_failed")
 
     def on_closed(self, peer: link.Peer) -> None:
-        """Fail attempts that send on a lost link, not those received on it."""
+        """Fail attempts whose next stage was on a lost link.
+
+        Attempts whose source was on it are kept for a resumption.
+        """
         for attempt in tuple(self._attempts.values()):
             if attempt.forward is peer:
                 attempt.forward = None
@@ -189,7 +193,7 @@
 
     def _drop_imports(self, now: float) -> None:
         for request, pending_import in tuple(self._imports.items()):
-            if now - pending_import.imported_at > ORPHAN_TTL_SECONDS:
+            if now - pending_import.imported_at > UNUSED_KV_TTL_SECONDS:
                 del self._imports[request]
                 self._tasks.start_soon(
                     self.cancel_sequence, pending_import.sequence
@@ -218,16 +222,16 @@
     def _sweep_later_stage(
         self, attempt: attempts.Attempt, now: float
     ) -> None:
-        is_orphan = (
+        is_unused = (
             attempt.source is None or attempt.is_failed or attempt.is_moved
         )
-        is_old = now - attempt.touched_at > ORPHAN_TTL_SECONDS
-        is_late = now > attempt.deadline + ORPHAN_TTL_SECONDS
-        if (is_orphan and is_old) or is_late:
+        is_old = now - attempt.touched_at > UNUSED_KV_TTL_SECONDS
+        is_late = now > attempt.deadline + UNUSED_KV_TTL_SECONDS
+        if (is_unused and is_old) or is_late:
             self.drop(attempt, "expired")
 
     def _drop_surplus(self) -> None:
-        surplus = len(self._attempts) - MAX_ATTEMPTS
+        surplus = len(self._attempts) - MAX_KEPT_ATTEMPTS
         if surplus <= 0:
             return
         ended = [
--- a/src/crowdeck/sidecar/batcher.py
+++ b/src/crowdeck/sidecar/batcher.py
@@ -22,8 +22,7 @@
 from crowdeck import upstream
 from crowdeck import verdict as verdicts
 
-# Concurrent prefills. More of them would only share the engine's time, and
-# their KV caches would displace those of running sequences.
+# Maximum number of prefills that run at the same time.
 CONCURRENT_PREFILLS = 8
 # Concurrent decode batches: the next one is sent while one runs, so that the
 # device does not idle for a round trip between two batches.
@@ -47,32 +46,33 @@
         # Weighted sums over all batches.
         self._count = 0.0
         self._sizes = 0.0
-        self._squares = 0.0
+        self._squared_sizes = 0.0
         self._seconds = 0.0
-        self._products = 0.0
+        self._size_seconds = 0.0
 
     def add_batch(self, size: int, seconds: float) -> None:
         """Add one batch to the estimate."""
         decay = self.DECAY_PER_BATCH
         self._count = self._count * decay + 1.0
         self._sizes = self._sizes * decay + size
-        self._squares = self._squares * decay + size * size
+        self._squared_sizes = self._squared_sizes * decay + size * size
         self._seconds = self._seconds * decay + seconds
-        self._products = self._products * decay + size * seconds
+        self._size_seconds = self._size_seconds * decay + size * seconds
 
     @property
     def token_seconds(self) -> float:
         """Seconds that each further sequence adds to a batch."""
-        spread = self._count * self._squares - self._sizes**2
-        # Batch sizes of a smaller variance do not determine the slope.
+        spread = self._count * self._squared_sizes - self._sizes**2
+        # The variance of the batch sizes is spread / count**2. A small one
+        # does not determine the slope.
         if spread <= 0.05 * self._count**2:
             return 0.0
-        slope = self._count * self._products - self._sizes * self._seconds
+        slope = self._count * self._size_seconds - self._sizes * self._seconds
         return max(0.0, slope / spread)
 
     @property
     def batch_seconds(self) -> float:
-        """Seconds of a batch regardless of its size, 0 if unknown."""
+        """Fixed part of a batch's duration in seconds, 0 if unknown."""
         if not self._count:
             return 0.0
         mean = self._seconds / self._count
@@ -189,8 +189,8 @@
     if result.sequence != step.sequence:
         return errors.CrowdeckError(
             errors.Code.UPSTREAM_FAILED,
-            f"the engine's result for sequence {step.sequence} is of another "
-            f"sequence",
+            f"expected a result for sequence {step.sequence}, the engine "
+            f"returned one for {result.sequence}",
             verdict=verdicts.Verdict.MAY_HAVE_RUN,
         )
     if result.error:
--- a/src/crowdeck/sidecar/calls.py
+++ b/src/crowdeck/sidecar/calls.py
@@ -3,10 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Runs calls of plain services at most once, and keeps their answers.
+"""Runs each attempt at a call of a plain service at most once.
 
-A call runs in a task of the sidecar, so that an entry that dies or a link
-that breaks neither cancels the call nor loses its answer.
+Plain services are HTTP upstreams other than model engines. A call runs in a
+task of the sidecar and its answer is kept, so that a stopped entry or a lost
+link neither cancels the call nor loses its answer.
 """
 
 import collections
@@ -26,7 +27,8 @@
 from crowdeck import verdict as verdicts
 from crowdeck.wire import questions
 
-# How long an answer is kept for callers that repeat their request.
+# How long after the start of its call an answer is kept for callers that
+# repeat their request.
 ANSWER_TTL_SECONDS = 300.0
 # Total size of the kept answers, of which the oldest are dropped first.
 MAX_KEPT_BYTES = 64 * 1024 * 1024
@@ -105,7 +107,7 @@
         )
 
     async def sweep(self) -> None:
-        """Drop the answers that are too old or exceed the total size."""
+        """Drop answers of old calls, and those that exceed the total size."""
         limit = self._clock.now() - ANSWER_TTL_SECONDS
         total = sum(record.size for record in self._records.values())
         for request, record in tuple(self._records.items()):
@@ -129,7 +131,8 @@
         if call.incarnation != self._gate.incarnation:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_INCARNATION,
-                "the call was meant for another run of this sidecar",
+                f"the call is for incarnation {call.incarnation}, but this "
+                f"sidecar has incarnation {self._gate.incarnation}",
             )
         service = self._services.get(call.service)
         if service is None:
@@ -224,10 +227,12 @@
         service: upstream.PlainService,
         response: upstream.ServiceResponse,
     ) -> tuple[questions.Companion, ...]:
+        """Fetch the paths in Link headers with ``rel=companion``."""
         paths = _companion_paths(response.headers)
         if len(paths) > MAX_COMPANIONS:
             raise _companion_missing_error(
-                f"more than {MAX_COMPANIONS} companions"
+                f"the answer has {len(paths)} companions, at most "
+                f"{MAX_COMPANIONS} are supported"
             )
         found = []
         for path in paths:
@@ -247,12 +252,17 @@
         try:
             response = await service.call(request)
         except errors.CrowdeckError as error:
-            raise _companion_missing_error(f"{path}: {error.code}") from error
+            raise _companion_missing_error(
+                f"companion {path} could not be fetched: {error.code}"
+            ) from error
         if response.status != 200:
-            raise _companion_missing_error(f"{path}: status {response.status}")
+            raise _companion_missing_error(
+                f"companion {path} could not be fetched: expected status 200, "
+                f"received {response.status}"
+            )
         return questions.Companion(
             path=path,
-            content_type=_header(response.headers, "content-type"),
+            content_type=_media_type(response.headers, "content-type"),
             body=response.body,
         )
 
@@ -265,8 +275,8 @@
     return paths
 
 
-def _header(headers: tuple[http_header.Header, ...], name: str) -> str:
-    """Return a header's value, or a generic content type without one."""
+def _media_type(headers: tuple[http_header.Header, ...], name: str) -> str:
+    """Return the media type in a header, or the generic one without it."""
     for header in headers:
         if header.name == name:
             return header.value
--- a/src/crowdeck/sidecar/gate.py
+++ b/src/crowdeck/sidecar/gate.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define
-class _AttemptRecord:
+class _RequestRecord:
     touched_at: float
     admitted_epoch: int = -1
     sealed_epoch: int = -1
@@ -45,7 +45,7 @@
         self._incarnation = incarnation
         self._clock = clock
         self._max_records = max_records
-        self._records: collections.OrderedDict[str, _AttemptRecord] = (
+        self._records: collections.OrderedDict[str, _RequestRecord] = (
             collections.OrderedDict()
         )
         self._is_leaving = False
@@ -69,14 +69,17 @@
 
         :param is_new_work: false for a stage of an answer in progress,
             which a leaving sidecar still admits.
-        :raises CrowdeckError: ``STALE_EPOCH`` with ``MAY_HAVE_RUN`` if this
-            or a later attempt was admitted before. All other errors have
-            ``NOT_RUN``, and the attempt has not run here.
+        :raises CrowdeckError: ``SEALED`` if this or a later attempt was
+            sealed, even if it was admitted before that; else ``STALE_EPOCH``
+            if this or a later attempt was admitted. ``STALE_EPOCH`` has
+            ``MAY_HAVE_RUN``, all others ``NOT_RUN``.
         """
         record = self._records.get(request)
         if record is not None and epoch <= record.sealed_epoch:
             raise errors.CrowdeckError(
-                errors.Code.SEALED, "this attempt was sealed before it arrived"
+                errors.Code.SEALED,
+                f"attempt {epoch} must not run: attempts up to "
+                f"{record.sealed_epoch} were sealed",
             )
         if record is not None and epoch <= record.admitted_epoch:
             raise errors.CrowdeckError(
@@ -86,7 +89,9 @@
             )
         if self._is_leaving and is_new_work:
             raise errors.CrowdeckError(
-                errors.Code.LEAVING, "this sidecar is leaving", retry_after=0
+                errors.Code.LEAVING,
+                "this sidecar is stopping; retry at another one",
+                retry_after=0,
             )
         self._touch(request).admitted_epoch = epoch
 
@@ -108,10 +113,12 @@
     def seal(
         self, request: str, epoch: int, incarnation: int
     ) -> verdicts.Verdict:
-        """Refuse attempts up to ``epoch``, and return whether one has run.
+        """Refuse attempts up to ``epoch``, and return whether any has run.
 
-        ``NOT_RUN`` is returned only by the incarnation that the attempt was
-        sent to. Another incarnation cannot know what that one did.
+        The verdict covers all attempts of the request: ``RAN`` once any of
+        them has ended, even while a later one runs. ``NOT_RUN`` is returned
+        only by the incarnation that the attempt was sent to, as another one
+        cannot know what that one did.
         """
         if incarnation != self._incarnation:
             return verdicts.Verdict.MAY_HAVE_RUN
@@ -128,7 +135,7 @@
         record = self._records.get(request)
         return record is not None and epoch <= record.sealed_epoch
 
-    def _touch(self, request: str) -> _AttemptRecord:
+    def _touch(self, request: str) -> _RequestRecord:
         self._expire()
         record = self._records.get(request)
         if record is None:
@@ -137,10 +144,11 @@
                 # full gate refuses new requests instead.
                 raise errors.CrowdeckError(
                     errors.Code.OVERLOADED,
-                    "this sidecar has too many recent requests",
+                    f"this sidecar remembers {len(self._records)} requests, "
+                    f"its limit is {self._max_records}; retry later",
                     retry_after=1.0,
                 )
-            record = self._records[request] = _AttemptRecord(self._clock.now())
+            record = self._records[request] = _RequestRecord(self._clock.now())
         else:
             record.touched_at = self._clock.now()
             self._records.move_to_end(request)
--- a/src/crowdeck/sidecar/head.py
+++ b/src/crowdeck/sidecar/head.py
@@ -92,6 +92,7 @@
         if finish:
             self._finish(attempt, finish)
         elif attempt.is_moved:
+            # Paused for a move: the next attempt continues the answer.
             pass
         elif attempt.next_position >= attempt.credit_limit:
             attempt.is_waiting_for_credit = True
@@ -206,8 +207,8 @@
 def _wrong_token_error(got: int, expected: int) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.WRONG_POSITION,
-        f"received token {got} instead of {expected}, or a token with a "
-        f"wrong context length",
+        f"expected the token of position {expected} with this stage's number "
+        f"of context tokens, received the token of position {got}",
         verdict=_MAY_HAVE_RUN,
     )
 
--- a/src/crowdeck/sidecar/kv_transfer.py
+++ b/src/crowdeck/sidecar/kv_transfer.py
@@ -46,7 +46,9 @@
         attempt = self._stage.registry.find(question.request)
         if attempt is None or attempt.epoch != question.epoch:
             raise errors.CrowdeckError(
-                errors.Code.CACHE_GONE, "no such attempt runs here"
+                errors.Code.CACHE_GONE,
+                f"attempt {question.epoch} is not at this sidecar; the next "
+                f"attempt has to prefill the whole context",
             )
         attempt.is_moved = True
         await self._stage.wait_until_idle(question.request)
@@ -62,7 +64,10 @@
     def _require_paused(self, attempt: attempts.Attempt) -> None:
         if attempt.is_in_engine or not attempt.is_running:
             raise errors.CrowdeckError(
-                errors.Code.STALLED, "the attempt has ended or did not pause"
+                errors.Code.STALLED,
+                f"the KV cache is not moved: expected a paused attempt (is "
+                f"running: {attempt.is_running}, has a step in the engine: "
+                f"{attempt.is_in_engine})",
             )
 
     async def _send(
--- a/src/crowdeck/sidecar/opening.py
+++ b/src/crowdeck/sidecar/opening.py
@@ -55,7 +55,7 @@
                 errors.Code.FORBIDDEN, "this request belongs to another team"
             )
         if is_warm:
-            warm_sequence = self._require_warm(earlier, opening)
+            warm_sequence = self._find_warm_sequence(earlier, opening)
         self._gate.admit(
             opening.request, opening.epoch, is_new_work=not is_warm
         )
@@ -76,14 +76,17 @@
         opening: messages.Opening,
         keeps_kv: bool,
     ) -> None:
-        """End an earlier attempt, and cancel a next stage not on the new path.
+        """End an earlier attempt, and cancel it at its next stage.
 
-        Stages that are on both paths receive the new opening instead. A
-        ``Cancel`` could drop the KV cache that a warm opening needs.
+        A next stage that is on the new path too receives the new opening
+        instead: a ``Cancel`` could drop the KV cache that a warm one needs.
         """
-        remaining = {stage.instance for stage in opening.path.stages}
+        new_path_instances = {stage.instance for stage in opening.path.stages}
         forward = earlier.forward
-        if forward is not None and forward.greeting.instance not in remaining:
+        if (
+            forward is not None
+            and forward.greeting.instance not in new_path_instances
+        ):
             self._registry.send_to_next(
                 earlier, messages.Cancel(earlier.request, earlier.epoch)
             )
@@ -127,7 +130,7 @@
                 culprit=self._instance,
             ) from None
 
-    def _require_warm(
+    def _find_warm_sequence(
         self, earlier: attempts.Attempt | None, opening: messages.Opening
     ) -> str:
         """Return the engine sequence that a warm opening continues."""
@@ -144,7 +147,8 @@
         if earlier is None or not has_usable_cache:
             raise errors.CrowdeckError(
                 errors.Code.CACHE_GONE,
-                f"{self._instance} does not hold this KV cache",
+                f"{self._instance} has no idle KV cache of at least "
+                f"{opening.warm_context} tokens for this request",
                 culprit=self._instance,
             )
         return earlier.sequence
--- a/src/crowdeck/sidecar/sidecar.py
+++ b/src/crowdeck/sidecar/sidecar.py
@@ -39,7 +39,7 @@
     """Handles the links of a sidecar's process.
 
     It implements :class:`crowdeck.wire.link.Handler`. Its upstreams are an
-    engine, plain services, or both.
+    engine, plain services (other HTTP upstreams), or both.
     """
 
     def __init__(
@@ -72,10 +72,9 @@
         self._kv_transfers: kv_transfer.KvTransfers | None = None
         self._drained = anyio.Event()
         self._peers: set[link.Peer] = set()
-        # For each entry, the number of running attempts and calls in its last
-        # report, and the value that _reports_sent must reach before it gets
-        # the next report.
-        self._reported: dict[str, tuple[int, int]] = {}
+        # By entry: the number of running attempts and calls last reported to
+        # it, and the value of _reports_sent from which it is reported again.
+        self._last_reports: dict[str, tuple[int, int]] = {}
         self._reports_sent = 0
 
     @property
@@ -97,7 +96,7 @@
         return self._gate.is_leaving
 
     async def start(self, transport: link.Transport) -> None:
-        """Ask the engine what it serves, and begin to serve it."""
+        """Start the timers, and the engine's stage if there is an engine."""
         self._timers.subscribe("calls", 1.0, self._calls.sweep)
         self._timers.subscribe("report", REPORT_SECONDS, self._report)
         self._timers.subscribe("turns", 0.25, self._turns.sweep)
@@ -195,9 +194,9 @@
                 self._turns.end(question)
                 return questions.Done()
             case _:
-                return await self._on_control_question(question)
+                return await self._on_other_question(question)
 
-    async def _on_control_question(
+    async def _on_other_question(
         self, question: questions.Question
     ) -> questions.Reply:
         match question:
@@ -268,14 +267,18 @@
             self._entry_peers,
             key=lambda entry_peer: entry_peer.greeting.instance,
         ):
-            reported = self._reported.get(peer.greeting.instance, (-1, 0))
+            last_report = self._last_reports.get(
+                peer.greeting.instance, (-1, 0)
+            )
             if (
-                reported[0] != load.running
-                and self._reports_sent >= reported[1]
+                last_report[0] != load.running
+                and self._reports_sent >= last_report[1]
             ):
                 peer.send(load)
                 self._reports_sent += 1
-                self._reported[peer.greeting.instance] = (
+                # Reports to other entries come first: as many as half of the
+                # links, among which are those of other sidecars.
+                self._last_reports[peer.greeting.instance] = (
                     load.running,
                     self._reports_sent + len(self._peers) // 2,
                 )
--- a/src/crowdeck/sidecar/stage.py
+++ b/src/crowdeck/sidecar/stage.py
@@ -76,7 +76,8 @@
         """The attempts, both running and ended."""
         return self._registry
 
-    # Openings: a question at the head, a record at the later stages.
+    # The head receives an opening in an Open question, later stages in a
+    # Prefill record.
 
     def open(self, peer: link.Peer, opening: messages.Opening) -> None:
         """Begin an attempt as its head.
@@ -215,7 +216,7 @@
         attempt.forward = peer
 
     def on_step(self, peer: link.Peer, record: messages.Step) -> None:
-        """Run one position of a running attempt."""
+        """Run one position of a request's current attempt."""
         attempt = self._registry.find_current(record.request, record.epoch)
         if attempt is None or attempt.is_head or attempt.is_moved:
             counters.COUNTERS.add("stage.refused.stale_record")
@@ -269,6 +270,7 @@
                 epoch=attempt.epoch,
                 position=position,
                 next_layer=attempt.end_layer,
+                # The next stage has not yet counted this position.
                 context=attempt.context - 1,
                 hidden=output.hidden,
             )
@@ -348,6 +350,7 @@
         if attempt is None or attempt.source is not peer:
             return
         if attempt.is_head and attempt.finish:
+            # A complete answer is kept for callers that resume it.
             return
         if not attempt.is_moved:
             # After a move, the later stages need their KV caches for the
--- a/src/crowdeck/sidecar/turns.py
+++ b/src/crowdeck/sidecar/turns.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Grants the turns of sessions, one at a time and in the order received.
+"""Grants each session's turns one at a time, by number or else by arrival.
 
 A session's home is the sidecar that rendezvous hashing picks for it, which
 grants the session's turns. Nothing is stored: after a change of home, entries
@@ -28,28 +28,36 @@
 # How long a turn is kept for a holder whose entry is lost, as its caller may
 # reconnect at another entry.
 LOST_HOLDER_GRACE_SECONDS = 5.0
-# Sessions that are idle for this long are dropped, with the last number used.
+# Sessions without a holder or waiting requests are dropped this long after the
+# last request for a turn, and with them the highest number granted.
 SESSION_TTL_SECONDS = 900.0
 
 
 @attrs.define(eq=False)
 class _TurnRequest:
+    """A request for a turn.
+
+    :ivar decided: set once the turn is granted, or refused as this sidecar
+        is leaving.
+    """
+
     question: questions.TakeTurn
     peer: link.Peer
-    granted: anyio.Event = attrs.field(factory=anyio.Event)
+    decided: anyio.Event = attrs.field(factory=anyio.Event)
 
 
 @attrs.define(eq=False)
 class _Session:
-    """The turn of one session; times are monotonic seconds.
+    """The turns of one session; times are monotonic seconds.
 
-    :ivar settled_at: time before which no new turn is granted.
+    :ivar touched_at: time of the last request for a turn.
+    :ivar grants_from: time before which no new turn is granted.
     :ivar lost_at: time at which the holder's link was lost.
     :ivar last_sequence: highest number of a turn so far, -1 for none.
     """
 
     touched_at: float
-    settled_at: float
+    grants_from: float
     holder: _TurnRequest | None = None
     lost_at: float | None = None
     last_sequence: int = -1
@@ -79,7 +87,7 @@
         self._is_leaving = True
         for session in self._sessions.values():
             for waiter in session.waiting:
-                waiter.granted.set()
+                waiter.decided.set()
 
     async def take(
         self, peer: link.Peer, question: questions.TakeTurn
@@ -87,8 +95,8 @@
         """Return once the turn is granted.
 
         :raises CrowdeckError: with ``NOT_RUN``; ``ORDER`` if the turn was
-            not granted in time or its number was used before, ``LEAVING``
-            if this sidecar is leaving.
+            not granted in time, or its number or a higher one was granted
+            before; ``LEAVING`` if this sidecar is leaving.
         """
         if self._is_leaving:
             raise _leaving_error()
@@ -96,12 +104,12 @@
         waiter = _TurnRequest(question, peer)
         if self._take_again(session, waiter):
             return
-        self._require_unused_number(session, question)
+        self._require_later_number(session, question)
         session.waiting.append(waiter)
         self._grant(session)
         try:
             with anyio.move_on_after(question.seconds_left):
-                await waiter.granted.wait()
+                await waiter.decided.wait()
         finally:
             # Also when cancelled: a turn granted to a request that has ended
             # would block the session.
@@ -109,7 +117,7 @@
                 session.waiting.remove(waiter)
         if self._is_leaving:
             raise _leaving_error()
-        if not waiter.granted.is_set():
+        if not waiter.decided.is_set():
             raise errors.CrowdeckError(
                 errors.Code.ORDER,
                 "the session's earlier turns did not end in time",
@@ -140,7 +148,11 @@
                 session.lost_at = self._clock.now()
 
     async def sweep(self) -> None:
-        """Drop holders that stay lost, and sessions that are idle."""
+        """Drop holders that stay lost and idle sessions, and grant turns.
+
+        The first new turn of a moved session is granted here, unless another
+        request for a turn arrives after the wait for its holders.
+        """
         now = self._clock.now()
         for name, session in tuple(self._sessions.items()):
             lost_at = session.lost_at
@@ -160,10 +172,10 @@
         now = self._clock.now()
         session = self._sessions.get(question.session)
         if session is None:
-            settled_at = now + (
+            grants_from = now + (
                 HOLDER_RECLAIM_SECONDS if question.is_moved else 0.0
             )
-            session = _Session(touched_at=now, settled_at=settled_at)
+            session = _Session(touched_at=now, grants_from=grants_from)
             self._sessions[question.session] = session
         session.touched_at = now
         return session
@@ -184,20 +196,21 @@
             return True
         return False
 
-    def _require_unused_number(
+    def _require_later_number(
         self, session: _Session, question: questions.TakeTurn
     ) -> None:
-        is_used = 0 <= question.sequence <= session.last_sequence
-        if is_used:
+        is_out_of_order = 0 <= question.sequence <= session.last_sequence
+        if is_out_of_order:
             raise errors.CrowdeckError(
                 errors.Code.ORDER,
-                f"turn {question.sequence} of this session was used before",
+                f"turn {question.sequence} of this session is out of order: "
+                f"turn {session.last_sequence} was granted already",
             )
 
     def _grant(self, session: _Session) -> None:
         if session.holder is not None or not session.waiting:
             return
-        if self._clock.now() < session.settled_at:
+        if self._clock.now() < session.grants_from:
             return
         waiter = self._next_waiter(session)
         if waiter is None:
@@ -207,7 +220,7 @@
         session.last_sequence = max(
             session.last_sequence, waiter.question.sequence
         )
-        waiter.granted.set()
+        waiter.decided.set()
         counters.COUNTERS.add("turns.granted")
 
     def _next_waiter(self, session: _Session) -> _TurnRequest | None:
@@ -232,7 +245,9 @@
 
 def _leaving_error() -> errors.CrowdeckError:
     return errors.CrowdeckError(
-        errors.Code.LEAVING, "the session's home is leaving", retry_after=0.0
+        errors.Code.LEAVING,
+        "the session's home is stopping; retry at its new home",
+        retry_after=0.0,
     )
 
 
