--- a/src/crowdeck/platform/callers.py
+++ b/src/crowdeck/platform/callers.py
@@ -88,7 +88,7 @@
     dropped = (
         _REPLACED_HEADERS
         | _HOP_BY_HOP_HEADERS
-        | _connection_headers(request.headers)
+        | _headers_listed_in_connection(request.headers)
     )
     dropped -= {_HOST}
     if dispatch.last_event_id != request.last_event_id:
@@ -137,7 +137,9 @@
     return int(found.group(1)) if found else None
 
 
-def _connection_headers(headers: http.RawHeaders) -> frozenset[bytes]:
+def _headers_listed_in_connection(
+    headers: http.RawHeaders,
+) -> frozenset[bytes]:
     listed: set[bytes] = set()
     for name, value in headers:
         if name == _CONNECTION:
--- a/src/crowdeck/platform/config.py
+++ b/src/crowdeck/platform/config.py
@@ -3,7 +3,10 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Decodes the operator's config."""
+"""Decodes the fleet config: routes, services and teams.
+
+Operators keep it in the platform's store.
+"""
 
 import typing
 
@@ -123,6 +126,7 @@
         prefill_tokens_per_second=float(body[names.PREFILL_TOKENS_PER_SECOND]),
         activation_bytes=float(body[names.ACTIVATION_BYTES]),
         zone_link_bytes_per_second=float(body[names.ZONE_LINK_MBPS]) * 1e6 / 8,
+        # Only the first model's load time is used.
         load_seconds=float(models[0].get(names.LOAD_SECONDS, 0.0)),
         concurrent_loads=int(body.get(names.CONCURRENT_LOADS) or 1),
         slots=int(body[names.SLOTS]),
@@ -132,7 +136,10 @@
         mean_answer_tokens=float(
             mean_lengths.get(names.MEAN_ANSWER_TOKENS, 0.0)
         ),
-        cards={card.name: card for card in accelerator_types},
+        cards={
+            accelerator_type.name: accelerator_type
+            for accelerator_type in accelerator_types
+        },
     )
 
 
--- a/src/crowdeck/platform/engines.py
+++ b/src/crowdeck/platform/engines.py
@@ -24,7 +24,7 @@
 from crowdeck.relay import interfaces
 from crowdeck.relay import request as requests
 
-# Short, as an engine answers reports and orders without waiting for its
+# Short, as an engine answers reports and orders at once, even while it serves
 # requests.
 CONNECT_TIMEOUT_SECONDS = 0.25
 EXCHANGE_TIMEOUT_SECONDS = 0.5
@@ -115,7 +115,10 @@
         self._listeners: list[interfaces.NoticeListener] = []
 
     def subscribe(self, listener: interfaces.NoticeListener) -> None:
-        """Call ``listener`` with the notice in the head of each answer."""
+        """Call ``listener`` with the notice in the head of each answer.
+
+        Answers with status 421 are left out, as another instance sent them.
+        """
         self._listeners.append(listener)
 
     @contextlib.asynccontextmanager
@@ -206,6 +209,9 @@
     ) -> interfaces.RepathOutcome:
         """Move a running request to another path.
 
+        A call without a valid reply raises nothing: its outcome is neither
+        done nor known.
+
         :param path: the new path, which starts with the same hop.
         """
         order = {
@@ -271,6 +277,7 @@
 
 
 def _load(response: http.OpenResponse) -> interfaces.Load | None:
+    """Return the reported load, or ``None`` if missing or unreadable."""
     parts = response.find(names.LOAD).split(b",")
     try:
         running, waiting, slots = (int(part) for part in parts)
@@ -314,9 +321,10 @@
 
 
 def _refused_address(body: bytes) -> str:
-    """Return the address in the body of a refusal, or an empty string.
+    """Return the address of the engine that refused, or an empty string.
 
-    Without an address the whole path counts as refused.
+    It is in the body of the refusal. Without an address the whole path counts
+    as refused.
     """
     try:
         return str(orjson.loads(body).get(names.ADDRESS, ""))
--- a/src/crowdeck/platform/names.py
+++ b/src/crowdeck/platform/names.py
@@ -5,8 +5,10 @@
 
 """Names of headers, paths and fields in the platform's HTTP API.
 
-A comment gives the meaning of a name that is reused or misleading. Other
-packages use the types that the decoding modules of this package return.
+A comment gives the meaning of a name that is reused or misleading, and marks
+names that are not read. In the rest of ``crowdeck``, only ``cmd`` and
+``standin`` use these names; other packages use the types that the decoding
+modules of this package return.
 """
 
 # Headers, in lower case and latin-1 as in ASGI and httpcore.
@@ -73,7 +75,8 @@
 END_LAYER = "target_version"  # in a layer range: its exclusive end
 MODELS = "models"
 BUSY = "busy"
-ORDERS_TAKEN = "sequence_number"  # in a report; in an object: heartbeats
+# In a report: orders accepted; in an upstream's object: heartbeats.
+ORDERS_TAKEN = "sequence_number"
 RUNNING = "running"
 WAITING = "waiting"
 CACHE_USED = "kv_cache_used"  # tokens times layers
@@ -94,7 +97,7 @@
 EXPECTED_ORDERS = "expected_revision"
 FENCING_TOKEN = "fencing_token"  # noqa: S105
 
-# The operator's config.
+# The fleet config.
 VERSION = "version"
 ROUTES = "routes"
 SERVICES = "services"
@@ -127,8 +130,8 @@
 MS_PER_SEQUENCE = "per_seq_ms"
 CONTEXT_MS_PER_1000_TOKENS = "context_per_k"
 PREFILL_TOKENS_PER_SECOND = "read_per_s"
-PAIRS_MS = "pairs_per_m"
-CHUNK = "chunk"
+PAIRS_MS = "pairs_per_m"  # not read
+CHUNK = "chunk"  # not read
 LAYER_MB = "layer_mb"
 ACCELERATOR_TYPES = "kinds"
 MEMORY_MB = "size_mb"
@@ -142,6 +145,6 @@
 MEAN_LENGTHS = "usual"
 MEAN_PROMPT_TOKENS = "prompt"
 MEAN_ANSWER_TOKENS = "answer"
-DELAYS = "delays"
-DELAY_TO = "target_version"  # in a delay: the other zone
-DELAY_MS = "delay_ms"
+DELAYS = "delays"  # not read
+DELAY_TO = "target_version"  # in a delay: the other zone; not read
+DELAY_MS = "delay_ms"  # not read
--- a/src/crowdeck/platform/orders.py
+++ b/src/crowdeck/platform/orders.py
@@ -39,7 +39,7 @@
         if outcome is engines.OrderOutcome.UNKNOWN:
             raise errors.CrowdeckError(
                 errors.Code.UPSTREAM_LOST,
-                "no reply to the order; the engine may have accepted it",
+                "no valid reply to the order; the engine may have accepted it",
                 verdict=verdicts.Verdict.MAY_HAVE_RUN,
                 culprit=move.upstream.name,
             )
--- a/src/crowdeck/platform/store.py
+++ b/src/crowdeck/platform/store.py
@@ -19,9 +19,11 @@
 from crowdeck import upstream
 from crowdeck import verdict as verdicts
 
-# A call that is not answered within this time counts as an outage.
-REQUEST_TIMEOUT_SECONDS = 1.0
-# Added to the timeout of a watch, as a store or a connection may be slow.
+# Timeout of a read or a write. An unanswered read raises ``STORE_DOWN``, an
+# unanswered write ``STORE_UNSURE`` if it may have been stored.
+CALL_TIMEOUT_SECONDS = 1.0
+# Added to the wait of a watch to get its HTTP timeout, as a store or a
+# connection may be slow.
 WATCH_SLACK_SECONDS = 0.5
 MAX_PAGES = 1_000
 
@@ -68,11 +70,13 @@
     async def put(
         self, kind: str, name: str, value: bytes, expected: int
     ) -> int:
-        """Write an object if its version is ``expected``.
+        """Replace an object if its version is ``expected``.
 
-        Returns the new version.
+        If ``expected`` is ``NO_VERSION``, the object is created. Returns the
+        new version.
 
-        :raises CrowdeckError: ``STORE_CONFLICT`` if it has another version.
+        :raises CrowdeckError: ``STORE_CONFLICT`` if the object is missing, has
+            another version or, when it is created, exists already.
         """
         metadata: Json = {names.NAME: name}
         if expected == stores.NO_VERSION:
@@ -88,9 +92,10 @@
         if response.status in (404, 409):
             raise errors.CrowdeckError(
                 errors.Code.STORE_CONFLICT,
-                f"{kind}/{name} is not at the expected version {expected}",
+                f"{kind}/{name} is not at the expected version {expected} "
+                "(0 if it must not exist); the write was refused",
             )
-        return _decode_object(kind, _decode_written(response)).version
+        return _decode_object(kind, _decode_write_reply(response)).version
 
     async def watch(
         self, kind: str, after: stores.Position, wait: float
@@ -151,10 +156,10 @@
         changes = await self.list(names.INSTANCE_KIND)
         # Not the store's version, which also rises with writes to objects of
         # other kinds.
-        etag = str(
+        highest_version = str(
             max((stored.version for stored in changes.objects), default=0)
         )
-        etag = f"{changes.epoch}-{len(changes.objects)}-{etag}"
+        etag = f"{changes.epoch}-{len(changes.objects)}-{highest_version}"
         if etag == known:
             return None
         try:
@@ -163,12 +168,12 @@
             )
         except (KeyError, TypeError, ValueError) as error:
             raise _store_down_error(
-                "the instance list is malformed"
+                f"the instance list is malformed ({error!r:.80})"
             ) from error
         return stores.Listing(etag, listed)
 
     async def _read(
-        self, path: str, timeout: float = REQUEST_TIMEOUT_SECONDS
+        self, path: str, timeout: float = CALL_TIMEOUT_SECONDS
     ) -> upstream.ServiceResponse:
         try:
             response = await self._client.send("GET", path, [], b"", timeout)
@@ -176,7 +181,8 @@
             raise _store_down_error(error.message) from None
         if response.status not in (200, 404, 410):
             raise _store_down_error(
-                f"the store answered with status {response.status}"
+                f"the store answered with status {response.status}; "
+                "expected 200, 404 or 410"
             )
         self._epoch = self._epoch_of(response)
         return response
@@ -186,7 +192,7 @@
     ) -> upstream.ServiceResponse:
         try:
             response = await self._client.send(
-                method, path, [_JSON_TYPE], body, REQUEST_TIMEOUT_SECONDS
+                method, path, [_JSON_TYPE], body, CALL_TIMEOUT_SECONDS
             )
         except errors.CrowdeckError as error:
             raise _write_error(error.verdict) from None
@@ -232,14 +238,14 @@
         )
     except _DECODE_ERRORS as error:
         raise _store_down_error(
-            "an object of the store is malformed"
+            f"an object of kind {kind} is malformed ({error!r:.80})"
         ) from error
 
 
 def _decode_objects(kind: str, items: object) -> list[stores.StoredObject]:
     """Return the objects of a list that can be decoded.
 
-    A list also contains objects of other writers. A malformed object is
+    A list may contain objects of other writers. A malformed object is
     logged and must not prevent the others from being read.
     """
     if not isinstance(items, list):
@@ -257,12 +263,16 @@
     """Return the last state of each object in the events of a watch."""
     events = body.get(names.EVENTS) or []
     if not isinstance(events, list):
-        raise _store_down_error("the store's events are malformed")
+        raise _store_down_error("the store's events are not a list")
     written: dict[str, stores.StoredObject] = {}
     removed: dict[str, None] = {}
     for event in events:
         if not isinstance(event, dict):
-            logs.change("object_unread", kind=kind, reason="not an event")
+            logs.change(
+                "object_unread",
+                kind=kind,
+                reason="an event is not a JSON object",
+            )
             continue
         for stored in _decode_objects(kind, [event.get(names.OBJECT)]):
             written.pop(stored.name, None)
@@ -281,7 +291,10 @@
     try:
         return int(body[names.STORE_REVISION])
     except _DECODE_ERRORS as error:
-        raise _store_down_error("the store's answer has no version") from error
+        raise _store_down_error(
+            f"the field {names.STORE_REVISION} of the store's answer is "
+            "missing or not an integer"
+        ) from error
 
 
 def _decode_instance(stored: stores.StoredObject) -> instances.Instance:
@@ -299,13 +312,15 @@
     try:
         body = stores.decode_json(response.body)
     except (ValueError, RecursionError) as error:
-        raise _store_down_error("the store's answer is malformed") from error
+        raise _store_down_error(
+            "the store's answer cannot be parsed as JSON"
+        ) from error
     if not isinstance(body, dict):
-        raise _store_down_error("the store's answer is malformed")
+        raise _store_down_error("the store's answer is not a JSON object")
     return body
 
 
-def _decode_written(response: upstream.ServiceResponse) -> Json:
+def _decode_write_reply(response: upstream.ServiceResponse) -> Json:
     try:
         return _decode_body(response)
     except errors.CrowdeckError:
@@ -323,6 +338,6 @@
         return _store_down_error("the store did not accept the write")
     return errors.CrowdeckError(
         errors.Code.STORE_UNSURE,
-        "no valid reply from the store; the write may have been stored",
+        "the store did not confirm the write, which may have been stored",
         verdict=verdict,
     )
--- a/src/crowdeck/platform/upstreams.py
+++ b/src/crowdeck/platform/upstreams.py
@@ -17,7 +17,8 @@
 from crowdeck import verdict as verdicts
 
 _STATES = frozenset({names.STATE_READY, names.STATE_DRAINING})
-# Bounds the memory of per-layer counts, whose length engines report.
+# Largest accepted end of a layer range. Bounds the length of lists that have
+# an item per layer.
 MAX_LAYER_COUNT = 65_536
 # Errors of reading a body with missing fields, wrong types or sizes.
 _DECODE_ERRORS = (
@@ -32,8 +33,8 @@
 def decode(stored: stores.StoredObject) -> chain.Upstream:
     """Return the upstream instance that a stored object describes.
 
-    :raises CrowdeckError: ``MALFORMED`` if it is invalid, such as an object of
-        another writer, which has no instance state.
+    :raises CrowdeckError: ``MALFORMED`` if the object is invalid. Objects of
+        other writers are invalid too, as they have no instance state.
     """
     try:
         body = orjson.loads(stored.value)
@@ -43,6 +44,7 @@
         )
         return chain.Upstream(
             name=incarnation.name,
+            # Without a start time the name is the id.
             instance_id=incarnation.id if incarnation.started_ms else "",
             started_ms=incarnation.started_ms,
             service=fields.text(body, names.SERVICE),
@@ -99,9 +101,9 @@
 
 
 def _start_time_ms(body: fields.Json) -> int:
-    """Return the start time in a stored object or a report, or 0.
+    """Return the start time in a stored object or a report, 0 if missing.
 
-    :raises TypeError: if it is null.
+    :raises TypeError: if it is null, which other fields treat as missing.
     """
     if names.STARTED_MS in body and body[names.STARTED_MS] is None:
         raise TypeError("the start time is null")
@@ -125,5 +127,7 @@
     return errors.CrowdeckError(
         errors.Code.MALFORMED,
         f"{subject} is malformed ({error!r})",
+        # An engine that sends an invalid report may have run the call. For
+        # stored objects the verdict has no meaning.
         verdict=verdicts.Verdict.MAY_HAVE_RUN,
     )
--- a/tests/test_platform_formats.py
+++ b/tests/test_platform_formats.py
@@ -35,7 +35,7 @@
 from tests import fleet_system
 from tests import virtual
 
-ENTRY = {
+UPSTREAM_BODY = {
     "service": "huvo11a",
     "address": "10.2.64.3:8080",
     "zone": "plateau",
@@ -129,22 +129,22 @@
     """Stored objects of upstream instances and reports of engines."""
 
     def test_end_of_layers_is_read_from_target_version(self) -> None:
-        found = upstreams.decode(stored(ENTRY))
+        found = upstreams.decode(stored(UPSTREAM_BODY))
         assert found.layers == pipeline.LayerRange(20, 31)
         assert found.card == "t4"
         assert str(found.address) == "10.2.64.3:8080"
         assert not found.is_leaving
 
     def test_draining_instance_is_leaving(self) -> None:
-        body = {**ENTRY, "state": "draining", "layers": None}
+        body = {**UPSTREAM_BODY, "state": "draining", "layers": None}
         found = upstreams.decode(stored(body))
         assert found.is_leaving
         assert found.layers is None
 
     @pytest.mark.parametrize(
-        "body", [None, [], {}, {**ENTRY, "address": "nowhere"}]
+        "body", [None, [], {}, {**UPSTREAM_BODY, "address": "nowhere"}]
     )
-    def test_malformed_entry_is_an_error(self, body: object) -> None:
+    def test_malformed_upstream_is_an_error(self, body: object) -> None:
         with pytest.raises(errors.CrowdeckError) as caught:
             upstreams.decode(stored(body))
         assert caught.value.code is errors.Code.MALFORMED
@@ -172,7 +172,7 @@
 
 
 class TestConfig:
-    """The operator's config."""
+    """The fleet config."""
 
     def test_routes_services_and_teams(self) -> None:
         config = platform_config.decode(orjson.dumps(CONFIG))
@@ -677,7 +677,7 @@
 
 
 class TestNames:
-    """The platform's names are used only in its adapter package."""
+    """The platform's names are spelled out only in its adapter package."""
 
     # Names that no other module uses in another sense; the rest are common
     # words.
