--- a/src/crowdeck/settings/config.py
+++ b/src/crowdeck/settings/config.py
@@ -63,7 +63,7 @@
         options.Text(
             "policy",
             policies.CROWDECK,
-            "routing policy; all but the default are baselines",
+            "routing policy; all but the default are simple, for comparison",
             policies.NAMES,
         ),
         options.Text("tls_certificate", "", "PEM certificate for callers"),
@@ -164,7 +164,10 @@
 
     @property
     def is_fleet(self) -> bool:
-        """Whether this is an entry whose engines call the next stage."""
+        """Whether ``[fleet] callers`` is set.
+
+        The process then runs as a fleet entry, see ``fleet_options``.
+        """
         return bool(self.fleet["callers"])
 
     @property
@@ -196,8 +199,8 @@
     :raises CrowdeckError: with a message that names the section, the option
         and the allowed values.
     """
-    # No file can have a section of this name, so [DEFAULT] has no special
-    # meaning.
+    # Disables configparser's inheritance from [DEFAULT]: no file can have a
+    # section of this name.
     parser = configparser.ConfigParser(
         interpolation=None, default_section="\0none"
     )
@@ -262,11 +265,11 @@
         entry=values_by_section[ENTRY],
         sidecar=values_by_section[SIDECAR],
         observe=values_by_section[OBSERVE],
-        fleet=_read_fleet(values_by_section[fleet_options.FLEET]),
+        fleet=_check_fleet(values_by_section[fleet_options.FLEET]),
     )
 
 
-def _read_fleet(section: Section) -> Section:
+def _check_fleet(section: Section) -> Section:
     for name in ("callers", "status"):
         if section["callers"] and not section[name]:
             raise errors.ConfigError(
@@ -316,7 +319,8 @@
     services = str(section["services"]).split()
     if not section["engine_url"] and not services:
         raise errors.ConfigError(
-            f"[{SIDECAR}] engine_url: required unless services is given"
+            f"[{SIDECAR}] engine_url: required unless services is given; "
+            "expected a base URL"
         )
     for pair in services:
         name, separator, url = pair.partition("=")
--- a/src/crowdeck/settings/editor.py
+++ b/src/crowdeck/settings/editor.py
@@ -64,7 +64,7 @@
         :param change: id of the change; a random one if empty.
         :raises SettingsError: if the text is not a valid tree.
         :raises CrowdeckError: ``STORE_CONFLICT`` if another edit was stored
-            after ``base``; the message contains its diff.
+            after ``base``; the message contains the diff between them.
         """
         change = change or uuid.uuid4().hex
         generation = base.generation + 1
@@ -80,7 +80,10 @@
         return SettingsRevision(version, generation, change, text)
 
     async def history(self, limit: int = 20) -> list[SettingsRevision]:
-        """Return past generations, newest first."""
+        """Return up to ``limit`` stored generations, newest first.
+
+        The current generation is the first, if its entry was written.
+        """
         newest = await self.read()
         found: list[SettingsRevision] = []
         for generation in range(newest.generation, 0, -1):
@@ -135,8 +138,8 @@
         theirs = show_difference(base.text, current.text, "base", "theirs")
         raise errors.CrowdeckError(
             errors.Code.STORE_CONFLICT,
-            f"generation {current.generation} was stored meanwhile; "
-            "its changes:\n"
+            f"generation {current.generation} is stored instead of this "
+            f"edit; its difference from generation {base.generation}:\n"
             f"{theirs}",
         )
 
@@ -148,8 +151,8 @@
                 HISTORY_KIND, str(generation), value, stores.NO_VERSION
             )
         except errors.CrowdeckError as error:
-            # The change itself is stored. A retry may find its history
-            # entry already written, so only an outage is reported.
+            # The change itself is stored. On a conflict the entry exists
+            # already; after an unsure write it may be missing.
             if error.code == errors.Code.STORE_DOWN:
                 raise
 
--- a/src/crowdeck/settings/fleet_options.py
+++ b/src/crowdeck/settings/fleet_options.py
@@ -3,7 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Options of an entry whose engines call the next stage."""
+"""Options of a fleet entry.
+
+A fleet entry sends a request to one upstream. If a path has several engines,
+they pass the request on from stage to stage themselves.
+"""
 
 from crowdeck.settings import options
 
@@ -22,8 +26,8 @@
         options.Number(
             "link_mbps",
             0.0,
-            "bandwidth of the instance's link; the entry with the highest in "
-            "its availability zone queries the store for the others",
+            "bandwidth of the instance's link; the entry with the highest "
+            "value in its availability zone queries the store for the others",
             0.0,
             1e6,
         ),
@@ -45,7 +49,8 @@
             "first_start",
             False,
             "set only if no entry of the fleet has run before; otherwise a "
-            "free lease is taken only after an earlier one must have expired",
+            "lease that looks free is not taken until a lease granted before "
+            "the start must have expired",
         ),
         options.Number(
             "retry_ratio", 0.2, "retries allowed per request", 0.0, 10.0
--- a/src/crowdeck/settings/holder.py
+++ b/src/crowdeck/settings/holder.py
@@ -53,13 +53,14 @@
         change = str(body["change"])
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError):
         raise errors.SettingsError(
-            "the stored settings are malformed"
+            "the stored settings are malformed; expected a JSON object with "
+            "an integer generation, a change and a text"
         ) from None
     return StoredTree(trees.parse(text, generation), change)
 
 
 class SettingsHolder:
-    """Keeps the newest settings tree and never goes back to an older one.
+    """Keeps the latest settings tree and ignores changes seen before.
 
     Trees are identified by the change that made them, not by generation: a
     store that was restored from a backup assigns the numbers of the lost
--- a/src/crowdeck/settings/options.py
+++ b/src/crowdeck/settings/options.py
@@ -53,7 +53,8 @@
 class Text:
     """A string, limited to ``choices`` if there are any.
 
-    :ivar is_required: whether an empty string is refused.
+    :ivar is_required: whether an empty value is refused; a missing option
+        gets the default in any case.
     """
 
     name: str
@@ -126,7 +127,7 @@
 
 @attrs.frozen
 class Flag:
-    """A boolean, written as yes or no."""
+    """A boolean; see ``TRUE_WORDS`` and ``FALSE_WORDS``."""
 
     name: str
     default: bool
--- a/src/crowdeck/settings/tree.py
+++ b/src/crowdeck/settings/tree.py
@@ -45,12 +45,22 @@
         options.Text(
             "models", "*", "space-separated allowed models; * for any"
         ),
-        options.Text("services", "", "space-separated allowed plain services"),
+        options.Text(
+            "services",
+            "",
+            "space-separated allowed plain services; * for any",
+        ),
         options.Integer(
             "concurrency", 64, "requests in progress at one entry", 1, 100_000
         ),
         options.Integer("priority", 0, "higher is served first", -100, 100),
-        options.Number("weight", 1.0, "share under contention", 0.01, 1e4),
+        options.Number(
+            "weight",
+            1.0,
+            "share of the requests in progress, relative to other teams",
+            0.01,
+            1e4,
+        ),
         options.Number(
             "deadline_seconds",
             120.0,
@@ -209,8 +219,8 @@
     :raises SettingsError: with a message that names the section, the option
         and the allowed values.
     """
-    # No file can have a section of this name, so [DEFAULT] has no special
-    # meaning.
+    # Disables configparser's inheritance from [DEFAULT]: no file can have a
+    # section of this name.
     parser = configparser.ConfigParser(
         interpolation=None, default_section="\0none", strict=True
     )
@@ -266,18 +276,20 @@
             if name != "*" and name not in services:
                 raise errors.SettingsError(
                     f"[{section}] services: no section [service:{name}]"
-                    f"{suggest_name(name, services)}"
+                    f"{closest_name_hint(name, services)}"
                 )
 
 
-def suggest_name(name: str, known: "dict[str, contracts.Contract]") -> str:
+def closest_name_hint(
+    name: str, known: "dict[str, contracts.Contract]"
+) -> str:
     """Return a hint with the closest known name, or an empty string."""
     matches = difflib.get_close_matches(name, known, n=1)
     return f"; did you mean {matches[0]}?" if matches else ""
 
 
 def edit(text: str, section: str, option: str, value: str | None) -> str:
-    """Return ``text`` with one option changed and its comments kept.
+    """Return ``text`` with one option changed; comments stay.
 
     :param value: the new value, or ``None`` to remove it from the section.
     :raises SettingsError: if the option to remove is not set there.
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Tests of the settings tree, its editor and the daemon configuration."""
+"""Tests of settings, the daemon configuration and the errors page."""
 
 import pathlib
 
@@ -141,7 +141,7 @@
 class TestHolder:
     """The settings in force in one process."""
 
-    def test_older_generation_is_never_applied(self) -> None:
+    def test_older_generation_without_a_change_id_is_not_applied(self) -> None:
         async def check() -> None:
             holder = holders.SettingsHolder(stores.StandinStore())
             assert holder.apply(trees.parse(TEXT, 5))
