--- a/src/crowdeck/settings/config.py
+++ b/src/crowdeck/settings/config.py
@@ -140,7 +140,8 @@
                 context.verify_mode = ssl.CERT_REQUIRED
         except (OSError, ssl.SSLError) as error:
             raise errors.ConfigError(
-                f"[{TLS}]: cannot load the PEM files: {error}"
+                f"[{TLS}]: cannot load the PEM files {self.certificate}, "
+                f"{self.key} and {self.authority}: {error}"
             ) from None
         return security.TlsContexts(server=server, client=client)
 
