--- a/src/crowdeck/membership/backoffs.py
+++ b/src/crowdeck/membership/backoffs.py
@@ -13,12 +13,12 @@
 class _Backoff:
     """One backoff period, in event loop time.
 
-    :ivar is_probed: whether the probe allowed in it was claimed.
+    :ivar is_exception_used: whether the one request allowed in it was claimed.
     """
 
     since: float
     until: float
-    is_probed: bool = False
+    is_exception_used: bool = False
 
 
 class Backoffs:
@@ -57,7 +57,7 @@
         return max(0.0, backoff.until - anyio.current_time())
 
     def claim_probe(self, name: str) -> bool:
-        """Claim the single probe that is allowed in a backoff period.
+        """Claim the one request that is allowed in a backoff period.
 
         :return: whether the instance may be contacted to save a stalled
             stream; always true outside a backoff period.
@@ -65,9 +65,9 @@
         if not self.is_active(name):
             return True
         backoff = self._backoffs[name]
-        if backoff.is_probed:
+        if backoff.is_exception_used:
             return False
-        backoff.is_probed = True
+        backoff.is_exception_used = True
         return True
 
     def active(self) -> tuple[tuple[str, float, float], ...]:
--- a/src/crowdeck/membership/directory.py
+++ b/src/crowdeck/membership/directory.py
@@ -19,7 +19,7 @@
 # started at the same time.
 STARTUP_SECONDS = 10.0
 STARTUP_REFRESH_SECONDS = 0.5
-# Requests for unknown names do not read the list more often than this.
+# The list is not read more often than this.
 MIN_REFRESH_SECONDS = 0.2
 
 
@@ -31,7 +31,7 @@
         self._instances: dict[str, instances.Instance] = {}
         self._has_read = False
         self._read_lock = anyio.Lock()
-        self._read_at = -MIN_REFRESH_SECONDS
+        self._read_ended_at = -MIN_REFRESH_SECONDS
         self._etag = ""
 
     @property
@@ -55,17 +55,17 @@
     async def refresh(self) -> None:
         """Read the list; if that fails, the last known list stays in use.
 
-        Concurrent calls share one read, provided that it began after them.
+        A call that waits for a read in progress shares its result.
         """
         called_at = anyio.current_time()
         async with self._read_lock:
-            if self._read_at >= called_at:
+            if self._read_ended_at >= called_at:
                 return
-            # An earlier read may lack the name that the caller looks for, so
-            # wait until another read is allowed instead of returning.
-            await anyio.sleep_until(self._read_at + MIN_REFRESH_SECONDS)
+            # A read that ended before this call may lack the name that the
+            # caller looks for, so wait until another read is allowed.
+            await anyio.sleep_until(self._read_ended_at + MIN_REFRESH_SECONDS)
             await self._read()
-            self._read_at = anyio.current_time()
+            self._read_ended_at = anyio.current_time()
 
     async def _read(self) -> None:
         try:
--- a/src/crowdeck/membership/fleet.py
+++ b/src/crowdeck/membership/fleet.py
@@ -44,7 +44,8 @@
 MIN_PROBE_INTERVAL_SECONDS = 0.2
 # Interval of the probes while a long call or turn is awaited.
 PROBE_INTERVAL_SECONDS = 0.5
-# Delays before a link is opened again, by the number of failures in a row.
+# Maximum delays before a link is opened again, by the number of failures in a
+# row. Jitter shortens them to as little as half.
 BACKOFF_SECONDS = (0.1, 0.2, 0.4, 0.8, 1.6)
 
 
@@ -172,7 +173,10 @@
         self._observers.remove(observer)
 
     async def sync_with_directory(self) -> None:
-        """Watch newly listed sidecars; drop unlisted ones that are down."""
+        """Watch newly listed sidecars; drop unlisted unreachable ones.
+
+        Those are down or never reported.
+        """
         listed = {
             sidecar.name: sidecar for sidecar in self._directory.sidecars
         }
@@ -318,6 +322,7 @@
         view.change_count += 1
         view.changed_at = self._clock.now()
         counters.COUNTERS.add(f"fleet.{state}")
+        # A sidecar that never reported is not logged as down.
         if former is not State.UNKNOWN or state is not State.DOWN:
             logs.change("sidecar", name=view.name, state=str(state))
         for observer in tuple(self._observers):
--- a/src/crowdeck/membership/peer_http.py
+++ b/src/crowdeck/membership/peer_http.py
@@ -171,7 +171,8 @@
     if size > MAX_RESPONSE_BYTES:
         raise errors.CrowdeckError(
             errors.Code.TOO_LARGE,
-            f"the changes have {size} bytes, limit {MAX_RESPONSE_BYTES}",
+            f"the changes have {size} bytes, limit {MAX_RESPONSE_BYTES}; the "
+            "peer has to read them from the store",
         )
     return _encode(peer_changes)
 
@@ -209,7 +210,8 @@
     except (KeyError, OverflowError, TypeError, ValueError) as error:
         raise errors.CrowdeckError(
             errors.Code.MALFORMED,
-            f"the response of a peer is malformed ({error!r})",
+            "expected 'version', 'age', 'objects' and 'removed' in a peer's "
+            f"response ({error!r})",
         ) from None
 
 
--- a/src/crowdeck/membership/peer_selection.py
+++ b/src/crowdeck/membership/peer_selection.py
@@ -127,7 +127,7 @@
         self._last_asked_at = float("-inf")
         self._silent_until: dict[str, float] = {}
         self._silence_counts: dict[str, int] = {}
-        self._lost_until: dict[str, float] = {}
+        self._store_lost_until: dict[str, float] = {}
         self._failed_peers: set[str] = set()
         self._watches: dict[str, set[anyio.CancelScope]] = {}
 
@@ -166,7 +166,7 @@
                     return None
             elif self._silent_until.get(peer.name, 0.0) > now:
                 continue
-            elif self._lost_until.get(peer.name, 0.0) > now:
+            elif self._store_lost_until.get(peer.name, 0.0) > now:
                 lost_count += 1
                 if lost_count >= LOST_PEERS_LIMIT:
                     return None
@@ -175,10 +175,13 @@
         return None
 
     def seconds_until_retry(self) -> float:
-        """Return the seconds until a peer that failed may be asked again."""
+        """Return the seconds until a peer that failed may be asked again.
+
+        If there is none, return ``STORE_LOST_RETRY_SECONDS``.
+        """
         now = anyio.current_time()
         retry_times = [
-            *self._lost_until.values(),
+            *self._store_lost_until.values(),
             *self._silent_until.values(),
         ]
         return min(
@@ -218,6 +221,7 @@
                 self._failed_peers.discard(peer.name)
                 logs.change("peer_helps", peer=peer.name)
             return peer_changes
+        # Another watch at this peer failed and cancelled this one.
         return None
 
     def _may_call_store(self, now: float) -> bool:
@@ -249,7 +253,7 @@
         counters.COUNTERS.add("peers.failed")
         now = anyio.current_time()
         if error.code is errors.Code.STORE_DOWN:
-            self._lost_until[peer.name] = now + STORE_LOST_RETRY_SECONDS
+            self._store_lost_until[peer.name] = now + STORE_LOST_RETRY_SECONDS
             self._health.note_peer_failure()
         elif self._silent_until.get(peer.name, 0.0) <= now:
             silence_count = self._silence_counts.get(peer.name, 0)
--- a/src/crowdeck/membership/roster.py
+++ b/src/crowdeck/membership/roster.py
@@ -21,7 +21,8 @@
 from crowdeck.state import objects as stores
 
 KIND = "crowdeck-entries"
-RETRY_SECONDS = 1.0
+# A failed call to the store for this entry's record is repeated after this.
+STORE_RETRY_SECONDS = 1.0
 # An entry waits this long for the first listing before it writes its record
 # without one.
 LIST_TIMEOUT_SECONDS = 2.0
@@ -64,8 +65,9 @@
     """All entries that ever registered, from the mirror of their records.
 
     Entries that were shut down stay listed. Each entry's share of a limit is
-    computed from the number of entries, so with too many of them it is too
-    small, which is safe. Implements ``budget.Membership``.
+    computed from the number of entries. If entries that no longer run are
+    counted, the shares are smaller than necessary, so limits still hold.
+    Implements ``budget.Membership``.
 
     :param name: this entry's name.
     :param record: this entry's record.
@@ -103,7 +105,11 @@
 
     @property
     def registered_at(self) -> float:
-        """Event loop time since which this entry's record is in the store."""
+        """Event loop time since which this entry's record is in the store.
+
+        Minus infinity if an earlier process wrote it, infinity if it is not
+        written yet.
+        """
         return self._registered_at
 
     @property
@@ -194,7 +200,7 @@
                 await self._read_own()
                 return
             logs.change("entry_unnoted", reason=error.message)
-            await anyio.sleep(RETRY_SECONDS)
+            await anyio.sleep(STORE_RETRY_SECONDS)
             return
         self._records[self._name] = record
         self._note_stored()
@@ -266,7 +272,7 @@
             found = await self._store.get(KIND, self._name)
         except errors.CrowdeckError as error:
             logs.change("entry_unread", name=self._name, reason=error.message)
-            await anyio.sleep(RETRY_SECONDS)
+            await anyio.sleep(STORE_RETRY_SECONDS)
             return
         if found is not None:
             self.on_changed((found,), ())
--- a/src/crowdeck/membership/upstream_records.py
+++ b/src/crowdeck/membership/upstream_records.py
@@ -31,7 +31,7 @@
     def read(
         self, stored: stores.StoredObject, previous: chain.Upstream | None
     ) -> chain.Upstream | None:
-        """Return the instance that a record describes, or ``None``.
+        """Return a record's instance, ``None`` if the record is rejected.
 
         :param previous: the instance that the record described before, if
             there was one.
--- a/src/crowdeck/membership/upstreams.py
+++ b/src/crowdeck/membership/upstreams.py
@@ -36,8 +36,8 @@
 # work for this long, within which the record is updated.
 STALE_RECORD_BACKOFF_SECONDS = 2.0
 # A leaving instance gets new work for this long at most, and only if no other
-# can serve it. Shorter than the two seconds after its announcement in which it
-# may get work, because the announcement may arrive late.
+# can serve it. It must get none from two seconds after its announcement; this
+# is shorter because the announcement may arrive late.
 LEAVING_GRACE_SECONDS = 1.0
 # How long an instance stays listed after its record was removed around an
 # outage of the store. Shorter than the two seconds after which an instance
@@ -58,6 +58,7 @@
     """An upstream instance and its health; all times are event loop times.
 
     :ivar version: version of its record in the store.
+    :ivar unusable_until: gets no work before this time.
     :ivar failures: failures since it was last healthy.
     :ivar refusals: refusals that followed soon after one another.
     :ivar is_probed: whether a probe of it may be in progress.
@@ -68,7 +69,7 @@
 
     upstream: chain.Upstream
     version: int = 0
-    avoided_until: float = 0.0
+    unusable_until: float = 0.0
     failures: int = 0
     refusals: int = 0
     is_probed: bool = False
@@ -127,7 +128,11 @@
         self._services = services
 
     def subscribe(self, listener: Listener) -> None:
-        """Call ``listener`` after every change of the registry."""
+        """Call ``listener`` after changes of records, failures or leaving.
+
+        It is not called when a pause or backoff begins or ends, nor when a
+        lapsed instance is dropped.
+        """
         self._listeners.append(listener)
 
     def subscribe_lapses(self, listener: LapseListener) -> None:
@@ -135,7 +140,8 @@
 
         That is, it was removed around an outage of the store. The engine gets
         no new work until :meth:`note_healthy` is called for it or its record
-        is written again.
+        is written again. It is dropped after ``LAPSE_SECONDS`` unless its
+        record is written again.
         """
         self._lapse_listeners.append(listener)
 
@@ -189,7 +195,7 @@
             if (
                 state.upstream.service == service
                 and not state.upstream.is_leaving
-                and state.avoided_until <= now
+                and state.unusable_until <= now
                 and not state.needs_probe
             ):
                 yield state
@@ -205,7 +211,7 @@
             and state.leaving_at is not None
             and now - state.leaving_at < LEAVING_GRACE_SECONDS
             and not self._backoffs.is_active(state.upstream.name)
-            and state.avoided_until <= now
+            and state.unusable_until <= now
             and not state.needs_probe
         )
 
@@ -221,11 +227,11 @@
             state
             for state in self._states.values()
             if state.needs_probe
-            and state.avoided_until <= now
+            and state.unusable_until <= now
             and not self._backoffs.is_active(state.upstream.name)
         ]
         for state in due:
-            state.avoided_until = now + REPROBE_SECONDS
+            state.unusable_until = now + REPROBE_SECONDS
             state.is_probed = True
         return tuple(state.upstream for state in due)
 
@@ -241,7 +247,7 @@
         return (
             state is not None
             and not state.upstream.is_leaving
-            and state.avoided_until <= anyio.current_time()
+            and state.unusable_until <= anyio.current_time()
             and not self._backoffs.is_active(name)
             and not state.needs_probe
         )
@@ -249,7 +255,7 @@
     def back_off(self, name: str, seconds: float) -> None:
         """Give an instance no work for as long as it requested.
 
-        A shorter request does not end a longer backoff early.
+        A shorter backoff does not end a longer one early.
         """
         state = self._states.get(name)
         if state is None or not self._backoffs.begin(name, seconds):
@@ -297,7 +303,7 @@
         return self._backoffs.seconds_left(name)
 
     def claim_probe(self, name: str) -> bool:
-        """Claim the single probe that is allowed in a backoff period.
+        """Claim the one request that is allowed in a backoff period.
 
         :return: whether the instance may be contacted to save a stalled
             stream; always true outside a backoff period.
@@ -329,20 +335,20 @@
             # Listeners are notified even if it is avoided already.
             state.has_ended = True
             self._notify_end(state.upstream)
-        if state.avoided_until > now and not state.is_probed:
+        if state.unusable_until > now and not state.is_probed:
             return
         state.is_probed = False
         state.has_ended = has_ended
         state.failures += 1
         avoid_seconds = AVOID_SECONDS * 2.0 ** (state.failures - 1)
-        state.avoided_until = now + min(avoid_seconds, MAX_AVOID_SECONDS)
+        state.unusable_until = now + min(avoid_seconds, MAX_AVOID_SECONDS)
         counters.COUNTERS.add("upstream.avoided")
         logs.change(
             "upstream_avoided",
             upstream=name,
             address=str(state.upstream.address),
             reason=reason,
-            seconds=state.avoided_until - now,
+            seconds=state.unusable_until - now,
             failures=state.failures,
             has_ended=has_ended,
         )
@@ -357,21 +363,21 @@
         """
         state = self._states.get(name)
         now = anyio.current_time()
-        if state is None or state.avoided_until > now:
+        if state is None or state.unusable_until > now:
             return
-        if now - state.avoided_until > REFUSAL_RESET_SECONDS:
+        if now - state.unusable_until > REFUSAL_RESET_SECONDS:
             state.refusals = 0
         doubled_seconds = min(
             seconds * 2.0**state.refusals, MAX_REFUSAL_BACKOFF_SECONDS
         )
         state.refusals += 1
-        state.avoided_until = now + max(seconds, doubled_seconds)
+        state.unusable_until = now + max(seconds, doubled_seconds)
         logs.change(
             "upstream_paused",
             upstream=name,
             address=str(state.upstream.address),
             reason=reason,
-            seconds=state.avoided_until - now,
+            seconds=state.unusable_until - now,
         )
 
     def note_healthy(self, name: str) -> None:
@@ -381,7 +387,7 @@
             return
         state.failures = 0
         state.has_ended = False
-        state.avoided_until = 0.0
+        state.unusable_until = 0.0
         logs.change(
             "upstream_trusted",
             upstream=name,
@@ -397,11 +403,13 @@
         """
         listed_names = {stored.name for stored in objects}
         for stored in objects:
-            self._apply(stored, allow_stale=True)
-        for name in [
-            name for name in self._name_by_record if name not in listed_names
+            self._apply(stored, keeps_leaving=True)
+        for record_name in [
+            record_name
+            for record_name in self._name_by_record
+            if record_name not in listed_names
         ]:
-            self._remove(name)
+            self._apply_removal(record_name)
         self._notify()
 
     def on_changed(
@@ -412,19 +420,20 @@
         """Apply changed and removed records."""
         for stored in objects:
             self._apply(stored)
-        for name in removed:
-            self._remove(name)
+        for record_name in removed:
+            self._apply_removal(record_name)
         self._notify()
 
     def _apply(
-        self, stored: stores.StoredObject, *, allow_stale: bool = False
+        self, stored: stores.StoredObject, *, keeps_leaving: bool = False
     ) -> None:
         state = self._states.get(self._name_by_record.get(stored.name, ""))
         previous = state.upstream if state is not None else None
         upstream = self._record_reader.read(stored, previous)
         if upstream is None:
-            # The previous version of the record may be outdated.
-            self._remove_record(stored.name)
+            # The record is malformed. Its previous version may be outdated,
+            # so treat it as removed.
+            self._apply_missing_record(stored.name)
             return
         if state is not None and upstream.incarnation.is_before(
             state.upstream.incarnation
@@ -434,7 +443,7 @@
         if state is not None and state.upstream.name != upstream.name:
             self._drop(state.upstream, "upstream_started_again")
             state = None
-        if state is not None and allow_stale and state.upstream.is_leaving:
+        if state is not None and keeps_leaving and state.upstream.is_leaving:
             upstream = attrs.evolve(upstream, is_leaving=True)
         if upstream.name in self._leaving:
             upstream = attrs.evolve(upstream, is_leaving=True)
@@ -455,7 +464,7 @@
         if state.lapsed_at is not None:
             state.lapsed_at = None
             state.failures = 0
-            state.avoided_until = 0.0
+            state.unusable_until = 0.0
         if state.upstream == upstream:
             return
         if upstream.is_leaving and not state.upstream.is_leaving:
@@ -463,29 +472,31 @@
         state.upstream = upstream
         self._log("upstream_changed", upstream, version)
 
-    def _drop_replaced(self, newest: chain.Upstream) -> None:
-        """Drop all other instances at the address of the newest one.
+    def _drop_replaced(self, added: chain.Upstream) -> None:
+        """Keep only the instance with the newest record at an address.
 
         The record of a crashed instance may stay for a while after another
         instance has taken its address, which refuses requests that are sent
         to the crashed one.
 
-        Records of services that the config does not name replace no other
-        records: they were written by something else.
+        A record of a service that is not in the config replaces no instance:
+        another writer may have damaged it.
+
+        :param added: an instance at this address.
         """
         services = self._services()
-        if services and newest.service not in services:
+        if services and added.service not in services:
             return
         at_address = [
             (state.version, name)
             for name, state in self._states.items()
-            if state.upstream.address == newest.address
+            if state.upstream.address == added.address
         ]
         for _, name in sorted(at_address)[:-1]:
             self._drop(self._states[name].upstream, "upstream_replaced")
 
     def _drop(self, upstream: chain.Upstream, event: str) -> None:
-        """Forget an instance that has ended."""
+        """Forget an instance, and notify listeners that it has ended."""
         state = self._states.pop(upstream.name)
         self._backoffs.forget(upstream.name)
         record_name = upstream.incarnation.id
@@ -499,11 +510,11 @@
         for listener in self._end_listeners:
             listener(upstream)
 
-    def _remove(self, record_name: str) -> None:
+    def _apply_removal(self, record_name: str) -> None:
         self._record_reader.forget(record_name)
-        self._remove_record(record_name)
+        self._apply_missing_record(record_name)
 
-    def _remove_record(self, record_name: str) -> None:
+    def _apply_missing_record(self, record_name: str) -> None:
         """Handle a record that was removed or is malformed."""
         state = self._states.get(self._name_by_record.get(record_name, ""))
         if state is None:
@@ -520,7 +531,8 @@
         """Keep an instance whose record may be missing due to an outage.
 
         An engine gets no work until it has answered a probe or its record is
-        written again.
+        written again. An instance is dropped after ``LAPSE_SECONDS`` unless
+        its record is written again.
         """
         state.lapsed_at = now
         self._log("upstream_lapsed", state.upstream, 0)
@@ -529,7 +541,7 @@
             # has ended, the call is not sent and can go to another instance.
             return
         state.failures += 1
-        state.avoided_until = now + LAPSE_SECONDS
+        state.unusable_until = now + LAPSE_SECONDS
         for listener in self._lapse_listeners:
             listener(state.upstream)
 
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -20,7 +20,7 @@
 from tests import virtual
 
 
-class _Follower:
+class _Listener:
     """Records what a mirror reports."""
 
     def __init__(self) -> None:
@@ -47,13 +47,13 @@
     def run_scenario(self, work: object, linger_seconds: float = 0.0) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
-            follower = _Follower()
+            listener = _Listener()
             mirror = mirrors.Mirror(
-                store, "k", follower, 1.5, lambda: linger_seconds
+                store, "k", listener, 1.5, lambda: linger_seconds
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
-                await work(store, follower, mirror)  # type: ignore[operator]
+                await work(store, listener, mirror)  # type: ignore[operator]
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -61,7 +61,7 @@
     def test_follows_writes_and_removals(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            follower: _Follower,
+            listener: _Listener,
             mirror: mirrors.Mirror,
         ) -> None:
             store.write("k", "a", b"1")
@@ -69,18 +69,18 @@
             store.write("k", "a", b"2")
             store.write("k", "b", b"3")
             await anyio.sleep(0.1)
-            assert follower.values == {"a": b"2", "b": b"3"}
+            assert listener.values == {"a": b"2", "b": b"3"}
             store.remove("k", "a")
             await anyio.sleep(0.1)
-            assert follower.values == {"b": b"3"}
-            assert follower.listings == 1
+            assert listener.values == {"b": b"3"}
+            assert listener.listings == 1
 
         self.run_scenario(work)
 
     def test_lists_again_when_the_history_is_lost(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            follower: _Follower,
+            listener: _Listener,
             mirror: mirrors.Mirror,
         ) -> None:
             store.write("k", "a", b"1")
@@ -92,15 +92,15 @@
             store.forget_history()
             store.is_down = False
             await anyio.sleep(2.5)
-            assert follower.values == {"b": b"2"}
-            assert follower.listings == 2
+            assert listener.values == {"b": b"2"}
+            assert listener.listings == 2
 
         self.run_scenario(work)
 
     def test_age_grows_only_while_the_store_is_down(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            follower: _Follower,
+            listener: _Listener,
             mirror: mirrors.Mirror,
         ) -> None:
             for _ in range(100):
@@ -121,7 +121,7 @@
     ) -> None:
         async def work(
             store: standin_store.StandinStore,
-            follower: _Follower,
+            listener: _Listener,
             mirror: mirrors.Mirror,
         ) -> None:
             await anyio.sleep(0.1)
@@ -136,7 +136,7 @@
     def test_waits_between_watches(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            follower: _Follower,
+            listener: _Listener,
             mirror: mirrors.Mirror,
         ) -> None:
             await anyio.sleep(0.1)
@@ -145,7 +145,7 @@
                 store.write("k", f"o{number}", b"1")
                 await anyio.sleep(0.02)
             await anyio.sleep(0.3)
-            assert len(follower.values) == 20
+            assert len(listener.values) == 20
             assert store.calls["watch"] - calls_before <= 5
 
         self.run_scenario(work, linger_seconds=0.2)
@@ -154,25 +154,25 @@
 class TestStoreHealth:
     """Two mirrors of one process, while the store does not answer.
 
-    ``work`` gets the follower of the mirror that waits long for changes.
+    ``work`` gets the listener of the mirror that waits long for changes.
     """
 
     def run_scenario(self, work: object) -> None:
         async def body() -> None:
             store = standin_store.StandinStore()
             health = store_health.StoreHealth()
-            config_follower, follower = _Follower(), _Follower()
+            config_listener, listener = _Listener(), _Listener()
             config = mirrors.Mirror(
-                store, "q", config_follower, 2.0, lambda: 0.0, health
+                store, "config", config_listener, 2.0, lambda: 0.0, health
             )
             entries = mirrors.Mirror(
-                store, "s", follower, 10.0, lambda: 0.0, health
+                store, "entries", listener, 10.0, lambda: 0.0, health
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(config.run)
                 tasks.start_soon(entries.run)
                 await anyio.sleep(1.0)
-                await work(store, follower, config)  # type: ignore[operator]
+                await work(store, listener, config)  # type: ignore[operator]
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -181,30 +181,30 @@
         # Otherwise a long watch would miss changes until its own timeout.
         async def work(
             store: standin_store.StandinStore,
-            follower: _Follower,
+            listener: _Listener,
             config: mirrors.Mirror,
         ) -> None:
             store.stop_answering()
             await anyio.sleep(2.9)
             store.resume_answering()
-            store.write("s", "leaving", b"1")
+            store.write("entries", "leaving", b"1")
             await anyio.sleep(1.5)
-            assert follower.values == {"leaving": b"1"}
+            assert listener.values == {"leaving": b"1"}
 
         self.run_scenario(work)
 
     def test_short_silence_between_calls_is_noticed(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            follower: _Follower,
+            listener: _Listener,
             config: mirrors.Mirror,
         ) -> None:
             store.stop_answering()
             await anyio.sleep(0.2)
             store.resume_answering()
-            store.write("s", "leaving", b"1")
+            store.write("entries", "leaving", b"1")
             await anyio.sleep(2.6)
-            assert follower.values == {"leaving": b"1"}
+            assert listener.values == {"leaving": b"1"}
 
         self.run_scenario(work)
 
@@ -212,7 +212,7 @@
         # The first watch afterwards must not wait for a change.
         async def work(
             store: standin_store.StandinStore,
-            follower: _Follower,
+            listener: _Listener,
             config: mirrors.Mirror,
         ) -> None:
             store.stop_answering()
@@ -227,7 +227,7 @@
     def test_mirrors_share_retries_while_the_store_is_down(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            follower: _Follower,
+            listener: _Listener,
             config: mirrors.Mirror,
         ) -> None:
             store.is_down = True
@@ -275,7 +275,7 @@
     def test_kind_that_always_fails_does_not_block_the_others(self) -> None:
         async def work(
             store: standin_store.StandinStore,
-            follower: _Follower,
+            listener: _Listener,
             config: mirrors.Mirror,
         ) -> None:
             watch = store.watch
@@ -283,7 +283,7 @@
             async def watch_or_fail(
                 kind: str, after: int, wait_seconds: float
             ) -> stores.Changes:
-                if kind == "q":
+                if kind == "config":
                     raise errors.CrowdeckError(
                         errors.Code.STORE_DOWN, "an answer is malformed"
                     )
@@ -291,19 +291,21 @@
 
             store.watch = watch_or_fail  # type: ignore[method-assign]
             await anyio.sleep(3.0)
-            store.write("s", "leaving", b"1")
+            store.write("entries", "leaving", b"1")
             await anyio.sleep(1.0)
-            assert follower.values == {"leaving": b"1"}
+            assert listener.values == {"leaving": b"1"}
 
         self.run_scenario(work)
 
 
 def make_registry() -> tuple[registries.UpstreamRegistry, dict[str, object]]:
-    listed: dict[str, object] = {}
+    instances_by_record: dict[str, object] = {}
     registry = registries.UpstreamRegistry(
-        lambda stored: listed[stored.name]  # type: ignore[return-value]
+        lambda stored: instances_by_record[  # type: ignore[return-value]
+            stored.name
+        ]
     )
-    return registry, listed
+    return registry, instances_by_record
 
 
 def stored_record(name: str, version: int = 1) -> stores.StoredObject:
@@ -312,11 +314,13 @@
 
 def apply_record(
     registry: registries.UpstreamRegistry,
-    listed: dict[str, object],
+    instances_by_record: dict[str, object],
     name: str,
     version: int = 1,
 ) -> None:
-    listed[name] = listed.get(name) or fleet_system.upstream(name)
+    instances_by_record[name] = instances_by_record.get(
+        name
+    ) or fleet_system.upstream(name)
     registry.on_changed((stored_record(name, version),), ())
 
 
@@ -329,13 +333,13 @@
 
     def test_leaving_instances_get_no_work(self) -> None:
         async def body() -> None:
-            registry, listed = make_registry()
-            apply_record(registry, listed, "a")
-            apply_record(registry, listed, "b")
-            listed["a"] = attrs.evolve(
+            registry, instances_by_record = make_registry()
+            apply_record(registry, instances_by_record, "a")
+            apply_record(registry, instances_by_record, "b")
+            instances_by_record["a"] = attrs.evolve(
                 fleet_system.upstream("a"), is_leaving=True
             )
-            apply_record(registry, listed, "a")
+            apply_record(registry, instances_by_record, "a")
             assert usable_names(registry) == {"b"}
 
         virtual.run(body)
@@ -343,9 +347,9 @@
     def test_failed_instances_are_avoided_longer_each_time(self) -> None:
         # A plain service: those are not probed.
         async def body() -> None:
-            registry, listed = make_registry()
-            listed["a"] = fleet_system.upstream("a", card="")
-            apply_record(registry, listed, "a")
+            registry, instances_by_record = make_registry()
+            instances_by_record["a"] = fleet_system.upstream("a", card="")
+            apply_record(registry, instances_by_record, "a")
             pause_seconds = []
             for _ in range(4):
                 registry.avoid("a", "refused")
@@ -365,8 +369,8 @@
     def test_failed_engines_are_probed_later_each_time(self) -> None:
         # No stream should fail only to find out whether an engine works again.
         async def body() -> None:
-            registry, listed = make_registry()
-            apply_record(registry, listed, "a")
+            registry, instances_by_record = make_registry()
+            apply_record(registry, instances_by_record, "a")
             pause_seconds = []
             for _ in range(4):
                 registry.avoid("a", "refused")
@@ -386,8 +390,8 @@
     def test_probe_without_result_is_repeated_soon(self) -> None:
         # A probe has no result while this entry's own network link is full.
         async def body() -> None:
-            registry, listed = make_registry()
-            apply_record(registry, listed, "a")
+            registry, instances_by_record = make_registry()
+            apply_record(registry, instances_by_record, "a")
             registry.avoid("a", "refused")
             await anyio.sleep(registries.AVOID_SECONDS + 0.1)
             assert [
@@ -403,8 +407,8 @@
 
     def test_instances_are_paused_longer_at_each_refusal(self) -> None:
         async def body() -> None:
-            registry, listed = make_registry()
-            apply_record(registry, listed, "a")
+            registry, instances_by_record = make_registry()
+            apply_record(registry, instances_by_record, "a")
             pause_seconds = []
             for _ in range(4):
                 registry.pause(
@@ -426,8 +430,8 @@
 
     def test_removed_record_is_dropped_at_once_without_an_outage(self) -> None:
         async def body() -> None:
-            registry, listed = make_registry()
-            apply_record(registry, listed, "a")
+            registry, instances_by_record = make_registry()
+            apply_record(registry, instances_by_record, "a")
             registry.on_changed((), ("a",))
             assert usable_names(registry) == set()
 
@@ -435,14 +439,14 @@
 
     def test_lapsed_engine_is_used_once_it_is_healthy(self) -> None:
         async def body() -> None:
-            registry, listed = make_registry()
+            registry, instances_by_record = make_registry()
             registry.set_store_failure_source(anyio.current_time)
             lapsed: list[str] = []
             registry.subscribe_lapses(
                 lambda upstream: lapsed.append(upstream.name)
             )
-            apply_record(registry, listed, "a")
-            apply_record(registry, listed, "b")
+            apply_record(registry, instances_by_record, "a")
+            apply_record(registry, instances_by_record, "b")
             registry.on_listed(())
             assert lapsed == ["a", "b"]
             assert usable_names(registry) == set()
@@ -460,10 +464,10 @@
     ) -> None:
         # Also if its record seemed to have lapsed after a failed store call.
         async def body() -> None:
-            registry, listed = make_registry()
+            registry, instances_by_record = make_registry()
             registry.set_store_failure_source(anyio.current_time)
-            listed["a"] = fleet_system.upstream("a", card=card)
-            apply_record(registry, listed, "a")
+            instances_by_record["a"] = fleet_system.upstream("a", card=card)
+            apply_record(registry, instances_by_record, "a")
             registry.on_changed((), ("a",))
             registry.note_healthy("a")
             assert usable_names(registry) == {"a"}
@@ -474,11 +478,11 @@
 
     def test_lapsed_record_that_comes_back_is_used_at_once(self) -> None:
         async def body() -> None:
-            registry, listed = make_registry()
+            registry, instances_by_record = make_registry()
             registry.set_store_failure_source(anyio.current_time)
-            apply_record(registry, listed, "a")
+            apply_record(registry, instances_by_record, "a")
             registry.on_listed(())
-            apply_record(registry, listed, "a")
+            apply_record(registry, instances_by_record, "a")
             assert usable_names(registry) == {"a"}
             await anyio.sleep(registries.LAPSE_SECONDS + 0.1)
             assert usable_names(registry) == {"a"}
@@ -487,12 +491,12 @@
 
     def test_leaving_instances_may_get_work_for_a_while(self) -> None:
         async def body() -> None:
-            registry, listed = make_registry()
-            apply_record(registry, listed, "a")
-            listed["a"] = attrs.evolve(
+            registry, instances_by_record = make_registry()
+            apply_record(registry, instances_by_record, "a")
+            instances_by_record["a"] = attrs.evolve(
                 fleet_system.upstream("a"), is_leaving=True
             )
-            apply_record(registry, listed, "a")
+            apply_record(registry, instances_by_record, "a")
             service = fleet_system.MODEL
             assert [
                 upstream.name
@@ -509,12 +513,12 @@
         # The record of an engine that crashed while the store was down stays,
         # and the engine at the same address refuses requests for the former.
         async def body() -> None:
-            registry, listed = make_registry()
-            apply_record(registry, listed, "former")
-            listed["after"] = attrs.evolve(
+            registry, instances_by_record = make_registry()
+            apply_record(registry, instances_by_record, "former")
+            instances_by_record["after"] = attrs.evolve(
                 fleet_system.upstream("former"), name="after"
             )
-            apply_record(registry, listed, "after", version=2)
+            apply_record(registry, instances_by_record, "after", version=2)
             assert usable_names(registry) == {"after"}
             assert registry.has_ended("former")
 
@@ -526,8 +530,8 @@
             successor = attrs.evolve(former, name="after")
             records = (stored_record("former", 1), stored_record("after", 2))
             for order in (records, records[::-1]):
-                registry, listed = make_registry()
-                listed.update(former=former, after=successor)
+                registry, instances_by_record = make_registry()
+                instances_by_record.update(former=former, after=successor)
                 registry.on_listed(order)
                 assert usable_names(registry) == {"after"}
 
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -98,7 +98,9 @@
         return b"\xff" + repr(body).encode("utf-8", "replace")
 
 
-def stored(value: bytes, name: str = "e", version: int = 1) -> typing.Any:
+def stored_object(
+    value: bytes, name: str = "e", version: int = 1
+) -> typing.Any:
     return stores.StoredObject("servers", name, version, value)
 
 
@@ -111,7 +113,7 @@
     )
     def test_upstream_records(self, body: typing.Any, name: str) -> None:
         try:
-            upstream = upstreams.decode(stored(to_bytes(body), name))
+            upstream = upstreams.decode(stored_object(to_bytes(body), name))
         except errors.CrowdeckError as error:
             assert error.code is errors.Code.MALFORMED
             return
@@ -177,7 +179,7 @@
         roster = rosters.Roster(
             standin_store.StandinStore(), "entry-0", rosters.EntryRecord("a")
         )
-        roster.on_changed((stored(to_bytes(body), "other"),), ())
+        roster.on_changed((stored_object(to_bytes(body), "other"),), ())
         assert roster.known_entry_count == 2
 
     @pytest.mark.parametrize(
@@ -192,7 +194,7 @@
         body = orjson.loads(test_lives.stored_record(1).value)
         del body[names.STATE]
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(stored(to_bytes(body)))
+            upstreams.decode(stored_object(to_bytes(body)))
 
     @pytest.mark.parametrize(
         "address", ["example.org:80", "10.0.0.1:0", "10.0.0.1:65536", "1:2:3"]
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -24,9 +24,10 @@
 STREAM = routes.RepeatPolicy.STREAM
 # Longer than any work that a request starts.
 SETTLE_SECONDS = 3.0
-# Covers a complete change of path, in steps shorter than a probe.
-STEPS = 300
-STEP_SECONDS = 0.0005
+# Times of disconnection after a fault, which cover a complete change of path.
+# The interval is shorter than a probe.
+DISCONNECT_COUNT = 300
+DISCONNECT_INTERVAL_SECONDS = 0.0005
 
 System = fleet_system.FleetSystem
 Work = typing.Callable[[System], typing.Awaitable[None]]
@@ -64,7 +65,7 @@
     )
 
 
-def fill(system: System) -> None:
+def fill_kv_caches(system: System) -> None:
     for upstream in system.listed.values():
         assert upstream.layers is not None
         count = upstream.layers.end - upstream.layers.first
@@ -79,7 +80,7 @@
 
     def test_while_it_waits_for_capacity(self) -> None:
         async def work(system: System) -> None:
-            fill(system)
+            fill_kv_caches(system)
             first = system.request(STREAM)
             second = system.request(STREAM)
             async with anyio.create_task_group() as tasks:
@@ -137,9 +138,9 @@
     ) -> None:
         # Disconnects at each step of detecting the stall, probing engines and
         # changing the path.
-        for step in range(STEPS):
+        for step in range(DISCONNECT_COUNT):
             self.disconnect_while_rerouted(
-                fault, step * STEP_SECONDS, monkeypatch
+                fault, step * DISCONNECT_INTERVAL_SECONDS, monkeypatch
             )
 
     def disconnect_while_rerouted(
@@ -167,10 +168,10 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(inject_fault)
                 await disconnect_after(system, request, 0.1 + after)
-            left_at = anyio.current_time()
+            disconnected_at = anyio.current_time()
             assert not system.monitor._streams
             await anyio.sleep(SETTLE_SECONDS)
-            assert all(at <= left_at for at in repath_times)
+            assert all(at <= disconnected_at for at in repath_times)
             assert len(system.fleet.runs) == 1
             assert_released(system)
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -191,8 +191,8 @@
 class TestReports:
     """Reports of this and of other processes of an engine."""
 
-    def incarnation(self, born: int) -> chain.Incarnation:
-        return chain.Incarnation("e", born)
+    def incarnation(self, started_ms: int) -> chain.Incarnation:
+        return chain.Incarnation("e", started_ms)
 
     def test_report_of_this_process_is_not_from_a_later_run(self) -> None:
         report = upstreams.decode_report(encoded_report(born=100))
@@ -215,12 +215,16 @@
         report = upstreams.decode_report(encoded_report())
         assert not report.is_from_later_run(self.incarnation(0))
 
-    @pytest.mark.parametrize("born", ["100", 1.5, True, None, -1, [], {}])
-    def test_malformed_start_times_are_rejected(self, born: object) -> None:
+    @pytest.mark.parametrize(
+        "started_ms", ["100", 1.5, True, None, -1, [], {}]
+    )
+    def test_malformed_start_times_are_rejected(
+        self, started_ms: object
+    ) -> None:
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode_report(encoded_report(born=born))
+            upstreams.decode_report(encoded_report(born=started_ms))
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(stored_record(1, born=born))
+            upstreams.decode(stored_record(1, born=started_ms))
 
 
 class TestMalformedRecord:
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -149,7 +149,7 @@
 class TestStart:
     """The start of an entry, and the clock of daemons."""
 
-    def test_entry_waits_for_the_roster_before_it_serves(self) -> None:
+    def test_survey_completes_only_after_entries_are_listed(self) -> None:
         class Holder:
             services = ()
 
--- a/tests/test_readers.py
+++ b/tests/test_readers.py
@@ -72,7 +72,7 @@
             await anyio.sleep(0.5)
             for entry in zone.entries.values():
                 assert (
-                    entry.follower.first_seen_at[version] - written_at < 0.02
+                    entry.listener.first_seen_at[version] - written_at < 0.02
                 )
 
         zone_system.run_scenario(14, work)
@@ -84,7 +84,7 @@
             version = zone.write()
             written_at = anyio.current_time()
             await anyio.sleep(0.5)
-            assert zone[3].follower.first_seen_at[version] - written_at < 0.05
+            assert zone[3].listener.first_seen_at[version] - written_at < 0.05
             assert zone[3].connection.calls == calls_before + 1
 
         zone_system.run_scenario(5, work)
@@ -109,7 +109,7 @@
 
         zone_system.run_scenario(14, work)
 
-    def test_killed_reader_is_replaced_at_once(self) -> None:
+    def test_killed_reader_is_replaced_within_two_waits(self) -> None:
         async def work(zone: zone_system.Zone) -> None:
             zone[0].is_down = True
             assert (
@@ -120,7 +120,7 @@
             written_at = anyio.current_time()
             await anyio.sleep(0.2)
             for entry in list(zone.entries.values())[1:]:
-                assert entry.follower.first_seen_at[version] - written_at < 0.1
+                assert entry.listener.first_seen_at[version] - written_at < 0.1
 
         zone_system.run_scenario(14, work)
 
@@ -357,7 +357,7 @@
             mirror = mirrors.Mirror(
                 store,
                 zone_system.KIND,
-                zone_system.RecordingFollower(),
+                zone_system.RecordingListener(),
                 0.2,
                 lambda: 0.0,
                 health,
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -62,7 +62,7 @@
     zone.store.write(zone_system.KIND, "main", value)
     await anyio.sleep(IN_FORCE_SECONDS)
     known_values = [
-        entry.follower.values.get("main") for entry in zone.entries.values()
+        entry.listener.values.get("main") for entry in zone.entries.values()
     ]
     assert known_values == [value] * len(known_values)
 
@@ -205,10 +205,10 @@
         # version has been assigned to another write.
         async def body() -> None:
             store = standin_store.StandinStore()
-            follower = zone_system.RecordingFollower()
+            listener = zone_system.RecordingListener()
             connection = zone_system.StoreConnection(store)
             mirror = mirrors.Mirror(
-                connection, zone_system.KIND, follower, 0.8
+                connection, zone_system.KIND, listener, 0.8
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(mirror.run)
@@ -222,7 +222,7 @@
                 store.write(zone_system.KIND, "second", b"2")
                 connection.is_cut = False
                 await anyio.sleep(IN_FORCE_SECONDS)
-                assert follower.values == {"first": b"1", "second": b"2"}
+                assert listener.values == {"first": b"1", "second": b"2"}
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -235,12 +235,12 @@
         async def body() -> None:
             store = standin_store.StandinStore()
             health = store_health.StoreHealth()
-            follower = zone_system.RecordingFollower()
-            long = mirrors.Mirror(store, "long", follower, 10.0, health=health)
+            listener = zone_system.RecordingListener()
+            long = mirrors.Mirror(store, "long", listener, 10.0, health=health)
             short = mirrors.Mirror(
                 store,
                 "short",
-                zone_system.RecordingFollower(),
+                zone_system.RecordingListener(),
                 0.8,
                 health=health,
             )
@@ -253,7 +253,7 @@
                 store.restore(standin_store.StandinStore().back_up())
                 store.write("long", "main", b"new")
                 await anyio.sleep(IN_FORCE_SECONDS)
-                assert follower.values == {"main": b"new"}
+                assert listener.values == {"main": b"new"}
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
--- a/tests/test_whole_service.py
+++ b/tests/test_whole_service.py
@@ -30,7 +30,7 @@
 DEMAND_FACTOR = 2.0
 MIN_SERVED_SHARE = 0.75
 # Requests that an instance may receive in any window, from
-# COUNTED_FROM_SECONDS on.
+# COUNTED_FROM_SECONDS on: half as many again as the limit, and a burst of 5.
 WINDOW_SECONDS = 4.0
 MAX_REQUESTS_PER_WINDOW = 1.5 * WINDOW_SECONDS * LIMIT_PER_SECOND + 5.0
 # From the start of the simulation.
@@ -49,9 +49,9 @@
 class _Entry:
     """One entry's limits and its requests in progress."""
 
-    def __init__(self, entries: int, randomness: random.Random) -> None:
+    def __init__(self, entry_count: int, randomness: random.Random) -> None:
         self.limits = rate_limits.RateLimits(self, randomness)
-        self.limits.set_entry_count(entries)
+        self.limits.set_entry_count(entry_count)
         self.requests: collections.Counter[str] = collections.Counter()
         self.learned_at: dict[str, float] = {}
 
@@ -67,7 +67,7 @@
     :ivar mean_seconds: mean time from the answer's head to the end of a
         request.
     :ivar received: times of the counted requests, by instance.
-    :ivar bounded: those of them that must keep to the limits.
+    :ivar bounded_times: those of them that must keep to the limits.
     :ivar events: heap of the time of each event, a random number that orders
         events of the same time, and the action.
     """
@@ -79,11 +79,11 @@
     randomness: random.Random
     upstreams: list[chain.Upstream]
     received: dict[str, list[float]]
-    bounded: dict[str, list[float]]
+    bounded_times: dict[str, list[float]]
     events: list[tuple[float, float, typing.Callable[[], None]]]
 
     async def run(self) -> None:
-        self._schedule(0.0, self._arrive)
+        self._schedule(0.0, self._on_request)
         while self.events[0][0] <= SIMULATED_SECONDS:
             at, _, action = heapq.heappop(self.events)
             await anyio.sleep(max(0.0, at - anyio.current_time()))
@@ -92,11 +92,11 @@
     def _schedule(self, at: float, action: typing.Callable[[], None]) -> None:
         heapq.heappush(self.events, (at, self.randomness.random(), action))
 
-    def _arrive(self) -> None:
+    def _on_request(self) -> None:
         now = anyio.current_time()
         per_second = DEMAND_FACTOR * LIMIT_PER_SECOND * INSTANCES
         self._schedule(
-            now + self.randomness.expovariate(per_second), self._arrive
+            now + self.randomness.expovariate(per_second), self._on_request
         )
         (entry,) = self.randomness.choices(self.entries, self.weights)
         allowed = [
@@ -108,7 +108,10 @@
             return
         chosen = min(
             allowed,
-            key=lambda upstream: (entry.own_requests(upstream), self._draw()),
+            key=lambda upstream: (
+                entry.own_requests(upstream),
+                self._draw_tie_break(),
+            ),
         )
         entry.limits.take(chosen)
         entry.requests[chosen.name] += 1
@@ -116,7 +119,7 @@
             self.received[chosen.name].append(now)
             learned_at = entry.learned_at.get(chosen.name, float("inf"))
             if now >= learned_at + LEARNING_SECONDS:
-                self.bounded[chosen.name].append(now)
+                self.bounded_times[chosen.name].append(now)
         answered_at = now + ANSWER_SECONDS
         ended_at = answered_at + self.randomness.expovariate(
             1.0 / self.mean_seconds
@@ -126,7 +129,7 @@
             ended_at, lambda: entry.requests.subtract([chosen.name])
         )
 
-    def _draw(self) -> float:
+    def _draw_tie_break(self) -> float:
         return self.randomness.random()
 
     def _answer(self, entry: _Entry, upstream: chain.Upstream) -> None:
@@ -138,15 +141,15 @@
 
 
 def simulate(
-    entries: int, spread: str, seconds: float, reports_load: bool
+    entry_count: int, spread: str, mean_seconds: float, reports_load: bool
 ) -> _Service:
     """Simulate a service and return it.
 
-    :param seconds: mean duration of a call after its answer began.
+    :param mean_seconds: mean duration of a call after its answer began.
     """
     randomness = random.Random(1)
-    busiest_weight = 0.9 if spread == SKEWED_LOAD else 1.0 / entries
-    other_weight = (1.0 - busiest_weight) / max(1, entries - 1)
+    busiest_weight = 0.9 if spread == SKEWED_LOAD else 1.0 / entry_count
+    other_weight = (1.0 - busiest_weight) / max(1, entry_count - 1)
     upstreams = [
         chain.Upstream(
             name=f"u{number}",
@@ -159,9 +162,12 @@
         for number in range(INSTANCES)
     ]
     service = _Service(
-        [_Entry(entries, random.Random(seed)) for seed in range(entries)],
-        [busiest_weight, *[other_weight] * (entries - 1)],
-        seconds,
+        [
+            _Entry(entry_count, random.Random(seed))
+            for seed in range(entry_count)
+        ],
+        [busiest_weight, *[other_weight] * (entry_count - 1)],
+        mean_seconds,
         reports_load,
         randomness,
         upstreams,
@@ -178,10 +184,10 @@
 
     @pytest.mark.parametrize("reports_load", [True, False])
     @pytest.mark.parametrize(
-        "seconds", [SHORT_CALL_SECONDS, LONG_CALL_SECONDS]
+        "mean_seconds", [SHORT_CALL_SECONDS, LONG_CALL_SECONDS]
     )
     @pytest.mark.parametrize(
-        ("entries", "spread"),
+        ("entry_count", "spread"),
         [
             (1, EVEN_LOAD),
             (5, EVEN_LOAD),
@@ -191,9 +197,13 @@
         ],
     )
     def test_are_used(
-        self, entries: int, spread: str, seconds: float, reports_load: bool
+        self,
+        entry_count: int,
+        spread: str,
+        mean_seconds: float,
+        reports_load: bool,
     ) -> None:
-        service = simulate(entries, spread, seconds, reports_load)
+        service = simulate(entry_count, spread, mean_seconds, reports_load)
         served = sum(len(times) for times in service.received.values())
         allowed = (
             LIMIT_PER_SECOND
@@ -204,10 +214,10 @@
 
     @pytest.mark.parametrize("reports_load", [True, False])
     @pytest.mark.parametrize(
-        "seconds", [SHORT_CALL_SECONDS, LONG_CALL_SECONDS]
+        "mean_seconds", [SHORT_CALL_SECONDS, LONG_CALL_SECONDS]
     )
     @pytest.mark.parametrize(
-        ("entries", "spread"),
+        ("entry_count", "spread"),
         [
             (1, EVEN_LOAD),
             (5, EVEN_LOAD),
@@ -217,10 +227,14 @@
         ],
     )
     def test_are_kept(
-        self, entries: int, spread: str, seconds: float, reports_load: bool
+        self,
+        entry_count: int,
+        spread: str,
+        mean_seconds: float,
+        reports_load: bool,
     ) -> None:
-        service = simulate(entries, spread, seconds, reports_load)
-        for times in service.bounded.values():
+        service = simulate(entry_count, spread, mean_seconds, reports_load)
+        for times in service.bounded_times.values():
             first = 0
             for last, at in enumerate(times):
                 while at - times[first] > WINDOW_SECONDS:
--- a/tests/zone_system.py
+++ b/tests/zone_system.py
@@ -26,7 +26,7 @@
 TIMEOUT_SLACK_SECONDS = 0.4
 
 
-class RecordingFollower:
+class RecordingListener:
     """Records objects, and the event loop time when each version arrived."""
 
     def __init__(self) -> None:
@@ -115,7 +115,7 @@
     connection: StoreConnection
     health: store_health.StoreHealth
     selector: peer_selection.PeerSelector
-    follower: RecordingFollower
+    listener: RecordingListener
     mirror: mirrors.Mirror
     scope: anyio.CancelScope = attrs.field(factory=anyio.CancelScope)
     is_silent: bool = False
@@ -173,17 +173,17 @@
             name, lambda: ranking, self, health
         )
         health.set_probe_interval(selector.store_retry_seconds)
-        follower = RecordingFollower()
+        listener = RecordingListener()
         mirror = mirrors.Mirror(
             connection,
             KIND,
-            follower,
+            listener,
             self._wait_seconds,
             lambda: 0.0,
             health,
             selector,
         )
-        return Entry(name, connection, health, selector, follower, mirror)
+        return Entry(name, connection, health, selector, listener, mirror)
 
     def __getitem__(self, number: int) -> Entry:
         return self.entries[f"entry-{number}"]
@@ -252,7 +252,7 @@
 
 
 async def max_age_over(zone: Zone, seconds: float) -> float:
-    """Return the largest age of a mirror in a time span, in seconds."""
+    """Return the largest age of a reachable entry's mirror over a time."""
     ends_at = anyio.current_time() + seconds
     max_age = 0.0
     while anyio.current_time() < ends_at:
