--- a/tests/test_foreign_entries.py
+++ b/tests/test_malformed_objects.py
@@ -36,8 +36,8 @@
 from crowdeck.state import objects as stores
 from crowdeck import upstream as services
 from tests import fleet_system
-from tests import test_lives
 from tests import test_platform_formats
+from tests import test_restarted_instances
 from tests import virtual
 
 SETTINGS = hypothesis.settings(
@@ -60,7 +60,9 @@
     max_leaves=6,
 )
 
-UPSTREAM_RECORD = orjson.loads(test_lives.stored_record(1, born=5).value)
+UPSTREAM_RECORD = orjson.loads(
+    test_restarted_instances.stored_record(1, born=5).value
+)
 REPORT = {
     names.ORDERS_TAKEN: 3,
     names.BUSY: False,
@@ -187,11 +189,13 @@
     )
     def test_unknown_states_are_rejected(self, state: object) -> None:
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(test_lives.stored_record(1, state=state))
+            upstreams.decode(
+                test_restarted_instances.stored_record(1, state=state)
+            )
 
     def test_record_without_a_state_is_rejected(self) -> None:
         # It must not count as ready.
-        body = orjson.loads(test_lives.stored_record(1).value)
+        body = orjson.loads(test_restarted_instances.stored_record(1).value)
         del body[names.STATE]
         with pytest.raises(errors.CrowdeckError):
             upstreams.decode(stored_object(to_bytes(body)))
@@ -203,7 +207,9 @@
         self, address: str
     ) -> None:
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(test_lives.stored_record(1, address=address))
+            upstreams.decode(
+                test_restarted_instances.stored_record(1, address=address)
+            )
 
 
 class FixedClient:
