--- a/tests/test_caller_disconnects.py
+++ b/tests/test_caller_disconnects.py
@@ -66,6 +66,7 @@
 
 
 def fill_kv_caches(system: System) -> None:
+    """Note so much load that no engine has capacity for a stream."""
     for upstream in system.listed.values():
         assert upstream.layers is not None
         count = upstream.layers.end - upstream.layers.first
