--- a/tests/test_foreign_entries.py
+++ b/tests/test_malformed_objects.py
@@ -36,8 +36,8 @@
 from crowdeck.state import objects as stores
 from crowdeck import upstream as services
 from tests import fleet_system
-from tests import test_lives
 from tests import test_platform_formats
+from tests import test_restarted_instances
 from tests import virtual
 
 SETTINGS = hypothesis.settings(
@@ -60,7 +60,9 @@
     max_leaves=6,
 )
 
-UPSTREAM_RECORD = orjson.loads(test_lives.stored_record(1, born=5).value)
+UPSTREAM_RECORD = orjson.loads(
+    test_restarted_instances.stored_record(1, born=5).value
+)
 REPORT = {
     names.ORDERS_TAKEN: 3,
     names.BUSY: False,
@@ -98,7 +100,9 @@
         return b"\xff" + repr(body).encode("utf-8", "replace")
 
 
-def stored(value: bytes, name: str = "e", version: int = 1) -> typing.Any:
+def stored_object(
+    value: bytes, name: str = "e", version: int = 1
+) -> typing.Any:
     return stores.StoredObject("servers", name, version, value)
 
 
@@ -111,7 +115,7 @@
     )
     def test_upstream_records(self, body: typing.Any, name: str) -> None:
         try:
-            upstream = upstreams.decode(stored(to_bytes(body), name))
+            upstream = upstreams.decode(stored_object(to_bytes(body), name))
         except errors.CrowdeckError as error:
             assert error.code is errors.Code.MALFORMED
             return
@@ -177,7 +181,7 @@
         roster = rosters.Roster(
             standin_store.StandinStore(), "entry-0", rosters.EntryRecord("a")
         )
-        roster.on_changed((stored(to_bytes(body), "other"),), ())
+        roster.on_changed((stored_object(to_bytes(body), "other"),), ())
         assert roster.known_entry_count == 2
 
     @pytest.mark.parametrize(
@@ -185,14 +189,16 @@
     )
     def test_unknown_states_are_rejected(self, state: object) -> None:
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(test_lives.stored_record(1, state=state))
+            upstreams.decode(
+                test_restarted_instances.stored_record(1, state=state)
+            )
 
     def test_record_without_a_state_is_rejected(self) -> None:
         # It must not count as ready.
-        body = orjson.loads(test_lives.stored_record(1).value)
+        body = orjson.loads(test_restarted_instances.stored_record(1).value)
         del body[names.STATE]
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(stored(to_bytes(body)))
+            upstreams.decode(stored_object(to_bytes(body)))
 
     @pytest.mark.parametrize(
         "address", ["example.org:80", "10.0.0.1:0", "10.0.0.1:65536", "1:2:3"]
@@ -201,7 +207,9 @@
         self, address: str
     ) -> None:
         with pytest.raises(errors.CrowdeckError):
-            upstreams.decode(test_lives.stored_record(1, address=address))
+            upstreams.decode(
+                test_restarted_instances.stored_record(1, address=address)
+            )
 
 
 class FixedClient:
