--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -188,7 +188,7 @@
         self._timers.subscribe(
             "claims",
             claims_module.EPOCH_CHECK_SECONDS,
-            self._claims.check_epoch,
+            self._claims.rewrite_outdated_claims,
         )
         self._tasks.start_soon(self._settings.follow)
 
--- a/src/crowdeck/state/claims.py
+++ b/src/crowdeck/state/claims.py
@@ -36,14 +36,15 @@
 # The platform limits values to one megabyte. A shard near that limit refuses
 # new keys, since no request may run without a written claim.
 MAX_SHARD_BYTES = 900_000
-# How long after its write a claim is rewritten if the store is restored from a
-# backup. Must exceed the age of the backup, which has to hold older claims.
+# A claim written at most this long before a restore is written again after it.
+# Must exceed the backup's age, since only older claims are in the backup.
 REWRITE_WINDOW_SECONDS = 60.0
-# Interval at which entries check whether the store has been restored.
+# Interval at which an entry looks for a new epoch in the store's answers, and
+# rewrites the claims that a restore may have lost.
 EPOCH_CHECK_SECONDS = 0.2
-# After a restore, free keys are refused for this long, so that all entries
-# can notice the restore and rewrite their claims.
-SETTLE_SECONDS = 1.0
+# New claims are refused for this long after a restore, so that all entries can
+# notice it and rewrite their claims.
+RESTORE_WAIT_SECONDS = 1.0
 
 
 @attrs.frozen
@@ -51,7 +52,8 @@
     """A claim on one key.
 
     :ivar key: digest of team, service and key; the key itself is secret.
-    :ivar fingerprint: digest of the request that the key was used for.
+    :ivar fingerprint: digest of the service call that the key was used for,
+        empty for a model request.
     :ivar request: id under which the request runs.
     :ivar nonce: unique to this claim; the claimant recognises its claim by
         it.
@@ -97,8 +99,8 @@
 def digest_key(team: str, service: str, key: str) -> str:
     """Return the digest under which a caller's key is stored.
 
-    Fingerprints of service calls are computed with it as well, from the
-    call's method, path and body.
+    For a model request, ``service`` is the model. Fingerprints of service
+    calls are computed with it as well, from method, path and body.
     """
     qualified_key = f"{team}\0{service}\0{key}"
     return xxhash.xxh3_128_hexdigest(qualified_key.encode())
@@ -118,11 +120,10 @@
 class ClaimsLedger:
     """Claims keys for one entry, batching concurrent claims.
 
-    A store that is restored from a backup may lose acknowledged claims,
-    while the key's caller retries at another entry. So entries rewrite the
-    claims that they know, and grant no new ones until all entries have had
-    time to do so. The claims of an entry that has stopped or is cut off
-    from the store cannot be rewritten.
+    A store that is restored from a backup may lose acknowledged claims.
+    Entries write their recent claims again, and grant no new ones for
+    ``RESTORE_WAIT_SECONDS`` meanwhile. The claims of an entry that has
+    stopped or is cut off from the store cannot be rewritten.
     """
 
     def __init__(
@@ -139,12 +140,12 @@
         self._queues: dict[int, list[_PendingClaim]] = {}
         self._writing: set[int] = set()
         self._epoch: int | None = None
-        # Free keys are refused until this time, in monotonic seconds.
-        self._settles_at = 0.0
+        # Monotonic time.
+        self._no_new_claims_until = 0.0
         self._recent_claims: dict[str, _RecentClaim] = {}
         self._outdated_shards: set[int] = set()
 
-    async def check_epoch(self) -> None:
+    async def rewrite_outdated_claims(self) -> None:
         """Rewrite the claims that a restored store may have lost.
 
         To be called every ``EPOCH_CHECK_SECONDS``. The store is called only
@@ -265,7 +266,7 @@
             if claims_by_key.setdefault(claim.key, claim).nonce != claim.nonce:
                 counters.COUNTERS.add("claims.lost")
                 logs.change("claim_lost", request=claim.request)
-        is_settled = self._clock.now() >= self._settles_at
+        may_grant_new = self._clock.now() >= self._no_new_claims_until
         for pending in batch:
             key = pending.claim.key
             pending.holder = pending.error = None
@@ -274,8 +275,8 @@
                 and claims_by_key[key].nonce == pending.replaces
             ):
                 del claims_by_key[key]
-            if key not in claims_by_key and not is_settled:
-                pending.error = self._unsettled_error()
+            if key not in claims_by_key and not may_grant_new:
+                pending.error = self._recent_restore_error()
                 continue
             pending.holder = claims_by_key.setdefault(key, pending.claim)
         return Shard(tuple(claims_by_key.values()))
@@ -289,7 +290,7 @@
         if previous is None and not epoch:
             # The store has never been restored.
             return False
-        self._settles_at = self._clock.now() + SETTLE_SECONDS
+        self._no_new_claims_until = self._clock.now() + RESTORE_WAIT_SECONDS
         if previous is None:
             return False
         self._outdated_shards = set(map(_shard_number, self._recent_claims))
@@ -328,12 +329,12 @@
                 return
             del self._recent_claims[oldest]
 
-    def _unsettled_error(self) -> errors.CrowdeckError:
+    def _recent_restore_error(self) -> errors.CrowdeckError:
         return errors.CrowdeckError(
             errors.Code.STORE_DOWN,
-            "the store was restored from a backup, and it is not known yet "
-            "whether this key is in use",
-            retry_after=self._settles_at - self._clock.now(),
+            "the store may have been restored from a backup recently, so it "
+            "is not known yet whether this key is in use",
+            retry_after=self._no_new_claims_until - self._clock.now(),
         )
 
 
--- a/src/crowdeck/state/leases.py
+++ b/src/crowdeck/state/leases.py
@@ -31,7 +31,8 @@
 # that it has already sent arrives before the next holder acts. Clocks need not
 # agree, only run at the same rate.
 SAFETY_MARGIN_SECONDS = 0.7
-# Holder of a lease that cannot be read; no process has this name.
+# Holder shown for a lease that cannot be read, and stored in an object that is
+# closed. No process has this name.
 UNREADABLE_HOLDER = "?"
 # Index of the last object that may hold a lease. Each object that another
 # writer corrupts is abandoned for the next one, and a process that starts
@@ -43,7 +44,8 @@
 class LeaseRecord:
     """The stored lease.
 
-    :ivar holder: name of the holder's run, empty when it was released.
+    :ivar holder: unique name of the process that holds it, empty once it was
+        released.
     :ivar term: the fencing token, which grows with each change of holder.
     :ivar memo: data that a holder leaves for the next one.
     :ivar successor: name of the object that holds the lease instead of this
@@ -62,28 +64,24 @@
     Each process times the lease by its own monotonic clock: a lease whose
     object has not been seen to change for ``LEASE_SECONDS`` has expired.
 
-    A store that is restored from a backup may show a lease that has been
-    released or taken by another since. So nobody takes the lease for
-    ``LEASE_SECONDS`` after a new epoch. A process that held it before the
-    restore keeps it meanwhile and may write it back, since all others wait
-    until that lease has expired.
-
-    Another writer may corrupt the object, and it is then unknown whether the
-    lease had been renewed or taken by another process. So the lease continues
-    in another object: a process that finds the corruption creates the next
-    object, under another name, and closes the corrupted one by a conditional
-    write. Nobody renews the lease in a closed object, so it has expired there
-    ``LEASE_SECONDS`` later, and only then may other processes take it in the
-    next object. A current holder moves there at once. The lease is never
-    taken in an object that has a next one, whatever is written to it later.
+    A store that is restored from a backup may show an outdated lease. So
+    nobody takes the lease for ``LEASE_SECONDS`` after a new epoch, except a
+    process that held it before the restore, which may write it back.
+
+    If another writer corrupts the object, it is unknown who held the lease.
+    A process that finds the corruption creates the next object, under another
+    name, and closes the corrupted one by a conditional write. Others may take
+    the lease in the next object ``LEASE_SECONDS`` later, when any holder has
+    stopped; a current holder moves there at once. The lease is never taken in
+    an object that has a next one.
 
     :param duty: name of the work that only the holder does; the lease's
         objects are named after it.
-    :param holder: unique to this run of the process, so that a restarted
-        process does not mistake itself for the holder.
-    :param is_candidate: whether this process is to read the lease and take
-        it when free. A few candidates are enough, and each read is charged
-        for. A holder keeps the lease in any case.
+    :param holder: unique to this process, so that a restarted one does not
+        mistake itself for the holder.
+    :param is_candidate: returns whether this process is to read the lease and
+        take it when free. A few candidates are enough, and each read is
+        charged for. A holder keeps the lease in any case.
     :param is_new_fleet: whether no process of the fleet can have run before
         this one; otherwise a lease that looks free may come from an old
         backup, and is not taken for the first ``LEASE_SECONDS``.
@@ -116,12 +114,12 @@
         # object is missing later, it has been removed by another writer.
         self._has_existed = False
         # Whether the lease was written to the current object in this epoch.
-        self._is_written_here = False
-        # The version of the previous object when it was closed.
-        self._closed_version = 0
+        self._is_written_to_object = False
+        # The highest version at which an object was closed in this epoch.
+        self._highest_closed_version = 0
         self._version = stores.NO_VERSION
         self._record: LeaseRecord | None = None
-        self._record_seen_at = 0.0
+        self._record_changed_at = 0.0
         self._held_until = 0.0
         self._was_held = False
         self._is_released = False
@@ -181,7 +179,8 @@
                 await self._handle_failure(error)
             self._log_change()
             if self._is_outdated and self._epoch != epoch:
-                # A held lease may still be written back in a new epoch.
+                # Step again at once: a lease that was held before the restore
+                # may be written back.
                 continue
             with anyio.move_on_after(self._step_interval()):
                 await self._memo_changed.wait()
@@ -213,7 +212,7 @@
         return self._record is not None and bool(self._record.successor)
 
     @property
-    def _must_move_on(self) -> bool:
+    def _must_use_next_object(self) -> bool:
         """Whether the lease cannot stay in the current object."""
         if self._record is None or self._index >= LAST_OBJECT_INDEX:
             return False
@@ -225,17 +224,19 @@
             or not self._is_recorded_holder
             or self._is_outdated
         ):
-            # A stale answer can only make a take-over fail at its conditional
-            # write, and it is cheaper: most calls of candidates are reads.
-            is_needed = self._record is None or self._is_outdated
-            allow_stale = not (is_needed or self.is_held)
+            # A stale answer is cheaper, and can only make a take-over fail at
+            # its conditional write.
+            needs_current = self._record is None or self._is_outdated
+            allow_stale = not (needs_current or self.is_held)
             await self._refresh(allow_stale=allow_stale)
-            if allow_stale and self._must_move_on:
+            if allow_stale and self._must_use_next_object:
                 # A stale answer may be from before the object was created.
                 await self._refresh()
         while True:
+            # Skip objects that have a next one. Reading that one costs a call,
+            # so only a process that may take the lease does.
             may_take = self._may_take
-            if not self._must_move_on and not (
+            if not self._must_use_next_object and not (
                 may_take and await self._has_next()
             ):
                 break
@@ -250,10 +251,12 @@
     async def _take(self) -> None:
         """Take the lease in the current object, or move it there."""
         if not self._may_take:
-            # The lease expired here while the next object was read.
+            # This process's hold ended while the next object was read.
             return
         if not self.is_held and not self._is_recorded_holder:
             self._memo = self._record.memo if self._record else ()
+        # In a later object the term must exceed any that was overwritten
+        # unread.
         keeps_term = self.is_held and self._index == 0
         term = self._highest_term if keeps_term else self._next_term()
         await self._write(LeaseRecord(self._holder, term, self._memo))
@@ -262,7 +265,7 @@
     def _may_take(self) -> bool:
         """Whether this process may take or move the lease here."""
         if self.is_held:
-            return not self._is_written_here
+            return not self._is_written_to_object
         now = anyio.current_time()
         return now >= self._earliest_take_at and self._is_free(now)
 
@@ -273,7 +276,7 @@
             or not record.holder
             # Nobody else can have held it since: writes are conditional.
             or self._is_recorded_holder
-            or now - self._record_seen_at >= LEASE_SECONDS
+            or now - self._record_changed_at >= LEASE_SECONDS
         )
 
     def _object_name(self, index: int) -> str:
@@ -289,21 +292,22 @@
         epoch = self._epoch
         if not await self._has_next():
             await self._create_next()
-        # Read only now that the next object exists: a process that reads the
-        # current object later finds the next one, and does not take the lease
-        # in the current one.
+        # Read the current object after creating the next one: whoever reads
+        # it from now on finds the next one, and does not take the lease here.
         await self._refresh()
         if self._epoch != epoch:
             # A new epoch begins with the first object again.
             return
         if not self._is_closed:
             await self._close()
-        self._closed_version = max(self._closed_version, self._version)
+        self._highest_closed_version = max(
+            self._highest_closed_version, self._version
+        )
         self._earliest_take_at = max(
             self._earliest_take_at, anyio.current_time() + LEASE_SECONDS
         )
         self._index += 1
-        self._is_written_here = False
+        self._is_written_to_object = False
         self._record, self._version = None, stores.NO_VERSION
         logs.change(
             "lease_passed_on",
@@ -342,20 +346,23 @@
             self._record and self._record.holder == UNREADABLE_HOLDER
         )
         if stored <= epoch_base or is_unreadable:
-            # Terms that were never read here may have been overwritten, by
-            # another writer or by a write that raced with a restore. No term
-            # is higher than the version that its write replaced.
-            return epoch_base + max(1, self._version, self._closed_version)
+            # An overwritten term that was never read here must not be used
+            # again. No term exceeds ``epoch_base`` plus the version that its
+            # write created, and that version is below the highest one known.
+            return epoch_base + max(
+                1, self._version, self._highest_closed_version
+            )
         return stored if self._is_recorded_holder else stored + 1
 
     def _step_interval(self) -> float:
         """Return the seconds until the next step."""
-        has_failed = self.is_held and self._has_failed
-        return HOLDER_RETRY_SECONDS if has_failed else RENEW_SECONDS
+        retries_soon = self.is_held and self._has_failed
+        return HOLDER_RETRY_SECONDS if retries_soon else RENEW_SECONDS
 
     async def _handle_failure(self, error: errors.CrowdeckError) -> None:
         if error.code is errors.Code.STORE_CONFLICT:
-            # A version of an earlier epoch does not show who wrote last.
+            # After a restore a conflict does not show that another process
+            # wrote: the expected version is of the earlier epoch.
             if not self._is_outdated:
                 await self._handle_conflict()
         elif error.code is errors.Code.STORE_UNSURE:
@@ -363,16 +370,20 @@
             await self._read_back()
 
     async def _handle_conflict(self) -> None:
-        """Find out who wrote the lease instead of this process."""
+        """Drop the lease after a conflict, unless it can be moved.
+
+        A lease that is held here is kept if its object was corrupted or
+        closed.
+        """
         if self.is_held:
             self._record = None
             await self._read_back()
-            if self._must_move_on:
+            if self._must_use_next_object:
                 # No other process can take the lease before it has expired
                 # in this object, so this process keeps it and moves it to
                 # the next object.
                 return
-        self._drop("another process wrote the lease")
+        self._abandon("another process wrote the lease")
 
     def _observe_epoch(self) -> bool:
         """Record the store's epoch; return whether it replaced a known one."""
@@ -386,8 +397,8 @@
         if previous is None:
             return False
         self._is_outdated = True
-        self._index, self._closed_version = 0, 0
-        self._has_existed = self._is_written_here = False
+        self._index, self._highest_closed_version = 0, 0
+        self._has_existed = self._is_written_to_object = False
         logs.change(
             "lease_outdated",
             duty=self._duty,
@@ -413,7 +424,7 @@
         if was_outdated or version != self._version or self._record is None:
             self._version = version
             self._record = self._parse(found.value if found else b"")
-            self._record_seen_at = anyio.current_time()
+            self._record_changed_at = anyio.current_time()
 
     def _parse(self, value: bytes) -> LeaseRecord:
         """Parse a stored lease.
@@ -450,8 +461,8 @@
                 KIND, self._object_name(self._index), value, self._version
             )
         finally:
-            is_outdated = self._observe_epoch()
-        if is_outdated:
+            has_new_epoch = self._observe_epoch()
+        if has_new_epoch:
             # The write may have replaced one by another process that has the
             # same version in the new epoch.
             raise errors.CrowdeckError(
@@ -461,13 +472,13 @@
             )
         self._version = version
         self._has_existed = True
-        self._is_written_here = True
+        self._is_written_to_object = True
         self._record = record
         self._highest_term = max(self._highest_term, record.term)
-        self._record_seen_at = sent_at
+        self._record_changed_at = sent_at
         self._held_until = sent_at + LEASE_SECONDS - SAFETY_MARGIN_SECONDS
 
-    def _drop(self, reason: str) -> None:
+    def _abandon(self, reason: str) -> None:
         self._held_until = 0.0
         self._record = None
         logs.change("lease_conflict", duty=self._duty, reason=reason)
@@ -495,5 +506,7 @@
         ValueError,
     ) as error:
         raise errors.CrowdeckError(
-            errors.Code.MALFORMED, f"the stored lease is malformed ({error!r})"
+            errors.Code.MALFORMED,
+            f"expected a JSON object with holder and term ({error!r}); the "
+            f"lease counts as held by an unknown process",
         ) from None
--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -17,12 +17,13 @@
 from crowdeck.state import store_health
 
 
+# Returns seconds.
 Linger = typing.Callable[[], float]
 # Delay before the next call after a peer failed to answer or its copy was old.
 PEER_RETRY_SECONDS = 0.05
 # A call does not wait for changes if the copy was last confirmed current more
 # than this many watch timeouts ago, as after a suspension or an outage.
-MAX_CONFIRMED_AGE_WATCHES = 2.0
+MAX_CONFIRMED_AGE_TIMEOUTS = 2.0
 # Added to the timeout of a watch at a peer, so that the peer's own watch ends
 # first and confirms its copy.
 PEER_WATCH_SLACK_SECONDS = 0.2
@@ -50,7 +51,9 @@
     async def watch(
         self, kind: str, after: stores.Position, wait: float
     ) -> stores.PeerChanges | None:
-        """Return what changed after a position, or ``None`` if it failed.
+        """Return what changed after a position, or ``None``.
+
+        ``None`` means that the peer did not answer.
 
         :param wait: seconds to wait at most for a change.
         :raises CrowdeckError: if the peer does not know the changes, so that
@@ -84,7 +87,9 @@
 
 
 class Mirror:
-    """Lists a kind once, then follows its changes until cancelled.
+    """Lists a kind and follows its changes until cancelled.
+
+    The kind is listed again when the store no longer knows the changes.
 
     :param linger: returns the seconds between the end of one watch and the
         next, in which changes are gathered. Each answered watch is charged
@@ -118,7 +123,8 @@
         self._current_at: float | None = None
         self._must_list = True
         self._must_ask_store = False
-        self._has_failed = False
+        # Whether the next call returns at once instead of waiting for changes.
+        self._skip_wait = False
         self._confirmed = anyio.Event()
 
     @property
@@ -218,7 +224,7 @@
         """Ask a peer for changes and apply them."""
         wait_seconds = (
             0.0
-            if self._has_failed
+            if self._skip_wait
             else self._wait_seconds + PEER_WATCH_SLACK_SECONDS
         )
         sent_at = anyio.current_time()
@@ -230,31 +236,30 @@
             )
             # The next call does not wait for changes: the store might report
             # an unknown position only when the watch times out.
-            self._must_ask_store = self._has_failed = True
+            self._must_ask_store = self._skip_wait = True
             return
         if answer is not None:
             self._apply(answer.changes, sent_at - answer.age)
-        # An old copy counts as a failure: after the peer that queries the
-        # store for its zone fails, the copies of the other peers stay old
-        # until its successor has queried the store.
-        self._has_failed = answer is None or answer.age > self._wait_seconds
-        if self._has_failed:
+        # An old copy counts as a failure, so that the next call asks again
+        # without waiting.
+        self._skip_wait = answer is None or answer.age > self._wait_seconds
+        if self._skip_wait:
             await anyio.sleep(PEER_RETRY_SECONDS)
 
     async def _call_store(self) -> None:
         """Call the store once and apply its answer."""
         # The first call after a failure or a suspension does not wait for
         # changes, so that its answer confirms the copy at once.
-        is_stale = self.age() > MAX_CONFIRMED_AGE_WATCHES * self._wait_seconds
+        is_stale = self.age() > MAX_CONFIRMED_AGE_TIMEOUTS * self._wait_seconds
         wait_seconds = (
-            0.0 if self._has_failed or is_stale else self._wait_seconds
+            0.0 if self._skip_wait or is_stale else self._wait_seconds
         )
         sent_at = anyio.current_time()
         if self._must_list:
             listing = await self._store.list(self._kind)
             self._health.record_success()
             self._health.observe_epoch(listing.epoch)
-            self._must_list = self._must_ask_store = self._has_failed = False
+            self._must_list = self._must_ask_store = self._skip_wait = False
             self._replica.reset(listing)
             self._set_current(sent_at)
             self._listener.on_listed(listing.objects)
@@ -266,9 +271,9 @@
             )
         if changes is None:
             # The watch was cancelled; send it again.
-            self._has_failed = True
+            self._skip_wait = True
             return
-        self._has_failed = self._must_ask_store = False
+        self._skip_wait = self._must_ask_store = False
         self._health.record_success()
         if not changes.objects and not changes.removed:
             # Without a change, the copy was current until the watch ended.
@@ -312,5 +317,5 @@
             epoch=self.position.epoch,
             version=self.position.version,
         )
-        self._has_failed = True
+        self._skip_wait = True
         await self._health.record_failure(error.message, is_probe)
--- a/src/crowdeck/state/objects.py
+++ b/src/crowdeck/state/objects.py
@@ -104,12 +104,10 @@
 class PeerChanges:
     """Changes from a peer's copy of the store, and the age of that copy.
 
-    :ivar age: seconds from when the peer's copy was known to be current
-        until the question arrived; negative if the copy became current
-        while the question waited. The asker subtracts it from the time at
-        which it sent the question, which gives a time at which its own copy
-        was current. This compares no clocks of two processes, and never
-        gives too late a time, since a question arrives after it was sent.
+    :ivar age: seconds from the time at which the peer's copy was known to be
+        current until the question arrived; negative if it was confirmed
+        later. Subtracted from the time of sending, it gives a time at which
+        the asker's copy was current, without comparing clocks.
     """
 
     changes: Changes
--- a/src/crowdeck/state/replica.py
+++ b/src/crowdeck/state/replica.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""A copy of the objects of one kind that remembers when each one changed."""
+"""A copy of one kind's objects that remembers the versions of changes."""
 
 from crowdeck.state import objects as stores
 
@@ -28,7 +28,7 @@
         self._objects: dict[str, stores.StoredObject] = {}
         self._learned_versions: dict[str, int] = {}
         self._removed_versions: dict[str, int] = {}
-        self._history_start = 0
+        self._oldest_known_version = 0
         self._version = 0
         self._epoch = 0
 
@@ -42,7 +42,7 @@
         self._objects = {stored.name: stored for stored in listing.objects}
         self._learned_versions = dict.fromkeys(self._objects, listing.version)
         self._removed_versions.clear()
-        self._history_start = self._version = listing.version
+        self._oldest_known_version = self._version = listing.version
         self._epoch = listing.epoch
 
     def apply(self, changes: stores.Changes) -> None:
@@ -60,13 +60,16 @@
             self._removed_versions[name] = self._version
         while len(self._removed_versions) > MAX_REMOVALS:
             oldest = next(iter(self._removed_versions))
-            self._history_start = max(
-                self._history_start, self._removed_versions.pop(oldest)
+            self._oldest_known_version = max(
+                self._oldest_known_version, self._removed_versions.pop(oldest)
             )
 
     def changes_since(self, after: stores.Position) -> stores.Changes | None:
         """Return what changed after a position, or ``None`` if unknown."""
-        if after.epoch != self._epoch or after.version < self._history_start:
+        if (
+            after.epoch != self._epoch
+            or after.version < self._oldest_known_version
+        ):
             return None
         return stores.Changes(
             self._version,
--- a/src/crowdeck/state/store_health.py
+++ b/src/crowdeck/state/store_health.py
@@ -16,11 +16,11 @@
 from crowdeck.observe import counters
 from crowdeck.observe import logs
 
-# Interval between probes of a lost store. All processes probe it at once
-# during an outage, and each call is charged for.
+# Interval between probes of a lost store. All processes probe it at the
+# same time during an outage, and each call is charged for.
 PROBE_INTERVAL_SECONDS = 0.3
 
-
+# Returns seconds.
 ProbeInterval = typing.Callable[[], float]
 
 
@@ -111,6 +111,8 @@
         with anyio.move_on_after(timeout):
             permit = await self.acquire()
         is_probe = permit is CallPermit.PROBE
+        # A later probe may begin while the block still runs, and must not be
+        # ended by it.
         probe_number = self._probe_count = self._probe_count + is_probe
         try:
             yield permit
@@ -178,8 +180,8 @@
     async def record_failure(self, reason: str, was_probe: bool) -> None:
         """Record that a call was not answered.
 
-        After a failed probe the next one waits. The first probe does not,
-        since most failures are a cut connection rather than an outage.
+        After a failed probe the next one waits. The first probe is sent at
+        once, as the connection may merely have been cut.
         """
         now = anyio.current_time()
         self._disrupted_at = self._own_failed_at = now
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -41,7 +41,7 @@
     """Who holds a key, and how many store calls it takes to decide that."""
 
     def test_many_claims_share_few_writes(self) -> None:
-        async def check() -> None:
+        async def body() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
             async with anyio.create_task_group() as tasks:
@@ -50,10 +50,10 @@
                     tasks.start_soon(ledger.claim, make_claim(name, name))
             assert store.calls["put"] <= claims.SHARD_COUNT
 
-        virtual.run(check)
+        virtual.run(body)
 
     def test_racing_ledgers_agree_on_one_holder(self) -> None:
-        async def check() -> None:
+        async def body() -> None:
             store = stores.StandinStore()
             ledgers = [make_ledger(store) for _ in range(5)]
             holders: list[str] = []
@@ -69,10 +69,10 @@
             assert len(holders) == 5
             assert len(set(holders)) == 1
 
-        virtual.run(check)
+        virtual.run(body)
 
     def test_replacement_needs_the_current_nonce(self) -> None:
-        async def check() -> None:
+        async def body() -> None:
             ledger = make_ledger(stores.StandinStore())
             await ledger.claim(make_claim("key", "first"))
             third = make_claim("key", "third")
@@ -81,10 +81,10 @@
             held = await ledger.claim(third, replaces="first")
             assert held.nonce == "third"
 
-        virtual.run(check)
+        virtual.run(body)
 
     def test_expired_claim_is_free_again(self) -> None:
-        async def check() -> None:
+        async def body() -> None:
             ledger = make_ledger(stores.StandinStore())
             old = attrs.evolve(make_claim("key", "old"), expires=0.001)
             await ledger.claim(old)
@@ -92,10 +92,10 @@
             held = await ledger.claim(make_claim("key", "new"))
             assert held.nonce == "new"
 
-        virtual.run(check)
+        virtual.run(body)
 
     def test_full_shard_refuses_new_keys_as_not_run(self) -> None:
-        async def check() -> None:
+        async def body() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
             big = attrs.evolve(
@@ -106,10 +106,10 @@
             assert caught.value.code == errors.Code.OVERLOADED
             assert caught.value.verdict.is_retry_safe
 
-        virtual.run(check)
+        virtual.run(body)
 
     def test_cancelled_writer_leaves_nobody_waiting(self) -> None:
-        async def check() -> None:
+        async def body() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
             outcomes: list[str] = []
@@ -135,7 +135,7 @@
             held = await ledger.claim(make_claim("key", "d"))
             assert held.nonce in ("a", "b", "c", "d")
 
-        virtual.run(check)
+        virtual.run(body)
 
     @hypothesis.settings(
         derandomize=True, database=None, deadline=None, max_examples=50
@@ -152,7 +152,7 @@
     def test_key_has_one_holder_despite_store_faults(
         self, faults: list[tuple[float, str]]
     ) -> None:
-        async def check() -> None:
+        async def body() -> None:
             store = stores.StandinStore()
             winners: list[str] = []
 
@@ -181,7 +181,7 @@
                     tasks.start_soon(inject_fault, delay_seconds, fault)
             assert len(winners) <= 1
 
-        virtual.run(check)
+        virtual.run(body)
 
 
 class TestRestoredStore:
@@ -192,7 +192,7 @@
     """
 
     def test_lost_claim_is_not_granted_to_another(self) -> None:
-        async def check() -> None:
+        async def body() -> None:
             store = stores.StandinStore()
             first, second = make_ledger(store), make_ledger(store)
             # Both have seen the epoch before the restore.
@@ -206,19 +206,19 @@
                 await second.claim(again)
             assert caught.value.code is errors.Code.STORE_DOWN
             assert caught.value.verdict is verdicts.Verdict.NOT_RUN
-            assert 0 < caught.value.retry_after <= claims.SETTLE_SECONDS
-            await second.check_epoch()
+            assert 0 < caught.value.retry_after <= claims.RESTORE_WAIT_SECONDS
+            await second.rewrite_outdated_claims()
             # Another call shows the new epoch to the first entry.
             await store.list("settings")
-            await first.check_epoch()
-            await anyio.sleep(claims.SETTLE_SECONDS)
+            await first.rewrite_outdated_claims()
+            await anyio.sleep(claims.RESTORE_WAIT_SECONDS)
             held = await second.claim(again)
             assert held.nonce == "first"
 
-        virtual.run(check)
+        virtual.run(body)
 
     def test_own_claims_are_known_at_once(self) -> None:
-        async def check() -> None:
+        async def body() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
             backup = store.back_up()
@@ -227,34 +227,36 @@
             held = await ledger.claim(make_claim("key", "second"))
             assert held.nonce == "first"
 
-        virtual.run(check)
+        virtual.run(body)
 
-    def test_free_key_is_granted_after_the_settle_time(self) -> None:
-        async def check() -> None:
+    def test_unclaimed_key_is_granted_after_the_wait(
+        self,
+    ) -> None:
+        async def body() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
             await ledger.claim(make_claim("before", "a"))
             store.restore(store.back_up())
             with pytest.raises(errors.CrowdeckError):
                 await ledger.claim(make_claim("key", "first"))
-            await anyio.sleep(claims.SETTLE_SECONDS)
+            await anyio.sleep(claims.RESTORE_WAIT_SECONDS)
             held = await ledger.claim(make_claim("key", "first"))
             assert held.nonce == "first"
 
-        virtual.run(check)
+        virtual.run(body)
 
     def test_entry_started_after_a_restore_waits_too(self) -> None:
-        async def check() -> None:
+        async def body() -> None:
             store = stores.StandinStore()
             store.restore(store.back_up())
             new_ledger = make_ledger(store)
             with pytest.raises(errors.CrowdeckError):
                 await new_ledger.claim(make_claim("key", "first"))
 
-        virtual.run(check)
+        virtual.run(body)
 
     def test_unreachable_store_is_called_once_per_check(self) -> None:
-        async def check() -> None:
+        async def body() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
             for number in range(40):
@@ -262,27 +264,27 @@
             store.restore(store.back_up())
             store.is_down = True
             before = store.calls.total()
-            await ledger.check_epoch()
+            await ledger.rewrite_outdated_claims()
             assert store.calls.total() == before + 1
 
-        virtual.run(check)
+        virtual.run(body)
 
     def test_epoch_check_without_a_restore_makes_no_call(self) -> None:
-        async def check() -> None:
+        async def body() -> None:
             store = stores.StandinStore()
             ledger = make_ledger(store)
             await ledger.claim(make_claim("key", "first"))
             before = store.calls.total()
             for _ in range(50):
-                await ledger.check_epoch()
+                await ledger.rewrite_outdated_claims()
             assert store.calls.total() == before
 
-        virtual.run(check)
+        virtual.run(body)
 
     @hypothesis.given(strategies.integers(0, 2**32))
     @hypothesis.settings(max_examples=40, deadline=None, derandomize=True)
     def test_each_key_has_one_holder_despite_restores(self, seed: int) -> None:
-        async def check() -> None:
+        async def body() -> None:
             rng = random.Random(seed)
             store = stores.StandinStore()
             ledgers = [make_ledger(store) for _ in range(3)]
@@ -300,14 +302,14 @@
                     return
                 assert holders.setdefault(key, held.nonce) == held.nonce
 
-            async def check_epoch(ledger: claims.ClaimsLedger) -> None:
+            async def rewrite_repeatedly(ledger: claims.ClaimsLedger) -> None:
                 while True:
                     await anyio.sleep(claims.EPOCH_CHECK_SECONDS)
-                    await ledger.check_epoch()
+                    await ledger.rewrite_outdated_claims()
 
             async with anyio.create_task_group() as tasks:
                 for ledger in ledgers:
-                    tasks.start_soon(check_epoch, ledger)
+                    tasks.start_soon(rewrite_repeatedly, ledger)
                 for number in range(600):
                     tasks.start_soon(call, number)
                     if rng.random() < 0.03:
@@ -318,4 +320,4 @@
                 await anyio.sleep(3.0)
                 tasks.cancel_scope.cancel()
 
-        virtual.run(check)
+        virtual.run(body)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -57,7 +57,7 @@
     store.is_down = False
 
 
-async def check_known(zone: zone_system.Zone, value: bytes) -> None:
+async def write_and_check_known(zone: zone_system.Zone, value: bytes) -> None:
     """Write a value, and check that every entry knows it in time."""
     zone.store.write(zone_system.KIND, "main", value)
     await anyio.sleep(IN_FORCE_SECONDS)
@@ -75,7 +75,7 @@
             for number in range(3):
                 await restore_from_backup(zone.store)
                 await anyio.sleep(2.0)
-                await check_known(zone, f"new-{number}".encode())
+                await write_and_check_known(zone, f"new-{number}".encode())
 
         for count in (1, 2, 5, 14):
             zone_system.run_scenario(count, work)
@@ -106,7 +106,7 @@
             assert caught.value.code is errors.Code.STORE_DOWN
             zone[0].connection.is_cut = False
             await anyio.sleep(IN_FORCE_SECONDS)
-            await check_known(zone, b"new")
+            await write_and_check_known(zone, b"new")
 
         zone_system.run_scenario(5, work)
 
@@ -125,7 +125,7 @@
                 await zone[0].mirror.changes_since(position, 0.1)
             await anyio.sleep(0.1)
             assert zone[0].mirror.position.epoch == zone.store.epoch
-            await check_known(zone, b"new")
+            await write_and_check_known(zone, b"new")
 
         zone_system.run_scenario(5, work, 10.0)
 
@@ -142,7 +142,7 @@
                 zone.end_faults()
                 # A peer that did not answer is not asked for some seconds.
                 await anyio.sleep(3.0)
-                await check_known(zone, f"new-{seed}".encode())
+                await write_and_check_known(zone, f"new-{seed}".encode())
 
         zone_system.run_scenario(4, work)
 
@@ -402,9 +402,9 @@
 
 
 class TestUpstreamRegistry:
-    """Instances whose stored entries are older than what is known."""
+    """Instances whose records in the store are older than what is known."""
 
-    def test_old_entry_does_not_revive_a_leaving_instance(self) -> None:
+    def test_old_record_does_not_revive_a_leaving_instance(self) -> None:
         async def body() -> None:
             system = fleet_system.FleetSystem()
             instance = fleet_system.upstream("a")
@@ -416,7 +416,7 @@
             assert system.registry.usable(instance.service) == ()
             await anyio.sleep(registries.LEAVING_GRACE_SECONDS)
             assert system.registry.usable_while_leaving(instance.service) == ()
-            # An entry that it writes later is trusted.
+            # A record that it writes later is trusted.
             system.list_instance(instance)
             assert system.registry.usable(instance.service) == (instance,)
 
@@ -434,14 +434,14 @@
             )
             new_run = attrs.evolve(new_run, instance_id="a")
             system.listed["a"] = new_run
-            entry = stores.StoredObject("upstreams", "a", 2, b"{}")
-            system.registry.on_listed((entry,))
+            record = stores.StoredObject("upstreams", "a", 2, b"{}")
+            system.registry.on_listed((record,))
             assert system.registry.usable(instance.service) == (new_run,)
 
         virtual.run(body)
 
-    def test_instance_whose_entry_was_lost_is_kept(self) -> None:
-        # An instance that started after the backup has to write its entry
+    def test_instance_whose_record_was_lost_is_kept(self) -> None:
+        # An instance that started after the backup has to write its record
         # again, although no call of this process failed.
         async def body() -> None:
             store = standin_store.StandinStore()
--- a/tests/test_spoilt_lease.py
+++ b/tests/test_spoilt_lease.py
@@ -302,7 +302,8 @@
             assert found is not None
             for _ in range(5):
                 store.write("other", "o", b"1")
-            # No term is higher than the version that its write replaced.
+            # After five other writes, the highest version that a holder's
+            # write could replace, and so its term, is found.version + 5.
             unread_term = found.version + 5
             value = f'{{"holder":"unseen","term":{unread_term}}}'.encode()
             store.write(leases.KIND, "duty", value)
@@ -634,7 +635,7 @@
         return [self.lease, other.lease]
 
     def delay(self, name: str, *, is_write: bool = False) -> None:
-        """Delay reads of a missing object, or writes, of a name."""
+        """Delay writes of an object, or else reads that do not find it."""
         self._delayed = (name, is_write)
         self._resumed = anyio.Event()
 
