--- a/src/crowdeck/quarantine/attribution.py
+++ b/src/crowdeck/quarantine/attribution.py
@@ -8,7 +8,7 @@
 A request that ran at an instance when it ended need not be the cause. Many
 others ran there too, and those that are retried may run beside the cause
 again at another instance. So each end is attributed to the request that was
-present at the most ends, and to no other.
+present at the most ends, or to all requests that tie for that place.
 """
 
 import collections
@@ -24,13 +24,13 @@
 # The same for requests that rank equally. One more end may distinguish them;
 # if not, all of them are quarantined, except those that are served meanwhile.
 QUARANTINE_THRESHOLD_TIED = QUARANTINE_THRESHOLD + 1
-# An end within this time after a request was served is not attributed to it.
-# Otherwise identical requests of many callers, which are present at every end,
-# would be quarantined.
+# A request that was served is not a suspect of earlier ends, nor of ends
+# within this time after. Otherwise identical requests of many callers, which
+# are present at every end, would be quarantined.
 SERVED_EXEMPTION_SECONDS = 30.0
 
 
-Requests = frozenset[fingerprint.Fingerprint]
+Fingerprints = frozenset[fingerprint.Fingerprint]
 
 
 @attrs.frozen
@@ -43,11 +43,11 @@
     """
 
     at: float
-    unbegun: Requests
-    begun: Requests
+    unbegun: Fingerprints
+    begun: Fingerprints
 
     @property
-    def suspects(self) -> Requests:
+    def suspects(self) -> Fingerprints:
         """All requests that may have caused it."""
         return self.unbegun | self.begun
 
@@ -56,7 +56,7 @@
     ends: typing.Iterable[evidence.InstanceEnd],
     served_at: typing.Mapping[fingerprint.Fingerprint, float],
 ) -> list[UnexplainedEnd]:
-    """Return the ends without the suspects that were served lately.
+    """Return the ends without the suspects that were served recently.
 
     A request that crashes its engine is never served. So a request is not a
     suspect of ends before it was served, or within
@@ -67,7 +67,7 @@
     """
     never = float("-inf")
 
-    def unserved(suspects: Requests, at: float) -> Requests:
+    def unserved(suspects: Fingerprints, at: float) -> Fingerprints:
         return frozenset(
             request
             for request in suspects
@@ -84,13 +84,13 @@
     ]
 
 
-def drop_unsettled(
+def without_recent_begun_suspects(
     unexplained: list[UnexplainedEnd], before: float
 ) -> list[UnexplainedEnd]:
-    """Return the ends, the recent ones without the suspects that had begun.
+    """Return the ends, without the begun suspects of recent ends.
 
-    :param before: wall-clock time; other entries may not have reported their
-        suspects of later ends yet.
+    :param before: wall-clock time; other entries may not have reported on
+        later ends yet.
     """
     return [
         end if end.at <= before else attrs.evolve(end, begun=frozenset())
@@ -127,7 +127,7 @@
         )
         if top_suspect is None or ranks[top_suspect][0] < threshold:
             return found
-        tied = _tied(top_suspect, ranks, remaining)
+        tied = _find_tied(top_suspect, ranks, remaining)
         end_count = ranks[top_suspect][0]
         if len(tied) == 1 or end_count >= threshold_tied:
             found |= dict.fromkeys(tied, end_count)
@@ -135,14 +135,14 @@
         remaining = [end for end in remaining if not end.suspects & tied]
 
 
-def _tied(
+def _find_tied(
     top_suspect: fingerprint.Fingerprint,
     ranks: dict[fingerprint.Fingerprint, tuple[int, int]],
     unexplained: list[UnexplainedEnd],
-) -> Requests:
-    """Return the suspects that share an end and the rank with a suspect.
+) -> Fingerprints:
+    """Return the suspects with which a suspect ties, itself included.
 
-    The result includes ``top_suspect``.
+    They have the rank of ``top_suspect`` and were present at an end with it.
     """
     present = frozenset[fingerprint.Fingerprint]().union(
         *(end.suspects for end in unexplained if top_suspect in end.suspects)
@@ -155,11 +155,11 @@
 def _rank(
     unexplained: list[UnexplainedEnd],
 ) -> dict[fingerprint.Fingerprint, tuple[int, int]]:
-    """Return, for each suspect, two numbers of ends by which it is ranked.
+    """Return each suspect's rank.
 
-    The first counts all ends at which it was present, the second those before
-    its first event. The cause ends its engine before its first event, while
-    most other requests have had their first event at some of the ends.
+    It is the number of ends at which it was present, and of those before its
+    first event. A request that crashes its engine has had no event, while
+    most other requests have had one at some of the ends.
     """
     unbegun_ends = collections.Counter(
         suspect for end in unexplained for suspect in end.unbegun
--- a/src/crowdeck/quarantine/evidence.py
+++ b/src/crowdeck/quarantine/evidence.py
@@ -11,8 +11,8 @@
 
 from crowdeck.quarantine import fingerprint
 
-# Numbers of ends and served requests that one entry reports; the newest are
-# kept. They bound the size of its record in the store.
+# Numbers of ends and served requests that one entry reports; those added last
+# are kept. They bound the size of its record in the store.
 MAX_ENDS = 32
 MAX_SERVED = 32
 # Number of suspects reported per end. Those that were present at the most ends
@@ -75,7 +75,7 @@
     served: tuple[ServedRequest, ...] = ()
 
     @property
-    def newest(self) -> float:
+    def newest_at(self) -> float:
         """Wall-clock time of the newest item, 0 if there is none."""
         ended = max((end.at for end in self.ends), default=0.0)
         served = max((request.at for request in self.served), default=0.0)
--- a/src/crowdeck/quarantine/fingerprint.py
+++ b/src/crowdeck/quarantine/fingerprint.py
@@ -9,8 +9,7 @@
 
 import attrs
 
-# The digest is cryptographic, so that a caller cannot construct a request that
-# collides with another's.
+# Length of a fingerprint.
 DIGEST_BYTES = 8
 
 
@@ -35,6 +34,8 @@
 
     :param target: path and query, exactly as sent by the caller.
     """
+    # The digest is cryptographic, so that a caller cannot construct a request
+    # that collides with another's.
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method, host, target, team):
         content = part.encode("utf-8", "surrogateescape")
--- a/src/crowdeck/quarantine/tracker.py
+++ b/src/crowdeck/quarantine/tracker.py
@@ -45,7 +45,8 @@
 # Clocks of entries may differ. Evidence that is further in the future than
 # this is dropped, since it would not expire in time.
 CLOCK_SKEW_SECONDS = 600.0
-# Interval at which outdated evidence is dropped.
+# Longest time between reviews while there are suspects, so that expired
+# evidence stops counting.
 REVIEW_SECONDS = 60.0
 
 WallClock = typing.Callable[[], float]
@@ -86,8 +87,8 @@
 
     def __init__(self, clock: WallClock = time.time) -> None:
         self._clock = clock
-        self._own = evidence.Evidence()
-        self._others: dict[str, evidence.Evidence] = {}
+        self._own_evidence = evidence.Evidence()
+        self._evidence_by_entry: dict[str, evidence.Evidence] = {}
         self._pending: dict[str, list[_PendingAttempt]] = {}
         self._culprits: dict[fingerprint.Fingerprint, int] = {}
         self._suspects: collections.Counter[fingerprint.Fingerprint] = (
@@ -98,13 +99,13 @@
         self._served_at: dict[fingerprint.Fingerprint, float] = {}
         # Wall-clock time of the last end that any entry has reported.
         self._last_end_at = 0.0
-        self._own_listeners: list[Listener] = []
-        self._listeners: list[Listener] = []
+        self._evidence_listeners: list[Listener] = []
+        self._quarantine_listeners: list[Listener] = []
 
     @property
     def own_evidence(self) -> evidence.Evidence:
         """This entry's own evidence, which is published to the others."""
-        return self._own
+        return self._own_evidence
 
     @property
     def has_no_suspects(self) -> bool:
@@ -113,14 +114,14 @@
 
     def subscribe_own_evidence(self, listener: Listener) -> None:
         """Call ``listener`` when this entry's evidence is to be published."""
-        self._own_listeners.append(listener)
+        self._evidence_listeners.append(listener)
 
     def subscribe(self, listener: Listener) -> None:
         """Call ``listener`` after requests have been quarantined."""
-        self._listeners.append(listener)
+        self._quarantine_listeners.append(listener)
 
     def is_quarantined(self, request: fingerprint.Fingerprint) -> bool:
-        """Whether a request may not be sent to any instance."""
+        """Whether a request must not be sent to any instance."""
         if self._clock() >= self._review_at:
             self._review()
         return request in self._culprits
@@ -135,20 +136,21 @@
         return min(max(0.0, settles_at - self._clock()), SETTLE_SECONDS)
 
     def refusal_error(
-        self, request: fingerprint.Fingerprint, has_run: bool
+        self, request: fingerprint.Fingerprint, may_have_run: bool
     ) -> errors.CrowdeckError:
         """Return the error with which a quarantined request is refused.
 
-        :param has_run: whether the request may have been executed.
+        :param may_have_run: whether the request may have been executed.
         """
         verdict = verdicts.Verdict.NOT_RUN
-        if has_run:
+        if may_have_run:
             verdict = verdicts.Verdict.MAY_HAVE_RUN
         counters.COUNTERS.add("quarantine.refused")
         crash_count = self._culprits.get(request, 0)
         return errors.CrowdeckError(
             errors.Code.QUARANTINED,
-            f"{crash_count} instances crashed while running this request",
+            f"this request is quarantined: {crash_count} instances crashed "
+            f"while it ran there; it is refused until that evidence expires",
             verdict=verdict,
             retry_after=EVIDENCE_TTL_SECONDS,
         )
@@ -204,19 +206,22 @@
         has older records, whose writers may have ended since.
         """
         reported = self._valid(reported)
-        known = self._others.get(entry, evidence.Evidence())
-        if reported == known or reported.newest < self._valid(known).newest:
+        known = self._evidence_by_entry.get(entry, evidence.Evidence())
+        if (
+            reported == known
+            or reported.newest_at < self._valid(known).newest_at
+        ):
             return
-        self._others[entry] = reported
+        self._evidence_by_entry[entry] = reported
         self._review()
         if self._record_served_suspects():
             self._publish_and_review()
 
     def merge_own_evidence(self, reported: evidence.Evidence) -> None:
         """Add the evidence of an earlier process of this entry."""
-        merged = self._merged(self._own, reported)
-        if merged != self._own:
-            self._own = merged
+        merged = self._merged(self._own_evidence, reported)
+        if merged != self._own_evidence:
+            self._own_evidence = merged
             self._review()
 
     def _merged(
@@ -260,7 +265,9 @@
         )
         now = self._clock()
         end = evidence.InstanceEnd(instance, now, unbegun, begun)
-        self._own = self._valid(self._own).with_end(end, self._count_ends_of)
+        self._own_evidence = self._valid(self._own_evidence).with_end(
+            end, self._count_ends_of
+        )
         counters.COUNTERS.add("quarantine.ends")
         logs.change(
             "ended_under_requests",
@@ -281,14 +288,14 @@
 
     def _record_served_suspects(self) -> bool:
         """Add served suspects to the evidence; return whether it changed."""
-        before = self._own
+        before = self._own_evidence
         for request in self._suspects:
             at = self._served_at.get(request)
             if at is not None:
                 served = evidence.ServedRequest(request, at)
-                self._own = self._own.with_served(served)
+                self._own_evidence = self._own_evidence.with_served(served)
                 logs.change("suspect_served", content=str(request))
-        return self._own != before
+        return self._own_evidence != before
 
     def _prune_served(self, now: float) -> None:
         since = now - attribution.SERVED_EXEMPTION_SECONDS
@@ -303,7 +310,7 @@
         return self._suspects[request]
 
     def _publish_and_review(self) -> None:
-        for listener in self._own_listeners:
+        for listener in self._evidence_listeners:
             listener()
         self._review()
 
@@ -312,7 +319,10 @@
         now = self._clock()
         ends: dict[str, evidence.InstanceEnd] = {}
         served_at: dict[fingerprint.Fingerprint, float] = {}
-        for reported in (self._own, *self._others.values()):
+        for reported in (
+            self._own_evidence,
+            *self._evidence_by_entry.values(),
+        ):
             valid = self._valid(reported)
             for end in valid.ends:
                 known = ends.get(end.instance)
@@ -327,7 +337,9 @@
         self._last_end_at = max(
             (instance_end.at for instance_end in ends.values()), default=0.0
         )
-        settled = attribution.drop_unsettled(unexplained, now - SETTLE_SECONDS)
+        settled = attribution.without_recent_begun_suspects(
+            unexplained, now - SETTLE_SECONDS
+        )
         self._review_at = self._next_review(now)
         self._set_culprits(attribution.find_culprits(settled))
 
@@ -351,5 +363,5 @@
                 "quarantined", content=str(request), ends=found[request]
             )
         if new:
-            for listener in self._listeners:
+            for listener in self._quarantine_listeners:
                 listener()
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -37,7 +37,10 @@
 def end(
     instance: str, unbegun: str = "", begun: str = "", at: float = 0.0
 ) -> evidence.InstanceEnd:
-    """Return an end; each letter stands for one request."""
+    """Return an end; each letter stands for one request.
+
+    In most tests ``c`` crashes its engines, and the others ran beside it.
+    """
     return evidence.InstanceEnd(
         instance, at, fingerprints(unbegun), fingerprints(begun)
     )
@@ -46,7 +49,8 @@
 def culprits(*ends: evidence.InstanceEnd, **served: float) -> str:
     """Return the letters of the requests to quarantine.
 
-    :param served: times at which requests were served, by their letters.
+    :param served: times at which requests were served, by their letters;
+        see :func:`end`.
     """
     served_at = {
         fingerprint.Fingerprint(letter): at for letter, at in served.items()
@@ -111,13 +115,13 @@
         unexplained = attribution.without_served_suspects(ends, {})
         assert (
             attribution.find_culprits(
-                attribution.drop_unsettled(unexplained, 1.5)
+                attribution.without_recent_begun_suspects(unexplained, 1.5)
             )
             == {}
         )
         assert (
             attribution.find_culprits(
-                attribution.drop_unsettled(unexplained, 2.5)
+                attribution.without_recent_begun_suspects(unexplained, 2.5)
             )
             != {}
         )
