--- a/src/crowdeck/entry/admission.py
+++ b/src/crowdeck/entry/admission.py
@@ -13,15 +13,15 @@
 from crowdeck.observe import counters
 
 RETRY_AFTER_SECONDS = 1.0
-# The part of the capacity that teams above their share may use. The rest is
-# reserved for the requests of the other teams.
-OVER_SHARE_FACTOR = 0.9
+# Factor on the token-gap limit of teams above their share: their new answers
+# are refused earlier, while those of other teams are still accepted.
+OVER_SHARE_GAP_FACTOR = 0.9
 
 
 class Admission:
     """Counts requests in progress, per team and in total.
 
-    :ivar limit: requests in progress, of all teams together.
+    :ivar limit: maximum number of requests in progress, of all teams together.
     """
 
     def __init__(self, limit: int) -> None:
@@ -53,7 +53,7 @@
         :param weight: the team's share relative to other teams.
         :raises CrowdeckError: with ``NOT_RUN`` and a time to retry.
         """
-        self._require_room(team, team_limit)
+        self._require_capacity(team, team_limit)
         self._running_by_team[team] += 1
         self._weights[team] = weight
         counters.COUNTERS.add("admission.admitted")
@@ -65,23 +65,28 @@
                 del self._running_by_team[team]
                 del self._weights[team]
 
-    def share_factor(self, team: str) -> float:
-        """Return the part of the upstreams' capacity that a team may use.
+    def gap_limit_factor(self, team: str) -> float:
+        """Return the factor on a team's token-gap limit.
 
-        A team with more than its weighted share of the requests in progress
-        may not use all of it, so that the other teams find room. No team is
-        limited to its share while there is capacity.
+        It is lower for a team with more than its weighted share of the
+        requests in progress, so that capacity is left for other teams. No
+        team is limited to its share while there is capacity.
         """
         total = self.running
         weights = sum(self._weights.values())
         share = total * self._weights[team] / weights
         return (
-            OVER_SHARE_FACTOR if self._running_by_team[team] > share else 1.0
+            OVER_SHARE_GAP_FACTOR
+            if self._running_by_team[team] > share
+            else 1.0
         )
 
-    def _require_room(self, team: str, team_limit: int) -> None:
+    def _require_capacity(self, team: str, team_limit: int) -> None:
         if self._is_leaving:
-            raise _refusal_error(errors.Code.LEAVING, "this entry is leaving")
+            raise _refusal_error(
+                errors.Code.LEAVING,
+                "this entry is leaving; retry at another one",
+            )
         if self.running >= self.limit:
             raise _refusal_error(
                 errors.Code.OVERLOADED,
@@ -90,7 +95,8 @@
         if self._running_by_team[team] >= team_limit:
             raise _refusal_error(
                 errors.Code.TEAM_LIMIT,
-                f"team {team} has {team_limit} requests in progress",
+                f"team {team} has reached its limit of {team_limit} requests "
+                f"in progress",
             )
 
 
--- a/src/crowdeck/entry/answers.py
+++ b/src/crowdeck/entry/answers.py
@@ -91,7 +91,7 @@
         return len(self._inboxes)
 
     def open(self, request: str, limit: int) -> Inbox:
-        """Return the inbox for a request that is about to be sent."""
+        """Create the inbox of a request that is about to be sent."""
         assert request not in self._inboxes, "one inbox per request"
         inbox = self._inboxes[request] = Inbox(limit)
         return inbox
@@ -101,11 +101,11 @@
         return request in self._inboxes
 
     def close(self, request: str) -> None:
-        """Drop a request's inbox; later records for it are refused."""
+        """Drop a request's inbox; later records for it are dropped."""
         self._inboxes.pop(request, None)
 
     def on_opened(self, peer: link.Peer) -> None:
-        """Do nothing: a link matters once a request is sent on it."""
+        """Do nothing: links are used only when a request is sent."""
 
     def on_record(self, peer: link.Peer, record: messages.Record) -> None:
         """Put a record into its request's inbox."""
--- a/src/crowdeck/entry/delivery.py
+++ b/src/crowdeck/entry/delivery.py
@@ -61,7 +61,8 @@
         if answer.position > position:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_POSITION,
-                f"received token {answer.position} instead of {position}",
+                f"received the token of position {answer.position}, expected "
+                f"position {position}",
                 verdict=_MAY_HAVE_RUN,
             )
         self.finish = answer.finish
--- a/src/crowdeck/entry/driver.py
+++ b/src/crowdeck/entry/driver.py
@@ -71,7 +71,10 @@
 
 
 class _AttemptMoved(Exception):
-    """Raised when another attempt, with this opening, continues this one."""
+    """Raised when a stage was replaced.
+
+    ``opening`` begins the attempt that continues the answer.
+    """
 
     def __init__(self, opening: messages.Opening) -> None:
         super().__init__(opening.request)
@@ -185,8 +188,9 @@
         while True:
             try:
                 if resume is not None:
-                    pending, resume = resume, None
-                    return await self._resume(pending)
+                    # Only the first attempt resumes; later ones begin anew.
+                    resume_point, resume = resume, None
+                    return await self._resume(resume_point)
                 return await self._run_attempt(opening or self._plan_opening())
             except _AttemptMoved as moved:
                 opening = moved.opening
@@ -307,9 +311,12 @@
                 culprit=path.head.instance,
             )
         if view.peer.greeting.incarnation != path.head.incarnation:
-            # The new run may be used, so the instance is not a culprit.
+            # The new incarnation may be used, so the instance is not a
+            # culprit.
             raise errors.LinkLost(
-                f"{path.head.instance} was replaced",
+                f"{path.head.instance} has incarnation "
+                f"{view.peer.greeting.incarnation}, the path expects "
+                f"{path.head.incarnation}",
                 was_sent=False,
                 culprit="",
             )
@@ -351,6 +358,8 @@
             return None
         assert self._inbox is not None
         self._inbox.source = view.peer
+        # All tokens are fetched, since the end's digest covers them; so the
+        # window counts from position 0.
         question = questions.Attach(
             request=self._request.request,
             team=self._request.team,
@@ -491,7 +500,8 @@
             # The stage may have stopped already: replay without it.
             raise errors.CrowdeckError(
                 errors.Code.LEAVING,
-                "the KV cache could not be moved",
+                f"{leaving} did not move the KV cache to "
+                f"{path.stages[index].instance}",
                 verdict=_MAY_HAVE_RUN,
                 culprit=leaving,
             )
@@ -516,7 +526,8 @@
                 case _:
                     raise errors.CrowdeckError(
                         errors.Code.LINK_LOST,
-                        "the path failed while a stage was being moved",
+                        f"the answer's path failed or ended before its first "
+                        f"{position} tokens arrived, while a stage was moved",
                         verdict=_MAY_HAVE_RUN,
                     )
 
--- a/src/crowdeck/entry/entry.py
+++ b/src/crowdeck/entry/entry.py
@@ -49,7 +49,8 @@
 class EntryOptions:
     """Options of an entry.
 
-    :ivar request_limit: requests in progress, of all teams together.
+    :ivar request_limit: maximum number of requests in progress, of all teams
+        together.
     :ivar policy: name of the policy by which paths are chosen.
     """
 
@@ -105,7 +106,7 @@
 
 
 class Entry:
-    """One entry, with all its parts."""
+    """Builds an entry's components, and starts and drains it."""
 
     def __init__(
         self,
--- a/src/crowdeck/entry/http.py
+++ b/src/crowdeck/entry/http.py
@@ -35,8 +35,8 @@
 from crowdeck import team as teams
 from crowdeck.wire import questions
 
-HEADER_LIMIT = 100
-METHODS = ["GET", "POST", "PUT", "PATCH", "DELETE", "HEAD"]
+MAX_HEADERS = 100
+SERVICE_METHODS = ["GET", "POST", "PUT", "PATCH", "DELETE", "HEAD"]
 # Headers meant for the entry, which are not forwarded to services.
 ENTRY_HEADERS = frozenset(
     {
@@ -98,7 +98,7 @@
                 routing.Route(
                     "/services/{service}/{path:path}",
                     self._handle_service_call,
-                    methods=METHODS,
+                    methods=SERVICE_METHODS,
                 ),
             ],
             exception_handlers={errors.CrowdeckError: _handle_error},
@@ -133,7 +133,7 @@
     async def _handle_models(
         self, request: requests.Request
     ) -> responses.Response:
-        context = self._context(request, "models")
+        context = self._make_context(request, "models")
         context.span.end()
         settings_scope = context.caller.settings_scope()
         names = [
@@ -162,12 +162,12 @@
     async def _handle_model_request(
         self, request: requests.Request, is_chat: bool
     ) -> responses.Response:
-        context = self._context(request, "entry")
+        context = self._make_context(request, "entry")
         with _end_span_on_error(context.span):
             body = openai.parse_body(await self._read_body(request), is_chat)
             event = request.headers.get("last-event-id", "")
             resume = openai.EventId.parse(event) if event else None
-            model_request = self._model_request(context, body, resume)
+            model_request = self._parse_model_request(context, body, resume)
             answer = model_answer.ModelAnswer(
                 self._driver_dependencies,
                 self._keys,
@@ -182,7 +182,7 @@
                 return answer
             return await answer.collect(request)
 
-    def _model_request(
+    def _parse_model_request(
         self,
         context: context_module.RequestContext,
         body: openai.CompletionBody,
@@ -218,9 +218,9 @@
     async def _handle_service_call(
         self, request: requests.Request
     ) -> responses.Response:
-        context = self._context(request, "entry")
+        context = self._make_context(request, "entry")
         with _end_span_on_error(context.span):
-            call = await self._service_call(request, context)
+            call = await self._parse_service_call(request, context)
             settings_scope = context.caller.settings_scope(call.service)
             limit = context.tree.integer(settings_scope, "concurrency")
             session = context.session_name
@@ -242,11 +242,11 @@
         ):
             return await self._calls.call(call)
 
-    async def _service_call(
+    async def _parse_service_call(
         self, request: requests.Request, context: context_module.RequestContext
     ) -> service_calls.ServiceCall:
         service = request.path_params["service"]
-        contract = self._contract(context, service)
+        contract = self._require_contract(context, service)
         path = "/" + request.path_params["path"]
         if request.url.query:
             path += "?" + request.url.query
@@ -270,7 +270,7 @@
             traceparent=context.span.traceparent,
         )
 
-    def _contract(
+    def _require_contract(
         self, context: context_module.RequestContext, service: str
     ) -> contracts.Contract:
         settings_scope = context.caller.settings_scope(service)
@@ -285,12 +285,13 @@
 
     # Common to all requests.
 
-    def _context(
+    def _make_context(
         self, request: requests.Request, span_name: str
     ) -> context_module.RequestContext:
-        if len(request.headers) > HEADER_LIMIT:
+        if len(request.headers) > MAX_HEADERS:
             raise errors.CrowdeckError(
-                errors.Code.TOO_LARGE, f"more than {HEADER_LIMIT} headers"
+                errors.Code.TOO_LARGE,
+                f"at most {MAX_HEADERS} headers are accepted",
             )
         tree = self._settings.tree
         session = request.headers.get("x-session-id", "")
--- a/src/crowdeck/entry/keys.py
+++ b/src/crowdeck/entry/keys.py
@@ -51,7 +51,7 @@
         key: str,
         replaces: str = "",
     ) -> ClaimedAnswer:
-        """Claim a key, or return the claim that holds it.
+        """Claim a key; return where to begin or resume its answer.
 
         :param replaces: nonce of a claim whose answer is no longer kept.
         :raises CrowdeckError: if the store is down or there is no path.
--- a/src/crowdeck/entry/model_answer.py
+++ b/src/crowdeck/entry/model_answer.py
@@ -39,6 +39,8 @@
         model_request: model_requests.ModelRequest,
         resume: openai.EventId | None,
     ) -> None:
+        # super().__init__ is not called: __call__ sends its own status and
+        # headers.
         self._dependencies = dependencies
         self._keys = answer_keys
         self._turns = session_turns
@@ -105,7 +107,7 @@
         weight = tree.number(settings_scope, "weight")
         with self._admission.enter(team, limit, weight):
             gap_seconds = tree.number(settings_scope, "token_gap_seconds")
-            factor = self._admission.share_factor(team)
+            factor = self._admission.gap_limit_factor(team)
             self._model_request = attrs.evolve(
                 self._model_request, gap_limit_seconds=gap_seconds * factor
             )
--- a/src/crowdeck/entry/model_request.py
+++ b/src/crowdeck/entry/model_request.py
@@ -15,8 +15,8 @@
     :ivar seconds_left: time to its deadline when it was received.
     :ivar window: number of tokens that may be generated before the caller
         has taken them.
-    :ivar gap_limit_seconds: time between tokens above which a new answer
-        is refused rather than begun; 0 for never.
+    :ivar gap_limit_seconds: limit on the predicted time between tokens;
+        above it a new answer is refused. 0 for no limit.
     """
 
     request: str
--- a/src/crowdeck/entry/openai.py
+++ b/src/crowdeck/entry/openai.py
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class CompletionBody:
-    """The fields of a request's body that the router reads."""
+    """The fields of a request's body that the entry reads."""
 
     model: str
     prompt: str
@@ -31,7 +31,7 @@
 def parse_body(raw: bytes, is_chat: bool) -> CompletionBody:
     """Parse a completion request.
 
-    :raises CrowdeckError: ``BAD_REQUEST``, naming the invalid field.
+    :raises CrowdeckError: ``BAD_REQUEST``, saying what is invalid.
     """
     try:
         body = orjson.loads(raw)
@@ -74,18 +74,18 @@
 
 
 def _chat_prompt(body: dict[str, typing.Any]) -> str:
-    turns = body.get("messages")
-    if not isinstance(turns, list) or not turns:
+    chat_messages = body.get("messages")
+    if not isinstance(chat_messages, list) or not chat_messages:
         raise _bad_request("'messages' must be a non-empty list")
     lines = []
     has_text = False
-    for turn in turns:
-        if not isinstance(turn, dict):
+    for message in chat_messages:
+        if not isinstance(message, dict):
             raise _bad_request("each of 'messages' must be an object")
-        role = turn.get("role")
+        role = message.get("role")
         if not isinstance(role, str):
             raise _bad_request("each of 'messages' must have a 'role'")
-        content = _content(turn.get("content"))
+        content = _content(message.get("content"))
         has_text = has_text or bool(content.strip())
         lines.append(f"{role}: {content}")
     return "\n".join(lines) if has_text else ""
@@ -138,7 +138,10 @@
         """
         parts = text.split(EVENT_ID_SEPARATOR)
         if len(parts) != 4 or not parts[3].isdecimal():
-            raise _bad_request("'Last-Event-ID' is malformed")
+            raise _bad_request(
+                "'Last-Event-ID' must be the id of an event of an answer, "
+                f"not {text!r}"
+            )
         return cls(parts[0], parts[1], parts[2], int(parts[3]))
 
     def to_resume_point(self) -> model_requests.ResumePoint:
@@ -151,8 +154,8 @@
 class EventWriter:
     """Writes one answer's server-sent events.
 
-    Everything but the text and the event id is the same in each event, so
-    it is encoded only once.
+    Between the first and the last event only the text and the event id
+    differ, so the rest is encoded once.
     """
 
     def __init__(self, request: str, model: str, is_chat: bool) -> None:
@@ -166,14 +169,14 @@
             "model": model,
         }
         marker = "\0"
-        encoded = orjson.dumps(self._object(marker, None, False))
+        encoded = orjson.dumps(self._chunk_body(marker, None, False))
         before, _, after = encoded.partition(orjson.dumps(marker))
         self._before = b"\ndata: " + before
         self._after = after + b"\n\n"
 
     def first(self, event_id: EventId, text: str) -> bytes:
         """Return the first event, which names the role."""
-        body = orjson.dumps(self._object(text, None, True))
+        body = orjson.dumps(self._chunk_body(text, None, True))
         return b"id: %b\ndata: %b\n\n" % (str(event_id).encode(), body)
 
     def piece(self, event_id: EventId, text: str) -> bytes:
@@ -187,14 +190,14 @@
 
     def last(self, finish: str) -> bytes:
         """Return the closing events."""
-        body = orjson.dumps(self._object("", finish, False))
+        body = orjson.dumps(self._chunk_body("", finish, False))
         return b"data: %b\n\ndata: [DONE]\n\n" % body
 
     def error(self, report: errors.ErrorReport) -> bytes:
         """Return the event that ends an answer with an error."""
         return b"data: %b\n\n" % orjson.dumps({"error": error_body(report)})
 
-    def _object(
+    def _chunk_body(
         self, text: str, finish: str | None, is_first: bool
     ) -> dict[str, typing.Any]:
         choice: dict[str, typing.Any] = {
--- a/src/crowdeck/entry/replies.py
+++ b/src/crowdeck/entry/replies.py
@@ -56,14 +56,14 @@
 
 def _multipart(called: questions.Called) -> responses.Response:
     """Return an answer and its companions in one multipart body."""
-    body_digest = digest.digest_answer(
+    companions_digest = digest.digest_answer(
         "companions",
         [
             (len(companion.body), companion.path)
             for companion in called.companions
         ],
     )
-    boundary = f"crowdeck-{uuid.uuid4().hex}-{body_digest:x}"
+    boundary = f"crowdeck-{uuid.uuid4().hex}-{companions_digest:x}"
     main_type = next(
         (
             header.value
--- a/src/crowdeck/entry/service_calls.py
+++ b/src/crowdeck/entry/service_calls.py
@@ -5,6 +5,8 @@
 
 """Calls of plain services through their sidecars.
 
+Plain services are HTTP upstreams other than model engines.
+
 When a reply is lost, the sidecar that the call was sent to is asked to seal
 it: either the call has not run and never will, or its answer is collected.
 """
@@ -28,7 +30,7 @@
 from crowdeck.wire import questions
 
 SEAL_TIMEOUT_SECONDS = 1.0
-RECONNECT_INTERVAL_SECONDS = 0.1
+OUTCOME_RETRY_SECONDS = 0.1
 # How long a sidecar that stopped answering is asked for a call's outcome.
 OUTCOME_TIMEOUT_SECONDS = 5.0
 # How long a second caller with the same key waits for the first one's call
@@ -177,7 +179,7 @@
                 # The call was not sent or may run again: do not ask for its
                 # outcome.
                 raise
-            reply = await self._resolve_lost_reply(call, target, epoch)
+            reply = await self._resolve_outcome(call, target, epoch)
         finally:
             if view is not None:
                 view.own_inflight -= 1
@@ -207,17 +209,18 @@
         if peer.greeting.incarnation != target.incarnation:
             raise errors.CrowdeckError(
                 errors.Code.WRONG_INCARNATION,
-                f"{target.name} was replaced",
+                f"{target.name} has incarnation {peer.greeting.incarnation}, "
+                f"expected {target.incarnation}",
                 verdict=verdict,
                 culprit=target.name,
             )
 
-    # A lost reply.
+    # The outcome of a call whose reply was lost, or of another caller's call.
 
-    async def _resolve_lost_reply(
+    async def _resolve_outcome(
         self, call: ServiceCall, target: _Target, epoch: int
     ) -> questions.Reply:
-        """Seal a call whose reply was lost, or collect its answer."""
+        """Seal a call, or collect its answer if it may have run."""
         counters.COUNTERS.add("calls.reply_lost")
         until = min(call.deadline, self._clock.now() + OUTCOME_TIMEOUT_SECONDS)
         while self._clock.now() < until:
@@ -227,7 +230,7 @@
                     raise _sealed_error(target)
                 return await self._collect(call, target)
             except errors.LinkLost:
-                await anyio.sleep(RECONNECT_INTERVAL_SECONDS)
+                await anyio.sleep(OUTCOME_RETRY_SECONDS)
         raise errors.CrowdeckError(
             errors.Code.LINK_LOST,
             f"{target.name} could not be asked whether the call ran",
@@ -320,10 +323,10 @@
         :raises CrowdeckError: ``KEY_SPENT`` if the call may have run and
             its answer is not available.
         """
-        held_call = attrs.evolve(call, request=claim.request)
+        claimed_call = attrs.evolve(call, request=claim.request)
         for target in _targets(claim):
             try:
-                reply = await self._collect_or_seal(held_call, target)
+                reply = await self._collect_or_seal(claimed_call, target)
             except errors.LinkLost as lost:
                 raise _key_spent_error(lost.message) from None
             except errors.CrowdeckError as error:
@@ -343,8 +346,8 @@
                 return reply
             if self._clock.now() >= begin_by:
                 break
-            await anyio.sleep(RECONNECT_INTERVAL_SECONDS)
-        return await self._resolve_lost_reply(call, target, 0)
+            await anyio.sleep(OUTCOME_RETRY_SECONDS)
+        return await self._resolve_outcome(call, target, 0)
 
 
 def _targets(claim: claims_module.Claim) -> list[_Target]:
@@ -374,7 +377,8 @@
 def _sealed_error(target: _Target) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.SEALED,
-        f"the link to {target.name} was lost before the call ran",
+        f"the call was sealed at {target.name} before it ran, and will not "
+        f"run there",
         culprit=target.name,
     )
 
--- a/src/crowdeck/entry/turns.py
+++ b/src/crowdeck/entry/turns.py
@@ -61,7 +61,8 @@
 
         :param session: the session's full name, team included.
         :param sequence: the caller's own number of the turn, or -1.
-        :raises CrowdeckError: ``ORDER`` if it is not granted in time.
+        :raises CrowdeckError: ``ORDER`` if it is not granted in time or
+            its number is out of order.
         """
         if not session:
             yield
@@ -85,7 +86,10 @@
                 self._tasks.start_soon(self._retake_at_new_home, held)
 
     def _home(self, session: str) -> tuple[fleets.SidecarView | None, bool]:
-        """Return a session's home, and whether others may see another home."""
+        """Return a session's home, and whether it may have moved.
+
+        If it has, a holder's turn may be known at another home only.
+        """
         views = {view.name: view for view in self._fleet.views}
         now = self._clock.now()
         is_moved = False
@@ -149,8 +153,8 @@
                 is_holding=True,
             )
         except errors.CrowdeckError:
-            # The request continues without its turn. The new home waits for
-            # holders of turns before it grants the session's next one.
+            # The request continues without its turn, and may overlap with the
+            # session's next one once the new home stops waiting for holders.
             counters.COUNTERS.add("turns.not_kept")
 
     async def _end(self, held: _HeldTurn) -> None:
