--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -52,8 +52,8 @@
     With ``keeps_ids`` an instance that ended is restarted with its id.
 
     :param count: number of entries at the start.
-    :param copies: copies of the model in each availability zone.
-    :param parts: number of instances that hold one copy together.
+    :param copies_per_zone: copies of the model in each availability zone.
+    :param instances_per_copy: number of instances that hold a copy together.
     :param are_registered: whether the store has the records of the entries at
         the start, as written by earlier processes.
     """
@@ -62,8 +62,8 @@
         self,
         tasks: anyio.abc.TaskGroup,
         count: int,
-        copies: int,
-        parts: int = 2,
+        copies_per_zone: int,
+        instances_per_copy: int = 2,
         *,
         are_registered: bool = True,
     ) -> None:
@@ -77,7 +77,7 @@
         self._connections: dict[str, zone_system.StoreConnection] = {}
         self._listed: dict[str, chain.Upstream] = {}
         self._restart_count = 0
-        self._add_fleet(copies, parts)
+        self._add_fleet(copies_per_zone, instances_per_copy)
         for _ in range(count):
             entry = self.start()
             if are_registered:
@@ -171,7 +171,7 @@
         self,
         seconds: float,
         body: bytes,
-        pause: float,
+        pause_seconds: float,
         repeat: routes.RepeatPolicy = STREAM,
     ) -> None:
         """Send the same request repeatedly, to one entry after another.
@@ -184,7 +184,7 @@
             self.start_request(number, repeat, body)
             self.start_request(number, STREAM, b"beside-%d" % number)
             number += 1
-            await anyio.sleep(pause)
+            await anyio.sleep(pause_seconds)
 
     async def restart_crashed(self) -> None:
         """Restart instances that ended, under another name."""
@@ -282,19 +282,23 @@
         del self._listed[name]
         self._list_instance(new_run)
 
-    def _add_fleet(self, copies: int, parts: int) -> None:
+    def _add_fleet(
+        self, copies_per_zone: int, instances_per_copy: int
+    ) -> None:
         for zone in fleet_system.ZONES:
-            for copy in range(copies):
-                self._add_copy(zone, copy, parts)
+            for copy in range(copies_per_zone):
+                self._add_copy(zone, copy, instances_per_copy)
             self._add(
                 fleet_system.upstream(
                     f"plain-{zone}", zone, service=fleet_system.PLAIN, card=""
                 )
             )
 
-    def _add_copy(self, zone: str, copy: int, parts: int) -> None:
+    def _add_copy(self, zone: str, copy: int, instances_per_copy: int) -> None:
         layers = fleet_system.PROFILE.layer_count
-        for part, span in enumerate(chain_fleet.split_layers(layers, parts)):
+        for part, span in enumerate(
+            chain_fleet.split_layers(layers, instances_per_copy)
+        ):
             self._add(
                 fleet_system.upstream(
                     f"{zone}-{copy}-{part}",
@@ -327,8 +331,8 @@
 def run_scenario(
     work: typing.Callable[[Entries], typing.Awaitable[None]],
     count: int = 3,
-    copies: int = 6,
-    parts: int = 2,
+    copies_per_zone: int = 6,
+    instances_per_copy: int = 2,
     *,
     are_registered: bool = True,
 ) -> None:
@@ -337,7 +341,11 @@
     async def body() -> None:
         async with anyio.create_task_group() as tasks:
             entries = Entries(
-                tasks, count, copies, parts, are_registered=are_registered
+                tasks,
+                count,
+                copies_per_zone,
+                instances_per_copy,
+                are_registered=are_registered,
             )
             tasks.start_soon(entries.restart_crashed)
             await work(entries)
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -134,6 +134,6 @@
         await traffic.wait_until_ended()
 
     entries_system.run_scenario(
-        run, count=count, copies=2, are_registered=are_registered
+        run, count=count, copies_per_zone=2, are_registered=are_registered
     )
     return all_traffic[0]
--- a/tests/system.py
+++ b/tests/system.py
@@ -42,8 +42,8 @@
 class CountingService:
     """A plain service that counts its runs."""
 
-    def __init__(self, seconds: float = 0.02) -> None:
-        self.seconds = seconds
+    def __init__(self, run_seconds: float = 0.02) -> None:
+        self.run_seconds = run_seconds
         self.runs: collections.Counter[str] = collections.Counter()
         self.failure: errors.CrowdeckError | None = None
         self.order: list[str] = []
@@ -56,7 +56,7 @@
         name = request.body.decode() or request.path
         self.runs[name] += 1
         self.order.append(name)
-        await anyio.sleep(self.seconds)
+        await anyio.sleep(self.run_seconds)
         text = f"{name} run {self.runs[name]}"
         return upstream.ServiceResponse(200, (), text.encode())
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -658,12 +658,15 @@
 
 
 def _is_first_run(sequence: str) -> bool:
-    """Return whether a sequence is of attempt 0, or was moved from one."""
+    """Return whether a sequence is of attempt 0 or an imported KV cache."""
     return sequence.endswith((".0", ".import"))
 
 
 def _prompt_that_stops(system: systems.System) -> tuple[str, int]:
-    """Return a prompt whose answer the model ends, and the length of it."""
+    """Return a prompt and the number of tokens of its answer.
+
+    The model ends that answer before 60 tokens.
+    """
     for number in range(1000):
         prompt = f"short question {number}"
         length = len(system.expected(prompt, 60))
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -78,7 +78,7 @@
     def test_repeatable_call_survives_the_death_of_its_sidecar(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                system.service.seconds = 0.5
+                system.service.run_seconds = 0.5
                 service_call = system.service_call("a", is_repeatable=True)
                 replies: list[questions.Called] = []
 
@@ -98,7 +98,7 @@
     def test_call_may_have_run_when_its_sidecar_dies(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                system.service.seconds = 0.5
+                system.service.run_seconds = 0.5
                 raised: list[errors.CrowdeckError] = []
 
                 async def call() -> None:
@@ -125,7 +125,7 @@
     def test_frozen_sidecar_is_noticed_long_before_the_deadline(self) -> None:
         async def check() -> None:
             async with systems.System() as system:
-                system.service.seconds = 0.3
+                system.service.run_seconds = 0.3
                 service_call = system.service_call(
                     "a", is_repeatable=True, seconds=60.0
                 )
@@ -312,7 +312,7 @@
 
         async def check() -> None:
             async with systems.System() as system:
-                system.service.seconds = 0.02
+                system.service.run_seconds = 0.02
 
                 async def first() -> None:
                     await system.entry(0).calls.call(
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -76,7 +76,7 @@
 class TestOpenAiClient:
     """The unmodified ``openai`` package as a caller."""
 
-    def test_streamed_and_whole_answers(self) -> None:
+    def test_streamed_and_whole_answers_are_equal(self) -> None:
         async def check(cluster: clusters.Cluster) -> None:
             prompt = "explain a failed recharge"
             expected = "".join(
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -161,7 +161,7 @@
         await scenario(Traffic(entries, weights))
 
     entries_system.run_scenario(
-        body, count=len(weights), copies=copies, parts=4
+        body, count=len(weights), copies_per_zone=copies, instances_per_copy=4
     )
 
 
--- a/tests/test_schedules.py
+++ b/tests/test_schedules.py
@@ -16,9 +16,12 @@
 import attrs
 import hypothesis
 from hypothesis import strategies
+import pytest
 
 from crowdeck.entry import model_request as model_requests
 from crowdeck import errors
+from crowdeck import instance as instances
+from crowdeck.standin import network as networks
 from crowdeck import verdict as verdicts
 from tests import system as systems
 from tests import virtual
@@ -258,18 +261,33 @@
         virtual.run(check)
 
 
-def test_resume_names_are_not_addresses() -> None:
-    """Names that a caller sends back are never dialled as addresses."""
-    resume = model_requests.ResumePoint(0, "127.0.0.1:1", "127.0.0.1:2")
+def test_resume_names_are_not_addresses(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """An unknown instance in a resume point is not dialled as an address."""
+    names = ("127.0.0.1:1", "127.0.0.1:2")
+    resume = model_requests.ResumePoint(0, *names)
+    unknown = {instances.Address.parse(name) for name in names}
+    dialled: set[instances.Address] = set()
 
     async def check() -> None:
         async with systems.System(replicas=1) as system:
+            find = system.network.find
+
+            def record_and_find(
+                source: str, address: instances.Address
+            ) -> networks.MemoryTransport | None:
+                dialled.add(address)
+                return find(source, address)
+
+            monkeypatch.setattr(system.network, "find", record_and_find)
             request = system.request("q")
             caller = systems.Caller()
-            try:
+            with pytest.raises(errors.CrowdeckError) as caught:
                 await system.make_driver(request, caller).run(resume)
-            except errors.CrowdeckError as error:
-                assert error.code == errors.Code.ANSWER_GONE
+            assert caught.value.code == errors.Code.ANSWER_GONE
             assert not caller.pieces
+            await anyio.sleep(SETTLE_SECONDS)
+            assert not dialled & unknown
 
     virtual.run(check)
