--- a/src/crowdeck/state/mirror.py
+++ b/src/crowdeck/state/mirror.py
@@ -51,9 +51,7 @@
     async def watch(
         self, kind: str, after: stores.Position, wait: float
     ) -> stores.PeerChanges | None:
-        """Return what changed after a position, or ``None``.
-
-        ``None`` means that the peer did not answer.
+        """Return what changed, or ``None`` if the peer did not answer.
 
         :param wait: seconds to wait at most for a change.
         :raises CrowdeckError: if the peer does not know the changes, so that
