--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -663,9 +663,9 @@
 
 
 def _prompt_that_stops(system: systems.System) -> tuple[str, int]:
-    """Return a prompt, and the length in tokens of its answer.
+    """Return a prompt and the number of tokens of its answer.
 
-    The model ends the answer before it has 60 tokens.
+    The model ends that answer before 60 tokens.
     """
     for number in range(1000):
         prompt = f"short question {number}"
