--- a/src/crowdeck/cmd/cli.py
+++ b/src/crowdeck/cmd/cli.py
@@ -131,7 +131,11 @@
     while True:
         await anyio.sleep(PROGRESS_SECONDS)
         waited += PROGRESS_SECONDS
-        print(f"{command}: {waited:.0f} s ...", file=sys.stderr, flush=True)
+        print(
+            f"{command}: waiting for {waited:.0f} s",
+            file=sys.stderr,
+            flush=True,
+        )
 
 
 def _select_command(options: argparse.Namespace) -> Command:
@@ -201,8 +205,8 @@
 
 
 def _build_parser() -> argparse.ArgumentParser:
-    shared = argparse.ArgumentParser(add_help=False)
-    shared.add_argument("--json", action="store_true", help="print JSON")
+    json_option = argparse.ArgumentParser(add_help=False)
+    json_option.add_argument("--json", action="store_true", help="print JSON")
     parser = argparse.ArgumentParser(
         prog="crowdeck",
         description="Inspect and operate a crowdeck system.",
@@ -212,7 +216,7 @@
     _add_connection_options(parser)
     subparsers = parser.add_subparsers(dest="command", required=True)
     subparser = subparsers.add_parser(
-        "demo", parents=[shared], help="run a small system on loopback"
+        "demo", parents=[json_option], help="run a small system on loopback"
     )
     subparser.add_argument(
         "--stay",
@@ -220,25 +224,25 @@
         help="keep it running after the last step",
     )
     subparsers.add_parser(
-        "status", parents=[shared], help="show every instance"
+        "status", parents=[json_option], help="show every instance"
     )
     subparsers.add_parser(
-        "upstreams", parents=[shared], help="show engines and services"
+        "upstreams", parents=[json_option], help="show engines and services"
     )
     subparser = subparsers.add_parser(
-        "trace", parents=[shared], help="show one request's spans"
+        "trace", parents=[json_option], help="show one request's spans"
     )
     subparser.add_argument("id", help="trace id, 32 hexadecimal digits")
     subparser = subparsers.add_parser(
         "explain",
-        parents=[shared],
+        parents=[json_option],
         help="find in logs why one request failed or was late",
     )
     subparser.add_argument("id", help="the request's id")
     _add_log_options(subparser)
     subparser = subparsers.add_parser(
         "losses",
-        parents=[shared],
+        parents=[json_option],
         help="summarise from logs which requests were lost or late, and why",
     )
     _add_log_options(subparser)
@@ -258,16 +262,18 @@
     )
     subparsers.add_parser(
         "placement",
-        parents=[shared],
+        parents=[json_option],
         help="show which engines hold which layers",
     )
     subparsers.add_parser(
         "bound",
-        parents=[shared],
+        parents=[json_option],
         help="show the engines' maximum throughput and its bottleneck",
     )
     subparser = subparsers.add_parser(
-        "drain", parents=[shared], help="begin a planned stop of an instance"
+        "drain",
+        parents=[json_option],
+        help="begin a planned stop of an instance",
     )
     subparser.add_argument("name", help="name of the instance")
     subparser.add_argument(
@@ -279,10 +285,10 @@
         help="return without waiting until it is idle",
     )
     subparser = subparsers.add_parser(
-        "check", parents=[shared], help="check an INI file"
+        "check", parents=[json_option], help="check an INI file"
     )
     subparser.add_argument("file", type=pathlib.Path)
-    _add_settings_commands(subparsers, shared)
+    _add_settings_commands(subparsers, json_option)
     return parser
 
 
@@ -325,7 +331,7 @@
 
 def _add_settings_commands(
     subparsers: "argparse._SubParsersAction[argparse.ArgumentParser]",
-    shared: argparse.ArgumentParser,
+    json_option: argparse.ArgumentParser,
 ) -> None:
     settings = subparsers.add_parser(
         "settings", help="show and change the settings tree"
@@ -335,25 +341,29 @@
     for name in ("team", "service", "session"):
         scope.add_argument(f"--{name}", default="", metavar="NAME")
     subparser = action_parsers.add_parser(
-        "get", parents=[shared, scope], help="show a value, or the whole tree"
+        "get",
+        parents=[json_option, scope],
+        help="show a value, or the whole tree",
     )
     subparser.add_argument("--option", default="")
     subparser.add_argument(
         "--why", action="store_true", help="show which section sets it"
     )
     subparser = action_parsers.add_parser(
-        "set", parents=[shared, scope], help="override a value, or unset it"
+        "set",
+        parents=[json_option, scope],
+        help="override a value, or unset it",
     )
     subparser.add_argument("--option", required=True)
     change = subparser.add_mutually_exclusive_group(required=True)
     change.add_argument("--value")
     change.add_argument("--unset", action="store_true")
     subparser = action_parsers.add_parser(
-        "diff", parents=[shared], help="show what a file would change"
+        "diff", parents=[json_option], help="show what a file would change"
     )
     subparser.add_argument("file", type=pathlib.Path)
     subparser = action_parsers.add_parser(
-        "apply", parents=[shared], help="make a file the current settings"
+        "apply", parents=[json_option], help="make a file the current settings"
     )
     subparser.add_argument("file", type=pathlib.Path)
     subparser.add_argument(
@@ -363,11 +373,13 @@
         help="id of the change, for a safe retry after a lost reply",
     )
     subparser = action_parsers.add_parser(
-        "history", parents=[shared], help="show past generations"
+        "history",
+        parents=[json_option],
+        help="show the stored generations, newest first",
     )
     subparser.add_argument("--limit", type=int, default=20)
     subparser = action_parsers.add_parser(
-        "rollback", parents=[shared], help="restore an earlier generation"
+        "rollback", parents=[json_option], help="restore an earlier generation"
     )
     subparser.add_argument("generation", type=int)
 
--- a/src/crowdeck/cmd/commands.py
+++ b/src/crowdeck/cmd/commands.py
@@ -141,7 +141,8 @@
                 return Result(rows, format_table(rows, columns))
     raise errors.CrowdeckError(
         errors.Code.LINK_LOST,
-        "no entry could be reached; see 'crowdeck status'",
+        "no entry that could be reached listed its upstreams; fleet entries "
+        "are not asked, see 'crowdeck placement'",
     )
 
 
@@ -177,7 +178,8 @@
 ) -> Result:
     """Begin a planned stop of an instance; optionally wait until it is idle.
 
-    :param limit_seconds: limits the stop and the wait.
+    :param limit_seconds: time limit of the drain and, separately, of the wait
+        until it is idle.
     """
     await operator.ask(name, questions.Drain(limit_seconds))
     if not wait_until_idle:
@@ -281,14 +283,14 @@
 ) -> Result:
     return Result(
         {"generation": revision.generation, "change": revision.change},
-        f"{summary}\ngeneration {revision.generation} is in force",
+        f"{summary}\ngeneration {revision.generation} is stored",
     )
 
 
 async def show_history(
     operator: operators.OperatorClient, limit: int
 ) -> Result:
-    """Show past generations, newest first."""
+    """Show the stored generations, newest first, with the current one."""
     revisions = await _open_editor(operator).history(limit)
     older = [*revisions[1:], editors.EMPTY]
     lines = []
@@ -313,7 +315,8 @@
 def check_file(path: pathlib.Path) -> Result:
     """Check a daemon's configuration or a settings tree.
 
-    A file with a daemon section is checked as a configuration.
+    A file whose text contains the header of the daemon section is checked as
+    a configuration.
     """
     text = _read_text(path)
     if f"[{configs.DAEMON}]" in text:
--- a/src/crowdeck/cmd/daemon.py
+++ b/src/crowdeck/cmd/daemon.py
@@ -30,7 +30,7 @@
   crowdeckd --config entry.ini --check   check the file and exit
 
 signals:
-  SIGTERM, SIGINT   planned stop: refuse new requests, finish running ones;
+  SIGTERM, SIGINT   planned stop: report unready, finish running requests;
                     a second signal cuts the wait short
   SIGHUP            reload the options that can change at run time
 """
--- a/src/crowdeck/cmd/demo.py
+++ b/src/crowdeck/cmd/demo.py
@@ -79,8 +79,10 @@
         await self._stream("why did the recharge fail", None, 0)
 
     async def show_receipt(self) -> None:
-        """Fetch a receipt twice with one key, at two entries."""
-        _print("\n2. A receipt, fetched twice with one key at two entries:")
+        """Fetch a receipt at two entries with one idempotency key."""
+        _print(
+            "\n2. A receipt, fetched at two entries with one idempotency key:"
+        )
         first = await self._fetch_receipt(0)
         second = await self._fetch_receipt(1)
         runs = self._cluster.service.runs["receipt 81"]
@@ -122,7 +124,9 @@
             assert isinstance(component, sidecars.Sidecar)
             if member.is_alive and component.running:
                 return name
-        raise DemoFailed(f"no stage {stage} runs the answer")
+        raise DemoFailed(
+            f"no running sidecar of stage {stage} serves the answer"
+        )
 
     async def _stream(
         self, prompt: str, action: object, after_tokens: int
@@ -153,7 +157,10 @@
                 ],
             )
         if response.status != 200:
-            raise DemoFailed(response.content.decode())
+            raise DemoFailed(
+                f"the receipt was answered with status {response.status}; "
+                f"expected 200: {response.content.decode()}"
+            )
         return response.content.decode().strip()
 
 
--- a/src/crowdeck/cmd/entry_status.py
+++ b/src/crowdeck/cmd/entry_status.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Reads the status of entries whose engines call the next stage."""
+"""Reads the status of fleet entries."""
 
 import collections
 import typing
@@ -83,7 +83,8 @@
     if not isinstance(found, dict) or "is_ready" not in found:
         raise errors.CrowdeckError(
             errors.Code.MALFORMED,
-            f"invalid status reply; HTTP status {status}",
+            f"status reply with HTTP status {status}; expected 200 and a "
+            "JSON object with is_ready",
         )
     return found
 
@@ -92,8 +93,8 @@
 class _BackpressureGroup:
     """The backpressure of one kind in one zone of a service.
 
-    :ivar seconds_by_address: longest time that an entry reports, for each
-        instance.
+    :ivar seconds_by_address: for each instance, how long it has lasted by
+        the entry that reports the longest time.
     :ivar limit_by_address: requests per second that each instance accepts.
     :ivar used: requests per second that all entries send.
     :ivar entries: names of the entries that report it.
@@ -104,15 +105,15 @@
     used: float = 0.0
     entries: set[str] = attrs.field(factory=set)
 
-    def merge(self, entry: str, need: Row) -> None:
-        address = str(need["address"])
-        seconds = float(need["seconds"])
+    def merge(self, entry: str, record: Row) -> None:
+        address = str(record["address"])
+        seconds = float(record["seconds"])
         longest = self.seconds_by_address.get(address, 0.0)
         self.seconds_by_address[address] = max(longest, seconds)
         self.entries.add(entry)
-        if "per_second" in need:
-            self.limit_by_address[address] = float(need["per_second"])
-        self.used += float(need.get("used") or 0.0)
+        if "per_second" in record:
+            self.limit_by_address[address] = float(record["per_second"])
+        self.used += float(record.get("used") or 0.0)
 
 
 def sum_backpressure(rows: list[Row]) -> list[Row]:
@@ -125,35 +126,39 @@
         collections.defaultdict(_BackpressureGroup)
     )
     for row in rows:
-        for need in row.get("needs", ()):
-            key = (need["service"], need["zone"], need["need"])
-            groups[key].merge(str(row["instance"]), need)
+        for record in row.get("needs", ()):
+            key = (record["service"], record["zone"], record["need"])
+            groups[key].merge(str(row["instance"]), record)
     return [
         {
             "service": service,
             "zone": zone,
-            "need": need,
+            "need": kind,
             "instances": len(group.seconds_by_address),
             "longest s": round(max(group.seconds_by_address.values()), 1),
-            "limit a s": round(sum(group.limit_by_address.values()), 2),
-            "used a s": round(group.used, 2),
-            "told by": len(group.entries),
+            "limit/s": round(sum(group.limit_by_address.values()), 2),
+            "used/s": round(group.used, 2),
+            "entries": len(group.entries),
         }
-        for (service, zone, need), group in sorted(groups.items())
+        for (service, zone, kind), group in sorted(groups.items())
     ]
 
 
 def list_backpressure(rows: list[Row]) -> list[Row]:
     """Return the backpressure of each instance, as reported by each entry."""
-    needs = [
-        {"entry": row["instance"], **need}
+    records = [
+        {"entry": row["instance"], **record}
         for row in rows
-        for need in row.get("needs", ())
+        for record in row.get("needs", ())
     ]
-    needs.sort(
-        key=lambda need: (need["service"], need["zone"], need["upstream"])
+    records.sort(
+        key=lambda record: (
+            record["service"],
+            record["zone"],
+            record["upstream"],
+        )
     )
-    return needs
+    return records
 
 
 def list_unheld(rows: list[Row]) -> list[Row]:
@@ -163,9 +168,9 @@
     """
     longest: dict[tuple[str, str], Row] = {}
     for row in rows:
-        for gap in row.get("unheld", ()):
-            key = (gap["service"], gap["layers"])
+        for unheld in row.get("unheld", ()):
+            key = (unheld["service"], unheld["layers"])
             known = longest.get(key)
-            if known is None or gap["seconds"] > known["seconds"]:
-                longest[key] = gap
-    return [gap for _, gap in sorted(longest.items())]
+            if known is None or unheld["seconds"] > known["seconds"]:
+                longest[key] = unheld
+    return [unheld for _, unheld in sorted(longest.items())]
--- a/src/crowdeck/cmd/fleet_process.py
+++ b/src/crowdeck/cmd/fleet_process.py
@@ -3,7 +3,11 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Builds and runs an entry whose engines call the next stage themselves."""
+"""Builds and runs a fleet entry.
+
+The upstream engines of a fleet entry pass a request from stage to stage
+themselves.
+"""
 
 import contextlib
 import os
@@ -39,13 +43,14 @@
 PLACEMENT_LEASE = "placement"
 # Each request in progress uses one connection, as do reports and orders.
 # Keep it well below the process's limit of open files.
-UPSTREAM_CONNECTIONS = 1_000
+MAX_UPSTREAM_CONNECTIONS = 1_000
 # API keys are accepted for this fraction of the revocation time after the
-# config was last known to be current. Less than one, since a watch may receive
-# nothing for a while before it reports that changes were lost.
+# config was last known to be current. Less than one, as a watch may miss a
+# change for some time before it reports that the history was lost.
 CONFIG_TRUST_FRACTION = 0.78
-# Load balancers probe once a second and remove an instance after two failed
-# probes; new connections arrive until then.
+# Time for which a stopping entry reports unready but still accepts
+# connections: load balancers probe once a second and remove an instance after
+# two failed probes.
 UNREADY_SECONDS = 2.3
 # Part of the grace period that is reserved for closing connections.
 STOP_MARGIN_SECONDS = 1.0
@@ -69,7 +74,7 @@
     ) -> None:
         self._config = config
         self._listener = listener
-        self._surveyed = anyio.Event()
+        self._initially_synced = anyio.Event()
         self._relay: relays.Relay | None = None
         self._server: http_server.EmbeddedServer | None = None
         self._lease: leases.Lease | None = None
@@ -110,16 +115,17 @@
         logs.change("reconfigured", instance=config.name)
 
     async def stop(self, force: bool = False) -> None:
-        """Refuse new requests and let the running ones finish, then end.
+        """Report unready, let running requests finish, then end.
 
-        The wait is limited to the grace period.
+        Requests are still accepted until load balancers have noticed. The
+        wait is limited to the grace period.
 
         :param force: end at once.
         """
         if self._relay is None or self._server is None:
             self._stopped.set()
             return
-        grace_seconds = (
+        stop_limit_seconds = (
             float(self._config.fleet["grace_seconds"]) - STOP_MARGIN_SECONDS
         )
         if force:
@@ -134,10 +140,10 @@
         if self._lease is not None:
             await self._lease.release()
         await anyio.sleep_until(
-            began + min(UNREADY_SECONDS, grace_seconds / 2)
+            began + min(UNREADY_SECONDS, stop_limit_seconds / 2)
         )
         self._server.should_exit = True
-        with anyio.move_on_at(began + grace_seconds):
+        with anyio.move_on_at(began + stop_limit_seconds):
             await self._relay.wait_idle()
         logs.change("stop_ends", left=self._relay.in_progress)
         self._stopped.set()
@@ -152,7 +158,7 @@
         revocation_seconds = float(fleet["revocation_ms"]) / 1000.0
         peers = peer_http.HttpPeerClient(self._open_client(stack, ""))
         view = store_view.StoreView(store, self._config, peers)
-        upstreams = self._open_upstreams(stack)
+        upstreams = self._open_upstream_client(stack)
         context = self._build_context(upstreams, view)
         monitor = stalls.StallMonitor(context)
         self._relay = relays.Relay(
@@ -183,7 +189,7 @@
         tasks.start_soon(
             _run_placement, lease, view.registry, upstreams, view.holder
         )
-        tasks.start_soon(self._survey, context, view)
+        tasks.start_soon(self._sync_initially, context, view)
         status = statuses.EntryStatus(
             self._config.name, context, view.holder, self._relay
         )
@@ -205,7 +211,7 @@
         server = http_server.build(app, address.host, address.port)
         await tasks.start(_run_server, server)
 
-    async def _survey(
+    async def _sync_initially(
         self, context: contexts.RelayContext, view: store_view.StoreView
     ) -> None:
         await view.holder.wait_known()
@@ -213,13 +219,13 @@
         # The roster's records carry the quarantine; without them the entry
         # would forward requests that are known to crash engines.
         await view.roster.wait_listed()
-        self._surveyed.set()
+        self._initially_synced.set()
 
-    def _open_upstreams(
+    def _open_upstream_client(
         self, stack: contextlib.AsyncExitStack
     ) -> engines.UpstreamClient:
         client = http.HttpClient(
-            "", keep_alive=False, connection_limit=UPSTREAM_CONNECTIONS
+            "", keep_alive=False, connection_limit=MAX_UPSTREAM_CONNECTIONS
         )
         stack.push_async_callback(client.close)
         return engines.UpstreamClient(client)
@@ -249,16 +255,18 @@
         self, tasks: anyio.abc.TaskGroup, relay: relays.Relay
     ) -> None:
         fleet = self._config.fleet
-        status = instances.Address.parse(str(fleet["status"]))
+        status_address = instances.Address.parse(str(fleet["status"]))
         app = statuses.StatusApp(
             relay, counters.COUNTERS, names.READINESS_PATH
         )
-        status_server = http_server.build(app, status.host, status.port)
+        status_server = http_server.build(
+            app, status_address.host, status_address.port
+        )
         await tasks.start(_run_server, status_server)
         # Until the initial sync ends or this time has passed, connections
         # wait in the listener's backlog instead of being refused.
         with anyio.move_on_after(MAX_INITIAL_SYNC_SECONDS):
-            await self._surveyed.wait()
+            await self._initially_synced.wait()
         address = instances.Address.parse(str(fleet["callers"]))
         self._server = http_server.build(
             ingress.Ingress(relay, callers),
--- a/src/crowdeck/cmd/http_server.py
+++ b/src/crowdeck/cmd/http_server.py
@@ -60,8 +60,8 @@
     async def main_loop(self) -> None:
         """Wait for the exit flag; update the date header every second."""
         tick = 0
-        # on_tick updates the date header if its argument is a multiple of
-        # ten: it gets 0 once a second, and 1 otherwise.
+        # on_tick updates the date header if its argument is a multiple of ten,
+        # so it is called with 0 once a second and with 1 in between.
         while not await self.on_tick(min(1, tick % TICKS_PER_DATE_HEADER)):
             tick += 1
             await anyio.sleep(TICK_SECONDS)
--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Commands that read logs or the store."""
+"""Commands that inspect logs, the store and the state of instances."""
 
 import contextlib
 import itertools
@@ -51,27 +51,34 @@
     if report.reroutes.streams:
         lines += ["", *_reroute_lines(report.reroutes)]
     for span in report.spans:
-        lost = {
+        not_in_time = {
             cause: count
             for cause, count in span.causes.items()
             if cause != losses.IN_TIME
         }
-        if lost:
+        if not_in_time:
             ended = sum(span.causes.values())
-            lines += ["", f"from second {span.since:g}, {ended} ended:"]
-            lines += _format_counts(lost, ended)
+            lines += [
+                "",
+                f"interval from {span.since:g} s: {ended} requests ended; "
+                "not in time:",
+            ]
+            lines += _format_counts(not_in_time, ended)
     return commands.Result(attrs.asdict(report), "\n".join(lines))
 
 
-def _reroute_lines(report: reroutes.Reroutes) -> list[str]:
+def _reroute_lines(reroute_summary: reroutes.Reroutes) -> list[str]:
     intervals = (
-        ("engine identified as the cause", report.noticed),
-        ("new path set up", report.agreed),
-        ("next event", report.pause),
+        (
+            "engine identified as the cause (all streams)",
+            reroute_summary.noticed,
+        ),
+        ("new path set up", reroute_summary.agreed),
+        ("next event", reroute_summary.pause),
     )
     return [
-        f"{report.streams} streams moved to another path, "
-        f"{report.in_time} in time; ms after the last event:",
+        f"{reroute_summary.streams} streams moved to another path, "
+        f"{reroute_summary.in_time} in time; ms after the last event:",
         *(
             f"{1000 * percentiles.median:7.0f} (90th percentile: "
             f"{1000 * percentiles.nine_in_ten:.0f})  {name}"
@@ -109,24 +116,26 @@
 def _prefix_file_name(
     path: pathlib.Path, texts: typing.Iterable[str]
 ) -> typing.Iterator[str]:
-    # The log parser reads JSON from the first brace of a line on.
+    # The log parser reads JSON from the first brace of a line on, so the name
+    # must have no braces; its last word would be taken as the process name.
     name = "-".join(path.name.replace("{", "").replace("}", "").split())
     for text in texts:
         yield f"{name} {text}" if text.startswith("{") else text
 
 
 def explain_request(
-    request: str, files: list[pathlib.Path], max_pause: float
+    request: str, files: list[pathlib.Path], max_pause_seconds: float
 ) -> commands.Result:
     """Explain the outcome of one request from its log lines.
 
-    The exit code is zero if it was answered in time or a cause was found.
+    The exit code is zero if it was answered without a long pause or a cause
+    was found.
 
     :param request: id of the request.
-    :param max_pause: longest pause, in seconds, for which a stream is in time.
+    :param max_pause_seconds: longest pause for which a stream is in time.
     """
     with _open_logs(files) as texts:
-        explanation = explaining.explain(request, texts, max_pause)
+        explanation = explaining.explain(request, texts, max_pause_seconds)
     lines = [str(line) for line in explanation.lines]
     if explanation.context:
         lines += ["", "state changes of the same processes at that time:"]
@@ -134,7 +143,7 @@
     if not explanation.lines:
         conclusion = "the logs contain no lines of this request"
     elif not explanation.has_failed:
-        conclusion = "it was answered in time"
+        conclusion = "it was answered, without a long pause"
     else:
         conclusion = explanation.cause or "not found in the logs"
     if explanation.held_back:
@@ -143,8 +152,8 @@
             "unavailable because of a rate limit, a backoff or a shutdown: "
             f"{', '.join(explanation.held_back)}",
         ]
-    lines += ["", f"cause: {conclusion}"]
-    is_known = bool(explanation.lines) and bool(
+    lines += ["", f"conclusion: {conclusion}"]
+    is_explained = bool(explanation.lines) and bool(
         explanation.cause or not explanation.has_failed
     )
     data: commands.Data = {
@@ -158,7 +167,7 @@
     return commands.Result(
         data,
         "\n".join(lines),
-        commands.EXIT_OK if is_known else commands.EXIT_FAILED,
+        commands.EXIT_OK if is_explained else commands.EXIT_FAILED,
     )
 
 
@@ -283,7 +292,10 @@
         engines = model.engines_in(zone)
         counts = chain.coverage(engines, profile.layer_count)
         missing = counts.count(0)
-        lines.append(f"  {zone}  copies of each layer, {missing} missing:")
+        lines.append(
+            f"  {zone}  copies of each layer (9: 9 or more), "
+            f"{missing} missing:"
+        )
         lines.append("    " + "".join(str(min(9, count)) for count in counts))
         rows: list[dict[str, commands.Data]] = [
             _engine_row(engine, profile)
--- a/src/crowdeck/cmd/operator.py
+++ b/src/crowdeck/cmd/operator.py
@@ -106,7 +106,7 @@
         return listing.instances if listing is not None else ()
 
     async def read_entry_statuses(self) -> list[entry_status.Row]:
-        """Return the status of entries whose engines call the next stage.
+        """Return the status of the fleet entries.
 
         :raises CrowdeckError: ``STORE_DOWN`` when they cannot be listed.
         """
--- a/src/crowdeck/cmd/process.py
+++ b/src/crowdeck/cmd/process.py
@@ -33,7 +33,7 @@
 from crowdeck.wire import messages
 from crowdeck.wire import rpc
 
-ENGINE_RETRY_SECONDS = 0.5
+START_RETRY_SECONDS = 0.5
 
 
 @attrs.frozen
@@ -86,15 +86,13 @@
             tasks = await stack.enter_async_context(anyio.create_task_group())
             stack.callback(tasks.cancel_scope.cancel)
             tracer = self._open_tracer(stack)
-            platform = platform_store.HttpStore(
+            store = platform_store.HttpStore(
                 self._open_client(stack, self._config.platform_url)
             )
             if self._config.role is instances.Role.ENTRY:
-                running = await self._run_entry(stack, tasks, platform, tracer)
+                running = await self._run_entry(stack, tasks, store, tracer)
             else:
-                running = await self._run_sidecar(
-                    stack, tasks, platform, tracer
-                )
+                running = await self._run_sidecar(stack, tasks, store, tracer)
             self._open_statsd(stack)
             tasks.start_soon(self._timers.run)
             self._running = running
@@ -184,10 +182,10 @@
         self,
         stack: contextlib.AsyncExitStack,
         tasks: anyio.abc.TaskGroup,
-        platform: platform_store.HttpStore,
+        store: platform_store.HttpStore,
         tracer: traces.Tracer,
     ) -> RunningProcess:
-        directory = directories.Directory(platform)
+        directory = directories.Directory(store)
         sidecar = sidecars.Sidecar(
             name=self._config.name,
             engine=self._open_engine(stack),
@@ -223,7 +221,7 @@
         self,
         stack: contextlib.AsyncExitStack,
         tasks: anyio.abc.TaskGroup,
-        platform: platform_store.HttpStore,
+        store: platform_store.HttpStore,
         tracer: traces.Tracer,
     ) -> RunningProcess:
         answers = answers_module.AnswerInboxes()
@@ -241,8 +239,8 @@
             handler=handler,
             answers=answers,
             transport=transport,
-            store=platform,
-            instance_list=platform,
+            store=store,
+            instance_list=store,
             timer_service=self._timers,
             tracer=tracer,
             tasks=tasks,
@@ -274,4 +272,4 @@
             await sidecar.start(transport)
             return
         except errors.CrowdeckError:
-            await anyio.sleep(ENGINE_RETRY_SECONDS)
+            await anyio.sleep(START_RETRY_SECONDS)
--- a/src/crowdeck/cmd/start.py
+++ b/src/crowdeck/cmd/start.py
@@ -58,8 +58,9 @@
 def open_listener(arguments: list[str]) -> socket.socket | None:
     """Return the listening socket for callers.
 
-    ``None`` if the configuration has no address for it or is invalid; the
-    daemon reports what is wrong.
+    ``None`` with ``--check``, if the arguments have no separate ``--config
+    FILE``, or if the file cannot be read or its address is missing, invalid
+    or in use; the daemon reports any error.
     """
     if _CONFIG_OPTION not in arguments or "--check" in arguments:
         return None
--- a/src/crowdeck/cmd/store_view.py
+++ b/src/crowdeck/cmd/store_view.py
@@ -27,7 +27,7 @@
 CONFIG_WAIT_FRACTION = 0.16
 UPSTREAM_WAIT_SECONDS = 10.0
 # Pause between two watches of the config.
-CONFIG_LINGER_SECONDS = 0.1
+CONFIG_WATCH_PAUSE_SECONDS = 0.1
 # Shorter than the store's history; otherwise each watch would need a new
 # listing.
 ROSTER_WAIT_SECONDS = 10.0
@@ -38,7 +38,7 @@
 
 
 class StoreView:
-    """Copies of the config, the upstreams and the roster of entries.
+    """Copies of the fleet config, the upstreams and the roster of entries.
 
     :param peers: client for the copies of other entries.
     """
@@ -74,7 +74,7 @@
             names.CONFIG_KIND,
             self.holder,
             CONFIG_WAIT_FRACTION * revocation_seconds,
-            lambda: CONFIG_LINGER_SECONDS,
+            lambda: CONFIG_WATCH_PAUSE_SECONDS,
         )
         roster_mirror = self._mirror(
             rosters.KIND,
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -128,14 +128,15 @@
 class TestCommand:
     """Commands that inspect logs and the store."""
 
-    def test_exit_code_shows_whether_the_request_was_found(
+    def test_exit_code_shows_whether_the_request_is_explained(
         self, tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
     ) -> None:
         log = tmp_path / "entry.log"
         log.write_text("".join(REFUSED))
         assert cli.main(["explain", "r1", str(log)]) == commands.EXIT_OK
         assert (
-            "cause: no engines with free capacity" in capsys.readouterr().out
+            "conclusion: no engines with free capacity"
+            in capsys.readouterr().out
         )
         assert cli.main(["explain", "r9", str(log)]) == commands.EXIT_FAILED
         assert "contain no lines of this request" in capsys.readouterr().out
@@ -157,7 +158,7 @@
         assert cli.main(["explain", "r1", str(missing)]) != commands.EXIT_OK
         assert "none.log" in capsys.readouterr().err
 
-    def test_bound_names_the_binding_constraint(self) -> None:
+    def test_bound_names_the_limiting_resource(self) -> None:
         async def body() -> commands.Result:
             store = standin_store.StandinStore()
             config = orjson.dumps(test_platform_formats.CONFIG)
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -406,14 +406,14 @@
             if module.startswith("crowdeck.quarantine")
         }
         assert len(extra_modules) <= 5
-        # Modules for the backpressure of instances.
+        # Not counted in the limits below: modules for backpressure and for
+        # layers that no engine holds.
         extra_modules |= {
             "crowdeck.backpressure",
             "crowdeck.membership.leaving_instances",
             "crowdeck.membership.backoffs",
             "crowdeck.routing.rate_limits",
         }
-        # Modules that report layers without an engine, and backpressure.
         extra_modules |= {
             "crowdeck.relay.gaps",
             "crowdeck.relay.backpressure_monitor",
--- a/tests/test_inspection.py
+++ b/tests/test_inspection.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Tests of the output of commands that read the store."""
+"""Tests of the store's epoch in ``crowdeck status``."""
 
 import pytest
 
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -183,16 +183,16 @@
             view = View()
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(
-                    process._survey,
+                    process._sync_initially,
                     system.context,
                     typing.cast(store_view.StoreView, view),
                 )
                 survey_seconds = surveys.POLL_SECONDS * surveys.MAX_POLLS
                 await anyio.sleep(survey_seconds + 1.0)
-                assert not process._surveyed.is_set()
+                assert not process._initially_synced.is_set()
                 view.roster.listed.set()
                 await anyio.sleep(0.01)
-                assert process._surveyed.is_set()
+                assert process._initially_synced.is_set()
 
         virtual.run(body)
 
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -483,9 +483,9 @@
                 "need": "limit",
                 "instances": 2,
                 "longest s": 9.0,
-                "limit a s": 8.0,
-                "used a s": 3.5,
-                "told by": 2,
+                "limit/s": 8.0,
+                "used/s": 3.5,
+                "entries": 2,
             }
         ]
         for text in ("20-40", "engines for 3 more layers", "u-a", "e2"):
