--- a/src/crowdeck/relay/attempt.py
+++ b/src/crowdeck/relay/attempt.py
@@ -18,13 +18,13 @@
 from crowdeck.relay import interfaces
 from crowdeck.relay import live
 from crowdeck.relay import request as requests
-from crowdeck.routing import routes as tables
+from crowdeck.routing import routes as route_tables
 from crowdeck import verdict as verdicts
 
 # Status from an engine that does not hold the requested layers, or that is not
 # the engine to which the request was addressed.
 MISDIRECTED_STATUS = 421
-BODY_LIMIT_BYTES = http.RESPONSE_LIMIT_BYTES
+MAX_ANSWER_BYTES = http.RESPONSE_LIMIT_BYTES
 
 _MAY_HAVE_RUN = verdicts.Verdict.MAY_HAVE_RUN
 
@@ -45,7 +45,12 @@
         ...
 
     async def has_ended(self, upstream: chain.Upstream) -> bool:
-        """Return whether an instance whose connection broke has ended."""
+        """Probe an instance whose connection broke.
+
+        If it has ended, avoid it and reroute its streams.
+
+        :returns: whether it has ended.
+        """
         ...
 
     def check_now(self, upstream: chain.Upstream) -> None:
@@ -64,7 +69,7 @@
         context: contexts.RelayContext,
         monitor: StreamMonitor,
         stream: live.LiveStream,
-        admitted: tables.AdmittedRequest,
+        admitted: route_tables.AdmittedRequest,
         sink: requests.Sink,
         path: chain.ChainPath,
         deadline: float,
@@ -80,25 +85,25 @@
         self._deadline = deadline
 
     async def run(self) -> None:
-        """Make the attempt.
+        """Send the request and forward the answer to the sink.
 
         :raises CrowdeckError: when the answer is not complete; its verdict
             says whether the request may have run.
         """
-        left = self._deadline - anyio.current_time()
+        seconds_left = self._deadline - anyio.current_time()
         dispatch = interfaces.Dispatch(
             self._admitted.team,
             self._admitted.priority,
-            left,
+            seconds_left,
             self._path,
             self._stream.last_event_id,
         )
-        with anyio.move_on_after(left):
+        with anyio.move_on_after(seconds_left):
             async with self._context.client.open(
                 self._path.head,
                 self._request,
                 dispatch,
-                http.Timeouts(self._context.connect_seconds, left),
+                http.Timeouts(self._context.connect_seconds, seconds_left),
             ) as answer:
                 await self._forward(answer)
                 return
@@ -116,20 +121,20 @@
         if answer.has_not_run:
             raise self._handle_refusal(answer)
         if not answer.belongs_to(self._request):
-            raise self._wrong_answer("it has the id of another request")
+            raise self._wrong_answer_error("it has the id of another request")
         if answer.status >= 300:
             await self._forward_error(answer)
             return
         if not answer.is_signed:
-            raise self._wrong_answer("it has no signature")
+            raise self._wrong_answer_error("it has no signature")
         splitter = events.EventSplitter(answer.event_id)
         async for chunk in answer.chunks():
             for event in splitter.feed(chunk):
                 await self._forward_event(answer, event)
         if not splitter.is_complete:
-            raise self._wrong_answer("it ends in the middle of an event")
+            raise self._wrong_answer_error("it ends in the middle of an event")
         if not self._sink.has_started:
-            raise self._wrong_answer("it has no events")
+            raise self._wrong_answer_error("it has no events")
         self._context.registry.note_healthy(self._path.head.name)
         await self._sink.finish()
 
@@ -148,7 +153,7 @@
                 stream.last_event_id >= 0
                 and event.id != stream.last_event_id + 1
             ):
-                raise self._wrong_answer(
+                raise self._wrong_answer_error(
                     f"event {event.id} follows event {stream.last_event_id}"
                 )
         if not self._sink.has_started:
@@ -173,11 +178,11 @@
             registries.STALE_RECORD_BACKOFF_SECONDS
             if is_misdirected
             else registries.REFUSAL_BACKOFF_SECONDS,
-            f"refused with {answer.status}",
+            f"a request was refused with status {answer.status}",
         )
         return errors.CrowdeckError(
             errors.Code.OVERLOADED,
-            f"{culprit.address} refused with {answer.status}",
+            f"refused because of {culprit.address}, status {answer.status}",
             culprit=culprit.name,
         )
 
@@ -196,17 +201,22 @@
         )
 
     async def _forward_error(self, answer: interfaces.Answer) -> None:
-        body = await answer.read(BODY_LIMIT_BYTES)
+        body = await answer.read(MAX_ANSWER_BYTES)
         if (
             self._sink.has_started
             or answer.status in requests.NOT_RUN_STATUSES
         ):
-            raise self._wrong_answer(f"status {answer.status}")
+            raise self._wrong_answer_error(
+                f"status {answer.status} after the answer has started or "
+                "without a not-executed header"
+            )
         if self._route.is_resumable and answer.status >= 500:
-            raise self._wrong_answer(f"status {answer.status}")
+            raise self._wrong_answer_error(
+                f"status {answer.status} on a resumable route"
+            )
         await self._sink.reply(answer.status, answer.caller_headers, body)
 
-    def _wrong_answer(self, reason: str) -> errors.CrowdeckError:
+    def _wrong_answer_error(self, reason: str) -> errors.CrowdeckError:
         head = self._path.head.name
         return errors.CrowdeckError(
             errors.Code.WRONG_ANSWER,
--- a/src/crowdeck/relay/backpressure_monitor.py
+++ b/src/crowdeck/relay/backpressure_monitor.py
@@ -20,9 +20,9 @@
 from crowdeck.routing import rate_limits
 
 POLL_SECONDS = 0.5
-# Maximum number of changes that one check logs in a line each. The rest are
-# summarized in another line, since all instances of a service may signal at
-# once.
+# Maximum number of begun, and of ended, signals that one check logs in a line
+# each. The rest are summarized in another line, since all instances of a
+# service may signal at once.
 MAX_LOG_LINES = 20
 # Maximum number of addresses in the log line of a request.
 MAX_LOGGED_ADDRESSES = 5
@@ -92,7 +92,7 @@
         self._registry = registry
         self._limits = limits
         self._known: dict[tuple[str, SignalKind], BackpressureSignal] = {}
-        self._gauges: set[str] = set()
+        self._gauge_names: set[str] = set()
 
     def active_signals(self) -> tuple[BackpressureSignal, ...]:
         """Return the signals in force."""
@@ -124,7 +124,7 @@
     async def run(self) -> None:
         """Log changes and set the gauges, until cancelled."""
         while True:
-            self._check()
+            self._report_changes()
             await anyio.sleep(POLL_SECONDS)
 
     def _limited(self) -> typing.Iterator[BackpressureSignal]:
@@ -159,7 +159,7 @@
             if upstream is not None:
                 yield BackpressureSignal(upstream, SignalKind.LEAVING, since)
 
-    def _check(self) -> None:
+    def _report_changes(self) -> None:
         found = {signal.key: signal for signal in self.active_signals()}
         begun = [
             signal for key, signal in found.items() if key not in self._known
@@ -185,8 +185,9 @@
                 used = f"needs.used_per_second.{group}"
                 values[allowed] += signal.per_second or 0.0
                 values[used] += signal.used or 0.0
-        self._gauges |= set(values)
-        for name in self._gauges:
+        self._gauge_names |= set(values)
+        # Gauges without a signal now are set to 0.
+        for name in self._gauge_names:
             counters.COUNTERS.set_gauge(name, values[name])
 
 
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -25,7 +25,7 @@
 from crowdeck import route as routes
 from crowdeck.routing import balance
 from crowdeck.routing import budget as budgets
-from crowdeck.routing import routes as tables
+from crowdeck.routing import routes as route_tables
 from crowdeck import verdict as verdicts
 
 # Share of the route's timeout after which a call that may be repeated is
@@ -73,7 +73,7 @@
     async def serve(
         self,
         request: requests.CallerRequest,
-        admitted: tables.AdmittedRequest,
+        admitted: route_tables.AdmittedRequest,
         service: routes.Service,
         sink: requests.Sink,
     ) -> None:
@@ -112,7 +112,7 @@
         monitor: attempts.StreamMonitor,
         balancer: balance.Balancer,
         request: requests.CallerRequest,
-        admitted: tables.AdmittedRequest,
+        admitted: route_tables.AdmittedRequest,
         service: routes.Service,
         send_tracker: budgets.SendTracker,
     ) -> None:
@@ -151,7 +151,7 @@
             except errors.CrowdeckError as error:
                 self._record_failure(upstream, error)
                 await self._record_loss(upstream, error)
-                if self._may_retry(error.verdict):
+                if self._prepare_retry(error.verdict):
                     continue
                 if failed_answer is not None:
                     # The upstream's own error is more specific.
@@ -161,7 +161,7 @@
                 self._context.quarantine.note_served(self._fingerprint)
                 return answer
             failed_answer = answer
-            if not self._may_retry(answer.verdict):
+            if not self._prepare_retry(answer.verdict):
                 break
         if failed_answer is not None:
             return failed_answer
@@ -244,7 +244,9 @@
         return upstream
 
     def _pick(self) -> chain.Upstream | None:
-        """Reserve an instance that accepts a call now, if there is one.
+        """Return an instance that accepts a call now, or ``None``.
+
+        The call is counted in the rate limit of the instance.
 
         :raises CrowdeckError: ``DEADLINE`` if too little time is left.
         """
@@ -252,7 +254,8 @@
             raise self._final_error(
                 errors.CrowdeckError(
                     errors.Code.DEADLINE,
-                    "too little time is left before the deadline",
+                    f"less than {MIN_ATTEMPT_SECONDS:g} s are left before the "
+                    "deadline",
                 )
             )
         limits = self._context.limits
@@ -267,7 +270,7 @@
     def _seconds_until_accepted(self, ahead: int = 0) -> float:
         """Return the seconds until an instance accepts this call.
 
-        0 if that is not known.
+        0 if one accepts it now, or if that is not known.
 
         :param ahead: number of calls that are served before this one.
         """
@@ -275,7 +278,7 @@
         usable_later = self._untried(
             registry.usable_or_backing_off(self._service.name)
         )
-        return self._context.seconds_until_any(usable_later, ahead)
+        return self._context.seconds_until_any_accepts(usable_later, ahead)
 
     @staticmethod
     def _may_wait(seconds: float, until: float) -> bool:
@@ -326,10 +329,12 @@
         return answer
 
     def _attempt_seconds(self) -> float:
-        left = self._seconds_left()
+        seconds_left = self._seconds_left()
         if self._route.may_repeat and self._send_count < self._max_sends:
-            return min(left, self._route.timeout_seconds * FIRST_ATTEMPT_SHARE)
-        return left
+            return min(
+                seconds_left, self._route.timeout_seconds * FIRST_ATTEMPT_SHARE
+            )
+        return seconds_left
 
     async def _exchange(self, upstream: chain.Upstream) -> _Answer:
         dispatch = interfaces.Dispatch(
@@ -357,16 +362,18 @@
         if answer.has_not_run:
             raise errors.CrowdeckError(
                 errors.Code.OVERLOADED,
-                f"{upstream.name} refused with {answer.status}",
+                f"{upstream.name} refused with status {answer.status}",
                 culprit=upstream.name,
             )
         if not answer.belongs_to(self._request):
-            raise _wrong_answer(upstream, "it has the id of another request")
+            raise _wrong_answer_error(
+                upstream, "it has the id of another request"
+            )
         if answer.status < 300 and not answer.is_signed:
-            raise _wrong_answer(upstream, "it has no signature")
+            raise _wrong_answer_error(upstream, "it has no signature")
         body = await answer.read(MAX_ANSWER_BYTES)
         if answer.status in requests.NOT_RUN_STATUSES:
-            raise _wrong_answer(
+            raise _wrong_answer_error(
                 upstream,
                 f"status {answer.status} without a not-executed header",
             )
@@ -407,14 +414,18 @@
     def _max_sends(self) -> int:
         return max(1, self._route.max_attempts)
 
-    def _may_retry(self, verdict: verdicts.Verdict) -> bool:
-        """Whether to try the call at another instance."""
+    def _prepare_retry(self, verdict: verdicts.Verdict) -> bool:
+        """Reserve a retry if the call may be tried at another instance.
+
+        :returns: whether it may.
+        """
         if verdict is not verdicts.Verdict.NOT_RUN:
             if not self._route.may_repeat:
                 return False
         if self._send_count >= self._max_sends:
             return False
         if not self._send_count:
+            # Nothing was sent yet, so this is not a retry.
             return True
         service = self._service.name
         if not self._send_tracker.reserve():
@@ -425,7 +436,7 @@
         return True
 
     def _no_instance_error(self, seconds: float) -> errors.CrowdeckError:
-        """Return the error for a call that no instance accepts.
+        """Log that no instance accepts a call, and return the error.
 
         :param seconds: seconds until an instance accepts it, 0 if unknown.
         """
@@ -441,14 +452,16 @@
         if not seconds:
             return errors.CrowdeckError(
                 errors.Code.NO_PATH,
-                "no instance of the service can serve the call now",
+                f"no untried instance of {self._service.name} accepts the "
+                "call now",
                 retry_after=DEFAULT_RETRY_AFTER_SECONDS,
             )
         counters.COUNTERS.add("relay.limited")
         jitter = self._context.rng.uniform(0.0, DEFAULT_RETRY_AFTER_SECONDS)
         return errors.CrowdeckError(
             errors.Code.NO_PATH,
-            "all instances are rate limited or backing off",
+            f"all untried instances of {self._service.name} are rate limited "
+            "or backing off",
             retry_after=seconds + jitter,
         )
 
@@ -471,7 +484,7 @@
         return self._deadline - anyio.current_time()
 
 
-def _wrong_answer(
+def _wrong_answer_error(
     upstream: chain.Upstream, reason: str
 ) -> errors.CrowdeckError:
     return errors.CrowdeckError(
--- a/src/crowdeck/relay/context.py
+++ b/src/crowdeck/relay/context.py
@@ -193,7 +193,7 @@
             in_report=not notice.answers_request,
         )
 
-    def seconds_until_any(
+    def seconds_until_any_accepts(
         self, upstreams: typing.Iterable[chain.Upstream], ahead: int = 0
     ) -> float:
         """Return the seconds until any of the instances accepts a request.
@@ -214,6 +214,7 @@
         if not min(waits, default=(0.0, 0.0))[0]:
             return 0.0
         heapq.heapify(waits)
+        # Each request ahead goes to the instance that accepts one first.
         for _ in range(ahead):
             wait_seconds, interval_seconds = waits[0]
             heapq.heapreplace(
@@ -242,10 +243,10 @@
         """
         assert not self._budgets, "budgets are in use already"
 
-        def apply_shares() -> None:
+        def apply_entry_counts() -> None:
             self.usage.set_entry_count(roster.zone_count, roster.entry_count)
             self.limits.set_entry_count(roster.entry_count)
 
         self.membership = roster
-        roster.subscribe(apply_shares)
-        apply_shares()
+        roster.subscribe(apply_entry_counts)
+        apply_entry_counts()
--- a/src/crowdeck/relay/events.py
+++ b/src/crowdeck/relay/events.py
@@ -46,7 +46,8 @@
     def feed(self, chunk: bytes) -> list[Event]:
         """Return the events that ``chunk`` completes.
 
-        :raises CrowdeckError: ``WRONG_ANSWER`` if an event is too long.
+        :raises CrowdeckError: ``WRONG_ANSWER`` if an incomplete event is
+            longer than ``EVENT_LIMIT_BYTES``.
         """
         data = self._buffer + chunk
         events = []
--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -24,7 +24,7 @@
 MIN_CONCURRENT_REQUESTS = 4.0
 # Time that closing a gap takes besides the longest load: to detect the loss,
 # order the loads and report that they are done.
-ORDER_DELAY_SECONDS = 3.0
+GAP_OVERHEAD_SECONDS = 3.0
 POLL_SECONDS = 0.5
 # How long a result is reused, since every request looks for a gap while layers
 # are missing.
@@ -32,7 +32,7 @@
 # Shorter gaps, which a replacement closes, are not logged.
 MIN_LOGGED_SECONDS = 1.0
 
-Services = typing.Callable[[], tuple[routes.Service, ...]]
+ServicesSource = typing.Callable[[], tuple[routes.Service, ...]]
 
 
 @attrs.frozen
@@ -66,7 +66,7 @@
         )
 
     @property
-    def can_be_held(self) -> bool:
+    def can_be_closed(self) -> bool:
         """Whether the remaining engines can hold the whole model."""
         return self.layer_capacity >= self.profile.layer_count
 
@@ -75,17 +75,20 @@
         """Expected seconds until all layers are held, if known.
 
         Unknown for a model that was never complete, since its first loads
-        may have begun at any time.
+        may have begun at any time. Also ``None`` if the remaining engines
+        cannot hold the model, or if the expected time has passed.
         """
-        if not self.can_be_held or not self.was_complete:
+        if not self.can_be_closed or not self.was_complete:
             return None
-        ready_at = self.engines_since + self.load_seconds + ORDER_DELAY_SECONDS
-        left = ready_at - anyio.current_time()
-        return left if left > 0.0 else None
+        ready_at = (
+            self.engines_since + self.load_seconds + GAP_OVERHEAD_SECONDS
+        )
+        seconds_left = ready_at - anyio.current_time()
+        return seconds_left if seconds_left > 0.0 else None
 
     def as_fields(self) -> dict[str, typing.Any]:
         """Return the fields for a log line or a status."""
-        left = self.seconds_left
+        seconds_left = self.seconds_left
         return {
             "service": self.service,
             "layers": str(self),
@@ -94,7 +97,9 @@
             "can_hold": self.layer_capacity,
             "of": self.profile.layer_count,
             "needed": self.needed,
-            "ready_in": None if left is None else round(left, 3),
+            "ready_in": None
+            if seconds_left is None
+            else round(seconds_left, 3),
         }
 
     def closes_by(self, deadline: float) -> bool:
@@ -102,28 +107,35 @@
 
         :param deadline: a loop time.
         """
-        left = self.seconds_left
-        return left is not None and anyio.current_time() + left <= deadline
+        seconds_left = self.seconds_left
+        return (
+            seconds_left is not None
+            and anyio.current_time() + seconds_left <= deadline
+        )
 
     @property
     def needed(self) -> str:
         """What would close the gap, as a text for operators."""
-        if self.can_be_held:
-            return f"a load of about {self.load_seconds:.1f} s"
+        if self.can_be_closed:
+            return f"loading layers, about {self.load_seconds:.1f} s"
         lacking_layers = self.profile.layer_count - self.layer_capacity
         options = [
             f"{math.ceil(lacking_layers / capacity)} {name}"
             for name in sorted(self.profile.cards)
             if (capacity := max_layers(name, self.profile))
         ]
-        engines = " or ".join(options) or "no known kind"
+        engines = (
+            " or ".join(options)
+            or "no known accelerator type has enough memory"
+        )
         return f"engines for {lacking_layers} more layers: {engines}"
 
 
 def max_layers(card: str, profile: chain.EngineProfile) -> int:
     """Return how many layers an accelerator can hold beside its KV cache.
 
-    The cache must suffice for ``MIN_CONCURRENT_REQUESTS``.
+    The cache must suffice for ``MIN_CONCURRENT_REQUESTS``. An unknown
+    accelerator is assumed to hold all layers.
     """
     accelerator = profile.cards.get(card)
     if accelerator is None:
@@ -196,7 +208,7 @@
         )
         return gap
 
-    async def run(self, services: Services) -> None:
+    async def run(self, services: ServicesSource) -> None:
         """Check all models at intervals, until cancelled."""
         while True:
             for service in services():
@@ -212,31 +224,32 @@
             else 0
         )
         counters.COUNTERS.set_gauge(f"layers.unheld.{service}", count)
-        before = self._logged.get(service)
+        logged_gap = self._logged.get(service)
         now = anyio.current_time()
         if gap is None:
-            if before is not None:
+            if logged_gap is not None:
                 del self._logged[service]
                 logs.change(
                     "layers_held_again",
                     service=service,
-                    layers=str(before),
-                    seconds=round(now - before.since, 3),
+                    layers=str(logged_gap),
+                    seconds=round(now - logged_gap.since, 3),
                 )
             return
         seconds = now - gap.since
-        if seconds < MIN_LOGGED_SECONDS or _is_already_logged(gap, before):
+        if seconds < MIN_LOGGED_SECONDS or _is_already_logged(gap, logged_gap):
             return
         self._logged[service] = gap
         logs.change("layers_unheld", **gap.as_fields())
 
 
-def _is_already_logged(gap: LayerGap, before: LayerGap | None) -> bool:
+def _is_already_logged(gap: LayerGap, logged_gap: LayerGap | None) -> bool:
     """Whether a gap was already logged with the same content."""
-    if before is None:
+    if logged_gap is None:
         return False
     return (
-        gap.layers == before.layers and gap.can_be_held == before.can_be_held
+        gap.layers == logged_gap.layers
+        and gap.can_be_closed == logged_gap.can_be_closed
     )
 
 
--- a/src/crowdeck/relay/ingress.py
+++ b/src/crowdeck/relay/ingress.py
@@ -118,7 +118,7 @@
 @attrs.frozen
 class _Body:
     content: bytes
-    is_whole: bool
+    is_complete: bool
 
 
 class Ingress:
@@ -137,7 +137,7 @@
         sink = CallerSink(send, self._server)
         try:
             body = await self._read(receive)
-            if not body.is_whole:
+            if not body.is_complete:
                 return
             request = self._decode(scope, body.content, arrived)
         except errors.CrowdeckError as error:
@@ -174,7 +174,7 @@
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                return _Body(b"", is_whole=False)
+                return _Body(b"", is_complete=False)
             piece = message.get("body", b"")
             size += len(piece)
             if size > self._server.body_limit:
@@ -184,7 +184,7 @@
                 )
             pieces.append(piece)
             if not message.get("more_body"):
-                return _Body(b"".join(pieces), is_whole=True)
+                return _Body(b"".join(pieces), is_complete=True)
 
     def _decode(
         self, scope: Scope, body: bytes, arrived: float
--- a/src/crowdeck/relay/interfaces.py
+++ b/src/crowdeck/relay/interfaces.py
@@ -65,8 +65,9 @@
     """What an instance reports about itself in an answer's headers.
 
     :ivar load: the reported load, if any.
-    :ivar answers_request: whether it came with the answer to a request. If
-        not, a signal that it lacks may still be in force.
+    :ivar answers_request: whether it came with the answer to a request. A
+        report need not repeat every signal, so one that is missing from it
+        may still be in force.
     """
 
     backpressure: pressures.Backpressure
@@ -155,7 +156,7 @@
         ...
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
-        """Return an engine's report.
+        """Request an engine's report of its state.
 
         :raises CrowdeckError: when there is no readable report.
         """
--- a/src/crowdeck/relay/live.py
+++ b/src/crowdeck/relay/live.py
@@ -39,10 +39,11 @@
     :ivar has_events: whether an event was forwarded in any attempt.
     :ivar progress_at: when its last event arrived or its attempt began.
     :ivar next_check_at: earliest time of its next check for a stall.
-    :ivar check_count: number of checks since ``progress_at``.
+    :ivar check_count: number of checks since its last event.
     :ivar needs_check: whether to check it now though it is not silent.
-    :ivar mean_pause_seconds: moving average of the pauses between its events.
-    :ivar longest_pause: longest pause between its events, in seconds.
+    :ivar mean_pause_seconds: moving average of the pauses between its events,
+        without the time before the attempt of the later event.
+    :ivar longest_pause: longest such pause, in seconds.
     :ivar first_event_at: when its first event arrived.
     :ivar is_starting: whether the current attempt has had no event yet.
     :ivar abandon_reason: why the current attempt was abandoned, or empty.
@@ -134,7 +135,10 @@
         self._release_path()
 
     def abandon(self, reason: str) -> None:
-        """Abandon the current attempt, so that another can be made."""
+        """Cancel the current attempt or wait for a path.
+
+        Does nothing if the stream was already abandoned.
+        """
         if self._scope is not None and not self.abandon_reason:
             self.abandon_reason = reason
             self._scope.cancel()
--- a/src/crowdeck/relay/loop_lag.py
+++ b/src/crowdeck/relay/loop_lag.py
@@ -16,8 +16,9 @@
 # Default length of a tick. An engine counts as silent after
 # probes.SILENT_TICKS ticks on time.
 TICK_SECONDS = 0.009
-# Length of the meter's ticks: longer delays of the loop are always noticed,
-# and shorter ones do not make a stream look silent.
+# Length of the meter's ticks. Delays of the loop longer than this plus
+# ON_TIME_SECONDS are always noticed, and shorter ones do not make a stream
+# look silent.
 METER_TICK_SECONDS = 0.02
 # A tick that is later than this is not on time. Answers may then be unread, so
 # the tick does not count towards an engine's silence.
@@ -38,23 +39,26 @@
 
     def __init__(self) -> None:
         self._late_at = float("-inf")
-        self._peak = 0.0
+        self._peak_seconds = 0.0
         self._peak_at = float("-inf")
-        self._due = float("inf")
+        self._due_at = float("inf")
 
     async def run(self) -> None:
         """Measure until cancelled."""
         while True:
-            self._due = anyio.current_time() + METER_TICK_SECONDS
-            lag = await tick(METER_TICK_SECONDS)
-            if lag <= ON_TIME_SECONDS:
+            self._due_at = anyio.current_time() + METER_TICK_SECONDS
+            lag_seconds = await tick(METER_TICK_SECONDS)
+            if lag_seconds <= ON_TIME_SECONDS:
                 continue
             now = self._late_at = anyio.current_time()
-            if lag >= self._peak or now - self._peak_at > RECENT_SECONDS:
-                self._peak, self._peak_at = lag, now
-            if lag > LOGGED_LAG_SECONDS:
-                counters.COUNTERS.time("loop.late", lag)
-                logs.change("loop_late", seconds=round(lag, 4))
+            if (
+                lag_seconds >= self._peak_seconds
+                or now - self._peak_at > RECENT_SECONDS
+            ):
+                self._peak_seconds, self._peak_at = lag_seconds, now
+            if lag_seconds > LOGGED_LAG_SECONDS:
+                counters.COUNTERS.time("loop.late", lag_seconds)
+                logs.change("loop_late", seconds=round(lag_seconds, 4))
 
     @property
     def is_overloaded(self) -> bool:
@@ -64,10 +68,10 @@
     def recent_lag(self) -> float:
         """Return the peak lag of the recent past, in seconds."""
         now = anyio.current_time()
-        overdue = max(0.0, now - self._due)
+        overdue = max(0.0, now - self._due_at)
         if now - self._peak_at > RECENT_SECONDS:
             return overdue
-        return max(overdue, self._peak)
+        return max(overdue, self._peak_seconds)
 
     def is_settling(self) -> bool:
         """Whether the loop was late in the last ``SETTLE_SECONDS``."""
--- a/src/crowdeck/relay/paths.py
+++ b/src/crowdeck/relay/paths.py
@@ -21,8 +21,8 @@
 # How long a new request waits for capacity. Leaves an engine time to send the
 # first event before the caller gives up.
 QUEUE_WAIT_SECONDS = 1.2
-# How long a request waits for layers that no listed engine holds. Loading
-# them takes longer; this covers a listing that arrives late.
+# How long after a gap in the layers was first seen requests wait for it if it
+# is not expected to close in time. Covers a listing that arrives late.
 UNHELD_WAIT_SECONDS = 0.1
 # How long a stream whose answer has started waits for a path or a retry.
 # Callers give up after a longer silence.
@@ -67,7 +67,7 @@
         wait_queue = self._context.wait_queue(self._service)
         path = None
         if has_started:
-            path = await self._wait_as_started()
+            path = await self._wait_after_start()
         elif self._must_queue(wait_queue) or (path := self._plan()) is None:
             self._unavailable_at_start = (
                 self._context.backpressure.unavailable_addresses(self._service)
@@ -77,7 +77,7 @@
             self._log_no_path()
         return path
 
-    async def _wait_as_started(self) -> chain.ChainPath | None:
+    async def _wait_after_start(self) -> chain.ChainPath | None:
         """Return a path for a stream whose answer has started.
 
         Waits for capacity and for layers that are being loaded, but not for
@@ -85,7 +85,7 @@
         """
         until = anyio.current_time() + STARTED_WAIT_SECONDS
         gap = self._gap()
-        if gap is not None and not gap.can_be_held:
+        if gap is not None and not gap.can_be_closed:
             until = gap.since + UNHELD_WAIT_SECONDS
         return await self._poll(until)
 
@@ -127,9 +127,9 @@
     def seconds_until_accepted(self) -> float:
         """Return the seconds until backpressure allows a path.
 
-        0 if it does now. Otherwise the longer of two waits: until a first
-        engine accepts this request after those in the queue, and until
-        engines that are not backing off hold all layers.
+        0 if it does now or if that is not known. Otherwise the longer of two
+        waits: until a first engine accepts this request after those in the
+        queue, and until engines that are not backing off hold all layers.
         """
         first_engines = [
             engine
@@ -139,7 +139,7 @@
             if engine.layers is not None and engine.layers.first == 0
         ]
         ahead = len(self._context.wait_queue(self._service))
-        first_engine_seconds = self._context.seconds_until_any(
+        first_engine_seconds = self._context.seconds_until_any_accepts(
             first_engines, ahead
         )
         return max(first_engine_seconds, self._seconds_until_backoffs_end())
@@ -187,7 +187,7 @@
         return now or self._unavailable_at_start
 
     def refusal_error(self) -> errors.CrowdeckError:
-        """Return the error for a stream that found no path."""
+        """Record that a stream found no path, and return the error."""
         rng = self._context.rng
         delay = self._context.retry_advisor.record_refusal()
         gap = self._gap()
@@ -198,15 +198,15 @@
                 delay = seconds_left + rng.uniform(
                     0.0, retry_advice.WINDOW_SECONDS
                 )
-            return _no_path(_describe_gap(gap), delay)
+            return _no_path_error(_describe_gap(gap), delay)
         seconds = self.seconds_until_accepted()
         if seconds:
             counters.COUNTERS.add("relay.limited")
-            return _no_path(ALL_UNAVAILABLE, seconds + delay)
-        return _no_path("no path through the model has capacity", delay)
+            return _no_path_error(ALL_UNAVAILABLE, seconds + delay)
+        return _no_path_error("no path through the model has capacity", delay)
 
     def _gap(self) -> gaps.LayerGap | None:
-        """Return the gap in the model, not counting engines that leave."""
+        """Return the gap in the model; leaving engines count as gone."""
         return self._context.gaps.find_gap(self._service, self._stream.profile)
 
     def _log_no_path(self) -> None:
@@ -249,6 +249,8 @@
             if engine.name not in self._excluded
         ]
         path = self._plan_over(usable, path_request)
+        # Use leaving engines if the others leave no path, or only one through
+        # another zone.
         if path is None or path.zone_crossings:
             leaving = [
                 engine
@@ -258,7 +260,7 @@
             if leaving:
                 path = self._plan_over(usable + leaving, path_request)
         if path is None and self._excluded:
-            # Engines that refused earlier may accept at the next attempt.
+            # Engines that failed or refused may serve the next attempt.
             self._excluded.clear()
         if path is not None:
             # Counted at once, so that other tasks do not exceed the limit.
@@ -278,7 +280,7 @@
 
 def _describe_gap(gap: gaps.LayerGap) -> str:
     reason = f"no engine holds layers {gap}"
-    if not gap.can_be_held:
+    if not gap.can_be_closed:
         count = gap.profile.layer_count
         reason += (
             f", and the remaining engines can hold {gap.layer_capacity} "
@@ -287,7 +289,7 @@
     return reason
 
 
-def _no_path(reason: str, retry_after: float) -> errors.CrowdeckError:
+def _no_path_error(reason: str, retry_after: float) -> errors.CrowdeckError:
     return errors.CrowdeckError(
         errors.Code.NO_PATH, reason, retry_after=retry_after
     )
--- a/src/crowdeck/relay/probes.py
+++ b/src/crowdeck/relay/probes.py
@@ -38,8 +38,9 @@
 
     :ivar report: its report, ``None`` if there was none.
     :ivar reason: why there is no report, or empty.
-    :ivar is_sure: whether a missing report is due to the engine and not to
-        the lag of this entry.
+    :ivar is_sure: whether a missing report is due to the engine; false if
+        this entry lagged, the engine is backing off or its report was
+        unreadable.
     :ivar completed_at: loop time of the result.
     :ivar has_error: whether the request failed instead of staying
         unanswered. A failure, such as a refused connection, counts as a sign
@@ -56,8 +57,8 @@
     is_gone: bool = False
 
     @property
-    def is_silent(self) -> bool:
-        """Whether the engine certainly did not answer."""
+    def is_unreachable(self) -> bool:
+        """Whether the engine certainly gave no report, by silence or error."""
         return self.report is None and self.is_sure
 
 
@@ -66,7 +67,7 @@
 
     :param may_probe: returns whether the engine of this name may be probed
         now. An engine that is backing off may not; it does not count as
-        silent then.
+        unreachable then.
     """
 
     def __init__(
@@ -132,7 +133,7 @@
 
     async def _exchange(self, upstream: chain.Upstream) -> Probe:
         counters.COUNTERS.add("relay.probed")
-        found: list[Probe] = []
+        results: list[Probe] = []
 
         async def request_report(scope: anyio.CancelScope) -> None:
             report: chain.EngineReport | None = None
@@ -147,7 +148,7 @@
                 # An unreadable answer still shows that the engine runs.
                 is_sure = error.code is not errors.Code.MALFORMED
             now = anyio.current_time()
-            found.append(
+            results.append(
                 Probe(
                     upstream,
                     report,
@@ -165,8 +166,8 @@
             tasks.start_soon(request_report, tasks.cancel_scope)
             is_sure = await _wait_for_silence()
             tasks.cancel_scope.cancel()
-        if found:
-            return found[0]
+        if results:
+            return results[0]
         now = anyio.current_time()
         return Probe(upstream, None, "no answer", is_sure, now)
 
--- a/src/crowdeck/relay/relay.py
+++ b/src/crowdeck/relay/relay.py
@@ -20,7 +20,7 @@
 from crowdeck.relay import retry_advice
 from crowdeck.relay import streams
 from crowdeck import route as routes
-from crowdeck.routing import routes as tables
+from crowdeck.routing import routes as route_tables
 from crowdeck.state import objects as stores
 
 # Share of the maximum config age after which the entry reports that it is not
@@ -37,7 +37,7 @@
 class ConfigHolder:
     """Holds the newest config seen; ignores older versions.
 
-    It listens to the mirror of the stored configs.
+    Its methods ``on_listed`` and ``on_changed`` receive the stored configs.
 
     :param decode: decodes a stored config.
     :param name: name of the stored object to use.
@@ -46,11 +46,11 @@
     def __init__(self, decode: Decoder, name: str) -> None:
         self._decode = decode
         self._name = name
-        self._table: tables.RouteTable | None = None
-        self._known = anyio.Event()
+        self._table: route_tables.RouteTable | None = None
+        self._has_config = anyio.Event()
 
     @property
-    def table(self) -> tables.RouteTable | None:
+    def table(self) -> route_tables.RouteTable | None:
         """The config in force, or ``None`` before the first."""
         return self._table
 
@@ -61,7 +61,7 @@
 
     async def wait_known(self) -> None:
         """Wait for the first config."""
-        await self._known.wait()
+        await self._has_config.wait()
 
     def on_listed(self, objects: tuple[stores.StoredObject, ...]) -> None:
         """Apply the full listing of configs."""
@@ -86,8 +86,8 @@
         current_version = self._table.version if self._table else -1
         if config.version <= current_version:
             return
-        self._table = tables.RouteTable(config)
-        self._known.set()
+        self._table = route_tables.RouteTable(config)
+        self._has_config.set()
         counters.COUNTERS.add("config.taken")
         logs.change(
             "config_in_force",
@@ -102,9 +102,9 @@
 class Relay:
     """Serves callers' requests.
 
-    :param age: returns the seconds since the config was last known to be
-        current.
-    :param max_config_age: age in seconds beyond which keys may have been
+    :param config_age: returns the seconds since the config was last known
+        to be current.
+    :param max_config_age_seconds: age beyond which keys may have been
         revoked, so that requests that need a key are refused.
     """
 
@@ -113,13 +113,13 @@
         context: contexts.RelayContext,
         holder: ConfigHolder,
         monitor: attempts.StreamMonitor,
-        age: ConfigAge,
-        max_config_age: float,
+        config_age: ConfigAge,
+        max_config_age_seconds: float,
     ) -> None:
         self._context = context
         self._holder = holder
-        self._age = age
-        self._max_config_age = max_config_age
+        self._config_age = config_age
+        self._max_config_age_seconds = max_config_age_seconds
         self._calls = calls.CallRelay(context, monitor)
         self._streams = streams.StreamRelay(context, monitor)
         self._is_leaving = False
@@ -140,7 +140,7 @@
         True during a planned stop, and when requests may soon be refused
         because the config is not known to be current.
         """
-        return self._is_leaving or not self._is_current
+        return self._is_leaving or not self._is_config_recent
 
     @property
     def is_ready(self) -> bool:
@@ -148,8 +148,11 @@
         return self._holder.table is not None and not self.closes_connections
 
     @property
-    def _is_current(self) -> bool:
-        return self._age() <= READY_AGE_SHARE * self._max_config_age
+    def _is_config_recent(self) -> bool:
+        return (
+            self._config_age()
+            <= READY_AGE_SHARE * self._max_config_age_seconds
+        )
 
     @property
     def in_progress(self) -> int:
@@ -195,8 +198,11 @@
             )
         admitted = self._admit(table, request)
         self._refuse_if_overloaded()
-        name = tables.pick_service(admitted.route, self._context.rng)
-        service = table.service(name) or routes.Service(name, 0)
+        name = route_tables.pick_service(admitted.route, self._context.rng)
+        # A service that the config does not list is served as a plain service.
+        service = table.service(name) or routes.Service(
+            name, connection_limit=0
+        )
         if service.profile is not None:
             await self._streams.serve(request, admitted, service, sink)
         else:
@@ -218,28 +224,31 @@
             )
 
     def _admit(
-        self, table: tables.RouteTable, request: requests.CallerRequest
-    ) -> tables.AdmittedRequest:
-        age = self._age()
-        is_valid = age <= self._max_config_age
+        self, table: route_tables.RouteTable, request: requests.CallerRequest
+    ) -> route_tables.AdmittedRequest:
+        config_age_seconds = self._config_age()
+        is_config_valid = config_age_seconds <= self._max_config_age_seconds
         try:
             admitted = table.admit(request.host, request.path, request.key)
         except errors.CrowdeckError:
-            if is_valid:
+            if is_config_valid:
                 raise
             # A newer config may contain this route or key.
-            raise self._outdated_config_error(age) from None
+            raise self._outdated_config_error(config_age_seconds) from None
         needs_key = bool(table.config.teams) and not (
             admitted.route.is_anonymous
         )
-        if needs_key and not is_valid:
-            raise self._outdated_config_error(age)
+        if needs_key and not is_config_valid:
+            raise self._outdated_config_error(config_age_seconds)
         return admitted
 
-    def _outdated_config_error(self, age: float) -> errors.CrowdeckError:
+    def _outdated_config_error(
+        self, config_age_seconds: float
+    ) -> errors.CrowdeckError:
         return errors.CrowdeckError(
             errors.Code.STORE_DOWN,
-            f"the config was last known to be current {age:.1f} s ago, the "
-            f"limit is {self._max_config_age:g} s",
+            "the config was last known to be current "
+            f"{config_age_seconds:.1f} s ago, the limit is "
+            f"{self._max_config_age_seconds:g} s",
             retry_after=retry_advice.OTHER_ENTRY_DELAY_SECONDS,
         )
--- a/src/crowdeck/relay/request.py
+++ b/src/crowdeck/relay/request.py
@@ -47,8 +47,10 @@
 class CallerRequest:
     """One request of a caller, read in full.
 
+    :ivar id: the id that the caller gave the request.
     :ivar target: path and query, exactly as the caller sent them.
     :ivar path: the path without its query.
+    :ivar key: the caller's API key, empty if none was sent.
     :ivar timeout_seconds: how long the caller waits, ``None`` if not given.
     :ivar arrived: loop time at which its headers had been read.
     :ivar last_event_id: id of the last event that the caller has, or -1.
--- a/src/crowdeck/relay/rerouting.py
+++ b/src/crowdeck/relay/rerouting.py
@@ -19,7 +19,7 @@
 from crowdeck.relay import probes
 from crowdeck.routing import hops
 
-Verify = typing.Callable[[chain.Upstream], None]
+VerifyCallback = typing.Callable[[chain.Upstream], None]
 
 
 class Rerouter:
@@ -35,21 +35,21 @@
         context: contexts.RelayContext,
         streams: set[live.LiveStream],
         prober: probes.Prober,
-        verify: Verify,
+        verify: VerifyCallback,
     ) -> None:
         self._context = context
         self._streams = streams
         self._prober = prober
         self._verify = verify
-        self._repathing: set[live.LiveStream] = set()
+        self._rerouting: set[live.LiveStream] = set()
 
     async def reroute_around_all(
         self, culprits: typing.Iterable[chain.Upstream]
     ) -> None:
         """Reroute every stream that passes one of the engines.
 
-        All of the engines are avoided together: a path that still passes
-        any of them would be refused.
+        The caller has marked all of them as avoided, so that no new path
+        passes any of them.
         """
         async with anyio.create_task_group() as tasks:
             for culprit in culprits:
@@ -62,30 +62,30 @@
                 path = stream.path
                 if path is None or not path.passes(culprit.name):
                     continue
-                if stream.abandon_reason or stream in self._repathing:
+                if stream.abandon_reason or stream in self._rerouting:
                     continue
                 if path.head.name == culprit.name:
                     if stream.may_resume:
-                        reason = f"first engine {culprit.address} is silent"
+                        reason = f"first engine {culprit.address} failed"
                         stream.abandon(reason)
                     # Any other stream would be lost if it were abandoned,
                     # while the engine may still recover.
                     continue
-                self._repathing.add(stream)
-                tasks.start_soon(self._reroute, stream, path, culprit)
+                self._rerouting.add(stream)
+                tasks.start_soon(self._reroute_stream, stream, path, culprit)
 
-    async def _reroute(
+    async def _reroute_stream(
         self,
         stream: live.LiveStream,
         path: chain.ChainPath,
         culprit: chain.Upstream,
     ) -> None:
         try:
-            await self._repath(stream, path, culprit)
+            await self._try_new_paths(stream, path, culprit)
         finally:
-            self._repathing.discard(stream)
+            self._rerouting.discard(stream)
 
-    async def _repath(
+    async def _try_new_paths(
         self,
         stream: live.LiveStream,
         path: chain.ChainPath,
@@ -100,7 +100,7 @@
                 self._log(
                     stream, path, None, "restarts at another first engine"
                 )
-                stream.abandon(f"{culprit.address} is silent")
+                stream.abandon(f"{culprit.address} failed")
                 return
             if new_path is None:
                 self._log(stream, path, None, "no other engine has capacity")
@@ -111,6 +111,7 @@
             if silent:
                 excluded |= silent
                 continue
+            # An engine that is backing off may not be asked for another path.
             if not self._context.registry.claim_probe(path.head.name):
                 self._restart_elsewhere(stream, path)
                 return
@@ -168,7 +169,9 @@
             for hop in new_path.hops:
                 if hop.upstream.name not in current_names:
                     tasks.start_soon(ask, hop.upstream)
-        silent = [answer.upstream for answer in answers if answer.is_silent]
+        silent = [
+            answer.upstream for answer in answers if answer.is_unreachable
+        ]
         for upstream in silent:
             self._verify(upstream)
         return {engine.name for engine in silent}
--- a/src/crowdeck/relay/retry_advice.py
+++ b/src/crowdeck/relay/retry_advice.py
@@ -15,7 +15,7 @@
 WINDOW_SECONDS = 2.0
 # Delay for a single refusal.
 MIN_DELAY_SECONDS = 0.3
-# Callers ignore delays that are too long for their deadline.
+# Maximum delay. Callers ignore delays that are too long for their deadline.
 MAX_DELAY_SECONDS = 4.0
 # Delay for a refusal that concerns this entry alone. Load balancers
 # already send new connections elsewhere, so a retry reaches another entry.
@@ -55,8 +55,8 @@
         """Record a refusal and return the seconds after which to retry.
 
         Each stream that ends frees capacity for one request. The delay is
-        drawn at random from the time in which as many streams end as requests
-        were refused lately.
+        ``MIN_DELAY_SECONDS`` plus a random part of the time in which as many
+        streams end as other requests were refused in the window.
         """
         self._refused.append(anyio.current_time())
         self._forget(self._refused)
--- a/src/crowdeck/relay/stalls.py
+++ b/src/crowdeck/relay/stalls.py
@@ -31,23 +31,24 @@
 # Share of the latency objective after which a stream without a first event is
 # checked. The engines process the prompt in that time.
 FIRST_EVENT_SHARE = 0.4
-# A stream whose engines all answer is checked again after this share of its
-# maximum pause, and then each time after twice as long.
+# A stream is checked again after this share of its maximum pause, and then
+# each time after twice as long.
 RECHECK_SHARE = 0.5
 
 # An engine may accept a request and never work on it, while its report and its
-# other streams look healthy. A stream counts as hung after this share of its
-# objective without a first event, or this many maximum pauses between events.
+# other streams look healthy. Share of the objective after which a stream
+# without a first event may count as hung.
 HUNG_SHARE = 0.8
+# Number of maximum pauses without an event after which another stream may.
 HUNG_PAUSES = 3.0
 # If streams at another first engine start within this share of the objective,
 # a stream without a first event after HUNG_SHARE counts as hung.
 QUICK_SHARE = 0.5
 # After this share of the objective the first event is late.
 LATE_SHARE = 1.2
-# Another stream with an event within this many of its mean pauses shows that
-# the engine works.
-SIBLING_PAUSES = 3.0
+# Another stream of the same first engine with an event within this many of its
+# mean pauses shows that the engine works.
+ACTIVE_STREAM_PAUSES = 3.0
 # Engines that an event passed within this time are not probed. Longer than an
 # event takes to pass all stages.
 RECENT_EVENT_SECONDS = 0.03
@@ -106,10 +107,13 @@
         self._woken.set()
 
     async def has_ended(self, upstream: chain.Upstream) -> bool:
-        """Return whether an instance whose connection broke has ended.
+        """Probe an instance whose connection broke.
 
-        Awaited before a retry elsewhere: the end of an instance counts
-        against its requests, and a broken connection does not.
+        If it has ended, avoid it and reroute its streams. Awaited before a
+        retry elsewhere: the end of an instance counts against its requests,
+        and a broken connection does not.
+
+        :returns: whether it has ended.
         """
         probe = await self._prober.probe(upstream)
         if probe.is_gone:
@@ -118,7 +122,7 @@
             )
             await self._rerouter.reroute_around(upstream)
         elif upstream.card:
-            # Only engines answer probes; plain services do not.
+            # The probe of a plain service shows only whether it has ended.
             self.verify(upstream)
         return probe.is_gone
 
@@ -170,7 +174,7 @@
                         tasks.start_soon(self._check, stream)
 
     async def _wait_for_check(self) -> None:
-        """Sleep until a stream may have been silent for too long."""
+        """Sleep until woken, or until a stream may be silent for too long."""
         await anyio.sleep(CHECK_SECONDS)
         with anyio.move_on_at(self._next_check_at()):
             await self._woken.wait()
@@ -217,7 +221,7 @@
 
         :param others: engines to probe in addition to the usual controls.
         """
-        if not probe.is_silent:
+        if not probe.is_unreachable:
             return False
         if probe.has_error:
             return True
@@ -295,7 +299,7 @@
             else None,
         )
         for culprit in finding.culprits:
-            self._context.registry.avoid(culprit.name, "silent in a stream")
+            self._context.registry.avoid(culprit.name, "a stream waits for it")
         await self._rerouter.reroute_around_all(finding.culprits)
         if not finding.culprits and self._is_hung(stream, path, finding):
             self._abandon_hung(stream, path)
@@ -323,7 +327,7 @@
             and other.path.head.name == path.head.name
             and other.has_events
             and now - other.progress_at
-            < SIBLING_PAUSES * other.mean_pause_seconds
+            < ACTIVE_STREAM_PAUSES * other.mean_pause_seconds
             for other in self._streams
             if other is not stream
         )
@@ -404,7 +408,9 @@
             for hop in path.hops[1:]:
                 if hop.upstream.name not in active:
                     tasks.start_soon(ask, hop.upstream)
-        silent = [answer.upstream for answer in answers if answer.is_silent]
+        silent = [
+            answer.upstream for answer in answers if answer.is_unreachable
+        ]
         is_sure = all(answer.is_sure for answer in answers)
         return _Finding(silent, is_sure, head.report)
 
--- a/src/crowdeck/relay/status.py
+++ b/src/crowdeck/relay/status.py
@@ -3,14 +3,14 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Status of an entry, and an ASGI application for its metrics."""
+"""Status of an entry, and an ASGI app for its readiness and metrics."""
 
 import typing
 
 from crowdeck.observe import counters
 from crowdeck.relay import context as contexts
 from crowdeck.relay import ingress
-from crowdeck.routing import routes as tables
+from crowdeck.routing import routes as route_tables
 
 METRICS_PATH = "/metrics"
 _TEXT = (b"content-type", b"text/plain; version=0.0.4")
@@ -38,7 +38,7 @@
     """Reports which config is in force."""
 
     @property
-    def table(self) -> tables.RouteTable | None:
+    def table(self) -> route_tables.RouteTable | None:
         """The config in force."""
         ...
 
--- a/src/crowdeck/relay/streams.py
+++ b/src/crowdeck/relay/streams.py
@@ -17,7 +17,7 @@
 from crowdeck.relay import paths
 from crowdeck.relay import request as requests
 from crowdeck import route as routes
-from crowdeck.routing import routes as tables
+from crowdeck.routing import routes as route_tables
 from crowdeck import verdict as verdicts
 
 # Number of attempts that engines may refuse without running them. The request
@@ -52,7 +52,7 @@
     async def serve(
         self,
         request: requests.CallerRequest,
-        admitted: tables.AdmittedRequest,
+        admitted: route_tables.AdmittedRequest,
         service: routes.Service,
         sink: requests.Sink,
     ) -> None:
@@ -92,7 +92,7 @@
     def _create_run(
         self,
         stream: live.LiveStream,
-        admitted: tables.AdmittedRequest,
+        admitted: route_tables.AdmittedRequest,
         sink: requests.Sink,
     ) -> "_StreamRun":
         return _StreamRun(self._context, self._monitor, stream, admitted, sink)
@@ -106,7 +106,7 @@
         context: contexts.RelayContext,
         monitor: attempts.StreamMonitor,
         stream: live.LiveStream,
-        admitted: tables.AdmittedRequest,
+        admitted: route_tables.AdmittedRequest,
         sink: requests.Sink,
     ) -> None:
         self._context = context
@@ -138,7 +138,7 @@
                 return
             await self._record_failure(path, error)
             await self._refuse_if_quarantined()
-            if not await self._may_retry(path, error):
+            if not await self._prepare_retry(path, error):
                 raise self._final_error(error)
             if self._context.lag_meter.is_overloaded:
                 # Another attempt at once would add to the lag.
@@ -215,7 +215,7 @@
                 self._note_completed(path)
                 return None
         except errors.CrowdeckError as error:
-            self._note_send(error)
+            self._record_failed_send(error)
             return error
         except anyio.get_cancelled_exc_class():
             self._context.quarantine.note_cancelled(
@@ -233,7 +233,7 @@
             culprit=path.head.name,
         )
 
-    def _note_send(self, error: errors.CrowdeckError) -> None:
+    def _record_failed_send(self, error: errors.CrowdeckError) -> None:
         """Tell the retry budget whether a failed attempt reached an engine."""
         send_tracker = self._stream.send_tracker
         if error.code is not errors.Code.UPSTREAM_LOST:
@@ -298,6 +298,7 @@
         if error.code not in _LOSS_CODES:
             return
         attempt_record = self._stream.attempt_record
+        # It ran too long after its first event to be suspected of a crash.
         if not attempt_record.is_suspect:
             self._context.quarantine.note_served(attempt_record.request)
         self._context.quarantine.note_connection_lost(
@@ -318,16 +319,22 @@
                 reason="its streams failed",
             )
 
-    async def _may_retry(
+    async def _prepare_retry(
         self, path: chain.ChainPath, error: errors.CrowdeckError
     ) -> bool:
-        """Whether to make another attempt."""
+        """Reserve a retry if another attempt may be made.
+
+        Also counts a refusal, and excludes a first engine that could not be
+        reached.
+
+        :returns: whether another attempt may be made.
+        """
         if self._deadline - anyio.current_time() < MIN_ATTEMPT_SECONDS:
             return False
         if error.code is errors.Code.DEADLINE:
             return False
         if error.verdict is _MAY_HAVE_RUN:
-            if not self._may_resume():
+            if not self._may_resume_after_failure():
                 return False
         elif error.code is errors.Code.UPSTREAM_LOST:
             self._path_search.exclude(path.head.name)
@@ -349,8 +356,9 @@
     async def _reserve_retry(self) -> bool:
         """Reserve a retry in the budget; return whether that succeeded.
 
-        A stream whose answer has started waits for a retry, since its caller
-        would lose the answer, and the budget recovers as its window moves.
+        A stream whose answer has started waits until the budget allows a
+        retry, since its caller would lose the answer, and the budget recovers
+        as its window moves.
         """
         service = self._stream.service.name
         until = anyio.current_time()
@@ -365,7 +373,7 @@
         self._context.log_retry(service, self._request.id)
         return True
 
-    def _may_resume(self) -> bool:
+    def _may_resume_after_failure(self) -> bool:
         if not self._route.is_resumable:
             return False
         if self._stream.has_events and self._stream.last_event_id < 0:
--- a/src/crowdeck/relay/survey.py
+++ b/src/crowdeck/relay/survey.py
@@ -27,9 +27,9 @@
 class Survey:
     """Asks engines once how much cache other entries' streams use.
 
-    When all entries fail at once, engines keep serving their streams until
-    they detect it. Without the survey, entries that start meanwhile would
-    treat full engines as empty.
+    When all entries fail at once, engines keep serving the old entries'
+    streams until they notice the closed connections. Without the survey, new
+    entries would treat full engines as empty in that time.
     """
 
     def __init__(self, context: contexts.RelayContext) -> None:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -32,7 +32,7 @@
     line(10.1, "upstream_avoided", upstream="i-1", address="10.0.0.1:1"),
     line(10.1, "upstream_avoided", upstream="i-2", address="10.0.0.2:1"),
     line(10.1, "upstream_avoided", "b", upstream="i-1", address="10.0.0.1:1"),
-    line(10.2, "attempt_failed", request="r1", reason="10.0.0.1:1 is silent"),
+    line(10.2, "attempt_failed", request="r1", reason="10.0.0.1:1 failed"),
     line(
         10.3,
         "refused",
@@ -57,7 +57,7 @@
         ]
         assert found.has_failed
         assert "no engines with free capacity" in found.cause
-        assert "10.0.0.1:1 is silent" in found.cause
+        assert "10.0.0.1:1 failed" in found.cause
 
     def test_context_is_limited_to_its_process_and_engines(self) -> None:
         found = explain.explain("r1", REFUSED)
@@ -95,14 +95,14 @@
             missing_layers=20,
             first_missing=20,
             unheld="20-40",
-            needed="a load of about 3.5 s",
+            needed="loading layers, about 3.5 s",
             **common,
         )
         unheld = line(0.9, "layers_unheld", service="m", layers="20-40")
         refusal = line(1.1, "refused", request="r1", code="NO_PATH")
         found = explain.explain("r1", [unheld, missing, refusal])
         assert "no engine holds layers 20-40" in found.cause
-        assert "a load of about 3.5 s" in found.cause
+        assert "loading layers, about 3.5 s" in found.cause
         assert [shown.kind for shown in found.context] == ["layers_unheld"]
 
     def test_error_status_of_the_upstream_is_the_cause(self) -> None:
--- a/tests/test_lives_on_the_wire.py
+++ b/tests/test_lives_on_the_wire.py
@@ -139,7 +139,7 @@
             client = typing.cast(interfaces.Upstreams, UnreadableReports())
             prober = probes.Prober(client, lambda _: True)
             probe = await prober.probe(make_run(7))
-            assert not probe.is_silent
+            assert not probe.is_unreachable
             assert not probe.has_error
             assert not probe.is_gone
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -45,7 +45,9 @@
     refused(12.7, "r6", "UNAUTHORIZED", "send a key that a team holds"),
     line(13.0, "attempt_failed", request="r7", reason="10.0.0.1:1 refused"),
     line(13.0, "attempt_failed", request="r7", reason="10.0.0.2:1 refused"),
-    refused(13.1, "r7", "OVERLOADED", "10.0.0.2:1 refused with 503"),
+    refused(
+        13.1, "r7", "OVERLOADED", "refused because of 10.0.0.2:1, status 503"
+    ),
     line(13.2, "call_answered", request="r8", status=200),
     line(13.3, "call_answered", request="r9", status=500),
     line(13.4, "caller_left", request="r10"),
@@ -70,7 +72,7 @@
             "refused: NO_PATH, no room": 1,
             "refused: NO_PATH, layers were missing": 1,
             "refused by right: UNAUTHORIZED": 1,
-            "refused: OVERLOADED, refused with 503": 1,
+            "refused: OVERLOADED, refused because of status 503": 1,
             "the upstream itself answered 500": 1,
             "the caller left": 1,
         }
--- a/tests/test_unheld_layers.py
+++ b/tests/test_unheld_layers.py
@@ -64,7 +64,7 @@
     virtual.run(body)
 
 
-def services(system: System) -> gaps.Services:
+def services(system: System) -> gaps.ServicesSource:
     return lambda: system.config.services
 
 
@@ -174,7 +174,7 @@
                 error = await expect_refusal(system)
                 assert error.retry_after is not None
                 retry_at = anyio.current_time() + error.retry_after - lost_at
-                earliest = load + gaps.ORDER_DELAY_SECONDS
+                earliest = load + gaps.GAP_OVERHEAD_SECONDS
                 assert earliest - 0.1 <= retry_at
                 # Detected up to one poll late, and spread at random.
                 latest = (
@@ -202,7 +202,7 @@
             remove_engines(system, "e-1")
             await anyio.sleep(PROFILE.load_seconds)
             (gap,) = system.context.gaps.current_gaps
-            assert gap.can_be_held
+            assert gap.can_be_closed
             assert gap.seconds_left is None
             error = await expect_refusal(system)
             assert error.retry_after is not None
@@ -226,7 +226,7 @@
             error = await expect_refusal(system)
             assert error.retry_after is not None
             load = PROFILE.load_seconds * 10 / PROFILE.layer_count
-            earliest = listed_at + load + gaps.ORDER_DELAY_SECONDS
+            earliest = listed_at + load + gaps.GAP_OVERHEAD_SECONDS
             retry_at = anyio.current_time() + error.retry_after
             assert earliest - 0.1 <= retry_at
             assert retry_at <= earliest + 0.6 + retry_advice.WINDOW_SECONDS
@@ -396,7 +396,7 @@
                 response_headers = dict(answer.headers)
                 assert float(response_headers[names.RETRY_AFTER]) > 0.0
                 assert b"no engine holds layers" in answer.content
-            # Less than five times ``UNHELD_WAIT_SECONDS``.
+            # Five waits of ``UNHELD_WAIT_SECONDS`` would take longer.
             assert anyio.current_time() - began < 0.4
             metrics = await test_fleet_process.status_of(running, "/metrics")
             gauge = f"crowdeck_layers_unheld_{fleet_system.MODEL} "
@@ -465,7 +465,7 @@
         assert not lines_of("layers_unheld", lines)
         assert not lines_of("layers_held_again", lines)
 
-    def test_is_a_cause_in_the_account_of_losses(
+    def test_is_a_cause_in_the_loss_report(
         self, tmp_path: pathlib.Path
     ) -> None:
         log = [
