--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -30,8 +30,9 @@
 # From this time after an instance announced its limit, any window may hold at
 # most limit * WINDOW_SECONDS * BOUND_FACTOR + BOUND_EXTRA requests.
 GRACE_SECONDS = 3.0
-# Time after an entry's first answer from which its requests count.
-LEARNED_SECONDS = 0.5
+# Time after an entry's first request reached the instance from which its
+# requests must keep to the limit.
+LEARNING_SECONDS = 0.5
 WINDOW_SECONDS = 4.0
 BOUND_FACTOR = 1.5
 BOUND_EXTRA = 5
@@ -115,18 +116,19 @@
                 or run.started_at < announced_at
             ):
                 continue
+            # Request ids start with the entry's name, see FleetSystem.
             entry = run.request.rpartition("r")[0]
             entry_learned_at = learned_at.setdefault(entry, run.started_at)
             since = max(
                 announced_at + GRACE_SECONDS,
-                entry_learned_at + LEARNED_SECONDS,
+                entry_learned_at + LEARNING_SECONDS,
             )
             if run.started_at >= since:
                 times.append(run.started_at)
         return times
 
     @property
-    def refused(self) -> list[entries_system.Outcome]:
+    def unserved(self) -> list[entries_system.Outcome]:
         """The callers that were not served."""
         return [
             outcome
@@ -189,7 +191,7 @@
             times = traffic.bounded_arrivals(target, announced_at)
             assert_kept(times, LIMIT_PER_SECOND)
             assert len(times) >= MIN_USED_SHARE * LIMIT_PER_SECOND * 17.0
-            assert not traffic.refused
+            assert not traffic.unserved
 
         simulate(scenario, weights)
 
@@ -208,7 +210,7 @@
             since = anyio.current_time()
             await traffic.send(3.0, REQUESTS_PER_SECOND, repeat)
             assert len(traffic.arrivals(target, since)) >= before / 2
-            assert not traffic.refused
+            assert not traffic.unserved
 
         simulate(scenario, weights)
 
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -402,6 +402,7 @@
     ) -> None:
         self._number += 1
         request = str(self._number)
+        # The first arrival is the request itself, the second its retry.
         self.counter.count_arrival(request, anyio.current_time())
         await anyio.sleep(delay_seconds)
         self.counter.count_arrival(request, anyio.current_time())
