--- a/tests/entries_system.py
+++ b/tests/entries_system.py
@@ -43,7 +43,7 @@
     @property
     def was_served(self) -> bool:
         """Whether the caller got a complete answer."""
-        return self.caller.error is None and self.caller.is_whole
+        return self.caller.error is None and self.caller.is_complete
 
 
 class Entries:
--- a/tests/fleet_system.py
+++ b/tests/fleet_system.py
@@ -134,7 +134,7 @@
     def __init__(self) -> None:
         self.status = 0
         self.body = b""
-        self.is_whole = False
+        self.is_complete = False
         self.times: list[float] = []
         self.error: errors.CrowdeckError | None = None
 
@@ -156,14 +156,14 @@
         self.times.append(anyio.current_time())
 
     async def finish(self) -> None:
-        self.is_whole = True
+        self.is_complete = True
 
     async def reply(
         self, status: int, headers: http.RawHeaders, body: bytes
     ) -> None:
         await self.start(status, headers)
         self.body = body
-        self.is_whole = True
+        self.is_complete = True
 
 
 class FleetSystem:
@@ -193,7 +193,9 @@
             client=self.client,
             usage=self.usage,
             planner=hops.HopPlanner(self.usage),
-            budget_settings=contexts.RetryBudgetSettings(0.2, 100.0, 10.0),
+            budget_settings=contexts.RetryBudgetSettings(
+                ratio=0.2, slack=100.0, window_seconds=10.0
+            ),
             started_at=started_at,
             name=name,
             # Entries with the same seed would make the same random choices.
@@ -209,7 +211,7 @@
             self.holder,
             self.monitor,
             lambda: self.config_age_seconds,
-            3.5,
+            max_config_age_seconds=3.5,
         )
         # A restarted entry must not reuse the request ids of its earlier
         # process.
--- a/tests/repeats_system.py
+++ b/tests/repeats_system.py
@@ -18,10 +18,10 @@
 ALLOWANCE = repeats.Allowance(ratio=0.2, slack=100.0, window_seconds=10.0)
 FAILURE_FREE_SECONDS = 24.0
 # More calls than a simulation sends.
-FAILURES = 10**6
+ALWAYS_FAIL_COUNT = 10**6
 # Longer than any attempt of these requests.
 LAST_ATTEMPT_SECONDS = 3.0
-# Streams that fail break off after their first event.
+# Events of a complete stream. One that fails breaks off after its first event.
 STREAM_EVENTS = 3
 SERVICES = {
     routes.RepeatPolicy.IDEMPOTENT: fleet_system.PLAIN,
@@ -42,7 +42,7 @@
     ) -> None:
         self.entries = entries
         self._kind = kind
-        self._number = 0
+        self._sent_count = 0
 
     @property
     def service(self) -> str:
@@ -75,10 +75,10 @@
         until = anyio.current_time() + seconds
         while anyio.current_time() < until:
             self._set_failing(fails)
-            entry = self._number
+            entry = self._sent_count
             if among:
-                entry = among[self._number % len(among)]
-            self._number += 1
+                entry = among[self._sent_count % len(among)]
+            self._sent_count += 1
             self.counter.count_request(anyio.current_time())
             self.entries.start_request(entry, self._kind, b"x")
             await anyio.sleep(1.0 / per_second)
@@ -106,7 +106,7 @@
 
     def _set_failing(self, fails: bool) -> None:
         for target in self.entries.fleet.upstreams:
-            target.failed_calls = FAILURES if fails else 0
+            target.failed_calls = ALWAYS_FAIL_COUNT if fails else 0
             target.break_stream_after = 1 if fails else -1
 
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -35,7 +35,7 @@
 BACKOFF_SECONDS = 3.0
 # Requests sent before the response arrived may reach the instance this much
 # later.
-SLACK_SECONDS = 0.5
+IN_FLIGHT_SECONDS = 0.5
 # No request may reach an instance later than this after it announced leaving.
 LEAVING_SECONDS = 2.0
 PROFILE = fleet_system.PROFILE
@@ -124,7 +124,7 @@
                     await anyio.sleep(0.001)
                 asked_at = anyio.current_time()
             until = asked_at + BACKOFF_SECONDS - 0.002
-            since = asked_at + SLACK_SECONDS
+            since = asked_at + IN_FLIGHT_SECONDS
             assert not sent(system, target.listed, since, until)
 
         run_scenario(work)
--- a/tests/test_engine_ending_requests.py
+++ b/tests/test_engine_ending_requests.py
@@ -25,7 +25,7 @@
 
 BODY = b"ends whoever begins it"
 # Interval at which callers send the request.
-PAUSE_SECONDS = 0.4
+SEND_INTERVAL_SECONDS = 0.4
 # All entries have received the evidence this long after the third crash.
 EXCHANGE_SECONDS = 3.0
 # How often the request may still be sent to an instance afterwards.
@@ -50,7 +50,7 @@
     def test_is_not_sent_once_three_instances_have_ended(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
+            await entries.send_repeatedly(15.0, BODY, SEND_INTERVAL_SECONDS)
             third_crash_at = entries.fleet.crashes[MAX_CRASHES - 1].at
             late_arrivals = entries.arrivals(
                 BODY, third_crash_at + EXCHANGE_SECONDS
@@ -62,7 +62,7 @@
     def test_other_requests_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
+            await entries.send_repeatedly(15.0, BODY, SEND_INTERVAL_SECONDS)
             await anyio.sleep(3.0)
             third_crash_at = entries.fleet.crashes[MAX_CRASHES - 1].at
             others = entries.outcomes_of_others(third_crash_at + 1.0)
@@ -92,7 +92,7 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.keeps_ids = True
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
+            await entries.send_repeatedly(15.0, BODY, SEND_INTERVAL_SECONDS)
             assert len(entries.fleet.crashes) <= MAX_CRASHES + 1
             third_crash_at = entries.fleet.crashes[MAX_CRASHES - 1].at
             others = entries.outcomes_of_others(third_crash_at + 1.0)
@@ -186,7 +186,7 @@
     def test_is_refused_at_once_as_not_run(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
+            await entries.send_repeatedly(15.0, BODY, SEND_INTERVAL_SECONDS)
             third_crash_at = entries.fleet.crashes[MAX_CRASHES - 1].at
             refused = [
                 outcome
@@ -212,7 +212,7 @@
         # three engines.
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(15.0, BODY, PAUSE_SECONDS)
+            await entries.send_repeatedly(15.0, BODY, SEND_INTERVAL_SECONDS)
             assert len(entries.fleet.crashes) <= MAX_CRASHES + 2
 
         entries_system.run_scenario(work, count=count)
@@ -220,12 +220,12 @@
     def test_restarted_entry_does_not_send_it(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
+            await entries.send_repeatedly(5.0, BODY, SEND_INTERVAL_SECONDS)
             crash_count = len(entries.fleet.crashes)
             for number in range(3):
                 entries.restart(number)
             await anyio.sleep(0.5)
-            await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
+            await entries.send_repeatedly(5.0, BODY, SEND_INTERVAL_SECONDS)
             assert len(entries.fleet.crashes) == crash_count
 
         entries_system.run_scenario(work)
@@ -234,11 +234,11 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             entries.store.is_down = True
-            await entries.send_repeatedly(3.0, BODY, PAUSE_SECONDS)
+            await entries.send_repeatedly(3.0, BODY, SEND_INTERVAL_SECONDS)
             entries.store.is_down = False
             await anyio.sleep(EXCHANGE_SECONDS)
             since = anyio.current_time()
-            await entries.send_repeatedly(10.0, BODY, PAUSE_SECONDS)
+            await entries.send_repeatedly(10.0, BODY, SEND_INTERVAL_SECONDS)
             assert entries.arrivals(BODY, since) == 0
 
         entries_system.run_scenario(work)
@@ -246,7 +246,7 @@
     def test_other_requests_to_its_path_are_served(self) -> None:
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
-            await entries.send_repeatedly(5.0, BODY, PAUSE_SECONDS)
+            await entries.send_repeatedly(5.0, BODY, SEND_INTERVAL_SECONDS)
             entries.start_request(0, entries_system.STREAM, BODY + b"?")
             await anyio.sleep(3.0)
             assert entries.outcomes_of(BODY + b"?")[0].was_served
@@ -260,7 +260,10 @@
             async with anyio.create_task_group() as tasks:
                 for body in bodies:
                     tasks.start_soon(
-                        entries.send_repeatedly, 15.0, body, PAUSE_SECONDS
+                        entries.send_repeatedly,
+                        15.0,
+                        body,
+                        SEND_INTERVAL_SECONDS,
                     )
                     await anyio.sleep(0.05)
             since = entries.fleet.crashes[-1].at + EXCHANGE_SECONDS
@@ -273,7 +276,7 @@
         async def work(entries: entries_system.Entries) -> None:
             entries.fleet.crashing_bodies.add(BODY)
             await entries.send_repeatedly(
-                30.0, BODY, PAUSE_SECONDS, entries_system.REPEATABLE
+                30.0, BODY, SEND_INTERVAL_SECONDS, entries_system.REPEATABLE
             )
             third_crash_at = entries.fleet.crashes[MAX_CRASHES - 1].at
             late_arrivals = entries.arrivals(
@@ -325,7 +328,7 @@
             entries.fleet.crashing_bodies.add(BODY)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(
-                    entries.send_repeatedly, 6.0, BODY, PAUSE_SECONDS
+                    entries.send_repeatedly, 6.0, BODY, SEND_INTERVAL_SECONDS
                 )
                 for number in range(120):
                     entries.start_request(
--- a/tests/test_leaving_callers.py
+++ b/tests/test_leaving_callers.py
@@ -124,7 +124,7 @@
             request = system.request(STREAM)
             caller = await disconnect_after(system, request, seconds)
             assert caller.has_started
-            assert not caller.is_whole
+            assert not caller.is_complete
             assert_released(system)
             await anyio.sleep(SETTLE_SECONDS)
             assert len(system.fleet.runs) == 1
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -63,12 +63,12 @@
     return [orjson.dumps(line, default=str).decode() for line in lines]
 
 
-def run_scenario(work: Work, plain: int = 2) -> None:
+def run_scenario(work: Work, plain_count: int = 2) -> None:
     async def body() -> None:
         system = System(name="entry")
         system.install(system.config)
         system.add_model(copies=1)
-        for number in range(plain):
+        for number in range(plain_count):
             system.add(
                 fleet_system.upstream(
                     f"records-{number}", service=PLAIN, card=""
@@ -190,7 +190,7 @@
                 )
             await anyio.sleep(5.0)
 
-        run_scenario(work, plain=300)
+        run_scenario(work, plain_count=300)
         for event in ("need_begun", "need_ended"):
             assert (
                 len(lines_of(event, lines))
--- a/tests/test_rearrangement.py
+++ b/tests/test_rearrangement.py
@@ -132,7 +132,7 @@
             nonlocal served_count
             request = self.system.request(routes.RepeatPolicy.STREAM)
             caller = await self.system.ask(request)
-            served_count += caller.status == 200 and caller.is_whole
+            served_count += caller.status == 200 and caller.is_complete
 
         async with anyio.create_task_group() as tasks:
             for _ in range(STREAMS):
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -46,7 +46,7 @@
     caller: fleet_system.Caller, request: requests.CallerRequest, events: int
 ) -> None:
     assert caller.error is None
-    assert caller.is_whole
+    assert caller.is_complete
     assert caller.body == fleet_system.whole_answer(request.id, events)
 
 
@@ -126,7 +126,7 @@
         async def work(system: fleet_system.FleetSystem) -> None:
             request = attrs.evolve(system.request(STREAM), last_event_id=4)
             caller = await system.ask(request)
-            assert caller.is_whole
+            assert caller.is_complete
             assert caller.body.startswith(b"id: 5\n")
 
         run_scenario(work)
@@ -173,7 +173,7 @@
                 if shared in path_of(system, request)
             ]
             assert sorted(system.fleet.repaths) == sorted(passes)
-            assert all(caller.is_whole for caller in callers)
+            assert all(caller.is_complete for caller in callers)
 
         run_scenario(work)
 
@@ -217,7 +217,7 @@
                     tasks.start_soon(ask, request)
                 await anyio.sleep(0.15)
                 path_of(system, all_requests[0])[2].is_unresponsive = True
-            assert all(caller.is_whole for caller in callers)
+            assert all(caller.is_complete for caller in callers)
             assert len(system.fleet.repaths) == len(set(system.fleet.repaths))
 
         run_scenario(work)
@@ -230,17 +230,17 @@
         self, system: fleet_system.FleetSystem, request: requests.CallerRequest
     ) -> None:
         """Silence two engines of a stream's path, and a copy of each."""
-        parts = path_of(system, request)[1:3]
-        for part in parts:
-            held = part.listed.layers
+        failing_engines = path_of(system, request)[1:3]
+        for engine in failing_engines:
+            held = engine.listed.layers
             others = [
                 other
                 for other in system.fleet.upstreams
                 if other.listed.layers == held
                 and other.listed.availability_zone == fleet_system.ZONES[0]
-                and other is not part
+                and other is not engine
             ]
-            part.is_unresponsive = True
+            engine.is_unresponsive = True
             others[0].is_unresponsive = True
 
     def test_longest_pause_is_bounded(self) -> None:
@@ -291,7 +291,7 @@
                     tasks.start_soon(ask, request)
                 await anyio.sleep(0.15)
                 self.inject_fault(system, all_requests[0])
-            assert all(caller.is_whole for caller in callers)
+            assert all(caller.is_complete for caller in callers)
             assert max(caller.longest_pause for caller in callers) <= 0.2
 
         run_scenario(work, copies=4)
@@ -468,7 +468,7 @@
         run_scenario(work)
 
     def test_faster_zone_is_preferred_to_own_slow_zone(self) -> None:
-        # Streams must not stay in their own zone at any latency.
+        # Streams must leave their own zone when it is much slower.
         async def work(system: fleet_system.FleetSystem) -> None:
             records = system.context.heads
             own = [
@@ -673,7 +673,7 @@
                 path_of(system, request)[0].is_dead = True
 
             caller = await ask_with_fault(system, request, 0.15, inject_fault)
-            assert not caller.is_whole
+            assert not caller.is_complete
             assert caller.error is not None
             assert caller.error.verdict is verdicts.Verdict.MAY_HAVE_RUN
             assert len(system.fleet.runs_of(request.id)) == 1
@@ -686,7 +686,7 @@
                 system.fleet.at(target.address).break_stream_after = 5
             request = system.request(STREAM)
             caller = await system.ask(request)
-            assert not caller.is_whole or caller.body == (
+            assert not caller.is_complete or caller.body == (
                 fleet_system.whole_answer(request.id, system.fleet.events)
             )
             events = caller.body.split(b"\n\n")
@@ -879,7 +879,7 @@
             head = system.listed["plateau-0-0"]
             system.fleet.at(head.address).lost_answers = 1
             caller = await system.ask(system.request(STREAM))
-            assert caller.is_whole
+            assert caller.is_complete
             assert system.registry.is_usable(head.name)
 
         run_scenario(work)
@@ -899,7 +899,7 @@
 
         run_scenario(work)
 
-    def test_is_blamed_on_the_paths_engine_at_the_address(
+    def test_refusal_counts_against_the_paths_engine_with_that_address(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         # The engine's listing may be gone, or its address reused, before the
@@ -912,7 +912,7 @@
             )
             for _ in range(3):
                 caller = await system.ask(system.request(STREAM))
-                assert caller.is_whole
+                assert caller.is_complete
             assert not system.registry.is_usable("plateau-0-2")
             assert system.registry.is_usable("plateau-0-0")
             assert system.registry.is_usable("plateau-1-0")
@@ -926,7 +926,7 @@
             stale.listed = attrs.evolve(stale.listed, layers=None)
             for _ in range(3):
                 caller = await system.ask(system.request(STREAM))
-                assert caller.is_whole
+                assert caller.is_complete
             assert sum(system.fleet.rejected.values()) <= 1
 
         run_scenario(work)
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -5,8 +5,9 @@
 
 """Tests of the retry budget, with repeats counted at the service.
 
-A service must not receive more repeats in any window than its budget allows,
-also while entries restart, join or lose the store, or instances are suspended.
+A repeat is a retry that arrived at the service. A service must not receive
+more repeats in any window than its budget allows, also while entries restart,
+join or lose the store, or instances are suspended.
 """
 
 import anyio
@@ -21,10 +22,10 @@
 # Rate at which the slack is most of the budget.
 LOW_PER_SECOND = 18.0
 KINDS = (routes.RepeatPolicy.IDEMPOTENT, routes.RepeatPolicy.STREAM)
-COUNTS = (1, 5, 70)
+ENTRY_COUNTS = (1, 5, 70)
 
 kinds = pytest.mark.parametrize("kind", KINDS, ids=str)
-counts = pytest.mark.parametrize("count", COUNTS)
+entry_counts = pytest.mark.parametrize("count", ENTRY_COUNTS)
 
 
 async def _spend_all(traffic: repeats_system.Traffic) -> None:
@@ -42,7 +43,7 @@
     """The repeats of an entry's successive processes count together."""
 
     @kinds
-    @counts
+    @entry_counts
     def test_restart_together(
         self, count: int, kind: routes.RepeatPolicy
     ) -> None:
@@ -54,7 +55,7 @@
         peak = repeats_system.simulate(body, count, kind).peak
         assert not peak.is_over, peak
 
-    @counts
+    @entry_counts
     def test_restart_one_each_second(self, count: int) -> None:
         async def body(traffic: repeats_system.Traffic) -> None:
             await _spend_all(traffic)
@@ -66,7 +67,7 @@
         peak = repeats_system.simulate(body, count).peak
         assert not peak.is_over, peak
 
-    @counts
+    @entry_counts
     def test_restart_together_many_times(self, count: int) -> None:
         async def body(traffic: repeats_system.Traffic) -> None:
             await _spend_all(traffic)
@@ -222,7 +223,7 @@
     """Repeats within the budget are sent."""
 
     @kinds
-    @counts
+    @entry_counts
     def test_most_of_the_budget_is_used(
         self, count: int, kind: routes.RepeatPolicy
     ) -> None:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -273,7 +273,7 @@
                 )
                 caller = done[0]
                 assert whole.startswith(caller.body)
-                assert caller.is_whole is (caller.body == whole)
+                assert caller.is_complete is (caller.body == whole)
                 # No upstream is avoided because of the suspension.
                 assert tested_system.registry.failed() == ()
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -108,7 +108,7 @@
             fill(system, 1.3)
             caller = await system.ask(system.request(STREAM))
             assert caller.error is None
-            assert caller.is_whole
+            assert caller.is_complete
             assert 0.4 < caller.times[0] < paths.QUEUE_WAIT_SECONDS
             assert not system.fleet.rejected
 
@@ -155,7 +155,7 @@
                 await anyio.sleep(0.05)
                 assert len(wait_queue) == 2
             assert len(wait_queue) == 0
-            assert all(caller.is_whole for caller in callers)
+            assert all(caller.is_complete for caller in callers)
             assert callers[0].times[0] <= callers[1].times[0]
 
         run_scenario(work)
@@ -204,7 +204,7 @@
                 system.request(routes.RepeatPolicy.STREAM)
             )
             assert caller.error is None
-            assert caller.is_whole
+            assert caller.is_complete
 
         run_scenario(work)
 
