--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -128,7 +128,7 @@
         return times
 
     @property
-    def refused(self) -> list[entries_system.Outcome]:
+    def unserved(self) -> list[entries_system.Outcome]:
         """The callers that were not served."""
         return [
             outcome
@@ -191,7 +191,7 @@
             times = traffic.bounded_arrivals(target, announced_at)
             assert_kept(times, LIMIT_PER_SECOND)
             assert len(times) >= MIN_USED_SHARE * LIMIT_PER_SECOND * 17.0
-            assert not traffic.refused
+            assert not traffic.unserved
 
         simulate(scenario, weights)
 
@@ -210,7 +210,7 @@
             since = anyio.current_time()
             await traffic.send(3.0, REQUESTS_PER_SECOND, repeat)
             assert len(traffic.arrivals(target, since)) >= before / 2
-            assert not traffic.refused
+            assert not traffic.unserved
 
         simulate(scenario, weights)
 
