--- a/src/crowdeck/cmd/inspection.py
+++ b/src/crowdeck/cmd/inspection.py
@@ -152,7 +152,7 @@
             "unavailable because of a rate limit, a backoff or a shutdown: "
             f"{', '.join(explanation.held_back)}",
         ]
-    lines += ["", f"conclusion: {conclusion}"]
+    lines += ["", f"cause: {conclusion}"]
     is_explained = bool(explanation.lines) and bool(
         explanation.cause or not explanation.has_failed
     )
--- a/src/crowdeck/observe/losses.py
+++ b/src/crowdeck/observe/losses.py
@@ -20,19 +20,18 @@
 _CALLER_ERRORS = frozenset({"UNAUTHORIZED", "NOT_FOUND", "BAD_REQUEST"})
 # What happened to a late stream, by event; the first match is reported.
 _REACTIONS = {
-    "path_changed": "a path change was tried",
-    "attempt_failed": "an attempt failed",
-    "stream_silent": "its engines were checked",
+    "path_changed": "its path was changed",
+    "attempt_failed": "it began anew",
+    "stream_silent": "nothing was found at fault",
     # Not an event: set for a ``path_chosen`` after a long wait.
-    "held_back": "it waited for instances at a rate limit, in a backoff "
-    "or shutting down",
+    "held_back": "it waited for instances in need",
 }
 # Shorter waits for a path do not explain a late first event.
 MIN_WAIT_SECONDS = 0.1
 IN_TIME = "in time"
 CALLER_LEFT = "the caller left"
 # Marks the causes of refusals that a caller's mistake explains.
-_CALLER_ERROR = "for a caller's mistake"
+_CALLER_ERROR = "by right"
 # Stands for the process of log lines without a source.
 UNNAMED = "(the logs do not name it)"
 # Placeholder for a number in a reason until the range of all such numbers is
@@ -270,21 +269,18 @@
     if line.fields.get("unheld"):
         return "no engine holds some layers"
     if line.fields.get("ready_in"):
-        return "instances at a rate limit, in a backoff or shutting down"
+        return "instances at their limits or in rest"
     if line.fields.get("missing_layers"):
         return "layers were missing"
-    return "no path with room for its tokens"
+    return "no room"
 
 
 def _call_shortage(line: explain.Line) -> str:
     """Return why no instance took a call."""
     if line.fields.get("ready_in"):
-        return "instances at a rate limit, in a backoff or shutting down"
+        return "instances at their limits or in rest"
     if line.fields.get("held_back"):
-        return (
-            "the remaining instances were at a rate limit, in a backoff or "
-            "shutting down"
-        )
+        return "the instances left were in need"
     return "no instance"
 
 
--- a/src/crowdeck/relay/calls.py
+++ b/src/crowdeck/relay/calls.py
@@ -452,16 +452,15 @@
         if not seconds:
             return errors.CrowdeckError(
                 errors.Code.NO_PATH,
-                f"no untried instance of {self._service.name} accepts the "
-                "call now",
+                "no untried instance of the service accepts the call now",
                 retry_after=DEFAULT_RETRY_AFTER_SECONDS,
             )
         counters.COUNTERS.add("relay.limited")
         jitter = self._context.rng.uniform(0.0, DEFAULT_RETRY_AFTER_SECONDS)
         return errors.CrowdeckError(
             errors.Code.NO_PATH,
-            f"all untried instances of {self._service.name} are rate limited "
-            "or backing off",
+            "all untried instances of the service are rate limited or "
+            "backing off",
             retry_after=seconds + jitter,
         )
 
--- a/src/crowdeck/sidecar/batcher.py
+++ b/src/crowdeck/sidecar/batcher.py
@@ -190,7 +190,7 @@
         return errors.CrowdeckError(
             errors.Code.UPSTREAM_FAILED,
             f"expected a result for sequence {step.sequence}, the engine "
-            f"returned one for {result.sequence}",
+            "returned one for another sequence",
             verdict=verdicts.Verdict.MAY_HAVE_RUN,
         )
     if result.error:
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -135,8 +135,7 @@
         log.write_text("".join(REFUSED))
         assert cli.main(["explain", "r1", str(log)]) == commands.EXIT_OK
         assert (
-            "conclusion: no engines with free capacity"
-            in capsys.readouterr().out
+            "cause: no engines with free capacity" in capsys.readouterr().out
         )
         assert cli.main(["explain", "r9", str(log)]) == commands.EXIT_FAILED
         assert "contain no lines of this request" in capsys.readouterr().out
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -68,10 +68,10 @@
         assert losses.build_report(LOG, OBJECTIVES, 2.0).causes == {
             "in time": 2,
             "late: its first event": 1,
-            "late: a pause; a path change was tried": 1,
-            "refused: NO_PATH, no path with room for its tokens": 1,
+            "late: a pause; its path was changed": 1,
+            "refused: NO_PATH, no room": 1,
             "refused: NO_PATH, layers were missing": 1,
-            "refused for a caller's mistake: UNAUTHORIZED": 1,
+            "refused by right: UNAUTHORIZED": 1,
             "refused: OVERLOADED, refused because of status 503": 1,
             "the upstream itself answered 500": 1,
             "the caller left": 1,
--- a/tests/test_needs.py
+++ b/tests/test_needs.py
@@ -287,8 +287,7 @@
         assert losses.build_report(
             texts, test_losses.OBJECTIVES, 2.0
         ).causes == {
-            "refused: NO_PATH, instances at a rate limit, in a "
-            "backoff or shutting down": 1,
+            "refused: NO_PATH, instances at their limits or in rest": 1,
             # The retried request.
             "in time": 1,
         }
@@ -324,10 +323,8 @@
             log, test_losses.OBJECTIVES, 2.0
         ).causes == {
             "refused: NO_PATH, no instance": 1,
-            "refused: NO_PATH, the remaining instances were at a "
-            "rate limit, in a backoff or shutting down": 1,
-            "refused: NO_PATH, instances at a rate limit, in a "
-            "backoff or shutting down": 1,
+            "refused: NO_PATH, the instances left were in need": 1,
+            "refused: NO_PATH, instances at their limits or in rest": 1,
         }
         assert (
             "2 instances were listed; a:1" in explain.explain("r2", log).cause
@@ -351,8 +348,7 @@
         assert "the first accepts requests again in 3.0 s" in found.cause
         causes = losses.build_report(texts, test_losses.OBJECTIVES, 2.0).causes
         assert causes == {
-            "refused: NO_PATH, instances at a rate limit, in a "
-            "backoff or shutting down": 1
+            "refused: NO_PATH, instances at their limits or in rest": 1
         }
 
     def test_late_stream_that_waited(self, lines: Lines) -> None:
@@ -366,8 +362,7 @@
             serialize(lines), test_losses.OBJECTIVES, 2.0
         ).causes
         assert causes == {
-            "late: its first event; it waited for instances at "
-            "a rate limit, in a backoff or shutting down": 1
+            "late: its first event; it waited for instances in need": 1
         }
 
     def test_causes_sum_to_the_requests(self, lines: Lines) -> None:
@@ -405,8 +400,9 @@
         assert sum(found.causes.values()) == 300
         assert found.causes == {
             "in time": 300 - len(refusals),
-            "refused: NO_PATH, instances at a rate limit, in a "
-            "backoff or shutting down": len(refusals),
+            "refused: NO_PATH, instances at their limits or in rest": len(
+                refusals
+            ),
         }
 
 
