--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -15,7 +15,7 @@
 from bench.soak import run as soak
 
 CALLERS = 6
-# Enough requests to exhaust the retry budget of three entries.
+# Enough callers to exhaust the retry budget of three entries.
 BUDGET_CALLERS = 30
 
 
@@ -64,7 +64,8 @@
         "--slack",
         type=float,
         default=budget.ALLOWANCE.slack,
-        help="repeats per window that the retry budget allows on top",
+        help="repeats per window that the retry budget allows in addition "
+        "to its ratio of requests",
     )
     options = parser.parse_args()
     callers = BUDGET_CALLERS if options.budget else CALLERS
--- a/bench/soak/budget.py
+++ b/bench/soak/budget.py
@@ -42,8 +42,9 @@
         if not peak.repeats:
             return f"repeats: {self.service} got none"
         return (
-            f"repeats: {self.service} got {peak.repeats} of "
-            f"{peak.allowed:.1f} in the window from {self.start_seconds:.2f} s"
+            f"repeats: {self.service}: found {peak.repeats}, "
+            f"allowed {peak.allowed:.1f}, "
+            f"in the window from {self.start_seconds:.2f} s"
         )
 
 
@@ -82,12 +83,12 @@
     arrived: dict[str, list[float]],
 ) -> repeats.RepeatCounter:
     counter = repeats.RepeatCounter()
-    sent = [
+    sent_times = [
         outcome.sent_at
         for outcome in outcomes
         if outcome.is_sent and SERVICES[outcome.path] == service
     ]
-    for time in sorted(sent):
+    for time in sorted(sent_times):
         counter.count_request(time)
     for request, times in arrived.items():
         for time in times:
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -13,15 +13,15 @@
 import httpcore
 
 REQUEST_TIMEOUT_SECONDS = 6.0
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 STREAM_PATH, ONCE_PATH, IDEMPOTENT_PATH = "/stream/", "/once/", "/repeated/"
 PATHS = (STREAM_PATH, STREAM_PATH, ONCE_PATH)
 # Body of a request that crashes each engine that runs it.
-CRASHING_BODY = "ends whoever begins it"
+CRASHING_BODY = "crashes the engine that runs it"
 CRASHING_PAUSE_SECONDS = 0.4
-# Most engines that the crashing request may crash before all entries refuse
-# it.
+# Maximum number of engines that the crashing request may crash before all
+# entries refuse it.
 CRASH_LIMIT = 10
 HOST_HEADER = b"desk.example"
 
@@ -58,7 +58,7 @@
         self,
         ports: list[int],
         rng: random.Random,
-        events: int,
+        event_count: int,
         name: str = "q",
         paths: typing.Sequence[str] = PATHS,
     ) -> None:
@@ -66,20 +66,22 @@
         self._paths = paths
         self._name = name
         self._rng = rng
-        self._events = events
+        self._event_count = event_count
         self._count = 0
         self.key = "key-0"
         self.outcomes: list[Outcome] = []
         self.violations: list[str] = []
 
-    async def run(self, pause: float) -> None:
+    async def run(self, mean_pause_seconds: float) -> None:
         """Send one request after another, reusing connections."""
         pool = httpcore.AsyncConnectionPool()
         async with pool:
             while True:
                 path = self._rng.choice(self._paths)
                 await self.send(path, pool)
-                await anyio.sleep(self._rng.uniform(0.2, 1.8) * pause)
+                await anyio.sleep(
+                    self._rng.uniform(0.2, 1.8) * mean_pause_seconds
+                )
 
     async def run_crashing(self) -> None:
         """Send the crashing request repeatedly, each time under a new id."""
@@ -128,7 +130,7 @@
             (b"x-token-counts", b"100,40"),
             (b"authorization", f"Token {outcome.key}".encode()),
         ]
-        extensions = {"timeout": {"connect": CONNECT_SECONDS}}
+        extensions = {"timeout": {"connect": CONNECT_TIMEOUT_SECONDS}}
         async with pool.stream(
             "POST",
             f"http://127.0.0.1:{port}{outcome.path}x",
@@ -154,11 +156,11 @@
             return
         whole = b"".join(
             f"id: {number}\ndata: {request}:{number}\n\n".encode()
-            for number in range(self._events)
+            for number in range(self._event_count)
         )
         if outcome.is_whole and outcome.body != whole:
             self.violations.append(
-                f"{request}: expected all {self._events} events, "
+                f"{request}: expected all {self._event_count} events, "
                 f"found {outcome.body!r} in a complete answer"
             )
         elif not whole.startswith(outcome.body):
@@ -168,23 +170,27 @@
             )
 
     def find_violations(self, runs: list[list[str]]) -> typing.Iterator[str]:
-        """Yield each violated guarantee, given which requests ran where."""
+        """Yield each violated guarantee.
+
+        :param runs: pairs of request id and instance name.
+        """
         yield from self.violations
-        ran: dict[str, int] = {}
+        run_counts: dict[str, int] = {}
         for request, _ in runs:
-            ran[request] = ran.get(request, 0) + 1
+            run_counts[request] = run_counts.get(request, 0) + 1
         for outcome in self.outcomes:
-            times = ran.get(outcome.request, 0)
-            if outcome.path == ONCE_PATH and times > 1:
+            run_count = run_counts.get(outcome.request, 0)
+            if outcome.path == ONCE_PATH and run_count > 1:
                 yield (
-                    f"{outcome.request}: expected at most 1 run, found {times}"
+                    f"{outcome.request}: expected at most 1 run, "
+                    f"found {run_count}"
                 )
             if (
                 outcome.path == ONCE_PATH
-                and times
+                and run_count
                 and outcome.status in NOT_RUN_STATUSES
             ):
                 yield (
                     f"{outcome.request}: expected no run after status "
-                    f"{outcome.status}, found {times}"
+                    f"{outcome.status}, found {run_count}"
                 )
--- a/bench/soak/config.py
+++ b/bench/soak/config.py
@@ -8,9 +8,9 @@
 import copy
 import typing
 
-Spec = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
-CONFIG: Spec = {
+CONFIG: JsonObject = {
     "version": 1,
     "routes": [
         {
@@ -67,7 +67,7 @@
 }
 
 # Idempotent calls, only in the config that tests the retry budget.
-IDEMPOTENT_ROUTE: Spec = {
+IDEMPOTENT_ROUTE: JsonObject = {
     "name": "repeated",
     "host": "desk.example",
     "path_prefix": "/repeated/",
@@ -79,7 +79,7 @@
 MAX_ATTEMPTS = 4
 
 
-def build_retry_config() -> Spec:
+def build_retry_config() -> JsonObject:
     """Return the config of seeds that test the retry budget."""
     retry_config = copy.deepcopy(CONFIG)
     retry_config["routes"].append(copy.deepcopy(IDEMPOTENT_ROUTE))
--- a/bench/soak/engine_faults.py
+++ b/bench/soak/engine_faults.py
@@ -13,7 +13,7 @@
 from bench.soak import control as controls
 from bench.soak import proxy as proxies
 
-# Mean time between two starts of backpressure.
+# Mean time from the end of one backpressure fault to the start of the next.
 BACKPRESSURE_PAUSE_SECONDS = 0.7
 # Time after which an engine that crashed under a request is restarted.
 DOWNTIME_SECONDS = 1.5
@@ -50,7 +50,7 @@
         await self._control.do("back", upstream=number)
         link.mode = proxies.Mode.PASS
 
-    async def harm_engine(self, seconds: float) -> None:
+    async def lose_answers_or_reject(self, seconds: float) -> None:
         """Make an instance lose answers or reject, and impair its link."""
         number = self._rng.randrange(len(self._links))
         command = self._rng.choice(("lose_answers", "reject"))
--- a/bench/soak/entries.py
+++ b/bench/soak/entries.py
@@ -55,8 +55,13 @@
         self._folder = folder
         self._has_peers = has_peers
         self.endpoints = [
-            Endpoints(callers, status, peers, proxies.Proxy(store, store_port))
-            for callers, status, peers, store in zip(
+            Endpoints(
+                caller_port,
+                status_port,
+                peer_port,
+                proxies.Proxy(proxy_port, store_port),
+            )
+            for caller_port, status_port, peer_port, proxy_port in zip(
                 *[iter(ports)] * PORTS_PER_ENTRY, strict=True
             )
         ]
--- a/bench/soak/fault_bursts.py
+++ b/bench/soak/fault_bursts.py
@@ -22,7 +22,7 @@
 # Mean time between two faults of a burst.
 FAULT_PAUSE_SECONDS = 0.8
 KILLS_OF_ONE_ENTRY = 4
-# Most entries that are killed one after another, a second apart.
+# Maximum number of entries killed one after another, a second apart.
 MAX_ENTRIES_KILLED_IN_TURN = 6
 CUT_MODES = (proxies.Mode.HOLD, proxies.Mode.HOLD_REPLIES, proxies.Mode.REFUSE)
 
@@ -97,6 +97,7 @@
 
     @property
     def _faults(self) -> Faults:
+        # A repeated fault is chosen more often.
         return (
             self._fail_instances,
             self._freeze_or_disconnect_instances,
@@ -104,7 +105,7 @@
             self._kill_all,
             self._kill_all,
             self._kill_in_turn,
-            self._kill_again,
+            self._kill_repeatedly,
             self._freeze_entries,
             self._stop_entries,
             self._start_without_store,
@@ -147,7 +148,7 @@
         )
         seconds = self._rng.uniform(2.0, 6.0)
         self._record(
-            f"{command} {numbers.start}-{numbers.stop} {seconds:.1f} s"
+            f"{command} range({numbers.start}, {numbers.stop}) {seconds:.1f} s"
         )
         for number in numbers:
             await self._control.do(command, upstream=number)
@@ -208,7 +209,7 @@
 
     async def _kill_all(self) -> None:
         pause = self._rng.choice((0.0, 0.0, 0.5))
-        self._record(f"kill_all, {pause} s")
+        self._record(f"kill_all, down for {pause} s")
         await self._kill_entries(self._started_entries, pause)
 
     async def _kill_entries(
@@ -227,10 +228,10 @@
             await self._kill(number)
             await anyio.sleep(1.0)
 
-    async def _kill_again(self) -> None:
+    async def _kill_repeatedly(self) -> None:
         number = self._rng.choice(self._started_entries)
         pause = self._rng.uniform(0.6, 1.6)
-        self._record(f"kill_again {number} each {pause:.1f} s")
+        self._record(f"kill_repeatedly {number} every {pause:.1f} s")
         for _ in range(KILLS_OF_ONE_ENTRY):
             await self._kill(number)
             await anyio.sleep(pause)
--- a/bench/soak/ports.py
+++ b/bench/soak/ports.py
@@ -12,8 +12,8 @@
 HOST = "127.0.0.1"
 # Below the ephemeral ports of Linux, which begin at 32768.
 PORTS = range(10_000, 32_000)
-# Concurrent seeds use disjoint ports: another seed could take the port of an
-# entry that is being restarted.
+# Seeds that differ modulo PORT_SHARES use disjoint ports: a concurrent seed
+# could take the port of an entry that is being restarted.
 PORT_SHARES = 20
 
 
@@ -24,9 +24,9 @@
     connection before an entry listens on them.
     """
     share = PORTS[seed % PORT_SHARES :: PORT_SHARES]
-    drawn = random.SystemRandom().sample(share, len(share))
+    candidates = random.SystemRandom().sample(share, len(share))
     found: list[int] = []
-    for port in drawn:
+    for port in candidates:
         if len(found) == count:
             break
         with contextlib.suppress(OSError), socket.socket() as probe:
--- a/bench/soak/proxy.py
+++ b/bench/soak/proxy.py
@@ -34,9 +34,9 @@
 class Proxy:
     """Forwards the connections of one port to a target port."""
 
-    def __init__(self, port: int, target: int) -> None:
+    def __init__(self, port: int, target_port: int) -> None:
         self.port = port
-        self._target = target
+        self._target_port = target_port
         self._streams: set[anyio.abc.SocketStream] = set()
         self.mode = Mode.PASS
 
@@ -72,7 +72,7 @@
                 _reset(client)
                 return
             try:
-                server = await anyio.connect_tcp(HOST, self._target)
+                server = await anyio.connect_tcp(HOST, self._target_port)
             except OSError:
                 _reset(client)
                 return
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -33,8 +33,8 @@
 from crowdeck.standin import repeats
 
 ROOT = pathlib.Path(__file__).parent.parent.parent
-START_SECONDS = 30.0
-# Time from the end of the last fault until all requests are served again.
+START_TIMEOUT_SECONDS = 30.0
+# Maximum time from the end of the last fault until all requests are served.
 RECOVERY_SECONDS = 8.0
 # Additional recovery time if a writer corrupted the lease: nobody may take it
 # for one lease duration, and engines get no layers meanwhile.
@@ -53,7 +53,7 @@
     callers_module.ONCE_PATH,
 )
 
-Spec = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
 
 @attrs.frozen
@@ -65,8 +65,8 @@
 
     :ivar seconds: time during which faults are injected.
     :ivar fault_pause_seconds: mean time between two faults, which may overlap.
-    :ivar sends_crashing: whether a caller sends a request that crashes each
-        engine it runs at.
+    :ivar sends_crashing_request: whether a caller sends a request that crashes
+        each engine it runs at.
     :ivar restores: whether the store is restored from older backups.
     :ivar has_backpressure: whether instances set limits, ask for back-off and
         announce in answers that they leave.
@@ -84,7 +84,7 @@
     engines: int = 6
     callers: int = 6
     fault_pause_seconds: float = 0.7
-    sends_crashing: bool = True
+    sends_crashing_request: bool = True
     restores: bool = False
     has_backpressure: bool = False
     peers: bool = False
@@ -128,7 +128,7 @@
         )
         self._store_port = next(ports)
         self._control = controls.Control(next(ports))
-        self._upstreams: list[Spec] = [
+        self._upstreams: list[JsonObject] = [
             {
                 "name": f"u{number}",
                 "service": "model" if number < options.engines else "plain",
@@ -197,7 +197,7 @@
             )
             for _ in range(self._options.callers):
                 tasks.start_soon(self.callers.run, caller_pause_seconds)
-            if self._options.sends_crashing and not allowance:
+            if self._options.sends_crashing_request and not allowance:
                 await self._control.do(
                     "ending", body=callers_module.CRASHING_BODY
                 )
@@ -282,16 +282,16 @@
         )
         stack.push_async_callback(entries_module.kill, process)
         assert process.stdout is not None
-        with anyio.fail_after(START_SECONDS):
+        with anyio.fail_after(START_TIMEOUT_SECONDS):
             await process.stdout.receive()
 
     async def _wait_until_served(self) -> None:
-        with anyio.fail_after(START_SECONDS):
+        with anyio.fail_after(START_TIMEOUT_SECONDS):
             while not await self._serves_all():
                 await anyio.sleep(0.3)
 
     async def _serves_all(self) -> bool:
-        """Whether every entry serves a stream and a single call."""
+        """Whether all entries that callers use serve streams and calls."""
         served: list[bool] = []
         async with anyio.create_task_group() as tasks:
             for port in self.callers.ports:
@@ -334,7 +334,7 @@
             return []
         return [
             f"expected at most {callers_module.CRASH_LIMIT} engines to crash "
-            f"on one request, found {crash_count}"
+            f"on the crashing request, found {crash_count}"
         ]
 
     async def _inject_faults(self) -> None:
@@ -372,7 +372,7 @@
             self._store_faults.fail_store,
             self._engine_faults.fail_engine,
             self._engine_faults.fail_engine,
-            self._engine_faults.harm_engine,
+            self._engine_faults.lose_answers_or_reject,
             self._change_config,
             self._store_faults.write_foreign,
         )
--- a/bench/soak/standin_platform.py
+++ b/bench/soak/standin_platform.py
@@ -44,19 +44,19 @@
 # More requests than a seed sends.
 UNLIMITED = 10**6
 
-Spec = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
 
 class StandinPlatform:
     """Store, engines and plain services, and their control port."""
 
-    def __init__(self, spec: Spec) -> None:
+    def __init__(self, spec: JsonObject) -> None:
         self._spec = spec
         self._store = standin_store.StandinStore()
         self._fleet = chain_fleet.ChainFleet()
         self._fleet.event_seconds = EVENT_SECONDS
         self._restart_count = 0
-        self._config: Spec = spec["config"]
+        self._config: JsonObject = spec["config"]
         self._backups: collections.deque[standin_store.Backup] = (
             collections.deque(maxlen=BACKUPS_KEPT)
         )
@@ -87,7 +87,7 @@
             print("ready", flush=True)
 
     async def _add_upstream(
-        self, upstream_spec: Spec, tasks: anyio.abc.TaskGroup
+        self, upstream_spec: JsonObject, tasks: anyio.abc.TaskGroup
     ) -> None:
         listed = chain.Upstream(
             name=upstream_spec["name"],
@@ -126,7 +126,7 @@
         await anyio.sleep(REWRITE_SECONDS)
         self._put_config(self._config)
 
-    def _put_config(self, body: Spec) -> None:
+    def _put_config(self, body: JsonObject) -> None:
         self._config = body
         self._store.write(
             names.CONFIG_KIND, names.CONFIG_NAME, orjson.dumps(body)
@@ -151,10 +151,10 @@
             self._fleet.crashing_bodies.add(command["body"].encode())
         else:
             target = self._fleet.upstreams[command["upstream"]]
-            self._apply_fault(name, target, float(command.get("value", 0.0)))
+            self._apply_command(name, target, float(command.get("value", 0.0)))
         return responses.Response()
 
-    def _apply_fault(
+    def _apply_command(
         self, name: str, target: chain_fleet.StandinUpstream, value: float
     ) -> None:
         if name == "dark":
--- a/bench/soak/store_faults.py
+++ b/bench/soak/store_faults.py
@@ -13,7 +13,7 @@
 from bench.soak import control as controls
 from bench.soak import proxy as proxies
 
-# Mean time between two restores of the store.
+# Mean time from the end of one restore to the start of the next.
 RESTORE_PAUSE_SECONDS = 2.0
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -69,16 +69,16 @@
 class TestBudget:
     """The retry budget of a service, over all entries and processes."""
 
-    SENT = 20
+    REQUEST_COUNT = 20
     # 0.05 repeats for each of 20 requests, and 40 more.
-    ALLOWED = 41
+    ALLOWED_REPEATS = 41
 
     def is_over(self, repeats: int, is_sent: bool = True) -> bool:
         outcomes = [
             callers.Outcome(
                 f"q{number}", callers.ONCE_PATH, "key", 0.1, is_sent=is_sent
             )
-            for number in range(self.SENT)
+            for number in range(self.REQUEST_COUNT)
         ]
         arrivals = {f"q{number}": [0.2, 0.3] for number in range(repeats)}
         (found,) = budget.find_peaks(
@@ -87,13 +87,13 @@
         return found.peak.is_over
 
     def test_allowed_repeats_are_within_budget(self) -> None:
-        assert not self.is_over(self.ALLOWED)
+        assert not self.is_over(self.ALLOWED_REPEATS)
 
     def test_one_repeat_more_is_over_budget(self) -> None:
-        assert self.is_over(self.ALLOWED + 1)
+        assert self.is_over(self.ALLOWED_REPEATS + 1)
 
     def test_unsent_requests_add_no_budget(self) -> None:
-        assert self.is_over(self.ALLOWED, is_sent=False)
+        assert self.is_over(self.ALLOWED_REPEATS, is_sent=False)
 
 
 class TestCallerChecks:
