--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -38,18 +38,19 @@
     """Return the specification of a system of 3 stages and 3 entries.
 
     :param policy: routing policy of the entries.
-    :param engines: number of engines, rounded down to a multiple of 12.
+    :param engines: number of engines, rounded down to a multiple of 12, at
+        least 12.
     """
     step_time_ratios = {"a": 1.0, "b": 1.5, "c": 2.0}
     if scenarios.find(scenario).has_mixed_speeds:
         step_time_ratios = {"a": 1.0, "b": 2.5, "c": 5.0}
-    names = "abcb" * max(1, engines // 12)
+    kind_names = "abcb" * max(1, engines // 12)
     gap_seconds = reports.TOKEN_GAP_TARGET_SECONDS
     return fleets.FleetSpec(
         stage_count=3,
         kinds=tuple(
             fleets.make_kind(name, step_time_ratios[name], STEP_TIME_FACTOR)
-            for name in names
+            for name in kind_names
         ),
         entry_count=3,
         service_count=2,
@@ -93,7 +94,7 @@
     bound_tokens_per_second = throughput_bound(spec)
     faults = scenarios.FaultLog()
     with fleets.Fleet(spec) as fleet:
-        control = _measure_control(fleet)
+        idle_overhead = _measure_idle_overhead(fleet)
         requests_per_second = (
             rate or scenario.load * bound_tokens_per_second / loads.MEAN_TOKENS
         )
@@ -114,14 +115,14 @@
             execution_counts=fleet.execution_counts(),
             sequence_starts=fleet.sequence_starts(),
             faults=faults,
-            control_bytes_per_s=control[0],
-            control_core_share=control[1],
+            control_bytes_per_s=idle_overhead[0],
+            control_core_share=idle_overhead[1],
             retries=fleet.counter_sum("drive.retried"),
         )
     return reports.compute_metrics(record)
 
 
-def _measure_control(fleet: fleets.Fleet) -> tuple[float, float]:
+def _measure_idle_overhead(fleet: fleets.Fleet) -> tuple[float, float]:
     """Return the mean use of resources by an idle daemon.
 
     These are its loopback traffic in bytes a second, and its share of a core.
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -309,9 +309,9 @@
         return child
 
     def _wait_ready(self) -> None:
-        until = time.monotonic() + START_TIMEOUT_SECONDS
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         min_usable = len(self._upstream_ports)
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             if all(self._is_ready(url, min_usable) for url in self.entry_urls):
                 return
             time.sleep(0.2)
@@ -328,9 +328,9 @@
         except (OSError, ValueError, KeyError):
             return False
 
-    def signal(self, name: str, number: int) -> None:
+    def signal(self, name: str, signal_number: int) -> None:
         """Send a signal to a process of this system."""
-        self.children[name].process.send_signal(number)
+        self.children[name].process.send_signal(signal_number)
 
     @property
     def daemon_names(self) -> list[str]:
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -36,7 +36,7 @@
 # Requests of an entry count towards the bound only when this time has passed
 # since its first answer with a limit.
 ENTRY_GRACE_SECONDS = 0.5
-ANSWER_SECONDS = 0.05
+ANSWER_DELAY_SECONDS = 0.05
 # Times from the start of the simulation.
 ANNOUNCED_AT_SECONDS = 5.0
 SIMULATED_SECONDS = 60.0
@@ -179,10 +179,12 @@
             count_from_seconds, entry.limit_known_at + ENTRY_GRACE_SECONDS
         ):
             self._counted_times.append(now)
-        self._schedule(now + ANSWER_SECONDS, lambda: self._on_answer(entry))
+        self._schedule(
+            now + ANSWER_DELAY_SECONDS, lambda: self._on_answer(entry)
+        )
         duration = self._random.expovariate(1.0 / self._case.request_seconds)
         self._schedule(
-            now + ANSWER_SECONDS + duration, lambda: self._on_end(entry)
+            now + ANSWER_DELAY_SECONDS + duration, lambda: self._on_end(entry)
         )
 
     def _on_answer(self, entry: _Entry) -> None:
@@ -246,7 +248,8 @@
             used = statistics.fmean(result.used_ratio for result in results)
             over = sum(1 for result in results if result.peak_ratio > 1.0)
             columns.append(
-                f"{mode} {used:4.2f} used, {peak:4.2f} most, {over} over"
+                f"{mode} {used:4.2f} of the limit used, "
+                f"peak {peak:4.2f}, {over} seeds over"
             )
         print(case, "|", " | ".join(columns), flush=True)
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -105,9 +105,9 @@
     async def run(self, seconds: float) -> None:
         """Send requests for some seconds, then wait until all have ended."""
         async with anyio.create_task_group() as tasks:
-            until = time.monotonic() + seconds
+            ends_at = time.monotonic() + seconds
             send_at = time.monotonic()
-            while send_at < until:
+            while send_at < ends_at:
                 send_at += self._random.expovariate(self._requests_per_second)
                 await anyio.sleep(max(0.0, send_at - time.monotonic()))
                 self._start_requests(tasks)
@@ -198,6 +198,7 @@
         data = event[data_start + 6 :]
         if data.startswith(b"[DONE]"):
             return True
+        # An error event begins with its only field.
         if b'"error"' in data[:9]:
             error = orjson.loads(data)["error"]
             answer.code, answer.verdict = error["code"], error["verdict"]
--- a/bench/paths.py
+++ b/bench/paths.py
@@ -55,7 +55,10 @@
 
 
 def make_fleet(count: int, seed: int = 1) -> list[chain.Upstream]:
-    """Return engines whose ranges cover the model in every zone."""
+    """Return engines whose ranges cover the model in every zone.
+
+    A small ``count`` leaves some layers without an engine.
+    """
     rng = random.Random(seed)
     weights = [weight for weight, _, _ in CARDS]
     engines: list[chain.Upstream] = []
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -8,9 +8,9 @@
 Run as ``python -m bench.placement``. Path planning, usage estimates and
 placement are the code that entries run in production; an engine is simulated
 only by its step time. Streams arrive at random and end after their last token,
-in virtual time. The fleets are those of ``fleets.toml`` and random ones, so
-that a layout is not fitted to a few known fleets. All layouts are simulated
-with the same seeds.
+at simulated times; the clock that usage estimates read does not advance. The
+fleets are those of ``fleets.toml`` and random ones, so that a layout is not
+fitted to a few known fleets. All layouts are simulated with the same seeds.
 """
 
 import argparse
@@ -176,7 +176,9 @@
     return counts
 
 
-def place_in_tiers(engines: Engines, profile: chain.EngineProfile) -> Engines:
+def place_as_controller(
+    engines: Engines, profile: chain.EngineProfile
+) -> Engines:
     """Place layers with the moves that the placement controller orders."""
     moves = plan.next_moves(engines, profile, lambda _: True)
     layout = {move.upstream.name: move.layers for move in moves}
@@ -212,7 +214,7 @@
 
 PLACEMENT_FUNCTIONS: dict[str, PlacementFunction] = {
     "together": place_as_one_group,
-    "tiers": place_in_tiers,
+    "tiers": place_as_controller,
 }
 
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -204,8 +204,8 @@
         ]
         if not before:
             continue
-        # Single buckets vary, so the threshold is the 10th percentile of the
-        # buckets before the fault.
+        # Single buckets vary, so the threshold is RECOVERED_SHARE of the 10th
+        # percentile of the buckets before the fault.
         threshold = sorted(before)[len(before) // 10] * RECOVERED_SHARE
         recovery_seconds.append(
             _seconds_below(
@@ -288,11 +288,11 @@
     return round(served / max(1, len(small)), 4)
 
 
-def _p95(values: list[float]) -> float:
+def _p95(seconds: list[float]) -> float:
     microseconds = histogram.HdrHistogram(1, 600_000_000, 3)
-    for value in values:
+    for value in seconds:
         microseconds.record_value(max(1, int(value * 1e6)))
-    if not values:
+    if not seconds:
         return 0.0
     return round(microseconds.get_value_at_percentile(95) / 1e6, 4)
 
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -74,14 +74,14 @@
         fleet.deregister(name)
 
 
-async def kill_stage(
+async def kill_middle_sidecar(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
     """Kill the sidecar of an engine of a middle stage."""
     await _kill(fleet, ["engine-1-0"], seconds, log)
 
 
-async def kill_head(
+async def kill_head_sidecar(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
     """Kill the sidecar of an engine of the first stage."""
@@ -107,7 +107,7 @@
     await _kill(fleet, names, seconds, log)
 
 
-async def slow_down_stage(
+async def slow_middle_engine(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
     """Make an engine five times slower for a while."""
@@ -118,7 +118,7 @@
     fleet.slow_engine("engine-1-0", 1.0)
 
 
-async def freeze_stage(
+async def freeze_middle_sidecar(
     fleet: fleets.Fleet, seconds: float, log: FaultLog
 ) -> None:
     """Pause the sidecar of an engine of a middle stage for a while."""
@@ -166,11 +166,11 @@
         Scenario("steady", load=0.95),
         Scenario("peak", load=2.0),
         Scenario("mixed_links", load=0.8, has_mixed_speeds=True),
-        Scenario("stage_death", faults=(kill_stage,)),
-        Scenario("head_death", faults=(kill_head,)),
+        Scenario("stage_death", faults=(kill_middle_sidecar,)),
+        Scenario("head_death", faults=(kill_head_sidecar,)),
         Scenario("entry_death", faults=(kill_entry,)),
-        Scenario("slow_stage", faults=(slow_down_stage,)),
-        Scenario("frozen_stage", faults=(freeze_stage,)),
+        Scenario("slow_stage", faults=(slow_middle_engine,)),
+        Scenario("frozen_stage", faults=(freeze_middle_sidecar,)),
         Scenario("store_outage", faults=(freeze_store,)),
         Scenario("rolling_replace", faults=(replace_instances,)),
         Scenario("availability_zone_loss", load=0.4, faults=(kill_zone,)),
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -33,7 +33,7 @@
     return math.sqrt((members - 1) / (members * points + 1))
 
 
-def variation(counts: list[int]) -> float:
+def coefficient_of_variation(counts: list[int]) -> float:
     """Return the coefficient of variation."""
     return statistics.pstdev(counts) / statistics.mean(counts)
 
@@ -52,7 +52,7 @@
             positions, xxhash.xxh3_64_intdigest(key.encode())
         )
         counts[ring[index % len(ring)][1]] += 1
-    return variation(counts)
+    return coefficient_of_variation(counts)
 
 
 def measure_rendezvous(members: int, keys: list[str]) -> tuple[float, float]:
@@ -63,7 +63,9 @@
     for key in keys:
         counts[max(names, key=lambda name: rendezvous.score(key, name))] += 1
     elapsed = time.perf_counter() - started
-    return variation(list(counts.values())), elapsed / len(keys) * 1e6
+    return coefficient_of_variation(list(counts.values())), elapsed / len(
+        keys
+    ) * 1e6
 
 
 def main() -> None:
--- a/tests/test_tiers.py
+++ b/tests/test_tiers.py
@@ -22,7 +22,7 @@
 
 
 def in_tiers(fleet: list[chain.Upstream]) -> list[chain.Upstream]:
-    return placement.place_in_tiers(fleet, PROFILE)
+    return placement.place_as_controller(fleet, PROFILE)
 
 
 def held_by(fleet: list[chain.Upstream], zone: str, *cards: str) -> list[int]:
@@ -52,7 +52,7 @@
     def test_too_few_fast_cards_form_no_tier(self) -> None:
         few = FLEETS["few_quick"]
         engines = list(few.engines)
-        assert placement.place_in_tiers(
+        assert placement.place_as_controller(
             engines, few.profile
         ) == placement.place_as_one_group(engines, few.profile)
 
@@ -133,7 +133,7 @@
         # and the loss of an engine would interrupt more streams.
         fleet = placement.random_fleet(6)
         engines = list(fleet.engines)
-        assert placement.place_in_tiers(
+        assert placement.place_as_controller(
             engines, fleet.profile
         ) == placement.place_as_one_group(engines, fleet.profile)
 
@@ -143,7 +143,7 @@
     ) -> None:
         fleet = placement.random_fleet(seed)
         before = placement.simulate(fleet, placement.place_as_one_group)
-        after = placement.simulate(fleet, placement.place_in_tiers)
+        after = placement.simulate(fleet, placement.place_as_controller)
         assert after.cut <= 1.08 * before.cut
         assert after.refused <= before.refused + 0.01
 
@@ -173,7 +173,7 @@
             MIXED_FLEET, placement.place_as_one_group, rate_factor=rate_factor
         )
         after = placement.simulate(
-            MIXED_FLEET, placement.place_in_tiers, rate_factor=rate_factor
+            MIXED_FLEET, placement.place_as_controller, rate_factor=rate_factor
         )
         assert after.refused == 0
         assert after.token_ms < 0.88 * before.token_ms
@@ -182,6 +182,6 @@
     def test_no_stream_is_refused_at_twice_the_load(self) -> None:
         # Streams that do not fit on the fast cards go to the slower ones.
         after = placement.simulate(
-            MIXED_FLEET, placement.place_in_tiers, rate_factor=2.0
+            MIXED_FLEET, placement.place_as_controller, rate_factor=2.0
         )
         assert after.refused == 0
