--- a/spec/attempts.py
+++ b/spec/attempts.py
@@ -28,9 +28,9 @@
     """Entry, both stages, messages in flight, and what each stage has run.
 
     ``epoch`` is the entry's current attempt, ``opened`` the position at which
-    each attempt began. ``head`` and ``tail`` hold the epoch and the position
-    that the first and the last stage expect next. ``runs`` holds (epoch,
-    position, stage) once for each run.
+    each attempt began. ``head`` and ``tail`` hold the epoch that the first
+    and the last stage last accepted and the position that they run next.
+    ``runs`` holds (epoch, position, stage) once for each run.
     """
 
     epoch: int = 0
@@ -118,6 +118,7 @@
             case "answer":
                 return self._answer(state, epoch, position, protections)
             case "early token":
+                # If accepted, it is handled like a token.
                 if LAST_LAYER_ONLY in protections:
                     return state
         return self._token(state, epoch, position, protections, token_count)
@@ -159,10 +160,13 @@
         protections: frozenset[str],
         token_count: int,
     ) -> State:
-        head_epoch, expected = state.head
+        head_epoch, next_position = state.head
         if epoch != head_epoch and REFUSES_OTHER_EPOCHS in protections:
             return state
-        if position != expected - 1 and REFUSES_OTHER_POSITIONS in protections:
+        if (
+            position != next_position - 1
+            and REFUSES_OTHER_POSITIONS in protections
+        ):
             return state
         in_flight = state.in_flight | {("answer", epoch, position)}
         after = state._replace(in_flight=in_flight)
--- a/spec/copies.py
+++ b/spec/copies.py
@@ -21,8 +21,8 @@
     """What one entry knows.
 
     ``config_learned_at`` is the version of the store at which it learned its
-    config. ``is_confirmed`` holds from an answer until the operator writes
-    the next config: the entry takes its copy for current.
+    config. ``is_confirmed``: the entry has got an answer since the operator
+    last wrote a config, so it treats its copy as current.
     """
 
     epoch: int = 0
@@ -69,8 +69,8 @@
         if state.version < limit:
             if state.newest_config < limit:
                 found.append(("the operator writes", _write_config(state)))
-            other = state._replace(version=state.version + 1)
-            found.append(("something else is written", other))
+            after_other_write = state._replace(version=state.version + 1)
+            found.append(("something else is written", after_other_write))
         backup = (state.version, state.config_version, state.config)
         found.append(("the store is backed up", state._replace(backup=backup)))
         if state.epoch < 1:
@@ -123,9 +123,9 @@
 
 def _watch(state: State, copy: Copy, protections: frozenset[str]) -> Copy:
     """Read changes from the store, or all of it where it has no history."""
-    is_other = copy.epoch != state.epoch and STORE_EPOCH in protections
+    is_other_epoch = copy.epoch != state.epoch and STORE_EPOCH in protections
     config = max(copy.config, state.config)
-    if is_other or copy.version > state.version:
+    if is_other_epoch or copy.version > state.version:
         version = state.version
         return Copy(state.epoch, version, version, config, True)
     if state.config_version <= copy.version:
--- a/spec/corrupted_leases.py
+++ b/spec/corrupted_leases.py
@@ -43,9 +43,9 @@
 # to remain the holder until it acts again.
 HOLD_STEPS = 1
 UNPAUSED_HOLD_STEPS = 2
-# Most time steps without a holder: a lease duration until others take the
-# lease of a crashed holder, one step until the corruption is read, and a lease
-# duration until the next object may be taken.
+# Maximum number of time steps without a holder: a lease duration until others
+# take the lease of a crashed holder, one step until the corruption is read,
+# and a lease duration until the next object may be taken.
 IDLE_LIMIT_STEPS = 2 * (UNPAUSED_HOLD_STEPS + 1) + 1
 
 
@@ -59,7 +59,8 @@
     ``is_current``: nobody wrote the object since it was read, so a
     conditional write succeeds.
     ``hold_left``: time steps for which the process may still act.
-    ``unchanged_steps``: time steps since the object last changed.
+    ``unchanged_steps``: time steps since the process last read a change of
+    the object.
     ``wait_left``: time steps in which it must not take the lease.
     ``took_lease_here``: it took the lease in this object.
     ``next_object``: what it knows of the next object.
@@ -100,9 +101,9 @@
 class CorruptedLeases:
     """Safety: processes may pause at any time; another writer interferes.
 
-    The other writer corrupts an object, and either writes an old holder back
-    or removes an object, never both: a closed object that is written back is
-    ignored only while the next object exists.
+    The other writer corrupts an object, and either overwrites an object with
+    an old holder or removes an object, but not both: with the next object
+    removed, a closed object that is overwritten would be used again.
     """
 
     name = "corrupted leases"
@@ -238,13 +239,16 @@
                 corruptions_left=state.corruptions_left - 1
             )
             found.append((f"object {object_index} is corrupted", corrupted))
+        # Not after a removal, see CorruptedLeases.
         if state.old_writes_left and state.removals_left:
-            copied = _write_object(state, object_index, GONE)
-            copied = copied._replace(old_writes_left=state.old_writes_left - 1)
+            overwritten = _write_object(state, object_index, GONE)
+            overwritten = overwritten._replace(
+                old_writes_left=state.old_writes_left - 1
+            )
             found.append(
                 (
                     f"object {object_index} is overwritten by an old holder",
-                    copied,
+                    overwritten,
                 )
             )
         # To a process that has not seen the object, a removed object is the
@@ -267,10 +271,10 @@
     if not process.has_read:
         return []
     is_last = process.object_index == len(state.objects) - 1
-    is_corrupted = process.known_content in (CORRUPTED, CLOSED) and not is_last
+    must_move_on = process.known_content in (CORRUPTED, CLOSED) and not is_last
     if process.known_content == CORRUPTED and MOVES_ON not in protections:
-        is_corrupted = False
-    if not is_corrupted:
+        must_move_on = False
+    if not must_move_on:
         if process.hold_left and process.took_lease_here:
             return [(f"{number} renews", _write(state, number, protections))]
         if not _may_take(process, number, state.hold_steps + 1):
--- a/spec/leases.py
+++ b/spec/leases.py
@@ -23,17 +23,17 @@
 
     The guard is the process that checks fencing tokens. ``holder_tokens`` are
     those under which the holders believe that they hold the lease, 0 for none;
-    a paused holder does not notice that its lease lapsed. ``applied`` is the
-    highest token of an order that took effect; ``reverted`` tells whether an
-    order with a lower token took effect later.
+    a paused holder does not notice that its lease lapsed. ``applied_token``
+    is the highest token of an order that took effect; ``reverted`` tells
+    whether an order with a lower token took effect later.
     """
 
     lease_token: int = 0
     holder_tokens: tuple[int, ...] = (0,) * HOLDERS
     guard_token: int = 0
     is_guard_ready: bool = True
-    has_replaced: bool = False
-    applied: int = 0
+    is_guard_replaced: bool = False
+    applied_token: int = 0
     reverted: bool = False
 
 
@@ -67,7 +67,7 @@
                     state, state.holder_tokens[holder], protections
                 )
                 found.append((f"{holder} orders", after))
-        if not state.has_replaced:
+        if not state.is_guard_replaced:
             found.append(("replace the guard", self._replace_guard(state)))
         if not state.is_guard_ready:
             guard_token = (
@@ -81,7 +81,7 @@
 
     def _replace_guard(self, state: State) -> State:
         return state._replace(
-            has_replaced=True, guard_token=0, is_guard_ready=False
+            is_guard_replaced=True, guard_token=0, is_guard_ready=False
         )
 
     def _order(
@@ -91,8 +91,8 @@
             return state
         return state._replace(
             guard_token=max(state.guard_token, token),
-            applied=max(state.applied, token),
-            reverted=state.reverted or token < state.applied,
+            applied_token=max(state.applied_token, token),
+            reverted=state.reverted or token < state.applied_token,
         )
 
     def invariants(self) -> dict[str, abc.Callable[[State], bool]]:
--- a/spec/orders.py
+++ b/spec/orders.py
@@ -125,7 +125,7 @@
     def _late_order_transitions(
         self, state: State, engine: int, protections: frozenset[str]
     ) -> list[model.Transition]:
-        """Return what may become of an unanswered order."""
+        """Return the transitions of an unanswered order."""
         found: list[model.Transition] = []
         is_resolved = state.unanswered_counts[engine] == NONE
         if not is_resolved:
--- a/spec/rearrangements.py
+++ b/spec/rearrangements.py
@@ -118,7 +118,7 @@
     def _order_transitions(
         self, state: State, engine: int, protections: frozenset[str]
     ) -> list[model.Transition]:
-        """Return what may become of an engine's order."""
+        """Return the transitions of an engine's order."""
         target = state.ordered_layers[engine]
         found: list[model.Transition] = []
         if target is not None:
@@ -228,7 +228,7 @@
     )
 
 
-def _expected(state: State) -> tuple[Layers, ...]:
+def _expected_layers(state: State) -> tuple[Layers, ...]:
     """Return what the controller expects the engines to hold."""
     return tuple(
         target if is_awaited and target is not None else held
@@ -256,11 +256,11 @@
             state.alive, state.ordered_layers, strict=True
         )
     )
-    return _cheapest(_expected(state), is_free)
+    return _cheapest_layouts(_expected_layers(state), is_free)
 
 
 @functools.cache
-def _cheapest(
+def _cheapest_layouts(
     expected: tuple[Layers, ...], is_free: tuple[bool, ...]
 ) -> tuple[tuple[Layers, ...], ...]:
     choices = [
@@ -268,7 +268,7 @@
         for engine, held in enumerate(expected)
     ]
     best: list[tuple[Layers, ...]] = []
-    least = LAYER_COUNT * ENGINES
+    lowest_cost = LAYER_COUNT * ENGINES
     for layout in itertools.product(*choices):
         if len(NO_LAYERS.union(*layout)) < LAYER_COUNT:
             continue
@@ -276,9 +276,9 @@
             len(after - before)
             for before, after in zip(expected, layout, strict=True)
         )
-        if cost < least:
-            best, least = [], cost
-        if cost == least:
+        if cost < lowest_cost:
+            best, lowest_cost = [], cost
+        if cost == lowest_cost:
             best.append(layout)
     return tuple(best)
 
@@ -287,12 +287,12 @@
     state: State, protections: frozenset[str]
 ) -> list[tuple[int, Layers]]:
     """Return the orders that the controller may send now."""
-    if len(NO_LAYERS.union(*_expected(state))) == LAYER_COUNT:
+    if len(NO_LAYERS.union(*_expected_layers(state))) == LAYER_COUNT:
         return []
     found = set()
     for layout in _layouts(state):
         for engine, target in enumerate(layout):
-            if target != _expected(state)[engine] and _may_drop(
+            if target != _expected_layers(state)[engine] and _may_drop(
                 state, layout, engine, protections
             ):
                 found.add((engine, target))
--- a/spec/restored_leases.py
+++ b/spec/restored_leases.py
@@ -68,7 +68,7 @@
 
     ``is_term_reused`` tells whether a holder took a term that is not
     higher than all earlier ones; ``has_restarted`` whether a process
-    restarted, which makes the fleet an existing one to a new process.
+    restarted, so that a process that starts now joins an existing fleet.
     """
 
     epoch: int = 0
@@ -214,19 +214,20 @@
         else 0
     )
     term = process.known.term
-    needs_new_term = process.known.holder != number or term <= floor
-    if needs_new_term and not process.hold_left:
+    lacks_current_term = process.known.holder != number or term <= floor
+    if lacks_current_term and not process.hold_left:
         leaves_room = term <= floor and TERMS_INCLUDE_VERSION in protections
         increment = max(1, process.known.version) if leaves_room else 1
         term = max(term, floor) + increment
-    elif needs_new_term:
-        # The holder rewrites its lease and keeps its term.
+    elif lacks_current_term:
+        # The holder's term is the highest; it keeps it when it writes its
+        # lease again after a restore.
         term = state.highest_term
     stored = Stored(state.stored.version + 1, number, term)
     after = state._replace(stored=stored)
     if process.epoch != state.epoch and DISREGARDS_OTHER_EPOCHS in protections:
         return _with_process(after, number, _read(after, process, protections))
-    takes_new_term = needs_new_term and not process.hold_left
+    takes_new_term = lacks_current_term and not process.hold_left
     after = after._replace(
         highest_term=max(state.highest_term, term),
         is_term_reused=state.is_term_reused
--- a/spec/seals.py
+++ b/spec/seals.py
@@ -21,9 +21,9 @@
     """The call, the sidecar's gate, and what the entry knows.
 
     ``call_phase``: ``unsent``, ``in flight``, ``gone``, ``refused`` or
-    ``ran``. ``entry_phase``: ``idle``, ``waiting``, ``lost`` (its link is),
-    ``answered``, ``not run`` or ``may have run``. ``is_recorded`` tells
-    whether the gate has a record that the call ran.
+    ``ran``. ``entry_phase``: ``idle``, ``waiting``, ``lost`` (its link was
+    lost), ``answered``, ``not run`` or ``may have run``. ``is_recorded``
+    tells whether the gate has a record that the call ran.
     """
 
     call_phase: str = "unsent"
--- a/spec/turns.py
+++ b/spec/turns.py
@@ -25,15 +25,15 @@
 
 
 class State(typing.NamedTuple):
-    """The turn holders at both homes, and each entry's phase and view.
+    """The turn holders at both homes, and each entry's phase.
 
     ``noticed`` tells which entries know that the old home crashed.
     """
 
-    is_alive: bool = True
+    is_old_home_alive: bool = True
     old_holder: int = NOBODY
     new_holder: int = NOBODY
-    has_waited: bool = False
+    has_new_home_waited: bool = False
     phases: tuple[str, ...] = ("idle",) * FULL_ENTRIES
     noticed: tuple[bool, ...] = (False,) * FULL_ENTRIES
 
@@ -57,12 +57,12 @@
         """Return the transitions that are enabled in a state."""
         entries = range(FULL_ENTRIES if is_full else ENTRIES)
         found: list[model.Transition] = []
-        if state.is_alive:
-            died = state._replace(is_alive=False, old_holder=NOBODY)
+        if state.is_old_home_alive:
+            died = state._replace(is_old_home_alive=False, old_holder=NOBODY)
             found.append(("the home crashes", died))
-        if not state.is_alive and not state.has_waited:
+        if not state.is_old_home_alive and not state.has_new_home_waited:
             if all(state.noticed[entry] for entry in entries):
-                waited = state._replace(has_waited=True)
+                waited = state._replace(has_new_home_waited=True)
                 found.append(("the new home has waited", waited))
         for entry in entries:
             found += self._entry_transitions(state, entry, protections)
@@ -76,7 +76,7 @@
             found += self._grant(state, entry, protections)
         if state.phases[entry] == "running":
             found.append((f"{entry} ends", self._end(state, entry)))
-        if not state.is_alive and not state.noticed[entry]:
+        if not state.is_old_home_alive and not state.noticed[entry]:
             found.append(
                 (f"{entry} notices", self._notice(state, entry, protections))
             )
@@ -88,7 +88,7 @@
         is_single = ONE_HOLDER in protections
         if not state.noticed[entry]:
             is_free = state.old_holder == NOBODY or not is_single
-            if state.is_alive and is_free:
+            if state.is_old_home_alive and is_free:
                 granted = _with_phase(state, entry, "running")._replace(
                     old_holder=entry
                 )
@@ -96,7 +96,7 @@
             return []
         is_free = state.new_holder == NOBODY or not is_single
         if is_free and (
-            state.has_waited or WAITS_FOR_NOTICE not in protections
+            state.has_new_home_waited or WAITS_FOR_NOTICE not in protections
         ):
             granted = _with_phase(state, entry, "running")._replace(
                 new_holder=entry
