--- a/examples/claim_a_key.py
+++ b/examples/claim_a_key.py
@@ -38,11 +38,11 @@
 
 async def main() -> None:
     """Claim the same key from the ledgers of two workers."""
-    shared = store.StandinStore()
+    shared_store = store.StandinStore()
     async with anyio.create_task_group() as tasks:
         for name in ("left", "right"):
             ledger = crowdeck.ClaimsLedger(
-                shared, timers.LoopClock(), time.time
+                shared_store, timers.LoopClock(), time.time
             )
             tasks.start_soon(work, name, ledger)
 
--- a/examples/seal_a_call.py
+++ b/examples/seal_a_call.py
@@ -3,7 +3,7 @@
 # Copyright the crowdeck maintainers and contributors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Find out from the gate whether a call ran after its reply was lost.
+"""After the reply to a call is lost, ask the gate whether the call ran.
 
 Run it with ``python examples/seal_a_call.py``.
 """
@@ -13,7 +13,7 @@
 import crowdeck
 
 
-class WallClock:
+class MonotonicClock:
     """A monotonic clock for the gate."""
 
     def now(self) -> float:
@@ -23,7 +23,7 @@
 
 def main() -> None:
     """Seal one call before it arrives, and one after it has run."""
-    gate = crowdeck.Gate(incarnation=7, clock=WallClock())
+    gate = crowdeck.Gate(incarnation=7, clock=MonotonicClock())
     print(
         "sealed before it arrived:", gate.seal("late-call", 0, incarnation=7)
     )
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -39,7 +39,7 @@
         ]
 
     def test_daemon_import_loads_no_sidecar_modules(self) -> None:
-        # Modules that a fleet entry does not need would delay its start.
+        # Modules that an entry with a fleet does not need delay its start.
         code = (
             "import sys; import crowdeck.cmd.daemon;"
             "print(*[m for m in sys.modules if m.startswith('crowdeck')])"
