--- a/src/crowdeck/standin/chain_fleet.py
+++ b/src/crowdeck/standin/chain_fleet.py
@@ -157,7 +157,7 @@
 class ChainFleet:
     """Stand-in upstreams by address, in one process.
 
-    :ivar rejected: number of rejections by upstream name.
+    :ivar rejection_counts: number of rejections by upstream name.
     :ivar repaths: ids of the requests that moved to another path.
     :ivar crashing_bodies: a request with one of these bodies crashes each
         upstream that begins it.
@@ -175,7 +175,7 @@
         self._upstreams: dict[str, StandinUpstream] = {}
         self._paths: dict[str, chain.ChainPath] = {}
         self.runs: list[Run] = []
-        self.rejected: collections.Counter[str] = collections.Counter()
+        self.rejection_counts: collections.Counter[str] = collections.Counter()
         self.repaths: list[str] = []
         self.crashing_bodies: set[bytes] = set()
         self.crashes: list[EngineCrash] = []
@@ -217,16 +217,16 @@
     ) -> typing.AsyncIterator[chain_answer.StandinAnswer]:
         """Send a request."""
         target = await self._dial(upstream, timeouts.connect_seconds)
-        await self._arrive(target, request)
+        await self._wait_until_read(target, request)
         is_replaced = target.listed.incarnation.id != upstream.incarnation.id
         if is_replaced or target.rejected_requests:
             target.rejected_requests = max(0, target.rejected_requests - 1)
-            self.rejected[target.listed.name] += 1
+            self.rejection_counts[target.listed.name] += 1
             yield self._rejection(target, request, 503, "")
             return
         culprit = self._find_misplaced_hop(dispatch.path)
         if culprit is not None:
-            self.rejected[target.listed.name] += 1
+            self.rejection_counts[target.listed.name] += 1
             yield self._rejection(target, request, 421, culprit)
             return
         self.runs.append(
@@ -310,7 +310,10 @@
     async def place(
         self, move: plan.Move, expected_orders: int, fencing_token: int
     ) -> bool:
-        """Order layers; implements ``placement.controller.OrderClient``.
+        """Order an engine to hold other layers.
+
+        Implements ``placement.controller.OrderClient``; the fencing token is
+        not checked.
 
         Returns whether the order was accepted.
         """
@@ -350,7 +353,7 @@
             raise _upstream_lost(verdicts.Verdict.NOT_RUN)
         return target
 
-    async def _arrive(
+    async def _wait_until_read(
         self, target: StandinUpstream, request: requests.CallerRequest
     ) -> None:
         """Wait until the instance reads a request, and record its arrival.
@@ -386,14 +389,14 @@
         """
         if path is None:
             return None
-        position = 0
+        next_layer = 0
         for hop in path.hops:
-            if hop.layers.first != position or not self._holds(hop):
+            if hop.layers.first != next_layer or not self._holds(hop):
                 return str(hop.upstream.address)
-            position = hop.layers.end
+            next_layer = hop.layers.end
         # No engine is at fault if the path ends before the last layer; the
         # address is one that no engine has.
-        return None if position == self._layer_count else "0.0.0.0:0"
+        return None if next_layer == self._layer_count else "0.0.0.0:0"
 
     def _holds(self, hop: chain.Hop) -> bool:
         target = self._upstreams.get(str(hop.upstream.address))
@@ -463,6 +466,7 @@
             if target.break_stream_after == sent:
                 if not target.breaks_every_stream:
                     target.break_stream_after = -1
+                # A broken stream ends within an event.
                 yield event(request.id, number)[:5]
                 raise _upstream_lost(verdicts.Verdict.MAY_HAVE_RUN)
             yield event(request.id, number)
@@ -523,8 +527,8 @@
         )
 
 
-class CallKind(enum.Enum):
-    """The kind of a message to an instance."""
+class MessageKind(enum.Enum):
+    """Kind of a message: a call, a question for a report, or a repath."""
 
     REQUEST = "request"
     QUESTION = "question"
@@ -541,7 +545,7 @@
     """
 
     upstream: str
-    kind: CallKind
+    kind: MessageKind
     sent_at: float
     request_arrived_at: float
 
@@ -570,7 +574,7 @@
         timeouts: http.Timeouts,
     ) -> typing.AsyncIterator[interfaces.Answer]:
         """Send a request."""
-        self._record(upstream, CallKind.REQUEST, request.arrived)
+        self._record(upstream, MessageKind.REQUEST, request.arrived)
         async with self._fleet.open(
             upstream, request, dispatch, timeouts
         ) as answer:
@@ -581,7 +585,7 @@
 
     async def report(self, upstream: chain.Upstream) -> chain.EngineReport:
         """Return an engine's report."""
-        self._record(upstream, CallKind.QUESTION)
+        self._record(upstream, MessageKind.QUESTION)
         report = await self._fleet.report(upstream)
         self._notify_backpressure(upstream)
         return report
@@ -590,7 +594,7 @@
         self, head: chain.Upstream, request_id: str, path: chain.ChainPath
     ) -> interfaces.RepathOutcome:
         """Move a running request to another path."""
-        self._record(head, CallKind.ORDER)
+        self._record(head, MessageKind.ORDER)
         outcome = await self._fleet.repath(head, request_id, path)
         self._notify_backpressure(head)
         return outcome
@@ -598,7 +602,7 @@
     def _record(
         self,
         upstream: chain.Upstream,
-        kind: CallKind,
+        kind: MessageKind,
         request_arrived_at: float = 0.0,
     ) -> None:
         now = anyio.current_time()
--- a/src/crowdeck/standin/chain_http.py
+++ b/src/crowdeck/standin/chain_http.py
@@ -62,7 +62,8 @@
             else:
                 await self._serve(scope, body, send)
         except errors.CrowdeckError:
-            # An instance that fails does not finish its response.
+            # The server answers with status 500, or cuts off a response that
+            # has started.
             return
 
     @property
@@ -74,7 +75,7 @@
         content = {
             names.ORDERS_TAKEN: report.orders_taken,
             names.BUSY: report.is_busy,
-            names.LAYERS: _layers(report.layers),
+            names.LAYERS: _layer_fields(report.layers),
             names.STALLED: [
                 {names.ID: stall.request, names.ADDRESS: stall.address}
                 for stall in report.stalls
@@ -86,7 +87,7 @@
 
     async def _order(self, order: Json, send: Send) -> None:
         if order[names.OPERATION] == names.REPATH:
-            path = self._path(order[names.PATH])
+            path = self._parse_path(order[names.PATH])
             outcome = await self._fleet.repath(
                 self._target.listed, order[names.ID], path
             )
@@ -122,12 +123,14 @@
             team=headers.get(names.TEAM, b"").decode(),
             priority=0,
             seconds_left=request.timeout_seconds or 0.0,
-            path=self._path(hops) if hops else None,
+            path=self._parse_path(hops) if hops else None,
             last_event_id=request.last_event_id,
         )
-        expected = headers[names.EXPECTED_INSTANCE].decode()
+        expected_instance = headers[names.EXPECTED_INSTANCE].decode()
         listed = attrs.evolve(
-            self._target.listed, name=expected, instance_id=expected
+            self._target.listed,
+            name=expected_instance,
+            instance_id=expected_instance,
         )
         async with self._fleet.open(
             listed, request, dispatch, CALL_TIMEOUTS
@@ -148,7 +151,7 @@
                 await _write(send, piece)
         await send({"type": "http.response.body", "body": b""})
 
-    def _path(self, text: str) -> chain.ChainPath:
+    def _parse_path(self, text: str) -> chain.ChainPath:
         hops = []
         for hop in text.split(","):
             address, _, layers = hop.partition("=")
@@ -166,11 +169,11 @@
     while True:
         for target in fleet.upstreams:
             if target.answers:
-                write_entry(target.listed, store)
+                write_upstream_object(target.listed, store)
         await anyio.sleep(HEARTBEAT_SECONDS)
 
 
-def write_entry(
+def write_upstream_object(
     listed: chain.Upstream, store: standin_store.StandinStore
 ) -> None:
     """Write the store object of an instance if it has changed."""
@@ -181,7 +184,7 @@
         names.SLOTS: listed.slots,
         names.STATE: names.STATE_DRAINING if listed.is_leaving else "ready",
         names.ACCELERATOR_TYPE: listed.card,
-        names.LAYERS: _layers(listed.layers),
+        names.LAYERS: _layer_fields(listed.layers),
         **_start_time_fields(listed.started_ms),
     }
     name = listed.incarnation.id
@@ -226,7 +229,7 @@
     return {names.STARTED_MS: started_ms} if started_ms else {}
 
 
-def _layers(layers: pipeline.LayerRange | None) -> Json | None:
+def _layer_fields(layers: pipeline.LayerRange | None) -> Json | None:
     if layers is None:
         return None
     return {names.FIRST_LAYER: layers.first, names.END_LAYER: layers.end}
--- a/src/crowdeck/standin/cluster.py
+++ b/src/crowdeck/standin/cluster.py
@@ -242,7 +242,7 @@
         return Member(name, process, running, scope)
 
     async def _wait_ready(self) -> None:
-        """Wait until each entry has a link to each sidecar."""
+        """Wait until each entry has settings and can use every sidecar."""
         expected_count = len(self.sidecars)
         for member in self.entries.values():
             entry = member.running.component
--- a/src/crowdeck/standin/engine.py
+++ b/src/crowdeck/standin/engine.py
@@ -28,7 +28,7 @@
     :ivar token_seconds: additional time for each sequence in a batch.
     :ivar prefill_token_seconds: additional time for each token of an input
         of more than one token.
-    :ivar batch_limit: most sequences in one batch.
+    :ivar batch_limit: maximum number of sequences in one batch.
     """
 
     batch_seconds: float = 0.001
@@ -36,13 +36,13 @@
     prefill_token_seconds: float = 0.00001
     batch_limit: int = 256
 
-    def step_seconds(self, batch: int) -> float:
+    def step_seconds(self, batch_size: int) -> float:
         """Return the time of a batch of decode steps."""
-        return self.batch_seconds + batch * self.token_seconds
+        return self.batch_seconds + batch_size * self.token_seconds
 
     @property
     def tokens_per_second(self) -> float:
-        """Most decode steps per second, reached with full batches."""
+        """Maximum decode steps per second, reached with full batches."""
         return self.batch_limit / self.step_seconds(self.batch_limit)
 
 
@@ -136,7 +136,7 @@
                 self._queue.popleft()
                 for _ in range(min(limit, len(self._queue)))
             ]
-            seconds = self._batch_duration(
+            seconds = self._batch_seconds(
                 tuple(queued_step.step for queued_step in batch)
             )
             await anyio.sleep(seconds * self.slowness)
@@ -170,13 +170,13 @@
         if self.failure is not None:
             raise self.failure
 
-    def _batch_duration(self, steps: tuple[upstream.EngineStep, ...]) -> float:
+    def _batch_seconds(self, steps: tuple[upstream.EngineStep, ...]) -> float:
         counts = [self._token_count(step) for step in steps]
-        prefilled = sum(count for count in counts if count > 1)
+        prefill_tokens = sum(count for count in counts if count > 1)
         return (
             self._speed.batch_seconds
             + len(steps) * self._speed.token_seconds
-            + prefilled * self._speed.prefill_token_seconds
+            + prefill_tokens * self._speed.prefill_token_seconds
         )
 
     def _token_count(self, step: upstream.EngineStep) -> int:
--- a/src/crowdeck/standin/network.py
+++ b/src/crowdeck/standin/network.py
@@ -131,7 +131,10 @@
 
 
 class MemoryPeer:
-    """The far end of an in-memory link."""
+    """The remote end of an in-memory link.
+
+    :ivar opposite: the remote end's object for this link.
+    """
 
     def __init__(
         self,
@@ -150,7 +153,7 @@
 
     @property
     def greeting(self) -> messages.Greeting:
-        """The greeting of the far end."""
+        """The greeting of the remote end."""
         return self._far.greeting
 
     @property
@@ -202,7 +205,7 @@
             self.opposite.close()
 
     async def deliver_records(self) -> None:
-        """Deliver this end's records to the far end's handler, in order."""
+        """Deliver this end's records to the remote end's handler, in order."""
         source, target = self._names
         with contextlib.closing(self._receiver):
             async for record, extra_delay in self._receiver:
@@ -230,12 +233,13 @@
         for extra_delay in self._network.fault(source, target, question):
             delay = self._network.delay + extra_delay
             await self._network.wait_for_delivery(source, target, delay)
-            # The far end handles the question even if the asker gives up.
+            # The remote end handles the question even if ask() times out.
             done = anyio.Event()
             result: list[questions.Reply] = []
             self._far.tasks.start_soon(self._serve, question, result, done)
             was_delivered = True
         if not was_delivered:
+            # The question was lost: ask() ends at its timeout.
             await anyio.sleep_forever()
         await done.wait()
         for extra_delay in self._network.fault(target, source, result[0]):
--- a/src/crowdeck/standin/repeats.py
+++ b/src/crowdeck/standin/repeats.py
@@ -97,7 +97,7 @@
     ) -> RepeatWindow:
         window = allowance.window_seconds
         # Requests of the preceding window also allow repeats in this one, so
-        # the largest of the three counts is used.
+        # the count is the largest of both and the window halfway between.
         requests = max(
             _count_in_window(self._requests, since - offset, window)
             for offset in (0.0, window / 2, window)
--- a/src/crowdeck/standin/service.py
+++ b/src/crowdeck/standin/service.py
@@ -17,7 +17,7 @@
 
 
 class StandinService:
-    """Serves receipts and land parcels (lots), and counts their side effects.
+    """Serves receipts and land parcels (lots), and counts how often.
 
     :ivar runs: how often each receipt and lot was served.
     """
--- a/src/crowdeck/standin/store.py
+++ b/src/crowdeck/standin/store.py
@@ -37,14 +37,16 @@
 class StandinStore:
     """Implements ``ObjectStore`` and ``InstanceList`` in memory.
 
-    After :meth:`stop_answering`, pending calls and those made before
-    :meth:`resume_answering` fail with the client's timeout.
+    After :meth:`stop_answering`, pending watches and all calls made before
+    :meth:`resume_answering` fail with ``STORE_DOWN`` after the client's
+    timeout.
 
     :ivar delay: time of each call in seconds.
     :ivar is_down: calls fail with ``STORE_DOWN``.
     :ivar lost_replies: number of next writes that take effect but whose reply
         is lost.
-    :ivar calls: number of calls by method.
+    :ivar calls: number of calls by method; ``list_instances`` counts as
+        ``list``.
     """
 
     def __init__(self, delay: float = DEFAULT_DELAY_SECONDS) -> None:
@@ -54,7 +56,7 @@
         self._forgotten_version = 0
         self._version = 0
         self._epoch = 0
-        self._list_version = 0
+        self._instance_list_version = 0
         self._changed = anyio.Event()
         self.delay = delay
         self._is_unresponsive = False
@@ -87,7 +89,7 @@
         if version != expected:
             raise errors.CrowdeckError(
                 errors.Code.STORE_CONFLICT,
-                f"{kind}/{name} is at version {version}, not {expected}",
+                f"{kind}/{name}: found version {version}, expected {expected}",
             )
         version = self.write(kind, name, value)
         if self.lost_replies:
@@ -133,7 +135,7 @@
     async def list_instances(self, known: str = "") -> stores.Listing | None:
         """Return the instances, or ``None`` if ``known`` is current."""
         await self._simulate_call("list")
-        etag = str(self._list_version)
+        etag = str(self._instance_list_version)
         if known == etag:
             return None
         return stores.Listing(etag, tuple(self._instances.values()))
@@ -141,7 +143,7 @@
     def add_instance(self, listed: instances.Instance) -> None:
         """Add an instance to the list, or replace it."""
         self._instances[listed.name] = listed
-        self._list_version += 1
+        self._instance_list_version += 1
 
     def listed(self, name: str) -> instances.Instance | None:
         """Return a listed instance, or ``None``."""
@@ -150,7 +152,7 @@
     def remove_instance(self, name: str) -> None:
         """Remove an instance from the list."""
         self._instances.pop(name, None)
-        self._list_version += 1
+        self._instance_list_version += 1
 
     def write(self, kind: str, name: str, value: bytes) -> int:
         """Write an object without a version check."""
--- a/src/crowdeck/standin/store_http.py
+++ b/src/crowdeck/standin/store_http.py
@@ -53,10 +53,14 @@
                 routing.Route(name_path, self._put, methods=["PUT"]),
                 routing.Route(kind_path, self._read_kind, methods=["GET"]),
                 routing.Route(kind_path, self._create, methods=["POST"]),
-                routing.Route(listed_path, self._add, methods=["PUT"]),
-                routing.Route(listed_path, self._remove, methods=["DELETE"]),
+                routing.Route(
+                    listed_path, self._add_instance, methods=["PUT"]
+                ),
+                routing.Route(
+                    listed_path, self._remove_instance, methods=["DELETE"]
+                ),
             ],
-            exception_handlers={errors.CrowdeckError: _refuse},
+            exception_handlers={errors.CrowdeckError: _error_response},
             middleware=[
                 middleware.Middleware(_EpochHeaderMiddleware, self._store)
             ],
@@ -128,7 +132,9 @@
             ),
         )
 
-    async def _add(self, request: requests.Request) -> responses.Response:
+    async def _add_instance(
+        self, request: requests.Request
+    ) -> responses.Response:
         body = orjson.loads(await request.body())
         self._store.add_instance(
             instances.Instance(
@@ -141,7 +147,9 @@
         )
         return responses.Response(status_code=204)
 
-    async def _remove(self, request: requests.Request) -> responses.Response:
+    async def _remove_instance(
+        self, request: requests.Request
+    ) -> responses.Response:
         self._store.remove_instance(request.path_params["name"])
         return responses.Response(status_code=204)
 
@@ -202,7 +210,7 @@
     )
 
 
-async def _refuse(
+async def _error_response(
     request: requests.Request, error: Exception
 ) -> responses.Response:
     assert isinstance(error, errors.CrowdeckError)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -432,7 +432,7 @@
             late = [
                 message
                 for message in sent(system, target.listed, announced_at)
-                if message.kind is chain_fleet.CallKind.REQUEST
+                if message.kind is chain_fleet.MessageKind.REQUEST
                 and message.request_arrived_at > announced_at + LEAVING_SECONDS
             ]
             assert not late
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -169,7 +169,7 @@
                     card,
                     "huvo11a",
                 )
-                chain_http.write_entry(listed, store)
+                chain_http.write_upstream_object(listed, store)
             return await inspection.show_bound(store)
 
         result = anyio.run(body)
@@ -187,7 +187,7 @@
                 listed = fleet_system.upstream(
                     name, "plateau", (first, end), "t4", "huvo11a"
                 )
-                chain_http.write_entry(listed, store)
+                chain_http.write_upstream_object(listed, store)
             return await inspection.show_placement(store)
 
         result = anyio.run(body)
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -532,7 +532,7 @@
     """The platform adapter decodes the records that the stand-in writes."""
     listed = fleet_system.upstream("e1", "plateau", (0, 9), "t4")
     store = standin_store.StandinStore()
-    chain_http.write_entry(listed, store)
+    chain_http.write_upstream_object(listed, store)
 
     async def body() -> chain.Upstream:
         changes = await store.list(names.UPSTREAM_KIND)
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -658,7 +658,7 @@
 
             caller = await ask_with_fault(system, request, 0.15, inject_fault)
             assert_whole(caller, request, system.fleet.events)
-            rejected = sum(system.fleet.rejected.values())
+            rejected = sum(system.fleet.rejection_counts.values())
             assert rejected > streams.MAX_REFUSALS
 
         run_scenario(work)
@@ -927,7 +927,7 @@
             for _ in range(3):
                 caller = await system.ask(system.request(STREAM))
                 assert caller.is_whole
-            assert sum(system.fleet.rejected.values()) <= 1
+            assert sum(system.fleet.rejection_counts.values()) <= 1
 
         run_scenario(work)
 
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -110,7 +110,7 @@
             assert caller.error is None
             assert caller.is_whole
             assert 0.4 < caller.times[0] < paths.QUEUE_WAIT_SECONDS
-            assert not system.fleet.rejected
+            assert not system.fleet.rejection_counts
 
         run_scenario(work)
 
