--- a/src/crowdeck/http.py
+++ b/src/crowdeck/http.py
@@ -205,7 +205,8 @@
 
         :param timeout_seconds: maximum time of each read or write, and of
             connecting if that is below ``CONNECT_TIMEOUT_SECONDS``.
-        :raises CrowdeckError: ``UPSTREAM_LOST``, with the verdict.
+        :raises CrowdeckError: ``UPSTREAM_LOST``, with the verdict, or
+            ``TOO_LARGE`` beyond ``RESPONSE_LIMIT_BYTES``.
         """
         timeouts = Timeouts(
             min(CONNECT_TIMEOUT_SECONDS, timeout_seconds), timeout_seconds
--- a/src/crowdeck/pipeline.py
+++ b/src/crowdeck/pipeline.py
@@ -82,7 +82,8 @@
             if stage.first_layer != layer or stage.end_layer <= layer:
                 raise ValueError(
                     f"stage {stage.instance} begins at layer "
-                    f"{stage.first_layer}, but layer {layer} is next"
+                    f"{stage.first_layer}; expected a stage of at least one "
+                    f"layer that begins at layer {layer}"
                 )
             layer = stage.end_layer
         if layer != self.layer_count:
--- a/src/crowdeck/route.py
+++ b/src/crowdeck/route.py
@@ -45,9 +45,9 @@
     :ivar timeout_seconds: maximum duration of a request.
     :ivar objective_seconds: latency objective of an answer; for streams, of
         the first event.
-    :ivar max_pause_seconds: longest pause between two events of a stream that
-        is in time; 0 where the config sets none, so that ``objective_seconds``
-        applies.
+    :ivar max_pause_seconds: latency objective of the pause between two events
+        of a stream; 0 where the config sets none, so that
+        ``objective_seconds`` applies.
     :ivar is_anonymous: whether requests need no key.
     :ivar is_resumable: whether another upstream may continue a stream.
     """
--- a/src/crowdeck/team.py
+++ b/src/crowdeck/team.py
@@ -23,7 +23,10 @@
     session: str = ""
 
     def settings_scope(self, service: str = "") -> trees.SettingsScope:
-        """Return the scope of this caller's settings."""
+        """Return this caller's settings scope.
+
+        Without a service it is the team's.
+        """
         session = self.session if service else ""
         return trees.SettingsScope(self.team, service, session)
 
--- a/src/crowdeck/timers.py
+++ b/src/crowdeck/timers.py
@@ -104,6 +104,9 @@
 class TimerService:
     """Calls its subscribers at their intervals.
 
+    The clock must have the event loop's time: the service sleeps by the event
+    loop until the next call is due.
+
     >>> timers = TimerService()
     >>> async def poll() -> None: ...
     >>> subscription = timers.subscribe("poll", 1.0, poll)
--- a/src/crowdeck/upstream.py
+++ b/src/crowdeck/upstream.py
@@ -93,8 +93,8 @@
 class ServiceRequest:
     """One HTTP request to a plain service.
 
-    :ivar timeout_seconds: maximum time of connecting, and of each read or
-        write.
+    :ivar timeout_seconds: maximum time of each read or write, and of
+        connecting if that is below the client's connect timeout.
     """
 
     method: str
--- a/src/crowdeck/wire/questions.py
+++ b/src/crowdeck/wire/questions.py
@@ -46,6 +46,8 @@
     """Asks for an answer from ``position`` on.
 
     The reply is ``Attached``.
+
+    :ivar window: how many tokens the head may be ahead of the caller.
     """
 
     request: str
@@ -85,9 +87,10 @@
 
 @attrs.frozen
 class TakeTurn:
-    """Asks the session's home sidecar for the next turn.
+    """Asks the sidecar that grants the session's turns for the next one.
 
-    The reply is sent once the turn is granted.
+    That sidecar is the session's home. The reply is sent once the turn is
+    granted.
 
     :ivar sequence: number that the caller gave the turn, or -1.
     :ivar is_holding: whether an earlier home has already granted the turn.
--- a/src/crowdeck/wire/rpc.py
+++ b/src/crowdeck/wire/rpc.py
@@ -87,6 +87,7 @@
 
         :param timeout: time to wait, in seconds.
         :raises LinkLost: if there was no reply.
+        :raises CrowdeckError: ``MALFORMED`` if the reply cannot be decoded.
         """
         name = self._greeting.instance
         if not self.is_open:
@@ -189,7 +190,7 @@
             for record in codec.decode_runs(runs):
                 self._handler.on_record(peer, record)
         except errors.CrowdeckError as error:
-            self._close_after(peer, error)
+            self._close_on_error(peer, error)
         except Exception as error:
             # An internal error must be reported here, and its traceback
             # must not be sent to the peer.
@@ -211,7 +212,7 @@
         return codec.REPLIES.encode(reply)
 
     async def wait_greeted(self) -> RpcPeer | None:
-        """Wait for the greeting and return the peer.
+        """Wait for the greeting, without a timeout, and return the peer.
 
         :return: ``None`` if the peer belongs to another cluster.
         """
@@ -226,7 +227,9 @@
             )
         return self.peer
 
-    def _close_after(self, peer: RpcPeer, error: errors.CrowdeckError) -> None:
+    def _close_on_error(
+        self, peer: RpcPeer, error: errors.CrowdeckError
+    ) -> None:
         counters.COUNTERS.add(f"link.closed.{error.code.lower()}")
         peer.close()
 
@@ -377,8 +380,9 @@
             peer = await endpoint.wait_greeted()
         if peer is None:
             counters.COUNTERS.add("link.closed.foreign")
-            # The reply to the greeting must be sent before the link closes: it
-            # names the cluster, so the peer can report the mismatch.
+            # No greeting arrived in time, or the peer belongs to another
+            # cluster; then the reply, which names the cluster, must be sent
+            # before the link closes.
             await anyio.sleep(0)
             return
         await peer.run(server.on_disconnect())
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -96,8 +96,10 @@
                 assert lease.is_held
                 suspend(seconds)
                 # Checked before any other task runs.
-                held = leases.LEASE_SECONDS - leases.SAFETY_MARGIN_SECONDS
-                assert lease.is_held is (seconds + 0.1 < held)
+                held_seconds = (
+                    leases.LEASE_SECONDS - leases.SAFETY_MARGIN_SECONDS
+                )
+                assert lease.is_held is (seconds + 0.1 < held_seconds)
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
@@ -124,20 +126,20 @@
                     await orders.suspended.wait()
                 store.is_down = True
                 await anyio.sleep(3.0)
-                assert orders.late_order_count == 0
+                assert orders.orders_after_suspension == 0
                 tasks.cancel_scope.cancel()
 
         virtual.run(body)
 
 
 class SuspendingOrders:
-    """Gives orders; suspends the machine for a minute at the first report."""
+    """Sends orders; suspends the machine for a minute at the first report."""
 
     def __init__(self, fleet: typing.Any, after_report: bool) -> None:
         self._fleet = fleet
         self._after_report = after_report
         self.suspended = anyio.Event()
-        self.late_order_count = 0
+        self.orders_after_suspension = 0
 
     async def report(self, upstream: typing.Any) -> typing.Any:
         if not self._after_report:
@@ -148,7 +150,7 @@
         return report
 
     async def place(self, move: plan.Move, *arguments: int) -> bool:
-        self.late_order_count += self.suspended.is_set()
+        self.orders_after_suspension += self.suspended.is_set()
         return bool(await self._fleet.place(move, *arguments))
 
     def _suspend_once(self) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -266,8 +266,8 @@
     def test_only_certificates_of_the_same_authority_are_accepted(
         self, tmp_path: pathlib.Path
     ) -> None:
-        ours = _security(tmp_path / "ours")
-        theirs = _security(tmp_path / "theirs")
+        ours = _make_tls_contexts(tmp_path / "ours")
+        theirs = _make_tls_contexts(tmp_path / "theirs")
 
         async def check_accepted(
             client: rpc.RpcTransport,
@@ -290,7 +290,7 @@
         _with_link(check_refused, ours, None)
 
 
-def _security(folder: pathlib.Path) -> rpc.TlsContexts:
+def _make_tls_contexts(folder: pathlib.Path) -> rpc.TlsContexts:
     folder.mkdir()
     authority = trustme.CA()
     certificate = authority.issue_cert("127.0.0.1")
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -24,7 +24,7 @@
 
     def select(self, timeout: float | None = None) -> typing.Any:
         if timeout is None:
-            raise RuntimeError("deadlock: no event is scheduled")
+            raise RuntimeError("all tasks wait, and no callback is scheduled")
         self.now += max(0.0, timeout)
         return super().select(0)
 
