--- a/src/crowdeck/relay/gaps.py
+++ b/src/crowdeck/relay/gaps.py
@@ -117,17 +117,14 @@
     def needed(self) -> str:
         """What would close the gap, as a text for operators."""
         if self.can_be_closed:
-            return f"loading layers, about {self.load_seconds:.1f} s"
+            return f"a load of about {self.load_seconds:.1f} s"
         lacking_layers = self.profile.layer_count - self.layer_capacity
         options = [
             f"{math.ceil(lacking_layers / capacity)} {name}"
             for name in sorted(self.profile.cards)
             if (capacity := max_layers(name, self.profile))
         ]
-        engines = (
-            " or ".join(options)
-            or "no known accelerator type has enough memory"
-        )
+        engines = " or ".join(options) or "no known kind"
         return f"engines for {lacking_layers} more layers: {engines}"
 
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -97,14 +97,14 @@
             missing_layers=20,
             first_missing=20,
             unheld="20-40",
-            needed="loading layers, about 3.5 s",
+            needed="a load of about 3.5 s",
             **common,
         )
         unheld = line(0.9, "layers_unheld", service="m", layers="20-40")
         refusal = line(1.1, "refused", request="r1", code="NO_PATH")
         found = explain.explain("r1", [unheld, missing, refusal])
         assert "no engine holds layers 20-40" in found.cause
-        assert "loading layers, about 3.5 s" in found.cause
+        assert "a load of about 3.5 s" in found.cause
         assert [shown.kind for shown in found.context] == ["layers_unheld"]
 
     def test_error_status_of_the_upstream_is_the_cause(self) -> None:
